--- /dev/null
+++ b/cmd/frostlink-coord/golden_test.go
@@ -0,0 +1,11 @@
+package main
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "proof", Value: &proof{}, WriteOnly: true}, goldentest.Form{Name: "verified", Value: &verified{}, WriteOnly: true})
+}
--- /dev/null
+++ b/internal/clients/http1/golden_test.go
@@ -0,0 +1,48 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"strings"
+	"testing"
+	"time"
+
+	"mallowlead/internal/clients"
+	"mallowlead/internal/goldentest"
+)
+
+// TestGoldenAnswers: what clients are answered, to the byte.
+func TestGoldenAnswers(t *testing.T) {
+	var all bytes.Buffer
+	exchange := func(name, request string, v clients.Verdict) {
+		_, addr, taken := testServer(t, 10)
+		c := dial(t, addr)
+		write(t, c, request)
+		if v.Status != 0 {
+			a := <-taken
+			v.Close = true
+			a.Verdict <- v
+		}
+		var answer strings.Builder
+		for in := bufio.NewReader(c); !strings.HasSuffix(answer.String(), "\r\n\r\n"); { // no answer has a body
+			line, err := in.ReadString('\n')
+			if err != nil {
+				t.Fatalf("%s: %v", name, err)
+			}
+			if strings.HasPrefix(line, "Date: ") {
+				line = "Date: any\r\n"
+			}
+			answer.WriteString(line)
+		}
+		all.WriteString("# " + name + "\n" + answer.String())
+	}
+	message := raw("m", "", "Content-Length: 0")
+	exchange("accepted", message, clients.Verdict{Status: 202})
+	exchange("shed, come again", message, clients.Verdict{Status: 429, After: 1500 * time.Millisecond})
+	exchange("shed", message, clients.Verdict{Status: 429})
+	exchange("failed", message, clients.Verdict{Status: 502})
+	exchange("unavailable", message, clients.Verdict{Status: 503})
+	exchange("malformed", raw("m", ""), clients.Verdict{})
+	exchange("health", "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", clients.Verdict{})
+	goldentest.Bytes(t, "answers.txt", all.Bytes())
+}
--- /dev/null
+++ b/internal/coord/api/golden_test.go
@@ -0,0 +1,13 @@
+package api
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "request", Value: &Request{}}, goldentest.Form{Name: "answer", Value: &Answer{}},
+		goldentest.Form{Name: "status", Value: &Status{}})
+	goldentest.Bytes(t, "paths.txt", []byte(PathCommand+"\n"+PathRead+"\n"+PathWait+"\n"+PathMembers+"\n"+PathStatus+"\n"+PathSnapshot+"\n"+PathRaft+"\n"))
+}
--- /dev/null
+++ b/internal/coord/disk/golden_test.go
@@ -0,0 +1,38 @@
+package disk
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"mallowlead/internal/coord/replica"
+	"mallowlead/internal/goldentest"
+)
+
+// TestGoldenFolder: a member's folder that an earlier build has written holds what it held.
+func TestGoldenFolder(t *testing.T) {
+	_, want := filled(t)
+	goldentest.File(t, "member.db", fileName, func(dir string) {
+		from, _ := filled(t)
+		raw, err := os.ReadFile(filepath.Join(from, fileName))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(dir, fileName), raw, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	})
+	id, got, err := Read(goldentest.Copy(t, "member.db", fileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if id.Cluster != "c" || id.ID != 1 || id.Address != "a:1" {
+		t.Errorf("identity %+v", id)
+	}
+	if len(got.Lives) != 1 || got.Lives[0] != want.Lives[0] || len(got.Marks) != 2 || got.Marks[3] != want.Marks[3] || got.Hard.GetTerm() != want.Hard.GetTerm() ||
+		got.Snapshot.GetMetadata().GetIndex() != 4 || len(got.Entries) != len(want.Entries) {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "identity", Value: &Identity{}}, goldentest.Form{Name: "lives", Value: &[]replica.Life{}},
+		goldentest.Form{Name: "marks", Value: &map[uint64]replica.Life{}})
+}
--- /dev/null
+++ b/internal/coord/golden_test.go
@@ -0,0 +1,14 @@
+package coord
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "entry", Value: &Entry{}}, goldentest.Form{Name: "result", Value: &Result{}},
+		goldentest.Form{Name: "snapshot", Value: &image{}}, goldentest.Form{Name: "status", Value: &Status{}},
+		goldentest.Form{Name: "lease", Value: &Lease{}}, goldentest.Form{Name: "value", Value: &Value{}},
+		goldentest.Form{Name: "change", Value: &Change{}}, goldentest.Form{Name: "member", Value: &Member{}})
+}
--- /dev/null
+++ b/internal/coord/server/golden_test.go
@@ -0,0 +1,11 @@
+package server
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenFrames(t *testing.T) {
+	goldentest.Bytes(t, "frames.bin", frame(frame(nil, []byte("one")), []byte("second")))
+}
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,13 @@
+package handover
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "hello", Value: &greeting{}}, goldentest.Form{Name: "item", Value: &Item{}})
+	goldentest.Bytes(t, "kinds.txt", []byte{packHello, packState, packOffer, packReady, packYours, packConns, packBatch, packAcked, packDone, '\n'})
+	goldentest.Bytes(t, "names.txt", []byte(socketName+"\n"+lockName+"\n"+FromClient+"\n"+OnCall+"\n"+ToHost+"\n"))
+}
--- /dev/null
+++ b/internal/invariant/golden_test.go
@@ -0,0 +1,15 @@
+package invariant
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenNames(t *testing.T) {
+	names := slices.Sorted(maps.Keys(new(Counts).ByKind()))
+	goldentest.Bytes(t, "kinds.txt", []byte(LogMessage+"\n"+strings.Join(names, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/rehearsal/rig/golden_test.go
@@ -0,0 +1,11 @@
+package rig
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "result", Value: &Result{}, WriteOnly: true})
+}
--- /dev/null
+++ b/internal/rehearsal/virtual/golden_test.go
@@ -0,0 +1,12 @@
+package virtual
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "result", Value: &Result{}, WriteOnly: true}, goldentest.Form{Name: "row", Value: &Row{}, WriteOnly: true},
+		goldentest.Form{Name: "found", Value: &Found{}, WriteOnly: true})
+}
--- /dev/null
+++ b/internal/strict/golden_test.go
@@ -0,0 +1,11 @@
+package strict
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "problem", Value: &Problem{}, WriteOnly: true})
+}
--- /dev/null
+++ b/internal/tasks/golden_test.go
@@ -0,0 +1,12 @@
+package tasks
+
+import (
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "ledger", Value: &Ledger{}}, goldentest.Form{Name: "slice-head", Value: &SliceHead{}},
+		goldentest.Form{Name: "slice-line", Value: &sliceLine{}})
+}
--- /dev/null
+++ b/internal/undelivered/golden_test.go
@@ -0,0 +1,49 @@
+package undelivered
+
+import (
+	"encoding/json"
+	"testing"
+
+	"mallowlead/internal/goldentest"
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "record", Value: &Record{}}, goldentest.Form{Name: "exported", Value: &Exported{}},
+		goldentest.Form{Name: "totals", Value: &Totals{}}, goldentest.Form{Name: "group", Value: &Group{}},
+		goldentest.Form{Name: "newest", Value: &latest{}}, goldentest.Form{Name: "era", Value: &era{}},
+		goldentest.Form{Name: "listing", Value: &Listing{}}, goldentest.Form{Name: "stats", Value: &Stats{}},
+		goldentest.Form{Name: "verified", Value: &Verified{}}, goldentest.Form{Name: "command", Value: &Command{}},
+		goldentest.Form{Name: "check-order", Value: &CheckOrder{}}, goldentest.Form{Name: "rule-check", Value: &RuleCheck{}},
+		goldentest.Form{Name: "fault", Value: &Fault{}})
+}
+
+// TestGoldenStore: a store that an earlier build has written is opened, and holds what it held.
+func TestGoldenStore(t *testing.T) {
+	goldentest.File(t, "store.db", fileName, func(dir string) {
+		s := openStore(t, dir)
+		put(t, s, "a", "b", "c")
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+	})
+	s := openStore(t, goldentest.Copy(t, "store.db", fileName))
+	totals, groups, err := s.Totals()
+	if err != nil || totals.Messages != 3 || totals.States[Held] != 3 || len(groups) != 1 || groups[0].Messages != 3 {
+		t.Errorf("%+v, %+v, %v", totals, groups, err)
+	}
+	for _, id := range []string{"a", "b", "c"} {
+		r, err := s.Get(id)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := s.Body(id)
+		if err != nil || string(body) != "body of "+id {
+			t.Errorf("body %q, %v", body, err)
+		}
+		raw, err := json.Marshal(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Bytes(t, "record-"+id+".json", append(raw, '\n'))
+	}
+}
--- a/policy/api.go
+++ b/policy/api.go
@@ -39,18 +39,18 @@
 
 // Class is one class of message.
 type Class struct {
-	Name      string
-	Aim       time.Duration // full worth up to here
-	Deadline  time.Duration // given up after this
-	Worth     float64
-	LateShare float64 // share of the worth left at the deadline
-	Halving   bool    // the worth halves with each further Aim instead of falling evenly
-	Effect    Effect
-	ByZone    bool          // Keyed: only endpoints of one zone share the memory of a key
-	Memory    time.Duration // Keyed: how long a key is remembered
-	Ordered   bool          // messages with one key go one at a time, in order
+	Name      string        `json:"Name"`
+	Aim       time.Duration `json:"Aim"`      // full worth up to here
+	Deadline  time.Duration `json:"Deadline"` // given up after this
+	Worth     float64       `json:"Worth"`
+	LateShare float64       `json:"LateShare"` // share of the worth left at the deadline
+	Halving   bool          `json:"Halving"`   // the worth halves with each further Aim instead of falling evenly
+	Effect    Effect        `json:"Effect"`
+	ByZone    bool          `json:"ByZone"`  // Keyed: only endpoints of one zone share the memory of a key
+	Memory    time.Duration `json:"Memory"`  // Keyed: how long a key is remembered
+	Ordered   bool          `json:"Ordered"` // messages with one key go one at a time, in order
 	// Retired: the settings have it no more. It keeps its number for messages that were taken on under it.
-	Retired bool
+	Retired bool `json:"Retired"`
 }
 
 // Kind is one kind of destination.
