--- a/cmd/frostlink-coord/folder.go
+++ b/cmd/frostlink-coord/folder.go
@@ -8,11 +8,11 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/coord/disk"
-	"mallowlead/internal/coord/replica"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/coord/disk"
+	"frostlink/internal/coord/replica"
 )
 
 func initCommand() *cobra.Command {
@@ -148,7 +148,7 @@
 				return err
 			}
 			if asJSON != "" {
-				if err := tool.WriteJSON(c.OutOrStdout(), asJSON, v); err != nil {
+				if err := cli.WriteJSON(c.OutOrStdout(), asJSON, v); err != nil {
 					return err
 				}
 			}
@@ -160,7 +160,7 @@
 				}
 			}
 			if v.Damage != "" {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		},
--- a/cmd/frostlink-coord/main.go
+++ b/cmd/frostlink-coord/main.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 		Example: "  frostlink-coord prove --seeds 1000",
 	}
 	root.AddCommand(initCommand(), joinCommand(), runCommand(), verifyCommand(), proveCommand())
-	code := tool.Run(ctx, root, os.Args[1:], os.Stdin, os.Stdout, os.Stderr)
+	code := cli.Run(ctx, root, os.Args[1:], os.Stdin, os.Stdout, os.Stderr)
 	stop()
 	os.Exit(code)
 }
--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/rehearsal/faults"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/faultinjection/faults"
 )
 
 // service is members of the real program.
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/quorum"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/faultinjection/coordsim"
 )
 
 // mostSeeds bounds what is played at one call.
@@ -20,14 +20,14 @@
 
 // proof is what a number of plays came to.
 type proof struct {
-	First   uint64          `json:"first_seed"`
-	Plays   int             `json:"plays"`
-	Acts    int             `json:"acts"`
-	Grants  int             `json:"grants"`
-	Values  int             `json:"values"`
-	Done    map[string]int  `json:"caused"`
-	Failing []quorum.Result `json:"failing"`
-	Took    float64         `json:"took_s"`
+	First   uint64            `json:"first_seed"`
+	Plays   int               `json:"plays"`
+	Acts    int               `json:"acts"`
+	Grants  int               `json:"grants"`
+	Values  int               `json:"values"`
+	Done    map[string]int    `json:"caused"`
+	Failing []coordsim.Result `json:"failing"`
+	Took    float64           `json:"took_s"`
 }
 
 func proveCommand() *cobra.Command {
@@ -55,13 +55,13 @@
 				return err
 			}
 			if asJSON != "" {
-				err = tool.WriteJSON(c.OutOrStdout(), asJSON, p)
+				err = cli.WriteJSON(c.OutOrStdout(), asJSON, p)
 			}
 			if asJSON != "-" {
 				printProof(c.OutOrStdout(), p)
 			}
 			if err == nil && len(p.Failing) > 0 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return err
 		},
@@ -77,7 +77,7 @@
 // prove plays as many runs at once as there are processors.
 func prove(c *cobra.Command, first uint64, seeds int, stop bool) (*proof, error) {
 	begun := time.Now()
-	p := &proof{First: first, Done: map[string]int{}, Failing: []quorum.Result{}}
+	p := &proof{First: first, Done: map[string]int{}, Failing: []coordsim.Result{}}
 	var mu sync.Mutex
 	var work sync.WaitGroup
 	next := first
@@ -92,7 +92,7 @@
 				if over {
 					return
 				}
-				r := quorum.Play(seed)
+				r := coordsim.Play(seed)
 				mu.Lock()
 				p.Plays++
 				p.Acts += r.Acts
@@ -109,7 +109,7 @@
 		})
 	}
 	work.Wait()
-	slices.SortFunc(p.Failing, func(a, b quorum.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	slices.SortFunc(p.Failing, func(a, b coordsim.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
 	p.Took = time.Since(begun).Seconds()
 	return p, c.Context().Err()
 }
--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/coord/server"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/coord/server"
 )
 
 // headerWithin is how long a caller may take for a request's head.
--- a/cmd/frostlink/build_test.go
+++ b/cmd/frostlink/build_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // deployed gives a key of deploy/balancer.toml.
@@ -102,7 +102,7 @@
 // configured writes a configuration with a discovery that turns all calls away, and gives the relay's address.
 func configured(t *testing.T, dir string) (at string, env []string) {
 	t.Helper()
-	s, err := script.Read("../../rehearsals/quiet.toml")
+	s, err := scenario.Read("../../scenarios/quiet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/frostlink/golden_test.go
+++ b/cmd/frostlink/golden_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 // TestGoldenBadInput: what the relay says of input that it can't use, and its exit codes, to the byte.
--- a/cmd/frostlink/main.go
+++ b/cmd/frostlink/main.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"syscall"
 
-	"mallowlead/internal/operator"
-	"mallowlead/internal/relay"
+	"frostlink/internal/operatorconfig"
+	"frostlink/internal/relay"
 )
 
 // heapShare of the memory limit is the runtime's soft limit: the journal's files count as memory too.
@@ -29,10 +29,10 @@
 	state := flag.String("state", os.Getenv("NODE_STATE"), "`folder` that outlasts the process (default $NODE_STATE)")
 	own := flag.String("operator", "", "the operator's own `file`, as deploy/frostlink.toml (default none: every section off)")
 	flag.Parse()
-	sections := operator.Off()
+	sections := operatorconfig.Off()
 	if *own != "" {
 		var err error
-		if sections, err = operator.Read(*own); err != nil {
+		if sections, err = operatorconfig.Read(*own); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
 		}
@@ -43,7 +43,7 @@
 	}
 }
 
-func run(config, state string, own *operator.File, hangups <-chan os.Signal) error {
+func run(config, state string, own *operatorconfig.File, hangups <-chan os.Signal) error {
 	if state == "" {
 		return fmt.Errorf("no folder for the journal: set NODE_STATE or -state")
 	}
@@ -59,7 +59,7 @@
 }
 
 // configure reads the configuration, with what the environment alone tells a process.
-func configure(config string, own *operator.File) (*relay.Config, error) {
+func configure(config string, own *operatorconfig.File) (*relay.Config, error) {
 	cfg, err := relay.ReadConfig(config)
 	if err != nil {
 		return nil, err
--- a/cmd/frostlinkctl/clocksteps.go
+++ b/cmd/frostlinkctl/clocksteps.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/rig"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/harness"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // clockSteps are the steps that scripts are played with, in seconds; 0: none, to compare with.
@@ -22,7 +22,7 @@
 	Path string  `json:"path"`
 	Step float64 `json:"step_s"`
 	Off  float64 `json:"off"` // of the worth without a step
-	*rig.Result
+	*harness.Result
 }
 
 func rehearseClockSteps() *cobra.Command {
@@ -34,7 +34,7 @@
 		Short: "Play scripts with the relays' wall clocks stepped, and without, and compare the worth",
 		Long: "Play each script without a step and with the wall clocks of all relays stepped by 0.5, 5, 60 and 3,600 s either way, some runs\n" +
 			"side by side, and compare. Exit codes: 0 no rule broken and the worth kept, 1 not so, 2 could not run or the machine was too busy.",
-		Example: "  frostlinkctl rehearse clock-steps rehearsals/quiet.toml rehearsals/relay-killed.toml",
+		Example: "  frostlinkctl rehearse clock-steps scenarios/quiet.toml scenarios/relay-killed.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			command, err := relayCommand(o.relays)
@@ -97,12 +97,12 @@
 	if r.Step != 0 {
 		text = fmt.Appendf(slices.Clone(text), "\n[[event]]\nat_s = %v\nwhat = \"clock_step\"\nby_s = %v\n", at, r.Step)
 	}
-	s, err := script.Parse(r.Path, text)
+	s, err := scenario.Parse(r.Path, text)
 	if err != nil {
 		return err
 	}
 	for try := 0; try < soakTries && (try == 0 || r.Void); try++ {
-		if r.Result, err = rig.Run(c.Context(), s, rig.Options{Seed: s.Seed, Command: command}); err != nil {
+		if r.Result, err = harness.Run(c.Context(), s, harness.Options{Seed: s.Seed, Command: command}); err != nil {
 			return err
 		}
 	}
--- a/cmd/frostlinkctl/coord.go
+++ b/cmd/frostlinkctl/coord.go
@@ -13,10 +13,10 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/operator"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/operatorconfig"
 )
 
 // askWithin bounds a command that needs a member that leads: an election takes about a second.
@@ -42,7 +42,7 @@
 // open takes over what the flags say.
 func (s *service) open() error {
 	if s.own != "" {
-		own, err := operator.Read(s.own)
+		own, err := operatorconfig.Read(s.own)
 		if err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 			return err
 		}
 		if asJSON != "" {
-			err = tool.WriteJSON(c.OutOrStdout(), asJSON, v)
+			err = cli.WriteJSON(c.OutOrStdout(), asJSON, v)
 		}
 		// What it found counts also where it is not printed.
 		out := c.OutOrStdout()
@@ -170,7 +170,7 @@
 				fmt.Fprintf(out, "%d members say that they lead\n", leads)
 			}
 			if found || leads != 1 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		})
@@ -285,7 +285,7 @@
 			m, err := coord.Restore(raw)
 			if err != nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s: %v\n", args[0], err)
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			n := m.Counts()
 			fmt.Fprintf(c.OutOrStdout(), "cluster %s, entry %d: %d sessions, %d leases, %d values of %d bytes\n", m.Cluster(), m.Index(), n.Sessions,
--- a/cmd/frostlinkctl/coordmeasure.go
+++ b/cmd/frostlinkctl/coordmeasure.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
 )
 
 // measured is what a service bore.
--- a/cmd/frostlinkctl/coordrehearse.go
+++ b/cmd/frostlinkctl/coordrehearse.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/faults"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/faultinjection/faults"
 )
 
 // The bounds of a rehearsal of the coordination service.
@@ -68,14 +68,14 @@
 				return err
 			}
 			if asJSON != "" {
-				err = tool.WriteJSON(c.OutOrStdout(), asJSON, results)
+				err = cli.WriteJSON(c.OutOrStdout(), asJSON, results)
 			}
 			out := c.OutOrStdout()
 			if asJSON == "-" {
 				out = io.Discard
 			}
 			if failed := printRuns(out, results); err == nil && failed > 0 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return err
 		},
--- a/cmd/frostlinkctl/export.go
+++ b/cmd/frostlinkctl/export.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/tasks"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/fleettask"
 )
 
 func exportCommand() *cobra.Command {
@@ -26,17 +26,17 @@
 }
 
 // ledger reads what of the export counts.
-func (s *service) ledger(ctx context.Context) (tasks.Ledger, error) {
-	a, err := s.lead(ctx, api.PathRead, api.Request{Query: &api.Query{Values: tasks.ExportKey}})
+func (s *service) ledger(ctx context.Context) (fleettask.Ledger, error) {
+	a, err := s.lead(ctx, api.PathRead, api.Request{Query: &api.Query{Values: fleettask.ExportKey}})
 	if err != nil {
-		return tasks.Ledger{}, err
+		return fleettask.Ledger{}, err
 	}
 	for _, v := range a.Values {
-		if v.Key == tasks.ExportKey {
-			return tasks.ReadLedger(v.Value)
+		if v.Key == fleettask.ExportKey {
+			return fleettask.ReadLedger(v.Value)
 		}
 	}
-	return tasks.ReadLedger(nil)
+	return fleettask.ReadLedger(nil)
 }
 
 // folderFlag adds the flag that names the export's folder.
@@ -47,7 +47,7 @@
 
 // checked is what an export came to.
 type checked struct {
-	tasks.Ledger
+	fleettask.Ledger
 	Fault string `json:"fault,omitempty"`
 }
 
@@ -66,7 +66,7 @@
 			return nil, err
 		}
 		v := checked{Ledger: l}
-		if _, err := l.Chain(func(name string) (tasks.SliceHead, error) { return tasks.ReadSlice(folder, name, nil) }); err != nil {
+		if _, err := l.Chain(func(name string) (fleettask.SliceHead, error) { return fleettask.ReadSlice(folder, name, nil) }); err != nil {
 			v.Fault = err.Error()
 		}
 		return v, nil
@@ -75,7 +75,7 @@
 		fmt.Fprintf(out, "%d records of %d relays in %d slices\n", e.Records, len(e.Places), e.Slices)
 		if e.Fault != "" {
 			fmt.Fprintln(out, e.Fault)
-			return tool.ErrFound
+			return cli.ErrFound
 		}
 		return nil
 	})
@@ -98,12 +98,12 @@
 			if err != nil {
 				return err
 			}
-			chain, err := l.Chain(func(name string) (tasks.SliceHead, error) { return tasks.ReadSlice(folder, name, nil) })
+			chain, err := l.Chain(func(name string) (fleettask.SliceHead, error) { return fleettask.ReadSlice(folder, name, nil) })
 			if err != nil {
 				return err
 			}
 			for _, h := range chain {
-				if _, err := tasks.ReadSlice(folder, h.Name, func(raw []byte) error {
+				if _, err := fleettask.ReadSlice(folder, h.Name, func(raw []byte) error {
 					_, err := fmt.Fprintf(c.OutOrStdout(), "%s\n", raw)
 					return err
 				}); err != nil {
--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/virtual"
-	"mallowlead/internal/tool"
-	"mallowlead/internal/trace/fleet"
+	"frostlink/internal/cli"
+	"frostlink/internal/faultinjection/simulation"
+	"frostlink/internal/trace/fleet"
 )
 
 // mostNamed bad lines are named one by one in print; all of them are in the JSON.
@@ -61,7 +61,7 @@
 			table := fleet.Count(logs.Events)
 			out := c.OutOrStdout()
 			if asJSON != "" {
-				err = tool.WriteJSON(out, asJSON, struct {
+				err = cli.WriteJSON(out, asJSON, struct {
 					*fleet.Table
 					Bad   []fleet.BadLine `json:"bad_lines"`
 					Other int             `json:"other_lines"`
@@ -76,7 +76,7 @@
 				}
 			}
 			if err == nil && len(logs.Bad) > 0 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return err
 		},
@@ -99,9 +99,9 @@
 		Use:   "play",
 		Short: "Play whole fleets in virtual time, and table cost and benefit by their size",
 		Long: "Play days of whole fleets in virtual time: the relays' real decisions among models of partners and of an overbooked\n" +
-			"register, judged by the auditor that judges rehearsals. The days: " + strings.Join(virtual.Names, ", ") + ". Traffic, limits and\n" +
+			"register, judged by the auditor that judges rehearsals. The days: " + strings.Join(simulation.Names, ", ") + ". Traffic, limits and\n" +
 			"hosts grow with the relays; what one host takes does not. With --drawn each seed draws its own sizes, shares, limits and times\n" +
-			"of trouble, by kind: " + strings.Join(virtual.DrawnNames, ", ") + ". A play in which something is wrong is named by its seed.\n" +
+			"of trouble, by kind: " + strings.Join(simulation.DrawnNames, ", ") + ". A play in which something is wrong is named by its seed.\n" +
 			"Exit codes: 0 fine, 1 a rule was broken (without --drawn also: a partner was pushed over), 2 could not run.",
 		Example: "  frostlinkctl fleet play --relays 1,3,12,80 --day herd --plays 3\n" +
 			"  frostlinkctl fleet play --drawn --relays 300 --plays 17             # a hundred drawn days, about 6 minutes on 6 cores\n" +
@@ -116,21 +116,21 @@
 					return fmt.Errorf("--relays: %d is not from 1 to %d", n, mostRelays)
 				}
 			}
-			maker := virtual.NewDay
+			maker := simulation.NewDay
 			if drawn {
-				maker = virtual.Drawn
+				maker = simulation.Drawn
 				if !c.Flags().Changed("day") {
-					days = virtual.DrawnNames
+					days = simulation.DrawnNames
 				}
 			}
-			rows := []virtual.Row{}
+			rows := []simulation.Row{}
 			found := false
 			for _, day := range days {
 				for _, n := range sizes {
 					if err := c.Context().Err(); err != nil {
 						return err
 					}
-					row, err := virtual.Measure(maker, day, n, plays, first)
+					row, err := simulation.Measure(maker, day, n, plays, first)
 					if err != nil {
 						return fmt.Errorf("--day: %w", err)
 					}
@@ -141,20 +141,20 @@
 			}
 			var err error
 			if asJSON != "" {
-				err = tool.WriteJSON(c.OutOrStdout(), asJSON, rows)
+				err = cli.WriteJSON(c.OutOrStdout(), asJSON, rows)
 			}
 			if asJSON != "-" {
 				printRows(c.OutOrStdout(), days, rows)
 			}
 			if err == nil && found {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return err
 		},
 	}
 	f := c.Flags()
 	f.IntSliceVar(&sizes, "relays", []int{1, 2, 3, 12, 80, 160}, "numbers of `relays`")
-	f.StringSliceVar(&days, "day", virtual.Names, "`days` to play")
+	f.StringSliceVar(&days, "day", simulation.Names, "`days` to play")
 	f.IntVar(&plays, "plays", 3, "`plays` of each, by seeds one after the other; figures are their means")
 	f.Int64Var(&first, "seed", 1, "first `seed`")
 	f.BoolVar(&drawn, "drawn", false, "draw each day from its seed")
@@ -163,7 +163,7 @@
 }
 
 // printRows prints the plays, and how their figures grow with the number of relays.
-func printRows(out io.Writer, days []string, rows []virtual.Row) {
+func printRows(out io.Writer, days []string, rows []simulation.Row) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\trelays\tworth\tspread\trefused/msg\tdoor/msg\tconnections/msg\tasks/relay\tasks/s most\tfalls\tfaults\t")
 	for _, r := range rows {
@@ -180,15 +180,15 @@
 		}
 	}
 	for _, day := range days {
-		var of []virtual.Row
+		var of []simulation.Row
 		for _, r := range rows {
 			if r.Day == day {
 				of = append(of, r)
 			}
 		}
-		asks := virtual.Growth(of, func(r virtual.Row) float64 { return r.Asks * float64(r.Relays) })
-		peak := virtual.Growth(of, func(r virtual.Row) float64 { return r.AskPeak })
-		made := virtual.Growth(of, func(r virtual.Row) float64 { return r.Connections })
+		asks := simulation.Growth(of, func(r simulation.Row) float64 { return r.Asks * float64(r.Relays) })
+		peak := simulation.Growth(of, func(r simulation.Row) float64 { return r.AskPeak })
+		made := simulation.Growth(of, func(r simulation.Row) float64 { return r.Connections })
 		if !math.IsNaN(asks) {
 			fmt.Fprintf(out, "%s: asks grow as relays^%.2f, their peak as relays^%.2f, connections a message as relays^%.2f\n", day, asks, peak, made)
 		}
--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/tool"
-	"mallowlead/internal/trace"
-	"mallowlead/internal/trace/fleet"
+	"frostlink/internal/cli"
+	"frostlink/internal/trace"
+	"frostlink/internal/trace/fleet"
 )
 
 // followed is what fleet follow writes as JSON.
@@ -63,14 +63,14 @@
 				return fmt.Errorf("%s: none of %d messages in the logs has that id", id, trail.Messages())
 			}
 			if asJSON != "" {
-				err = tool.WriteJSON(c.OutOrStdout(), asJSON, out)
+				err = cli.WriteJSON(c.OutOrStdout(), asJSON, out)
 			}
 			if asJSON != "-" {
 				printFollowed(c.OutOrStdout(), &out, wrong)
 			}
 			for _, course := range out.Courses {
 				if err == nil && len(course.Faults) > 0 {
-					return tool.ErrFound
+					return cli.ErrFound
 				}
 			}
 			return err
--- a/cmd/frostlinkctl/golden_test.go
+++ b/cmd/frostlinkctl/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/cmd/frostlinkctl/lease.go
+++ b/cmd/frostlinkctl/lease.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
 )
 
 // commandTTL is the session's of a command that changes something.
@@ -72,7 +72,7 @@
 		}
 	}
 	fmt.Fprintf(c.OutOrStdout(), "%s is free\n", name)
-	return coord.Lease{}, tool.ErrFound
+	return coord.Lease{}, cli.ErrFound
 }
 
 func (s *service) showCommand() *cobra.Command {
--- a/cmd/frostlinkctl/main.go
+++ b/cmd/frostlinkctl/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
 )
 
 func main() {
@@ -28,5 +28,5 @@
 		Long:  "The operator's tool for frostlink relays.\nExit codes: 0 fine, 1 found something, 2 could not run.",
 	}
 	root.AddCommand(rehearseCommand(), undeliveredCommand(), fleetCommand(), coordCommand(), leaseCommand(), exportCommand())
-	return tool.Run(ctx, root, args, in, out, errs)
+	return cli.Run(ctx, root, args, in, out, errs)
 }
--- a/cmd/frostlinkctl/rehearse.go
+++ b/cmd/frostlinkctl/rehearse.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/rig"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/strict"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/faultinjection/harness"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/strictconfig"
 )
 
 // scriptsDir is where scripts that are named without a path are looked for.
@@ -26,7 +26,7 @@
 		Short: "Rehearse an incident on this machine, against real relay processes",
 		Long: "Rehearse an incident on this machine: real relay processes, with clients, partners, register and network\n" +
 			"stood in for on loopback addresses, and an auditor of the six rules.",
-		Example: "  frostlinkctl rehearse run rehearsals/quiet.toml",
+		Example: "  frostlinkctl rehearse run scenarios/quiet.toml",
 	}
 	c.AddCommand(rehearseRun(), rehearseRepeat(), rehearseSoak(), rehearseClockSteps(), rehearseCheck(), rehearseList())
 	return c
@@ -48,16 +48,16 @@
 }
 
 // prepare reads the script and finds the relay.
-func (o *runOptions) prepare(c *cobra.Command, path string) (*script.Script, rig.Options, error) {
+func (o *runOptions) prepare(c *cobra.Command, path string) (*scenario.Script, harness.Options, error) {
 	s, err := readScript(path)
 	if err != nil {
-		return nil, rig.Options{}, err
+		return nil, harness.Options{}, err
 	}
 	if !c.Flags().Changed("seed") {
 		o.seed = s.Seed
 	}
 	command, err := relayCommand(o.relays)
-	return s, rig.Options{Seed: o.seed, Command: command, Keep: o.keep}, err
+	return s, harness.Options{Seed: o.seed, Command: command, Keep: o.keep}, err
 }
 
 func rehearseRun() *cobra.Command {
@@ -68,7 +68,7 @@
 		Short: "Play a script and audit it",
 		Long: "Play a script and audit it. The run lasts as long as the script says, plus what the last messages need.\n" +
 			"Exit codes: 0 all rules kept, 1 a rule broken or a relay crashed, 2 could not run or the machine was too busy.",
-		Example: "  frostlinkctl rehearse run rehearsals/fiscal-year-end.toml --seed 7 --json out.json --keep logs",
+		Example: "  frostlinkctl rehearse run scenarios/fiscal-year-end.toml --seed 7 --json out.json --keep logs",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, options, err := o.prepare(c, args[0])
@@ -83,13 +83,13 @@
 			}
 			fmt.Fprintf(out, "%s, seed %d: %s\n%d relays, %d partners, %.0f messages a second for %.0f s\n", s.Name, o.seed, s.About,
 				s.Relays, len(s.Partners), s.Load.Rate, s.Length)
-			res, err := rig.Run(c.Context(), s, options)
+			res, err := harness.Run(c.Context(), s, options)
 			if err != nil {
 				return err
 			}
 			res.Print(out)
 			if o.json != "" {
-				if err := tool.WriteJSON(c.OutOrStdout(), o.json, res); err != nil {
+				if err := cli.WriteJSON(c.OutOrStdout(), o.json, res); err != nil {
 					return err
 				}
 			}
@@ -97,7 +97,7 @@
 			case res.Void:
 				return fmt.Errorf("void: %.2f%% of the rig's events were later than 5 ms", 100*res.Late)
 			case !res.Good():
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		},
@@ -113,13 +113,13 @@
 	c := &cobra.Command{
 		Use:     "check FILE...",
 		Short:   "Check scripts, and name all that is wrong in them",
-		Example: "  frostlinkctl rehearse check rehearsals/*.toml",
+		Example: "  frostlinkctl rehearse check scenarios/*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			found := strict.Problems{}
+			found := strictconfig.Problems{}
 			for _, path := range args {
 				s, err := readScript(path)
-				var bad strict.Problems
+				var bad strictconfig.Problems
 				switch {
 				case errors.As(err, &bad):
 					found = append(found, bad...)
@@ -131,14 +131,14 @@
 				}
 			}
 			if asJSON {
-				if err := tool.WriteJSON(c.OutOrStdout(), "-", found); err != nil {
+				if err := cli.WriteJSON(c.OutOrStdout(), "-", found); err != nil {
 					return err
 				}
 			} else if len(found) > 0 {
 				fmt.Fprintln(c.OutOrStdout(), found.Error())
 			}
 			if len(found) > 0 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		},
@@ -175,7 +175,7 @@
 			}
 			rows, bad := []row{}, false
 			for _, p := range paths {
-				s, err := script.Read(p)
+				s, err := scenario.Read(p)
 				if err != nil {
 					bad = true
 					fmt.Fprintln(c.ErrOrStderr(), err)
@@ -184,7 +184,7 @@
 				rows = append(rows, row{p, s.Name, s.About, s.Length, s.Relays})
 			}
 			if asJSON {
-				err = tool.WriteJSON(c.OutOrStdout(), "-", rows)
+				err = cli.WriteJSON(c.OutOrStdout(), "-", rows)
 			} else {
 				t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				for _, r := range rows {
@@ -193,7 +193,7 @@
 				err = t.Flush()
 			}
 			if err == nil && bad {
-				err = tool.ErrFound
+				err = cli.ErrFound
 			}
 			return err
 		},
@@ -203,13 +203,13 @@
 }
 
 // readScript reads a script by its path, or by its name alone.
-func readScript(path string) (*script.Script, error) {
+func readScript(path string) (*scenario.Script, error) {
 	if _, err := os.Stat(path); err != nil && !strings.ContainsAny(path, "/.") {
 		if named := filepath.Join(scriptsDir, path+".toml"); fileThere(named) {
 			path = named
 		}
 	}
-	return script.Read(path)
+	return scenario.Read(path)
 }
 
 func fileThere(path string) bool {
--- a/cmd/frostlinkctl/repeat.go
+++ b/cmd/frostlinkctl/repeat.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/rig"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/harness"
 )
 
 // mostVoids runs on which the rig was late are played again.
@@ -34,7 +34,7 @@
 		Short: "Play a script several times with one seed, and tell how far the runs differ",
 		Long: "Play a script several times with one seed, and tell how far the runs differ: all that is drawn is the same,\n" +
 			"so that what differs is the machine's timing and what follows from it.",
-		Example: "  frostlinkctl rehearse repeat rehearsals/quiet.toml --runs 10",
+		Example: "  frostlinkctl rehearse repeat scenarios/quiet.toml --runs 10",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if runs < 2 {
@@ -44,10 +44,10 @@
 			if err != nil {
 				return err
 			}
-			var results []*rig.Result
+			var results []*harness.Result
 			bad, voids := false, 0
 			for n := 0; n < runs; {
-				res, err := rig.Run(c.Context(), s, options)
+				res, err := harness.Run(c.Context(), s, options)
 				if err != nil {
 					return err
 				}
@@ -65,7 +65,7 @@
 			}
 			rows := spreads(results)
 			if o.json != "" {
-				if err := tool.WriteJSON(c.OutOrStdout(), o.json, rows); err != nil {
+				if err := cli.WriteJSON(c.OutOrStdout(), o.json, rows); err != nil {
 					return err
 				}
 			}
@@ -80,7 +80,7 @@
 				}
 			}
 			if bad {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		},
@@ -91,30 +91,30 @@
 }
 
 // spreads compares runs figure by figure.
-func spreads(results []*rig.Result) []spread {
+func spreads(results []*harness.Result) []spread {
 	figures := []struct {
 		name string
-		of   func(r *rig.Result) float64
+		of   func(r *harness.Result) float64
 	}{
-		{"worth", func(r *rig.Result) float64 { return r.Worth.Whole }},
-		{"worst 10 s", func(r *rig.Result) float64 { return r.Worth.Worst10s }},
-		{"worst class", func(r *rig.Result) float64 { return r.Worth.WorstClass }},
-		{"worst tenant", func(r *rig.Result) float64 { return r.Worth.WorstTenant }},
-		{"asked", func(r *rig.Result) float64 { return float64(r.Counts.Asked) }},
-		{"delivered", func(r *rig.Result) float64 { return float64(r.Counts.Delivered) }},
-		{"in time", func(r *rig.Result) float64 { return float64(r.Counts.InTime) }},
-		{"refused", func(r *rig.Result) float64 { return float64(r.Counts.Refused) }},
-		{"failed", func(r *rig.Result) float64 { return float64(r.Counts.Failed) }},
-		{"unserved", func(r *rig.Result) float64 { return float64(r.Counts.Unserved) }},
-		{"hand-ins", func(r *rig.Result) float64 { return float64(r.Counts.HandIns) }},
-		{"taken on", func(r *rig.Result) float64 { return float64(r.Counts.Taken) }},
-		{"calls", func(r *rig.Result) float64 { return float64(r.Counts.Calls) }},
+		{"worth", func(r *harness.Result) float64 { return r.Worth.Whole }},
+		{"worst 10 s", func(r *harness.Result) float64 { return r.Worth.Worst10s }},
+		{"worst class", func(r *harness.Result) float64 { return r.Worth.WorstClass }},
+		{"worst tenant", func(r *harness.Result) float64 { return r.Worth.WorstTenant }},
+		{"asked", func(r *harness.Result) float64 { return float64(r.Counts.Asked) }},
+		{"delivered", func(r *harness.Result) float64 { return float64(r.Counts.Delivered) }},
+		{"in time", func(r *harness.Result) float64 { return float64(r.Counts.InTime) }},
+		{"refused", func(r *harness.Result) float64 { return float64(r.Counts.Refused) }},
+		{"failed", func(r *harness.Result) float64 { return float64(r.Counts.Failed) }},
+		{"unserved", func(r *harness.Result) float64 { return float64(r.Counts.Unserved) }},
+		{"hand-ins", func(r *harness.Result) float64 { return float64(r.Counts.HandIns) }},
+		{"taken on", func(r *harness.Result) float64 { return float64(r.Counts.Taken) }},
+		{"calls", func(r *harness.Result) float64 { return float64(r.Counts.Calls) }},
 	}
-	for _, outcome := range []string{audit.OK, audit.Error, audit.Full, audit.Wait, audit.Reset, audit.Cut, audit.Left} {
+	for _, outcome := range []string{checker.OK, checker.Error, checker.Full, checker.Wait, checker.Reset, checker.Cut, checker.Left} {
 		figures = append(figures, struct {
 			name string
-			of   func(r *rig.Result) float64
-		}{"calls " + outcome, func(r *rig.Result) float64 { return float64(r.Counts.Outcomes[outcome]) }})
+			of   func(r *harness.Result) float64
+		}{"calls " + outcome, func(r *harness.Result) float64 { return float64(r.Counts.Outcomes[outcome]) }})
 	}
 	var rows []spread
 	for _, f := range figures {
--- a/cmd/frostlinkctl/soak.go
+++ b/cmd/frostlinkctl/soak.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/rehearsal/rig"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/tool"
+	"frostlink/internal/cli"
+	"frostlink/internal/faultinjection/harness"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // soakRun is one seed's.
@@ -19,7 +19,7 @@
 	Seed   int64  `json:"seed"`
 	Tries  int    `json:"tries"` // runs that the machine was too busy for come before it
 	Script string `json:"script,omitempty"`
-	*rig.Result
+	*harness.Result
 }
 
 func rehearseSoak() *cobra.Command {
@@ -79,13 +79,13 @@
 // verdict writes the results of several runs where they are wanted, and says how they ended as a whole.
 func verdict(c *cobra.Command, path string, runs any, bad, void int) error {
 	if path != "" {
-		if err := tool.WriteJSON(c.OutOrStdout(), path, runs); err != nil {
+		if err := cli.WriteJSON(c.OutOrStdout(), path, runs); err != nil {
 			return err
 		}
 	}
 	switch {
 	case bad > 0:
-		return tool.ErrFound
+		return cli.ErrFound
 	case void > 0:
 		return fmt.Errorf("the machine was too busy for %d runs", void)
 	}
@@ -98,8 +98,8 @@
 // playSoak plays a seed.
 func playSoak(c *cobra.Command, seed int64, relays int, length float64, command []string, keep string) (soakRun, error) {
 	run := soakRun{Seed: seed}
-	text := script.SoakText(seed, relays, length)
-	s, err := script.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
+	text := scenario.SoakText(seed, relays, length)
+	s, err := scenario.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 	if err != nil {
 		return run, err
 	}
@@ -110,7 +110,7 @@
 	defer os.RemoveAll(kept)
 	for run.Tries < soakTries && (run.Tries == 0 || run.Void) {
 		run.Tries++
-		if run.Result, err = rig.Run(c.Context(), s, rig.Options{Seed: seed, Command: command, Keep: kept}); err != nil {
+		if run.Result, err = harness.Run(c.Context(), s, harness.Options{Seed: seed, Command: command, Keep: kept}); err != nil {
 			return run, err
 		}
 	}
--- a/cmd/frostlinkctl/undelivered.go
+++ b/cmd/frostlinkctl/undelivered.go
@@ -15,10 +15,10 @@
 
 	"github.com/spf13/cobra"
 
-	"mallowlead/internal/operator"
-	"mallowlead/internal/relay"
-	"mallowlead/internal/tool"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/cli"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/operatorconfig"
+	"frostlink/internal/relay"
 )
 
 // pageOf the tool: how many messages it asks for at once.
@@ -53,10 +53,10 @@
 }
 
 // reach finds the store: by the socket where a relay answers there, else in the folder.
-func (o *storeOptions) reach(write bool) (*undelivered.Access, error) {
+func (o *storeOptions) reach(write bool) (*deadletter.Access, error) {
 	socket, folder := o.socket, o.folder
 	if o.operator != "" {
-		own, err := operator.Read(o.operator)
+		own, err := operatorconfig.Read(o.operator)
 		switch {
 		case err != nil:
 			return nil, err
@@ -71,7 +71,7 @@
 		}
 	}
 	if socket != "" {
-		a, err := undelivered.Connect(socket)
+		a, err := deadletter.Connect(socket)
 		if err == nil || folder == "" {
 			return a, err
 		}
@@ -79,11 +79,11 @@
 	if folder == "" {
 		return nil, errors.New("which store? name --operator FILE, --socket SOCKET or --folder FOLDER")
 	}
-	return undelivered.OpenFolder(folder, write)
+	return deadletter.OpenFolder(folder, write)
 }
 
 // on runs a command on the store.
-func (o *storeOptions) on(write bool, do func(c *cobra.Command, a *undelivered.Access, args []string) error) func(*cobra.Command, []string) error {
+func (o *storeOptions) on(write bool, do func(c *cobra.Command, a *deadletter.Access, args []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		a, err := o.reach(write)
 		if err != nil {
@@ -96,7 +96,7 @@
 
 // filterFlags are the flags of commands that mean some messages of all.
 type filterFlags struct {
-	undelivered.Filter
+	deadletter.Filter
 	partner int
 	may     bool
 	reason  string
@@ -113,8 +113,8 @@
 	fl.BoolVar(&f.may, "may-have-run", false, "only those that may have run (=false: only those that can't)")
 }
 
-func (f *filterFlags) filter(c *cobra.Command) *undelivered.Filter {
-	f.Reason, f.State = undelivered.Reason(f.reason), undelivered.State(f.state)
+func (f *filterFlags) filter(c *cobra.Command) *deadletter.Filter {
+	f.Reason, f.State = deadletter.Reason(f.reason), deadletter.State(f.state)
 	if c.Flags().Changed("partner") {
 		f.Partner = &f.partner
 	}
@@ -133,13 +133,13 @@
 		Short:   "List messages, a page at a time",
 		Example: "  frostlinkctl undelivered list --folder store --state held --may-have-run",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *undelivered.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
 			l, err := a.List(c.Context(), f.filter(c), from, most)
 			if err != nil {
 				return err
 			}
 			if o.json {
-				return tool.WriteJSON(c.OutOrStdout(), "-", l)
+				return cli.WriteJSON(c.OutOrStdout(), "-", l)
 			}
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "id\tclass\ttenant\tpartner\tgiven up\treason\tattempts\tmay have run\tstate\twhy")
@@ -178,7 +178,7 @@
 		Short:   "Show a message with its whole history; its body only when asked",
 		Example: "  frostlinkctl undelivered show 4f0c2a9d1b770000 --folder store --text",
 		Args:    cobra.ExactArgs(1),
-		RunE: o.on(false, func(c *cobra.Command, a *undelivered.Access, args []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, args []string) error {
 			r, err := a.Get(c.Context(), args[0])
 			if err != nil {
 				return err
@@ -192,9 +192,9 @@
 			out := c.OutOrStdout()
 			if o.json {
 				if asHex || asText {
-					return tool.WriteJSON(out, "-", undelivered.Exported{Record: *r, Body: body})
+					return cli.WriteJSON(out, "-", deadletter.Exported{Record: *r, Body: body})
 				}
-				return tool.WriteJSON(out, "-", r)
+				return cli.WriteJSON(out, "-", r)
 			}
 			printRecord(out, r)
 			if asHex {
@@ -211,7 +211,7 @@
 	return c
 }
 
-func printRecord(out io.Writer, r *undelivered.Record) {
+func printRecord(out io.Writer, r *deadletter.Record) {
 	fmt.Fprintf(out, "%s: %s to partner %d, tenant %q, key %q, %d bytes\n", r.ID, r.Class, r.Partner, r.Tenant, r.Key, r.BodySize)
 	fmt.Fprintf(out, "%s since %s: %s\n", r.State, when(r.Since), r.Why)
 	if r.Subject != "" {
@@ -253,14 +253,14 @@
 		Short:   "What the store holds, by class and tenant",
 		Example: "  frostlinkctl undelivered stats --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *undelivered.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
 			s, err := a.Stats(c.Context())
 			if err != nil {
 				return err
 			}
 			out := c.OutOrStdout()
 			if o.json {
-				return tool.WriteJSON(out, "-", s)
+				return cli.WriteJSON(out, "-", s)
 			}
 			fmt.Fprintf(out, "%d messages, %d bytes of bodies, file of %d bytes; %d listed as not kept\n", s.Messages, s.Bytes, s.File, s.Unkept)
 			t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -290,15 +290,15 @@
 			"class's allowance are refused. A running relay knows its classes; for a stopped one name its configuration.",
 		Example: "  frostlinkctl undelivered check --operator deploy/frostlink.toml --config config.json",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *undelivered.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
 			if o.operator == "" {
 				return errors.New("--operator: which rules?")
 			}
-			own, err := operator.Read(o.operator)
+			own, err := operatorconfig.Read(o.operator)
 			if err != nil {
 				return err
 			}
-			order := undelivered.CheckOrder{Rules: own.Undelivered.Rules}
+			order := deadletter.CheckOrder{Rules: own.Undelivered.Rules}
 			if config != "" {
 				if order.Classes, err = classesOf(config, own.Undelivered); err != nil {
 					return err
@@ -309,13 +309,13 @@
 				return err
 			}
 			if o.json {
-				err = tool.WriteJSON(c.OutOrStdout(), "-", rules)
+				err = cli.WriteJSON(c.OutOrStdout(), "-", rules)
 			} else {
 				printChecks(c.OutOrStdout(), rules, own.Undelivered.Rules)
 			}
 			for _, r := range rules {
 				if len(r.Faults) > 0 && err == nil {
-					err = tool.ErrFound
+					err = cli.ErrFound
 				}
 			}
 			return err
@@ -326,7 +326,7 @@
 }
 
 // classesOf reads a relay's classes from the platform's configuration.
-func classesOf(path string, own *undelivered.Section) ([]undelivered.Class, error) {
+func classesOf(path string, own *deadletter.Section) ([]deadletter.Class, error) {
 	cfg, err := relay.ReadConfig(path)
 	if err != nil {
 		return nil, err
@@ -335,7 +335,7 @@
 }
 
 // printChecks says in plain words what each rule would do.
-func printChecks(out io.Writer, checks []undelivered.RuleCheck, rules []undelivered.Rule) {
+func printChecks(out io.Writer, checks []deadletter.RuleCheck, rules []deadletter.Rule) {
 	for _, c := range append(checks[1:], checks[0]) {
 		if c.Rule == 0 {
 			fmt.Fprintf(out, "no rule: holds %d messages\n", c.Matches)
@@ -360,13 +360,13 @@
 		Short:   "Read all there is, and name what is damaged",
 		Example: "  frostlinkctl undelivered verify --folder store",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *undelivered.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
 			v, err := a.Verify(c.Context())
 			if err != nil {
 				return err
 			}
 			if o.json {
-				if err := tool.WriteJSON(c.OutOrStdout(), "-", v); err != nil {
+				if err := cli.WriteJSON(c.OutOrStdout(), "-", v); err != nil {
 					return err
 				}
 			} else {
@@ -376,7 +376,7 @@
 				fmt.Fprintf(c.OutOrStdout(), "%d messages are whole, %d faults\n", v.Good, len(v.Faults))
 			}
 			if len(v.Faults) > 0 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		}),
@@ -391,7 +391,7 @@
 		Short:   "Write messages with their bodies, a line of JSON each",
 		Example: "  frostlinkctl undelivered export --folder store --state held --to held.jsonl",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *undelivered.Access, _ []string) (err error) {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) (err error) {
 			to := c.OutOrStdout()
 			if path != "-" {
 				file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600) // nothing is written over
@@ -415,7 +415,7 @@
 						fmt.Fprintf(c.ErrOrStderr(), "%s: %v\n", r.ID, err)
 						continue
 					}
-					raw, err := json.Marshal(undelivered.Exported{Record: *r, Body: body})
+					raw, err := json.Marshal(deadletter.Exported{Record: *r, Body: body})
 					if err != nil {
 						return err
 					}
@@ -431,7 +431,7 @@
 			}
 			fmt.Fprintf(c.ErrOrStderr(), "%d messages exported, %d damaged\n", n, damaged)
 			if damaged > 0 {
-				return tool.ErrFound
+				return cli.ErrFound
 			}
 			return nil
 		}),
@@ -447,7 +447,7 @@
 		Short:   "Take in messages that were exported; they are held",
 		Example: "  frostlinkctl undelivered import held.jsonl --folder store",
 		Args:    cobra.ExactArgs(1),
-		RunE: o.on(true, func(c *cobra.Command, a *undelivered.Access, args []string) error {
+		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Access, args []string) error {
 			file, err := os.Open(args[0])
 			if err != nil {
 				return err
@@ -455,7 +455,7 @@
 			defer file.Close()
 			lines := json.NewDecoder(file)
 			for n, news := 0, 0; ; n++ {
-				var e undelivered.Exported
+				var e deadletter.Exported
 				err := lines.Decode(&e)
 				if errors.Is(err, io.EOF) {
 					fmt.Fprintf(c.OutOrStdout(), "%d messages read, %d of them news\n", n, news)
@@ -478,13 +478,13 @@
 
 // do is a command on messages by their ids.
 func (o *storeOptions) do(what, short string, why bool) *cobra.Command {
-	var order undelivered.Command
+	var order deadletter.Command
 	c := &cobra.Command{
 		Use:     what + " ID... | -",
 		Short:   short,
 		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", what),
 		Args:    cobra.MinimumNArgs(1),
-		RunE: o.on(true, func(c *cobra.Command, a *undelivered.Access, ids []string) error {
+		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Access, ids []string) error {
 			return o.each(c, a, what, ids, order)
 		}),
 	}
@@ -498,7 +498,7 @@
 
 // each does something to each message, and goes on where one is refused. The id - stands for those on standard input: a
 // list that staff have checked against a partner's ledger.
-func (o *storeOptions) each(c *cobra.Command, a *undelivered.Access, what string, ids []string, order undelivered.Command) error {
+func (o *storeOptions) each(c *cobra.Command, a *deadletter.Access, what string, ids []string, order deadletter.Command) error {
 	if len(ids) == 1 && ids[0] == "-" {
 		ids = nil
 		for words := bufio.NewScanner(c.InOrStdin()); words.Scan(); {
@@ -506,7 +506,7 @@
 		}
 	}
 	refused := false
-	done := []*undelivered.Record{}
+	done := []*deadletter.Record{}
 	for _, id := range ids {
 		r, err := a.Do(c.Context(), what, id, order)
 		if err != nil {
@@ -520,18 +520,18 @@
 		}
 	}
 	if o.json {
-		if err := tool.WriteJSON(c.OutOrStdout(), "-", done); err != nil {
+		if err := cli.WriteJSON(c.OutOrStdout(), "-", done); err != nil {
 			return err
 		}
 	}
 	if refused {
-		return tool.ErrFound
+		return cli.ErrFound
 	}
 	return nil
 }
 
 func (o *storeOptions) attest() *cobra.Command {
-	var order undelivered.Command
+	var order deadletter.Command
 	c := &cobra.Command{
 		Use:   "attest ID... | -",
 		Short: "State by name that the partner does not have a message that may have run",
@@ -539,7 +539,7 @@
 			"allows one resend. - stands for ids on standard input, as from a list that was checked against a ledger.",
 		Example: "  frostlinkctl undelivered attest 4f0c2a9d1b770000 --folder store --by \"Amina Khan\" --evidence \"ledger of 30 June, page 7\"",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: o.on(true, func(c *cobra.Command, a *undelivered.Access, ids []string) error {
+		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Access, ids []string) error {
 			return o.each(c, a, "attest", ids, order)
 		}),
 	}
--- a/cmd/frostlinkctl/undelivered_test.go
+++ b/cmd/frostlinkctl/undelivered_test.go
@@ -8,25 +8,25 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/tool"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/cli"
+	"frostlink/internal/deadletter"
 )
 
 // filled is a stopped relay's folder with so many payments that may have run.
 func filled(t *testing.T, ids ...string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "kept")
-	s, err := undelivered.Open(dir, 0, 0)
+	s, err := deadletter.Open(dir, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	at := time.Now().Add(-time.Hour)
 	for _, id := range ids {
-		err := s.Put([]undelivered.Kept{{Body: []byte("body of " + id), Record: undelivered.Record{ID: id, Class: "fee-payment", Tenant: "lahore",
-			Partner: 3, State: undelivered.Held, Since: at, Why: "no rule matches it", Lives: []undelivered.Life{{ID: id, Relay: "r", Taken: at,
-				Expires: at, Over: at, Reason: undelivered.Doubtful, Status: "undeliverable",
-				Attempts: []undelivered.Attempt{{Host: "h", Begun: at, Ran: undelivered.May}}}}}}})
+		err := s.Put([]deadletter.Kept{{Body: []byte("body of " + id), Record: deadletter.Record{ID: id, Class: "fee-payment", Tenant: "lahore",
+			Partner: 3, State: deadletter.Held, Since: at, Why: "no rule matches it", Lives: []deadletter.Life{{ID: id, Relay: "r", Taken: at,
+				Expires: at, Over: at, Reason: deadletter.Doubtful, Status: "undeliverable",
+				Attempts: []deadletter.Attempt{{Host: "h", Begun: at, Ran: deadletter.May}}}}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,30 +57,30 @@
 		out  string // a part of what is printed
 		errs string
 	}{
-		{"list --folder DIR --may-have-run --class fee-payment", "", tool.ExitFine, "no rule matches it", ""},
-		{"list --folder DIR --most 2", "", tool.ExitFine, "a  ", "there is more: --from 3"},
-		{"list --folder DIR --state gone", "", tool.ExitFail, "", `state: "gone" is none of`},
-		{"list --folder DIR/none", "", tool.ExitFail, "", "no store"},
-		{"list", "", tool.ExitFail, "", "which store?"},
-		{"list --operator OPERATOR --json", "", tool.ExitFine, `"id": "a"`, ""},
-		{"show a --folder DIR --text", "", tool.ExitFine, `"body of a"`, ""},
-		{"show a --folder DIR", "", tool.ExitFine, "ran: may", ""},
-		{"show z --folder DIR", "", tool.ExitFail, "", "no such message"},
-		{"stats --folder DIR", "", tool.ExitFine, "3 messages, 27 bytes", ""},
-		{"attest a --folder DIR --by Amina", "", tool.ExitFail, "", "evidence"},
-		{"attest - --folder DIR --by Amina --evidence ledger", "a b\nz\n", tool.ExitFound, "b: held", "no such message"},
-		{"attest a --folder DIR --by Amina --evidence ledger", "", tool.ExitFound, "", "an attest for it is there already"},
-		{"show a --folder DIR", "", tool.ExitFine, "attested by Amina", ""},
-		{"discard c --folder DIR", "", tool.ExitFail, "", "why"},
-		{"discard c --folder DIR --why booked --by Bilal", "", tool.ExitFine, "c: discarded, discarded by Bilal: booked", ""},
-		{"resend c --folder DIR", "", tool.ExitFound, "", "c: it is discarded already"},
-		{"hold b --folder DIR --by Bilal", "", tool.ExitFine, "b: held, held by Bilal", ""},
-		{"export --folder DIR --to EXPORT", "", tool.ExitFine, "", "3 messages exported, 0 damaged"},
-		{"export --folder DIR --to EXPORT", "", tool.ExitFail, "", "exists"},
-		{"import EXPORT --folder EMPTY", "", tool.ExitFine, "3 messages read, 3 of them news", ""},
-		{"import EXPORT --folder EMPTY", "", tool.ExitFine, "3 messages read, 0 of them news", ""},
-		{"verify --folder EMPTY", "", tool.ExitFine, "3 messages are whole, 0 faults", ""},
-		{"list --folder EMPTY --state discarded", "", tool.ExitFine, "c  ", ""},
+		{"list --folder DIR --may-have-run --class fee-payment", "", cli.ExitFine, "no rule matches it", ""},
+		{"list --folder DIR --most 2", "", cli.ExitFine, "a  ", "there is more: --from 3"},
+		{"list --folder DIR --state gone", "", cli.ExitFail, "", `state: "gone" is none of`},
+		{"list --folder DIR/none", "", cli.ExitFail, "", "no store"},
+		{"list", "", cli.ExitFail, "", "which store?"},
+		{"list --operator OPERATOR --json", "", cli.ExitFine, `"id": "a"`, ""},
+		{"show a --folder DIR --text", "", cli.ExitFine, `"body of a"`, ""},
+		{"show a --folder DIR", "", cli.ExitFine, "ran: may", ""},
+		{"show z --folder DIR", "", cli.ExitFail, "", "no such message"},
+		{"stats --folder DIR", "", cli.ExitFine, "3 messages, 27 bytes", ""},
+		{"attest a --folder DIR --by Amina", "", cli.ExitFail, "", "evidence"},
+		{"attest - --folder DIR --by Amina --evidence ledger", "a b\nz\n", cli.ExitFound, "b: held", "no such message"},
+		{"attest a --folder DIR --by Amina --evidence ledger", "", cli.ExitFound, "", "an attest for it is there already"},
+		{"show a --folder DIR", "", cli.ExitFine, "attested by Amina", ""},
+		{"discard c --folder DIR", "", cli.ExitFail, "", "why"},
+		{"discard c --folder DIR --why booked --by Bilal", "", cli.ExitFine, "c: discarded, discarded by Bilal: booked", ""},
+		{"resend c --folder DIR", "", cli.ExitFound, "", "c: it is discarded already"},
+		{"hold b --folder DIR --by Bilal", "", cli.ExitFine, "b: held, held by Bilal", ""},
+		{"export --folder DIR --to EXPORT", "", cli.ExitFine, "", "3 messages exported, 0 damaged"},
+		{"export --folder DIR --to EXPORT", "", cli.ExitFail, "", "exists"},
+		{"import EXPORT --folder EMPTY", "", cli.ExitFine, "3 messages read, 3 of them news", ""},
+		{"import EXPORT --folder EMPTY", "", cli.ExitFine, "3 messages read, 0 of them news", ""},
+		{"verify --folder EMPTY", "", cli.ExitFine, "3 messages are whole, 0 faults", ""},
+		{"list --folder EMPTY --state discarded", "", cli.ExitFine, "c  ", ""},
 	} {
 		words := strings.Fields("undelivered " + strings.NewReplacer("OPERATOR", operator, "EXPORT", export, "EMPTY", empty, "DIR", dir).Replace(c.args))
 		code, out, errs := ctl(t, c.in, words...)
@@ -89,7 +89,7 @@
 		}
 	}
 	_, out, _ := ctl(t, "", "undelivered", "show", "a", "--folder", empty, "--json")
-	var r undelivered.Record
+	var r deadletter.Record
 	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Attests) != 1 || !r.Attests[0].Used {
 		t.Errorf("an attest that came with an import serves here: %+v, %v", r.Attests, err)
 	}
@@ -98,18 +98,18 @@
 // Two tools on one folder, or a tool and a relay: the second gets a clear error, and changes nothing.
 func TestTwoOnOneFolder(t *testing.T) {
 	dir := filled(t, "a")
-	s, err := undelivered.Open(dir, 0, 0)
+	s, err := deadletter.Open(dir, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, args := range []string{"list", "discard a --why booked"} {
 		code, out, errs := ctl(t, "", append(append([]string{"undelivered"}, strings.Fields(args)...), "--folder", dir)...)
-		if code != tool.ExitFail || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
+		if code != cli.ExitFail || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
 			t.Errorf("%s: exit %d, %s%s", args, code, out, errs)
 		}
 	}
 	_ = s.Close()
-	if code, out, errs := ctl(t, "", "undelivered", "list", "--folder", dir); code != tool.ExitFine || !strings.Contains(out, "held") {
+	if code, out, errs := ctl(t, "", "undelivered", "list", "--folder", dir); code != cli.ExitFine || !strings.Contains(out, "held") {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
 }
--- /dev/null
+++ b/cmd/simadapter/main.go
@@ -0,0 +1,17 @@
+// Command simadapter runs the decisions of package policy on the simulator's wire: batches on standard
+// input, replies on standard output.
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"frostlink/internal/simadapter"
+)
+
+func main() {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
+		os.Exit(1)
+	}
+}
--- a/internal/management/management_test.go
+++ b/internal/admin/admin_test.go
@@ -1,4 +1,4 @@
-package management
+package admin
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/wait/waittest"
 )
 
 // told is a relay that notes what it is told.
--- a/internal/management/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -1,9 +1,9 @@
-package management
+package admin
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenFigures(t *testing.T) {
--- a/internal/management/figures.go
+++ b/internal/admin/metrics.go
@@ -1,4 +1,4 @@
-package management
+package admin
 
 import (
 	"encoding/json"
--- a/internal/management/door.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
-// Package management is the operators' door: an address of its own, HTTP/1.1 with one call a connection, on which they
+// Package admin is the operators' door: an address of its own, HTTP/1.1 with one call a connection, on which they
 // read status and figures and send clients away or take them again. It reads snapshots and sets a stance: no call waits for
 // the relay's loop, for its disk or for a client.
-package management
+package admin
 
 import (
 	"context"
--- a/internal/tool/tool.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package tool is what the commands for people have in common: exit codes and where JSON goes.
-package tool
+// Package cli is what the commands for people have in common: exit codes and where JSON goes.
+package cli
 
 import (
 	"context"
--- a/internal/clock/lint_test.go
+++ b/internal/clock/lint_test.go
@@ -20,14 +20,14 @@
 
 // allowed are the uses of wall time outside this package, each by the file and what is used there, with its reason.
 var allowed = map[string]string{
-	"cmd/frostlinkctl/follow.go: UnixMilli":          "a date of a log, shown to people",
-	"cmd/frostlinkctl/lease.go: UnixMilli":           "a date of a record, shown to people",
-	"internal/socket/socket.go: Unix":                "a deadline that has passed on any clock",
-	"internal/undelivered/store.go: UnixMilli":       "the key of a date that the store was given, and its way back",
-	"internal/undelivered/subject.go: Unix":          "an order that clients give as a date",
-	"internal/undelivered/access.go: time.Now":       "the tool on a folder of which no relay runs",
-	"internal/undelivered/record.go: time.Time json": "dates on the relay's timeline, kept for people",
-	"internal/undelivered/newest.go: time.Time json": "the same",
+	"cmd/frostlinkctl/follow.go: UnixMilli":         "a date of a log, shown to people",
+	"cmd/frostlinkctl/lease.go: UnixMilli":          "a date of a record, shown to people",
+	"internal/socket/socket.go: Unix":               "a deadline that has passed on any clock",
+	"internal/deadletter/store.go: UnixMilli":       "the key of a date that the store was given, and its way back",
+	"internal/deadletter/subject.go: Unix":          "an order that clients give as a date",
+	"internal/deadletter/access.go: time.Now":       "the tool on a folder of which no relay runs",
+	"internal/deadletter/record.go: time.Time json": "dates on the relay's timeline, kept for people",
+	"internal/deadletter/newest.go: time.Time json": "the same",
 }
 
 // findings gives the uses of wall time in a file, each as its path, a colon, and what is used.
@@ -72,7 +72,7 @@
 			return err
 		}
 		switch {
-		case d.IsDir() && (strings.HasPrefix(d.Name(), ".") && rel != "." || rel == "internal/rehearsal" || rel == "internal/clock"):
+		case d.IsDir() && (strings.HasPrefix(d.Name(), ".") && rel != "." || rel == "internal/faultinjection" || rel == "internal/clock"):
 			return fs.SkipDir
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
--- a/internal/coord/api/api.go
+++ b/internal/coord/api/api.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/coord"
+	"frostlink/internal/coord"
 )
 
 // The paths. Another version of the service has others.
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -12,7 +12,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord/replica"
 )
 
 // TestFlippedBytes: a byte that is flipped anywhere in the file is either of no account, or an error; it never ends the
--- a/internal/coord/disk/disk.go
+++ b/internal/coord/disk/disk.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
-	"mallowlead/internal/boltfile"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/boltfile"
+	"frostlink/internal/coord/replica"
 )
 
 // The folder holds one bbolt file with two buckets:
--- a/internal/coord/disk/disk_test.go
+++ b/internal/coord/disk/disk_test.go
@@ -9,9 +9,9 @@
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mallowlead/internal/boltfile"
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/boltfile"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/replica"
 )
 
 func entry(index, term uint64, data string) *raftpb.Entry {
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 	"testing"
 
-	"mallowlead/internal/coord/replica"
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/coord/replica"
+	"frostlink/internal/goldentest"
 )
 
 // TestGoldenFolder: a member's folder that an earlier build has written holds what it held.
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -16,7 +16,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mallowlead/internal/coord"
+	"frostlink/internal/coord"
 )
 
 // Config says how a member behaves.
--- a/internal/coord/replica/disk.go
+++ b/internal/coord/replica/disk.go
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mallowlead/internal/coord"
+	"frostlink/internal/coord"
 )
 
 // Life names one run of a member: its number is one more than that of the run before by the member's own disk, and
--- a/internal/coord/replica/status.go
+++ b/internal/coord/replica/status.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"mallowlead/internal/coord"
+	"frostlink/internal/coord"
 )
 
 // Status tells how the member is.
--- a/internal/coord/server/frame_test.go
+++ b/internal/coord/server/frame_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord/replica"
 )
 
 func FuzzUnframe(f *testing.F) {
--- a/internal/coord/server/golden_test.go
+++ b/internal/coord/server/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenFrames(t *testing.T) {
--- a/internal/coord/server/http.go
+++ b/internal/coord/server/http.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/coord/replica"
 )
 
 const (
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -8,10 +8,10 @@
 	"math/rand/v2"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/disk"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/clock"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/disk"
+	"frostlink/internal/coord/replica"
 )
 
 const (
--- a/internal/coord/server/peers.go
+++ b/internal/coord/server/peers.go
@@ -10,9 +10,9 @@
 	"net/http"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/coord/replica"
 )
 
 const (
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/coord/replica"
-	"mallowlead/internal/coord/server/servertest"
-	"mallowlead/internal/lease"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/coord/replica"
+	"frostlink/internal/coord/server/servertest"
+	"frostlink/internal/lease"
 )
 
 func TestLeaseGoesOnBetweenClients(t *testing.T) {
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/coord/disk"
-	"mallowlead/internal/coord/replica"
-	"mallowlead/internal/coord/server"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/coord/disk"
+	"frostlink/internal/coord/replica"
+	"frostlink/internal/coord/server"
 )
 
 // Within is how long anything may take that takes a second at most on a machine with nothing else to do.
--- a/internal/undelivered/config.go
+++ b/internal/deadletter/config.go
@@ -1,10 +1,10 @@
-package undelivered
+package deadletter
 
 import (
 	"fmt"
 	"slices"
 
-	"mallowlead/internal/strict"
+	"frostlink/internal/strictconfig"
 )
 
 // Section is [undelivered] of the operator's file.
@@ -68,7 +68,7 @@
 )
 
 // Check fills in defaults and reports what is wrong; at is the section's key.
-func (s *Section) Check(d *strict.Doc, at string) {
+func (s *Section) Check(d *strictconfig.Doc, at string) {
 	if !d.Has(at + ".quota_mb") {
 		s.QuotaMB = defaultQuotaMB
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (b *Bound) check(d *strict.Doc, at string) {
+func (b *Bound) check(d *strictconfig.Doc, at string) {
 	if b.Class == "" && b.Tenant == "" {
 		d.Bad(at, "names neither a class nor a tenant")
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *Subject) check(d *strict.Doc, at string) {
+func (s *Subject) check(d *strictconfig.Doc, at string) {
 	one := func(header, pointer, headerKey, pointerKey string) {
 		if (header == "") == (pointer == "") {
 			d.Bad(at+"."+headerKey, "either %s or %s says where it is", headerKey, pointerKey)
--- a/internal/undelivered/core_test.go
+++ b/internal/deadletter/core_test.go
@@ -1,4 +1,4 @@
-package undelivered
+package deadletter
 
 import (
 	"fmt"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/seeded"
-	"mallowlead/internal/strict"
+	"frostlink/internal/strictconfig"
+	"frostlink/internal/testseed"
 	"pgregory.net/rapid"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 var noon = time.Date(2026, 6, 30, 12, 0, 0, 0, time.UTC)
 
@@ -111,7 +111,7 @@
 	var s struct {
 		Rules []Rule `toml:"rule"`
 	}
-	d := strict.Decode("r", []byte(text), &s)
+	d := strictconfig.Decode("r", []byte(text), &s)
 	for i := range s.Rules {
 		s.Rules[i].Check(d, fmt.Sprintf("rule[%d]", i+1))
 	}
--- a/internal/undelivered/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -1,10 +1,10 @@
-package undelivered
+package deadletter
 
 import (
 	"encoding/json"
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/undelivered/record.go
+++ b/internal/deadletter/record.go
@@ -1,6 +1,6 @@
-// Package undelivered keeps messages that were taken on and not delivered, and decides which of them may be sent
+// Package deadletter keeps messages that were taken on and not delivered, and decides which of them may be sent
 // again. Its decisions (Allowed, Rules, Newest) know neither the clock nor a file: times come in as arguments.
-package undelivered
+package deadletter
 
 import "time"
 
--- a/internal/undelivered/rules.go
+++ b/internal/deadletter/rules.go
@@ -1,4 +1,4 @@
-package undelivered
+package deadletter
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/strict"
+	"frostlink/internal/strictconfig"
 )
 
 // The actions of a rule.
@@ -37,7 +37,7 @@
 const day = 24 * time.Hour
 
 // Check reports what is wrong with a rule at a key of the file.
-func (r *Rule) Check(d *strict.Doc, at string) {
+func (r *Rule) Check(d *strictconfig.Doc, at string) {
 	if r.Action != "" && !slices.Contains([]string{Hold, Resend, Discard}, r.Action) {
 		d.Bad(at+".action", "%q is none of hold, resend, discard", r.Action)
 	}
--- a/internal/undelivered/store.go
+++ b/internal/deadletter/store.go
@@ -1,4 +1,4 @@
-package undelivered
+package deadletter
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"mallowlead/internal/boltfile"
+	"frostlink/internal/boltfile"
 )
 
 // The store is one bbolt file with these buckets, and those of subjects.go:
--- a/internal/undelivered/subjects.go
+++ b/internal/deadletter/subjects.go
@@ -1,4 +1,4 @@
-package undelivered
+package deadletter
 
 import (
 	"crypto/rand"
--- a/internal/undelivered/totals.go
+++ b/internal/deadletter/totals.go
@@ -1,4 +1,4 @@
-package undelivered
+package deadletter
 
 import (
 	"encoding/json"
--- a/internal/undelivered/verify.go
+++ b/internal/deadletter/verify.go
@@ -1,4 +1,4 @@
-package undelivered
+package deadletter
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"mallowlead/internal/boltfile"
+	"frostlink/internal/boltfile"
 )
 
 // Fault is something that Verify found.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/settings"
-	"mallowlead/internal/socket"
-	"mallowlead/internal/wait"
-	"mallowlead/policy"
+	"frostlink/internal/settings"
+	"frostlink/internal/socket"
+	"frostlink/internal/wait"
+	"frostlink/policy"
 )
 
 const (
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/wait/waittest"
 )
 
 // newWatcher gives a watcher of a handler, which does not run yet and tells nobody.
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mallowlead/internal/backoff"
+	"frostlink/internal/backoff"
 )
 
 const (
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/wait/waittest"
 )
 
 // A few relays ask at once; of ten or more the first asks lie over the whole span, and later ones within windows that
--- a/internal/rehearsal/audit/audit_test.go
+++ b/internal/faultinjection/checker/audit_test.go
@@ -1,4 +1,4 @@
-package audit
+package checker
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 const sec = time.Second
--- a/internal/rehearsal/audit/figures_test.go
+++ b/internal/faultinjection/checker/figures_test.go
@@ -1,11 +1,11 @@
-package audit
+package checker
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 // replaced is the log of a relay whose process is replaced at 10 s while it has a message out, and of what partners and
--- a/internal/rehearsal/audit/golden_test.go
+++ b/internal/faultinjection/checker/golden_test.go
@@ -1,9 +1,9 @@
-package audit
+package checker
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/rehearsal/audit/judge.go
+++ b/internal/faultinjection/checker/judge.go
@@ -1,4 +1,4 @@
-package audit
+package checker
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 const (
--- a/internal/rehearsal/audit/log.go
+++ b/internal/faultinjection/checker/log.go
@@ -1,17 +1,17 @@
-// Package audit judges relays by the six rules, from nothing but what the stand-ins round them wrote down. It shares
+// Package checker judges relays by the six rules, from nothing but what the stand-ins round them wrote down. It shares
 // no code with the relay or its decisions but the types of the settings. All times are since the start of the run.
 //
 // The rules are those of the protocol: every message that was taken on has exactly one end, in time; no effect
 // happens twice; drains are kept; a destination that returns is not pushed over; order is kept where a class asks
 // for it; waits are heeded.
-package audit
+package checker
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 // Kind says what an event of the log tells.
--- a/internal/rehearsal/audit/notes_test.go
+++ b/internal/faultinjection/checker/notes_test.go
@@ -1,10 +1,10 @@
-package audit
+package checker
 
 import (
 	"fmt"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 // This file writes the logs that the tests have judged.
--- a/internal/rehearsal/audit/register.go
+++ b/internal/faultinjection/checker/register.go
@@ -1,10 +1,10 @@
-package audit
+package checker
 
 import (
 	"slices"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 // failedAsk stretches the time within which a relay must ask, after a call to the register that failed.
--- a/internal/rehearsal/audit/resends.go
+++ b/internal/faultinjection/checker/resends.go
@@ -1,11 +1,11 @@
-package audit
+package checker
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 // resends checks calls under ids of relays' own making: the class's allowance holds over all ids of a message.
--- a/internal/rehearsal/audit/standing.go
+++ b/internal/faultinjection/checker/standing.go
@@ -1,4 +1,4 @@
-package audit
+package checker
 
 import "time"
 
--- a/internal/rehearsal/audit/worth.go
+++ b/internal/faultinjection/checker/worth.go
@@ -1,10 +1,10 @@
-package audit
+package checker
 
 import (
 	"slices"
 	"time"
 
-	"mallowlead/internal/settings"
+	"frostlink/internal/settings"
 )
 
 // worstSpan is the width of the worst stretch, and worstStep by how much it is moved.
--- a/internal/rehearsal/quorum/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -1,4 +1,4 @@
-package quorum
+package coordsim
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"mallowlead/internal/coord"
+	"frostlink/internal/coord"
 )
 
 // forever is when an operation ends of which nothing was heard.
--- a/internal/rehearsal/quorum/clients.go
+++ b/internal/faultinjection/coordsim/clients.go
@@ -1,12 +1,12 @@
-package quorum
+package coordsim
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/lease"
+	"frostlink/internal/coord"
+	"frostlink/internal/lease"
 )
 
 // act is something done under a lease, on true time.
--- a/internal/rehearsal/rig/golden_test.go
+++ b/internal/faultinjection/coordsim/golden_test.go
@@ -1,9 +1,9 @@
-package rig
+package coordsim
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/rehearsal/quorum/members.go
+++ b/internal/faultinjection/coordsim/members.go
@@ -1,11 +1,11 @@
-package quorum
+package coordsim
 
 import (
 	"errors"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/replica"
 )
 
 const (
--- a/internal/rehearsal/quorum/quorum_test.go
+++ b/internal/faultinjection/coordsim/quorum_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package quorum
+package coordsim
 
 import (
 	"encoding/json"
--- a/internal/rehearsal/quorum/replace.go
+++ b/internal/faultinjection/coordsim/replace.go
@@ -1,4 +1,4 @@
-package quorum
+package coordsim
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/replica"
 )
 
 // errRemoved is why a member that was removed does not come back.
--- a/internal/rehearsal/quorum/run.go
+++ b/internal/faultinjection/coordsim/run.go
@@ -1,12 +1,12 @@
-package quorum
+package coordsim
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/replica"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/replica"
 )
 
 // run is one play.
--- a/internal/rehearsal/quorum/trouble.go
+++ b/internal/faultinjection/coordsim/trouble.go
@@ -1,4 +1,4 @@
-package quorum
+package coordsim
 
 import (
 	"slices"
--- a/internal/rehearsal/quorum/world.go
+++ b/internal/faultinjection/coordsim/world.go
@@ -1,8 +1,8 @@
-// Package quorum plays whole quorums of the coordination service in virtual time: the cores that run (raft, state
+// Package coordsim plays whole quorums of the coordination service in virtual time: the cores that run (raft, state
 // machine, client) under a network that loses, delays, doubles, reorders and cuts one way, with pauses, crashes at
 // every write, disks set back and clocks apart. One seed plays the same run again. The checkers know nothing of the
 // cores: they see acts, grants and answers on true time.
-package quorum
+package coordsim
 
 import (
 	"container/heap"
--- a/internal/rehearsal/partner/arithmetic.go
+++ b/internal/faultinjection/destination/arithmetic.go
@@ -1,4 +1,4 @@
-package partner
+package destination
 
 // MMcK gives the share of calls turned away and the mean time in seconds of those served, by the stationary
 // distribution of an M/M/c/K queue (Erlang): Poisson arrivals at a rate a second, exponential service times of a mean
--- a/internal/rehearsal/partner/partner.go
+++ b/internal/faultinjection/destination/destination.go
@@ -1,7 +1,7 @@
-// Package partner models a partner system: endpoints with slots and queues, a limit on calls, pauses, outages and
+// Package destination models a partner system: endpoints with slots and queues, a limit on calls, pauses, outages and
 // the cold time after them. It has no sockets and no clock: calls and failures come in with their times, and what
 // is to be answered comes out.
-package partner
+package destination
 
 import (
 	"math"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // never is when what is not due is due.
@@ -106,8 +106,8 @@
 
 // Partner is the model of one partner.
 type Partner struct {
-	spec      *script.Partner
-	script    *script.Script
+	spec      *scenario.Partner
+	script    *scenario.Script
 	endpoints []*endpoint
 	now       time.Duration
 	actions   []Action
@@ -138,7 +138,7 @@
 const Slack = 3
 
 // New gives a partner as it is at the start: warm and well.
-func New(s *script.Script, number int, d script.Draws) *Partner {
+func New(s *scenario.Script, number int, d scenario.Draws) *Partner {
 	p := &Partner{script: s, spec: &s.Partners[number], keys: map[string]time.Duration{}, refresh: never, lowered: 1,
 		reports: d.For("report", number)}
 	for i := range p.spec.Endpoints {
@@ -148,7 +148,7 @@
 		p.tokens = l.Burst
 	}
 	if s.Report != nil {
-		p.refresh = script.Millis(s.Report.Every.In(p.reports))
+		p.refresh = scenario.Millis(s.Report.Every.In(p.reports))
 	}
 	return p
 }
@@ -156,7 +156,7 @@
 func (p *Partner) add(turns *rand.Rand) int {
 	e := &endpoint{slow: 1, turns: turns, nextTurn: never}
 	if p.spec.Pause.High > 0 {
-		e.nextTurn = p.now + script.Seconds(p.spec.PauseEvery.In(turns))
+		e.nextTurn = p.now + scenario.Seconds(p.spec.PauseEvery.In(turns))
 	}
 	p.endpoints = append(p.endpoints, e)
 	return len(p.endpoints) - 1
@@ -239,9 +239,9 @@
 			p.settle(e)
 			e.paused = !e.paused
 			if e.paused {
-				e.nextTurn = p.now + script.Millis(p.spec.Pause.In(e.turns))
+				e.nextTurn = p.now + scenario.Millis(p.spec.Pause.In(e.turns))
 			} else {
-				e.nextTurn = p.now + script.Seconds(p.spec.PauseEvery.In(e.turns))
+				e.nextTurn = p.now + scenario.Seconds(p.spec.PauseEvery.In(e.turns))
 			}
 		}
 		if p.fallen > 0 && p.fallen <= p.now {
@@ -266,8 +266,8 @@
 	rep := p.script.Report
 	noise := func() float64 { return max(0, 1+rep.Noise*p.reports.NormFloat64()) }
 	n1, n2 := noise(), noise()
-	at := p.now + script.Millis(rep.Delay.In(p.reports))
-	p.refresh = p.now + script.Millis(rep.Every.In(p.reports))
+	at := p.now + scenario.Millis(rep.Delay.In(p.reports))
+	p.refresh = p.now + scenario.Millis(rep.Every.In(p.reports))
 	if p.spec.Limit == nil {
 		return
 	}
@@ -308,7 +308,7 @@
 		p.filled = p.now
 		return
 	}
-	if n := int64(p.now / script.Seconds(l.Span)); n != p.span {
+	if n := int64(p.now / scenario.Seconds(l.Span)); n != p.span {
 		p.span, p.count = n, 0
 	}
 }
@@ -328,13 +328,13 @@
 		if p.spec.RefusedCounted {
 			p.tokens = max(-l.Burst, p.tokens-1)
 		}
-		return false, script.Seconds((1 - p.tokens) / max(l.Rate*p.lowered, 1e-3))
+		return false, scenario.Seconds((1 - p.tokens) / max(l.Rate*p.lowered, 1e-3))
 	}
 	if p.count < p.most() {
 		p.count++
 		return true, 0
 	}
-	return false, script.Seconds(l.Span*float64(p.span+1)) - p.now
+	return false, scenario.Seconds(l.Span*float64(p.span+1)) - p.now
 }
 
 // giveBack undoes use for a call that was refused for another reason, where refused calls do not count.
@@ -438,7 +438,7 @@
 func (p *Partner) begin(e *endpoint, c *Call) {
 	c.left = time.Duration(float64(c.Work) * p.spec.Pace)
 	if c.New {
-		c.left += script.Millis(p.spec.HandshakeMS)
+		c.left += scenario.Millis(p.spec.HandshakeMS)
 	}
 	c.since = p.now
 	e.running = append(e.running, c)
--- a/internal/rehearsal/partner/partner_test.go
+++ b/internal/faultinjection/destination/destination_test.go
@@ -1,4 +1,4 @@
-package partner
+package destination
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/seeded"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/testseed"
 	"pgregory.net/rapid"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // parse makes a script with one class of mean service time 100 ms and one partner with the lines given.
-func parse(t testing.TB, partnerLines string) *script.Script {
+func parse(t testing.TB, partnerLines string) *scenario.Script {
 	t.Helper()
-	s, err := script.Parse("t", []byte(`version=1
+	s, err := scenario.Parse("t", []byte(`version=1
 name="t"
 length_s=100
 relays=1
@@ -40,7 +40,7 @@
 }
 
 func newPartner(t testing.TB, lines string) *Partner {
-	return New(parse(t, lines), 0, script.NewDraws(1))
+	return New(parse(t, lines), 0, scenario.NewDraws(1))
 }
 
 // play lets calls come at a mean rate for so many and sums up what became of them.
@@ -61,9 +61,9 @@
 		}
 	}
 	for range calls {
-		now += script.Seconds(chance.ExpFloat64() / rate)
+		now += scenario.Seconds(chance.ExpFloat64() / rate)
 		count(p.Advance(now))
-		c := &Call{Work: script.Seconds(0.1 * chance.ExpFloat64()), Chance: chance.Float64()}
+		c := &Call{Work: scenario.Seconds(0.1 * chance.ExpFloat64()), Chance: chance.Float64()}
 		began[c] = now
 		count(p.Arrive(now, 0, c))
 	}
@@ -222,12 +222,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SampledFrom([]string{"", "limit={rate=5,burst=2}\n", "limit={count=3,span_s=1}\ntells=\"wait\"\n",
 			"pause_every_s=0.5\npause_ms=[100,300]\n", "cancelled=\"stops\"\nerror_rate=0.3\n"}).Draw(t, "lines")
-		s, err := script.Parse("t", []byte("version=1\nname=\"t\"\nlength_s=9\nrelays=1\n[load]\nrate=1\n[[class]]\nname=\"c\"\naim_s=1\n"+
+		s, err := scenario.Parse("t", []byte("version=1\nname=\"t\"\nlength_s=9\nrelays=1\n[load]\nrate=1\n[[class]]\nname=\"c\"\naim_s=1\n"+
 			"deadline_s=9\neffect=\"safe\"\nservice_ms=100\n[[partner]]\nname=\"p\"\nshare=1\nendpoints=2\nslots=2\nqueue=2\n"+lines))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := New(s, 0, script.NewDraws(1))
+		p := New(s, 0, scenario.NewDraws(1))
 		ended, now := map[*Call]bool{}, time.Duration(0)
 		var out []*Call
 		take := func(actions []Action) {
--- a/internal/rehearsal/partner/failure.go
+++ b/internal/faultinjection/destination/failure.go
@@ -1,11 +1,11 @@
-package partner
+package destination
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // speed is how fast an endpoint works at present: 1 when warm and well.
@@ -18,7 +18,7 @@
 
 // warmth is the share of its capacity that an endpoint has: it rises evenly from the cold share on.
 func (p *Partner) warmth(e *endpoint) float64 {
-	warm := script.Seconds(p.spec.Warm)
+	warm := scenario.Seconds(p.spec.Warm)
 	if !e.cold || p.now >= e.warmFrom+warm {
 		return 1
 	}
@@ -31,19 +31,19 @@
 		return never
 	}
 	need := c.left.Seconds() * e.slow
-	warm := script.Seconds(p.spec.Warm)
+	warm := scenario.Seconds(p.spec.Warm)
 	ends := e.warmFrom + warm
 	if !e.cold || c.since >= ends {
-		return c.since + script.Seconds(need)
+		return c.since + scenario.Seconds(need)
 	}
 	// While it warms, work goes at v0 + a·t; what is left of it at the end goes at speed 1.
 	a := (1 - p.spec.ColdShare) / warm.Seconds()
 	v0 := p.spec.ColdShare + a*(c.since-e.warmFrom).Seconds()
 	span := (ends - c.since).Seconds()
 	if until := v0*span + a*span*span/2; need > until {
-		return ends + script.Seconds(need-until)
+		return ends + scenario.Seconds(need-until)
 	}
-	return c.since + script.Seconds((math.Sqrt(v0*v0+2*a*need)-v0)/a)
+	return c.since + scenario.Seconds((math.Sqrt(v0*v0+2*a*need)-v0)/a)
 }
 
 // settle notes what of the running calls is done by now, before the speed changes.
@@ -63,14 +63,14 @@
 // work is how much an endpoint does between two times at its present slowness.
 func (p *Partner) work(e *endpoint, from, to time.Duration) time.Duration {
 	done := (to - from).Seconds()
-	if warm := script.Seconds(p.spec.Warm); e.cold && from < e.warmFrom+warm {
+	if warm := scenario.Seconds(p.spec.Warm); e.cold && from < e.warmFrom+warm {
 		at := func(t time.Duration) float64 {
 			return p.spec.ColdShare + (1-p.spec.ColdShare)*(t-e.warmFrom).Seconds()/warm.Seconds()
 		}
 		end := min(to, e.warmFrom+warm)
 		done = (at(from)+at(end))/2*(end-from).Seconds() + (to - end).Seconds()
 	}
-	return script.Seconds(done / e.slow)
+	return scenario.Seconds(done / e.slow)
 }
 
 // each does something to one endpoint, or to all that are still there, at a time.
@@ -180,7 +180,7 @@
 	}
 	r := &p.script.Rules
 	p.arrivals = append(p.arrivals, p.now)
-	for p.arrivals[0] < p.now-script.Seconds(r.OverloadFor) {
+	for p.arrivals[0] < p.now-scenario.Seconds(r.OverloadFor) {
 		p.arrivals = p.arrivals[1:]
 	}
 	if float64(len(p.arrivals)) <= r.OverloadFactor*p.Capacity()*r.OverloadFor+Slack {
@@ -188,7 +188,7 @@
 	}
 	p.arrivals = nil
 	p.falls++
-	p.fallen = p.now + script.Seconds(p.spec.FallenFor)
+	p.fallen = p.now + scenario.Seconds(p.spec.FallenFor)
 	for i, e := range p.endpoints {
 		if !e.removed {
 			e.mode = Refusing
--- a/internal/rehearsal/faults/faults_test.go
+++ b/internal/faultinjection/faults/faults_test.go
@@ -28,7 +28,7 @@
 			programs = dir
 			defer os.RemoveAll(dir)
 			var out []byte
-			if out, err = exec.Command("go", "build", "-o", dir, "mallowlead/cmd/frostlink", "mallowlead/cmd/frostlink-coord").CombinedOutput(); err != nil {
+			if out, err = exec.Command("go", "build", "-o", dir, "frostlink/cmd/frostlink", "frostlink/cmd/frostlink-coord").CombinedOutput(); err != nil {
 				err = fmt.Errorf("%w: %s", err, out)
 			}
 		}
--- a/internal/rehearsal/faults/fleet.go
+++ b/internal/faultinjection/faults/fleet.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/settings"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/settings"
 )
 
 // Options says what is started.
--- a/internal/rehearsal/faults/resource.go
+++ b/internal/faultinjection/faults/resource.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/tasks"
+	"frostlink/internal/fleettask"
 )
 
 // Act is one act upon the resource, on the rig's clock.
@@ -79,12 +79,12 @@
 
 // ServeHTTP takes an act.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	token, err := strconv.ParseUint(q.Header.Get(tasks.HeaderToken), 10, 64)
+	token, err := strconv.ParseUint(q.Header.Get(fleettask.HeaderToken), 10, 64)
 	if err != nil {
 		http.Error(w, "no token", http.StatusBadRequest)
 		return
 	}
-	a, lasts := r.begin(q.Header.Get(tasks.HeaderRelay), token)
+	a, lasts := r.begin(q.Header.Get(fleettask.HeaderRelay), token)
 	if a.Accepted {
 		timer := time.NewTimer(lasts)
 		defer timer.Stop()
--- a/internal/rehearsal/rig/book.go
+++ b/internal/faultinjection/harness/book.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/settings"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/settings"
 )
 
 // book knows, of each message and of each id under which it was handed in, what the stand-ins have to know of it.
@@ -24,7 +24,7 @@
 
 // charge is one hand-in.
 type charge struct {
-	m         *script.Message
+	m         *scenario.Message
 	try       int // of the message
 	refusals  int // that its client has had before
 	id        string
@@ -167,7 +167,7 @@
 }
 
 // sum is how the run stands: messages sent and delivered, ids held, worth got and asked for.
-func (b *book) sum(classes []settings.Category, messages []*script.Message, now time.Duration) (sent, delivered, held int, got, asked float64) {
+func (b *book) sum(classes []settings.Category, messages []*scenario.Message, now time.Duration) (sent, delivered, held int, got, asked float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range messages {
@@ -179,7 +179,7 @@
 		asked += c.Points
 		if at, ok := b.served[m.No]; ok {
 			delivered++
-			got += c.Points * audit.WorthLeft(c, at-m.At)
+			got += c.Points * checker.WorthLeft(c, at-m.At)
 		}
 	}
 	return sent, delivered, b.open, got, asked
--- a/internal/rehearsal/rig/clients.go
+++ b/internal/faultinjection/harness/clients.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/wait"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/wait"
 )
 
 const (
@@ -68,7 +68,7 @@
 }
 
 // deal gives the relay for a message's n-th hand-in, or -1.
-func (f *front) deal(m *script.Message, n int) int {
+func (f *front) deal(m *scenario.Message, n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var alive []int
@@ -87,7 +87,7 @@
 // clients hand messages in.
 type clients struct {
 	r        *rig
-	messages []*script.Message
+	messages []*scenario.Message
 	busy     atomic.Int64 // messages whose client has something to do
 
 	mu    sync.Mutex
@@ -102,7 +102,7 @@
 	used bool
 }
 
-func newClients(r *rig, messages []*script.Message) *clients {
+func newClients(r *rig, messages []*scenario.Message) *clients {
 	return &clients{r: r, messages: messages, kept: map[string][]*link{}}
 }
 
@@ -110,14 +110,14 @@
 func (c *clients) idle() bool { return c.busy.Load() == 0 }
 
 // first hands a message in for the first time.
-func (c *clients) first(m *script.Message) {
+func (c *clients) first(m *scenario.Message) {
 	c.busy.Add(1)
 	defer c.busy.Add(-1)
 	c.handIn(m, 0, 0, "")
 }
 
 // later hands a message in again after a time.
-func (c *clients) later(m *script.Message, after time.Duration, try, refusals int, mark string) {
+func (c *clients) later(m *scenario.Message, after time.Duration, try, refusals int, mark string) {
 	c.busy.Add(1)
 	c.r.work.Go(func() {
 		defer c.busy.Add(-1)
@@ -128,12 +128,12 @@
 }
 
 // left is how long a message may still be delivered.
-func (c *clients) left(m *script.Message) time.Duration {
-	return m.At + script.Seconds(c.r.s.Classes[m.Class].Deadline) - c.r.now()
+func (c *clients) left(m *scenario.Message) time.Duration {
+	return m.At + scenario.Seconds(c.r.s.Classes[m.Class].Deadline) - c.r.now()
 }
 
 // handIn hands a message in once, and does what its client then does.
-func (c *clients) handIn(m *script.Message, try, refusals int, mark string) {
+func (c *clients) handIn(m *scenario.Message, try, refusals int, mark string) {
 	left := c.left(m)
 	if left <= 0 || try >= mostHandIns {
 		return
@@ -149,16 +149,16 @@
 	case errors.Is(err, errNotHanded):
 		c.later(m, m.Again, try+1, refusals, "again")
 	case err != nil:
-		c.r.note(audit.Event{Kind: audit.Unheard, ID: k.id, Relay: relay, State: err.Error(), OK: errors.Is(err, errEmpty)})
+		c.r.note(checker.Event{Kind: checker.Unheard, ID: k.id, Relay: relay, State: err.Error(), OK: errors.Is(err, errEmpty)})
 		c.r.book.withdraw(k)
 		if c.mayComeAgain(k, m.Again) {
 			c.later(m, m.Again, try+1, refusals, "again")
 		}
 	case status == http.StatusAccepted, status == http.StatusOK:
-		c.r.note(audit.Event{Kind: audit.Answered, ID: k.id, Relay: relay, Status: status})
+		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status})
 		c.r.book.taken(k)
 	default:
-		c.r.note(audit.Event{Kind: audit.Answered, ID: k.id, Relay: relay, Status: status, For: after})
+		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status, For: after})
 		if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 			c.comeAgain(k, after)
 		}
@@ -173,7 +173,7 @@
 	}
 	wait := m.Backoff[k.refusals]
 	if m.Honours {
-		wait = max(wait, min(after, script.Seconds(c.r.s.Limits.RetryAfter)))
+		wait = max(wait, min(after, scenario.Seconds(c.r.s.Limits.RetryAfter)))
 	}
 	if !c.mayComeAgain(k, wait) {
 		return
@@ -198,7 +198,7 @@
 	}
 	switch class := &c.r.s.Classes[k.m.Class]; class.Effect {
 	case "keyed":
-		return c.r.now()+after < ran+script.Seconds(class.Memory)
+		return c.r.now()+after < ran+scenario.Seconds(class.Memory)
 	case "unsafe":
 		return false
 	}
@@ -228,7 +228,7 @@
 		if !fresh || k.handed == 0 {
 			c.hand(k, left)
 		}
-		_ = l.SetDeadline(time.Now().Add(script.Millis(c.r.s.Clients.AnswerWithin)))
+		_ = l.SetDeadline(time.Now().Add(scenario.Millis(c.r.s.Clients.AnswerWithin)))
 		status, after, keep, err := c.ask(l, k, left, mark)
 		if err == nil {
 			if keep {
@@ -252,7 +252,7 @@
 		return
 	}
 	c.r.book.handedIn(k)
-	k.handed = c.r.note(audit.Event{Kind: audit.HandedIn, ID: k.id, Msg: k.m.No, Relay: k.relay, Dest: k.m.Partner,
+	k.handed = c.r.note(checker.Event{Kind: checker.HandedIn, ID: k.id, Msg: k.m.No, Relay: k.relay, Dest: k.m.Partner,
 		Class: k.m.Class, Item: k.m.Item, Subject: k.m.Subject, For: left})
 }
 
@@ -299,7 +299,7 @@
 		return 0, 0, false, err
 	}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		after = script.Seconds(min(s, 3600))
+		after = scenario.Seconds(min(s, 3600))
 	}
 	return resp.StatusCode, after, !resp.Close, nil
 }
@@ -316,7 +316,7 @@
 		}
 		c.mu.Unlock()
 	}
-	raw, err := net.DialTimeout("tcp", addr, script.Millis(c.r.s.Clients.AnswerWithin))
+	raw, err := net.DialTimeout("tcp", addr, scenario.Millis(c.r.s.Clients.AnswerWithin))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/rig/coordination.go
+++ b/internal/faultinjection/harness/coordination.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/faults"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/faults"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // coordination is the coordination service beside the relays.
@@ -70,23 +70,23 @@
 }
 
 // resends counts them, from what the partners themselves have written down.
-func resends(log []audit.Event, s *script.Script) (list []Resends) {
+func resends(log []checker.Event, s *scenario.Script) (list []Resends) {
 	resent := map[string]bool{}
-	by := make([][]audit.Event, len(s.Partners))
+	by := make([][]checker.Event, len(s.Partners))
 	for _, e := range log {
 		switch {
-		case e.Kind == audit.Resent:
+		case e.Kind == checker.Resent:
 			resent[e.ID] = true
-		case e.Kind == audit.Called && e.Dest < len(by):
+		case e.Kind == checker.Called && e.Dest < len(by):
 			by[e.Dest] = append(by[e.Dest], e)
 		}
 	}
 	for dest, calls := range by {
-		calls = slices.DeleteFunc(calls, func(e audit.Event) bool { return !resent[e.ID] })
+		calls = slices.DeleteFunc(calls, func(e checker.Event) bool { return !resent[e.ID] })
 		if len(calls) == 0 {
 			continue
 		}
-		slices.SortFunc(calls, func(a, b audit.Event) int { return int(a.First - b.First) })
+		slices.SortFunc(calls, func(a, b checker.Event) int { return int(a.First - b.First) })
 		r := Resends{Partner: s.Partners[dest].Name, Calls: len(calls), From: calls[0].First, To: calls[len(calls)-1].First}
 		relays := map[int]bool{}
 		first := 0
--- a/internal/rehearsal/rig/duty.go
+++ b/internal/faultinjection/harness/duty.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/wait"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/wait"
 )
 
 // This file is what the operators do to relays day by day: they read figures, send clients away, bring new settings and
@@ -60,12 +60,12 @@
 }
 
 // figures reads a process's figures.
-func (p *process) figures() (*audit.Scrape, error) {
+func (p *process) figures() (*checker.Scrape, error) {
 	body, err := p.ask(http.MethodGet, "/status/metrics")
 	if err != nil {
 		return nil, err
 	}
-	f, in := &audit.Scrape{}, json.NewDecoder(bytes.NewReader(body))
+	f, in := &checker.Scrape{}, json.NewDecoder(bytes.NewReader(body))
 	in.DisallowUnknownFields()
 	return f, in.Decode(f)
 }
@@ -86,7 +86,7 @@
 			rel.mu.Unlock()
 			switch {
 			case err == nil:
-				rel.r.note(audit.Event{Kind: audit.Scraped, Relay: rel.number, Process: p.number, Figures: f})
+				rel.r.note(checker.Event{Kind: checker.Scraped, Relay: rel.number, Process: p.number, Figures: f})
 			case rel.serving() == p && ctx.Err() == nil: // it did not end meanwhile
 				rel.r.fault("%s: the door, after %v: %v", rel.name, time.Since(begun), err)
 			}
@@ -174,7 +174,7 @@
 }
 
 // settings brings a relay new settings, or a file that can't be used.
-func (rel *relay) settings(e *script.Event) {
+func (rel *relay) settings(e *scenario.Event) {
 	p := rel.serving()
 	if p == nil {
 		return // its next process reads what there is then
@@ -198,9 +198,9 @@
 		}
 	}
 	rel.signal(syscall.SIGHUP, false)
-	want, of := before.ReconfigOK+1, func(f *audit.Scrape) int { return f.ReconfigOK }
+	want, of := before.ReconfigOK+1, func(f *checker.Scrape) int { return f.ReconfigOK }
 	if e.Broken != "" {
-		want, of = before.ReconfigFailed+1, func(f *audit.Scrape) int { return f.ReconfigFailed }
+		want, of = before.ReconfigFailed+1, func(f *checker.Scrape) int { return f.ReconfigFailed }
 	}
 	if !rel.within(takenWithin, func() bool { f, err := p.figures(); return err == nil && of(f) == want }) && rel.serving() == p {
 		rel.r.fault("%s: its figures do not say that a file (broken: %q) was read", rel.name, e.Broken)
@@ -259,7 +259,7 @@
 		next.signal(syscall.SIGKILL, true)
 		return
 	}
-	rel.r.note(audit.Event{Kind: audit.Ready, Relay: rel.number, Process: next.number})
+	rel.r.note(checker.Event{Kind: checker.Ready, Relay: rel.number, Process: next.number})
 	rel.mu.Lock()
 	rel.process, next.beside, old.replaced = next, false, true
 	rel.mu.Unlock()
--- a/internal/rehearsal/rig/endpoint.go
+++ b/internal/faultinjection/harness/endpoint.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/partner"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // resendTime is until when a resend may come: the partner does not care.
@@ -33,12 +33,12 @@
 	number int
 
 	mu      sync.Mutex
-	p       *partner.Partner
+	p       *destination.Partner
 	hosts   []*host
-	pending map[*partner.Call]*call
+	pending map[*destination.Call]*call
 	timer   *time.Timer
 	swept   time.Duration
-	outage  *partner.Mode // that all endpoints are in by the script; nil: none
+	outage  *destination.Mode // that all endpoints are in by the script; nil: none
 	ended   bool
 }
 
@@ -47,7 +47,7 @@
 	*live
 	id     string
 	index  int // in the model
-	mode   partner.Mode
+	mode   destination.Mode
 	gone   bool
 	addrs  []string // by relay
 	open   []net.Listener
@@ -72,13 +72,13 @@
 	number int
 	c      *conn
 	charge *charge
-	model  *partner.Call
+	model  *destination.Call
 	began  time.Duration
 	over   bool
 }
 
 func newLive(r *rig, number int) *live {
-	return &live{r: r, number: number, p: partner.New(r.s, number, r.d), pending: map[*partner.Call]*call{}}
+	return &live{r: r, number: number, p: destination.New(r.s, number, r.d), pending: map[*destination.Call]*call{}}
 }
 
 // hostID names an endpoint. It tells nothing of where or what it is.
@@ -128,7 +128,7 @@
 		}
 		c := &conn{TCPConn: raw.(*net.TCPConn), host: h, relay: relay, fresh: true, answered: make(chan struct{}, 1)}
 		h.mu.Lock()
-		if h.gone || h.mode == partner.Refusing || h.mode == partner.Gone {
+		if h.gone || h.mode == destination.Refusing || h.mode == destination.Gone {
 			h.mu.Unlock()
 			c.reset()
 			continue
@@ -136,7 +136,7 @@
 		c.overfull = h.p.Connect(h.index)
 		h.conns[c] = true
 		h.mu.Unlock()
-		h.r.note(audit.Event{Kind: audit.Connected, Relay: relay, Dest: h.number, Host: h.id})
+		h.r.note(checker.Event{Kind: checker.Connected, Relay: relay, Dest: h.number, Host: h.id})
 		go c.serve()
 	}
 }
@@ -180,7 +180,7 @@
 		return
 	}
 	if k := c.call; k != nil {
-		k.end(audit.Event{Outcome: audit.Left})
+		k.end(checker.Event{Outcome: checker.Left})
 		h.act(h.p.Leave(h.clock(), k.model))
 	}
 	c.drop()
@@ -227,12 +227,12 @@
 		h.resent(id, c.relay, body)
 	}
 	number, charge, before := h.r.book.called(id)
-	kind := audit.Called
+	kind := checker.Called
 	if probe {
-		kind = audit.Probed
+		kind = checker.Probed
 	}
-	at := h.r.note(audit.Event{Kind: kind, ID: id, Relay: c.relay, Dest: h.number, Host: h.id, Call: number, First: first})
-	k := &call{number: number, c: c, charge: charge, began: at, model: &partner.Call{ID: id, Relay: c.relay, New: c.fresh,
+	at := h.r.note(checker.Event{Kind: kind, ID: id, Relay: c.relay, Dest: h.number, Host: h.id, Call: number, First: first})
+	k := &call{number: number, c: c, charge: charge, began: at, model: &destination.Call{ID: id, Relay: c.relay, New: c.fresh,
 		Overfull: c.overfull, Probe: probe}}
 	select {
 	case <-c.answered: // of an earlier call
@@ -241,12 +241,12 @@
 	c.call, c.fresh = k, false
 	if !probe {
 		if status, note := h.unsent(charge, at, req, body); status != 0 {
-			k.end(audit.Event{Outcome: audit.Unsent})
+			k.end(checker.Event{Outcome: checker.Unsent})
 			return c.write(status, note)
 		}
 		m, class := charge.m, &h.r.s.Classes[charge.m.Class]
 		k.model.Work = h.r.s.Work(h.r.d, m, before)
-		k.model.Key, k.model.Memory = m.Key, script.Seconds(class.Memory)
+		k.model.Key, k.model.Memory = m.Key, scenario.Seconds(class.Memory)
 		k.model.Chance = h.r.d.For("chance", m.No, before).Float64()
 	}
 	h.pending[k.model] = k
@@ -262,7 +262,7 @@
 	}
 	m := h.r.clients.messages[no]
 	if h.r.book.adopt(&charge{m: m, id: id, relay: relay, expires: resendTime}) {
-		h.r.note(audit.Event{Kind: audit.Resent, ID: id, Msg: no, Relay: relay, Dest: m.Partner, Class: m.Class, Subject: m.Subject})
+		h.r.note(checker.Event{Kind: checker.Resent, ID: id, Msg: no, Relay: relay, Dest: m.Partner, Class: m.Class, Subject: m.Subject})
 	}
 }
 
@@ -299,7 +299,7 @@
 }
 
 // end notes the end of a call; the lock is held.
-func (k *call) end(e audit.Event) time.Duration {
+func (k *call) end(e checker.Event) time.Duration {
 	h := k.c.host
 	if k.over {
 		return 0
@@ -308,11 +308,11 @@
 	k.c.call = nil
 	k.c.release()
 	delete(h.pending, k.model)
-	e.Kind, e.ID, e.Call, e.Relay, e.Dest = audit.Ended, k.model.ID, k.number, k.c.relay, h.number
+	e.Kind, e.ID, e.Call, e.Relay, e.Dest = checker.Ended, k.model.ID, k.number, k.c.relay, h.number
 	at := h.r.note(e)
 	if k.charge != nil && !k.model.Probe {
-		refused := e.Outcome == audit.Full || e.Outcome == audit.Wait || e.Outcome == audit.Unsent
-		h.r.book.answered(k.charge, k.began, at, refused, e.Outcome == audit.OK)
+		refused := e.Outcome == checker.Full || e.Outcome == checker.Wait || e.Outcome == checker.Unsent
+		h.r.book.answered(k.charge, k.began, at, refused, e.Outcome == checker.OK)
 	}
 	return at
 }
@@ -356,7 +356,7 @@
 }
 
 // act carries out what the model says, and sets the timer for what is due next; the lock is held.
-func (l *live) act(actions []partner.Action) {
+func (l *live) act(actions []destination.Action) {
 	fell := false
 	for _, a := range actions {
 		if a.Change != nil {
@@ -374,13 +374,13 @@
 }
 
 // done answers a call.
-func (l *live) done(d *partner.Done) {
+func (l *live) done(d *destination.Done) {
 	if !d.Call.Probe {
 		l.r.punctual(d.At)
 	}
 	k := l.pending[d.Call]
 	if d.Ran {
-		l.r.note(audit.Event{Kind: audit.Effect, ID: d.Call.ID, Dest: l.number})
+		l.r.note(checker.Event{Kind: checker.Effect, ID: d.Call.ID, Dest: l.number})
 	}
 	if k == nil {
 		return // nobody waits for it any more
@@ -389,19 +389,19 @@
 	if d.Report != nil {
 		headers = fmt.Sprintf("Server-Load: x0=%.3f,x1=%.3f\r\n", d.Report.Left, d.Report.Limit)
 	}
-	e := audit.Event{Outcome: audit.OK, Ran: d.Ran}
+	e := checker.Event{Outcome: checker.OK, Ran: d.Ran}
 	switch d.Outcome {
-	case partner.Errored:
-		status, e.Outcome = http.StatusInternalServerError, audit.Error
-	case partner.Full:
-		status, e.Outcome = http.StatusServiceUnavailable, audit.Full
-	case partner.Wait:
+	case destination.Errored:
+		status, e.Outcome = http.StatusInternalServerError, checker.Error
+	case destination.Full:
+		status, e.Outcome = http.StatusServiceUnavailable, checker.Full
+	case destination.Wait:
 		// Rounded up: a wait that ends before there is room would not be honest.
 		ms := (d.Wait + time.Millisecond - 1) / time.Millisecond
-		status, e.Outcome, e.For = http.StatusTooManyRequests, audit.Wait, ms*time.Millisecond
+		status, e.Outcome, e.For = http.StatusTooManyRequests, checker.Wait, ms*time.Millisecond
 		headers += "X-Retry-In-Ms: " + strconv.Itoa(int(ms)) + "\r\n"
-	case partner.Dropped:
-		e.Outcome = audit.Reset
+	case destination.Dropped:
+		e.Outcome = checker.Reset
 		k.end(e)
 		_ = k.c.SetLinger(0)
 		k.c.drop()
@@ -414,13 +414,13 @@
 }
 
 // changed follows a change that the model made by itself.
-func (l *live) changed(c *partner.Change, told *bool) {
+func (l *live) changed(c *destination.Change, told *bool) {
 	if !*told {
 		*told = true
-		if c.Mode == partner.Refusing {
-			l.r.note(audit.Event{Kind: audit.Out, Dest: l.number, State: "fell"})
+		if c.Mode == destination.Refusing {
+			l.r.note(checker.Event{Kind: checker.Out, Dest: l.number, State: "fell"})
 		} else {
-			l.r.note(audit.Event{Kind: audit.Back, Dest: l.number, OK: true})
+			l.r.note(checker.Event{Kind: checker.Back, Dest: l.number, OK: true})
 		}
 	}
 	for _, h := range l.hosts {
@@ -431,13 +431,13 @@
 }
 
 // set gives a host's sockets a mode; the lock is held.
-func (h *host) set(m partner.Mode) {
+func (h *host) set(m destination.Mode) {
 	was := h.mode
 	h.mode = m
 	if h.gone || was == m {
 		return
 	}
-	if was >= partner.Refusing && m < partner.Refusing { // back: what was left open is reset
+	if was >= destination.Refusing && m < destination.Refusing { // back: what was left open is reset
 		h.cut()
 		h.unplug()
 		if len(h.open) == 0 {
@@ -448,12 +448,12 @@
 		return
 	}
 	switch m {
-	case partner.Refusing:
+	case destination.Refusing:
 		h.shut()
 		h.cut()
-	case partner.Silent:
+	case destination.Silent:
 		h.strand()
-	case partner.Gone:
+	case destination.Gone:
 		h.strand()
 		h.shut()
 		h.unreachable()
@@ -480,7 +480,7 @@
 func (h *host) cut() {
 	for c := range h.conns {
 		if c.call != nil {
-			c.call.end(audit.Event{Outcome: audit.Cut})
+			c.call.end(checker.Event{Outcome: checker.Cut})
 		}
 		_ = c.SetLinger(0)
 		c.drop()
--- a/internal/rehearsal/rig/faults_test.go
+++ b/internal/faultinjection/harness/faults_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // faultScript is what relays are played against into which faults are injected: an unsafe, a keyed and a safe class, a partner that
@@ -162,7 +162,7 @@
 // the worth without the events be kept.
 func playAll(t *testing.T, cases map[string]string, kept float64) {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir, "mallowlead/cmd/frostlink").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", dir, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	command := []string{filepath.Join(dir, "frostlink")}
@@ -200,7 +200,7 @@
 // playFaults plays the script with further events, again where the machine was too busy for the run to say anything.
 func playFaults(t *testing.T, command []string, events string) *Result {
 	t.Helper()
-	s, err := script.Parse("faults.toml", []byte(faultScript+events))
+	s, err := scenario.Parse("faults.toml", []byte(faultScript+events))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 }
 
 // playScript plays a script, again where the machine was too busy for the run to say anything.
-func playScript(t *testing.T, s *script.Script, o Options) *Result {
+func playScript(t *testing.T, s *scenario.Script, o Options) *Result {
 	t.Helper()
 	var res *Result
 	for range 3 {
--- a/internal/rehearsal/quorum/golden_test.go
+++ b/internal/faultinjection/harness/golden_test.go
@@ -1,9 +1,9 @@
-package quorum
+package harness
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/rehearsal/rig/rig.go
+++ b/internal/faultinjection/harness/harness.go
@@ -1,8 +1,8 @@
-// Package rig plays a rehearsal on sockets: it starts relays as processes of their own, and stands round them as
+// Package harness plays a rehearsal on sockets: it starts relays as processes of their own, and stands round them as
 // clients, partners, register, platform and network, all on loopback. What the stand-ins see goes into a log, by
 // which package audit judges. What is decided (what partners answer, what is drawn, what breaks a rule) is in the
 // packages script, partner and audit, which know neither sockets nor the time.
-package rig
+package harness
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/faults"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/wait"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/faults"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/wait"
 )
 
 const (
@@ -58,7 +58,7 @@
 	Events   int           `json:"rig_events"`
 	LateMost time.Duration `json:"late_most"`
 	Faults   []string      `json:"faults"` // crashes, datagrams that are too long, and the like
-	*audit.Report
+	*checker.Report
 	Processes                []Process      `json:"processes"`
 	Notes                    Datagrams      `json:"datagrams"`
 	Undelivered              map[string]int `json:"undelivered,omitempty"` // messages in the relays' stores, by state
@@ -73,8 +73,8 @@
 
 // rig is one run.
 type rig struct {
-	s       *script.Script
-	d       script.Draws
+	s       *scenario.Script
+	d       scenario.Draws
 	o       Options
 	dir     string
 	started time.Time // the run's time 0
@@ -102,7 +102,7 @@
 	zero  atomic.Int64 // the run's time 0, in nanoseconds since start
 
 	mu     sync.Mutex
-	log    [][]audit.Event // in blocks: a slice that grows as a whole would hold all up while it is copied
+	log    [][]checker.Event // in blocks: a slice that grows as a whole would hold all up while it is copied
 	events int
 	late   int
 	most   time.Duration
@@ -113,13 +113,13 @@
 func (r *recorder) now() time.Duration { return time.Since(r.start) - time.Duration(r.zero.Load()) }
 
 // note writes an event down, at the present time.
-func (r *recorder) note(e audit.Event) time.Duration {
+func (r *recorder) note(e checker.Event) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.At = r.now()
 	last := len(r.log) - 1
 	if last < 0 || len(r.log[last]) == logBlock {
-		r.log = append(r.log, make([]audit.Event, 0, logBlock))
+		r.log = append(r.log, make([]checker.Event, 0, logBlock))
 		last++
 	}
 	r.log[last] = append(r.log[last], e)
@@ -127,7 +127,7 @@
 }
 
 // written is the log so far.
-func (r *recorder) written() []audit.Event {
+func (r *recorder) written() []checker.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Concat(r.log...)
@@ -154,7 +154,7 @@
 
 // Run plays a script and judges it. It ends by itself, also where relays crash, hang or hold connections, and leaves
 // no process and, but for Keep, no file behind. An error says that the run could not be played.
-func Run(ctx context.Context, s *script.Script, o Options) (*Result, error) {
+func Run(ctx context.Context, s *scenario.Script, o Options) (*Result, error) {
 	if len(o.Command) == 0 {
 		return nil, errors.New("no command for a relay")
 	}
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{s: s, d: script.NewDraws(o.Seed), o: o, dir: dir, recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher()}
+	r := &rig{s: s, d: scenario.NewDraws(o.Seed), o: o, dir: dir, recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher()}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r.ctx = ctx
@@ -271,7 +271,7 @@
 }
 
 // play sends what the script asks for, lets happen what is to go wrong, and waits for the ends.
-func (r *rig) play(messages []*script.Message) {
+func (r *rig) play(messages []*scenario.Message) {
 	ctx, stop := context.WithCancel(r.ctx)
 	defer stop()
 	var side sync.WaitGroup
@@ -291,8 +291,8 @@
 	for _, c := range r.s.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	r.until(ctx, script.Seconds(r.s.Length))
-	last := script.Seconds(r.s.Length+longest+r.s.Rules.AnswerSlack) + settleTime
+	r.until(ctx, scenario.Seconds(r.s.Length))
+	last := scenario.Seconds(r.s.Length+longest+r.s.Rules.AnswerSlack) + settleTime
 	for r.now() < last && ctx.Err() == nil && !(r.clients.idle() && r.book.settled()) {
 		wait.For(ctx, 20*time.Millisecond)
 	}
@@ -334,26 +334,26 @@
 }
 
 // figures are what the auditor judges by.
-func (r *rig) figures() audit.Figures {
-	f := audit.Figures{Settings: r.s.Settings(0), TellWithin: script.Seconds(r.s.Register.TellWithin)}
+func (r *rig) figures() checker.Figures {
+	f := checker.Figures{Settings: r.s.Settings(0), TellWithin: scenario.Seconds(r.s.Register.TellWithin)}
 	for i := range r.s.Partners {
 		p := &r.s.Partners[i]
-		f.Destinations = append(f.Destinations, audit.Destination{Name: p.Name, Capacity: r.s.Capacity(p),
-			ColdShare: p.ColdShare, Warm: script.Seconds(p.Warm)})
+		f.Destinations = append(f.Destinations, checker.Destination{Name: p.Name, Capacity: r.s.Capacity(p),
+			ColdShare: p.ColdShare, Warm: scenario.Seconds(p.Warm)})
 	}
 	return f
 }
 
-func wants(s *script.Script, messages []*script.Message) []audit.Want {
-	out := make([]audit.Want, len(messages))
+func wants(s *scenario.Script, messages []*scenario.Message) []checker.Want {
+	out := make([]checker.Want, len(messages))
 	for i, m := range messages {
-		out[i] = audit.Want{At: m.At, Dest: m.Partner, Class: m.Class, Tenant: m.Tenant, OverShare: m.OverShare}
+		out[i] = checker.Want{At: m.At, Dest: m.Partner, Class: m.Class, Tenant: m.Tenant, OverShare: m.OverShare}
 	}
 	return out
 }
 
 // judge has the run audited.
-func (r *rig) judge(messages []*script.Message) (*Result, error) {
+func (r *rig) judge(messages []*scenario.Message) (*Result, error) {
 	r.mu.Lock()
 	res := &Result{Script: r.s.Name, Seed: r.o.Seed, Events: r.events, LateMost: r.most, Faults: append([]string{}, r.faults...),
 		Late: float64(r.late) / math.Max(1, float64(r.events)), Timeline: r.timeline}
@@ -364,13 +364,13 @@
 	}
 	log := r.written()
 	f := r.figures()
-	res.Report = audit.Judge(f, log, over)
+	res.Report = checker.Judge(f, log, over)
 	res.Weigh(f, wants(r.s, messages), log)
 	res.Notes = r.network.sum()
 	res.Void = res.Late > voidShare
 	for _, rel := range r.relays {
 		rel.mu.Lock()
-		rel.usage.Reads, rel.usage.Door = len(rel.took), audit.Quantiles(rel.took)
+		rel.usage.Reads, rel.usage.Door = len(rel.took), checker.Quantiles(rel.took)
 		res.Processes = append(res.Processes, rel.usage)
 		rel.mu.Unlock()
 	}
@@ -400,7 +400,7 @@
 }
 
 // progress prints how the run goes, once a second.
-func (r *rig) progress(ctx context.Context, messages []*script.Message) {
+func (r *rig) progress(ctx context.Context, messages []*scenario.Message) {
 	if r.o.Progress == nil {
 		return
 	}
--- a/internal/rehearsal/rig/rig_test.go
+++ b/internal/faultinjection/harness/harness_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // planted is what all stand-in relays are played against: a safe, a keyed, an unsafe and an ordered class; a partner
@@ -125,7 +125,7 @@
 
 func play(t *testing.T, text, kind string) (*Result, error) {
 	t.Helper()
-	s, err := script.Parse("planted.toml", []byte(text))
+	s, err := scenario.Parse("planted.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,20 +146,20 @@
 
 // Each rule is broken by a stand-in relay on real sockets, and the run has to report that rule and no other.
 func TestPlantedBreaches(t *testing.T) {
-	for kind, rule := range map[string]audit.Rule{
-		"loses":          audit.NoEnd,
-		"ends late":      audit.NoEnd, // so late that it is none
-		"ends twice":     audit.TwoEnds,
-		"doubles":        audit.Twice,
-		"two copies":     audit.SecondCopy,
-		"ignores drains": audit.DrainBroken,
-		"pushes over":    audit.PushedOver,
-		"out of order":   audit.OrderBroken,
-		"ignores waits":  audit.WaitIgnored,
-		"wrong host":     audit.WrongHost,
-		"resends":        audit.Twice,
-		"overwrites":     audit.Overwritten,
-		"makes up ids":   audit.Unknown,
+	for kind, rule := range map[string]checker.Rule{
+		"loses":          checker.NoEnd,
+		"ends late":      checker.NoEnd, // so late that it is none
+		"ends twice":     checker.TwoEnds,
+		"doubles":        checker.Twice,
+		"two copies":     checker.SecondCopy,
+		"ignores drains": checker.DrainBroken,
+		"pushes over":    checker.PushedOver,
+		"out of order":   checker.OrderBroken,
+		"ignores waits":  checker.WaitIgnored,
+		"wrong host":     checker.WrongHost,
+		"resends":        checker.Twice,
+		"overwrites":     checker.Overwritten,
+		"makes up ids":   checker.Unknown,
 		"keeps":          "",
 		"edges":          "",
 	} {
@@ -169,7 +169,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := map[audit.Rule]int{}
+			found := map[checker.Rule]int{}
 			for _, b := range res.Breaches {
 				found[b.Rule]++
 			}
@@ -264,7 +264,7 @@
 
 // A relay that never becomes ready, or a program that is none, is an error and no verdict.
 func TestRelaysThatDoNotStart(t *testing.T) {
-	s, err := script.Parse("s", []byte(strings.Replace(planted, "[relay]\n", "[relay]\nready_within_s = 1\n", 1)))
+	s, err := scenario.Parse("s", []byte(strings.Replace(planted, "[relay]\n", "[relay]\nready_within_s = 1\n", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/rig/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bytes"
@@ -14,23 +14,23 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/partner"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // measure has the measurements of the design note made; they want an idle machine, and a minute or two.
 var measure = flag.Bool("measure", false, "measure the rig: model on sockets, capacity, punctuality")
 
 // loadScript has one class of service time ms and so many partners without a limit.
-func loadScript(t *testing.T, rate, length float64, relays, partners, slots, queue int, ms float64) *script.Script {
+func loadScript(t *testing.T, rate, length float64, relays, partners, slots, queue int, ms float64) *scenario.Script {
 	t.Helper()
 	text := fmt.Sprintf("version=1\nname=\"load\"\nlength_s=%v\nrelays=%d\n[relay]\nsockets=20000\nslots=4000\nhold=20000\n[load]\nrate=%v\n"+
 		"[clients]\nbody_bytes=200\n[[class]]\nname=\"c\"\naim_s=1\ndeadline_s=3\neffect=\"safe\"\nservice_ms=%v\n", length, relays, rate, ms)
 	for i := range partners {
 		text += fmt.Sprintf("[[partner]]\nname=\"p%d\"\nshare=1\nslots=%d\nqueue=%d\n", i, slots, queue)
 	}
-	s, err := script.Parse("load", []byte(text))
+	s, err := scenario.Parse("load", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	for _, load := range []float64{0.5, 0.9, 1.3} {
 		rate := load * slots / (ms / 1000.0)
 		s := loadScript(t, rate, 30, 1, 1, slots, queue, ms)
-		r, messages := bare(t, s), s.Messages(script.NewDraws(1))
+		r, messages := bare(t, s), s.Messages(scenario.NewDraws(1))
 		url := "http://" + r.partners[0].hosts[0].addrs[0] + "/inbox"
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 		var mu sync.Mutex
@@ -77,7 +77,7 @@
 			})
 		}
 		work.Wait()
-		blocked, wait := partner.MMcK(rate, ms/1000.0, slots, slots+queue)
+		blocked, wait := destination.MMcK(rate, ms/1000.0, slots, slots+queue)
 		n := float64(len(messages))
 		got, mean := float64(full)/n, total/float64(served)
 		throughput := float64(served) / s.Length
@@ -126,8 +126,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d events, %.3f%% late, the latest by %v", res.Events, 100*res.Late, res.LateMost)
-	if res.Counts.Outcomes[audit.OK] < 3000 {
-		t.Errorf("only %d calls", res.Counts.Outcomes[audit.OK])
+	if res.Counts.Outcomes[checker.OK] < 3000 {
+		t.Errorf("only %d calls", res.Counts.Outcomes[checker.OK])
 	}
 }
 
@@ -142,7 +142,7 @@
 	var with, without []float64
 	for seed := range int64(seeds) {
 		for _, backlog := range []int{0, all} {
-			s, err := script.Read("../../../rehearsals/quiet.toml")
+			s, err := scenario.Read("../../../scenarios/quiet.toml")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -174,7 +174,7 @@
 func realRelay(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "frostlink")
-	if out, err := exec.Command("go", "build", "-o", program, "mallowlead/cmd/frostlink").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return program
@@ -191,7 +191,7 @@
 		for _, keep := range []bool{false, true} {
 			s := loadScript(t, rate, 10, 1, 3, 400, 400, 5)
 			s.Relay.MemoryMB, s.Relay.Cores = 192, 1
-			s.Events = []script.Event{{At: 0.5, What: "shut", Partner: "p0", For: 9}}
+			s.Events = []scenario.Event{{At: 0.5, What: "shut", Partner: "p0", For: 9}}
 			if keep {
 				s.Relay.Operator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\nrefused = true\n"
 			}
@@ -225,7 +225,7 @@
 		for scraped := range 2 {
 			s := loadScript(t, 4000, 10, 1, 20, 400, 400, 5)
 			if scraped == 1 {
-				s.Events = []script.Event{{At: 0.5, What: "scrape", For: 9, Callers: 64}}
+				s.Events = []scenario.Event{{At: 0.5, What: "scrape", For: 9, Callers: 64}}
 			}
 			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, Command: []string{"taskset", "-c", "0", program}})
 			if err != nil {
--- a/internal/rehearsal/rig/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // maxDatagram is the longest datagram between relays, in bytes.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return
 	}
-	time.AfterFunc(script.Millis(n.r.s.Network.Delay.In(chance)), func() {
+	time.AfterFunc(scenario.Millis(n.r.s.Network.Delay.In(chance)), func() {
 		_, _ = n.paths[b][a].WriteToUDP(data, to) // nobody there: lost
 	})
 }
--- a/internal/rehearsal/rig/register.go
+++ b/internal/faultinjection/harness/register.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/wait"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/wait"
 )
 
 const (
@@ -67,7 +67,7 @@
 	g := &register{r: r, changed: make(chan struct{}), ending: make(chan struct{}), servers: map[int]*http.Server{}}
 	for _, l := range r.partners {
 		for _, h := range l.hosts {
-			g.entries = append(g.entries, entry{host: h, state: audit.Serving})
+			g.entries = append(g.entries, entry{host: h, state: checker.Serving})
 			g.changes = append(g.changes, len(g.entries)-1)
 		}
 	}
@@ -131,12 +131,12 @@
 		at = len(g.entries)
 		g.entries = append(g.entries, entry{host: h, born: time.Now().UnixMilli()})
 	}
-	if g.entries[at].state == audit.Deleted {
+	if g.entries[at].state == checker.Deleted {
 		return
 	}
 	g.entries[at].state = state
 	g.changes = append(g.changes, at)
-	g.r.note(audit.Event{Kind: audit.Shown, Host: h.id, Dest: h.number, State: state})
+	g.r.note(checker.Event{Kind: checker.Shown, Host: h.id, Dest: h.number, State: state})
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
@@ -146,9 +146,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if how == "" {
-		g.r.note(audit.Event{Kind: audit.RegUp})
+		g.r.note(checker.Event{Kind: checker.RegUp})
 	} else {
-		g.r.note(audit.Event{Kind: audit.RegDown})
+		g.r.note(checker.Event{Kind: checker.RegDown})
 	}
 	g.down = how
 	close(g.changed)
@@ -162,7 +162,7 @@
 	add := func(e entry) {
 		told = append(told, e)
 		p := &g.r.s.Partners[e.host.number]
-		if out.Whole && e.state == audit.Deleted {
+		if out.Whole && e.state == checker.Deleted {
 			return // told by not being there
 		}
 		out.Hosts = append(out.Hosts, member{Host: e.host.id, Dial: e.host.addrs[relay], Site: p.Site, Class: p.Kind,
@@ -195,7 +195,7 @@
 // tell notes what has been written to a relay.
 func (g *register) tell(relay int, told []entry) {
 	for _, e := range told {
-		g.r.note(audit.Event{Kind: audit.Told, Relay: relay, Host: e.host.id, Dest: e.host.number, State: e.state})
+		g.r.note(checker.Event{Kind: checker.Told, Relay: relay, Host: e.host.id, Dest: e.host.number, State: e.state})
 	}
 }
 
@@ -217,7 +217,7 @@
 	down := g.down
 	g.mu.Unlock()
 	if down != "" {
-		g.r.note(audit.Event{Kind: audit.Asked, Relay: relay})
+		g.r.note(checker.Event{Kind: checker.Asked, Relay: relay})
 		g.refuse(down, w, q)
 		return
 	}
@@ -227,14 +227,14 @@
 		g.mu.Unlock()
 		if json.NewEncoder(w).Encode(m) == nil {
 			g.tell(relay, told)
-			g.r.note(audit.Event{Kind: audit.Asked, Relay: relay, OK: true})
-			g.r.note(audit.Event{Kind: audit.Unwatched, Relay: relay})
+			g.r.note(checker.Event{Kind: checker.Asked, Relay: relay, OK: true})
+			g.r.note(checker.Event{Kind: checker.Unwatched, Relay: relay})
 		}
 		return
 	}
 	after, _ := strconv.Atoi(q.URL.Query().Get("index"))
-	g.r.note(audit.Event{Kind: audit.Asked, Relay: relay, OK: true})
-	defer g.r.note(audit.Event{Kind: audit.Unwatched, Relay: relay})
+	g.r.note(checker.Event{Kind: checker.Asked, Relay: relay, OK: true})
+	defer g.r.note(checker.Event{Kind: checker.Unwatched, Relay: relay})
 	g.watch(relay, after, w, q)
 }
 
@@ -311,7 +311,7 @@
 	var all []notice
 	for lines := bufio.NewScanner(q.Body); lines.Scan(); {
 		var n notice
-		if json.Unmarshal(lines.Bytes(), &n) != nil || n.ID == "" || n.Status != audit.Undeliverable && n.Status != audit.Deferred {
+		if json.Unmarshal(lines.Bytes(), &n) != nil || n.ID == "" || n.Status != checker.Undeliverable && n.Status != checker.Deferred {
 			g.r.fault("relay %d posted a notice that can't be read: %.100q", relay+1, lines.Text())
 			w.WriteHeader(http.StatusBadRequest)
 			return
@@ -319,9 +319,9 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		g.r.note(audit.Event{Kind: audit.Noticed, ID: n.ID, Relay: relay, State: n.Status,
+		g.r.note(checker.Event{Kind: checker.Noticed, ID: n.ID, Relay: relay, State: n.Status,
 			For: time.Duration(n.AgainMS) * time.Millisecond})
-		if c := g.r.book.noticed(n.ID); c != nil && n.Status == audit.Deferred {
+		if c := g.r.book.noticed(n.ID); c != nil && n.Status == checker.Deferred {
 			g.r.clients.comeAgain(c, time.Duration(n.AgainMS)*time.Millisecond)
 		}
 	}
@@ -340,5 +340,5 @@
 
 // lag draws how long the register takes to show a change.
 func (g *register) lag(what string, n ...int) time.Duration {
-	return script.Seconds(g.r.s.Register.Lag.In(g.r.d.For("lag-"+what, n...)))
+	return scenario.Seconds(g.r.s.Register.Lag.In(g.r.d.For("lag-"+what, n...)))
 }
--- a/internal/rehearsal/rig/relays.go
+++ b/internal/faultinjection/harness/relays.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/faults"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/syserr"
-	"mallowlead/internal/wait"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/faults"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/invariant"
+	"frostlink/internal/syserr"
+	"frostlink/internal/wait"
 )
 
 const (
@@ -48,7 +48,7 @@
 	CPU         float64           `json:"cpu_s"`
 	StateKB     float64           `json:"state_kb"`             // the most in the folder that lasts
 	Reads       int               `json:"door_reads,omitempty"` // of figures at its door
-	Door        audit.Quantile    `json:"door_s"`               // how long its door took for them
+	Door        checker.Quantile  `json:"door_s"`               // how long its door took for them
 }
 
 // relay is one relay: a process that may come and go, and what stays.
@@ -68,7 +68,7 @@
 
 	mu        sync.Mutex
 	discovery string
-	terms     script.Terms
+	terms     scenario.Terms
 	process   *process // that takes clients; nil: none does
 	starts    int
 	cpuBefore float64   // of processes that are gone
@@ -242,7 +242,7 @@
 	rel.usage.Starts++
 	p.number = rel.starts
 	rel.mu.Unlock()
-	rel.r.note(audit.Event{Kind: audit.Started, Relay: rel.number, Process: p.number})
+	rel.r.note(checker.Event{Kind: checker.Started, Relay: rel.number, Process: p.number})
 	go p.wait(cmd)
 	return p, nil
 }
@@ -263,28 +263,28 @@
 }
 
 // failCalls has a share of a relay's system calls of some kinds fail for a while.
-func (rel *relay) failCalls(e *script.Event, calls ...faults.Call) {
+func (rel *relay) failCalls(e *scenario.Event, calls ...faults.Call) {
 	var rules []faults.Rule
 	for _, call := range calls {
-		rule, err := rel.calls.Fail(call, script.Errno(e.Errno), e.Share)
+		rule, err := rel.calls.Fail(call, scenario.Errno(e.Errno), e.Share)
 		if err != nil {
 			rel.r.fault("%s: %v", rel.name, err)
 			continue
 		}
 		rules = append(rules, rule)
 	}
-	begins, ends := audit.Kind(""), audit.Kind("")
-	switch class := syserr.Of(syserr.Read, script.Errno(e.Errno)); {
+	begins, ends := checker.Kind(""), checker.Kind("")
+	switch class := syserr.Of(syserr.Read, scenario.Errno(e.Errno)); {
 	case calls[0] >= faults.FileWrite:
-		begins, ends = audit.FolderFails, audit.FolderWorks
+		begins, ends = checker.FolderFails, checker.FolderWorks
 	case class == syserr.Peer && (calls[0] == faults.SocketRead || calls[0] == faults.SocketWrite):
-		begins, ends = audit.SocketsBreak, audit.SocketsHold
+		begins, ends = checker.SocketsBreak, checker.SocketsHold
 	}
 	if begins != "" {
-		rel.r.note(audit.Event{Kind: begins, Relay: rel.number})
-		defer func() { rel.r.note(audit.Event{Kind: ends, Relay: rel.number}) }()
+		rel.r.note(checker.Event{Kind: begins, Relay: rel.number})
+		defer func() { rel.r.note(checker.Event{Kind: ends, Relay: rel.number}) }()
 	}
-	wait.For(rel.r.ctx, script.Seconds(e.For))
+	wait.For(rel.r.ctx, scenario.Seconds(e.For))
 	for _, rule := range rules {
 		if _, err := rel.calls.Mend(rule); err != nil {
 			rel.r.fault("%s: %v", rel.name, err)
@@ -311,11 +311,11 @@
 		rel.r.fault("%s: the process that is to take over ended: %v; its log ends: %s", rel.name, err, rel.lastWords())
 	case beside:
 	case !expected && !replaced:
-		rel.r.note(audit.Event{Kind: audit.Crashed, Relay: rel.number, Status: cmd.ProcessState.ExitCode()})
+		rel.r.note(checker.Event{Kind: checker.Crashed, Relay: rel.number, Status: cmd.ProcessState.ExitCode()})
 		rel.r.fault("%s ended without being asked to: %v; its log ends: %s", rel.name, err, rel.lastWords())
 		rel.r.front.leaves(rel.number, rel.frontNotices())
 	case !replaced: // else the relay goes on, in the process that took this one's place
-		rel.r.note(audit.Event{Kind: audit.Killed, Relay: rel.number})
+		rel.r.note(checker.Event{Kind: checker.Killed, Relay: rel.number})
 	}
 	close(p.exited)
 }
@@ -345,12 +345,12 @@
 	rel.mu.Lock()
 	starts := rel.starts
 	rel.mu.Unlock()
-	return script.Seconds(rel.r.s.Front.Notices.In(rel.r.d.For("front", rel.number, starts)))
+	return scenario.Seconds(rel.r.s.Front.Notices.In(rel.r.d.For("front", rel.number, starts)))
 }
 
 // awaitReady asks a relay for its health until it is well.
 func (rel *relay) awaitReady(p *process) error {
-	ctx, cancel := context.WithTimeout(rel.r.ctx, script.Seconds(rel.r.s.Relay.Ready))
+	ctx, cancel := context.WithTimeout(rel.r.ctx, scenario.Seconds(rel.r.s.Relay.Ready))
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -361,7 +361,7 @@
 		if resp, err := client.Do(req); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				rel.r.note(audit.Event{Kind: audit.Ready, Relay: rel.number, Process: p.number})
+				rel.r.note(checker.Event{Kind: checker.Ready, Relay: rel.number, Process: p.number})
 				rel.r.front.ready(rel.number)
 				return nil
 			}
@@ -419,7 +419,7 @@
 	rel.kill()
 	rel.r.front.leaves(rel.number, rel.frontNotices())
 	if lose {
-		rel.r.note(audit.Event{Kind: audit.Lost, Relay: rel.number})
+		rel.r.note(checker.Event{Kind: checker.Lost, Relay: rel.number})
 		if err := rel.empty(); err != nil {
 			rel.r.fault("%s: %v", rel.name, err)
 		}
@@ -438,7 +438,7 @@
 
 // restart ends a relay by plan and starts it again.
 func (rel *relay) restart(back time.Duration) {
-	rel.r.note(audit.Event{Kind: audit.Stopping, Relay: rel.number})
+	rel.r.note(checker.Event{Kind: checker.Stopping, Relay: rel.number})
 	exited := rel.signal(syscall.SIGTERM, true)
 	rel.r.front.leaves(rel.number, frontDrains)
 	if exited != nil {
@@ -463,12 +463,12 @@
 
 // hang stops a relay's process for a while.
 func (rel *relay) hang(d time.Duration) {
-	rel.r.note(audit.Event{Kind: audit.Halted, Relay: rel.number})
+	rel.r.note(checker.Event{Kind: checker.Halted, Relay: rel.number})
 	rel.signal(syscall.SIGSTOP, false)
 	rel.r.front.leaves(rel.number, rel.frontNotices())
 	wait.For(rel.r.ctx, d)
 	rel.signal(syscall.SIGCONT, false)
-	rel.r.note(audit.Event{Kind: audit.Resumed, Relay: rel.number})
+	rel.r.note(checker.Event{Kind: checker.Resumed, Relay: rel.number})
 	rel.r.front.ready(rel.number)
 }
 
@@ -480,7 +480,7 @@
 	if err := rel.configure(); err != nil {
 		return err
 	}
-	rel.r.note(audit.Event{Kind: audit.Moved, Relay: rel.number})
+	rel.r.note(checker.Event{Kind: checker.Moved, Relay: rel.number})
 	rel.signal(syscall.SIGHUP, false)
 	return nil
 }
--- a/internal/rehearsal/rig/soak_test.go
+++ b/internal/faultinjection/harness/soak_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // soakRelays and soakLength keep the soak of each landing short; frostlinkctl rehearse soak plays more of both.
@@ -18,11 +18,11 @@
 // Random faults that overlap upon two dozen relay processes break no rule and no invariant.
 func TestSoak(t *testing.T) {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir, "mallowlead/cmd/frostlink").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", dir, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	for seed := range int64(2) {
-		s, err := script.Parse("soak.toml", []byte(script.SoakText(seed, soakRelays, soakLength)))
+		s, err := scenario.Parse("soak.toml", []byte(scenario.SoakText(seed, soakRelays, soakLength)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,11 +40,11 @@
 func TestSoakScripts(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range int64(200) {
-		text := script.SoakText(seed, 36, 9)
-		if text != script.SoakText(seed, 36, 9) {
+		text := scenario.SoakText(seed, 36, 9)
+		if text != scenario.SoakText(seed, 36, 9) {
 			t.Fatalf("seed %d draws two scripts", seed)
 		}
-		s, err := script.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
+		s, err := scenario.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
--- a/internal/rehearsal/rig/stand_test.go
+++ b/internal/faultinjection/harness/stand_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -14,19 +14,19 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/faults"
-	"mallowlead/internal/rehearsal/partner"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/faults"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // long is how long tests wait for what must come; how long that takes decides nothing.
 const long = 10 * time.Second
 
 // bare is a rig whose relays are no processes: the test plays them.
-func bare(t *testing.T, s *script.Script) *rig {
+func bare(t *testing.T, s *scenario.Script) *rig {
 	t.Helper()
-	r := &rig{s: s, d: script.NewDraws(1), dir: t.TempDir(), recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher(), ctx: t.Context()}
+	r := &rig{s: s, d: scenario.NewDraws(1), dir: t.TempDir(), recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher(), ctx: t.Context()}
 	if err := r.open(); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		return resp.StatusCode, nil
 	}
 	outage := func(what string, during func()) {
-		l.fail(-1, &script.Event{What: what, Share: 1})
+		l.fail(-1, &scenario.Event{What: what, Share: 1})
 		during()
 		l.recover(-1, false)
 		c := dial(t, addr)
@@ -125,7 +125,7 @@
 	outage("silent", func() {
 		silent = dial(t, addr)
 		callOn(t, silent, r.handed(3))
-		until(t, "the call was read", func() bool { return r.count(audit.Called) == 6 })
+		until(t, "the call was read", func() bool { return r.count(checker.Called) == 6 })
 		_ = silent.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if _, err := silent.Read(make([]byte, 1)); !isTimeout(err) {
 			t.Errorf("silent: %v", err)
@@ -135,7 +135,7 @@
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a silent connection after the outage: %v", err)
 	}
-	begin, over := l.strain(-1, &script.Event{What: "reset", Share: 1})
+	begin, over := l.strain(-1, &scenario.Event{What: "reset", Share: 1})
 	begin()
 	c := dial(t, addr)
 	callOn(t, c, r.handed(4))
@@ -143,7 +143,7 @@
 		t.Errorf("reset: %v", err)
 	}
 	over()
-	if n := r.count(audit.Effect); n < 6 {
+	if n := r.count(checker.Effect); n < 6 {
 		t.Errorf("%d effects", n)
 	}
 }
@@ -154,7 +154,7 @@
 }
 
 // count is how many events of a kind the log has.
-func (r *recorder) count(kind audit.Kind) (n int) {
+func (r *recorder) count(kind checker.Kind) (n int) {
 	for _, e := range r.written() {
 		if e.Kind == kind {
 			n++
@@ -168,10 +168,10 @@
 	r := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 200))
 	c := dial(t, r.partners[0].hosts[0].addrs[0])
 	callOn(t, c, r.handed(0))
-	until(t, "the call was read", func() bool { return r.count(audit.Called) == 1 })
+	until(t, "the call was read", func() bool { return r.count(checker.Called) == 1 })
 	_ = c.Close()
-	until(t, "its end was noted", func() bool { return r.count(audit.Ended) == 1 })
-	until(t, "it ran on", func() bool { return r.count(audit.Effect) == 1 })
+	until(t, "its end was noted", func() bool { return r.count(checker.Ended) == 1 })
+	until(t, "it ran on", func() bool { return r.count(checker.Effect) == 1 })
 }
 
 // An endpoint takes so many connections, idle ones counted; on one more it turns the call away and closes.
@@ -183,7 +183,7 @@
 	var all []net.Conn
 	for range 3 {
 		all = append(all, dial(t, addr))
-		until(t, "the connection was counted", func() bool { return r.count(audit.Connected) == len(all) })
+		until(t, "the connection was counted", func() bool { return r.count(checker.Connected) == len(all) })
 	}
 	callOn(t, all[2], r.handed(0))
 	raw, err := io.ReadAll(all[2])
@@ -326,12 +326,12 @@
 		t.Errorf("a watch from the present version on begins with %+v", m)
 	}
 	h := r.partners[1].hosts[0]
-	r.register.show(h, audit.Draining)
-	if m := list(watch); m.Whole || len(m.Hosts) != 1 || m.Hosts[0].Host != h.id || m.Hosts[0].Health != audit.Draining || m.Seq != 3 {
+	r.register.show(h, checker.Draining)
+	if m := list(watch); m.Whole || len(m.Hosts) != 1 || m.Hosts[0].Host != h.id || m.Hosts[0].Health != checker.Draining || m.Seq != 3 {
 		t.Errorf("a drain is told as %+v", m)
 	}
-	r.register.show(h, audit.Deleted)
-	if m := list(watch); m.Hosts[0].Health != audit.Deleted {
+	r.register.show(h, checker.Deleted)
+	if m := list(watch); m.Hosts[0].Health != checker.Deleted {
 		t.Errorf("a deletion is told as %+v", m)
 	}
 	if _, in := get("/catalog/members?stream=1&index=0"); len(list(in).Hosts) != 1 {
@@ -346,7 +346,7 @@
 	}
 	k := r.handed(0)
 	resp, err := http.Post(url+"/v1/outcomes", "", strings.NewReader(`{"id":"`+k.id+`","status":"undeliverable"}`+"\n"))
-	if err != nil || resp.StatusCode != http.StatusNoContent || r.count(audit.Noticed) != 1 {
+	if err != nil || resp.StatusCode != http.StatusNoContent || r.count(checker.Noticed) != 1 {
 		t.Errorf("a notice while it is away: %v, %v", resp, err)
 	}
 	if resp, err := http.Post(url+"/v1/outcomes", "", strings.NewReader("{}\n")); err != nil || resp.StatusCode != http.StatusBadRequest {
@@ -354,7 +354,7 @@
 	}
 	told := 0
 	for _, e := range r.written() {
-		if e.Kind == audit.Told && e.Host == h.id && e.State != audit.Serving {
+		if e.Kind == checker.Told && e.Host == h.id && e.State != checker.Serving {
 			told++
 		}
 	}
@@ -369,10 +369,10 @@
 	s.Partners[0].FallenFor = 0.5
 	r := bare(t, s)
 	l := r.partners[0]
-	l.fail(-1, &script.Event{What: "shut"})
+	l.fail(-1, &scenario.Event{What: "shut"})
 	l.recover(-1, true)
 	addr := l.hosts[0].addrs[0]
-	for n := 0; r.count(audit.Out) < 2; n++ {
+	for n := 0; r.count(checker.Out) < 2; n++ {
 		if n > 100 {
 			t.Fatal("a hundred calls at once did not push it over")
 		}
@@ -387,7 +387,7 @@
 	until(t, "connections are refused", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.hosts[0].mode == partner.Refusing
+		return l.hosts[0].mode == destination.Refusing
 	})
 	until(t, "it is back", func() bool {
 		c, err := net.Dial("tcp", addr)
--- a/internal/rehearsal/rig/standin_test.go
+++ b/internal/faultinjection/harness/standin_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
--- a/internal/rehearsal/rig/stores.go
+++ b/internal/faultinjection/harness/stores.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"errors"
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"mallowlead/internal/operator"
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/internal/operatorconfig"
 )
 
 // storesWithin is how long relays have, at the end of a run, to hand over to their stores and to come to rest.
@@ -20,7 +20,7 @@
 const beforeRun = time.Hour
 
 // fillStores puts what was given up before the run into the relays' stores, to each as much.
-func (r *rig) fillStores(before []*script.Message) error {
+func (r *rig) fillStores(before []*scenario.Message) error {
 	for _, rel := range r.relays {
 		mine := before[rel.number*r.s.Relay.Backlog:][:r.s.Relay.Backlog]
 		if len(mine) == 0 {
@@ -29,14 +29,14 @@
 		if err := rel.writeOperator(); err != nil {
 			return err
 		}
-		own, err := operator.Read(rel.operatorPath())
+		own, err := operatorconfig.Read(rel.operatorPath())
 		if err != nil {
 			return err
 		}
 		if own.Undelivered == nil {
 			return errors.New("relay.backlog: the operator's file keeps no undelivered messages")
 		}
-		s, err := undelivered.Open(own.Undelivered.Folder, 0, 0)
+		s, err := deadletter.Open(own.Undelivered.Folder, 0, 0)
 		if err != nil {
 			return err
 		}
@@ -49,24 +49,24 @@
 }
 
 // fill puts messages into a relay's store.
-func (rel *relay) fill(s *undelivered.Store, list []*script.Message) error {
+func (rel *relay) fill(s *deadletter.Store, list []*scenario.Message) error {
 	const batch = 500
 	at := time.Now().Add(-beforeRun)
 	for part := range slices.Chunk(list, batch) {
-		var all []undelivered.Kept
+		var all []deadletter.Kept
 		for _, m := range part {
 			id, class := fmt.Sprintf("before-%d", m.No), &rel.r.s.Classes[m.Class]
-			k := undelivered.Kept{Body: bodyOf(&charge{m: m}), Record: undelivered.Record{ID: id, Class: class.Name, Partner: m.Partner, Key: m.Key,
-				State: undelivered.Held, Since: at, Due: at, Lives: []undelivered.Life{{ID: id, Relay: rel.name, Taken: at.Add(-script.Seconds(class.Deadline)),
-					Expires: at, Over: at, Reason: undelivered.OutOfTime, Status: "undeliverable"}}}}
+			k := deadletter.Kept{Body: bodyOf(&charge{m: m}), Record: deadletter.Record{ID: id, Class: class.Name, Partner: m.Partner, Key: m.Key,
+				State: deadletter.Held, Since: at, Due: at, Lives: []deadletter.Life{{ID: id, Relay: rel.name, Taken: at.Add(-scenario.Seconds(class.Deadline)),
+					Expires: at, Over: at, Reason: deadletter.OutOfTime, Status: "undeliverable"}}}}
 			if m.Tenant >= 0 {
 				k.Tenant = rel.r.s.Tenants[m.Tenant].Name
 			}
 			if m.Subject != "" {
-				k.Subject, k.Order = m.Subject, &undelivered.Order{Whole: int64(m.No)}
+				k.Subject, k.Order = m.Subject, &deadletter.Order{Whole: int64(m.No)}
 			}
 			all = append(all, k)
-			rel.r.note(audit.Event{Kind: audit.Before, ID: id, Msg: m.No, Relay: rel.number, Dest: m.Partner, Class: m.Class, Subject: m.Subject})
+			rel.r.note(checker.Event{Kind: checker.Before, ID: id, Msg: m.No, Relay: rel.number, Dest: m.Partner, Class: m.Class, Subject: m.Subject})
 		}
 		if err := s.Put(all); err != nil {
 			return err
@@ -76,9 +76,9 @@
 }
 
 // stores reads what the relays' stores of undelivered messages hold, once the relays have ended.
-func (r *rig) stores() (kept []audit.Kept, unkept []string, err error) {
+func (r *rig) stores() (kept []checker.Kept, unkept []string, err error) {
 	for _, rel := range r.relays {
-		own, err := operator.Read(rel.operatorPath())
+		own, err := operatorconfig.Read(rel.operatorPath())
 		if errors.Is(err, os.ErrNotExist) {
 			continue
 		}
@@ -88,7 +88,7 @@
 		if own.Undelivered == nil {
 			continue
 		}
-		s, err := undelivered.OpenToRead(own.Undelivered.Folder)
+		s, err := deadletter.OpenToRead(own.Undelivered.Folder)
 		if errors.Is(err, os.ErrNotExist) {
 			continue // nothing was ever kept, which the auditor will judge
 		}
@@ -110,7 +110,7 @@
 
 // keepStore copies a relay's store, so that the tool can be tried on it.
 func (rel *relay) keepStore(to string) error {
-	own, err := operator.Read(rel.operatorPath())
+	own, err := operatorconfig.Read(rel.operatorPath())
 	if errors.Is(err, os.ErrNotExist) || err == nil && own.Undelivered == nil {
 		return nil
 	}
@@ -125,7 +125,7 @@
 }
 
 // stored adds all records of a store.
-func (rel *relay) stored(s *undelivered.Store, kept []audit.Kept) ([]audit.Kept, error) {
+func (rel *relay) stored(s *deadletter.Store, kept []checker.Kept) ([]checker.Kept, error) {
 	const page = 1000
 	for from, first := uint64(0), true; first || from > 0; first = false {
 		list, next, damaged, err := s.Page(from, page, page, nil)
@@ -136,13 +136,13 @@
 			rel.r.fault("%s: %d records of its store can't be read", rel.name, damaged)
 		}
 		for _, rec := range list {
-			k := audit.Kept{Relay: rel.number, State: string(rec.State), Why: rec.Why + string(rec.Last().Reason)}
+			k := checker.Kept{Relay: rel.number, State: string(rec.State), Why: rec.Why + string(rec.Last().Reason)}
 			for i, l := range rec.Lives {
 				k.IDs = append(k.IDs, l.ID)
 				// Of a resend that is out the store knows nothing yet: what came of it is in the relay's journal.
-				never := rec.State != undelivered.Out || i < len(rec.Lives)-1
+				never := rec.State != deadletter.Out || i < len(rec.Lives)-1
 				for _, a := range l.Attempts {
-					never = never && a.Ran == undelivered.Never
+					never = never && a.Ran == deadletter.Never
 				}
 				if never {
 					k.NeverRan = append(k.NeverRan, l.ID)
--- a/internal/rehearsal/rig/table.go
+++ b/internal/faultinjection/harness/table.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"mallowlead/internal/rehearsal/audit"
+	"frostlink/internal/faultinjection/checker"
 )
 
 // mostShown breaches are printed in full; all are in the JSON.
@@ -23,8 +23,8 @@
 	fmt.Fprintf(t, "\npartner\tasked\tdelivered\tin time\trefused\tfailed\tcalls\tfull\terrors\tcut off\tconnections\tpushed over\t\n")
 	for i, p := range r.Partners {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.PartnerNames[i], p.Asked, p.Delivered, p.InTime,
-			p.Refused, p.Failed+p.Unserved, p.Calls, p.Outcomes[audit.Full]+p.Outcomes[audit.Wait],
-			p.Outcomes[audit.Error]+p.Outcomes[audit.Reset], p.Outcomes[audit.Left]+p.Outcomes[audit.Cut], p.Connections,
+			p.Refused, p.Failed+p.Unserved, p.Calls, p.Outcomes[checker.Full]+p.Outcomes[checker.Wait],
+			p.Outcomes[checker.Error]+p.Outcomes[checker.Reset], p.Outcomes[checker.Left]+p.Outcomes[checker.Cut], p.Connections,
 			r.Falls[r.PartnerNames[i]])
 	}
 	fmt.Fprintf(t, "\nrelay\thanded in\ttaken on\tgiven back\tgiven up\tcalls\tstarts\tMB by quarter\tdescriptors by quarter\tCPU s\tfolder kB\t\n")
@@ -44,7 +44,7 @@
 	}
 	c := &r.Counts
 	fmt.Fprintf(out, "counts %d messages, %d hand-ins, %d taken on, %d calls, %d turned away above a limit, %d effects for nothing\n",
-		c.Asked, c.HandIns, c.Taken, c.Calls, c.Outcomes[audit.Full]+c.Outcomes[audit.Wait], c.Wasted)
+		c.Asked, c.HandIns, c.Taken, c.Calls, c.Outcomes[checker.Full]+c.Outcomes[checker.Wait], c.Wasted)
 	for _, u := range r.Processes {
 		if u.Reads > 0 {
 			fmt.Fprintf(out, "door   %s: figures read %d times, in %.1f ms (half), %.1f ms (99 of 100), %.1f ms at most\n", u.Name, u.Reads,
--- a/internal/rehearsal/rig/timeline.go
+++ b/internal/faultinjection/harness/timeline.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"cmp"
@@ -9,14 +9,14 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/partner"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // modes are what outages make of endpoints.
-var modes = map[string]partner.Mode{"refuse": partner.Refusing, "shut": partner.Shut, "silent": partner.Silent,
-	"gone": partner.Gone, "failing": partner.Failing}
+var modes = map[string]destination.Mode{"refuse": destination.Refusing, "shut": destination.Shut, "silent": destination.Silent,
+	"gone": destination.Gone, "failing": destination.Failing}
 
 // happening is something that the timeline does at a time.
 type happening struct {
@@ -47,9 +47,9 @@
 }
 
 // plan turns an event into what is to be done.
-func (r *rig) plan(number int, e *script.Event) []happening {
-	at := script.Seconds(e.At)
-	end := at + script.Seconds(e.For)
+func (r *rig) plan(number int, e *scenario.Event) []happening {
+	at := scenario.Seconds(e.At)
+	end := at + scenario.Seconds(e.For)
 	once := func(what string, do func()) []happening { return []happening{{at, what, do}} }
 	both := func(what string, begin, over func()) []happening {
 		return []happening{{at, what + " begins", begin}, {end, what + " ends", over}}
@@ -68,7 +68,7 @@
 		return both(where+": "+e.What, begin, over)
 	case "drain":
 		l := r.partners[r.s.Partner(e.Partner)]
-		return r.replace(number, at, script.Seconds(e.Drain), l, l.hosts[from], false, false)
+		return r.replace(number, at, scenario.Seconds(e.Drain), l, l.hosts[from], false, false)
 	case "replace":
 		return r.bulk(number, e)
 	case "jump", "draw":
@@ -96,23 +96,23 @@
 			of = append(of, rel)
 		}
 	}
-	back := script.Seconds(e.Back)
+	back := scenario.Seconds(e.Back)
 	do := map[string]func(*relay){
 		"kill":     func(rel *relay) { rel.outright(back, false) },
 		"lose":     func(rel *relay) { rel.outright(back, true) },
 		"term":     func(rel *relay) { rel.restart(back) },
-		"hang":     func(rel *relay) { rel.hang(script.Seconds(e.For)) },
+		"hang":     func(rel *relay) { rel.hang(scenario.Seconds(e.For)) },
 		"upgrade":  func(rel *relay) { rel.upgrade() },
-		"standby":  func(rel *relay) { rel.standby(script.Seconds(e.For)) },
+		"standby":  func(rel *relay) { rel.standby(scenario.Seconds(e.For)) },
 		"settings": func(rel *relay) { rel.settings(e) },
-		"scrape":   func(rel *relay) { rel.scrape(script.Seconds(e.For), e.Callers) },
+		"scrape":   func(rel *relay) { rel.scrape(scenario.Seconds(e.For), e.Callers) },
 		"clock_step": func(rel *relay) {
-			if err := rel.clock.Step(script.Seconds(e.By)); err != nil {
+			if err := rel.clock.Step(scenario.Seconds(e.By)); err != nil {
 				r.fault("%s: %v", rel.name, err)
 			}
 		},
-		"syscall_errors": func(rel *relay) { rel.failCalls(e, script.Calls[e.Call]) },
-		"disk_errors":    func(rel *relay) { rel.failCalls(e, script.FolderCalls...) },
+		"syscall_errors": func(rel *relay) { rel.failCalls(e, scenario.Calls[e.Call]) },
+		"disk_errors":    func(rel *relay) { rel.failCalls(e, scenario.FolderCalls...) },
 		"move": func(rel *relay) {
 			if err := rel.move(); err != nil {
 				r.fault("%s: %v", rel.name, err)
@@ -134,7 +134,7 @@
 }
 
 // fail begins an outage.
-func (l *live) fail(at int, e *script.Event) {
+func (l *live) fail(at int, e *scenario.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	mode := modes[e.What]
@@ -144,7 +144,7 @@
 			host = h.id
 		}
 	}
-	l.r.note(audit.Event{Kind: audit.Out, Dest: l.number, Host: host, State: e.What})
+	l.r.note(checker.Event{Kind: checker.Out, Dest: l.number, Host: host, State: e.What})
 	if at < 0 {
 		l.outage = &mode
 	}
@@ -174,13 +174,13 @@
 	if at < 0 {
 		l.outage = nil
 	}
-	l.r.note(audit.Event{Kind: audit.Back, Dest: l.number, Host: host, OK: cold})
+	l.r.note(checker.Event{Kind: checker.Back, Dest: l.number, Host: host, OK: cold})
 	l.act(actions)
 }
 
 // strain gives what begins and ends a trouble that is no outage.
-func (l *live) strain(at int, e *script.Event) (begin, over func()) {
-	do := func(f func() []partner.Action) func() {
+func (l *live) strain(at int, e *scenario.Event) (begin, over func()) {
+	do := func(f func() []destination.Action) func() {
 		return func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -189,18 +189,18 @@
 	}
 	switch e.What {
 	case "slow":
-		return do(func() []partner.Action { return l.p.Slow(l.clock(), at, e.Factor) }),
-			do(func() []partner.Action { return l.p.Slow(l.clock(), at, 1) })
+		return do(func() []destination.Action { return l.p.Slow(l.clock(), at, e.Factor) }),
+			do(func() []destination.Action { return l.p.Slow(l.clock(), at, 1) })
 	case "reset":
-		return do(func() []partner.Action { return l.p.Resets(l.clock(), at, e.Share) }),
-			do(func() []partner.Action { return l.p.Resets(l.clock(), at, 0) })
+		return do(func() []destination.Action { return l.p.Resets(l.clock(), at, e.Share) }),
+			do(func() []destination.Action { return l.p.Resets(l.clock(), at, 0) })
 	}
-	return do(func() []partner.Action { return l.p.Stop(l.clock(), at, true) }),
-		do(func() []partner.Action { return l.p.Stop(l.clock(), at, false) })
+	return do(func() []destination.Action { return l.p.Stop(l.clock(), at, true) }),
+		do(func() []destination.Action { return l.p.Stop(l.clock(), at, false) })
 }
 
 // bulk plans the replacement of a share of the endpoints.
-func (r *rig) bulk(number int, e *script.Event) []happening {
+func (r *rig) bulk(number int, e *scenario.Event) []happening {
 	var hosts []*host
 	for _, l := range r.partners {
 		if e.Partner == "" || r.s.Partners[l.number].Name == e.Partner {
@@ -212,9 +212,9 @@
 	hosts = hosts[:int(math.Ceil(e.Share*float64(len(hosts))))]
 	var out []happening
 	for i, h := range hosts {
-		at := script.Seconds(e.At + e.Over*float64(i)/float64(max(1, len(hosts)-1)))
+		at := scenario.Seconds(e.At + e.Over*float64(i)/float64(max(1, len(hosts)-1)))
 		reused := chance.Float64() < e.Reused
-		out = append(out, r.replace(number*1000+i, at, script.Seconds(e.Drain), h.live, h, true, reused)...)
+		out = append(out, r.replace(number*1000+i, at, scenario.Seconds(e.Drain), h.live, h, true, reused)...)
 	}
 	return out
 }
@@ -229,13 +229,13 @@
 			defer l.mu.Unlock()
 			l.act(l.p.Drain(l.clock(), old.index))
 		}},
-		{at + r.register.lag("drain", draw), "", func() { r.register.show(old, audit.Draining) }},
+		{at + r.register.lag("drain", draw), "", func() { r.register.show(old, checker.Draining) }},
 		{at + drain, name + " is gone", func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			old.remove()
 		}},
-		{at + drain + r.register.lag("gone", draw), "", func() { r.register.show(old, audit.Deleted) }},
+		{at + drain + r.register.lag("gone", draw), "", func() { r.register.show(old, checker.Deleted) }},
 	}
 	if !another {
 		return out
@@ -254,7 +254,7 @@
 		fresh = h
 	}}, happening{begin + r.register.lag("new", draw), "", func() {
 		if fresh != nil {
-			r.register.show(fresh, audit.Serving)
+			r.register.show(fresh, checker.Serving)
 		}
 	}})
 	return out
--- a/internal/rehearsal/script/check.go
+++ b/internal/faultinjection/scenario/check.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"mallowlead/internal/strict"
+	"frostlink/internal/strictconfig"
 )
 
 // The bounds of one machine.
@@ -19,7 +19,7 @@
 )
 
 // check reports all that makes no sense.
-func (s *Script) check(d *strict.Doc) {
+func (s *Script) check(d *strictconfig.Doc) {
 	if d.Has("version") && s.Version != Version {
 		d.Bad("version", "is %d; this program reads version %d", s.Version, Version)
 	}
@@ -372,7 +372,7 @@
 }
 
 // checker has the common checks of a value.
-type checker struct{ *strict.Doc }
+type checker struct{ *strictconfig.Doc }
 
 func (c checker) above(key string, v, bound float64) {
 	if !(v > bound) {
--- a/internal/rehearsal/script/draws.go
+++ b/internal/faultinjection/scenario/draws.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"cmp"
--- a/internal/rehearsal/script/errno.go
+++ b/internal/faultinjection/scenario/errno.go
@@ -1,11 +1,11 @@
-package script
+package scenario
 
 import (
 	"syscall"
 
 	"golang.org/x/sys/unix"
 
-	"mallowlead/internal/rehearsal/faults"
+	"frostlink/internal/faultinjection/faults"
 )
 
 // Calls are the kinds of system call on sockets that an event may have fail, by their names in scripts.
--- a/internal/rehearsal/script/script.go
+++ b/internal/faultinjection/scenario/scenario.go
@@ -1,14 +1,14 @@
-// Package script reads the scripts of rehearsals: who the partners are, what is sent, how clients behave, and what
+// Package scenario reads the scripts of rehearsals: who the partners are, what is sent, how clients behave, and what
 // goes wrong when. It is free of sockets; draws.go draws all that is left to chance from the seed.
-package script
+package scenario
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"mallowlead/internal/settings"
-	"mallowlead/internal/strict"
+	"frostlink/internal/settings"
+	"frostlink/internal/strictconfig"
 )
 
 // Version is the form of scripts that this program reads.
@@ -278,7 +278,7 @@
 // Read reads and checks a script. Its error is strict.Problems with all that is wrong.
 func Read(path string) (*Script, error) {
 	s := defaults()
-	doc, err := strict.ReadFile(path, s)
+	doc, err := strictconfig.ReadFile(path, s)
 	if err != nil {
 		return nil, err
 	}
@@ -288,10 +288,10 @@
 // Parse reads a script from memory.
 func Parse(name string, text []byte) (*Script, error) {
 	s := defaults()
-	return finish(s, strict.Decode(name, text, s))
+	return finish(s, strictconfig.Decode(name, text, s))
 }
 
-func finish(s *Script, doc *strict.Doc) (*Script, error) {
+func finish(s *Script, doc *strictconfig.Doc) (*Script, error) {
 	s.fill(doc)
 	s.check(doc)
 	if err := doc.Err(); err != nil {
@@ -301,7 +301,7 @@
 }
 
 // fill gives the elements of lists their defaults.
-func (s *Script) fill(doc *strict.Doc) {
+func (s *Script) fill(doc *strictconfig.Doc) {
 	for i := range s.Classes {
 		c, at := &s.Classes[i], fmt.Sprintf("class[%d].", i+1)
 		orElse(doc, at+"share", &c.Share, 1)
@@ -347,7 +347,7 @@
 	}
 }
 
-func orElse[T any](doc *strict.Doc, key string, v *T, other T) {
+func orElse[T any](doc *strictconfig.Doc, key string, v *T, other T) {
 	if !doc.Has(key) {
 		*v = other
 	}
--- a/internal/rehearsal/script/script_test.go
+++ b/internal/faultinjection/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package script
+package scenario
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 
 func shipped(t testing.TB) map[string]*Script {
 	t.Helper()
-	paths, _ := filepath.Glob("../../../rehearsals/*.toml")
+	paths, _ := filepath.Glob("../../../scenarios/*.toml")
 	if len(paths) == 0 {
 		t.Fatal("no script is shipped")
 	}
--- a/internal/rehearsal/virtual/days.go
+++ b/internal/faultinjection/simulation/days.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // The days that are played. Each is as long, and its trouble is the same, whatever the number of relays.
@@ -134,7 +134,7 @@
 		}
 		alike = append(alike, same)
 	}
-	s, err := script.Parse("fleet", []byte(b.String()))
+	s, err := scenario.Parse("fleet", []byte(b.String()))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -156,7 +156,7 @@
 	// each has something happen to all partners of a share.
 	each := func(share int, seconds float64, e Event) {
 		for _, p := range alike[share] {
-			e.At, e.Partner = script.Seconds(seconds), p
+			e.At, e.Partner = scenario.Seconds(seconds), p
 			day.Events = append(day.Events, e)
 		}
 	}
@@ -174,7 +174,7 @@
 		for share := range shares {
 			each(share, 7+float64(share), Event{What: Replace})
 		}
-		day.Events = append(day.Events, Event{At: script.Seconds(10), What: Kill, Share: 0.7})
+		day.Events = append(day.Events, Event{At: scenario.Seconds(10), What: Kill, Share: 0.7})
 	default:
 		return nil, fmt.Errorf("%q is no day: there are %s", name, strings.Join(Names, ", "))
 	}
--- a/internal/rehearsal/virtual/drawn.go
+++ b/internal/faultinjection/simulation/drawn.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // Further kinds of drawn days.
@@ -33,7 +33,7 @@
 	if !slices.Contains(DrawnNames, kind) {
 		return nil, fmt.Errorf("%q is no kind of day that is drawn: there are %s", kind, strings.Join(DrawnNames, ", "))
 	}
-	d := dice{script.NewDraws(seed).For("day of kind " + kind)}
+	d := dice{scenario.NewDraws(seed).For("day of kind " + kind)}
 	m := mix{perRelay: d.in(5, 9), sent: d.in(0.75, 1), spare: d.in(1, 1.4), work: d.in(1.2, 1.6), length: d.in(26, 34)}
 	sum := 0.0
 	for range 5 + d.IntN(4) { // a few get much of the traffic
@@ -51,7 +51,7 @@
 	}
 	s := day.Script
 	s.Clients.Retries, s.Clients.Honour = d.IntN(3), d.in(0.37, 0.82)
-	day.Register.Lag = script.Seconds(d.in(0.5, 4))
+	day.Register.Lag = scenario.Seconds(d.in(0.5, 4))
 	for i := range s.Partners {
 		if p := &s.Partners[i]; d.Float64() < 0.5 {
 			p.Tells = "wait"
@@ -66,7 +66,7 @@
 	s := day.Script
 	n := len(s.Partners)
 	add := func(at float64, e Event) {
-		e.At = script.Seconds(at)
+		e.At = scenario.Seconds(at)
 		day.Events = append(day.Events, e)
 	}
 	each := func(share, at float64, e Event) {
@@ -89,7 +89,7 @@
 	}
 	switch kind {
 	case Calm:
-		s.Events = []script.Event{{At: d.in(5, 15), For: d.in(2.4, 7.8), What: "jump", Factor: 1.5}}
+		s.Events = []scenario.Event{{At: d.in(5, 15), For: d.in(2.4, 7.8), What: "jump", Factor: 1.5}}
 	case Rolling:
 		replace()
 		at, step := d.in(4, 6), d.in(1, 2)
@@ -116,15 +116,15 @@
 		} else {
 			each(0.2, at, Event{What: Vanish, For: 6 * time.Second})
 		}
-		day.Register.Lag = script.Seconds(d.in(3, 5))
+		day.Register.Lag = scenario.Seconds(d.in(3, 5))
 		add(d.in(4, 10), Event{What: Harm, Share: d.in(0.05, 0.15), For: seconds(d.in(5, 12))})
 	case Join:
 		lower()
 		lower()
 		add(d.in(3, 8), Event{What: Hasty, Share: d.in(0.02, 0.1), For: seconds(d.in(8, 15))})
-		s.Clients.Retries, s.Clients.Honour, s.Clients.Backoff = 5, 0, script.Range{Low: 40, High: 200}
+		s.Clients.Retries, s.Clients.Honour, s.Clients.Backoff = 5, 0, scenario.Range{Low: 40, High: 200}
 		each(0.3, d.in(3, 8), Event{What: Errors, Share: d.in(0.02, 0.1), For: seconds(d.in(8, 15))})
 	}
 }
 
-func seconds(s float64) time.Duration { return script.Seconds(s) }
+func seconds(s float64) time.Duration { return scenario.Seconds(s) }
--- a/internal/rehearsal/virtual/drawn_test.go
+++ b/internal/faultinjection/simulation/drawn_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/policy"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
 )
 
 func drawn(t *testing.T, kind string, relays int, seed int64, change func(*Day)) *Result {
@@ -101,16 +101,16 @@
 		kind   string
 		plant  Plant
 		change func(*Day)
-		caught audit.Rule
+		caught checker.Rule
 	}{
 		"an end is not made": {Join, Plant{Actions: each(func(a policy.Action) []policy.Action {
 			if _, ok := a.(policy.Refuse); ok {
 				return nil
 			}
 			return []policy.Action{a}
-		})}, nil, audit.NoEnd},
-		"ends are made late":                          {Join, Plant{Actions: heldBack()}, nil, audit.LateEnd},
-		"what was sent is given up, delivered or not": {Calm, Plant{Actions: givenUp()}, nil, audit.TwoEnds},
+		})}, nil, checker.NoEnd},
+		"ends are made late":                          {Join, Plant{Actions: heldBack()}, nil, checker.LateEnd},
+		"what was sent is given up, delivered or not": {Calm, Plant{Actions: givenUp()}, nil, checker.TwoEnds},
 		"what was out at a kill is taken for never run": {Rolling, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
 				for i := range a.Tried {
@@ -118,27 +118,27 @@
 				}
 			}
 			return e
-		})}, nil, audit.Twice},
+		})}, nil, checker.Twice},
 		"a reset is taken for never run": {Split, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if end, ok := e.(policy.Ended); ok && end.Outcome == policy.Reset {
 				end.Outcome = policy.ConnectError
 				return end
 			}
 			return e
-		})}, nil, audit.Twice},
+		})}, nil, checker.Twice},
 		"two attempts at once": {Calm, Plant{Actions: each(func(a policy.Action) []policy.Action {
 			if _, ok := a.(policy.Send); ok {
 				return []policy.Action{a, a}
 			}
 			return []policy.Action{a}
-		})}, nil, audit.SecondCopy},
+		})}, nil, checker.SecondCopy},
 		"news of the list are not heeded": {Rolling, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if l, ok := e.(policy.Listed); ok && !l.Whole {
 				return nil
 			}
 			return e
-		})}, nil, audit.DrainBroken},
-		"word of a return is leave to send": {Zone, Plant{Opens: true}, nil, audit.PushedOver},
+		})}, nil, checker.DrainBroken},
+		"word of a return is leave to send": {Zone, Plant{Opens: true}, nil, checker.PushedOver},
 		"a wait is not heeded": {Join, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if end, ok := e.(policy.Ended); ok {
 				end.Wait = 0
@@ -151,21 +151,21 @@
 				p := &d.Script.Partners[i]
 				p.Tells, p.Limit.Span, p.Limit.Count = "wait", 5*p.Limit.Span, 5*p.Limit.Count
 			}
-		}, audit.WaitIgnored},
+		}, checker.WaitIgnored},
 		"another partner's host": {Calm, Plant{Actions: each(func(a policy.Action) []policy.Action {
 			if s, ok := a.(policy.Send); ok && s.Endpoint == "p0-0" {
 				s.Endpoint = "p1-0"
 				return []policy.Action{s}
 			}
 			return []policy.Action{a}
-		})}, nil, audit.WrongHost},
+		})}, nil, checker.WrongHost},
 		"order is not kept": {Calm, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
 				a.Key = ""
 				return a
 			}
 			return e
-		})}, ordered, audit.OrderBroken},
+		})}, ordered, checker.OrderBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -189,6 +189,6 @@
 
 // ordered has one class keep order among messages about one thing.
 func ordered(d *Day) {
-	i := slices.IndexFunc(d.Script.Classes, func(c script.Class) bool { return c.Name == "parcel-status" })
+	i := slices.IndexFunc(d.Script.Classes, func(c scenario.Class) bool { return c.Name == "parcel-status" })
 	d.Script.Classes[i].Ordered, d.Script.Classes[i].Keys = true, 20
 }
--- a/internal/rehearsal/virtual/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -1,7 +1,7 @@
-// Package virtual plays a whole fleet of relays in virtual time: real decision modules, each with a seed of its own, among
+// Package simulation plays a whole fleet of relays in virtual time: real decision modules, each with a seed of its own, among
 // the models of partners and of an overbooked register, on one thread and without a socket. It shows in a second what so
 // many processes can't show on one machine: what relays do to a partner or to the register together.
-package virtual
+package simulation
 
 import (
 	"container/heap"
@@ -9,10 +9,10 @@
 	"math/rand/v2"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/partner"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/policy"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
 )
 
 // What goes wrong on a day.
@@ -58,7 +58,7 @@
 
 // Day is what is played.
 type Day struct {
-	Script   *script.Script
+	Script   *scenario.Script
 	Events   []Event
 	Register Register
 	Plant    Plant
@@ -70,7 +70,7 @@
 const restartAfter, stopWithin = time.Second, 3700 * time.Millisecond
 
 // oneWay is what a message takes between machines.
-var oneWay = script.Range{Low: 15, High: 27}
+var oneWay = scenario.Range{Low: 15, High: 27}
 
 // handshakeTrips are round trips before a new connection carries a call, beside that of the call.
 const handshakeTrips = 2
@@ -106,11 +106,11 @@
 
 // site is a partner with what is kept about it here.
 type site struct {
-	*partner.Partner
+	*destination.Partner
 	no      int
 	limit   float64 // calls a second when it is not lowered
 	hosts   []*host
-	flights map[*partner.Call]*flight
+	flights map[*destination.Call]*flight
 	due     time.Duration // when it is advanced next
 }
 
@@ -120,16 +120,16 @@
 	now      time.Duration
 	seq      int
 	agenda   agenda
-	draws    script.Draws
+	draws    scenario.Draws
 	chance   *rand.Rand
 	sites    []*site
 	hosts    map[string]*host
 	relays   []*relay
 	register *register
 	ends     map[int]bool // messages that are over, by number
-	asked    map[string]*script.Message
+	asked    map[string]*scenario.Message
 	ran      map[int]int // effects of messages that may not be doubled, by number
-	log      []audit.Event
+	log      []checker.Event
 	calls    int     // that have come to a host
 	severed  int     // zone that is cut off, from 1; 0: none is
 	places   []*host // of connections that their relays have given up behind the cut
@@ -143,15 +143,15 @@
 
 // newFleet puts a day's fleet together.
 func newFleet(day *Day) *fleet {
-	f := &fleet{Day: day, draws: script.NewDraws(day.Seed), hosts: map[string]*host{}, ends: map[int]bool{},
-		asked: map[string]*script.Message{}, ran: map[int]int{},
+	f := &fleet{Day: day, draws: scenario.NewDraws(day.Seed), hosts: map[string]*host{}, ends: map[int]bool{},
+		asked: map[string]*scenario.Message{}, ran: map[int]int{},
 		res: &Result{Relays: day.Script.Relays}}
 	f.chance = f.draws.For("network")
 	f.register = &register{f: f, Register: day.Register, watchers: map[*relay]int{}}
 	for i := range day.Script.Partners {
 		p := &day.Script.Partners[i]
-		s := &site{Partner: partner.New(day.Script, i, f.draws), no: i, limit: p.Limit.PerSecond(),
-			flights: map[*partner.Call]*flight{}, due: forever}
+		s := &site{Partner: destination.New(day.Script, i, f.draws), no: i, limit: p.Limit.PerSecond(),
+			flights: map[*destination.Call]*flight{}, due: forever}
 		f.sites = append(f.sites, s)
 		for e := range p.Endpoints {
 			f.register.show(f.addHost(s, e), serving)
@@ -180,13 +180,13 @@
 	for _, e := range day.Events {
 		f.at(e.At, func() { f.happen(e) })
 	}
-	length := script.Seconds(day.Script.Length)
+	length := scenario.Seconds(day.Script.Length)
 	for at := time.Duration(0); at < length; at += time.Second {
 		f.at(at, f.sample)
 	}
 	until := length
 	for _, c := range day.Script.Classes {
-		until = max(until, length+script.Seconds(c.Deadline)+5*time.Second)
+		until = max(until, length+scenario.Seconds(c.Deadline)+5*time.Second)
 	}
 	for len(f.agenda) > 0 && f.agenda[0].at <= until {
 		next := heap.Pop(&f.agenda).(item)
@@ -209,7 +209,7 @@
 func (f *fleet) after(d time.Duration, do func()) { f.at(f.now+d, do) }
 
 // trip is what a message takes one way.
-func (f *fleet) trip() time.Duration { return script.Millis(oneWay.In(f.chance)) }
+func (f *fleet) trip() time.Duration { return scenario.Millis(oneWay.In(f.chance)) }
 
 func (f *fleet) addHost(s *site, endpoint int) *host {
 	h := &host{fmt.Sprintf("p%d-%d", s.no, endpoint), s, endpoint}
@@ -225,11 +225,11 @@
 	case Lower:
 		f.carryOut(s, s.Lower(f.now, e.Share))
 	case Out:
-		f.write(audit.Event{Kind: audit.Out, Dest: s.no, State: "refuse"})
-		f.carryOut(s, s.Fail(f.now, -1, partner.Refusing, 0))
+		f.write(checker.Event{Kind: checker.Out, Dest: s.no, State: "refuse"})
+		f.carryOut(s, s.Fail(f.now, -1, destination.Refusing, 0))
 		f.reset(s)
 	case Back:
-		f.write(audit.Event{Kind: audit.Back, Dest: s.no, OK: true})
+		f.write(checker.Event{Kind: checker.Back, Dest: s.no, OK: true})
 		f.carryOut(s, s.Recover(f.now, -1, true))
 		for _, r := range f.relays {
 			if r.alive && f.Plant.Opens {
@@ -237,8 +237,8 @@
 			}
 		}
 	case Vanish:
-		f.write(audit.Event{Kind: audit.Out, Dest: s.no, State: "gone"})
-		f.carryOut(s, s.Fail(f.now, -1, partner.Gone, 0))
+		f.write(checker.Event{Kind: checker.Out, Dest: s.no, State: "gone"})
+		f.carryOut(s, s.Fail(f.now, -1, destination.Gone, 0))
 		f.after(e.For, func() { f.happen(Event{What: Back, Partner: e.Partner}) })
 	case Kill:
 		for _, r := range f.part(e.From, e.Share) {
@@ -265,7 +265,7 @@
 		f.carryOut(s, s.Slow(f.now, -1, e.By))
 		f.after(e.For, func() { f.carryOut(s, s.Slow(f.now, -1, 1)) })
 	case Errors:
-		f.carryOut(s, s.Fail(f.now, -1, partner.Failing, e.Share))
+		f.carryOut(s, s.Fail(f.now, -1, destination.Failing, e.Share))
 		f.after(e.For, func() { f.carryOut(s, s.Recover(f.now, -1, false)) })
 	case Replace:
 		old := s.hosts
@@ -290,14 +290,14 @@
 }
 
 // handIn has a client hand a message in, for the n-th time, to a relay that runs.
-func (f *fleet) handIn(m *script.Message, n int) {
+func (f *fleet) handIn(m *scenario.Message, n int) {
 	var there []*relay
 	for _, r := range f.relays {
 		if r.alive && !r.stopping {
 			there = append(there, r)
 		}
 	}
-	left := script.Seconds(f.Script.Classes[m.Class].Deadline) - (f.now - m.At)
+	left := scenario.Seconds(f.Script.Classes[m.Class].Deadline) - (f.now - m.At)
 	switch {
 	case left <= 0:
 		f.ends[m.No] = true // its client has given up: nobody had taken it on
@@ -318,7 +318,7 @@
 }
 
 // carryOut carries out what a partner does.
-func (f *fleet) carryOut(s *site, acts []partner.Action) {
+func (f *fleet) carryOut(s *site, acts []destination.Action) {
 	fell := false
 	for _, a := range acts {
 		switch {
@@ -327,7 +327,7 @@
 			f.fell(s, a.Change)
 		case a.Done != nil:
 			if a.Done.Ran {
-				f.write(audit.Event{Kind: audit.Effect, ID: a.Done.Call.ID, Dest: s.no})
+				f.write(checker.Event{Kind: checker.Effect, ID: a.Done.Call.ID, Dest: s.no})
 			}
 			// Also of a call whose relay waits no more: its effect counts.
 			if m := f.asked[a.Done.Call.ID]; m != nil && a.Done.Ran && f.Script.Classes[m.Class].Effect != "safe" {
@@ -349,11 +349,11 @@
 }
 
 // answer sends a call's end back to its relay.
-func (f *fleet) answer(s *site, fl *flight, done *partner.Done) {
+func (f *fleet) answer(s *site, fl *flight, done *destination.Done) {
 	p := f.res.Partners[s.no]
 	how := outcomes[done.Outcome]
 	if fl.mute || f.cut(fl.r, fl.host) {
-		fl.closed(audit.Event{Outcome: audit.Cut, Ran: done.Ran})
+		fl.closed(checker.Event{Outcome: checker.Cut, Ran: done.Ran})
 		return
 	}
 	end := policy.Ended{Outcome: how.heard, Over: how.heard == policy.OK, Wait: done.Wait}
@@ -369,7 +369,7 @@
 	}
 	written := f.now
 	f.after(f.trip(), func() {
-		fl.closedAt(written, audit.Event{Outcome: how.named, For: done.Wait, Ran: done.Ran})
+		fl.closedAt(written, checker.Event{Outcome: how.named, For: done.Wait, Ran: done.Ran})
 		fl.end(end, end.Outcome != policy.Reset)
 	})
 }
@@ -377,10 +377,10 @@
 // reset breaks the connections of all calls that are at endpoints which answer no more.
 func (f *fleet) reset(s *site) {
 	for call, fl := range s.flights {
-		if s.Mode(fl.host.endpoint) >= partner.Refusing {
+		if s.Mode(fl.host.endpoint) >= destination.Refusing {
 			delete(s.flights, call)
 			fl.broken = true
-			fl.closed(audit.Event{Outcome: audit.Cut})
+			fl.closed(checker.Event{Outcome: checker.Cut})
 		}
 	}
 	// In an order that does not hang on the map's.
--- a/internal/rehearsal/virtual/fleet_test.go
+++ b/internal/faultinjection/simulation/fleet_test.go
@@ -2,7 +2,7 @@
 
 // A fleet runs on one thread: with the race detector it would take ten times as long for nothing. .ci/run plays it without.
 
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/policy"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
 )
 
 func play(t *testing.T, name string, relays int, change func(*Day)) *Result {
@@ -276,7 +276,7 @@
 
 // Cases at the edge: in none is a rule broken.
 func TestHardCases(t *testing.T) {
-	sec := func(s float64) time.Duration { return script.Seconds(s) }
+	sec := func(s float64) time.Duration { return scenario.Seconds(s) }
 	for name, change := range map[string]func(*Day){
 		"79 of 80 killed, and the register takes two calls a second": func(d *Day) {
 			d.Events = append(d.Events, Event{At: sec(9), What: Kill, Share: 0.99})
@@ -301,11 +301,11 @@
 		"an outage that few of 80 noticed, and a rush at the return": func(d *Day) {
 			d.Script.Load.Rate /= 20
 			d.Events = append(d.Events, Event{At: sec(8), What: Out, Partner: 5}, Event{At: sec(13), What: Back, Partner: 5})
-			d.Script.Events = []script.Event{{At: 13, For: 4, What: "jump", Factor: 20}}
+			d.Script.Events = []scenario.Event{{At: 13, For: 4, What: "jump", Factor: 20}}
 		},
 		"idle, then a clump": func(d *Day) {
 			d.Script.Load.Rate /= 20
-			d.Script.Events = []script.Event{{At: 20, For: 3, What: "jump", Factor: 30}}
+			d.Script.Events = []scenario.Event{{At: 20, For: 3, What: "jump", Factor: 30}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rehearsal/virtual/golden_test.go
+++ b/internal/faultinjection/simulation/golden_test.go
@@ -1,9 +1,9 @@
-package virtual
+package simulation
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- /dev/null
+++ b/internal/faultinjection/simulation/log.go
@@ -0,0 +1,110 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
+)
+
+// This file writes a day down as the stand-ins of a real run do, for the auditor that judges those: what it finds rests on nothing
+// that relays or modules say of themselves.
+
+// write writes an event down.
+func (f *fleet) write(e checker.Event) {
+	e.At = f.now
+	f.log = append(f.log, e)
+}
+
+// handed writes down that a client hands a message in.
+func (r *relay) handed(h *held) {
+	r.f.write(checker.Event{Kind: checker.HandedIn, ID: h.id, Msg: h.m.No, Relay: r.no, Dest: h.m.Partner, Class: h.m.Class,
+		Item: h.m.Item, Subject: h.m.Subject, For: h.expires - r.f.now})
+}
+
+// heard writes down what a client hears, and takes note that the message is the relay's from then on where that is so.
+func (r *relay) heard(h *held, status int) {
+	h.taken = status == statusTaken
+	if h.unheard {
+		r.f.write(checker.Event{Kind: checker.Unheard, ID: h.id, Relay: r.no, State: "its client has gone"})
+		return
+	}
+	r.f.write(checker.Event{Kind: checker.Answered, ID: h.id, Relay: r.no, Status: status})
+}
+
+// What clients hear.
+const statusTaken, statusRefused, statusFailed = 202, 429, 502
+
+// ended writes down that a message ends undelivered: by its answer if that is still due, else by a notice.
+func (r *relay) ended(h *held, refused bool) {
+	status, state := statusFailed, checker.Undeliverable
+	if refused {
+		status, state = statusRefused, checker.Deferred
+	}
+	if !h.taken {
+		r.heard(h, status)
+		return
+	}
+	r.f.write(checker.Event{Kind: checker.Noticed, ID: h.id, Relay: r.no, State: state})
+}
+
+// came writes down that a call has come to its host whole.
+func (fl *flight) came() {
+	f := fl.r.f
+	f.calls++
+	fl.no = f.calls
+	f.write(checker.Event{Kind: checker.Called, ID: fl.held.id, Relay: fl.r.no, Dest: fl.host.partner.no, Host: fl.host.id, Call: fl.no, First: f.now})
+}
+
+// closed writes down how a call ended now, once.
+func (fl *flight) closed(e checker.Event) { fl.closedAt(fl.r.f.now, e) }
+
+// closedAt does so for a time not long ago: whether an answer that was written has met its relay is known only when it comes there.
+func (fl *flight) closedAt(at time.Duration, e checker.Event) {
+	if fl.no == 0 {
+		return
+	}
+	e.At, e.Kind, e.ID, e.Call, e.Relay, e.Dest = at, checker.Ended, fl.held.id, fl.no, fl.r.no, fl.host.partner.no
+	fl.no = 0
+	fl.r.f.log = append(fl.r.f.log, e)
+}
+
+// outcomes are those of the partner's model as the auditor names them, and as a relay hears them.
+var outcomes = map[destination.Outcome]struct {
+	named string
+	heard policy.Outcome
+}{
+	destination.Delivered: {checker.OK, policy.OK},
+	destination.Errored:   {checker.Error, policy.Failed},
+	destination.Full:      {checker.Full, policy.QueueFull},
+	destination.Wait:      {checker.Wait, policy.QueueFull},
+	destination.Dropped:   {checker.Reset, policy.Reset},
+}
+
+// fell follows a partner that was pushed over, or is back from that.
+func (f *fleet) fell(s *site, c *destination.Change) {
+	if c.Mode == destination.Refusing {
+		f.write(checker.Event{Kind: checker.Out, Dest: s.no, State: "fell"})
+		f.reset(s)
+		return
+	}
+	f.write(checker.Event{Kind: checker.Back, Dest: s.no, OK: true})
+}
+
+// judge has the auditor judge the day, and adds what it finds to the result.
+func (f *fleet) judge() {
+	figures := checker.Figures{Settings: f.Script.Settings(0), TellWithin: scenario.Seconds(f.Script.Register.TellWithin)}
+	for i := range f.Script.Partners {
+		p := &f.Script.Partners[i]
+		figures.Destinations = append(figures.Destinations, checker.Destination{Name: p.Name, Capacity: f.Script.Capacity(p),
+			ColdShare: p.ColdShare, Warm: scenario.Seconds(p.Warm)})
+	}
+	f.res.Breaches = map[checker.Rule]int{}
+	for _, b := range checker.Judge(figures, f.log, f.now).Breaches {
+		f.res.Breaches[b.Rule]++
+		f.res.fault("%v", fmt.Sprintf("%s at %.3f s, relay %d, %s: %s %s", b.Rule, b.At.Seconds(), b.Relay, b.Dest, b.ID, b.Text))
+	}
+}
--- a/internal/rehearsal/virtual/network.go
+++ b/internal/faultinjection/simulation/network.go
@@ -1,6 +1,6 @@
-package virtual
+package simulation
 
-import "mallowlead/internal/rehearsal/script"
+import "frostlink/internal/faultinjection/scenario"
 
 // zones is into how many the relays and hosts of a fleet are dealt, in turns.
 const zones = 3
@@ -58,6 +58,6 @@
 
 // leaves tells whether the client of a hand-in goes before it has heard: what its relay does then counts for nothing, and the
 // client comes again elsewhere.
-func (f *fleet) leaves(m *script.Message, n int) bool {
+func (f *fleet) leaves(m *scenario.Message, n int) bool {
 	return f.hasty > 0 && f.draws.For("hasty", m.No, n).Float64() < f.hasty
 }
--- a/internal/rehearsal/virtual/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -1,15 +1,15 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/partner"
-	"mallowlead/internal/rehearsal/script"
-	"mallowlead/policy"
+	"frostlink/internal/discovery"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
 )
 
 // relay is one relay: the module, and what the network code and the journal keep.
@@ -39,7 +39,7 @@
 
 // held is a message that a relay has taken on.
 type held struct {
-	m       *script.Message
+	m       *scenario.Message
 	n       int // hand-ins before this one
 	id      string
 	expires time.Duration
@@ -57,7 +57,7 @@
 	held    *held
 	attempt int
 	host    *host
-	call    *partner.Call
+	call    *destination.Call
 	sent    time.Duration
 	conn    bool // it has a connection
 	over    bool
@@ -94,8 +94,8 @@
 	if r.d, err = policy.New(p, seed); err != nil {
 		return err
 	}
-	f.write(audit.Event{Kind: audit.Started, Relay: r.no, Process: r.life})
-	f.write(audit.Event{Kind: audit.Ready, Relay: r.no, Process: r.life})
+	f.write(checker.Event{Kind: checker.Started, Relay: r.no, Process: r.life})
+	f.write(checker.Event{Kind: checker.Ready, Relay: r.no, Process: r.life})
 	r.stopping = false
 	r.alive, r.ready, r.idle, r.due = true, f.now, map[string][]time.Duration{}, forever
 	r.asks = discovery.NewSchedule(f.Script.Relays, seed)
@@ -125,7 +125,7 @@
 		return
 	}
 	r.alive = false
-	f.write(audit.Event{Kind: audit.Killed, Relay: r.no})
+	f.write(checker.Event{Kind: checker.Killed, Relay: r.no})
 	delete(f.register.watchers, r)
 	for id, times := range r.idle {
 		for range times {
@@ -159,7 +159,7 @@
 		return
 	}
 	r.stopping = true
-	f.write(audit.Event{Kind: audit.Stopping, Relay: r.no})
+	f.write(checker.Event{Kind: checker.Stopping, Relay: r.no})
 	r.put(policy.Stopping{})
 	until := f.now + stopWithin
 	var look func()
@@ -183,7 +183,7 @@
 
 // wake has a batch handled at a time, or at the next tick after it.
 func (r *relay) wake(at time.Duration) {
-	tick := script.Millis(r.f.Script.Relay.TickMS)
+	tick := scenario.Millis(r.f.Script.Relay.TickMS)
 	at = (at + tick - 1) / tick * tick
 	if at >= r.due {
 		return
@@ -307,7 +307,7 @@
 }
 
 // take takes a message on, unless the module refuses it.
-func (r *relay) take(m *script.Message, n int, left time.Duration) {
+func (r *relay) take(m *scenario.Message, n int, left time.Duration) {
 	h := &held{m: m, n: n, id: r.f.draws.ID(m.No, n), expires: r.f.now + left}
 	r.held[h.id] = h
 	r.order = append(r.order, h)
@@ -331,7 +331,7 @@
 func (r *relay) forget(h *held) {
 	f := r.f
 	r.lose(h)
-	if f.now > h.expires+script.Seconds(f.Script.Rules.AnswerSlack) && f.now > r.ready+1500*time.Millisecond {
+	if f.now > h.expires+scenario.Seconds(f.Script.Rules.AnswerSlack) && f.now > r.ready+1500*time.Millisecond {
 		f.res.fault("%s ended %v after its time", h.id, f.now-h.expires)
 	}
 }
@@ -341,7 +341,7 @@
 	f, h := r.f, r.held[id]
 	if h == nil {
 		f.res.fault("%s was ended twice", id)
-		f.write(audit.Event{Kind: audit.Noticed, ID: id, Relay: r.no, State: audit.Undeliverable}) // what the module wants is done
+		f.write(checker.Event{Kind: checker.Noticed, ID: id, Relay: r.no, State: checker.Undeliverable}) // what the module wants is done
 		return
 	}
 	r.ended(h, again)
@@ -372,7 +372,7 @@
 		return
 	case !listed || e.Destination != h.m.Partner:
 		f.res.fault("%s sent to %s, which is not of its destination", a.ID, a.Endpoint)
-	case was && f.now > told+script.Seconds(f.Script.Rules.DrainGrace):
+	case was && f.now > told+scenario.Seconds(f.Script.Rules.DrainGrace):
 		f.res.fault("%s sent to %s %v after it drained", a.ID, a.Endpoint, f.now-told)
 	case h.out != nil:
 		f.res.fault("%s sent while an attempt is out", a.ID)
@@ -384,14 +384,14 @@
 	h.ended = append(h.ended, false)
 	fl := &flight{r: r, life: r.life, held: h, attempt: len(h.tried) - 1, host: to, sent: f.now}
 	h.out = fl
-	fl.call = &partner.Call{ID: h.id, Relay: r.no, Key: h.m.Key, Memory: script.Seconds(f.Script.Classes[h.m.Class].Memory),
+	fl.call = &destination.Call{ID: h.id, Relay: r.no, Key: h.m.Key, Memory: scenario.Seconds(f.Script.Classes[h.m.Class].Memory),
 		Work: f.Script.Work(f.draws, h.m, h.n*100+fl.attempt), Chance: f.draws.For("chance", h.m.No, h.n, fl.attempt).Float64()}
 	timeout := a.Timeout
 	if timeout == 0 {
 		timeout = h.expires - f.now
 	}
 	f.after(timeout, func() { fl.end(policy.Ended{Outcome: policy.TimedOut}, false) })
-	r.closeIdle(to.id, f.now-script.Seconds(f.Script.Limits.ConnIdle))
+	r.closeIdle(to.id, f.now-scenario.Seconds(f.Script.Limits.ConnIdle))
 	if idle := r.idle[to.id]; len(idle) > 0 {
 		r.idle[to.id], fl.conn = idle[:len(idle)-1], true
 		fl.write()
@@ -407,10 +407,10 @@
 	f, p := fl.r.f, fl.host.partner
 	switch {
 	case fl.over:
-	case f.cut(fl.r, fl.host) || p.Mode(fl.host.endpoint) >= partner.Silent:
-		wait := script.Seconds(f.Script.Limits.ConnectTimeout) - (f.now - fl.sent)
+	case f.cut(fl.r, fl.host) || p.Mode(fl.host.endpoint) >= destination.Silent:
+		wait := scenario.Seconds(f.Script.Limits.ConnectTimeout) - (f.now - fl.sent)
 		f.after(wait, func() { fl.end(policy.Ended{Outcome: policy.ConnectError}, false) })
-	case p.Mode(fl.host.endpoint) >= partner.Refusing:
+	case p.Mode(fl.host.endpoint) >= destination.Refusing:
 		f.res.Partners[p.no].now(f.now).Calls++
 		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.ConnectError}, false) })
 	case p.Connect(fl.host.endpoint):
@@ -419,8 +419,8 @@
 		f.res.Door++
 		f.res.Partners[p.no].now(f.now).Calls++
 		fl.came()
-		f.carryOut(p, p.Arrive(f.now, fl.host.endpoint, &partner.Call{ID: fl.call.ID, Overfull: true}))
-		fl.closed(audit.Event{Outcome: audit.Full})
+		f.carryOut(p, p.Arrive(f.now, fl.host.endpoint, &destination.Call{ID: fl.call.ID, Overfull: true}))
+		fl.closed(checker.Event{Outcome: checker.Full})
 		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.QueueFull}, false) })
 	default:
 		fl.conn = true
@@ -447,9 +447,9 @@
 	}
 	f.res.Partners[p.no].now(f.now).Calls++
 	switch mode := p.Mode(fl.host.endpoint); {
-	case mode > partner.Refusing:
+	case mode > destination.Refusing:
 		return
-	case mode == partner.Refusing:
+	case mode == destination.Refusing:
 		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.Reset}, false) })
 		return
 	}
@@ -471,14 +471,14 @@
 		return // its answer is on its way
 	}
 	delete(p.flights, fl.call)
-	fl.closed(audit.Event{Outcome: audit.Cut})
+	fl.closed(checker.Event{Outcome: checker.Cut})
 	f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.Reset}, false) })
 }
 
 // drop takes a call off the wire.
 func (fl *flight) drop() {
 	fl.over = true
-	fl.closed(audit.Event{Outcome: audit.Left})
+	fl.closed(checker.Event{Outcome: checker.Left})
 	p := fl.host.partner
 	if _, there := p.flights[fl.call]; there {
 		delete(p.flights, fl.call)
@@ -540,7 +540,7 @@
 	for _, s := range r.f.sites {
 		if m, ok := r.memory[s.hosts[0].id]; ok && m.Sick {
 			r.f.res.Partners[s.no].now(r.f.now).Calls++
-			r.f.carryOut(s, s.Arrive(r.f.now, s.hosts[0].endpoint, &partner.Call{ID: fmt.Sprint("probe", r.no), Probe: true}))
+			r.f.carryOut(s, s.Arrive(r.f.now, s.hosts[0].endpoint, &destination.Call{ID: fmt.Sprint("probe", r.no), Probe: true}))
 			r.wake(r.f.now + 250*time.Millisecond)
 		}
 	}
--- a/internal/rehearsal/virtual/result.go
+++ b/internal/faultinjection/simulation/result.go
@@ -1,32 +1,32 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"mallowlead/internal/rehearsal/audit"
-	"mallowlead/internal/rehearsal/script"
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // Result is what a day came to.
 type Result struct {
-	Relays      int                `json:"relays"`
-	Messages    int                `json:"messages"`
-	Worth       float64            `json:"worth"` // delivered, as a share of what was asked for
-	First       int                `json:"first"` // messages of which a call was made
-	GivenUp     int                `json:"given_up"`
-	Refused     int                `json:"refused"`     // calls, at a limit or a full queue
-	Door        int                `json:"door"`        // calls, since a host had all the connections it takes
-	Connections int                `json:"connections"` // made or tried
-	Asks        int                `json:"asks"`
-	Turned      int                `json:"turned"`    // asks in vain
-	AskPeak     int                `json:"ask_peak"`  // most in one second
-	Unwatched   int                `json:"unwatched"` // relays without a watch at the end
-	Falls       int                `json:"falls"`     // partners pushed over
-	Faults      []string           `json:"faults,omitempty"`
-	Breaches    map[audit.Rule]int `json:"breaches,omitempty"` // of the six rules, as the auditor of real runs finds them
-	Partners    []*Partner         `json:"partners"`
+	Relays      int                  `json:"relays"`
+	Messages    int                  `json:"messages"`
+	Worth       float64              `json:"worth"` // delivered, as a share of what was asked for
+	First       int                  `json:"first"` // messages of which a call was made
+	GivenUp     int                  `json:"given_up"`
+	Refused     int                  `json:"refused"`     // calls, at a limit or a full queue
+	Door        int                  `json:"door"`        // calls, since a host had all the connections it takes
+	Connections int                  `json:"connections"` // made or tried
+	Asks        int                  `json:"asks"`
+	Turned      int                  `json:"turned"`    // asks in vain
+	AskPeak     int                  `json:"ask_peak"`  // most in one second
+	Unwatched   int                  `json:"unwatched"` // relays without a watch at the end
+	Falls       int                  `json:"falls"`     // partners pushed over
+	Faults      []string             `json:"faults,omitempty"`
+	Breaches    map[checker.Rule]int `json:"breaches,omitempty"` // of the six rules, as the auditor of real runs finds them
+	Partners    []*Partner           `json:"partners"`
 
 	worth, offered float64
 	askSeconds     map[int]int
@@ -81,7 +81,7 @@
 }
 
 // worthOf is what a message is worth when it is delivered at an age.
-func worthOf(c *script.Class, age time.Duration) float64 {
+func worthOf(c *scenario.Class, age time.Duration) float64 {
 	a := age.Seconds()
 	switch {
 	case a <= c.Aim:
@@ -93,13 +93,13 @@
 }
 
 // delivered notes that a message has its end.
-func (f *fleet) delivered(m *script.Message) {
+func (f *fleet) delivered(m *scenario.Message) {
 	f.res.worth += worthOf(&f.Script.Classes[m.Class], f.now-m.At)
 	f.ends[m.No] = true
 }
 
 // finish draws the sum.
-func (f *fleet) finish(messages []*script.Message) {
+func (f *fleet) finish(messages []*scenario.Message) {
 	for _, m := range messages {
 		f.res.offered += f.Script.Classes[m.Class].Worth
 		if n := f.ran[m.No]; n > 1 {
--- a/internal/rehearsal/virtual/table.go
+++ b/internal/faultinjection/simulation/table.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"math"
--- a/internal/tasks/export.go
+++ b/internal/fleettask/export.go
@@ -1,4 +1,4 @@
-package tasks
+package fleettask
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"path/filepath"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/lease"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/coord"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/lease"
 )
 
 const (
@@ -33,11 +33,11 @@
 	section *Export
 	relay   string
 	client  *lease.Client
-	store   func() *undelivered.Store
+	store   func() *deadletter.Store
 	cost    time.Duration
 }
 
-func newExport(s *Export, relay string, client *lease.Client, store func() *undelivered.Store) *export {
+func newExport(s *Export, relay string, client *lease.Client, store func() *deadletter.Store) *export {
 	return &export{section: s, relay: relay, client: client, store: store, cost: client.TTL() / sliceCost}
 }
 
@@ -56,10 +56,10 @@
 type found struct {
 	ledger   Ledger
 	version  uint64
-	store    *undelivered.Store
+	store    *deadletter.Store
 	name     string // of the store
 	from, to uint64
-	records  []*undelivered.Record
+	records  []*deadletter.Record
 }
 
 // look gives what comes next of this relay's, or nil.
@@ -130,8 +130,8 @@
 
 // sliceLine is one record of a slice.
 type sliceLine struct {
-	Record *undelivered.Record `json:"record"`
-	Body   []byte              `json:"body,omitempty"`
+	Record *deadletter.Record `json:"record"`
+	Body   []byte             `json:"body,omitempty"`
 }
 
 // writeSlice writes a slice whole, under its name, and syncs it before it may count.
