--- a/internal/tasks/export_test.go
+++ b/internal/fleettask/export_test.go
@@ -1,4 +1,4 @@
-package tasks
+package fleettask
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/coord/server/servertest"
-	"mallowlead/internal/lease"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/coord/server/servertest"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/lease"
 )
 
 // filled is a store with records a relay keeps.
-func filled(t *testing.T, relay string, n int) *undelivered.Store {
+func filled(t *testing.T, relay string, n int) *deadletter.Store {
 	t.Helper()
-	store, err := undelivered.Open(filepath.Join(t.TempDir(), relay), 0, 0)
+	store, err := deadletter.Open(filepath.Join(t.TempDir(), relay), 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,14 +29,14 @@
 	return store
 }
 
-func put(t *testing.T, store *undelivered.Store, relay string, from, to int) {
+func put(t *testing.T, store *deadletter.Store, relay string, from, to int) {
 	t.Helper()
 	now := time.Now()
 	for i := from; i < to; i++ {
 		id := fmt.Sprintf("%s-%d", relay, i)
-		k := undelivered.Kept{Record: undelivered.Record{ID: id, Class: "c", State: undelivered.Held, Since: now,
-			Lives: []undelivered.Life{{ID: id, Relay: relay, Taken: now, Expires: now.Add(time.Second), Reason: undelivered.Spent}}}, Body: []byte(id)}
-		if err := store.Put([]undelivered.Kept{k}); err != nil {
+		k := deadletter.Kept{Record: deadletter.Record{ID: id, Class: "c", State: deadletter.Held, Since: now,
+			Lives: []deadletter.Life{{ID: id, Relay: relay, Taken: now, Expires: now.Add(time.Second), Reason: deadletter.Spent}}}, Body: []byte(id)}
+		if err := store.Put([]deadletter.Kept{k}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -78,14 +78,14 @@
 	c := servertest.New(t)
 	folder := t.TempDir()
 	const each = 1200
-	stores := map[string]*undelivered.Store{}
+	stores := map[string]*deadletter.Store{}
 	var work sync.WaitGroup
 	stops := map[string]context.CancelFunc{}
 	start := func(relay string) *lease.Client {
 		ctx, stop := context.WithCancel(context.Background())
 		stops[relay] = stop
 		client := lease.NewClient(relay, servertest.Name, c.Members, 2*time.Second, 50*time.Millisecond, slog.Default())
-		task := newExport(&Export{Folder: folder, EveryS: 0.02}, relay, client, func() *undelivered.Store { return stores[relay] }).task()
+		task := newExport(&Export{Folder: folder, EveryS: 0.02}, relay, client, func() *deadletter.Store { return stores[relay] }).task()
 		work.Go(func() { client.Run(ctx) })
 		work.Go(func() { _ = client.Keep(ctx, task) }) // ends with its context
 		return client
@@ -131,7 +131,7 @@
 	for _, relay := range []string{"a", "b"} {
 		client := lease.NewClient(relay, servertest.Name, c.Members, 2*time.Second, 50*time.Millisecond, slog.Default())
 		store := filled(t, relay, 10)
-		exports[relay] = newExport(&Export{Folder: folder}, relay, client, func() *undelivered.Store { return store })
+		exports[relay] = newExport(&Export{Folder: folder}, relay, client, func() *deadletter.Store { return store })
 		work.Go(func() { client.Run(ctx) })
 	}
 	a, b := exports["a"], exports["b"]
--- a/internal/tasks/tasks.go
+++ b/internal/fleettask/fleettask.go
@@ -1,13 +1,13 @@
-package tasks
+package fleettask
 
 import (
 	"context"
 	"log/slog"
 	"sync"
 
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/lease"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/lease"
 )
 
 // Fleet is a relay's part of the fleet's tasks.
@@ -16,12 +16,12 @@
 	relay   string
 	client  *lease.Client
 	resend  *Resend // nil: each relay resends by itself
-	store   func() *undelivered.Store
+	store   func() *deadletter.Store
 }
 
 // New makes a relay's part of the tasks that a section turns on. It begins with Run. store gives the relay's store of
 // undelivered messages, or nil while it has none.
-func New(s *Section, relay string, store func() *undelivered.Store) (*Fleet, error) {
+func New(s *Section, relay string, store func() *deadletter.Store) (*Fleet, error) {
 	members, err := api.ParseMembers(s.Members)
 	if err != nil {
 		return nil, err
--- a/internal/tasks/golden_test.go
+++ b/internal/fleettask/golden_test.go
@@ -1,9 +1,9 @@
-package tasks
+package fleettask
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/tasks/beat.go
+++ b/internal/fleettask/heartbeat.go
@@ -1,4 +1,4 @@
-package tasks
+package fleettask
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/lease"
+	"frostlink/internal/lease"
 )
 
 // BeatLease is the lease of the beat.
--- a/internal/tasks/resend.go
+++ b/internal/fleettask/resend.go
@@ -1,4 +1,4 @@
-package tasks
+package fleettask
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/lease"
+	"frostlink/internal/clock"
+	"frostlink/internal/lease"
 )
 
 // ResendLease is the lease under which a partner's undelivered messages are resent.
--- a/internal/tasks/turns_test.go
+++ b/internal/fleettask/rotation_test.go
@@ -1,4 +1,4 @@
-package tasks
+package fleettask
 
 import (
 	"fmt"
--- a/internal/tasks/section.go
+++ b/internal/fleettask/section.go
@@ -1,13 +1,13 @@
-// Package tasks is the work that is the whole fleet's: each task is done by one relay at a time, under a lease.
-package tasks
+// Package fleettask is the work that is the whole fleet's: each task is done by one relay at a time, under a lease.
+package fleettask
 
 import (
 	"net/url"
 	"time"
 
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
-	"mallowlead/internal/strict"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
+	"frostlink/internal/strictconfig"
 )
 
 // Section is [coordination] of the operator's file.
@@ -66,7 +66,7 @@
 }
 
 // Check tells what is wrong in the section.
-func (s *Section) Check(doc *strict.Doc, at string) {
+func (s *Section) Check(doc *strictconfig.Doc, at string) {
 	if s.Cluster == "" || len(s.Cluster) >= coord.MostName {
 		doc.Bad(at+".cluster", "is no name of 1 to %d bytes", coord.MostName-1)
 	}
@@ -105,7 +105,7 @@
 // Within is how long one may take.
 func (b *Beat) Within() time.Duration { return orElse(b.WithinMS, DefaultWithin) }
 
-func (b *Beat) check(doc *strict.Doc, at string, lasts time.Duration) {
+func (b *Beat) check(doc *strictconfig.Doc, at string, lasts time.Duration) {
 	if u, err := url.Parse(b.URL); err != nil || u.Scheme != "http" || u.Host == "" {
 		doc.Bad(at+".url", "%q is no http:// address", b.URL)
 	}
--- a/internal/clients/clients.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package clients has the terms in which clients hand messages in, and the check of what they hand in, whatever their
+// Package frontend has the terms in which clients hand messages in, and the check of what they hand in, whatever their
 // protocol.
-package clients
+package frontend
 
 import (
 	"errors"
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/journal"
-	"mallowlead/internal/settings"
-	"mallowlead/internal/undelivered"
-	"mallowlead/policy"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
+	"frostlink/internal/settings"
+	"frostlink/policy"
 )
 
 const (
@@ -61,7 +61,7 @@
 	Classes map[string]*policy.Class
 	Tenants map[string]bool // none: any
 	// Subjects say what messages of a class are about, where undelivered ones are kept.
-	Subjects map[string]*undelivered.Subject
+	Subjects map[string]*deadletter.Subject
 }
 
 // one gives a header's only value. It has to be printable ASCII, as ids and keys go on unchanged and through
--- a/internal/clients/http1/conns.go
+++ b/internal/frontend/http1/conns.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/socket"
-	"mallowlead/internal/standby"
-	"mallowlead/internal/syserr"
+	"frostlink/internal/frontend"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/socket"
+	"frostlink/internal/syserr"
 )
 
 const (
@@ -290,7 +290,7 @@
 
 // request reads one request and has it decided on; a verdict without a status says that nobody waits for one. An error
 // says what kept it from being read.
-func (s *Server) request(c *client) (clients.Verdict, error) {
+func (s *Server) request(c *client) (frontend.Verdict, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
 		slog.Debug("request not readable", "err", err)
@@ -303,12 +303,12 @@
 	if r.ContentLength > 0 {
 		if !s.memory.take(int(r.ContentLength)) {
 			s.refused(a.Entry.Class)
-			return clients.Verdict{Status: http.StatusServiceUnavailable, After: busyAfter, Close: true}, nil
+			return frontend.Verdict{Status: http.StatusServiceUnavailable, After: busyAfter, Close: true}, nil
 		}
 		defer s.memory.give(int(r.ContentLength))
 		if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 			if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-				return clients.Verdict{}, nil
+				return frontend.Verdict{}, nil
 			}
 		}
 		c.limit.N = max(0, r.ContentLength-int64(c.in.Buffered()))
@@ -319,11 +319,11 @@
 		}
 	}
 	if !s.enter(c, open) {
-		return clients.Verdict{}, nil
+		return frontend.Verdict{}, nil
 	}
 	c.came.end()
 	if c.in.Buffered() > 0 {
-		return clients.Malformed(http.StatusBadRequest), nil // the length is too short, or requests come unasked
+		return frontend.Malformed(http.StatusBadRequest), nil // the length is too short, or requests come unasked
 	}
 	s.check.Load().About(a.Entry, r.Header)
 	a.Quiet = c.quiet
@@ -355,7 +355,7 @@
 			for c := range s.clients {
 				most := rest
 				if c.stage == fresh {
-					most = max(rest, standby.Rested) // its request may be on its way
+					most = max(rest, servingmode.Rested) // its request may be on its way
 				}
 				if c.stage != idle && c.stage != fresh || now.Sub(c.since) < most {
 					continue
@@ -371,17 +371,17 @@
 }
 
 // unreadable is the answer to a request that could not be read.
-func (c *client) unreadable(err error) clients.Verdict {
+func (c *client) unreadable(err error) frontend.Verdict {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return clients.Malformed(http.StatusRequestTimeout)
+		return frontend.Malformed(http.StatusRequestTimeout)
 	case c.limit.N <= 0:
-		return clients.Malformed(http.StatusRequestHeaderFieldsTooLarge)
+		return frontend.Malformed(http.StatusRequestHeaderFieldsTooLarge)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed),
 		errors.Is(err, syscall.ECONNRESET):
-		return clients.Verdict{} // half a request and a close
+		return frontend.Verdict{} // half a request and a close
 	}
-	return clients.Malformed(http.StatusBadRequest)
+	return frontend.Malformed(http.StatusBadRequest)
 }
 
 // has tells whether something has come that was not read.
@@ -398,7 +398,7 @@
 }
 
 // answer writes an answer without a body, and tells whether it went out.
-func (c *client) answer(v clients.Verdict) bool {
+func (c *client) answer(v frontend.Verdict) bool {
 	r := http.Response{StatusCode: v.Status, ProtoMajor: 1, ProtoMinor: 1, Close: v.Close, Header: http.Header{
 		"Date": {time.Now().UTC().Format(http.TimeFormat)}}}
 	if v.After > 0 {
--- a/internal/clients/http1/golden_test.go
+++ b/internal/frontend/http1/golden_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/frontend"
+	"frostlink/internal/goldentest"
 )
 
 // TestGoldenAnswers: what clients are answered, to the byte.
 func TestGoldenAnswers(t *testing.T) {
 	var all bytes.Buffer
-	exchange := func(name, request string, v clients.Verdict) {
+	exchange := func(name, request string, v frontend.Verdict) {
 		_, addr, taken := testServer(t, 10)
 		c := dial(t, addr)
 		write(t, c, request)
@@ -37,12 +37,12 @@
 		all.WriteString("# " + name + "\n" + answer.String())
 	}
 	message := raw("m", "", "Content-Length: 0")
-	exchange("accepted", message, clients.Verdict{Status: 202})
-	exchange("shed, come again", message, clients.Verdict{Status: 429, After: 1500 * time.Millisecond})
-	exchange("shed", message, clients.Verdict{Status: 429})
-	exchange("failed", message, clients.Verdict{Status: 502})
-	exchange("unavailable", message, clients.Verdict{Status: 503})
-	exchange("malformed", raw("m", ""), clients.Verdict{})
-	exchange("health", "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", clients.Verdict{})
+	exchange("accepted", message, frontend.Verdict{Status: 202})
+	exchange("shed, come again", message, frontend.Verdict{Status: 429, After: 1500 * time.Millisecond})
+	exchange("shed", message, frontend.Verdict{Status: 429})
+	exchange("failed", message, frontend.Verdict{Status: 502})
+	exchange("unavailable", message, frontend.Verdict{Status: 503})
+	exchange("malformed", raw("m", ""), frontend.Verdict{})
+	exchange("health", "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", frontend.Verdict{})
 	goldentest.Bytes(t, "answers.txt", all.Bytes())
 }
--- a/internal/clients/http1/http1_test.go
+++ b/internal/frontend/http1/http1_test.go
@@ -11,19 +11,19 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/standby"
-	"mallowlead/internal/wait/waittest"
-	"mallowlead/policy"
+	"frostlink/internal/frontend"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
 )
 
 // testServer is the clients' side alone, with so much room; taken gets what it takes in.
-func testServer(t *testing.T, room int) (s *Server, addr string, taken chan *clients.Arrival) {
+func testServer(t *testing.T, room int) (s *Server, addr string, taken chan *frontend.Arrival) {
 	t.Helper()
-	check := &clients.Check{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: 30 * time.Second}},
+	check := &frontend.Check{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: 30 * time.Second}},
 		Tenants: map[string]bool{"acme": true}}
-	taken = make(chan *clients.Arrival, 100)
-	s = New(Config{Check: check, Stance: &standby.Stance{}, MemoryMB: 192, Room: room, Keep: 128}, func(a *clients.Arrival) { taken <- a }, func(string) {})
+	taken = make(chan *frontend.Arrival, 100)
+	s = New(Config{Check: check, Stance: &servingmode.Stance{}, MemoryMB: 192, Room: room, Keep: 128}, func(a *frontend.Arrival) { taken <- a }, func(string) {})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,8 +163,8 @@
 			}
 			late := dial(t, addr)
 			write(t, late, raw("late", "", "Content-Length: 0"))
-			waittest.Receive(t, taken).Verdict <- clients.Verdict{Status: http.StatusAccepted}
-			a.Verdict <- clients.Verdict{Status: http.StatusAccepted}
+			waittest.Receive(t, taken).Verdict <- frontend.Verdict{Status: http.StatusAccepted}
+			a.Verdict <- frontend.Verdict{Status: http.StatusAccepted}
 			for _, c := range []net.Conn{c, late} {
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil || resp.StatusCode != http.StatusAccepted {
--- a/internal/clients/http1/park.go
+++ b/internal/frontend/http1/park.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/socket"
+	"frostlink/internal/socket"
 )
 
 // This file parks connections, so that another process of the relay can go on with them: those without a request, and
--- a/internal/clients/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/standby"
+	"frostlink/internal/frontend"
+	"frostlink/internal/servingmode"
 )
 
 const (
@@ -24,8 +24,8 @@
 
 // Config is what a server is given.
 type Config struct {
-	Check    *clients.Check
-	Stance   *standby.Stance
+	Check    *frontend.Check
+	Stance   *servingmode.Stance
 	MemoryMB float64 // of the relay
 	Room     int     // connections at most
 	Keep     int     // idle ones at most
@@ -35,9 +35,9 @@
 
 // Server is the side that clients see: its connections are in conns.go.
 type Server struct {
-	check   atomic.Pointer[clients.Check]
-	stance  *standby.Stance
-	admit   func(*clients.Arrival)
+	check   atomic.Pointer[frontend.Check]
+	stance  *servingmode.Stance
+	admit   func(*frontend.Arrival)
 	refused func(class string)
 	closed  func(why string)
 	memory  budget // for bodies
@@ -59,8 +59,8 @@
 
 // New makes a server; admit gets each message that passes the check, and refused hears of those for which there is no
 // room to read them.
-func New(c Config, admit func(*clients.Arrival), refused func(class string)) *Server {
-	s := &Server{stance: c.Stance, admit: admit, refused: refused, closed: c.Closed, memory: budget{left: max(clients.MaxBody, int(bodyShare*c.MemoryMB*(1<<20)))},
+func New(c Config, admit func(*frontend.Arrival), refused func(class string)) *Server {
+	s := &Server{stance: c.Stance, admit: admit, refused: refused, closed: c.Closed, memory: budget{left: max(frontend.MaxBody, int(bodyShare*c.MemoryMB*(1<<20)))},
 		room: c.Room, keep: c.Keep, clients: map[*client]bool{}}
 	s.left.L = &s.mu
 	s.SetCheck(c.Check)
@@ -68,28 +68,28 @@
 }
 
 // SetCheck has messages that come from now on checked by other settings.
-func (s *Server) SetCheck(c *clients.Check) { s.check.Store(c) }
+func (s *Server) SetCheck(c *frontend.Check) { s.check.Store(c) }
 
 // parse checks the head of a request: it gives a message that lacks its body yet, or the answer. What is
 // malformed takes nothing on and gets a plain 4xx.
-func (s *Server) parse(r *http.Request) (*clients.Arrival, clients.Verdict) {
+func (s *Server) parse(r *http.Request) (*frontend.Arrival, frontend.Verdict) {
 	if status, err := checkFraming(r); err != nil {
 		slog.Debug("request rejected", "err", err)
-		return nil, clients.Malformed(status)
+		return nil, frontend.Malformed(status)
 	}
 	if r.Method == http.MethodGet && r.URL.Path == "/_health" && r.ContentLength == 0 {
 		if !s.stance.Healthy() {
-			return nil, clients.Verdict{Status: http.StatusServiceUnavailable}
+			return nil, frontend.Verdict{Status: http.StatusServiceUnavailable}
 		}
 		// Answered 200: the relay listens only once its journal is replayed.
-		return nil, clients.Verdict{Status: http.StatusOK}
+		return nil, frontend.Verdict{Status: http.StatusOK}
 	}
 	a, status, err := s.check.Load().Message(r)
 	if err != nil {
 		slog.Debug("request rejected", "err", err)
-		return nil, clients.Malformed(status)
+		return nil, frontend.Malformed(status)
 	}
-	return a, clients.Verdict{}
+	return a, frontend.Verdict{}
 }
 
 // checkFraming guards against requests of which it is unclear where they end: net/http drops the length of
@@ -103,7 +103,7 @@
 		return http.StatusBadRequest, fmt.Errorf("transfer encoding %v", r.TransferEncoding)
 	case r.Host == "":
 		return http.StatusBadRequest, errors.New("no host")
-	case r.ContentLength > clients.MaxBody:
+	case r.ContentLength > frontend.MaxBody:
 		return http.StatusRequestEntityTooLarge, fmt.Errorf("%d bytes", r.ContentLength)
 	case r.Method == http.MethodPost && r.Header.Get("Content-Length") == "":
 		return http.StatusLengthRequired, errors.New("no length")
--- a/internal/handover/giver.go
+++ b/internal/handover/giver.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/syserr"
+	"frostlink/internal/clock"
+	"frostlink/internal/syserr"
 )
 
 const (
--- a/internal/handover/taker.go
+++ b/internal/handover/taker.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"mallowlead/internal/wait"
+	"frostlink/internal/wait"
 )
 
 // askAgain is the pause before the folder's owner is asked again, and offerTime how long it may take to freeze and offer.
--- a/internal/invariant/deadlines.go
+++ b/internal/invariant/deadlines.go
@@ -1,6 +1,6 @@
 package invariant
 
-import "mallowlead/internal/clock"
+import "frostlink/internal/clock"
 
 // deadline is when the terminal outcome of a message is due.
 type deadline struct {
--- a/internal/invariant/golden_test.go
+++ b/internal/invariant/golden_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenNames(t *testing.T) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/journal"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/journal"
+	"frostlink/policy"
 )
 
 // Kind says which invariant is violated.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -8,9 +8,9 @@
 
 	"pgregory.net/rapid"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/journal"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/journal"
+	"frostlink/policy"
 )
 
 // Each violation of sending is caught, and what is allowed beside it is let through.
--- a/internal/journal/folder.go
+++ b/internal/journal/folder.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mallowlead/internal/syserr"
+	"frostlink/internal/syserr"
 )
 
 // FolderState says whether a journal's folder takes what is written to it.
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/goldentest"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/undelivered"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/discovery"
+	"frostlink/internal/goldentest"
+	"frostlink/internal/notification"
+	"frostlink/policy"
 )
 
 func TestGoldenForms(t *testing.T) {
@@ -28,12 +28,12 @@
 	b := appendRecord(nil, record{Op: opTerms, Terms: &terms, Count: 1}, nil)
 	for _, id := range []string{"untried", "tried", "owed", "over", "delivered"} {
 		b = appendRecord(b, record{Op: opTaken, Entry: &Entry{ID: id, Class: "fee-payment", Dest: 3, Tenant: "lahore", Taken: at(1), Key: "k-" + id,
-			Item: "i-" + id, Expires: at(61), Terms: 1, Subject: "s-" + id, Order: &undelivered.Order{}}}, []byte("body of "+id))
+			Item: "i-" + id, Expires: at(61), Terms: 1, Subject: "s-" + id, Order: &deadletter.Order{}}}, []byte("body of "+id))
 	}
 	b = appendRecord(b, record{Op: opBegun, ID: "tried", Host: "h1", At: at(2)}, nil)
 	b = appendRecord(b, record{Op: opEnded, ID: "tried", Unrun: true, Why: "queue-full", At: at(3)}, nil)
 	b = appendRecord(b, record{Op: opBegun, ID: "tried", Host: "h2", At: at(4)}, nil)
-	b = appendRecord(b, record{Op: opOwed, ID: "owed", Notice: &notices.Notice{ID: "owed", Status: notices.Deferred, AgainMS: 250}, Why: "refused-late", At: at(5)}, nil)
+	b = appendRecord(b, record{Op: opOwed, ID: "owed", Notice: &notification.Notice{ID: "owed", Status: notification.Deferred, AgainMS: 250}, Why: "refused-late", At: at(5)}, nil)
 	b = appendRecord(b, record{Op: opDone, ID: "delivered"}, nil)
 	b = appendRecord(b, record{Op: opOver, ID: "over", At: at(6)}, nil)
 	b = appendRecord(b, record{Op: opPast}, appendEnd(appendEnd(nil, End{"old-1", at(-20)}), End{"old-2", at(-10)}))
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -11,12 +11,12 @@
 	"path/filepath"
 	"slices"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/syserr"
-	"mallowlead/internal/undelivered"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/discovery"
+	"frostlink/internal/notification"
+	"frostlink/internal/syserr"
+	"frostlink/policy"
 )
 
 const (
@@ -53,13 +53,13 @@
 	Body     []byte    `json:"-"`
 	Attempts []Attempt `json:"-"`
 	// Subject and Order are what it is about, in classes of which the operator says where that stands.
-	Subject string             `json:"subject,omitempty"`
-	Order   *undelivered.Order `json:"order,omitempty"`
+	Subject string            `json:"subject,omitempty"`
+	Order   *deadletter.Order `json:"order,omitempty"`
 	// Delivered: it was, and the store is still to know that nothing older of its topic may follow it.
-	Delivered bool            `json:"-"`
-	Owed      *notices.Notice `json:"-"` // its end, until the platform has it
-	Reason    string          `json:"-"` // of that end, and Over when it came, where undelivered messages are kept
-	Over      clock.Instant   `json:"-"`
+	Delivered bool                 `json:"-"`
+	Owed      *notification.Notice `json:"-"` // its end, until the platform has it
+	Reason    string               `json:"-"` // of that end, and Over when it came, where undelivered messages are kept
+	Over      clock.Instant        `json:"-"`
 }
 
 // Attempt is one call made for a message.
@@ -287,7 +287,7 @@
 }
 
 // Owe notes that a message ends by a notice, and why and when where that is kept.
-func (j *Journal) Owe(e *Entry, n notices.Notice, reason string, at clock.Instant) {
+func (j *Journal) Owe(e *Entry, n notification.Notice, reason string, at clock.Instant) {
 	r := record{Op: opOwed, ID: e.ID, Notice: &n}
 	if j.detailed {
 		r.Why, r.At = reason, at
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/notices"
+	"frostlink/internal/clock"
+	"frostlink/internal/notification"
 )
 
 func openJournal(t *testing.T, dir string, mb float64) *Journal {
@@ -41,7 +41,7 @@
 	j.Begin(e, "h1", at)
 	j.End(e, true, "", 0)
 	j.Begin(e, "h2", at.Add(time.Second))
-	j.Owe(j.Get("owing"), notices.Notice{ID: "owing", Status: notices.Deferred, AgainMS: 30}, "", 0)
+	j.Owe(j.Get("owing"), notification.Notice{ID: "owing", Status: notification.Deferred, AgainMS: 30}, "", 0)
 	j.Remember("h2", Health{Sick: true, At: at})
 	commit(t, j)
 }
@@ -64,7 +64,7 @@
 			e.Attempts[1].Begun != at.Add(time.Second) {
 			t.Errorf("attempts: %+v", e.Attempts)
 		}
-		if n := list[1].Owed; n == nil || *n != (notices.Notice{ID: "owing", Status: notices.Deferred, AgainMS: 30}) {
+		if n := list[1].Owed; n == nil || *n != (notification.Notice{ID: "owing", Status: notification.Deferred, AgainMS: 30}) {
 			t.Errorf("notice: %v", n)
 		}
 		if h := j.Health()["h2"]; !h.Sick || h.At != at {
--- a/internal/journal/past.go
+++ b/internal/journal/past.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"mallowlead/internal/clock"
+	"frostlink/internal/clock"
 )
 
 const (
--- a/internal/journal/past_test.go
+++ b/internal/journal/past_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clock"
+	"frostlink/internal/clock"
 )
 
 // Ends are remembered through replay and compaction, in order, until they are forgotten; a log of a program that noted no time of
--- a/internal/journal/store_test.go
+++ b/internal/journal/store_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/deadletter"
 )
 
 // The journal knows the highest arrival, which store was told, and what it is still to be told, also when compacted.
@@ -19,8 +19,8 @@
 		return j
 	}
 	j := open(true)
-	over := &Entry{ID: "a", Class: "status", Subject: "k-1", Order: &undelivered.Order{Whole: 4, Arrival: 900}}
-	owed := &Entry{ID: "b", Class: "status", Subject: "k-1", Order: &undelivered.Order{Whole: 5, Arrival: 800}}
+	over := &Entry{ID: "a", Class: "status", Subject: "k-1", Order: &deadletter.Order{Whole: 4, Arrival: 900}}
+	owed := &Entry{ID: "b", Class: "status", Subject: "k-1", Order: &deadletter.Order{Whole: 5, Arrival: 800}}
 	j.Told("store")
 	j.Take(over)
 	j.Over(over, j.Timeline().Now())
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/coord"
-	"mallowlead/internal/coord/api"
+	"frostlink/internal/clock"
+	"frostlink/internal/coord"
+	"frostlink/internal/coord/api"
 )
 
 const (
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"mallowlead/internal/coord"
+	"frostlink/internal/coord"
 )
 
 // RateBound is the most that a clock may gain or lose, as a share of the time passed. Quartz is within 200 parts
--- a/internal/notices/golden_test.go
+++ b/internal/notification/golden_test.go
@@ -1,9 +1,9 @@
-package notices
+package notification
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/notices/notices.go
+++ b/internal/notification/notification.go
@@ -1,5 +1,5 @@
-// Package notices posts the ends of messages to the platform until they are received.
-package notices
+// Package notification posts the ends of messages to the platform until they are received.
+package notification
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/wait"
+	"frostlink/internal/wait"
 )
 
 const (
--- a/internal/notices/notices_test.go
+++ b/internal/notification/notification_test.go
@@ -1,4 +1,4 @@
-package notices
+package notification
 
 import (
 	"net/http"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/wait/waittest"
 )
 
 // A notice that stalls at discovery holds up no other, and goes to the new address once discovery moves.
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,12 +1,12 @@
-// Package operator reads the operator's own file, deploy/frostlink.toml: one section a subsystem, each absent
+// Package operatorconfig reads the operator's own file, deploy/frostlink.toml: one section a subsystem, each absent
 // unless the operator wants it, and absent means off. What the platform tells a relay is not in it.
-package operator
+package operatorconfig
 
 import (
-	"mallowlead/internal/strict"
-	"mallowlead/internal/tasks"
-	"mallowlead/internal/trace"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/fleettask"
+	"frostlink/internal/strictconfig"
+	"frostlink/internal/trace"
 )
 
 // Version is the form of the file that this program writes and reads.
@@ -14,12 +14,12 @@
 
 // File is the operator's file. Each subsystem adds its section as a pointer: nil is off.
 type File struct {
-	Version     int                  `toml:"version"`
-	Undelivered *undelivered.Section `toml:"undelivered"`
-	Trace       *trace.Section       `toml:"trace"`
+	Version     int                 `toml:"version"`
+	Undelivered *deadletter.Section `toml:"undelivered"`
+	Trace       *trace.Section      `toml:"trace"`
 
 	// Coordination names the service by which relays agree on who does the fleet's tasks.
-	Coordination *tasks.Section `toml:"coordination"`
+	Coordination *fleettask.Section `toml:"coordination"`
 }
 
 // Off is the file in which every section is absent.
@@ -29,7 +29,7 @@
 // can't be read.
 func Read(path string) (*File, error) {
 	f := Off()
-	doc, err := strict.ReadFile(path, f)
+	doc, err := strictconfig.ReadFile(path, f)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"mallowlead/internal/strict"
+	"frostlink/internal/strictconfig"
 )
 
 func TestShippedFileIsOff(t *testing.T) {
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	_, err := Read(path)
-	var got strict.Problems
+	var got strictconfig.Problems
 	if !errors.As(err, &got) || len(got) != 3 || got[0].Line != 1 || got[1].Line != 2 || got[2].Line != 4 {
 		t.Errorf("got %v", err)
 	}
--- a/internal/relay/arrive.go
+++ b/internal/relay/arrive.go
@@ -3,25 +3,25 @@
 import (
 	"net/http"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/management"
-	"mallowlead/internal/trace"
-	"mallowlead/policy"
+	"frostlink/internal/admin"
+	"frostlink/internal/frontend"
+	"frostlink/internal/journal"
+	"frostlink/internal/trace"
+	"frostlink/policy"
 )
 
 // This file takes in messages as they are handed in, and copies of those that are known.
 
 // arrive takes in a message that is handed in.
-func (l *loop) arrive(a *clients.Arrival) {
+func (l *loop) arrive(a *frontend.Arrival) {
 	switch quiet, there := a.Quiet(); {
 	case !there:
 		// The client left before an answer: it may hand the message in again, and this copy counts for nothing.
-		a.Verdict <- clients.Verdict{}
+		a.Verdict <- frontend.Verdict{}
 		return
 	case !quiet:
 		// More has come than the request's length says, or a request that nobody is to send yet.
-		a.Verdict <- clients.Malformed(http.StatusBadRequest)
+		a.Verdict <- frontend.Malformed(http.StatusBadRequest)
 		return
 	}
 	came := l.timeline.Of(a.Came)
@@ -45,9 +45,9 @@
 	}
 	if !l.dests[a.Entry.Dest] || !l.reserve(a.Entry) {
 		// Guards the module against destinations that no list has named, and the disk against overflow.
-		l.book.Ended(a.Entry.Class, management.Busy, false)
+		l.book.Ended(a.Entry.Class, admin.Busy, false)
 		l.traceTurn(a.Entry, a.Retry, l.unacceptable(a.Entry), l.cfg.policy.MaxStayAway)
-		a.Verdict <- clients.Verdict{Status: http.StatusServiceUnavailable, After: l.cfg.policy.MaxStayAway}
+		a.Verdict <- frontend.Verdict{Status: http.StatusServiceUnavailable, After: l.cfg.policy.MaxStayAway}
 		return
 	}
 	if l.keeper == nil {
@@ -57,7 +57,7 @@
 		l.arrivals = max(l.arrivals+1, int64(l.timeline.Now()))
 		a.Entry.Order.Arrival = l.arrivals
 	}
-	m := &message{Entry: a.Entry, verdicts: []chan clients.Verdict{a.Verdict}, retry: a.Retry}
+	m := &message{Entry: a.Entry, verdicts: []chan frontend.Verdict{a.Verdict}, retry: a.Retry}
 	l.messages[m.ID] = m
 	l.fresh = append(l.fresh, m)
 	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Dest, Key: m.Item,
@@ -76,9 +76,9 @@
 }
 
 // answerAgain answers a message that is handed in under an id that is known.
-func (l *loop) answerAgain(a *clients.Arrival, status int) {
+func (l *loop) answerAgain(a *frontend.Arrival, status int) {
 	l.note(trace.Event{Kind: trace.Again, ID: a.Entry.ID, Class: a.Entry.Class, Dest: a.Entry.Dest, Count: status, Retry: a.Retry})
-	a.Verdict <- clients.Verdict{Status: status}
+	a.Verdict <- frontend.Verdict{Status: status}
 }
 
 // forgetEnds drops the ids of messages whose copies can't come any more.
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/trace"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/discovery"
+	"frostlink/internal/invariant"
+	"frostlink/internal/trace"
+	"frostlink/internal/upstream"
+	"frostlink/policy"
 )
 
 // This file is the loop's calls to hosts.
@@ -60,7 +60,7 @@
 
 // unsent reports an attempt that was not made.
 func (l *loop) unsent(s send) {
-	l.answered(answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, Result: hosts.Result{Outcome: policy.Ignored}})
+	l.answered(answered{id: s.m.ID, attempt: s.attempt, host: s.host.Host, Result: upstream.Result{Outcome: policy.Ignored}})
 	l.wakeAt = 0 // the module has an event to act on
 }
 
@@ -78,11 +78,11 @@
 }
 
 // begin has a call made, or waited for; by says how.
-func (l *loop) begin(s send, by func(context.Context, hosts.Request) hosts.Result) {
+func (l *loop) begin(s send, by func(context.Context, upstream.Request) upstream.Result) {
 	ctx, cancel := context.WithCancel(l.calls)
 	begun := s.m.begun
 	s.m.call, s.m.cancel, s.m.unsend = s, cancel, new(atomic.Bool)
-	r := hosts.Request{Target: hosts.Target{Host: s.host.Host, Addr: s.host.Dial}, ID: s.m.ID, Key: s.m.Key, Body: s.m.Body,
+	r := upstream.Request{Target: upstream.Target{Host: s.host.Host, Addr: s.host.Dial}, ID: s.m.ID, Key: s.m.Key, Body: s.m.Body,
 		Timeout: max(s.timeout-time.Since(begun), time.Millisecond), WriteBy: s.writeBy, Unsend: s.m.unsend,
 		Expires: l.timeline.Moment(s.m.Expires), TimeUp: func() { l.put(timeUp{s.m.ID}) }}
 	l.out++
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/journal"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/discovery"
+	"frostlink/internal/invariant"
+	"frostlink/internal/journal"
+	"frostlink/policy"
 )
 
 // A call that may leave within a time only is given that as a moment of the batch's clock.
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -5,12 +5,12 @@
 	"net/http"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/clock"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/management"
-	"mallowlead/internal/trace"
-	"mallowlead/policy"
+	"frostlink/internal/admin"
+	"frostlink/internal/clock"
+	"frostlink/internal/frontend"
+	"frostlink/internal/journal"
+	"frostlink/internal/trace"
+	"frostlink/policy"
 )
 
 // This file commits a batch: records first, then the effects that a later process must know of. What needs no record is done
@@ -61,7 +61,7 @@
 		do()
 	}
 	l.carryOut(written)
-	l.book.Show(management.Gauges{HostsListed: len(l.hosts), HostsDown: l.d.Down()})
+	l.book.Show(admin.Gauges{HostsListed: len(l.hosts), HostsDown: l.d.Down()})
 }
 
 // answer answers the requests that brought a message, where they are not answered yet.
@@ -71,18 +71,18 @@
 	case replies == nil && (!m.Resend || m.over || written): // refused, or nobody waits for an answer
 	case !written:
 		// Where records may be in the file all the same a later process may deliver it: that is no promise of no effect.
-		v := clients.Verdict{Status: http.StatusServiceUnavailable, After: l.cfg.policy.MaxStayAway}
+		v := frontend.Verdict{Status: http.StatusServiceUnavailable, After: l.cfg.policy.MaxStayAway}
 		if l.journal.Doubtful() {
-			v = clients.Verdict{Status: http.StatusBadGateway}
+			v = frontend.Verdict{Status: http.StatusBadGateway}
 		}
 		reply(replies, v)
 		l.traceTurn(m.Entry, m.retry, refusedUnrecorded, v.After)
-		l.count(m, management.Busy)
+		l.count(m, admin.Busy)
 		l.events = append(l.events, policy.Withdrawn{ID: m.ID})
 		l.wakeAt = 0 // the module has an event to act on
 	default:
 		m.verdicts = nil
-		reply(replies, clients.Verdict{Status: http.StatusAccepted})
+		reply(replies, frontend.Verdict{Status: http.StatusAccepted})
 	}
 }
 
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -16,14 +16,14 @@
 	"strings"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/operator"
-	"mallowlead/internal/settings"
-	"mallowlead/internal/trace"
-	"mallowlead/internal/undelivered"
-	"mallowlead/policy"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/discovery"
+	"frostlink/internal/frontend"
+	"frostlink/internal/journal"
+	"frostlink/internal/operatorconfig"
+	"frostlink/internal/settings"
+	"frostlink/internal/trace"
+	"frostlink/policy"
 )
 
 // Config is what the platform tells a relay in its configuration file.
@@ -42,7 +42,7 @@
 	ListenFD int `json:"-"`
 
 	// Own is the operator's own file; nil stands for one in which every section is off.
-	Own *operator.File `json:"-"`
+	Own *operatorconfig.File `json:"-"`
 
 	policy policy.Settings
 	seed   int64
@@ -123,7 +123,7 @@
 }
 
 // keeping is what the operator says of undelivered messages; nil: they are not kept.
-func (c *Config) keeping() *undelivered.Section {
+func (c *Config) keeping() *deadletter.Section {
 	if c.Own == nil {
 		return nil
 	}
@@ -142,8 +142,8 @@
 func (c *Config) journalRoom() float64 { return min(c.Limits.DiskMB, journalShare*c.Limits.MemoryMB) }
 
 // clientCheck is the check of what clients hand in.
-func (c *Config) clientCheck() *clients.Check {
-	check := &clients.Check{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*undelivered.Subject{}}
+func (c *Config) clientCheck() *frontend.Check {
+	check := &frontend.Check{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*deadletter.Subject{}}
 	for i := range c.policy.Classes {
 		if class := &c.policy.Classes[i]; !class.Retired {
 			check.Classes[class.Name] = class
--- a/internal/relay/customers_test.go
+++ b/internal/relay/customers_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/discovery"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/wait/waittest"
 )
 
 // These tests have settings of other customers than testSettings has.
@@ -129,7 +129,7 @@
 		j.Take(&journal.Entry{ID: id, Class: "status", Dest: 7, Item: id[:1], Expires: j.Timeline().Now().Add(time.Minute)})
 	}
 	commit(t, j)
-	j.Owe(j.Get("a1"), notices.Notice{ID: "a1", Status: notices.Deferred}, "", j.Timeline().Now())
+	j.Owe(j.Get("a1"), notification.Notice{ID: "a1", Status: notification.Deferred}, "", j.Timeline().Now())
 	commit(t, j)
 	p.deaf = 1 << 30
 	p.start()
@@ -237,7 +237,7 @@
 	p.called()
 	p.until("its end is decided", func() bool {
 		e := readEntries(t, p.dir)
-		return len(e) == 1 && e[0].Owed != nil && e[0].Owed.Status == notices.Undeliverable
+		return len(e) == 1 && e[0].Owed != nil && e[0].Owed.Status == notification.Undeliverable
 	})
 	if resp := p.handIn("order", "m", "20"); resp.StatusCode != http.StatusAccepted {
 		t.Errorf("a copy: %s", resp.Status)
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"mallowlead/internal/discovery"
+	"frostlink/internal/discovery"
 )
 
 // hostLine is a change of one host, as a watch tells it.
--- a/internal/relay/door.go
+++ b/internal/relay/door.go
@@ -10,11 +10,11 @@
 
 	"golang.org/x/sys/unix"
 
-	front "mallowlead/internal/clients/http1"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/management"
-	"mallowlead/internal/socket"
-	"mallowlead/internal/standby"
+	"frostlink/internal/admin"
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/invariant"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/socket"
 )
 
 // listen gives the clients' listening socket: the one that the platform holds and hands to every process, or one of our
@@ -39,9 +39,9 @@
 
 // door is what operators reach of a relay.
 type door struct {
-	*management.Door
-	stance   *standby.Stance
-	book     *management.Book
+	*admin.Door
+	stance   *servingmode.Stance
+	book     *admin.Book
 	violated *invariant.Counts
 	front    atomic.Pointer[front.Server]
 	taking   atomic.Bool // clients are taken, and no planned end has begun
@@ -49,7 +49,7 @@
 
 // openDoor opens the operators' door, where the platform names an address for it. It answers from the start on, and says no
 // until clients are taken.
-func openDoor(cfg *Config, stance *standby.Stance, book *management.Book, violated *invariant.Counts) (*door, error) {
+func openDoor(cfg *Config, stance *servingmode.Stance, book *admin.Book, violated *invariant.Counts) (*door, error) {
 	d := &door{stance: stance, book: book, violated: violated}
 	if cfg.Management == "" {
 		return d, nil
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("the operators' door: %w", err)
 	}
-	d.Door = management.New(d, cfg.doorRoom())
+	d.Door = admin.New(d, cfg.doorRoom())
 	go func() {
 		if err := d.Serve(listener); err != nil {
 			slog.Error("operators are not answered any more", "err", err)
@@ -87,7 +87,7 @@
 	switch state := d.stance.State(time.Now()); {
 	case d.taking.Load():
 		return true, state.String()
-	case state == standby.Ending:
+	case state == servingmode.Ending:
 		return false, state.String()
 	case d.front.Load() == nil:
 		return false, "starting"
@@ -125,7 +125,7 @@
 }
 
 // count has the figures count a message's end, once.
-func (l *loop) count(m *message, end management.End) {
+func (l *loop) count(m *message, end admin.End) {
 	if !m.Resend && !m.counted {
 		m.counted = true
 		l.book.Ended(m.Class, end, m.inflight)
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/journal"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/journal"
+	"frostlink/internal/wait/waittest"
 )
 
 // open opens a client's connection.
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
-	"mallowlead/policy"
+	"frostlink/internal/goldentest"
+	"frostlink/policy"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/relay/guard.go
+++ b/internal/relay/guard.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/clock"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/notices"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/frontend"
+	"frostlink/internal/invariant"
+	"frostlink/internal/notification"
+	"frostlink/policy"
 )
 
 // This file has the loop's one guard for sending, repeating and ending messages: what package invariant checks.
@@ -44,7 +44,7 @@
 	for _, id := range l.due.Overdue(l.timeline.Now(), open) {
 		m := l.messages[id]
 		l.violated.Violated(invariant.EndOverdue, id, "destination", m.Dest, "attempts", len(m.Attempts), "late", l.timeline.Now().Sub(m.Expires))
-		l.refuse(m, clients.Verdict{}, notices.Undeliverable)
+		l.refuse(m, frontend.Verdict{}, notification.Undeliverable)
 		l.events = append(l.events, policy.Withdrawn{ID: id})
 		l.wakeAt = 0 // the module has an event to act on
 		if m.cancel != nil {
--- a/internal/relay/guard_test.go
+++ b/internal/relay/guard_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/management"
-	"mallowlead/internal/notices"
-	"mallowlead/policy"
+	"frostlink/internal/admin"
+	"frostlink/internal/discovery"
+	"frostlink/internal/invariant"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/policy"
 )
 
 // guardedLoop is a loop with an accepted message of a class, and without anything that would act by itself.
@@ -23,8 +23,8 @@
 	t.Cleanup(func() { _ = j.Close() })
 	cfg := &Config{}
 	cfg.policy.Classes = []policy.Class{class}
-	l := &loop{cfg: cfg, timeline: j.Timeline(), journal: j, violated: &invariant.Counts{}, book: management.NewBook(nil),
-		notices: notices.New("127.0.0.1:0", nil), hosts: map[string]discovery.Member{"h": {Host: "h", Block: 3}}, messages: map[string]*message{}}
+	l := &loop{cfg: cfg, timeline: j.Timeline(), journal: j, violated: &invariant.Counts{}, book: admin.NewBook(nil),
+		notices: notification.New("127.0.0.1:0", nil), hosts: map[string]discovery.Member{"h": {Host: "h", Block: 3}}, messages: map[string]*message{}}
 	m := &message{Entry: &journal.Entry{ID: "m", Class: class.Name, Dest: 3, Expires: l.timeline.Now().Add(left)}}
 	j.Under(m.Entry, class)
 	j.Take(m.Entry)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -9,16 +9,16 @@
 	"net"
 	"time"
 
-	front "mallowlead/internal/clients/http1"
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/handover"
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/hosts/http1"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/syserr"
-	"mallowlead/internal/wait"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/discovery"
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/handover"
+	"frostlink/internal/journal"
+	"frostlink/internal/syserr"
+	"frostlink/internal/upstream"
+	"frostlink/internal/upstream/http1"
+	"frostlink/internal/wait"
+	"frostlink/policy"
 )
 
 // This file is the relay's part in replacing the process: docs/design/handover.md.
@@ -71,7 +71,7 @@
 
 // resumeCall waits for the answer to a call that was written before.
 func (l *loop) resumeCall(s send, conn *net.TCPConn) {
-	l.begin(s, func(ctx context.Context, r hosts.Request) hosts.Result { return l.pool.Resume(ctx, r, conn) })
+	l.begin(s, func(ctx context.Context, r upstream.Request) upstream.Result { return l.pool.Resume(ctx, r, conn) })
 }
 
 // freeze asks the loop to write its state down and to do nothing until it is thawed, or ended. It does so once no call is
@@ -247,7 +247,7 @@
 		case handover.OnCall:
 			n.from.conns[item.ID] = item.Conn
 		case handover.ToHost:
-			n.l.pool.Adopt(http1.Idle{Target: hosts.Target{Host: item.Host, Addr: item.Addr}, Conn: item.Conn, Since: n.l.timeline.Moment(item.Since)})
+			n.l.pool.Adopt(http1.Idle{Target: upstream.Target{Host: item.Host, Addr: item.Addr}, Conn: item.Conn, Since: n.l.timeline.Moment(item.Since)})
 		case handover.FromClient:
 		default:
 			_ = item.Conn.Close()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/wait/waittest"
 )
 
 // request is a message of class status on a connection of its own.
--- a/internal/relay/keep.go
+++ b/internal/relay/keep.go
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/undelivered"
-	"mallowlead/internal/wait"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/wait"
+	"frostlink/policy"
 )
 
 const (
@@ -37,29 +37,29 @@
 // keeper hands undelivered messages over to their store. It never holds up the loop: what the store does not take
 // waits here, and in the journal.
 type keeper struct {
-	section     *undelivered.Section
+	section     *deadletter.Section
 	done        func(ids []string)
 	offer       func(any) // hands the loop an event
-	newResender func(*undelivered.Store) *undelivered.Resender
+	newResender func(*deadletter.Store) *deadletter.Resender
 	timeline    *clock.Timeline
 	last        string // the store that the journal says was told of all that was delivered
-	classes     []undelivered.Class
+	classes     []deadletter.Class
 
 	// The goroutine's own.
-	store    *undelivered.Store // nil until it could be opened
-	bounds   *undelivered.Bounds
-	resender *undelivered.Resender
-	gate     undelivered.Gate                  // of resends; nil: none
-	shared   atomic.Pointer[undelivered.Store] // once it is open, for those who only read
-	admin    *undelivered.Admin
+	store    *deadletter.Store // nil until it could be opened
+	bounds   *deadletter.Bounds
+	resender *deadletter.Resender
+	gate     deadletter.Gate                  // of resends; nil: none
+	shared   atomic.Pointer[deadletter.Store] // once it is open, for those who only read
+	admin    *deadletter.Admin
 	bounded  time.Time      // when the bounds were last kept
 	tools    sync.WaitGroup // goroutines beside it: the clock of the bounds, and what answers the tool
 
 	mu    sync.Mutex
 	more  sync.Cond // something waits, or all is at its end
 	ended bool
-	anew  []undelivered.Class // classes of new settings, until they are taken over
-	tick  bool                // time to look at bounds and at what is due
+	anew  []deadletter.Class // classes of new settings, until they are taken over
+	tick  bool               // time to look at bounds and at what is due
 	todo
 	lost   int // listed so far
 	misses int // so often something was not noted: what is known of topics begins anew
@@ -68,12 +68,12 @@
 
 // todo is what is to be written to the store.
 type todo struct {
-	wait    []undelivered.Kept
-	back    []undelivered.Result // of resends
-	drop    []string             // to be listed as not kept
-	notes   []undelivered.Note   // of topics, delivered
-	refused map[string]int       // at arrival, by class and tenant
-	turned  []undelivered.Kept   // the same, where they are kept: in no journal, so that the loop hears nothing of them
+	wait    []deadletter.Kept
+	back    []deadletter.Result // of resends
+	drop    []string            // to be listed as not kept
+	notes   []deadletter.Note   // of topics, delivered
+	refused map[string]int      // at arrival, by class and tenant
+	turned  []deadletter.Kept   // the same, where they are kept: in no journal, so that the loop hears nothing of them
 }
 
 // newKeeper makes a keeper; last is the store that the journal says was told of all that was delivered.
@@ -81,7 +81,7 @@
 	s := cfg.Own.Undelivered
 	k := &keeper{section: s, last: last, timeline: timeline, offer: put, done: func(ids []string) { put(kept{ids}) }}
 	k.classes = cfg.ResendClasses(s)
-	k.newResender = func(store *undelivered.Store) *undelivered.Resender { return newResender(cfg, store) }
+	k.newResender = func(store *deadletter.Store) *deadletter.Resender { return newResender(cfg, store) }
 	k.more.L = &k.mu
 	return k
 }
@@ -90,7 +90,7 @@
 func (k *keeper) now() time.Time { return k.timeline.Now().Calendar() }
 
 // keptIn gives the store of undelivered messages, or nil while there is none.
-func (l *loop) keptIn() *undelivered.Store {
+func (l *loop) keptIn() *deadletter.Store {
 	if l.keeper == nil {
 		return nil
 	}
@@ -98,7 +98,7 @@
 }
 
 // reclass has the classes be those of new settings.
-func (k *keeper) reclass(classes []undelivered.Class) {
+func (k *keeper) reclass(classes []deadletter.Class) {
 	k.set(func() { k.anew = classes })
 }
 
@@ -126,23 +126,23 @@
 }
 
 // keep wants a message kept.
-func (k *keeper) keep(m undelivered.Kept) {
+func (k *keeper) keep(m deadletter.Kept) {
 	k.set(func() { k.wait = append(k.wait, m) })
 }
 
 // result wants what became of a resend noted.
-func (k *keeper) result(r undelivered.Result) {
+func (k *keeper) result(r deadletter.Result) {
 	k.set(func() { k.back = append(k.back, r) })
 }
 
 // note wants a message noted that was delivered.
-func (k *keeper) note(n undelivered.Note) {
+func (k *keeper) note(n deadletter.Note) {
 	k.set(func() { k.notes = append(k.notes, n) })
 }
 
 // refuse wants a message counted that was refused at its arrival, and kept where the operator wants that: as many as
 // fit, since what is refused is most where there is least room for it.
-func (k *keeper) refuse(m undelivered.Kept) {
+func (k *keeper) refuse(m deadletter.Kept) {
 	k.set(func() {
 		if k.section.Refused && len(k.turned) < mostRefused {
 			k.turned = append(k.turned, m)
@@ -161,7 +161,7 @@
 	k.mu.Lock()
 	k.misses++
 	if m.Delivered {
-		k.notes = slices.DeleteFunc(k.notes, func(n undelivered.Note) bool { return n.ID == m.ID })
+		k.notes = slices.DeleteFunc(k.notes, func(n deadletter.Note) bool { return n.ID == m.ID })
 		k.mu.Unlock()
 		return
 	}
@@ -225,7 +225,7 @@
 		}
 		k.retuned()
 		err := k.hand(ctx, &t)
-		k.bound(errors.Is(err, undelivered.ErrFull))
+		k.bound(errors.Is(err, deadletter.ErrFull))
 		if err == nil {
 			err = k.resend(ctx)
 		}
@@ -247,7 +247,7 @@
 	if k.store != nil {
 		return nil
 	}
-	k.store, err = undelivered.Open(k.section.Folder, int64(k.section.QuotaMB*1e6), k.section.Messages)
+	k.store, err = deadletter.Open(k.section.Folder, int64(k.section.QuotaMB*1e6), k.section.Messages)
 	if err != nil {
 		k.store = nil
 		return err
@@ -257,15 +257,15 @@
 		k.store = nil
 		return err
 	}
-	k.bounds = undelivered.NewBounds(k.store, k.section)
+	k.bounds = deadletter.NewBounds(k.store, k.section)
 	k.shared.Store(k.store)
 	k.resender = k.newResender(k.store)
 	k.resender.Through(k.gate)
 	k.resender.Reclass(k.classes)
-	k.admin = &undelivered.Admin{Store: k.store, Now: k.now, Classes: k.classes}
+	k.admin = &deadletter.Admin{Store: k.store, Now: k.now, Classes: k.classes}
 	if k.section.Socket != "" {
 		k.tools.Go(func() {
-			if err := undelivered.Serve(ctx, k.section.Socket, k.admin); err != nil {
+			if err := deadletter.Serve(ctx, k.section.Socket, k.admin); err != nil {
 				slog.Error("the tool for undelivered messages is not answered", "err", err)
 			}
 		})
@@ -340,7 +340,7 @@
 		}
 		// Some may have been abandoned meanwhile.
 		k.set(func() {
-			k.notes = slices.DeleteFunc(k.notes, func(n undelivered.Note) bool { return slices.Contains(ids, n.ID) })
+			k.notes = slices.DeleteFunc(k.notes, func(n deadletter.Note) bool { return slices.Contains(ids, n.ID) })
 		})
 		k.done(ids)
 	}
@@ -374,7 +374,7 @@
 		return nil
 	}
 	err := k.store.Put(t.turned)
-	if err == nil || errors.Is(err, undelivered.ErrFull) {
+	if err == nil || errors.Is(err, deadletter.ErrFull) {
 		k.set(func() { k.turned = k.turned[len(t.turned):] })
 	}
 	return err
@@ -395,12 +395,12 @@
 }
 
 // handTaken puts messages that were taken on into the store.
-func (k *keeper) handTaken(batch []undelivered.Kept) error {
+func (k *keeper) handTaken(batch []deadletter.Kept) error {
 	if len(batch) == 0 {
 		return nil
 	}
 	err := k.store.Put(batch)
-	if err != nil && len(batch) > 1 && !errors.Is(err, undelivered.ErrFull) {
+	if err != nil && len(batch) > 1 && !errors.Is(err, deadletter.ErrFull) {
 		batch = batch[:1]
 		err = k.store.Put(batch)
 	}
@@ -425,7 +425,7 @@
 
 // letGo drops messages from those that wait; the lock is held.
 func (k *keeper) letGo(ids []string) {
-	k.wait = slices.DeleteFunc(k.wait, func(m undelivered.Kept) bool { return slices.Contains(ids, m.ID) })
+	k.wait = slices.DeleteFunc(k.wait, func(m deadletter.Kept) bool { return slices.Contains(ids, m.ID) })
 }
 
 // The events of the keeper.
@@ -445,50 +445,50 @@
 	policy.Ignored: "not sent"}
 
 // reason says why a message ends undelivered.
-func (l *loop) reason(m *message, status string) undelivered.Reason {
+func (l *loop) reason(m *message, status string) deadletter.Reason {
 	now := l.timeline.Now()
 	switch {
 	case l.class(m.Class) < 0:
-		return undelivered.Settings
+		return deadletter.Settings
 	case now > m.Expires:
 		if m.resumed {
-			return undelivered.ProcessEnded
+			return deadletter.ProcessEnded
 		}
-		return undelivered.OutOfTime
+		return deadletter.OutOfTime
 	case len(m.Attempts) >= l.cfg.policy.MaxAttempts:
-		return undelivered.Spent
-	case status == notices.Undeliverable:
-		return undelivered.Doubtful
+		return deadletter.Spent
+	case status == notification.Undeliverable:
+		return deadletter.Doubtful
 	case now > m.Expires.Add(-endMargin):
-		return undelivered.OutOfTime
+		return deadletter.OutOfTime
 	}
-	return undelivered.RefusedLate
+	return deadletter.RefusedLate
 }
 
 // life is what this relay knows of one time that a message was taken on.
-func (l *loop) life(m *message) undelivered.Life {
-	life := undelivered.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.Taken.Calendar(), Expires: m.Expires.Calendar(), Over: m.Over.Calendar(),
-		Reason: undelivered.Reason(m.Reason), Status: m.Owed.Status}
+func (l *loop) life(m *message) deadletter.Life {
+	life := deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.Taken.Calendar(), Expires: m.Expires.Calendar(), Over: m.Over.Calendar(),
+		Reason: deadletter.Reason(m.Reason), Status: m.Owed.Status}
 	if life.Taken.IsZero() { // taken on by a process that kept no undelivered messages
 		life.Taken = life.Over
 	}
 	for _, a := range m.Attempts {
-		ran := undelivered.May // also of one that was out when a process ended
+		ran := deadletter.May // also of one that was out when a process ended
 		switch {
 		case a.Ended && a.Unrun:
-			ran = undelivered.Never
+			ran = deadletter.Never
 		case a.Outcome == outcomes[policy.OK]:
-			ran = undelivered.Did
+			ran = deadletter.Did
 		}
-		life.Attempts = append(life.Attempts, undelivered.Attempt{Host: a.Host, Begun: a.Begun.Calendar(), Ended: a.At.Calendar(), Outcome: a.Outcome, Ran: ran})
+		life.Attempts = append(life.Attempts, deadletter.Attempt{Host: a.Host, Begun: a.Begun.Calendar(), Ended: a.At.Calendar(), Outcome: a.Outcome, Ran: ran})
 	}
 	return life
 }
 
 // record makes the store's record of a message that is over.
-func (l *loop) record(m *message, life undelivered.Life) undelivered.Kept {
-	return undelivered.Kept{Record: undelivered.Record{ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Dest, Key: m.Key, Item: m.Item,
-		Subject: m.Subject, Order: m.Order, Lives: []undelivered.Life{life}, State: undelivered.Held, Since: life.Over, Due: life.Over},
+func (l *loop) record(m *message, life deadletter.Life) deadletter.Kept {
+	return deadletter.Kept{Record: deadletter.Record{ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Dest, Key: m.Key, Item: m.Item,
+		Subject: m.Subject, Order: m.Order, Lives: []deadletter.Life{life}, State: deadletter.Held, Since: life.Over, Due: life.Over},
 		Body: m.Body}
 }
 
@@ -498,9 +498,9 @@
 	if l.keeper == nil || m.Resend {
 		return
 	}
-	l.keeper.refuse(l.record(m, undelivered.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.Taken.Calendar(), Expires: m.Expires.Calendar(),
+	l.keeper.refuse(l.record(m, deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.Taken.Calendar(), Expires: m.Expires.Calendar(),
 		Over:   l.timeline.Now().Calendar(),
-		Reason: undelivered.AtArrival, Status: status}))
+		Reason: deadletter.AtArrival, Status: status}))
 }
 
 // tellEnd tells the end of a message that owes one: to the platform, and to the store where one is kept; that of a
@@ -511,9 +511,9 @@
 	case (m.Resend || m.Owed.Status == outOfTime) && l.keeper == nil: // the operator has turned the store off: nobody is left to tell
 		l.end(m)
 	case m.Resend:
-		res := undelivered.Result{Life: l.life(m), Delivered: m.Owed.Status == delivered}
+		res := deadletter.Result{Life: l.life(m), Delivered: m.Owed.Status == delivered}
 		if m.Owed.Status == overtaken {
-			res.Life.Reason, res.Overtaken = undelivered.Overtaken, m.Reason // which by
+			res.Life.Reason, res.Overtaken = deadletter.Overtaken, m.Reason // which by
 		}
 		l.keeper.result(res)
 	case m.Owed.Status == outOfTime:
@@ -539,7 +539,7 @@
 		l.endResend(m, outOfTime, "")
 	case now > m.Expires.Add(-endMargin):
 		l.decide(m, outOfTime)
-		l.journal.Owe(m.Entry, notices.Notice{ID: m.ID, Status: outOfTime}, string(undelivered.OutOfTime), now)
+		l.journal.Owe(m.Entry, notification.Notice{ID: m.ID, Status: outOfTime}, string(deadletter.OutOfTime), now)
 		m.outcome = l.journal.Noted()
 		l.afterOrBy(m.Expires, func() { l.tellEnd(m) })
 	default: // its client has withdrawn it
--- a/internal/relay/keep_test.go
+++ b/internal/relay/keep_test.go
@@ -13,12 +13,12 @@
 	"syscall"
 	"testing"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/operator"
-	"mallowlead/internal/undelivered"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/operatorconfig"
+	"frostlink/internal/wait/waittest"
 )
 
 // keeping has relays keep undelivered messages, and gives the store's folder.
@@ -34,9 +34,9 @@
 }
 
 // stored gives a message from the store of a relay that has ended.
-func (p *platform) stored(folder, id string) (*undelivered.Record, *undelivered.Totals) {
+func (p *platform) stored(folder, id string) (*deadletter.Record, *deadletter.Totals) {
 	p.t.Helper()
-	s, err := undelivered.OpenToRead(folder)
+	s, err := deadletter.OpenToRead(folder)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -88,20 +88,20 @@
 	p.until("the journal lets go of both", func() bool { return p.journalled() == 0 })
 	p.kill(c)
 	r, totals := p.stored(folder, "ran")
-	if totals.Messages != 2 || totals.States[undelivered.Held] != 2 {
+	if totals.Messages != 2 || totals.States[deadletter.Held] != 2 {
 		t.Errorf("totals %+v", totals)
 	}
 	l := r.Last()
-	if r.Class != "order" || r.Tenant != "acme" || r.Partner != 7 || r.Key != "key-ran" || l.Reason != undelivered.Doubtful ||
-		l.Status != notices.Undeliverable || l.Relay != "n1" || len(l.Attempts) != 1 || l.Taken.IsZero() || !l.Over.After(l.Taken) {
+	if r.Class != "order" || r.Tenant != "acme" || r.Partner != 7 || r.Key != "key-ran" || l.Reason != deadletter.Doubtful ||
+		l.Status != notification.Undeliverable || l.Relay != "n1" || len(l.Attempts) != 1 || l.Taken.IsZero() || !l.Over.After(l.Taken) {
 		t.Errorf("record %+v", r)
 	}
-	if a := l.Attempts[0]; a.Host != "h1" || a.Ran != undelivered.May || a.Outcome != "error" || a.Ended.Before(a.Begun) {
+	if a := l.Attempts[0]; a.Host != "h1" || a.Ran != deadletter.May || a.Outcome != "error" || a.Ended.Before(a.Begun) {
 		t.Errorf("attempt %+v", a)
 	}
 	r, _ = p.stored(folder, "turned")
 	l = r.Last()
-	if l.Reason != undelivered.OutOfTime || l.Status != notices.Deferred || r.MayHaveRun() != nil || len(l.Attempts) == 0 {
+	if l.Reason != deadletter.OutOfTime || l.Status != notification.Deferred || r.MayHaveRun() != nil || len(l.Attempts) == 0 {
 		t.Errorf("record %+v", r)
 	}
 }
@@ -121,7 +121,7 @@
 	p.until("it is kept", func() bool { return p.journalled() == 0 })
 	p.kill(c)
 	r, _ := p.stored(folder, "a")
-	if len(r.Last().Attempts) != 1 || r.MayHaveRun() == nil || r.Last().Reason != undelivered.Doubtful {
+	if len(r.Last().Attempts) != 1 || r.MayHaveRun() == nil || r.Last().Reason != deadletter.Doubtful {
 		t.Errorf("record %+v", r)
 	}
 }
@@ -132,7 +132,7 @@
 	p := newPlatform(t)
 	folder := p.keeping("")
 	p.addHost("h1", 7)
-	s, err := undelivered.Open(folder, 0, 0)
+	s, err := deadletter.Open(folder, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	p.until("its notice came all the same", func() bool { return len(p.told()) == 1 })
 	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
 	p.until("others are delivered", func() bool { return p.handIn("status", "b", "9").StatusCode == http.StatusAccepted })
-	if _, err := s.Get("a"); !errors.Is(err, undelivered.ErrUnknown) {
+	if _, err := s.Get("a"); !errors.Is(err, deadletter.ErrUnknown) {
 		t.Errorf("it is in a store that another process has: %v", err)
 	}
 	_ = s.Close()
@@ -158,7 +158,7 @@
 	p.disk = 0.06
 	folder := p.keeping("")
 	p.addHost("h1", 7)
-	s, err := undelivered.Open(folder, 0, 0)
+	s, err := deadletter.Open(folder, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	_ = s.Close()
 	p.until("the journal lets go", func() bool { return p.journalled() == 0 })
 	p.kill(c)
-	s, err = undelivered.OpenToRead(folder)
+	s, err = deadletter.OpenToRead(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 	p.kill(c)
 	for _, id := range []string{"a", "b"} {
 		r, _ := p.stored(folder, id)
-		if r.State != undelivered.Held || r.Lives[0].Reason != undelivered.OutOfTime || r.MayHaveRun() != nil {
+		if r.State != deadletter.Held || r.Lives[0].Reason != deadletter.OutOfTime || r.MayHaveRun() != nil {
 			t.Errorf("%s: %+v", id, r)
 		}
 	}
@@ -231,8 +231,8 @@
 	const n = 3*keepBatch + 7
 	for i := range n {
 		id := fmt.Sprint("m", i)
-		k.refuse(undelivered.Kept{Record: undelivered.Record{ID: id, Class: "order", Tenant: "acme", Partner: 7, State: undelivered.Held,
-			Lives: []undelivered.Life{{ID: id, Reason: undelivered.AtArrival}}}, Body: []byte("body of " + id)})
+		k.refuse(deadletter.Kept{Record: deadletter.Record{ID: id, Class: "order", Tenant: "acme", Partner: 7, State: deadletter.Held,
+			Lives: []deadletter.Life{{ID: id, Reason: deadletter.AtArrival}}}, Body: []byte("body of " + id)})
 	}
 	stop() // at once: hardly a batch can have gone
 	waittest.Receive(t, done)
@@ -249,7 +249,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Own, err = operator.Read(p.own); err != nil {
+	if cfg.Own, err = operatorconfig.Read(p.own); err != nil {
 		t.Fatal(err)
 	}
 	return cfg
--- a/internal/relay/killed_test.go
+++ b/internal/relay/killed_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/deadletter"
 )
 
 // killings is how often the real program is killed, and gaps how long it lives until then at least and at most.
@@ -60,7 +60,7 @@
 func TestKilledAtFiftyDrawnMoments(t *testing.T) {
 	p := newPlatform(t)
 	p.program = filepath.Join(t.TempDir(), "frostlink")
-	if out, err := exec.Command("go", "build", "-o", p.program, "mallowlead/cmd/frostlink").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", p.program, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	p.memory = keyMemory.Seconds()
@@ -105,11 +105,11 @@
 		})
 	}
 	for i := range killings {
-		var other *undelivered.Store
+		var other *deadletter.Store
 		if i%2 == 1 {
 			// Another process has the store for this life: the notices go, and what is kept waits in the journal.
 			var err error
-			if other, err = undelivered.Open(folder, 0, 0); err != nil {
+			if other, err = deadletter.Open(folder, 0, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -127,7 +127,7 @@
 	p.until("a few resends came", func() bool { return len(p.again()) >= 20 })
 	p.until("the journal lets go of all", func() bool { return p.journalled() == 0 })
 	p.kill(c)
-	p.readStore(folder, func(s *undelivered.Store) { l.audit(t, p, s) })
+	p.readStore(folder, func(s *deadletter.Store) { l.audit(t, p, s) })
 }
 
 // offer hands a message in, also where nobody listens, and gives the status of its answer; 0 for none.
@@ -149,14 +149,14 @@
 }
 
 // audit holds the store against what hosts and clients saw.
-func (l *ledger) audit(t *testing.T, p *platform, s *undelivered.Store) {
+func (l *ledger) audit(t *testing.T, p *platform, s *deadletter.Store) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	told := map[string]bool{}
 	for _, n := range p.told() {
 		told[n.ID] = true
 	}
-	kept, resent, delivered := map[string]*undelivered.Record{}, 0, 0
+	kept, resent, delivered := map[string]*deadletter.Record{}, 0, 0
 	for from, first := uint64(0), true; first || from > 0; first = false {
 		page, following, damaged, err := s.Page(from, 1000, 1000, nil)
 		if err != nil || damaged > 0 {
@@ -181,7 +181,7 @@
 			t.Errorf("%s was taken on, and is neither delivered nor kept", id)
 		case r == nil:
 			delivered++
-		case r.State == undelivered.Delivered && !l.delivered["key-"+id]:
+		case r.State == deadletter.Delivered && !l.delivered["key-"+id]:
 			t.Errorf("%s is kept as delivered, and no host had it: %+v", id, r)
 		case !told[id]:
 			t.Errorf("%s is kept, and the platform was not told", id)
--- a/internal/relay/lastwords_test.go
+++ b/internal/relay/lastwords_test.go
@@ -6,20 +6,20 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clients"
-	front "mallowlead/internal/clients/http1"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/standby"
-	"mallowlead/internal/wait/waittest"
-	"mallowlead/policy"
+	"frostlink/internal/frontend"
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/invariant"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
 )
 
 // A request that was read and has no answer when the process ends is counted.
 func TestUnansweredAtTheEndIsCounted(t *testing.T) {
-	check := &clients.Check{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
+	check := &frontend.Check{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
 	n := &node{violated: &invariant.Counts{}}
-	n.srv = front.New(front.Config{Check: check, Stance: &standby.Stance{}, MemoryMB: 64, Room: 4, Keep: 4},
-		func(*clients.Arrival) {}, func(string) {}) // nobody decides
+	n.srv = front.New(front.Config{Check: check, Stance: &servingmode.Stance{}, MemoryMB: 64, Room: 4, Keep: 4},
+		func(*frontend.Arrival) {}, func(string) {}) // nobody decides
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -7,19 +7,19 @@
 	"sync/atomic"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/hosts/http1"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/management"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/standby"
-	"mallowlead/internal/trace"
-	"mallowlead/internal/undelivered"
-	"mallowlead/policy"
+	"frostlink/internal/admin"
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/discovery"
+	"frostlink/internal/frontend"
+	"frostlink/internal/invariant"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/trace"
+	"frostlink/internal/upstream"
+	"frostlink/internal/upstream/http1"
+	"frostlink/policy"
 )
 
 // inboxSize events wait for the loop without holding up the goroutines that bring them.
@@ -34,7 +34,7 @@
 		host    string
 		took    time.Duration
 		made    bool // it was given to the pool
-		hosts.Result
+		upstream.Result
 	}
 	// timeUp says that a message's time is up while the answer to its call is still listened to.
 	timeUp struct{ id string }
@@ -61,26 +61,26 @@
 // message is what the loop holds of a message taken on.
 type message struct {
 	*journal.Entry
-	verdicts []chan clients.Verdict // of the requests that brought it, until they are answered
-	cancel   context.CancelFunc     // of the call out; nil while there is none
-	call     send                   // that call
-	unsend   *atomic.Bool           // takes it back, where nothing of it has left
-	begun    time.Time              // when it did
-	retry    string                 // what its client says of an earlier hand-in
-	over     bool                   // ended, but a call is still out
-	sending  bool                   // an attempt was decided on whose end the loop has not heard
-	terms    *policy.Class          // of its class as it was accepted, once they were asked for
-	outcome  uint64                 // the number of the record of its terminal outcome
-	resumed  bool                   // taken on by an earlier process
-	noticed  bool                   // the platform has its notice, and it waits for the store
-	kept     bool                   // the store of undelivered messages has it
-	inflight bool                   // the figures count it as taken on
-	counted  bool                   // the figures have its end
+	verdicts []chan frontend.Verdict // of the requests that brought it, until they are answered
+	cancel   context.CancelFunc      // of the call out; nil while there is none
+	call     send                    // that call
+	unsend   *atomic.Bool            // takes it back, where nothing of it has left
+	begun    time.Time               // when it did
+	retry    string                  // what its client says of an earlier hand-in
+	over     bool                    // ended, but a call is still out
+	sending  bool                    // an attempt was decided on whose end the loop has not heard
+	terms    *policy.Class           // of its class as it was accepted, once they were asked for
+	outcome  uint64                  // the number of the record of its terminal outcome
+	resumed  bool                    // taken on by an earlier process
+	noticed  bool                    // the platform has its notice, and it waits for the store
+	kept     bool                    // the store of undelivered messages has it
+	inflight bool                    // the figures count it as taken on
+	counted  bool                    // the figures have its end
 }
 
 // topic is what a message is about.
-func (m *message) topic() undelivered.Topic {
-	return undelivered.Topic{Class: m.Class, Partner: m.Dest, Subject: m.Subject}
+func (m *message) topic() deadletter.Topic {
+	return deadletter.Topic{Class: m.Class, Partner: m.Dest, Subject: m.Subject}
 }
 
 // loop owns the dispatcher and the journal: nothing else touches their state. It batches events by tick,
@@ -92,17 +92,17 @@
 	inbox    chan any
 	pool     *http1.Pool
 	watch    *discovery.Watcher
-	notices  *notices.Notifier
+	notices  *notification.Notifier
 	trace    *trace.Recorder
-	book     *management.Book
-	stance   *standby.Stance
-	recheck  func(*clients.Check) // has clients' messages checked by other settings
-	keeper   *keeper              // nil: undelivered messages are not kept
-	unkept   []*message           // noticed or delivered, and the store does not know yet
-	misses   int                  // so many of them were dropped, since the journal had no room
-	underway undelivered.Underway // messages taken on that are about something, until the store knows of their end
-	again    undelivered.Underway // resends that are
-	timeline *clock.Timeline      // its instants are the module's clock
+	book     *admin.Book
+	stance   *servingmode.Stance
+	recheck  func(*frontend.Check) // has clients' messages checked by other settings
+	keeper   *keeper               // nil: undelivered messages are not kept
+	unkept   []*message            // noticed or delivered, and the store does not know yet
+	misses   int                   // so many of them were dropped, since the journal had no room
+	underway deadletter.Underway   // messages taken on that are about something, until the store knows of their end
+	again    deadletter.Underway   // resends that are
+	timeline *clock.Timeline       // its instants are the module's clock
 	steps    *clock.StepWatch
 	violated *invariant.Counts
 	due      invariant.Deadlines // of messages that were accepted
@@ -193,7 +193,7 @@
 		}
 		class := l.class(e.Class)
 		if class < 0 { // the settings have changed, and the module could not end it
-			l.refuse(m, clients.Verdict{}, notices.Undeliverable)
+			l.refuse(m, frontend.Verdict{}, notification.Undeliverable)
 			continue
 		}
 		l.taken(m)
@@ -274,7 +274,7 @@
 // accept turns one event into the module's terms.
 func (l *loop) accept(e any) {
 	switch e := e.(type) {
-	case *clients.Arrival:
+	case *frontend.Arrival:
 		l.arrive(e)
 	case answered:
 		l.answered(e)
@@ -325,7 +325,7 @@
 	case question:
 		e.idle <- len(l.messages) == 0
 	case refusedUnread:
-		l.book.Ended(e.class, management.Busy, false)
+		l.book.Ended(e.class, admin.Busy, false)
 	case freeze:
 		l.freeze = &e
 	case reconfigured:
@@ -365,10 +365,10 @@
 	case !e.Over || m.over:
 	case e.Outcome == policy.OK:
 		l.traceEnd(m, trace.Delivered)
-		l.count(m, management.Success)
+		l.count(m, admin.Success)
 	default: // withdrawn, or out of time
 		l.traceEnd(m, trace.Withdrawn)
-		l.count(m, management.Failure)
+		l.count(m, admin.Failure)
 	}
 	switch {
 	case e.Over && e.Outcome != policy.OK && l.keeper != nil && !m.over:
@@ -392,7 +392,7 @@
 		named[h.Host] = true
 		old, had := l.hosts[h.Host]
 		if had && (old.Dial != h.Dial || h.Health == discovery.Deleted) {
-			l.pool.Forget(hosts.Target{Host: h.Host, Addr: old.Dial})
+			l.pool.Forget(upstream.Target{Host: h.Host, Addr: old.Dial})
 		}
 		if h.Health == discovery.Deleted {
 			l.forget(h.Host)
@@ -408,7 +408,7 @@
 	if m.Whole {
 		for id, h := range l.hosts {
 			if !named[id] {
-				l.pool.Forget(hosts.Target{Host: id, Addr: h.Dial})
+				l.pool.Forget(upstream.Target{Host: id, Addr: h.Dial})
 				l.forget(id)
 			}
 		}
@@ -450,9 +450,9 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Refuse:
-			l.refuse(l.messages[a.ID], clients.Verdict{Status: http.StatusTooManyRequests, After: a.StayAway}, notices.Deferred)
+			l.refuse(l.messages[a.ID], frontend.Verdict{Status: http.StatusTooManyRequests, After: a.StayAway}, notification.Deferred)
 		case policy.Fail:
-			l.refuse(l.messages[a.ID], clients.Verdict{Status: http.StatusBadGateway}, notices.Undeliverable)
+			l.refuse(l.messages[a.ID], frontend.Verdict{Status: http.StatusBadGateway}, notification.Undeliverable)
 		}
 	}
 	l.admitted()
@@ -481,7 +481,7 @@
 }
 
 // refuse ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) refuse(m *message, v clients.Verdict, status string) {
+func (l *loop) refuse(m *message, v frontend.Verdict, status string) {
 	if m == nil || m.over {
 		return
 	}
@@ -489,10 +489,10 @@
 		l.endResend(m, status, "")
 		return
 	}
-	if status == notices.Deferred {
-		l.count(m, management.Busy)
+	if status == notification.Deferred {
+		l.count(m, admin.Busy)
 	} else {
-		l.count(m, management.Failure)
+		l.count(m, admin.Failure)
 	}
 	if replies := m.verdicts; replies != nil {
 		l.traceTurn(m.Entry, m.retry, refusedByModule, v.After)
@@ -507,7 +507,7 @@
 	}
 	l.traceEnd(m, status)
 	l.decide(m, status)
-	n := notices.Notice{ID: m.ID, Status: status, AgainMS: v.After.Milliseconds()}
+	n := notification.Notice{ID: m.ID, Status: status, AgainMS: v.After.Milliseconds()}
 	l.journal.Owe(m.Entry, n, string(l.reason(m, status)), l.timeline.Now())
 	m.outcome = l.journal.Noted()
 	l.afterOrBy(m.Expires, func() { l.tellEnd(m) })
@@ -523,7 +523,7 @@
 }
 
 // reply answers all requests that brought a message.
-func reply(to []chan clients.Verdict, v clients.Verdict) {
+func reply(to []chan frontend.Verdict, v frontend.Verdict) {
 	for _, c := range to {
 		c <- v
 	}
@@ -544,7 +544,7 @@
 		}
 	case policy.CloseIdle:
 		if h, ok := l.hosts[a.Endpoint]; ok {
-			l.promptly(func() { l.pool.CloseIdle(hosts.Target{Host: h.Host, Addr: h.Dial}) })
+			l.promptly(func() { l.pool.CloseIdle(upstream.Target{Host: h.Host, Addr: h.Dial}) })
 		}
 	case policy.Wake:
 		l.arm(now + a.After)
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -21,10 +21,10 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/operator"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/discovery"
+	"frostlink/internal/notification"
+	"frostlink/internal/operatorconfig"
+	"frostlink/internal/wait/waittest"
 )
 
 // childConfig, childState and childOwn make the test program a relay, so that tests can kill one.
@@ -39,7 +39,7 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := ReadConfig(path)
 	if own := os.Getenv(childOwn); err == nil && own != "" {
-		cfg.Own, err = operator.Read(own)
+		cfg.Own, err = operatorconfig.Read(own)
 	}
 	if fd := os.Getenv("NODE_LISTEN_FD"); err == nil && fd != "" {
 		cfg.ListenFD, err = strconv.Atoi(fd)
@@ -98,7 +98,7 @@
 	began   chan string                              // the same, as they come
 	watches []string                                 // address and query of each watch
 	left    []string                                 // addresses whose watch has ended
-	notices []notices.Notice
+	notices []notification.Notice
 	posted  []string // the address to which each notice came
 	deaf    int      // so many posts of notices fail
 
@@ -262,7 +262,7 @@
 			return
 		}
 		for lines := bufio.NewScanner(r.Body); lines.Scan(); {
-			var n notices.Notice
+			var n notification.Notice
 			if err := json.Unmarshal(lines.Bytes(), &n); err != nil {
 				w.WriteHeader(http.StatusBadRequest)
 				return
@@ -410,10 +410,10 @@
 	return append([]string(nil), p.calls...)
 }
 
-func (p *platform) told() []notices.Notice {
+func (p *platform) told() []notification.Notice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]notices.Notice(nil), p.notices...)
+	return append([]notification.Notice(nil), p.notices...)
 }
 
 // handIn hands a message in and returns the answer.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -10,21 +10,21 @@
 	"sync"
 	"time"
 
-	"mallowlead/internal/clients"
-	front "mallowlead/internal/clients/http1"
-	"mallowlead/internal/clock"
-	"mallowlead/internal/discovery"
-	"mallowlead/internal/handover"
-	"mallowlead/internal/hosts/http1"
-	"mallowlead/internal/invariant"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/management"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/settings"
-	"mallowlead/internal/standby"
-	"mallowlead/internal/tasks"
-	"mallowlead/internal/trace"
-	"mallowlead/policy"
+	"frostlink/internal/admin"
+	"frostlink/internal/clock"
+	"frostlink/internal/discovery"
+	"frostlink/internal/fleettask"
+	"frostlink/internal/frontend"
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/handover"
+	"frostlink/internal/invariant"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/settings"
+	"frostlink/internal/trace"
+	"frostlink/internal/upstream/http1"
+	"frostlink/policy"
 )
 
 // The stages of a planned end, from the signal on. Connections go on coming for up to 0.4 s, and the process
@@ -50,13 +50,13 @@
 	cfg        *Config
 	dir        string
 	ownClasses []policy.Class // as the configuration has them
-	stance     *standby.Stance
-	book       *management.Book
+	stance     *servingmode.Stance
+	book       *admin.Book
 	violated   *invariant.Counts
 	door       *door
-	fleet      *tasks.Fleet    // its part of the fleet's tasks; nil: it has none
-	endTasks   func()          // gives back what of them it holds; nil: it has none
-	told       context.Context // until the platform has told the process to end
+	fleet      *fleettask.Fleet // its part of the fleet's tasks; nil: it has none
+	endTasks   func()           // gives back what of them it holds; nil: it has none
+	told       context.Context  // until the platform has told the process to end
 	live       context.Context
 	stop       context.CancelFunc
 	work       sync.WaitGroup
@@ -77,7 +77,7 @@
 	if err := cfg.checkOwn(); err != nil {
 		return err
 	}
-	stance, book, violated := &standby.Stance{}, management.NewBook(cfg.classNames()), &invariant.Counts{}
+	stance, book, violated := &servingmode.Stance{}, admin.NewBook(cfg.classNames()), &invariant.Counts{}
 	door, err := openDoor(cfg, stance, book, violated)
 	if err != nil {
 		return err
@@ -171,7 +171,7 @@
 	l.watch.Share(share, cfg.seed)
 	l.trace = trace.New(cfg.tracing(), os.Stderr)
 	l.watch.Asked = func() { l.trace.Note(l.now(), trace.Event{Kind: trace.Ask}) }
-	l.notices = notices.New(cfg.Discovery, func(ids []string) { l.put(received{ids}) })
+	l.notices = notification.New(cfg.Discovery, func(ids []string) { l.put(received{ids}) })
 	if cfg.keeping() != nil {
 		l.arrivals = kept.Arrivals()
 		l.keeper = newKeeper(cfg, kept.Store(), kept.Timeline(), func(e any) {
@@ -182,7 +182,7 @@
 		})
 	}
 	if cfg.Own != nil && cfg.Own.Coordination != nil {
-		if n.fleet, err = tasks.New(cfg.Own.Coordination, cfg.Name, l.keptIn); err != nil {
+		if n.fleet, err = fleettask.New(cfg.Own.Coordination, cfg.Name, l.keptIn); err != nil {
 			return err
 		}
 		if gate := n.fleet.Resend(); gate != nil && l.keeper != nil {
@@ -191,7 +191,7 @@
 	}
 	n.l = l
 	n.srv = front.New(front.Config{Check: cfg.clientCheck(), Stance: n.stance, MemoryMB: cfg.Limits.MemoryMB, Room: cfg.clientRoom(),
-		Keep: cfg.idleRoom(), Closed: func(why string) { l.note(trace.Event{Kind: trace.Close, Why: why}) }}, func(a *clients.Arrival) { l.put(a) }, func(class string) { l.put(refusedUnread{class}) })
+		Keep: cfg.idleRoom(), Closed: func(why string) { l.note(trace.Event{Kind: trace.Close, Why: why}) }}, func(a *frontend.Arrival) { l.put(a) }, func(class string) { l.put(refusedUnread{class}) })
 	l.recheck = n.srv.SetCheck
 	if n.listener, err = listen(cfg); err != nil {
 		return fmt.Errorf("listen: %w", err)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/clients"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/frontend"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/wait/waittest"
 )
 
 func TestDelivery(t *testing.T) {
@@ -100,7 +100,7 @@
 		{"negative destination", "status", header("X-Envelope", "dest=-7"), 400},
 		{"huge destination", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
 		{"no id", "status", header("Request-Id", ""), 400},
-		{"long id", "status", header("Request-Id", strings.Repeat("i", clients.MaxName+1)), 400},
+		{"long id", "status", header("Request-Id", strings.Repeat("i", frontend.MaxName+1)), 400},
 		{"no key in a keyed class", "payment", header("Idempotency-Key", ""), 400},
 		{"no time-out", "status", header("Request-Timeout", ""), 400},
 		{"time-out of zero", "status", header("Request-Timeout", "0"), 400},
@@ -109,14 +109,14 @@
 		{"time-out NaN", "status", header("Request-Timeout", "NaN"), 400},
 		{"endless time-out", "status", header("Request-Timeout", "+Inf"), 400},
 		{"absurd time-out", "status", header("Request-Timeout", "99999999999999999999999"), 400},
-		{"body too large", "status", body(clients.MaxBody + 1), 413},
+		{"body too large", "status", body(frontend.MaxBody + 1), 413},
 	}
 	for _, tt := range tests {
 		if resp := p.handIn(tt.class, "bad", "5", tt.change); resp.StatusCode != tt.want {
 			t.Errorf("%s: %s, want %d", tt.name, resp.Status, tt.want)
 		}
 	}
-	for _, change := range []func(*http.Request){body(clients.MaxBody), header("Request-Timeout", "3600"),
+	for _, change := range []func(*http.Request){body(frontend.MaxBody), header("Request-Timeout", "3600"),
 		header("X-Envelope", "a=1, dest=7")} {
 		id := "good" + string(rune('0'+len(p.sent())))
 		if resp := p.handIn("status", id, "5", change); resp.StatusCode != http.StatusAccepted {
@@ -156,7 +156,7 @@
 	p.start()
 	p.take("order", "m", "0.4")
 	p.until("the notice is received", func() bool { return len(p.told()) > 0 })
-	if n := p.told(); len(n) != 1 || n[0] != (notices.Notice{ID: "m", Status: notices.Undeliverable}) {
+	if n := p.told(); len(n) != 1 || n[0] != (notification.Notice{ID: "m", Status: notification.Undeliverable}) {
 		t.Errorf("notices: %v", n)
 	}
 	if p.deaf != 0 {
@@ -174,7 +174,7 @@
 		p.start()
 		p.take("status", "m", "20")
 		p.until("it is over", func() bool { return len(p.sent()) > 0 && len(readEntries(t, p.dir)) == 0 })
-		if n := p.told(); len(n) != want || want > 0 && n[0].Status != notices.Deferred {
+		if n := p.told(); len(n) != want || want > 0 && n[0].Status != notification.Deferred {
 			t.Errorf("%d: notices %v", status, n)
 		}
 		if c := p.sent(); len(c) != 1 {
@@ -228,7 +228,7 @@
 			}
 			if n := p.told(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
 				t.Errorf("notices %v", n)
-			} else if tt.class == "order" && n[0].Status != notices.Undeliverable {
+			} else if tt.class == "order" && n[0].Status != notification.Undeliverable {
 				t.Errorf("an unsafe message that may have run was handed back: %v", n)
 			}
 		})
@@ -398,7 +398,7 @@
 	p.dir = dir
 	p.start()
 	p.until("its notice is received", func() bool { return len(p.told()) == 1 })
-	if n := p.told()[0]; n != (notices.Notice{ID: "m", Status: notices.Undeliverable}) {
+	if n := p.told()[0]; n != (notification.Notice{ID: "m", Status: notification.Undeliverable}) {
 		t.Errorf("notice %v", n)
 	}
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"mallowlead/internal/discovery"
+	"frostlink/internal/discovery"
 )
 
 // A hang-up moves the watch, which asks for the whole list, and the notices to the discovery that the
--- a/internal/relay/resend.go
+++ b/internal/relay/resend.go
@@ -11,11 +11,11 @@
 	"log/slog"
 	"slices"
 
-	"mallowlead/internal/clock"
-	"mallowlead/internal/journal"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/undelivered"
-	"mallowlead/policy"
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/policy"
 )
 
 // delivered and overtaken are ends of a resend that the store is told; the platform never hears of them.
@@ -35,15 +35,15 @@
 )
 
 // ResendClasses are the settings' classes in the terms of the store of undelivered messages.
-func (cfg *Config) ResendClasses(own *undelivered.Section) (classes []undelivered.Class) {
-	effects := map[policy.Effect]undelivered.Effect{policy.Safe: undelivered.Safe, policy.Keyed: undelivered.Keyed,
-		policy.Unsafe: undelivered.Unsafe}
+func (cfg *Config) ResendClasses(own *deadletter.Section) (classes []deadletter.Class) {
+	effects := map[policy.Effect]deadletter.Effect{policy.Safe: deadletter.Safe, policy.Keyed: deadletter.Keyed,
+		policy.Unsafe: deadletter.Unsafe}
 	for _, c := range cfg.policy.Classes {
 		if c.Retired {
 			continue
 		}
-		subject := slices.ContainsFunc(own.Subjects, func(s undelivered.Subject) bool { return s.Class == c.Name })
-		classes = append(classes, undelivered.Class{Name: c.Name, Effect: effects[c.Effect], Memory: c.Memory,
+		subject := slices.ContainsFunc(own.Subjects, func(s deadletter.Subject) bool { return s.Class == c.Name })
+		classes = append(classes, deadletter.Class{Name: c.Name, Effect: effects[c.Effect], Memory: c.Memory,
 			Attempts: cfg.policy.MaxAttempts, Subject: subject, Returns: own.ClientsReturn == nil || *own.ClientsReturn})
 	}
 	return classes
@@ -64,8 +64,8 @@
 }
 
 // newResender makes the core that decides what is resent.
-func newResender(cfg *Config, store *undelivered.Store) *undelivered.Resender {
-	r := undelivered.NewResender(store, cfg.Own.Undelivered.Rules, cfg.ResendClasses(cfg.Own.Undelivered), cfg.Name, newID)
+func newResender(cfg *Config, store *deadletter.Store) *deadletter.Resender {
+	r := deadletter.NewResender(store, cfg.Own.Undelivered.Rules, cfg.ResendClasses(cfg.Own.Undelivered), cfg.Name, newID)
 	own := cfg.Own.Undelivered
 	rules, err := json.Marshal([]any{own.Rules, own.Subjects, own.SubjectsStick, own.SubjectsSettle, cfg.ResendClasses(own)})
 	if err != nil {
@@ -106,7 +106,7 @@
 		body, bodyErr := k.store.Body(o.Record.ID)
 		if bodyErr != nil {
 			slog.Error("an undelivered message is not resent", "err", bodyErr)
-			k.result(undelivered.Result{Life: undelivered.Life{ID: o.Life.ID}})
+			k.result(deadletter.Result{Life: deadletter.Life{ID: o.Life.ID}})
 			continue
 		}
 		k.offer(resend{&journal.Entry{ID: o.Life.ID, Class: o.Record.Class, Dest: o.Record.Partner, Tenant: o.Record.Tenant,
@@ -149,7 +149,7 @@
 	if l.messages[m.ID] == m {
 		delete(l.messages, m.ID)
 	}
-	l.keeper.result(undelivered.Result{Life: undelivered.Life{ID: m.ID}, Overtaken: by})
+	l.keeper.result(deadletter.Result{Life: deadletter.Life{ID: m.ID}, Overtaken: by})
 	l.settled(m)
 }
 
@@ -164,11 +164,11 @@
 		l.traceEnd(m, status)
 	}
 	l.decide(m, status)
-	reason := undelivered.Reason(by)
+	reason := deadletter.Reason(by)
 	if status != delivered && status != overtaken {
 		reason = l.reason(m, status)
 	}
-	l.journal.Owe(m.Entry, notices.Notice{ID: m.ID, Status: status}, string(reason), l.timeline.Now())
+	l.journal.Owe(m.Entry, notification.Notice{ID: m.ID, Status: status}, string(reason), l.timeline.Now())
 	m.outcome = l.journal.Noted()
 	l.after(func() { l.tellEnd(m) })
 	l.settled(m) // nobody but the store is told
@@ -220,5 +220,5 @@
 		return
 	}
 	l.unkept = append(l.unkept, m)
-	l.keeper.note(undelivered.Note{ID: m.ID, Topic: m.topic(), Order: *m.Order})
+	l.keeper.note(deadletter.Note{ID: m.ID, Topic: m.topic(), Order: *m.Order})
 }
--- a/internal/relay/resend_test.go
+++ b/internal/relay/resend_test.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"testing"
 
-	"mallowlead/internal/operator"
-	"mallowlead/internal/undelivered"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/operatorconfig"
 )
 
 const resendRule = `clients_return = false
@@ -52,7 +52,7 @@
 	p.until("the journal lets go of both", func() bool { return p.journalled() == 0 })
 	p.kill(c)
 	r, totals := p.stored(folder, "a")
-	if totals.States[undelivered.Delivered] != 1 || len(r.Lives) != 2 || r.Last().ID != p.again()[0] || r.Last().Attempts[0].Ran != undelivered.Did {
+	if totals.States[deadletter.Delivered] != 1 || len(r.Lives) != 2 || r.Last().ID != p.again()[0] || r.Last().Attempts[0].Ran != deadletter.Did {
 		t.Errorf("%+v, %+v", totals, r)
 	}
 	close(calls)
@@ -92,7 +92,7 @@
 	p.until("the other one too", func() bool { return len(p.told()) == 2 })
 	p.until("the other one is resent", func() bool { return len(p.again()) > 0 })
 	p.kill(c)
-	if r, _ := p.stored(folder, "ran"); len(r.Lives) != 1 || r.State != undelivered.Held || !strings.Contains(r.Why, "may have run") {
+	if r, _ := p.stored(folder, "ran"); len(r.Lives) != 1 || r.State != deadletter.Held || !strings.Contains(r.Why, "may have run") {
 		t.Errorf("%+v", r)
 	}
 }
@@ -120,7 +120,7 @@
 	p.until("the journal lets go", func() bool { return p.journalled() == 0 })
 	p.kill(c)
 	r, totals := p.stored(folder, "a")
-	if totals.Messages != 1 || r.State != undelivered.Held || r.MayHaveRun() == nil || len(p.again()) != before {
+	if totals.Messages != 1 || r.State != deadletter.Held || r.MayHaveRun() == nil || len(p.again()) != before {
 		t.Errorf("%+v, %d calls more", r, len(p.again())-before)
 	}
 }
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Own, err = operator.Read(p.own); err != nil {
+	if cfg.Own, err = operatorconfig.Read(p.own); err != nil {
 		t.Fatal(err)
 	}
 	if err := Run(t.Context(), cfg, p.dir, nil); err == nil || !strings.Contains(err.Error(), "undelivered.rule[1]: resends order messages that may have run") {
--- a/internal/relay/subjects_test.go
+++ b/internal/relay/subjects_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/journal"
-	"mallowlead/internal/notices"
-	"mallowlead/internal/undelivered"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/wait/waittest"
 )
 
 // parcels has messages of class status tell their parcel in a header and their place in the body, and what was given up
@@ -23,8 +23,8 @@
 `
 
 // parcelsSection is the same, in the store's terms.
-var parcelsSection = undelivered.Section{SubjectsMost: 200_000, SubjectsStick: true, SubjectsSettle: 600,
-	Subjects: []undelivered.Subject{{Class: "status", Header: "Parcel", Order: "number", OrderHeader: "Seq"}}}
+var parcelsSection = deadletter.Section{SubjectsMost: 200_000, SubjectsStick: true, SubjectsSettle: 600,
+	Subjects: []deadletter.Subject{{Class: "status", Header: "Parcel", Order: "number", OrderHeader: "Seq"}}}
 
 // of makes a message one of a parcel.
 func of(parcel, seq string) func(*http.Request) {
@@ -37,7 +37,7 @@
 // longKnown has a store and a journal as if the relay had run with both for an hour.
 func (p *platform) longKnown(folder string) {
 	p.t.Helper()
-	s, err := undelivered.Open(folder, 0, 0)
+	s, err := deadletter.Open(folder, 0, 0)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -71,9 +71,9 @@
 }
 
 // readStore looks into the store of a relay that has ended.
-func (p *platform) readStore(folder string, look func(s *undelivered.Store)) {
+func (p *platform) readStore(folder string, look func(s *deadletter.Store)) {
 	p.t.Helper()
-	s, err := undelivered.OpenToRead(folder)
+	s, err := deadletter.OpenToRead(folder)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -116,12 +116,12 @@
 	p.until("two are resent", func() bool { return len(p.again()) == 2 })
 	p.until("the journal lets go of all", func() bool { return p.journalled() == 0 })
 	p.kill(c)
-	p.readStore(folder, func(s *undelivered.Store) {
+	p.readStore(folder, func(s *deadletter.Store) {
 		for id, want := range map[string]struct {
-			state undelivered.State
+			state deadletter.State
 			why   string
-		}{"old": {undelivered.Superseded, `a newer message of "k-1", new, has overtaken it`}, "other": {undelivered.Delivered, "delivered as again-"},
-			"waits": {undelivered.Superseded, `a newer message of "k-3", newer, has overtaken it`}, "newer": {undelivered.Delivered, "delivered as again-"}} {
+		}{"old": {deadletter.Superseded, `a newer message of "k-1", new, has overtaken it`}, "other": {deadletter.Delivered, "delivered as again-"},
+			"waits": {deadletter.Superseded, `a newer message of "k-3", newer, has overtaken it`}, "newer": {deadletter.Delivered, "delivered as again-"}} {
 			r, err := s.Get(id)
 			if err != nil || r.State != want.state || !strings.HasPrefix(r.Why, want.why) {
 				t.Errorf("%s: %+v, %v", id, r, err)
@@ -167,9 +167,9 @@
 	p.until("the newer one has come", func() bool { return strings.Contains(strings.Join(p.sent(), " "), "new") })
 	p.until("the journal lets go of all", func() bool { return p.journalled() == 0 })
 	p.kill(c)
-	p.readStore(folder, func(s *undelivered.Store) {
+	p.readStore(folder, func(s *deadletter.Store) {
 		r, err := s.Get("old")
-		if err != nil || r.State != undelivered.Superseded || !strings.HasPrefix(r.Why, "new, newer of") {
+		if err != nil || r.State != deadletter.Superseded || !strings.HasPrefix(r.Why, "new, newer of") {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
@@ -204,8 +204,8 @@
 		if len(p.again()) > 0 {
 			t.Errorf("%s: it was resent", name)
 		}
-		p.readStore(folder, func(s *undelivered.Store) {
-			if r, err := s.Get("a"); err != nil || r.State != undelivered.Held || !strings.HasPrefix(r.Why, c.why) {
+		p.readStore(folder, func(s *deadletter.Store) {
+			if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Why, c.why) {
 				t.Errorf("%s: %+v, %v", name, r, err)
 			}
 		})
@@ -219,7 +219,7 @@
 	p.longKnown(folder)
 	p.addHost("h1", 7)
 	known := func() (known bool) {
-		s, err := undelivered.Open(folder, 0, 0)
+		s, err := deadletter.Open(folder, 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,8 +228,8 @@
 		if err := s.Topics(&parcelsSection, false, now); err != nil {
 			t.Fatal(err)
 		}
-		_, known = s.Newer(&undelivered.Record{Class: "status", Partner: 7, Subject: "k-9", Order: &undelivered.Order{Arrival: now.UnixNano()},
-			Lives: []undelivered.Life{{Taken: now}}})
+		_, known = s.Newer(&deadletter.Record{Class: "status", Partner: 7, Subject: "k-9", Order: &deadletter.Order{Arrival: now.UnixNano()},
+			Lives: []deadletter.Life{{Taken: now}}})
 		return known
 	}
 	run := func(own string) {
@@ -266,13 +266,13 @@
 		p.until("another is given up", func() bool { return len(p.told()) == 1 })
 		p.until("that is kept", func() bool { return p.journalled() == 0 })
 		p.kill(c)
-		p.readStore(folder, func(s *undelivered.Store) {
+		p.readStore(folder, func(s *deadletter.Store) {
 			totals, _, err := s.Totals()
 			if err != nil || totals.Refused["order of acme"] != 1 {
 				t.Errorf("%+v, %v", totals, err)
 			}
 			r, err := s.Get("a")
-			if keep != (err == nil) || keep && (r.Last().Reason != undelivered.AtArrival || r.Last().Status != notices.Deferred || len(r.Last().Attempts) > 0) {
+			if keep != (err == nil) || keep && (r.Last().Reason != deadletter.AtArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
 				t.Errorf("kept %v: %+v, %v", keep, r, err)
 			}
 		})
@@ -286,7 +286,7 @@
 	folder := p.keeping("refused = true\n")
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return http.StatusServiceUnavailable }
-	other, err := undelivered.Open(folder, 0, 0) // so that both wait for the store together
+	other, err := deadletter.Open(folder, 0, 0) // so that both wait for the store together
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,7 +300,7 @@
 	p.until("the journal lets go", func() bool { return p.journalled() == 0 })
 	p.kill(c)
 	r, totals := p.stored(folder, "a")
-	if totals.Messages != 1 || r.Last().Reason == undelivered.AtArrival || len(r.Last().Attempts) == 0 {
+	if totals.Messages != 1 || r.Last().Reason == deadletter.AtArrival || len(r.Last().Attempts) == 0 {
 		t.Errorf("%+v, %+v", totals, r)
 	}
 }
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"mallowlead/internal/journal"
-	"mallowlead/internal/trace"
-	"mallowlead/policy"
+	"frostlink/internal/journal"
+	"frostlink/internal/trace"
+	"frostlink/policy"
 )
 
 // This file is what the loop notes in the relay's trace.
--- a/internal/relay/trace_test.go
+++ b/internal/relay/trace_test.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"testing"
 
-	"mallowlead/internal/trace/fleet"
-	"mallowlead/internal/wait/waittest"
+	"frostlink/internal/trace/fleet"
+	"frostlink/internal/wait/waittest"
 )
 
 // A relay that is to trace notes each thing once: its start, asks and lists, messages taken and turned away, calls with
--- a/internal/standby/standby.go
+++ b/internal/servingmode/servingmode.go
@@ -1,11 +1,11 @@
-// Package standby decides how a relay parts from its clients and takes them again, on the operators' word or at a planned
+// Package servingmode decides how a relay parts from its clients and takes them again, on the operators' word or at a planned
 // end. It has no clock and closes nothing: the front asks it with the time.
 //
 // The front layer asks for health every 0.1 s and goes on sending new connections for 0.2 s more; clients use connections
 // for as long as these are open. So health says no at once, what comes is served all the same, every answer is the last
 // on its connection, and connections without a request are closed: soon those that rested, all before closeAll. What
 // begins its request after that came on a connection of its own, and its answer ends it.
-package standby
+package servingmode
 
 import (
 	"sync"
--- a/internal/standby/standby_test.go
+++ b/internal/servingmode/servingmode_test.go
@@ -1,4 +1,4 @@
-package standby
+package servingmode
 
 import (
 	"testing"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"mallowlead/policy"
+	"frostlink/policy"
 )
 
 // Settings are the start-up parameters that the module and the relay need, named as in the object, and those by
--- a/internal/wire/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,9 +1,9 @@
-package wire
+package simadapter
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 // TestGoldenSession: the replies to a session on the simulator's protocol, to the byte.
--- a/internal/wire/wire.go
+++ b/internal/simadapter/simadapter.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's wire and package policy. It decides nothing.
-package wire
+// Package simadapter translates between the simulator's wire and package policy. It decides nothing.
+package simadapter
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"math"
 	"time"
 
-	"mallowlead/internal/settings"
-	"mallowlead/policy"
+	"frostlink/internal/settings"
+	"frostlink/policy"
 )
 
 // maxLine bounds one line of input; a whole list of endpoints is the longest.
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"strings"
--- a/internal/socket/dial.go
+++ b/internal/socket/dial.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"mallowlead/internal/syserr"
-	"mallowlead/internal/wait"
+	"frostlink/internal/syserr"
+	"frostlink/internal/wait"
 )
 
 // leastPause and mostPause bound the pause before a connection is tried again that this machine had no means for: ports, buffers and
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"mallowlead/internal/syserr"
-	"mallowlead/internal/wait"
+	"frostlink/internal/syserr"
+	"frostlink/internal/wait"
 )
 
 // listenWithin bounds how long a start waits for an address that it can't listen on: a relay is to be ready within 10 s.
--- a/internal/socket/patient.go
+++ b/internal/socket/patient.go
@@ -4,7 +4,7 @@
 	"net"
 	"time"
 
-	"mallowlead/internal/syserr"
+	"frostlink/internal/syserr"
 )
 
 const (
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/syserr"
+	"frostlink/internal/syserr"
 )
 
 // Past is a deadline that has passed: set on a connection, it ends what waits there.
--- a/internal/strict/golden_test.go
+++ b/internal/strictconfig/golden_test.go
@@ -1,9 +1,9 @@
-package strict
+package strictconfig
 
 import (
 	"testing"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/strict/strict.go
+++ b/internal/strictconfig/strictconfig.go
@@ -1,8 +1,8 @@
-// Package strict reads TOML files that people write: every unknown key, wrong type and bad value is reported,
+// Package strictconfig reads TOML files that people write: every unknown key, wrong type and bad value is reported,
 // all at once, each with file, line and key. go-toml itself stops at the first wrong type, and BurntSushi/toml
 // keeps the lines of keys to itself; so the document is decoded into plain values and laid over the Go type here,
 // with the lines from go-toml's own parser.
-package strict
+package strictconfig
 
 import (
 	"errors"
--- a/internal/strict/strict_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -1,4 +1,4 @@
-package strict
+package strictconfig
 
 import (
 	"errors"
--- a/internal/seeded/seeded.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package seeded has drawn tests draw the same each time, so that CI gives the same verdict every time.
-package seeded
+// Package testseed has drawn tests draw the same each time, so that CI gives the same verdict every time.
+package testseed
 
 import (
 	"flag"
--- a/internal/trace/fleet/fleet.go
+++ b/internal/trace/fleet/fleet.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"mallowlead/internal/trace"
+	"frostlink/internal/trace"
 )
 
 const (
--- a/internal/trace/fleet/fleet_test.go
+++ b/internal/trace/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/trace"
+	"frostlink/internal/trace"
 )
 
 // logOf writes a relay's log as a relay does.
--- a/internal/trace/fleet/follow_test.go
+++ b/internal/trace/fleet/follow_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"mallowlead/internal/trace"
+	"frostlink/internal/trace"
 )
 
 // logged is a relay's log in short: each line "AT KIND ARGS" with times in milliseconds, for message m unless one is named.
--- a/internal/trace/fleet/read.go
+++ b/internal/trace/fleet/read.go
@@ -10,7 +10,7 @@
 	"sort"
 	"strings"
 
-	"mallowlead/internal/trace"
+	"frostlink/internal/trace"
 )
 
 // maxLine bounds a line of a log, in bytes.
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/goldentest"
+	"frostlink/internal/goldentest"
 )
 
 func TestGoldenLines(t *testing.T) {
--- a/internal/hosts/http1/http1.go
+++ b/internal/upstream/http1/http1.go
@@ -19,10 +19,10 @@
 	"syscall"
 	"time"
 
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/socket"
-	"mallowlead/internal/syserr"
-	"mallowlead/policy"
+	"frostlink/internal/socket"
+	"frostlink/internal/syserr"
+	"frostlink/internal/upstream"
+	"frostlink/policy"
 )
 
 const (
@@ -64,7 +64,7 @@
 	Written func()
 
 	mu    sync.Mutex
-	idle  map[hosts.Target]*shelf
+	idle  map[upstream.Target]*shelf
 	count int // connections, idle or with a call out
 	calls int // under way, from before their connection is had
 	// out are the connections with a call on them. frozen: no call begins, and those out are parked; freeze ends the
@@ -95,7 +95,7 @@
 
 // writing notes that a call's request is written now: within the grace its answer is listened to, also past the end of its
 // message's time where that is told meanwhile, but not for longer than leastGrace: a delivery after that end is none.
-func (c *conn) writing(r *hosts.Request) {
+func (c *conn) writing(r *upstream.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = time.Now().Add(c.grace)
@@ -109,7 +109,7 @@
 }
 
 // timeUp tells that a call is listened to past its message's time: the message's end is due all the same.
-func (c *conn) timeUp(whole context.Context, r *hosts.Request) {
+func (c *conn) timeUp(whole context.Context, r *upstream.Request) {
 	c.mu.Lock()
 	listening := time.Now().Before(c.until)
 	c.mu.Unlock()
@@ -142,18 +142,18 @@
 
 // New has room for so many connections, and keeps idle ones for less than hostIdle.
 func New(connect, hostIdle time.Duration, room int) *Pool {
-	p := &Pool{dialer: socket.Dialer{Dialer: net.Dialer{KeepAlive: -1}, Timeout: connect}, room: room, idle: map[hosts.Target]*shelf{},
+	p := &Pool{dialer: socket.Dialer{Dialer: net.Dialer{KeepAlive: -1}, Timeout: connect}, room: room, idle: map[upstream.Target]*shelf{},
 		keep: time.Duration(idleShare * float64(hostIdle)), out: map[*conn]bool{}}
 	p.dials, p.freeze = context.WithCancel(context.Background())
 	return p
 }
 
 // Call makes one call. When it returns, the call is off the wire: answered, or its connection closed.
-func (p *Pool) Call(ctx context.Context, r hosts.Request) hosts.Result {
+func (p *Pool) Call(ctx context.Context, r upstream.Request) upstream.Result {
 	whole, ctx, cancel := times(ctx, &r)
 	defer cancel()
 	if !p.begin() {
-		return hosts.Result{Outcome: policy.Ignored}
+		return upstream.Result{Outcome: policy.Ignored}
 	}
 	defer p.end()
 	dial := ctx
@@ -165,12 +165,12 @@
 	c, fresh, err := p.get(dial, r.Target)
 	switch {
 	case err != nil && (p.isFrozen() || r.Late()):
-		return hosts.Result{Outcome: policy.Ignored, Fresh: fresh}
+		return upstream.Result{Outcome: policy.Ignored, Fresh: fresh}
 	case syserr.LastsLonger(err) == syserr.Local:
 		slog.Error("call not made", "err", err) // for want of something here: no fault of the host
-		return hosts.Result{Outcome: policy.Ignored}
+		return upstream.Result{Outcome: policy.Ignored}
 	case err != nil:
-		return hosts.Result{Outcome: policy.ConnectError, Fresh: fresh}
+		return upstream.Result{Outcome: policy.ConnectError, Fresh: fresh}
 	}
 	res := p.carry(whole, ctx, c, r, true)
 	res.Fresh = fresh
@@ -178,7 +178,7 @@
 }
 
 // times gives the time of a call's message and, within it, that of the call.
-func times(ctx context.Context, r *hosts.Request) (whole, call context.Context, cancel func()) {
+func times(ctx context.Context, r *upstream.Request) (whole, call context.Context, cancel func()) {
 	if r.Expires.IsZero() {
 		r.Expires = time.Now().Add(r.Timeout)
 	}
@@ -189,10 +189,10 @@
 
 // carry carries a call on a connection, within the time of its message and its own; write is false where the request was
 // written by then.
-func (p *Pool) carry(whole, ctx context.Context, c *conn, r hosts.Request, write bool) hosts.Result {
+func (p *Pool) carry(whole, ctx context.Context, c *conn, r upstream.Request, write bool) upstream.Result {
 	if !p.engage(c, write) {
 		p.put(r.Target, c, true)
-		return hosts.Result{Outcome: policy.Ignored}
+		return upstream.Result{Outcome: policy.Ignored}
 	}
 	c.mu.Lock()
 	c.begun, c.until = false, time.Time{}
@@ -209,27 +209,27 @@
 }
 
 // exchange writes a request and reads its answer; reuse tells whether the connection may carry another.
-func (p *Pool) exchange(whole, ctx context.Context, c *conn, r hosts.Request, write bool) (res hosts.Result, reuse bool) {
+func (p *Pool) exchange(whole, ctx context.Context, c *conn, r upstream.Request, write bool) (res upstream.Result, reuse bool) {
 	if write {
 		// Guards against a connection that came up late, as when a cut link is back: written now, the request would
 		// run again at a host that has forgotten its key, or come in a wait that was told meanwhile.
 		if r.Late() {
-			return hosts.Result{Outcome: policy.Ignored}, c.SetDeadline(time.Time{}) == nil
+			return upstream.Result{Outcome: policy.Ignored}, c.SetDeadline(time.Time{}) == nil
 		}
 		if !r.WriteBy.IsZero() {
 			_ = c.SetWriteDeadline(r.WriteBy)
 			if ctx.Err() != nil { // its deadline was overwritten
-				return hosts.Result{Outcome: policy.ConnectError}, false
+				return upstream.Result{Outcome: policy.ConnectError}, false
 			}
 		}
 		deadline, _ := ctx.Deadline()
 		out, err := encode(r, time.Until(deadline))
 		if err != nil {
-			return hosts.Result{Outcome: policy.ConnectError}, false
+			return upstream.Result{Outcome: policy.ConnectError}, false
 		}
 		c.writing(&r)
 		if n, _ := (socket.Patient{Conn: c.Conn}).Write(out); n < len(out) {
-			return hosts.Result{Outcome: policy.ConnectError}, false // the last byte never left: it can't have run
+			return upstream.Result{Outcome: policy.ConnectError}, false // the last byte never left: it can't have run
 		}
 		if p.Written != nil {
 			p.Written()
@@ -238,7 +238,7 @@
 	c.limit.N = maxAnswer
 	_, err := c.in.Peek(1)
 	if raw, ok := c.Conn.(*net.TCPConn); ok && errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil && p.isFrozen() {
-		return hosts.Result{Parked: raw}, false
+		return upstream.Result{Parked: raw}, false
 	}
 	var resp *http.Response
 	ok := false
@@ -251,18 +251,18 @@
 	switch {
 	case err == nil && resp.StatusCode == http.StatusOK && !ok:
 		// Guards against a 200 that was written when the time was up, and delivers nothing: the message's end is still owed.
-		return hosts.Result{Outcome: policy.TimedOut}, false
+		return upstream.Result{Outcome: policy.TimedOut}, false
 	case err == nil:
 		res = classify(resp)
 	case ok:
 		// The first line said so, and it is true whatever came after it.
-		return hosts.Result{Outcome: policy.OK, Over: true}, false
+		return upstream.Result{Outcome: policy.OK, Over: true}, false
 	case ctx.Err() == nil:
-		return hosts.Result{Outcome: policy.Reset}, false
+		return upstream.Result{Outcome: policy.Reset}, false
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return hosts.Result{Outcome: policy.TimedOut}, false
+		return upstream.Result{Outcome: policy.TimedOut}, false
 	default:
-		return hosts.Result{Outcome: policy.Canceled}, false
+		return upstream.Result{Outcome: policy.Canceled}, false
 	}
 	// What lies behind an answer may be a part of it whose length does not fit: then it is spoilt, and the
 	// request has run.
@@ -272,7 +272,7 @@
 }
 
 // encode writes the request as it goes on the wire.
-func encode(r hosts.Request, wait time.Duration) ([]byte, error) {
+func encode(r upstream.Request, wait time.Duration) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.Addr+"/inbox", bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, err
@@ -335,8 +335,8 @@
 }
 
 // classify reads an outcome from an answer, as the protocol has them.
-func classify(resp *http.Response) hosts.Result {
-	res := hosts.Result{Outcome: policy.Failed}
+func classify(resp *http.Response) upstream.Result {
+	res := upstream.Result{Outcome: policy.Failed}
 	if loads := resp.Header["Server-Load"]; len(loads) == 1 {
 		res.Report = parseReport(loads[0])
 	}
@@ -388,7 +388,7 @@
 }
 
 // get gives an idle connection that is still up, or a fresh one.
-func (p *Pool) get(ctx context.Context, t hosts.Target) (c *conn, fresh bool, err error) {
+func (p *Pool) get(ctx context.Context, t upstream.Target) (c *conn, fresh bool, err error) {
 	p.mu.Lock()
 	home := p.idle[t]
 	if home == nil {
@@ -433,7 +433,7 @@
 }
 
 // put takes a connection back after a call, and keeps it for the next where it may carry one.
-func (p *Pool) put(t hosts.Target, c *conn, reuse bool) {
+func (p *Pool) put(t upstream.Target, c *conn, reuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !reuse || p.idle[t] != c.home {
@@ -470,7 +470,7 @@
 }
 
 // CloseIdle closes the idle connections to a host.
-func (p *Pool) CloseIdle(t hosts.Target) {
+func (p *Pool) CloseIdle(t upstream.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.idle[t]; s != nil {
@@ -479,7 +479,7 @@
 }
 
 // Forget closes the idle connections to a host that is gone, and keeps none that is out.
-func (p *Pool) Forget(t hosts.Target) {
+func (p *Pool) Forget(t upstream.Target) {
 	p.CloseIdle(t)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hosts/http1/http1_test.go
+++ b/internal/upstream/http1/http1_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/wait/waittest"
-	"mallowlead/policy"
+	"frostlink/internal/upstream"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
 )
 
 // rawHost serves each connection to a host by a function.
@@ -65,8 +65,8 @@
 
 func testPool() *Pool { return New(time.Second, 10*time.Second, 4) }
 
-func testCall(addr string) hosts.Request {
-	return hosts.Request{Target: hosts.Target{Host: "h", Addr: addr}, ID: "m1", Key: "k1", Body: []byte("a\x00b"), Timeout: waittest.Long}
+func testCall(addr string) upstream.Request {
+	return upstream.Request{Target: upstream.Target{Host: "h", Addr: addr}, ID: "m1", Key: "k1", Body: []byte("a\x00b"), Timeout: waittest.Long}
 }
 
 func TestOutcomes(t *testing.T) {
@@ -86,37 +86,37 @@
 	tests := []struct {
 		name string
 		addr string
-		want hosts.Result
+		want upstream.Result
 	}{
-		{"delivered", reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), hosts.Result{Outcome: policy.OK, Over: true}},
+		{"delivered", reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), upstream.Result{Outcome: policy.OK, Over: true}},
 		{"an interim answer ahead", reply("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
-			hosts.Result{Outcome: policy.OK, Over: true}},
-		{"error", reply("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), hosts.Result{Outcome: policy.Failed}},
+			upstream.Result{Outcome: policy.OK, Over: true}},
+		{"error", reply("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: policy.Failed}},
 		{"told to wait", reply("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n"),
-			hosts.Result{Outcome: policy.QueueFull, Wait: 250 * time.Millisecond}},
+			upstream.Result{Outcome: policy.QueueFull, Wait: 250 * time.Millisecond}},
 		// Before, a wait was cut to the life of a message, and what came after that was sent within it.
 		{"told to wait for long", reply("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 3600000\r\nContent-Length: 0\r\n\r\n"),
-			hosts.Result{Outcome: policy.QueueFull, Wait: time.Hour}},
-		{"turned away", reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), hosts.Result{Outcome: policy.QueueFull}},
-		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), hosts.Result{Outcome: policy.Ignored}},
-		{"attempts spent", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), hosts.Result{Outcome: policy.Ignored, Spent: true}},
-		{"over", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), hosts.Result{Outcome: policy.Ignored, Over: true}},
-		{"connection refused", closed.Addr().String(), hosts.Result{Outcome: policy.ConnectError}},
-		{"closed with no answer", readThen(func(net.Conn) {}), hosts.Result{Outcome: policy.Reset}},
-		{"reset", readThen(func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }), hosts.Result{Outcome: policy.Reset}},
+			upstream.Result{Outcome: policy.QueueFull, Wait: time.Hour}},
+		{"turned away", reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: policy.QueueFull}},
+		{"no slot", reply("HTTP/1.1 503 No\r\nX-No-Slot: 1\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: policy.Ignored}},
+		{"attempts spent", reply("HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: policy.Ignored, Spent: true}},
+		{"over", reply("HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: policy.Ignored, Over: true}},
+		{"connection refused", closed.Addr().String(), upstream.Result{Outcome: policy.ConnectError}},
+		{"closed with no answer", readThen(func(net.Conn) {}), upstream.Result{Outcome: policy.Reset}},
+		{"reset", readThen(func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0) }), upstream.Result{Outcome: policy.Reset}},
 		{"a head without end", readThen(func(c net.Conn) {
 			_, err := io.WriteString(c, "HTTP/1.1 503 No\r\n")
 			for err == nil {
 				_, err = io.WriteString(c, "X-More: and more\r\n")
 			}
-		}), hosts.Result{Outcome: policy.Reset}},
+		}), upstream.Result{Outcome: policy.Reset}},
 		{"a body without end", readThen(func(c net.Conn) {
 			_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			for err == nil {
 				_, err = io.WriteString(c, strings.Repeat("more", 1000))
 			}
-		}), hosts.Result{Outcome: policy.OK, Over: true}},
-		{"no HTTP", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "what?\r\n\r\n") }), hosts.Result{Outcome: policy.Reset}},
+		}), upstream.Result{Outcome: policy.OK, Over: true}},
+		{"no HTTP", readThen(func(c net.Conn) { _, _ = io.WriteString(c, "what?\r\n\r\n") }), upstream.Result{Outcome: policy.Reset}},
 	}
 	for _, tt := range tests {
 		tt.want.Fresh = true
@@ -129,15 +129,15 @@
 // Spoilt answers have run, but for a first line that says 200, and their connections carry no further call.
 // Before, a broken 503 counted as proof that a message never ran.
 func TestSpoiltAnswers(t *testing.T) {
-	ok, reset := hosts.Result{Outcome: policy.OK, Over: true}, hosts.Result{Outcome: policy.Reset}
+	ok, reset := upstream.Result{Outcome: policy.OK, Over: true}, upstream.Result{Outcome: policy.Reset}
 	const no, wait = "HTTP/1.1 503 No\r\n", "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 1e18\r\n"
 	tests := []struct {
 		name, text string
-		want       hosts.Result
+		want       upstream.Result
 	}{
 		{"a head that can't be read", no + "what?\x00\r\n\r\n", reset},
 		{"a length that is too long", no + "Content-Length: 9\r\n\r\nabc", reset},
-		{"a length that is too short", no + "Content-Length: 1\r\n\r\nabc", hosts.Result{Outcome: policy.QueueFull, Doubtful: true}},
+		{"a length that is too short", no + "Content-Length: 1\r\n\r\nabc", upstream.Result{Outcome: policy.QueueFull, Doubtful: true}},
 		{"a length that is no number", no + "Content-Length: x\r\n\r\n", reset},
 		{"3 GB", no + "Content-Length: 3000000000\r\n\r\nabc", reset},
 		{"over, but broken", "HTTP/1.1 410 No\r\nContent-Length: 9\r\n\r\nabc", reset},
@@ -146,9 +146,9 @@
 		{"delivered, a head without end", "HTTP/1.1 200 OK\r\nA: b\r\n", ok},
 		{"not quite delivered", "HTTP/1.1 2000 OK\r\n\r\n", reset},
 		{"a good answer and a copy", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-			hosts.Result{Outcome: policy.OK, Over: true, Doubtful: true}},
+			upstream.Result{Outcome: policy.OK, Over: true, Doubtful: true}},
 		{"interim ones and an absurd wait", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\n\r\n" + wait +
-			"Content-Length: 0\r\n\r\n", hosts.Result{Outcome: policy.QueueFull, Wait: mostWait}},
+			"Content-Length: 0\r\n\r\n", upstream.Result{Outcome: policy.QueueFull, Wait: mostWait}},
 		{"interim ones without end", strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 100), reset},
 	}
 	for _, tt := range tests {
@@ -181,11 +181,11 @@
 		}
 	})
 	p := testPool()
-	done := make(chan hosts.Result, 1)
+	done := make(chan upstream.Result, 1)
 	go func() { done <- p.Call(t.Context(), testCall(addr)) }()
 	for end := time.Now().Add(waittest.Long); conns.Load() == 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	p.Forget(hosts.Target{Host: "h", Addr: addr})
+	p.Forget(upstream.Target{Host: "h", Addr: addr})
 	close(release)
 	if got := waittest.Receive(t, done); got.Outcome != policy.OK || p.count != 0 {
 		t.Errorf("%+v, %d connections kept", got, p.count)
@@ -349,10 +349,10 @@
 			t.Errorf("%d connections, room for 2", p.count)
 		}
 	}
-	if kept := p.idle[hosts.Target{Host: "h", Addr: addrs[0]}].conns; len(kept) != 0 {
+	if kept := p.idle[upstream.Target{Host: "h", Addr: addrs[0]}].conns; len(kept) != 0 {
 		t.Error("the oldest was kept")
 	}
-	p.CloseIdle(hosts.Target{Host: "h", Addr: addrs[1]})
+	p.CloseIdle(upstream.Target{Host: "h", Addr: addrs[1]})
 	if p.count != 1 {
 		t.Errorf("after closing one host's: %d", p.count)
 	}
--- a/internal/hosts/http1/instant_test.go
+++ b/internal/upstream/http1/instant_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/wait/waittest"
-	"mallowlead/policy"
+	"frostlink/internal/upstream"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
 )
 
 // lateReader is a connection that is read only once its deadline has been set: as where a process got no turn between the
@@ -57,19 +57,19 @@
 	const wait = "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 	for _, tt := range []struct {
 		name, text string
-		want       hosts.Result
+		want       upstream.Result
 		timeUp     bool // in place of being called off
 	}{
-		{"delivered", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", hosts.Result{Outcome: policy.OK, Over: true}, false},
-		{"told to wait", wait, hosts.Result{Outcome: policy.QueueFull, Wait: 900 * time.Millisecond}, false},
-		{"told to wait, time up", wait, hosts.Result{Outcome: policy.QueueFull, Wait: 900 * time.Millisecond}, true},
+		{"delivered", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", upstream.Result{Outcome: policy.OK, Over: true}, false},
+		{"told to wait", wait, upstream.Result{Outcome: policy.QueueFull, Wait: 900 * time.Millisecond}, false},
+		{"told to wait, time up", wait, upstream.Result{Outcome: policy.QueueFull, Wait: 900 * time.Millisecond}, true},
 		// One may have come in time, and may not: the message's end is told, which does no harm to one that is over.
-		{"200, time up", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", hosts.Result{Outcome: policy.TimedOut}, true},
-		{"200 and no end, time up", "HTTP/1.1 200 OK\r\nContent-", hosts.Result{Outcome: policy.TimedOut}, true},
-		{"delivered, and no end of it", "HTTP/1.1 200 OK\r\nContent-", hosts.Result{Outcome: policy.OK, Over: true}, false},
-		{"nothing", "", hosts.Result{Outcome: policy.Canceled}, false},
-		{"nothing, time up", "", hosts.Result{Outcome: policy.TimedOut}, true},
-		{"less than a first line", "HTTP/1.1 4", hosts.Result{Outcome: policy.Canceled}, false},
+		{"200, time up", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", upstream.Result{Outcome: policy.TimedOut}, true},
+		{"200 and no end, time up", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.TimedOut}, true},
+		{"delivered, and no end of it", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.OK, Over: true}, false},
+		{"nothing", "", upstream.Result{Outcome: policy.Canceled}, false},
+		{"nothing, time up", "", upstream.Result{Outcome: policy.TimedOut}, true},
+		{"less than a first line", "HTTP/1.1 4", upstream.Result{Outcome: policy.Canceled}, false},
 	} {
 		written := make(chan bool)
 		addr := rawHost(t, func(c net.Conn) {
@@ -90,7 +90,7 @@
 		if tt.timeUp {
 			ctx.err = context.DeadlineExceeded
 		}
-		got := make(chan hosts.Result)
+		got := make(chan upstream.Result)
 		go func() {
 			p.count++
 			got <- p.carry(ctx, ctx, newConn(&lateReader{TCPConn: raw.(*net.TCPConn), set: make(chan bool)}, &shelf{}), r, true)
--- a/internal/hosts/http1/park.go
+++ b/internal/upstream/http1/park.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/socket"
+	"frostlink/internal/socket"
+	"frostlink/internal/upstream"
 )
 
 // This file parks calls that wait for their answers, so that another process of the relay can wait for them, and hands
@@ -18,7 +18,7 @@
 
 // Idle is an idle connection to a host.
 type Idle struct {
-	hosts.Target
+	upstream.Target
 	Conn  *net.TCPConn
 	Since time.Time
 }
@@ -143,13 +143,13 @@
 }
 
 // Resume waits for the answer to a call whose request was written, on the connection on which it was.
-func (p *Pool) Resume(ctx context.Context, r hosts.Request, raw *net.TCPConn) hosts.Result {
+func (p *Pool) Resume(ctx context.Context, r upstream.Request, raw *net.TCPConn) upstream.Result {
 	whole, ctx, cancel := times(ctx, &r)
 	defer cancel()
 	p.mu.Lock()
 	if p.frozen {
 		p.mu.Unlock()
-		return hosts.Result{Parked: raw}
+		return upstream.Result{Parked: raw}
 	}
 	p.calls++
 	p.count++
--- a/internal/hosts/http1/refusal_test.go
+++ b/internal/upstream/http1/refusal_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/hosts"
-	"mallowlead/internal/wait/waittest"
-	"mallowlead/policy"
+	"frostlink/internal/upstream"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
 )
 
 // givenUp is a connection that tells, once it is watched, when it is read for longer than its call lasts.
@@ -40,22 +40,22 @@
 		wait = "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 		ok   = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	)
-	turned := hosts.Result{Outcome: policy.QueueFull, Wait: 900 * time.Millisecond}
-	timedOut := hosts.Result{Outcome: policy.TimedOut}
+	turned := upstream.Result{Outcome: policy.QueueFull, Wait: 900 * time.Millisecond}
+	timedOut := upstream.Result{Outcome: policy.TimedOut}
 	for _, tt := range []struct {
 		name, text string
 		err        error // why the call is given up
 		over       bool  // its message's time is up as well
 		grace      time.Duration
-		want       hosts.Result
+		want       upstream.Result
 	}{
 		{"called off, told to wait", wait, context.Canceled, false, waittest.Long, turned},
 		{"timed out, told to wait", wait, context.DeadlineExceeded, false, waittest.Long, turned},
-		{"timed out, delivered", ok, context.DeadlineExceeded, false, waittest.Long, hosts.Result{Outcome: policy.OK, Over: true}},
+		{"timed out, delivered", ok, context.DeadlineExceeded, false, waittest.Long, upstream.Result{Outcome: policy.OK, Over: true}},
 		{"time up, told to wait", wait, context.DeadlineExceeded, true, waittest.Long, turned},
 		{"time up, 200", ok, context.DeadlineExceeded, true, waittest.Long, timedOut},
 		{"timed out, nothing", "", context.DeadlineExceeded, false, time.Millisecond, timedOut},
-		{"called off, nothing", "", context.Canceled, false, time.Millisecond, hosts.Result{Outcome: policy.Canceled}},
+		{"called off, nothing", "", context.Canceled, false, time.Millisecond, upstream.Result{Outcome: policy.Canceled}},
 	} {
 		read, up, closed := make(chan bool), make(chan bool, 1), make(chan bool)
 		addr := rawHost(t, func(c net.Conn) {
@@ -86,7 +86,7 @@
 		given := &givenUp{TCPConn: raw.(*net.TCPConn), longer: make(chan bool, 1)}
 		c := newConn(given, &shelf{})
 		c.grace = tt.grace
-		got := make(chan hosts.Result, 1)
+		got := make(chan upstream.Result, 1)
 		go func() {
 			p.count++
 			got <- p.carry(whole, ctx, c, r, true)
@@ -94,7 +94,7 @@
 		waittest.Receive(t, read)
 		given.watched.Store(true)
 		close(ctx.done)
-		var res hosts.Result
+		var res upstream.Result
 		select {
 		case <-given.longer:
 			if tt.over {
@@ -131,7 +131,7 @@
 		{"nobody is told", mostGrace, 10 * time.Millisecond, false, 10 * time.Millisecond},
 	} {
 		before := time.Now()
-		r := hosts.Request{Expires: before.Add(tt.left)}
+		r := upstream.Request{Expires: before.Add(tt.left)}
 		if tt.told {
 			r.TimeUp = func() {}
 		}
--- a/internal/hosts/http1/writeby_test.go
+++ b/internal/upstream/http1/writeby_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"mallowlead/internal/hosts"
-	"mallowlead/policy"
+	"frostlink/internal/upstream"
+	"frostlink/policy"
 )
 
 // A request whose last moment passes while its connection is made, or has passed, is not written: it never ran. The connection
@@ -27,7 +27,7 @@
 		}
 	})
 	p := testPool()
-	unwritten := hosts.Result{Outcome: policy.Ignored, Fresh: true}
+	unwritten := upstream.Result{Outcome: policy.Ignored, Fresh: true}
 	slow := testCall(addr)
 	slow.WriteBy = time.Now().Add(20 * time.Millisecond)
 	p.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
@@ -49,7 +49,7 @@
 	p.dialer.ControlContext = nil
 	inTime := testCall(addr)
 	inTime.WriteBy = time.Now().Add(time.Minute)
-	for _, r := range []hosts.Request{inTime, testCall(addr)} {
+	for _, r := range []upstream.Request{inTime, testCall(addr)} {
 		if got := p.Call(t.Context(), r); got.Outcome != policy.OK {
 			t.Errorf("in time: %+v", got)
 		}
--- a/internal/hosts/http2/streams_test.go
+++ b/internal/upstream/http2/streams_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
+	"frostlink/internal/testseed"
 	"golang.org/x/net/http2"
-	"mallowlead/internal/seeded"
 	"pgregory.net/rapid"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // peer is a core with one call of a body of 10 bytes, as far as a test lets it go.
 type peer struct {
--- a/internal/hosts/hosts.go
+++ b/internal/upstream/upstream.go
@@ -1,12 +1,12 @@
-// Package hosts has the terms in which calls to hosts are made, whatever their protocol.
-package hosts
+// Package upstream has the terms in which calls to hosts are made, whatever their protocol.
+package upstream
 
 import (
 	"net"
 	"sync/atomic"
 	"time"
 
-	"mallowlead/policy"
+	"frostlink/policy"
 )
 
 // Target is a host at an address: another host may come to the same address.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"mallowlead/policy"
+	"frostlink/policy"
 )
 
 func Example() {
--- a/policy/main_test.go
+++ b/policy/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"mallowlead/internal/seeded"
+	"frostlink/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"mallowlead/policy"
+	"frostlink/policy"
 )
 
 const answerSlack = 20 * time.Millisecond
