--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -137,42 +137,42 @@
 	var b strings.Builder
 	say := func(format string, args ...any) { fmt.Fprintf(&b, format, args...) }
 	switch e.Kind {
-	case trace.Take, trace.Turn:
-		say("%s", map[trace.Kind]string{trace.Take: "taken on", trace.Turn: "refused at its arrival"}[e.Kind])
-		if e.Due > 0 {
-			say(", %.3f s to go", (e.Due-e.At)/1000)
+	case trace.Accepted, trace.Rejected:
+		say("%s", map[trace.Kind]string{trace.Accepted: "taken on", trace.Rejected: "refused at its arrival"}[e.Kind])
+		if e.Deadline > 0 {
+			say(", %.3f s to go", (e.Deadline-e.At)/1000)
 		}
-		if e.Kind == trace.Turn && e.Ms > 0 {
+		if e.Kind == trace.Rejected && e.Ms > 0 {
 			say(", told to stay away for %.3f s", e.Ms/1000)
 		}
 		say("%s", retries(e.Retry))
-	case trace.Again:
+	case trace.Resubmitted:
 		say("handed in once more, answered %d%s", e.Count, retries(e.Retry))
-	case trace.Send:
-		say("call %d to %s", e.Count, e.Host)
-	case trace.Answer:
-		say("call %d to %s: %s after %.1f ms", e.Count, e.Host, e.How, e.Ms)
-		if e.Fresh {
+	case trace.AttemptStarted:
+		say("call %d to %s", e.Count, e.Endpoint)
+	case trace.AttemptEnded:
+		say("call %d to %s: %s after %.1f ms", e.Count, e.Endpoint, e.Outcome, e.Ms)
+		if e.NewConn {
 			say(", on a new connection")
 		}
 		if e.Limit > 0 {
 			say(", %.2f of %.1f a second left", e.Left, e.Limit)
 		}
-	case trace.End:
-		say("%s, at an age of %.3f s", e.How, e.Ms/1000)
+	case trace.Completed:
+		say("%s, at an age of %.3f s", e.Outcome, e.Ms/1000)
 		if e.Late {
 			say(", late")
 		}
-	case trace.Resume:
+	case trace.Recovered:
 		say("taken up from the journal after %d calls", e.Count)
-		if e.How != "" {
-			say(", owed its notice: %s", e.How)
+		if e.Outcome != "" {
+			say(", owed its notice: %s", e.Outcome)
 		}
-	case trace.Notice:
+	case trace.Notified:
 		say("the platform has its notice")
-	case trace.Start:
+	case trace.RelayStarted:
 		say("the relay starts")
-	case trace.Stop:
+	case trace.ShutdownRequested:
 		say("the relay is told to end")
 	default:
 		say("%s", e.Kind)
--- a/cmd/frostlinkctl/rehearse.go
+++ b/cmd/frostlinkctl/rehearse.go
@@ -116,10 +116,10 @@
 		Example: "  frostlinkctl rehearse check scenarios/*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			found := strictconfig.Problems{}
+			found := strictconfig.FieldErrors{}
 			for _, path := range args {
 				s, err := readScript(path)
-				var bad strictconfig.Problems
+				var bad strictconfig.FieldErrors
 				switch {
 				case errors.As(err, &bad):
 					found = append(found, bad...)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,7 +16,7 @@
 
 // told is a relay that notes what it is told.
 type told struct {
-	book  *Book
+	book  *Metrics
 	takes atomic.Bool
 	words atomic.Pointer[string]
 }
@@ -24,14 +24,14 @@
 func (r *told) Status() (bool, string)   { return r.takes.Load(), "so" }
 func (r *told) Standby()                 { s := "standby"; r.words.Store(&s) }
 func (r *told) Active()                  { s := "active"; r.words.Store(&s) }
-func (r *told) Figures() ([]byte, error) { return r.book.JSON() }
+func (r *told) Metrics() ([]byte, error) { return r.book.JSON() }
 
 func (r *told) Violations() map[string]int64 { return map[string]int64{"end_twice": 3} }
 
 // testDoor opens a door with so much room.
 func testDoor(t *testing.T, room int) (r *told, addr string) {
 	t.Helper()
-	r = &told{book: NewBook([]string{"C"})}
+	r = &told{book: NewMetrics([]string{"C"})}
 	r.takes.Store(true)
 	d := New(r, room)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,18 +132,18 @@
 	r, addr := testDoor(t, 8)
 	b := r.book
 	for range 5 {
-		b.Taken()
+		b.Accepted()
 	}
-	b.Ended("C", Success, true)
-	b.Ended("C", Busy, true)
-	b.Ended("D", Busy, false) // refused at its arrival; a class that came later
-	b.Ended("C", Failure, true)
+	b.Completed("C", Success, true)
+	b.Completed("C", Shed, true)
+	b.Completed("D", Shed, false) // refused at its arrival; a class that came later
+	b.Completed("C", Failure, true)
 	b.Reconfigured(true)
 	b.Reconfigured(false)
-	b.Calls.Add(4)
-	old := b.Read()
-	b.Show(Gauges{HostsListed: 3, HostsDown: 1})
-	if old.Inflight != 0 || old.Ended[Success][0] != 0 {
+	b.AttemptsSent.Add(4)
+	old := b.Snapshot()
+	b.Publish(Gauges{EndpointsListed: 3, EndpointsUnhealthy: 1})
+	if old.InFlight != 0 || old.Completed[Success][0] != 0 {
 		t.Errorf("a snapshot has changed: %+v", old)
 	}
 	resp, err := http.Get("http://" + addr + "/status/metrics")
@@ -165,16 +165,16 @@
 // A process that has handed its relay over shows for its last moment what there was; if the relay comes back to it, it
 // counts from nothing.
 func TestGiven(t *testing.T) {
-	b := NewBook([]string{"C"})
-	b.Taken()
-	b.Taken()
-	b.Show(Gauges{HostsListed: 3})
-	if b.Given(); b.Read().Inflight != 2 || b.Read().HostsListed != 3 {
-		t.Errorf("handed over, it shows %+v", b.Read())
+	b := NewMetrics([]string{"C"})
+	b.Accepted()
+	b.Accepted()
+	b.Publish(Gauges{EndpointsListed: 3})
+	if b.HandedOver(); b.Snapshot().InFlight != 2 || b.Snapshot().EndpointsListed != 3 {
+		t.Errorf("handed over, it shows %+v", b.Snapshot())
 	}
-	b.Taken()
-	if b.Show(Gauges{}); b.Read().Inflight != 1 {
-		t.Errorf("with the relay back and one message it shows %d in flight", b.Read().Inflight)
+	b.Accepted()
+	if b.Publish(Gauges{}); b.Snapshot().InFlight != 1 {
+		t.Errorf("with the relay back and one message it shows %d in flight", b.Snapshot().InFlight)
 	}
 }
 
@@ -184,7 +184,7 @@
 	asked, free chan bool
 }
 
-func (r *slow) Figures() ([]byte, error) {
+func (r *slow) Metrics() ([]byte, error) {
 	r.asked <- true
 	<-r.free
 	return []byte("{}"), nil
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -7,19 +7,19 @@
 )
 
 func TestGoldenFigures(t *testing.T) {
-	b := NewBook([]string{"fee-payment", "parcel-status"})
-	b.Know("extra")
+	b := NewMetrics([]string{"fee-payment", "parcel-status"})
+	b.AddClass("extra")
 	for range 7 {
-		b.Taken()
+		b.Accepted()
 	}
-	b.Ended("fee-payment", Success, true)
-	b.Ended("fee-payment", Busy, false)
-	b.Ended("parcel-status", Failure, true)
+	b.Completed("fee-payment", Success, true)
+	b.Completed("fee-payment", Shed, false)
+	b.Completed("parcel-status", Failure, true)
 	b.Reconfigured(true)
 	b.Reconfigured(false)
 	b.Reconfigured(false)
-	b.Calls.Add(9)
-	b.Show(Gauges{4, 1})
+	b.AttemptsSent.Add(9)
+	b.Publish(Gauges{4, 1})
 	out, err := b.JSON()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -36,14 +36,14 @@
 	// Standby sends clients away, and Active takes them again; both may be said at any time, and again.
 	Standby()
 	Active()
-	// Figures gives the figures as JSON.
-	Figures() ([]byte, error)
+	// Metrics gives the figures as JSON.
+	Metrics() ([]byte, error)
 	// Violations gives how often invariants were violated, by kind.
 	Violations() map[string]int64
 }
 
-// Door serves operators.
-type Door struct {
+// Server serves operators.
+type Server struct {
 	relay Relay
 	room  int // connections at most
 	http  http.Server
@@ -57,14 +57,14 @@
 // caller is a connection from an operator.
 type caller struct {
 	net.Conn
-	door  *Door
+	door  *Server
 	asked bool // its call was read: it is answered at once, and never closed to make room; guarded by the door's lock
 }
 
 // New makes a door; at most room connections are held. One more takes the place of the oldest that has said no whole call,
 // so that callers who say nothing shut nobody out.
-func New(relay Relay, room int) *Door {
-	d := &Door{relay: relay, room: room, lastCalls: lastCalls}
+func New(relay Relay, room int) *Server {
+	d := &Server{relay: relay, room: room, lastCalls: lastCalls}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		takes, state := relay.Status()
@@ -94,8 +94,8 @@
 	_, _ = io.WriteString(w, text+word+"\n")
 }
 
-func (d *Door) figures(w http.ResponseWriter, _ *http.Request) {
-	out, err := d.relay.Figures()
+func (d *Server) figures(w http.ResponseWriter, _ *http.Request) {
+	out, err := d.relay.Metrics()
 	if err != nil {
 		slog.Error("figures", "err", err)
 		answer(w, false, "no figures")
@@ -106,13 +106,13 @@
 }
 
 // violations answers with the counts of violated invariants as JSON: all are 0 unless the program has a fault.
-func (d *Door) violations(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) violations(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{"violations": d.relay.Violations()})
 }
 
 // heard notes that a call was read, and bounds its body.
-func (d *Door) heard(next http.Handler) http.Handler {
+func (d *Server) heard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(callerKey{}).(*caller); ok {
 			d.mu.Lock()
@@ -125,7 +125,7 @@
 }
 
 // Serve answers calls until the listener is closed.
-func (d *Door) Serve(l net.Listener) error {
+func (d *Server) Serve(l net.Listener) error {
 	err := d.http.Serve(&guarded{l, d})
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
@@ -135,7 +135,7 @@
 
 // Close ends the door: calls that are being answered get their answers, within lastCalls. It guards against a read of figures that is
 // reset as its process ends, or hands over.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.lastCalls)
 	defer cancel()
 	if d.http.Shutdown(ctx) != nil {
@@ -146,7 +146,7 @@
 // guarded is a listener that keeps to the room.
 type guarded struct {
 	net.Listener
-	door *Door
+	door *Server
 }
 
 // Accept takes the next caller. It fails only when the listener is closed: the want of a descriptor passes.
@@ -168,7 +168,7 @@
 }
 
 // admit makes room for a caller; nil where all that are held are being answered.
-func (d *Door) admit(raw net.Conn) *caller {
+func (d *Server) admit(raw net.Conn) *caller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.conns) >= d.room {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -28,17 +28,17 @@
 // IsZero tells whether it is none.
 func (i Instant) IsZero() bool { return i == 0 }
 
-// Calendar gives the instant as a date, for records and people. It has no monotonic reading: spans to time.Now are not to be
+// Time gives the instant as a date, for records and people. It has no monotonic reading: spans to time.Now are not to be
 // taken from it.
-func (i Instant) Calendar() time.Time {
+func (i Instant) Time() time.Time {
 	if i.IsZero() {
 		return time.Time{}
 	}
 	return time.Unix(0, int64(i)).UTC()
 }
 
-// FromCalendar is the instant of a date that Calendar gave.
-func FromCalendar(t time.Time) Instant {
+// FromTime is the instant of a date that Calendar gave.
+func FromTime(t time.Time) Instant {
 	if t.IsZero() {
 		return 0
 	}
@@ -52,7 +52,7 @@
 func FromMilliseconds(ms int64) Instant { return Instant(ms * int64(time.Millisecond)) }
 
 // MarshalJSON writes an instant as a date (RFC 3339), as programs before this package wrote wall times.
-func (i Instant) MarshalJSON() ([]byte, error) { return i.Calendar().MarshalJSON() }
+func (i Instant) MarshalJSON() ([]byte, error) { return i.Time().MarshalJSON() }
 
 // UnmarshalJSON reads what MarshalJSON wrote.
 func (i *Instant) UnmarshalJSON(raw []byte) error {
@@ -60,7 +60,7 @@
 	if err := t.UnmarshalJSON(raw); err != nil {
 		return err
 	}
-	*i = FromCalendar(t)
+	*i = FromTime(t)
 	return nil
 }
 
@@ -109,26 +109,26 @@
 // Anchor is what a later process needs to go on with this timeline.
 func (t *Timeline) Anchor() Anchor { return t.anchor }
 
-// Continued tells whether an earlier process's timeline goes on: spans from its instants to those of this one are exact.
-func (t *Timeline) Continued() bool { return t.continued }
+// SameBoot tells whether an earlier process's timeline goes on: spans from its instants to those of this one are exact.
+func (t *Timeline) SameBoot() bool { return t.continued }
 
 // Now is the present instant.
 func (t *Timeline) Now() Instant { return t.at.Add(time.Since(t.started)) }
 
-// Of gives the instant of a time that was read in this process. One without a monotonic reading was not, and is counted: its
+// InstantOf gives the instant of a time that was read in this process. One without a monotonic reading was not, and is counted: its
 // distance to the wall clock as of the start is no span.
-func (t *Timeline) Of(read time.Time) Instant {
+func (t *Timeline) InstantOf(read time.Time) Instant {
 	if read == read.Round(0) {
 		t.mixed.Add(1)
 	}
 	return t.at.Add(read.Sub(t.started))
 }
 
-// Mixed is how often Of was given a time that was not read in this process, since it was last asked.
-func (t *Timeline) Mixed() int64 { return t.mixed.Swap(0) }
+// MixedReadings is how often Of was given a time that was not read in this process, since it was last asked.
+func (t *Timeline) MixedReadings() int64 { return t.mixed.Swap(0) }
 
-// Moment gives an instant as a time of this process, for deadlines of sockets and contexts: it has a monotonic reading.
-func (t *Timeline) Moment(i Instant) time.Time { return t.started.Add(i.Sub(t.at)) }
+// TimeOf gives an instant as a time of this process, for deadlines of sockets and contexts: it has a monotonic reading.
+func (t *Timeline) TimeOf(i Instant) time.Time { return t.started.Add(i.Sub(t.at)) }
 
 // ahead is how far the wall clock is ahead of the timeline.
 func (t *Timeline) ahead() time.Duration {
@@ -141,17 +141,17 @@
 // leastStep is the smallest change of the wall clock that counts as a step: clocks that are slewed move by less in a second.
 const leastStep = 100 * time.Millisecond
 
-// StepWatch notices steps of the wall clock, so that logs from before and after one can be put in order.
-type StepWatch struct {
+// StepDetector notices steps of the wall clock, so that logs from before and after one can be put in order.
+type StepDetector struct {
 	timeline *Timeline
 	ahead    time.Duration
 }
 
-// NewStepWatch makes a watch. Where a timeline goes on from an earlier process, a step since its anchor counts as one now.
-func NewStepWatch(t *Timeline) *StepWatch { return &StepWatch{timeline: t} }
+// NewStepDetector makes a watch. Where a timeline goes on from an earlier process, a step since its anchor counts as one now.
+func NewStepDetector(t *Timeline) *StepDetector { return &StepDetector{timeline: t} }
 
-// Look tells how far the wall clock was stepped since the last look, and logs it.
-func (w *StepWatch) Look() (step time.Duration, stepped bool) {
+// Check tells how far the wall clock was stepped since the last look, and logs it.
+func (w *StepDetector) Check() (step time.Duration, stepped bool) {
 	ahead := w.timeline.ahead()
 	step = ahead - w.ahead
 	if step.Abs() < leastStep {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -38,14 +38,14 @@
 				if got, want := timeline.at.Sub(at), m.since-begun; got != want {
 					t.Fatalf("%v passed, and %v by the timeline", want, got)
 				}
-				if !timeline.Continued() {
+				if !timeline.SameBoot() {
 					t.Fatal("a restart does not continue the timeline")
 				}
 			case "reboot":
 				anchor, latest := timeline.Anchor(), at
 				m.boot, m.since = m.boot+"'", time.Second
 				timeline = resume(&anchor, latest, m.sources())
-				if timeline.at.Sub(latest) < 0 || timeline.Continued() {
+				if timeline.at.Sub(latest) < 0 || timeline.SameBoot() {
 					t.Fatalf("after a reboot the timeline is at %v, and was at %v", timeline.at, latest)
 				}
 				begun, at = m.since, timeline.at
@@ -65,7 +65,7 @@
 	if err := json.Unmarshal(raw, &read); err != nil {
 		t.Fatal(err)
 	}
-	if m := timeline.Moment(read); m == m.Round(0) {
+	if m := timeline.TimeOf(read); m == m.Round(0) {
 		t.Error("there is none")
 	}
 	if left := read.Sub(timeline.Now()); left <= 0 || left > time.Minute {
@@ -76,13 +76,13 @@
 // A time that lost its monotonic reading is noticed where it is taken for one of this process.
 func TestMixedClocksAreNoticed(t *testing.T) {
 	timeline := New()
-	timeline.Of(time.Now())
-	timeline.Of(timeline.Moment(timeline.Now()))
-	if n := timeline.Mixed(); n != 0 {
+	timeline.InstantOf(time.Now())
+	timeline.InstantOf(timeline.TimeOf(timeline.Now()))
+	if n := timeline.MixedReadings(); n != 0 {
 		t.Errorf("%d without one", n)
 	}
-	timeline.Of(timeline.Now().Calendar())
-	if n := timeline.Mixed(); n != 1 || timeline.Mixed() != 0 {
+	timeline.InstantOf(timeline.Now().Time())
+	if n := timeline.MixedReadings(); n != 1 || timeline.MixedReadings() != 0 {
 		t.Errorf("%d of one", n)
 	}
 }
@@ -90,8 +90,8 @@
 // The forms in which earlier programs wrote wall times are read.
 func TestInstantsReadOlderForms(t *testing.T) {
 	for text, want := range map[string]Instant{
-		`"2026-12-02T09:57:39.123456789Z"`:      FromCalendar(time.Date(2026, 12, 2, 9, 57, 39, 123456789, time.UTC)),
-		`"2026-12-02T14:57:39.123456789+05:00"`: FromCalendar(time.Date(2026, 12, 2, 9, 57, 39, 123456789, time.UTC)),
+		`"2026-12-02T09:57:39.123456789Z"`:      FromTime(time.Date(2026, 12, 2, 9, 57, 39, 123456789, time.UTC)),
+		`"2026-12-02T14:57:39.123456789+05:00"`: FromTime(time.Date(2026, 12, 2, 9, 57, 39, 123456789, time.UTC)),
 		`"0001-01-01T00:00:00Z"`:                0,
 	} {
 		var got Instant
@@ -103,15 +103,15 @@
 
 func TestStepWatch(t *testing.T) {
 	timeline := New()
-	w := NewStepWatch(timeline)
-	if step, stepped := w.Look(); stepped {
+	w := NewStepDetector(timeline)
+	if step, stepped := w.Check(); stepped {
 		t.Errorf("a step of %v without one", step)
 	}
 	timeline.at = timeline.at.Add(time.Hour) // as if the wall clock had been stepped back
-	if step, stepped := w.Look(); !stepped || (step+time.Hour).Abs() > time.Minute {
+	if step, stepped := w.Check(); !stepped || (step+time.Hour).Abs() > time.Minute {
 		t.Errorf("a step back by an hour is seen as %v", step)
 	}
-	if step, stepped := w.Look(); stepped {
+	if step, stepped := w.Check(); stepped {
 		t.Errorf("the same step again: %v", step)
 	}
 }
--- a/internal/deadletter/config.go
+++ b/internal/deadletter/config.go
@@ -68,7 +68,7 @@
 )
 
 // Check fills in defaults and reports what is wrong; at is the section's key.
-func (s *Section) Check(d *strictconfig.Doc, at string) {
+func (s *Section) Check(d *strictconfig.Document, at string) {
 	if !d.Has(at + ".quota_mb") {
 		s.QuotaMB = defaultQuotaMB
 	}
@@ -82,22 +82,22 @@
 		s.SubjectsSettle = defaultSettle
 	}
 	if s.SubjectsSettle < 0 {
-		d.Bad(at+".subjects_settle_s", "%v is below 0", s.SubjectsSettle)
+		d.AddError(at+".subjects_settle_s", "%v is below 0", s.SubjectsSettle)
 	}
 	if d.Has(at+".folder") && s.Folder == "" {
-		d.Bad(at+".folder", "is empty")
+		d.AddError(at+".folder", "is empty")
 	}
 	if s.QuotaMB < leastQuotaMB {
-		d.Bad(at+".quota_mb", "%v is below %v", s.QuotaMB, leastQuotaMB)
+		d.AddError(at+".quota_mb", "%v is below %v", s.QuotaMB, leastQuotaMB)
 	}
 	if s.Messages < 1 {
-		d.Bad(at+".messages", "%d keeps none: leave the section out to keep none", s.Messages)
+		d.AddError(at+".messages", "%d keeps none: leave the section out to keep none", s.Messages)
 	}
 	if s.Age < 0 {
-		d.Bad(at+".age_s", "%v is below 0", s.Age)
+		d.AddError(at+".age_s", "%v is below 0", s.Age)
 	}
 	if s.SubjectsMost < 1 {
-		d.Bad(at+".subjects_most", "%d is below 1", s.SubjectsMost)
+		d.AddError(at+".subjects_most", "%d is below 1", s.SubjectsMost)
 	}
 	for i := range s.Bounds {
 		s.Bounds[i].check(d, fmt.Sprintf("%s.bound[%d]", at, i+1))
@@ -110,43 +110,43 @@
 		key := fmt.Sprintf("%s.subject[%d]", at, i+1)
 		s.Subjects[i].check(d, key)
 		if seen[s.Subjects[i].Class] {
-			d.Bad(key+".class", "%q has a subject already", s.Subjects[i].Class)
+			d.AddError(key+".class", "%q has a subject already", s.Subjects[i].Class)
 		}
 		seen[s.Subjects[i].Class] = true
 	}
 }
 
-func (b *Bound) check(d *strictconfig.Doc, at string) {
+func (b *Bound) check(d *strictconfig.Document, at string) {
 	if b.Class == "" && b.Tenant == "" {
-		d.Bad(at, "names neither a class nor a tenant")
+		d.AddError(at, "names neither a class nor a tenant")
 	}
 	if b.Messages <= 0 && b.MB <= 0 && b.Age <= 0 {
-		d.Bad(at, "bounds nothing: messages, mb or age_s, above 0")
+		d.AddError(at, "bounds nothing: messages, mb or age_s, above 0")
 	}
 	if b.Messages < 0 || b.MB < 0 || b.Age < 0 {
-		d.Bad(at, "messages, mb and age_s are above 0 where they are given")
+		d.AddError(at, "messages, mb and age_s are above 0 where they are given")
 	}
 }
 
-func (s *Subject) check(d *strictconfig.Doc, at string) {
+func (s *Subject) check(d *strictconfig.Document, at string) {
 	one := func(header, pointer, headerKey, pointerKey string) {
 		if (header == "") == (pointer == "") {
-			d.Bad(at+"."+headerKey, "either %s or %s says where it is", headerKey, pointerKey)
+			d.AddError(at+"."+headerKey, "either %s or %s says where it is", headerKey, pointerKey)
 		}
 		if pointer != "" {
 			if _, err := tokens(pointer); err != nil {
-				d.Bad(at+"."+pointerKey, "%v", err)
+				d.AddError(at+"."+pointerKey, "%v", err)
 			}
 		}
 	}
 	one(s.Header, s.Pointer, "header", "pointer")
 	if !slices.Contains([]string{byNumber, byTime, byArrival}, s.Order) {
-		d.Bad(at+".order", "%q is none of number, time, arrival", s.Order)
+		d.AddError(at+".order", "%q is none of number, time, arrival", s.Order)
 		return
 	}
 	if s.Order != byArrival {
 		one(s.OrderHeader, s.OrderPointer, "order_header", "order_pointer")
 	} else if s.OrderHeader != "" || s.OrderPointer != "" {
-		d.Bad(at+".order", "by arrival, and yet a place for it is named")
+		d.AddError(at+".order", "by arrival, and yet a place for it is named")
 	}
 }
--- a/internal/deadletter/rules.go
+++ b/internal/deadletter/rules.go
@@ -37,21 +37,21 @@
 const day = 24 * time.Hour
 
 // Check reports what is wrong with a rule at a key of the file.
-func (r *Rule) Check(d *strictconfig.Doc, at string) {
+func (r *Rule) Check(d *strictconfig.Document, at string) {
 	if r.Action != "" && !slices.Contains([]string{Hold, Resend, Discard}, r.Action) {
-		d.Bad(at+".action", "%q is none of hold, resend, discard", r.Action)
+		d.AddError(at+".action", "%q is none of hold, resend, discard", r.Action)
 	}
 	if r.Reason != "" && !slices.Contains(reasons, Reason(r.Reason)) {
-		d.Bad(at+".reason", "%q is none of %v", r.Reason, reasons)
+		d.AddError(at+".reason", "%q is none of %v", r.Reason, reasons)
 	}
 	for key, v := range map[string]float64{"older_than_s": r.OlderThan, "after_s": r.After, "rate": r.Rate, "after_age_s": r.Age} {
 		if v < 0 {
-			d.Bad(at+"."+key, "%v is below 0", v)
+			d.AddError(at+"."+key, "%v is below 0", v)
 		}
 	}
 	only := func(key, action string) {
 		if d.Has(at+"."+key) && r.Action != action {
-			d.Bad(at+"."+key, "has no meaning for %q", r.Action)
+			d.AddError(at+"."+key, "has no meaning for %q", r.Action)
 		}
 	}
 	only("after_s", Resend)
@@ -62,14 +62,14 @@
 	switch r.Action {
 	case Resend:
 		if r.Most < 2 {
-			d.Bad(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.Most)
+			d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.Most)
 		}
 		if !(r.Rate > 0) {
-			d.Bad(at+".rate", "is missing: how many a second a partner gets at most")
+			d.AddError(at+".rate", "is missing: how many a second a partner gets at most")
 		}
 	case Discard:
 		if !(r.Age > 0) {
-			d.Bad(at+".after_age_s", "is missing: nothing is discarded without an age")
+			d.AddError(at+".after_age_s", "is missing: nothing is discarded without an age")
 		}
 	}
 	if r.Hours == "" {
@@ -77,7 +77,7 @@
 	}
 	var err error
 	if r.hours, err = parseHours(r.Hours); err != nil {
-		d.Bad(at+".hours", "%v", err)
+		d.AddError(at+".hours", "%v", err)
 	}
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -36,15 +36,15 @@
 	errTooLong = fmt.Errorf("a list of over %d bytes", maxList)
 )
 
-// Members is the list of hosts, or a change of it, in discovery's form.
-type Members struct {
-	Seq   int64    `json:"seq"`
-	Whole bool     `json:"whole"`
-	Hosts []Member `json:"hosts"`
+// EndpointList is the list of hosts, or a change of it, in discovery's form.
+type EndpointList struct {
+	Seq       int64      `json:"seq"`
+	Full      bool       `json:"whole"`
+	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Member is one host of the list.
-type Member struct {
+// Endpoint is one host of the list.
+type Endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -60,31 +60,31 @@
 	Deleted  = "DELETED"
 )
 
-// Listed translates a list into the policy's terms.
-func (m Members) Listed(s *settings.Settings) policy.Listed {
-	e := policy.Listed{Whole: m.Whole}
-	for _, h := range m.Hosts {
+// Event translates a list into the policy's terms.
+func (m EndpointList) Event(s *settings.Settings) policy.EndpointsChanged {
+	e := policy.EndpointsChanged{Full: m.Full}
+	for _, h := range m.Endpoints {
 		e.Endpoints = append(e.Endpoints, policy.Endpoint{ID: h.Host, Destination: h.Block,
 			Kind: slices.Index(s.Shapes, h.Class), Zone: slices.Index(s.Localities, h.Site), Weight: h.Share,
-			Draining: h.Health == Draining, Gone: h.Health == Deleted})
+			Draining: h.Health == Draining, Removed: h.Health == Deleted})
 	}
 	return e
 }
 
-// Changed gives the whole list as it stands after a change.
-func (m *Members) Changed(by Members) *Members {
-	if by.Whole || m == nil {
-		by.Hosts = slices.Clone(by.Hosts)
+// Apply gives the whole list as it stands after a change.
+func (m *EndpointList) Apply(by EndpointList) *EndpointList {
+	if by.Full || m == nil {
+		by.Endpoints = slices.Clone(by.Endpoints)
 	} else {
 		named := map[string]bool{}
-		for _, h := range by.Hosts {
+		for _, h := range by.Endpoints {
 			named[h.Host] = true
 		}
-		stay := slices.DeleteFunc(slices.Clone(m.Hosts), func(h Member) bool { return named[h.Host] })
-		by.Hosts = append(stay, by.Hosts...)
+		stay := slices.DeleteFunc(slices.Clone(m.Endpoints), func(h Endpoint) bool { return named[h.Host] })
+		by.Endpoints = append(stay, by.Endpoints...)
 	}
-	by.Whole = true
-	by.Hosts = slices.DeleteFunc(by.Hosts, func(h Member) bool { return h.Health == Deleted })
+	by.Full = true
+	by.Endpoints = slices.DeleteFunc(by.Endpoints, func(h Endpoint) bool { return h.Health == Deleted })
 	return &by
 }
 
@@ -98,35 +98,35 @@
 	moved   chan string   // where discovery is now
 	ended   chan struct{} // closed when Run has returned
 	Seq     int64         // of the list as it stands; set before run
-	told    func(m Members, from string)
+	told    func(m EndpointList, from string)
 	failed  func(lines int)
 	relays  int   // that share discovery
 	seed    int64 // of the spread of asks
-	// Asked, where set, hears of each ask. Set before Run.
-	Asked func()
+	// OnSubscribe, where set, hears of each ask. Set before Run.
+	OnSubscribe func()
 }
 
 // NewWatcher watches at an address once it runs: told gets each list, or change of it, with the address that it came from,
 // failed the end of each watch, with how many it had brought.
-func NewWatcher(discovery string, told func(m Members, from string), failed func(lines int)) *Watcher {
+func NewWatcher(discovery string, told func(m EndpointList, from string), failed func(lines int)) *Watcher {
 	return &Watcher{from: discovery, told: told, failed: failed, silence: watchSilence, relays: 1,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: new(socket.Dialer).DialContext}}, asked: make(chan struct{}, 1),
 		moved: make(chan string), ended: make(chan struct{})}
 }
 
-// Share says how many relays share discovery, this one included, and seeds what spreads their asks. Before Run.
-func (w *Watcher) Share(relays int, seed int64) { w.relays, w.seed = max(1, relays), seed }
+// ShareWith says how many relays share discovery, this one included, and seeds what spreads their asks. Before Run.
+func (w *Watcher) ShareWith(relays int, seed int64) { w.relays, w.seed = max(1, relays), seed }
 
-// Ask wants a watch; it never blocks.
-func (w *Watcher) Ask() {
+// Subscribe wants a watch; it never blocks.
+func (w *Watcher) Subscribe() {
 	select {
 	case w.asked <- struct{}{}:
 	default: // one is wanted already
 	}
 }
 
-// Move ends the watch and starts one at another address, at once and without a report.
-func (w *Watcher) Move(discovery string) {
+// SetAddress ends the watch and starts one at another address, at once and without a report.
+func (w *Watcher) SetAddress(discovery string) {
 	select {
 	case w.moved <- discovery:
 	case <-w.ended:
@@ -148,7 +148,7 @@
 			// Versions of another discovery need not continue those of the last one: only its whole list
 			// tells what has changed.
 			w.from, w.Seq = discovery, 0
-			w.Ask()
+			w.Subscribe()
 		}
 		leave()
 		follower.Wait()
@@ -177,8 +177,8 @@
 			return
 		}
 		slog.Warn("watch ended", "lines", lines, "err", err)
-		if pause = asks.Again(time.Since(begun)); errors.Is(err, errSilent) {
-			pause = asks.Silent()
+		if pause = asks.Retry(time.Since(begun)); errors.Is(err, errSilent) {
+			pause = asks.AfterSilence()
 		}
 		w.failed(lines)
 	}
@@ -186,8 +186,8 @@
 
 // watch follows one watch to its end and returns how many lists it brought.
 func (w *Watcher) watch(ctx context.Context) (lines int, err error) {
-	if w.Asked != nil {
-		w.Asked()
+	if w.OnSubscribe != nil {
+		w.OnSubscribe()
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -214,7 +214,7 @@
 	}
 	in := &bounded{from: resp.Body, heard: func() { dead.Reset(w.silence) }}
 	for lists := json.NewDecoder(in); ; lines++ { // a list may be indented, over several lines
-		var m Members
+		var m EndpointList
 		in.left = maxList
 		err := lists.Decode(&m)
 		switch {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -15,7 +15,7 @@
 func newWatcher(t *testing.T, silence time.Duration, serve http.HandlerFunc) *Watcher {
 	t.Helper()
 	s := httptest.NewServer(serve)
-	w := NewWatcher(strings.TrimPrefix(s.URL, "http://"), func(Members, string) {}, func(int) {})
+	w := NewWatcher(strings.TrimPrefix(s.URL, "http://"), func(EndpointList, string) {}, func(int) {})
 	w.silence, w.Seq = silence, 40
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -25,13 +25,13 @@
 }
 
 // watchOf follows a handler's watches and returns what the watcher tells.
-func watchOf(t *testing.T, silence time.Duration, serve http.HandlerFunc) (*Watcher, chan Members, chan bool) {
+func watchOf(t *testing.T, silence time.Duration, serve http.HandlerFunc) (*Watcher, chan EndpointList, chan bool) {
 	t.Helper()
-	members, failed := make(chan Members, 10), make(chan bool, 10)
+	members, failed := make(chan EndpointList, 10), make(chan bool, 10)
 	w := newWatcher(t, silence, serve)
-	w.told, w.failed = func(m Members, _ string) { members <- m }, func(int) { failed <- true }
+	w.told, w.failed = func(m EndpointList, _ string) { members <- m }, func(int) { failed <- true }
 	go w.Run(t.Context())
-	w.Ask()
+	w.Subscribe()
 	return w, members, failed
 }
 
@@ -47,11 +47,11 @@
 	if got := waittest.Receive(t, asked); got != "40" {
 		t.Errorf("first index %s", got)
 	}
-	if m := waittest.Receive(t, members); m.Seq != 41 || !m.Whole {
+	if m := waittest.Receive(t, members); m.Seq != 41 || !m.Full {
 		t.Errorf("told %+v", m)
 	}
 	waittest.Receive(t, failed)
-	w.Ask()
+	w.Subscribe()
 	if got := waittest.Receive(t, asked); got != "41" {
 		t.Errorf("second index %s", got)
 	}
@@ -70,7 +70,7 @@
 		_, _ = io.WriteString(rw, `{"seq":43,"whole":true,"hosts":[]}`+"\n")
 	})
 	waittest.Receive(t, failed)
-	w.Ask()
+	w.Subscribe()
 	if first, second := waittest.Receive(t, asked), waittest.Receive(t, asked); first != "40" || second != "0" {
 		t.Errorf("indexes %s, %s", first, second)
 	}
@@ -90,7 +90,7 @@
 	for range 3 {
 		waittest.Receive(t, failed)
 		times = append(times, waittest.Receive(t, asked))
-		w.Ask()
+		w.Subscribe()
 	}
 	if gap := times[1].Sub(times[0]); gap < askAgain {
 		t.Errorf("asked again after %v", gap)
@@ -107,7 +107,7 @@
 		rw.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	if m := waittest.Receive(t, members); m.Seq != 41 || !m.Whole || len(m.Hosts) != 1 {
+	if m := waittest.Receive(t, members); m.Seq != 41 || !m.Full || len(m.Endpoints) != 1 {
 		t.Errorf("told %+v", m)
 	}
 	if m := waittest.Receive(t, members); m.Seq != 42 {
@@ -134,7 +134,7 @@
 			_, _ = io.WriteString(rw, `{"seq":39,"whole":true,"hosts":[]}`+"\n")
 		})
 		waittest.Receive(t, failed)
-		w.Ask()
+		w.Subscribe()
 		if a, b := waittest.Receive(t, asked), waittest.Receive(t, asked); a != "40" || b != "0" {
 			t.Errorf("%s: indexes %s, %s", name, a, b)
 		}
@@ -153,7 +153,7 @@
 			s := NewSchedule(relays, seed)
 			s.Start()
 			for i := range 4 { // also several in a row
-				if at := watchSilence + modulePause + s.Silent() + answer; at > told {
+				if at := watchSilence + modulePause + s.AfterSilence() + answer; at > told {
 					t.Fatalf("%d relays, silence %d: heard %v after the last byte", relays, i, at)
 				}
 			}
@@ -167,7 +167,7 @@
 	seed := int64(0)
 	for ; ; seed++ { // one whose first ask comes soon, and whose back-off outlasts what the test waits for
 		s := NewSchedule(relays, seed)
-		if s.Start() < time.Second/2 && s.Again(0) > 0 && s.Again(0) > 0 && s.Again(0) > waittest.Long+waittest.Long/2 {
+		if s.Start() < time.Second/2 && s.Retry(0) > 0 && s.Retry(0) > 0 && s.Retry(0) > waittest.Long+waittest.Long/2 {
 			break
 		}
 	}
@@ -176,9 +176,9 @@
 		asked <- true
 		<-r.Context().Done() // no byte at all
 	})
-	w.Share(relays, seed)
-	w.failed = func(int) { w.Ask() }
-	w.Ask()
+	w.ShareWith(relays, seed)
+	w.failed = func(int) { w.Subscribe() }
+	w.Subscribe()
 	go w.Run(t.Context())
 	for range 5 {
 		waittest.Receive(t, asked)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenForms(t *testing.T) {
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "list", Value: &Members{}})
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "list", Value: &EndpointList{}})
 }
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -56,14 +56,14 @@
 	return s.repeat.Start()
 }
 
-// Again is the delay of the next ask after one whose watch stood for so long.
-func (s *Schedule) Again(stood time.Duration) time.Duration {
+// Retry is the delay of the next ask after one whose watch stood for so long.
+func (s *Schedule) Retry(stood time.Duration) time.Duration {
 	if stood >= held {
 		s.repeat.Reset()
 	}
 	return s.repeat.Next()
 }
 
-// Silent is the delay of the next ask after a watch that fell silent, or one that was not answered: a link may be cut, and
+// AfterSilence is the delay of the next ask after a watch that fell silent, or one that was not answered: a link may be cut, and
 // the clock of what is not told runs. It grows with no further one.
-func (s *Schedule) Silent() time.Duration { return s.silent.Start() }
+func (s *Schedule) AfterSilence() time.Duration { return s.silent.Start() }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -24,12 +24,12 @@
 		for seed := range int64(300) {
 			s := NewSchedule(tt.relays, seed)
 			start = max(start, s.Start())
-			first = max(first, s.Again(0))
+			first = max(first, s.Retry(0))
 			for range 6 {
-				s.Again(held - 1) // its first line came, and no more
+				s.Retry(held - 1) // its first line came, and no more
 			}
-			last = max(last, s.Again(0))
-			again = max(again, s.Again(held))
+			last = max(last, s.Retry(0))
+			again = max(again, s.Retry(held))
 		}
 		near := func(got, most time.Duration) bool { return got <= most && got >= most*9/10 }
 		if tt.spread != near(start, tt.span) || !tt.spread && start != 0 {
@@ -55,9 +55,9 @@
 		asked <- time.Now()
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	})
-	w.Share(80, seed)
+	w.ShareWith(80, seed)
 	go w.Run(t.Context())
-	w.Ask()
+	w.Subscribe()
 	if waited, want := waittest.Receive(t, asked).Sub(begun), NewSchedule(80, seed).Start(); waited < want {
 		t.Errorf("asked after %v, not before %v is due", waited, want)
 	}
--- a/internal/faultinjection/harness/relays.go
+++ b/internal/faultinjection/harness/relays.go
@@ -274,7 +274,7 @@
 		rules = append(rules, rule)
 	}
 	begins, ends := checker.Kind(""), checker.Kind("")
-	switch class := syserr.Of(syserr.Read, scenario.Errno(e.Errno)); {
+	switch class := syserr.Classify(syserr.Read, scenario.Errno(e.Errno)); {
 	case calls[0] >= faults.FileWrite:
 		begins, ends = checker.FolderFails, checker.FolderWorks
 	case class == syserr.Peer && (calls[0] == faults.SocketRead || calls[0] == faults.SocketWrite):
--- a/internal/faultinjection/scenario/check.go
+++ b/internal/faultinjection/scenario/check.go
@@ -19,18 +19,18 @@
 )
 
 // check reports all that makes no sense.
-func (s *Script) check(d *strictconfig.Doc) {
+func (s *Script) check(d *strictconfig.Document) {
 	if d.Has("version") && s.Version != Version {
-		d.Bad("version", "is %d; this program reads version %d", s.Version, Version)
+		d.AddError("version", "is %d; this program reads version %d", s.Version, Version)
 	}
 	c := checker{d}
 	c.above("length_s", s.Length, 0)
 	c.most("length_s", s.Length, maxLength)
 	if d.Has("relays") && (s.Relays < 1 || s.Relays > maxRelays) {
-		d.Bad("relays", "is %d, has to be 1 to %d", s.Relays, maxRelays)
+		d.AddError("relays", "is %d, has to be 1 to %d", s.Relays, maxRelays)
 	}
 	if n := s.Coordination.Members; n != 0 && n != 1 && n != 3 && n != 5 {
-		d.Bad("coordination.members", "is %d, has to be 0, 1, 3 or 5", n)
+		d.AddError("coordination.members", "is %d, has to be 0, 1, 3 or 5", n)
 	}
 	c.above("relay.cores", s.Relay.Cores, 0)
 	c.above("relay.memory_mb", s.Relay.MemoryMB, 0)
@@ -64,7 +64,7 @@
 		c.above("load.rate", s.Load.Rate, 0)
 	}
 	if n := s.Load.Rate * s.Length; n > maxMessages {
-		d.Bad("load.rate", "makes %.0f messages in all, %d at most", n, maxMessages)
+		d.AddError("load.rate", "makes %.0f messages in all, %d at most", n, maxMessages)
 	}
 	c.oneOf("load.shape", s.Load.Shape, "steady", "wave", "ramp")
 	c.share("load.swing", s.Load.Swing)
@@ -87,28 +87,28 @@
 
 func (s *Script) checkClasses(c checker) {
 	if c.Has("class") && len(s.Classes) == 0 {
-		c.Bad("class", "there is none")
+		c.AddError("class", "there is none")
 	}
 	names := map[string]bool{}
 	for i := range s.Classes {
 		k, at := &s.Classes[i], fmt.Sprintf("class[%d].", i+1)
 		c.name(at+"name", k.Name, names)
 		if strings.ContainsAny(k.Name, "/?# ") {
-			c.Bad(at+"name", "%q can't be part of a path", k.Name)
+			c.AddError(at+"name", "%q can't be part of a path", k.Name)
 		}
 		c.above(at+"share", k.Share, 0)
 		c.above(at+"worth", k.Worth, 0)
 		c.share(at+"late_share", k.LateShare)
 		c.above(at+"aim_s", k.Aim, 0)
 		if k.Deadline < k.Aim {
-			c.Bad(at+"deadline_s", "%v s is before the aim, %v s", k.Deadline, k.Aim)
+			c.AddError(at+"deadline_s", "%v s is before the aim, %v s", k.Deadline, k.Aim)
 		}
 		c.above(at+"service_ms", k.Service, 0)
 		c.oneOf(at+"effect", k.Effect, "safe", "keyed", "unsafe")
 		if k.Effect == "keyed" {
 			c.above(at+"memory_s", k.Memory, 0)
 		} else if k.Memory > 0 {
-			c.Bad(at+"memory_s", "only a keyed class has one")
+			c.AddError(at+"memory_s", "only a keyed class has one")
 		}
 		c.oneOf(at+"spread", k.Spread, "exp", "lognormal", "fixed")
 		c.above(at+"cv", k.CV, 0)
@@ -125,9 +125,9 @@
 	s.knownClasses(c, "relay.classes", s.Relay.Classes)
 	switch {
 	case s.Relay.Backlog < 0:
-		c.Bad("relay.backlog", "%d is below 0", s.Relay.Backlog)
+		c.AddError("relay.backlog", "%d is below 0", s.Relay.Backlog)
 	case s.Relay.Backlog > 0 && (s.Relay.Operator == "" || !s.Relay.Resends):
-		c.Bad("relay.backlog", "wants an operator's file that keeps undelivered messages, and resends = true")
+		c.AddError("relay.backlog", "wants an operator's file that keeps undelivered messages, and resends = true")
 	}
 }
 
@@ -140,14 +140,14 @@
 		c.least(at+"quota", t.Quota, 0)
 		c.share(at+"over_share_worth", t.Over)
 		if t.Over != s.Tenants[0].Over {
-			c.Bad(at+"over_share_worth", "differs from the first tenant's: the settings have one for all")
+			c.AddError(at+"over_share_worth", "differs from the first tenant's: the settings have one for all")
 		}
 	}
 }
 
 func (s *Script) checkPartners(c checker) {
 	if c.Has("partner") && len(s.Partners) == 0 {
-		c.Bad("partner", "there is none")
+		c.AddError("partner", "there is none")
 	}
 	names, endpoints := map[string]bool{}, 0
 	for i := range s.Partners {
@@ -164,31 +164,31 @@
 		c.oneOf(at+"tells", p.Tells, "nothing", "wait")
 		c.oneOf(at+"cancelled", p.Cancelled, "runs-on", "leaves-queue", "stops")
 		if p.ColdShare < s.Rules.ColdShare || p.ColdShare > 1 {
-			c.Bad(at+"cold_share", "%v is not from rules.cold_share, %v, to 1", p.ColdShare, s.Rules.ColdShare)
+			c.AddError(at+"cold_share", "%v is not from rules.cold_share, %v, to 1", p.ColdShare, s.Rules.ColdShare)
 		}
 		if p.Warm > s.Rules.Ramp || p.Warm < 0 {
-			c.Bad(at+"warm_s", "%v is not from 0 to rules.ramp_s, %v", p.Warm, s.Rules.Ramp)
+			c.AddError(at+"warm_s", "%v is not from 0 to rules.ramp_s, %v", p.Warm, s.Rules.Ramp)
 		}
 		c.above(at+"fallen_for_s", p.FallenFor, 0)
 		if (p.Pause.High > 0) != (p.PauseEvery.Low > 0) {
-			c.Bad(at+"pause_ms", "pause_ms and pause_every_s go together, both above 0")
+			c.AddError(at+"pause_ms", "pause_ms and pause_every_s go together, both above 0")
 		}
 		if l := p.Limit; l != nil {
 			rate, count := l.Rate > 0, l.Count > 0 && l.Span > 0
 			if rate == count || rate && (l.Count != 0 || l.Span != 0) || count && l.Burst != 0 {
-				c.Bad(at+"limit", "is either a rate (with a burst) or a count in a span_s, all above 0")
+				c.AddError(at+"limit", "is either a rate (with a burst) or a count in a span_s, all above 0")
 			}
 			if rate && l.Burst < 1 {
-				c.Bad(at+"limit.burst", "%v lets no call through: 1 at least", l.Burst)
+				c.AddError(at+"limit.burst", "%v lets no call through: 1 at least", l.Burst)
 			}
 		}
 		if len(s.Tenants) > 0 && !slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == p.Tenant }) {
-			c.Bad(at+"tenant", "%q is no tenant of this script", p.Tenant)
+			c.AddError(at+"tenant", "%q is no tenant of this script", p.Tenant)
 		}
 		endpoints += p.Endpoints
 	}
 	if endpoints > maxEndpoints {
-		c.Bad("partner", "%d endpoints in all, %d at most", endpoints, maxEndpoints)
+		c.AddError("partner", "%d endpoints in all, %d at most", endpoints, maxEndpoints)
 	}
 }
 
@@ -248,7 +248,7 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		c.Bad(at+".what", "%q is none of %s", e.What, strings.Join(names, ", "))
+		c.AddError(at+".what", "%q is none of %s", e.What, strings.Join(names, ", "))
 		return
 	}
 	takes := map[string]bool{}
@@ -256,18 +256,18 @@
 		name, needed := strings.CutSuffix(k, "!")
 		takes[name] = true
 		if needed && !c.Has(at+"."+name) {
-			c.Bad(at+"."+name, "is missing: %q needs it", e.What)
+			c.AddError(at+"."+name, "is missing: %q needs it", e.What)
 		}
 	}
 	for _, name := range []string{"for_s", "partner", "endpoint", "relay", "relays", "factor", "share", "rise_s", "drain_s",
 		"over_s", "reused", "back_s", "how", "warm", "classes", "attempts", "broken", "callers", "by_s", "call", "errno"} {
 		if c.Has(at+"."+name) && !takes[name] {
-			c.Bad(at+"."+name, "has no meaning for %q", e.What)
+			c.AddError(at+"."+name, "has no meaning for %q", e.What)
 		}
 	}
 	c.least(at+".at_s", e.At, 0)
 	if e.At >= s.Length {
-		c.Bad(at+".at_s", "%v is not before the end, length_s = %v", e.At, s.Length)
+		c.AddError(at+".at_s", "%v is not before the end, length_s = %v", e.At, s.Length)
 	}
 	if c.Has(at + ".for_s") {
 		c.above(at+".for_s", e.For, 0)
@@ -292,10 +292,10 @@
 		c.oneOf(at+".call", e.Call, slices.Sorted(maps.Keys(Calls))...)
 	}
 	if c.Has(at+".errno") && Errno(e.Errno) == 0 {
-		c.Bad(at+".errno", "%q is the name of no error of a system call", e.Errno)
+		c.AddError(at+".errno", "%q is the name of no error of a system call", e.Errno)
 	}
 	if takes["by_s"] && (e.By == 0 || math.Abs(e.By) > mostStep) {
-		c.Bad(at+".by_s", "%v is no step of at most %d s either way", e.By, mostStep)
+		c.AddError(at+".by_s", "%v is no step of at most %d s either way", e.By, mostStep)
 	}
 	if e.What == "register" {
 		c.oneOf(at+".how", e.How, "503", "reset", "silent")
@@ -304,30 +304,30 @@
 		p := s.Partner(e.Partner)
 		switch {
 		case p < 0:
-			c.Bad(at+".partner", "%q is no partner of this script", e.Partner)
+			c.AddError(at+".partner", "%q is no partner of this script", e.Partner)
 		case e.Endpoint < 0 || e.Endpoint > s.Partners[p].Endpoints:
-			c.Bad(at+".endpoint", "%s has endpoints 1 to %d", e.Partner, s.Partners[p].Endpoints)
+			c.AddError(at+".endpoint", "%s has endpoints 1 to %d", e.Partner, s.Partners[p].Endpoints)
 		}
 	}
 	for _, r := range append([]int{e.Relay}, e.Relays...) {
 		if r < 0 || r > s.Relays || r == 0 && len(e.Relays) > 0 && slices.Contains(e.Relays, 0) {
-			c.Bad(at+".relay", "there are relays 1 to %d", s.Relays)
+			c.AddError(at+".relay", "there are relays 1 to %d", s.Relays)
 			break
 		}
 	}
 	if takes["relay"] && e.Relay == 0 && c.Has(at+".relay") {
-		c.Bad(at+".relay", "there are relays 1 to %d; leave it out for all", s.Relays)
+		c.AddError(at+".relay", "there are relays 1 to %d; leave it out for all", s.Relays)
 	}
 }
 
 // checkSettings checks what new settings say.
 func (s *Script) checkSettings(c checker, at string, e *Event) {
 	if e.Classes == nil && e.Attempts == 0 && e.Broken == "" {
-		c.Bad(at+".what", "settings without classes, attempts or broken change nothing")
+		c.AddError(at+".what", "settings without classes, attempts or broken change nothing")
 	}
 	s.knownClasses(c, at+".classes", e.Classes)
 	if c.Has(at+".attempts") && (e.Attempts < 1 || e.Attempts > s.Limits.Attempts) {
-		c.Bad(at+".attempts", "%d is not from 1 to limits.attempts, %d", e.Attempts, s.Limits.Attempts)
+		c.AddError(at+".attempts", "%d is not from 1 to limits.attempts, %d", e.Attempts, s.Limits.Attempts)
 	}
 	if c.Has(at + ".broken") {
 		c.oneOf(at+".broken", e.Broken, "empty", "cut", "lacking", "zero")
@@ -337,11 +337,11 @@
 // knownClasses checks a list of classes that settings are to have.
 func (s *Script) knownClasses(c checker, key string, names []string) {
 	if names != nil && len(names) == 0 {
-		c.Bad(key, "there is none")
+		c.AddError(key, "there is none")
 	}
 	for _, name := range names {
 		if !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == name }) {
-			c.Bad(key, "%q is no class of this script", name)
+			c.AddError(key, "%q is no class of this script", name)
 		}
 	}
 }
@@ -354,13 +354,13 @@
 			b := &s.Events[j]
 			same := a.Partner == b.Partner && (a.Endpoint == b.Endpoint || a.Endpoint == 0 || b.Endpoint == 0)
 			if a.Outage() && b.Outage() && same && a.At < b.At+b.For && b.At < a.At+a.For {
-				c.Bad(fmt.Sprintf("event[%d].at_s", i+1), "overlaps the outage of event[%d] at %s", j+1, a.Partner)
+				c.AddError(fmt.Sprintf("event[%d].at_s", i+1), "overlaps the outage of event[%d] at %s", j+1, a.Partner)
 			}
 			if a.What == "settings" && b.What == "settings" && a.At < b.At+settleTime {
-				c.Bad(fmt.Sprintf("event[%d].at_s", i+1), "is not %v s after event[%d]: files of settings go by time", settleTime, j+1)
+				c.AddError(fmt.Sprintf("event[%d].at_s", i+1), "is not %v s after event[%d]: files of settings go by time", settleTime, j+1)
 			}
 			if a.What == "register" && b.What == "register" && a.At < b.At+b.For && b.At < a.At+a.For {
-				c.Bad(fmt.Sprintf("event[%d].at_s", i+1), "overlaps event[%d]", j+1)
+				c.AddError(fmt.Sprintf("event[%d].at_s", i+1), "overlaps event[%d]", j+1)
 			}
 		}
 	}
@@ -372,44 +372,44 @@
 }
 
 // checker has the common checks of a value.
-type checker struct{ *strictconfig.Doc }
+type checker struct{ *strictconfig.Document }
 
 func (c checker) above(key string, v, bound float64) {
 	if !(v > bound) {
-		c.Bad(key, "%v is not above %v", v, bound)
+		c.AddError(key, "%v is not above %v", v, bound)
 	}
 }
 
 func (c checker) least(key string, v, bound float64) {
 	if !(v >= bound) {
-		c.Bad(key, "%v is below %v", v, bound)
+		c.AddError(key, "%v is below %v", v, bound)
 	}
 }
 
 func (c checker) most(key string, v, bound float64) {
 	if !(v <= bound) {
-		c.Bad(key, "%v is above %v", v, bound)
+		c.AddError(key, "%v is above %v", v, bound)
 	}
 }
 
 func (c checker) share(key string, v float64) {
 	if !(v >= 0 && v <= 1) {
-		c.Bad(key, "%v is not from 0 to 1", v)
+		c.AddError(key, "%v is not from 0 to 1", v)
 	}
 }
 
 func (c checker) oneOf(key, v string, names ...string) {
 	if !slices.Contains(names, v) {
-		c.Bad(key, "%q is none of %s", v, strings.Join(names, ", "))
+		c.AddError(key, "%q is none of %s", v, strings.Join(names, ", "))
 	}
 }
 
 func (c checker) name(key, v string, seen map[string]bool) {
 	if c.Has(key) && v == "" {
-		c.Bad(key, "is empty")
+		c.AddError(key, "is empty")
 	}
 	if seen[v] {
-		c.Bad(key, "%q is there twice", v)
+		c.AddError(key, "%q is there twice", v)
 	}
 	seen[v] = true
 }
--- a/internal/faultinjection/scenario/scenario.go
+++ b/internal/faultinjection/scenario/scenario.go
@@ -291,7 +291,7 @@
 	return finish(s, strictconfig.Decode(name, text, s))
 }
 
-func finish(s *Script, doc *strictconfig.Doc) (*Script, error) {
+func finish(s *Script, doc *strictconfig.Document) (*Script, error) {
 	s.fill(doc)
 	s.check(doc)
 	if err := doc.Err(); err != nil {
@@ -301,7 +301,7 @@
 }
 
 // fill gives the elements of lists their defaults.
-func (s *Script) fill(doc *strictconfig.Doc) {
+func (s *Script) fill(doc *strictconfig.Document) {
 	for i := range s.Classes {
 		c, at := &s.Classes[i], fmt.Sprintf("class[%d].", i+1)
 		orElse(doc, at+"share", &c.Share, 1)
@@ -347,7 +347,7 @@
 	}
 }
 
-func orElse[T any](doc *strictconfig.Doc, key string, v *T, other T) {
+func orElse[T any](doc *strictconfig.Document, key string, v *T, other T) {
 	if !doc.Has(key) {
 		*v = other
 	}
--- a/internal/faultinjection/simulation/drawn_test.go
+++ b/internal/faultinjection/simulation/drawn_test.go
@@ -47,7 +47,7 @@
 	late, due := map[int][]policy.Action{}, map[int]time.Duration{}
 	return func(relay int, now time.Duration, all []policy.Action) (out []policy.Action) {
 		for _, a := range all {
-			if _, ok := a.(policy.Refuse); !ok {
+			if _, ok := a.(policy.Reject); !ok {
 				out = append(out, a)
 				continue
 			}
@@ -104,7 +104,7 @@
 		caught checker.Rule
 	}{
 		"an end is not made": {Join, Plant{Actions: each(func(a policy.Action) []policy.Action {
-			if _, ok := a.(policy.Refuse); ok {
+			if _, ok := a.(policy.Reject); ok {
 				return nil
 			}
 			return []policy.Action{a}
@@ -113,14 +113,14 @@
 		"what was sent is given up, delivered or not": {Calm, Plant{Actions: givenUp()}, nil, checker.TwoEnds},
 		"what was out at a kill is taken for never run": {Rolling, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
-				for i := range a.Tried {
-					a.Tried[i].Unrun = true
+				for i := range a.PriorAttempts {
+					a.PriorAttempts[i].NotExecuted = true
 				}
 			}
 			return e
 		})}, nil, checker.Twice},
 		"a reset is taken for never run": {Split, Plant{Events: bent(func(e policy.Event) policy.Event {
-			if end, ok := e.(policy.Ended); ok && end.Outcome == policy.Reset {
+			if end, ok := e.(policy.AttemptEnded); ok && end.Outcome == policy.ConnectionReset {
 				end.Outcome = policy.ConnectError
 				return end
 			}
@@ -133,15 +133,15 @@
 			return []policy.Action{a}
 		})}, nil, checker.SecondCopy},
 		"news of the list are not heeded": {Rolling, Plant{Events: bent(func(e policy.Event) policy.Event {
-			if l, ok := e.(policy.Listed); ok && !l.Whole {
+			if l, ok := e.(policy.EndpointsChanged); ok && !l.Full {
 				return nil
 			}
 			return e
 		})}, nil, checker.DrainBroken},
 		"word of a return is leave to send": {Zone, Plant{Opens: true}, nil, checker.PushedOver},
 		"a wait is not heeded": {Join, Plant{Events: bent(func(e policy.Event) policy.Event {
-			if end, ok := e.(policy.Ended); ok {
-				end.Wait = 0
+			if end, ok := e.(policy.AttemptEnded); ok {
+				end.RetryAfter = 0
 				return end
 			}
 			return e
@@ -161,7 +161,7 @@
 		})}, nil, checker.WrongHost},
 		"order is not kept": {Calm, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
-				a.Key = ""
+				a.OrderKey = ""
 				return a
 			}
 			return e
--- a/internal/faultinjection/simulation/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -356,21 +356,21 @@
 		fl.closed(checker.Event{Outcome: checker.Cut, Ran: done.Ran})
 		return
 	}
-	end := policy.Ended{Outcome: how.heard, Over: how.heard == policy.OK, Wait: done.Wait}
+	end := policy.AttemptEnded{Outcome: how.heard, Final: how.heard == policy.Succeeded, RetryAfter: done.Wait}
 	switch how.heard {
-	case policy.OK:
+	case policy.Succeeded:
 		p.now(f.now).Delivered++
-	case policy.QueueFull:
+	case policy.Rejected:
 		p.now(f.now).Refused++
 		f.res.Refused++
 	}
 	if done.Report != nil {
-		end.Report = &policy.Report{Left: done.Report.Left, Limit: done.Report.Limit}
+		end.LoadReport = &policy.LoadReport{Remaining: done.Report.Left, RateLimit: done.Report.Limit}
 	}
 	written := f.now
 	f.after(f.trip(), func() {
 		fl.closedAt(written, checker.Event{Outcome: how.named, For: done.Wait, Ran: done.Ran})
-		fl.end(end, end.Outcome != policy.Reset)
+		fl.end(end, end.Outcome != policy.ConnectionReset)
 	})
 }
 
@@ -388,7 +388,7 @@
 		for _, h := range r.order {
 			if fl := h.out; fl != nil && fl.broken && !fl.told {
 				fl.told = true
-				f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.Reset}, false) })
+				f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 			}
 		}
 	}
--- a/internal/faultinjection/simulation/fleet_test.go
+++ b/internal/faultinjection/simulation/fleet_test.go
@@ -168,8 +168,8 @@
 		{Rush, Plant{OneCall: true}, ofRush, []string{"sum: "}},
 		{Rush, Plant{Events: func(_ int, all []policy.Event) []policy.Event { // each answer tells a third of the limit
 			for _, e := range all {
-				if end, ok := e.(policy.Ended); ok && end.Report != nil {
-					end.Report.Limit /= 3
+				if end, ok := e.(policy.AttemptEnded); ok && end.LoadReport != nil {
+					end.LoadReport.RateLimit /= 3
 				}
 			}
 			return all
@@ -202,13 +202,13 @@
 		caught string
 	}{
 		"an end is made twice": {Plant{Actions: each(func(a policy.Action) []policy.Action {
-			if _, ok := a.(policy.Refuse); ok {
+			if _, ok := a.(policy.Reject); ok {
 				return []policy.Action{a, a}
 			}
 			return []policy.Action{a}
 		})}, "was ended twice"},
 		"an end is not made": {Plant{Actions: each(func(a policy.Action) []policy.Action {
-			if _, ok := a.(policy.Refuse); ok {
+			if _, ok := a.(policy.Reject); ok {
 				return nil
 			}
 			return []policy.Action{a}
@@ -235,13 +235,13 @@
 			return []policy.Action{a}
 		})}, "unknown host"},
 		"news of the list are not heeded": {Plant{Events: func(_ int, all []policy.Event) []policy.Event {
-			return slices.DeleteFunc(all, func(e policy.Event) bool { l, ok := e.(policy.Listed); return ok && !l.Whole })
+			return slices.DeleteFunc(all, func(e policy.Event) bool { l, ok := e.(policy.EndpointsChanged); return ok && !l.Full })
 		}}, "after it drained"},
 		"what was out at a kill is taken for never run": {Plant{Events: func(_ int, all []policy.Event) []policy.Event {
 			for i, e := range all {
 				if a, ok := e.(policy.Arrived); ok {
-					for j := range a.Tried {
-						a.Tried[j].Unrun = true
+					for j := range a.PriorAttempts {
+						a.PriorAttempts[j].NotExecuted = true
 					}
 					all[i] = a
 				}
@@ -249,7 +249,7 @@
 			return all
 		}}, "had its effect 2 times"},
 		"a watch is not asked for again": {Plant{Actions: each(func(a policy.Action) []policy.Action {
-			if _, ok := a.(policy.Subscribe); ok {
+			if _, ok := a.(policy.WatchEndpoints); ok {
 				return nil
 			}
 			return []policy.Action{a}
--- a/internal/faultinjection/simulation/log.go
+++ b/internal/faultinjection/simulation/log.go
@@ -77,11 +77,11 @@
 	named string
 	heard policy.Outcome
 }{
-	destination.Delivered: {checker.OK, policy.OK},
+	destination.Delivered: {checker.OK, policy.Succeeded},
 	destination.Errored:   {checker.Error, policy.Failed},
-	destination.Full:      {checker.Full, policy.QueueFull},
-	destination.Wait:      {checker.Wait, policy.QueueFull},
-	destination.Dropped:   {checker.Reset, policy.Reset},
+	destination.Full:      {checker.Full, policy.Rejected},
+	destination.Wait:      {checker.Wait, policy.Rejected},
+	destination.Dropped:   {checker.Reset, policy.ConnectionReset},
 }
 
 // fell follows a partner that was pushed over, or is back from that.
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -31,7 +31,7 @@
 	gone   map[string]time.Duration   // when it was told that a host drains or is gone
 	seen   int                        // version of its list
 	fresh  []*held                    // arrivals of this batch
-	memory map[string]policy.Remember
+	memory map[string]policy.PersistHealth
 	asks   *discovery.Schedule
 	pause  time.Duration
 	steps  int // of the planted back-off
@@ -43,7 +43,7 @@
 	n       int // hand-ins before this one
 	id      string
 	expires time.Duration
-	tried   []policy.Tried
+	tried   []policy.PriorAttempt
 	ended   []bool // whether the end of each attempt is known
 	out     *flight
 	taken   bool // its client has heard so, or has gone (unheard)
@@ -70,7 +70,7 @@
 
 func newRelay(f *fleet, no int) *relay {
 	return &relay{f: f, no: no, held: map[string]*held{}, known: map[string]policy.Endpoint{}, gone: map[string]time.Duration{},
-		memory: map[string]policy.Remember{}, due: forever, seen: len(f.register.changes)}
+		memory: map[string]policy.PersistHealth{}, due: forever, seen: len(f.register.changes)}
 }
 
 // start starts a process, which takes up what the one before had taken on.
@@ -105,15 +105,15 @@
 	r.learn(f.register.listed(f.register.changes[:r.seen], true))
 	for _, h := range f.register.changes[:r.seen] {
 		if m, ok := r.memory[h.host.id]; ok {
-			r.put(policy.Recalled(m))
+			r.put(policy.HealthRecovered(m))
 		}
 	}
 	for _, h := range slices.Clone(r.order) {
 		for i := range h.tried {
-			h.tried[i].Unrun = h.tried[i].Unrun && h.ended[i]
+			h.tried[i].NotExecuted = h.tried[i].NotExecuted && h.ended[i]
 		}
-		r.put(policy.Arrived{ID: h.id, Class: h.m.Class, Destination: h.m.Partner, Key: h.m.Item, Left: h.expires - f.now, Resumed: true,
-			Tried: slices.Clone(h.tried)})
+		r.put(policy.Arrived{ID: h.id, Class: h.m.Class, Destination: h.m.Partner, OrderKey: h.m.Item, TimeLeft: h.expires - f.now, Recovered: true,
+			PriorAttempts: slices.Clone(h.tried)})
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 	}
 	r.stopping = true
 	f.write(checker.Event{Kind: checker.Stopping, Relay: r.no})
-	r.put(policy.Stopping{})
+	r.put(policy.Quiesced{})
 	until := f.now + stopWithin
 	var look func()
 	look = func() {
@@ -218,14 +218,14 @@
 	}
 	fresh := r.fresh
 	r.fresh = nil
-	actions := r.d.Handle(f.now, append(events, policy.Woken{}))
+	actions := r.d.Handle(f.now, append(events, policy.TimerFired{}))
 	if f.Plant.Actions != nil {
 		actions = f.Plant.Actions(r.no, f.now, actions)
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case policy.Refuse:
-			r.giveUp(a.ID, a.StayAway, true)
+		case policy.Reject:
+			r.giveUp(a.ID, a.RetryAfter, true)
 		case policy.Fail:
 			r.giveUp(a.ID, 0, false)
 		}
@@ -239,26 +239,26 @@
 		switch a := a.(type) {
 		case policy.Send:
 			r.send(a)
-		case policy.Cancel:
+		case policy.CancelAttempt:
 			if h := r.held[a.ID]; h != nil && h.out != nil && h.out.attempt == a.Attempt {
-				h.out.end(policy.Ended{Outcome: policy.Canceled}, false)
+				h.out.end(policy.AttemptEnded{Outcome: policy.Canceled}, false)
 			}
-		case policy.Unsend:
+		case policy.CancelBeforeSend:
 			if h := r.held[a.ID]; h != nil && h.out != nil && h.out.attempt == a.Attempt && !h.out.left {
-				h.out.end(policy.Ended{Outcome: policy.Ignored}, true)
+				h.out.end(policy.AttemptEnded{Outcome: policy.NotSent}, true)
 			}
-		case policy.CloseIdle:
+		case policy.CloseIdleConns:
 			r.closeIdle(a.Endpoint, f.now+time.Nanosecond)
-		case policy.Wake:
+		case policy.SetTimer:
 			r.timer(f.now + a.After)
-		case policy.Subscribe:
+		case policy.WatchEndpoints:
 			life := r.life
 			f.after(r.pause, func() {
 				if r.alive && r.life == life {
 					f.register.ask(r)
 				}
 			})
-		case policy.Remember:
+		case policy.PersistHealth:
 			r.memory[a.Endpoint] = a
 		}
 	}
@@ -287,10 +287,10 @@
 }
 
 // learn takes in a list or a change of it.
-func (r *relay) learn(list policy.Listed) {
+func (r *relay) learn(list policy.EndpointsChanged) {
 	for _, e := range list.Endpoints {
 		r.known[e.ID] = e
-		if _, was := r.gone[e.ID]; (e.Draining || e.Gone) && !was {
+		if _, was := r.gone[e.ID]; (e.Draining || e.Removed) && !was {
 			r.gone[e.ID] = r.f.now
 		}
 	}
@@ -299,11 +299,11 @@
 
 // unwatched takes in the end of a watch that stood for so long.
 func (r *relay) unwatched(stood time.Duration) {
-	if r.pause = r.asks.Again(stood); r.f.Plant.NoJitter {
+	if r.pause = r.asks.Retry(stood); r.f.Plant.NoJitter {
 		r.steps++
 		r.pause = min(2*time.Second, 250*time.Millisecond<<min(r.steps, 4)-250*time.Millisecond)
 	}
-	r.put(policy.ListFailed{})
+	r.put(policy.WatchFailed{})
 }
 
 // take takes a message on, unless the module refuses it.
@@ -318,7 +318,7 @@
 	} else {
 		r.f.asked[h.id] = m
 	}
-	r.put(policy.Arrived{ID: h.id, Class: m.Class, Destination: m.Partner, Key: m.Item, Left: left})
+	r.put(policy.Arrived{ID: h.id, Class: m.Class, Destination: m.Partner, OrderKey: m.Item, TimeLeft: left})
 }
 
 // lose drops a message.
@@ -380,7 +380,7 @@
 	if len(h.tried) == 0 && h.n == 0 {
 		f.res.First++
 	}
-	h.tried = append(h.tried, policy.Tried{Endpoint: a.Endpoint, Sent: f.now})
+	h.tried = append(h.tried, policy.PriorAttempt{Endpoint: a.Endpoint, SentAt: f.now})
 	h.ended = append(h.ended, false)
 	fl := &flight{r: r, life: r.life, held: h, attempt: len(h.tried) - 1, host: to, sent: f.now}
 	h.out = fl
@@ -390,7 +390,7 @@
 	if timeout == 0 {
 		timeout = h.expires - f.now
 	}
-	f.after(timeout, func() { fl.end(policy.Ended{Outcome: policy.TimedOut}, false) })
+	f.after(timeout, func() { fl.end(policy.AttemptEnded{Outcome: policy.TimedOut}, false) })
 	r.closeIdle(to.id, f.now-scenario.Seconds(f.Script.Limits.ConnIdle))
 	if idle := r.idle[to.id]; len(idle) > 0 {
 		r.idle[to.id], fl.conn = idle[:len(idle)-1], true
@@ -409,10 +409,10 @@
 	case fl.over:
 	case f.cut(fl.r, fl.host) || p.Mode(fl.host.endpoint) >= destination.Silent:
 		wait := scenario.Seconds(f.Script.Limits.ConnectTimeout) - (f.now - fl.sent)
-		f.after(wait, func() { fl.end(policy.Ended{Outcome: policy.ConnectError}, false) })
+		f.after(wait, func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
 	case p.Mode(fl.host.endpoint) >= destination.Refusing:
 		f.res.Partners[p.no].now(f.now).Calls++
-		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.ConnectError}, false) })
+		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
 	case p.Connect(fl.host.endpoint):
 		// Turned away before it has said anything; it pushes a cold host all the same.
 		p.Disconnect(fl.host.endpoint)
@@ -421,7 +421,7 @@
 		fl.came()
 		f.carryOut(p, p.Arrive(f.now, fl.host.endpoint, &destination.Call{ID: fl.call.ID, Overfull: true}))
 		fl.closed(checker.Event{Outcome: checker.Full})
-		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.QueueFull}, false) })
+		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.Rejected}, false) })
 	default:
 		fl.conn = true
 		f.after((2*handshakeTrips-1)*f.trip(), fl.write)
@@ -442,7 +442,7 @@
 	}
 	harm := f.harmed(fl)
 	if harm == resetBefore {
-		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.ConnectError}, false) })
+		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
 		return
 	}
 	f.res.Partners[p.no].now(f.now).Calls++
@@ -450,7 +450,7 @@
 	case mode > destination.Refusing:
 		return
 	case mode == destination.Refusing:
-		f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.Reset}, false) })
+		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 		return
 	}
 	p.flights[fl.call] = fl
@@ -472,7 +472,7 @@
 	}
 	delete(p.flights, fl.call)
 	fl.closed(checker.Event{Outcome: checker.Cut})
-	f.after(f.trip(), func() { fl.end(policy.Ended{Outcome: policy.Reset}, false) })
+	f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 }
 
 // drop takes a call off the wire.
@@ -495,7 +495,7 @@
 }
 
 // end tells the relay how a call ended; where its connection may carry another, it is kept.
-func (fl *flight) end(e policy.Ended, keep bool) {
+func (fl *flight) end(e policy.AttemptEnded, keep bool) {
 	r, f := fl.r, fl.r.f
 	if fl.over || r.life != fl.life || !r.alive {
 		return
@@ -508,11 +508,11 @@
 	}
 	h := fl.held
 	h.out = nil
-	e.ID, e.Endpoint, e.Attempt, e.Took = h.id, fl.host.id, fl.attempt, f.now-fl.sent
+	e.ID, e.Endpoint, e.Attempt, e.Latency = h.id, fl.host.id, fl.attempt, f.now-fl.sent
 	h.ended[fl.attempt] = true
-	h.tried[fl.attempt].Unrun = e.Outcome == policy.QueueFull || e.Outcome == policy.ConnectError ||
-		e.Outcome == policy.Ignored
-	if r.held[h.id] == h && e.Outcome == policy.OK {
+	h.tried[fl.attempt].NotExecuted = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError ||
+		e.Outcome == policy.NotSent
+	if r.held[h.id] == h && e.Outcome == policy.Succeeded {
 		r.forget(h)
 		if !h.unheard {
 			f.delivered(h.m)
@@ -523,22 +523,22 @@
 
 // open is the planted fault of a note that opens: the relay takes all partners for well.
 func (r *relay) open() {
-	mem := r.d.Memory()
+	mem := r.d.Snapshot()
 	for i := range mem.Endpoints {
 		e := &mem.Endpoints[i]
-		e.Sick, e.Ramping, e.Failures = false, false, 0
+		e.Unhealthy, e.SlowStart, e.Failures = false, false, 0
 	}
 	for i := range mem.Queues {
 		q := &mem.Queues[i]
-		q.Ill, q.Fulls, q.HoldUntil = false, 0, 0
+		q.Unhealthy, q.Rejections, q.HoldUntil = false, 0, 0
 	}
-	r.put(policy.Inherited{Memory: mem})
+	r.put(policy.SnapshotRestored{Snapshot: mem})
 }
 
 // probe is the planted fault of relays that each look by themselves whether a partner is back.
 func (r *relay) probe() {
 	for _, s := range r.f.sites {
-		if m, ok := r.memory[s.hosts[0].id]; ok && m.Sick {
+		if m, ok := r.memory[s.hosts[0].id]; ok && m.Unhealthy {
 			r.f.res.Partners[s.no].now(r.f.now).Calls++
 			r.f.carryOut(s, s.Arrive(r.f.now, s.hosts[0].endpoint, &destination.Call{ID: fmt.Sprint("probe", r.no), Probe: true}))
 			r.wake(r.f.now + 250*time.Millisecond)
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -66,27 +66,27 @@
 }
 
 // Check tells what is wrong in the section.
-func (s *Section) Check(doc *strictconfig.Doc, at string) {
+func (s *Section) Check(doc *strictconfig.Document, at string) {
 	if s.Cluster == "" || len(s.Cluster) >= coord.MostName {
-		doc.Bad(at+".cluster", "is no name of 1 to %d bytes", coord.MostName-1)
+		doc.AddError(at+".cluster", "is no name of 1 to %d bytes", coord.MostName-1)
 	}
 	if members, err := api.ParseMembers(s.Members); err != nil {
-		doc.Bad(at+".members", "%v", err)
+		doc.AddError(at+".members", "%v", err)
 	} else if len(members) == 0 || len(members) > coord.MostMembers {
-		doc.Bad(at+".members", "names %d members; 1 to %d are wanted", len(members), coord.MostMembers)
+		doc.AddError(at+".members", "names %d members; 1 to %d are wanted", len(members), coord.MostMembers)
 	}
 	if ttl := s.TTL(); ttl < coord.MinTTL || ttl > coord.MaxTTL {
-		doc.Bad(at+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMS, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
+		doc.AddError(at+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMS, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
 	}
 	if guard := s.Guard(); guard < 0 || guard > s.TTL()/4 {
-		doc.Bad(at+".guard_ms", "is %d; 0 to a quarter of ttl_ms are wanted", s.GuardMS)
+		doc.AddError(at+".guard_ms", "is %d; 0 to a quarter of ttl_ms are wanted", s.GuardMS)
 	}
 	if s.Export != nil {
 		if s.Export.Folder == "" {
-			doc.Bad(at+".export.folder", "is missing")
+			doc.AddError(at+".export.folder", "is missing")
 		}
 		if s.Export.EveryS < 0 || s.Export.EveryS > 24*3600 {
-			doc.Bad(at+".export.every_s", "is %v; 0 to 86400 are wanted", s.Export.EveryS)
+			doc.AddError(at+".export.every_s", "is %v; 0 to 86400 are wanted", s.Export.EveryS)
 		}
 	}
 	if s.Beat != nil {
@@ -105,14 +105,14 @@
 // Within is how long one may take.
 func (b *Beat) Within() time.Duration { return orElse(b.WithinMS, DefaultWithin) }
 
-func (b *Beat) check(doc *strictconfig.Doc, at string, lasts time.Duration) {
+func (b *Beat) check(doc *strictconfig.Document, at string, lasts time.Duration) {
 	if u, err := url.Parse(b.URL); err != nil || u.Scheme != "http" || u.Host == "" {
-		doc.Bad(at+".url", "%q is no http:// address", b.URL)
+		doc.AddError(at+".url", "%q is no http:// address", b.URL)
 	}
 	if b.EveryS < 0 || b.EveryS > 3600 {
-		doc.Bad(at+".every_s", "is %v; 0 to 3600 are wanted", b.EveryS)
+		doc.AddError(at+".every_s", "is %v; 0 to 3600 are wanted", b.EveryS)
 	}
 	if within := b.Within(); within <= 0 || within > lasts/2 {
-		doc.Bad(at+".within_ms", "is %d; 1 to half of what a lease lasts, %d, are wanted", b.WithinMS, (lasts / 2).Milliseconds())
+		doc.AddError(at+".within_ms", "is %d; 1 to half of what a lease lasts, %d, are wanted", b.WithinMS, (lasts / 2).Milliseconds())
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// MaxBody is the protocol's bound on a body.
-	MaxBody = 64 << 10
+	// MaxBodySize is the protocol's bound on a body.
+	MaxBodySize = 64 << 10
 	// maxTimeout bounds what is taken for a time-out: no class keeps a message for a day, and a client that
 	// says more does not mean it.
 	maxTimeout = 24 * time.Hour
-	// MaxName bounds an id or a key that a client sends.
-	MaxName = 256
+	// MaxNameLength bounds an id or a key that a client sends.
+	MaxNameLength = 256
 	// itemCookie is the cookie that holds the key of a message whose class keeps its order.
 	itemCookie = "subject"
 )
@@ -33,31 +33,31 @@
 // envelope finds the destination in the X-Envelope header.
 var envelope = regexp.MustCompile(`(?:^|[,;\s])dest=(\d{1,9})(?:$|[,;\s])`)
 
-// Arrival is a message that a client hands in.
-type Arrival struct {
-	Entry   *journal.Entry // without the times, which are the relay's timeline's
-	Came    time.Time      // read by this process
-	Left    time.Duration  // from Came on, until its time is up
-	Verdict chan Verdict   // room for one
+// Submission is a message that a client hands in.
+type Submission struct {
+	Entry      *journal.Entry // without the times, which are the relay's timeline's
+	ReceivedAt time.Time      // read by this process
+	TimeLeft   time.Duration  // from Came on, until its time is up
+	Response   chan Response  // room for one
 	// Retry is what the client says of an earlier hand-in; empty: nothing. It is for the trace.
 	Retry string
 	// Quiet tells whether the client has sent nothing more and is still there.
 	Quiet func() (quiet, there bool)
 }
 
-// Verdict is the answer to a message that was handed in.
-type Verdict struct {
-	Status int           // 0 where nobody waits for it
-	After  time.Duration // when to come again
-	Close  bool          // the connection takes no further request
+// Response is the answer to a message that was handed in.
+type Response struct {
+	Status     int           // 0 where nobody waits for it
+	RetryAfter time.Duration // when to come again
+	Close      bool          // the connection takes no further request
 }
 
-// Malformed is the answer to a request that breaks the protocol. What comes after it on its connection can't
+// RejectMalformed is the answer to a request that breaks the protocol. What comes after it on its connection can't
 // be told from a part of it, so that it is the last.
-func Malformed(status int) Verdict { return Verdict{Status: status, Close: true} }
+func RejectMalformed(status int) Response { return Response{Status: status, Close: true} }
 
-// Check checks messages as they are handed in.
-type Check struct {
+// Validator checks messages as they are handed in.
+type Validator struct {
 	Classes map[string]*policy.Class
 	Tenants map[string]bool // none: any
 	// Subjects say what messages of a class are about, where undelivered ones are kept.
@@ -73,7 +73,7 @@
 		return "", nil
 	case len(values) > 1:
 		return "", fmt.Errorf("%s: %d values", name, len(values))
-	case len(values[0]) > MaxName:
+	case len(values[0]) > MaxNameLength:
 		return "", fmt.Errorf("%s: too long", name)
 	}
 	for _, b := range []byte(values[0]) {
@@ -84,8 +84,8 @@
 	return values[0], nil
 }
 
-// Message checks what a request says of its message.
-func (c *Check) Message(r *http.Request) (*Arrival, int, error) {
+// Parse checks what a request says of its message.
+func (c *Validator) Parse(r *http.Request) (*Submission, int, error) {
 	now := time.Now()
 	if r.Method != http.MethodPost {
 		return nil, http.StatusMethodNotAllowed, fmt.Errorf("method %s", r.Method)
@@ -109,7 +109,7 @@
 		return nil, http.StatusBadRequest, fmt.Errorf("unknown tenant %q", value["Tenant"])
 	case id == "":
 		return nil, http.StatusBadRequest, errors.New("no id")
-	case key == "" && class.Effect == policy.Keyed:
+	case key == "" && class.Idempotency == policy.IdempotentByKey:
 		return nil, http.StatusBadRequest, errors.New("no key in a keyed class")
 	}
 	dest := envelope.FindStringSubmatch(value["X-Envelope"])
@@ -134,7 +134,7 @@
 	}
 	// The client counts from when it sent; no class gives a message more than its deadline.
 	whole := settings.Seconds(min(left, class.Deadline.Seconds()))
-	return &Arrival{Came: now, Left: whole, Verdict: make(chan Verdict, 1), Retry: retry, Entry: &journal.Entry{ID: id, Class: name, Dest: no, Key: key, Item: item,
+	return &Submission{ReceivedAt: now, TimeLeft: whole, Response: make(chan Response, 1), Retry: retry, Entry: &journal.Entry{ID: id, Class: name, Destination: no, IdempotencyKey: key, OrderKey: item,
 		Tenant: value["Tenant"]}}, 0, nil
 }
 
@@ -148,16 +148,16 @@
 		return "", nil
 	case len(found) > 1: // which one it takes turns by can't be told
 		return "", fmt.Errorf("cookie %s: %d values", itemCookie, len(found))
-	case len(found[0].Value) > MaxName:
+	case len(found[0].Value) > MaxNameLength:
 		return "", fmt.Errorf("cookie %s: too long", itemCookie)
 	default:
 		return found[0].Value, nil
 	}
 }
 
-// About reads what a message is about. One of which that can't be told is served as any other; while it may have been
+// ReadSubject reads what a message is about. One of which that can't be told is served as any other; while it may have been
 // delivered, no older one of its class and partner is resent.
-func (c *Check) About(e *journal.Entry, h http.Header) {
+func (c *Validator) ReadSubject(e *journal.Entry, h http.Header) {
 	subject := c.Subjects[e.Class]
 	if subject == nil {
 		return
--- a/internal/frontend/http1/conns.go
+++ b/internal/frontend/http1/conns.go
@@ -95,26 +95,26 @@
 	s.mu.Lock()
 	s.listener, _ = l.(*net.TCPListener)
 	s.mu.Unlock()
-	pause := syserr.Backoff{Least: acceptAgain, Most: mostAcceptPause}
+	pause := syserr.Backoff{Min: acceptAgain, Max: mostAcceptPause}
 	for {
 		s.unblock()
 		raw, err := l.Accept()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && s.untilThawed():
 		case err == nil:
-			pause.Succeeded()
+			pause.Reset()
 			s.accept(raw.(*net.TCPConn))
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case syserr.Of(syserr.Accept, err) == syserr.Local:
+		case syserr.Classify(syserr.Accept, err) == syserr.Local:
 			// Guards against a process that ends for what passes.
 			slog.Warn("connection not accepted", "err", err)
-			if syserr.NoDescriptor(err) {
+			if syserr.IsDescriptorShortage(err) {
 				s.mu.Lock()
 				s.evictRested(leaving, requestTime)
 				s.mu.Unlock()
 			}
-			time.Sleep(pause.Failed())
+			time.Sleep(pause.Next())
 		default:
 			return err
 		}
@@ -271,7 +271,7 @@
 		if v.Status == 0 {
 			return false, closedUnheard
 		}
-		v.Close = v.Close || s.stance.LastAnswer() || s.crowded()
+		v.Close = v.Close || s.stance.CloseAfterResponse() || s.crowded()
 		if !c.answer(v) {
 			return false, closedUnwritten
 		}
@@ -290,7 +290,7 @@
 
 // request reads one request and has it decided on; a verdict without a status says that nobody waits for one. An error
 // says what kept it from being read.
-func (s *Server) request(c *client) (frontend.Verdict, error) {
+func (s *Server) request(c *client) (frontend.Response, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
 		slog.Debug("request not readable", "err", err)
@@ -303,12 +303,12 @@
 	if r.ContentLength > 0 {
 		if !s.memory.take(int(r.ContentLength)) {
 			s.refused(a.Entry.Class)
-			return frontend.Verdict{Status: http.StatusServiceUnavailable, After: busyAfter, Close: true}, nil
+			return frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: busyAfter, Close: true}, nil
 		}
 		defer s.memory.give(int(r.ContentLength))
 		if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
 			if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-				return frontend.Verdict{}, nil
+				return frontend.Response{}, nil
 			}
 		}
 		c.limit.N = max(0, r.ContentLength-int64(c.in.Buffered()))
@@ -319,23 +319,23 @@
 		}
 	}
 	if !s.enter(c, open) {
-		return frontend.Verdict{}, nil
+		return frontend.Response{}, nil
 	}
 	c.came.end()
 	if c.in.Buffered() > 0 {
-		return frontend.Malformed(http.StatusBadRequest), nil // the length is too short, or requests come unasked
+		return frontend.RejectMalformed(http.StatusBadRequest), nil // the length is too short, or requests come unasked
 	}
-	s.check.Load().About(a.Entry, r.Header)
+	s.check.Load().ReadSubject(a.Entry, r.Header)
 	a.Quiet = c.quiet
 	s.admit(a)
-	v = <-a.Verdict
+	v = <-a.Response
 	v.Close = v.Close || r.Close
 	return v, nil
 }
 
-// SeeOff closes connections without a request for as long as the stance sends clients away. One is closed only while
+// CloseIdleConns closes connections without a request for as long as the stance sends clients away. One is closed only while
 // nothing has come on it that was not read: that would be a request cut off.
-func (s *Server) SeeOff() {
+func (s *Server) CloseIdleConns() {
 	s.mu.Lock()
 	running := s.seeingOff
 	s.seeingOff = true
@@ -345,17 +345,17 @@
 	}
 	for {
 		s.mu.Lock()
-		if away, _ := s.stance.Away(); !away {
+		if away, _ := s.stance.InStandby(); !away {
 			s.seeingOff = false
 			s.mu.Unlock()
 			return
 		}
 		now := time.Now()
-		if rest, bounded := s.stance.MayRest(now); bounded {
+		if rest, bounded := s.stance.IdleLimit(now); bounded {
 			for c := range s.clients {
 				most := rest
 				if c.stage == fresh {
-					most = max(rest, servingmode.Rested) // its request may be on its way
+					most = max(rest, servingmode.MinIdle) // its request may be on its way
 				}
 				if c.stage != idle && c.stage != fresh || now.Sub(c.since) < most {
 					continue
@@ -371,17 +371,17 @@
 }
 
 // unreadable is the answer to a request that could not be read.
-func (c *client) unreadable(err error) frontend.Verdict {
+func (c *client) unreadable(err error) frontend.Response {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return frontend.Malformed(http.StatusRequestTimeout)
+		return frontend.RejectMalformed(http.StatusRequestTimeout)
 	case c.limit.N <= 0:
-		return frontend.Malformed(http.StatusRequestHeaderFieldsTooLarge)
+		return frontend.RejectMalformed(http.StatusRequestHeaderFieldsTooLarge)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed),
 		errors.Is(err, syscall.ECONNRESET):
-		return frontend.Verdict{} // half a request and a close
+		return frontend.Response{} // half a request and a close
 	}
-	return frontend.Malformed(http.StatusBadRequest)
+	return frontend.RejectMalformed(http.StatusBadRequest)
 }
 
 // has tells whether something has come that was not read.
@@ -398,11 +398,11 @@
 }
 
 // answer writes an answer without a body, and tells whether it went out.
-func (c *client) answer(v frontend.Verdict) bool {
+func (c *client) answer(v frontend.Response) bool {
 	r := http.Response{StatusCode: v.Status, ProtoMajor: 1, ProtoMinor: 1, Close: v.Close, Header: http.Header{
 		"Date": {time.Now().UTC().Format(http.TimeFormat)}}}
-	if v.After > 0 {
-		r.Header.Set("Retry-After", strconv.FormatFloat(v.After.Seconds(), 'f', 3, 64))
+	if v.RetryAfter > 0 {
+		r.Header.Set("Retry-After", strconv.FormatFloat(v.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	var out bytes.Buffer
 	if err := r.Write(&out); err != nil {
--- a/internal/frontend/http1/http1_test.go
+++ b/internal/frontend/http1/http1_test.go
@@ -18,12 +18,12 @@
 )
 
 // testServer is the clients' side alone, with so much room; taken gets what it takes in.
-func testServer(t *testing.T, room int) (s *Server, addr string, taken chan *frontend.Arrival) {
+func testServer(t *testing.T, room int) (s *Server, addr string, taken chan *frontend.Submission) {
 	t.Helper()
-	check := &frontend.Check{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: 30 * time.Second}},
+	check := &frontend.Validator{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: 30 * time.Second}},
 		Tenants: map[string]bool{"acme": true}}
-	taken = make(chan *frontend.Arrival, 100)
-	s = New(Config{Check: check, Stance: &servingmode.Stance{}, MemoryMB: 192, Room: room, Keep: 128}, func(a *frontend.Arrival) { taken <- a }, func(string) {})
+	taken = make(chan *frontend.Submission, 100)
+	s = New(Config{Validator: check, Mode: &servingmode.Mode{}, MemoryMB: 192, MaxConns: room, MaxIdleConns: 128}, func(a *frontend.Submission) { taken <- a }, func(string) {})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,8 +163,8 @@
 			}
 			late := dial(t, addr)
 			write(t, late, raw("late", "", "Content-Length: 0"))
-			waittest.Receive(t, taken).Verdict <- frontend.Verdict{Status: http.StatusAccepted}
-			a.Verdict <- frontend.Verdict{Status: http.StatusAccepted}
+			waittest.Receive(t, taken).Response <- frontend.Response{Status: http.StatusAccepted}
+			a.Response <- frontend.Response{Status: http.StatusAccepted}
 			for _, c := range []net.Conn{c, late} {
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil || resp.StatusCode != http.StatusAccepted {
--- a/internal/frontend/http1/instant_test.go
+++ b/internal/frontend/http1/instant_test.go
@@ -54,8 +54,8 @@
 
 // unserved is a server that takes no connections by itself, with room for one idle one.
 func unserved() *Server {
-	return New(Config{Check: &frontend.Check{}, Stance: &servingmode.Stance{}, MemoryMB: 64, Room: 4, Keep: 1},
-		func(*frontend.Arrival) {}, func(string) {})
+	return New(Config{Validator: &frontend.Validator{}, Mode: &servingmode.Mode{}, MemoryMB: 64, MaxConns: 4, MaxIdleConns: 1},
+		func(*frontend.Submission) {}, func(string) {})
 }
 
 // tardy is a connection whose first read finds its deadline past, whatever has come: as a process that got no turn for long.
--- a/internal/frontend/http1/park.go
+++ b/internal/frontend/http1/park.go
@@ -46,12 +46,12 @@
 	return n, err
 }
 
-// Parked is a connection that nobody reads.
-type Parked struct {
-	Conn  *net.TCPConn
-	Read  []byte // of a request that has begun
-	Fresh bool   // nothing has ever come on it
-	Since time.Time
+// DetachedConn is a connection that nobody reads.
+type DetachedConn struct {
+	Conn     *net.TCPConn
+	Buffered []byte // of a request that has begun
+	Unused   bool   // nothing has ever come on it
+	Since    time.Time
 }
 
 // readUntil bounds the reading of a connection, unless it is to be parked: then nothing more is read.
@@ -87,17 +87,17 @@
 	c.removed = true
 	delete(s.clients, c)
 	s.count[c.stage]--
-	p := Parked{c.TCPConn, c.came.read, c.stage == fresh, c.since}
+	p := DetachedConn{c.TCPConn, c.came.read, c.stage == fresh, c.since}
 	if s.frozen == nil {
-		s.resume(p)
+		s.resumeConn(p)
 		return
 	}
 	s.parked = append(s.parked, p)
 }
 
-// Freeze takes no connection any more, parks those without an open request, and gives them once the others were answered
+// Quiesce takes no connection any more, parks those without an open request, and gives them once the others were answered
 // or have gone. What is left when ctx ends is an error; Thaw follows then.
-func (s *Server) Freeze(ctx context.Context) ([]Parked, error) {
+func (s *Server) Quiesce(ctx context.Context) ([]DetachedConn, error) {
 	s.mu.Lock()
 	s.frozen = make(chan struct{})
 	if s.listener != nil {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Thaw goes on with what was parked, and takes connections again.
-func (s *Server) Thaw(parked []Parked) {
+// Resume goes on with what was parked, and takes connections again.
+func (s *Server) Resume(parked []DetachedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.frozen == nil {
@@ -145,28 +145,28 @@
 		_ = s.listener.SetDeadline(time.Time{})
 	}
 	for _, p := range append(parked, s.parked...) {
-		s.resume(p)
+		s.resumeConn(p)
 	}
 	s.parked = nil
 }
 
 // Adopt goes on with a connection of another process, where there is room.
-func (s *Server) Adopt(p Parked) {
+func (s *Server) Adopt(p DetachedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resume(p)
+	s.resumeConn(p)
 }
 
-// resume goes on with a parked connection; the lock is held.
-func (s *Server) resume(p Parked) {
+// resumeConn goes on with a parked connection; the lock is held.
+func (s *Server) resumeConn(p DetachedConn) {
 	if len(s.clients) >= s.room && !s.evict(leaving) {
 		_ = p.Conn.Close()
 		return
 	}
-	c := newClient(p.Conn, p.Read)
+	c := newClient(p.Conn, p.Buffered)
 	c.since = p.Since
 	at := idle
-	if p.Fresh {
+	if p.Unused {
 		at = fresh
 	}
 	s.begin(c, at)
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -24,20 +24,20 @@
 
 // Config is what a server is given.
 type Config struct {
-	Check    *frontend.Check
-	Stance   *servingmode.Stance
-	MemoryMB float64 // of the relay
-	Room     int     // connections at most
-	Keep     int     // idle ones at most
-	// Closed, where set, hears why connections are closed. It is called with the server's lock held.
-	Closed func(why string)
+	Validator    *frontend.Validator
+	Mode         *servingmode.Mode
+	MemoryMB     float64 // of the relay
+	MaxConns     int     // connections at most
+	MaxIdleConns int     // idle ones at most
+	// OnClose, where set, hears why connections are closed. It is called with the server's lock held.
+	OnClose func(why string)
 }
 
 // Server is the side that clients see: its connections are in conns.go.
 type Server struct {
-	check   atomic.Pointer[frontend.Check]
-	stance  *servingmode.Stance
-	admit   func(*frontend.Arrival)
+	check   atomic.Pointer[frontend.Validator]
+	stance  *servingmode.Mode
+	admit   func(*frontend.Submission)
 	refused func(class string)
 	closed  func(why string)
 	memory  budget // for bodies
@@ -52,44 +52,44 @@
 	seeingOff bool
 	// frozen is closed at the end of a freeze; nil: there is none. listener is the one that is served.
 	frozen   chan struct{}
-	parked   []Parked
+	parked   []DetachedConn
 	listener *net.TCPListener
 	waiting  bool // what accepts connections waits for the end of the freeze
 }
 
 // New makes a server; admit gets each message that passes the check, and refused hears of those for which there is no
 // room to read them.
-func New(c Config, admit func(*frontend.Arrival), refused func(class string)) *Server {
-	s := &Server{stance: c.Stance, admit: admit, refused: refused, closed: c.Closed, memory: budget{left: max(frontend.MaxBody, int(bodyShare*c.MemoryMB*(1<<20)))},
-		room: c.Room, keep: c.Keep, clients: map[*client]bool{}}
+func New(c Config, admit func(*frontend.Submission), refused func(class string)) *Server {
+	s := &Server{stance: c.Mode, admit: admit, refused: refused, closed: c.OnClose, memory: budget{left: max(frontend.MaxBodySize, int(bodyShare*c.MemoryMB*(1<<20)))},
+		room: c.MaxConns, keep: c.MaxIdleConns, clients: map[*client]bool{}}
 	s.left.L = &s.mu
-	s.SetCheck(c.Check)
+	s.SetValidator(c.Validator)
 	return s
 }
 
-// SetCheck has messages that come from now on checked by other settings.
-func (s *Server) SetCheck(c *frontend.Check) { s.check.Store(c) }
+// SetValidator has messages that come from now on checked by other settings.
+func (s *Server) SetValidator(c *frontend.Validator) { s.check.Store(c) }
 
 // parse checks the head of a request: it gives a message that lacks its body yet, or the answer. What is
 // malformed takes nothing on and gets a plain 4xx.
-func (s *Server) parse(r *http.Request) (*frontend.Arrival, frontend.Verdict) {
+func (s *Server) parse(r *http.Request) (*frontend.Submission, frontend.Response) {
 	if status, err := checkFraming(r); err != nil {
 		slog.Debug("request rejected", "err", err)
-		return nil, frontend.Malformed(status)
+		return nil, frontend.RejectMalformed(status)
 	}
 	if r.Method == http.MethodGet && r.URL.Path == "/_health" && r.ContentLength == 0 {
 		if !s.stance.Healthy() {
-			return nil, frontend.Verdict{Status: http.StatusServiceUnavailable}
+			return nil, frontend.Response{Status: http.StatusServiceUnavailable}
 		}
 		// Answered 200: the relay listens only once its journal is replayed.
-		return nil, frontend.Verdict{Status: http.StatusOK}
+		return nil, frontend.Response{Status: http.StatusOK}
 	}
-	a, status, err := s.check.Load().Message(r)
+	a, status, err := s.check.Load().Parse(r)
 	if err != nil {
 		slog.Debug("request rejected", "err", err)
-		return nil, frontend.Malformed(status)
+		return nil, frontend.RejectMalformed(status)
 	}
-	return a, frontend.Verdict{}
+	return a, frontend.Response{}
 }
 
 // checkFraming guards against requests of which it is unclear where they end: net/http drops the length of
@@ -103,7 +103,7 @@
 		return http.StatusBadRequest, fmt.Errorf("transfer encoding %v", r.TransferEncoding)
 	case r.Host == "":
 		return http.StatusBadRequest, errors.New("no host")
-	case r.ContentLength > frontend.MaxBody:
+	case r.ContentLength > frontend.MaxBodySize:
 		return http.StatusRequestEntityTooLarge, fmt.Errorf("%d bytes", r.ContentLength)
 	case r.Method == http.MethodPost && r.Header.Get("Content-Length") == "":
 		return http.StatusLengthRequired, errors.New("no length")
--- a/internal/handover/core.go
+++ b/internal/handover/core.go
@@ -73,18 +73,18 @@
 	left
 )
 
-// Giver is the side that owns a relay. Its zero value owns one.
-type Giver struct {
+// Predecessor is the side that owns a relay. Its zero value owns one.
+type Predecessor struct {
 	phase phase
 	told  bool // to end
 }
 
 // Owns tells whether this process owns the relay.
-func (g *Giver) Owns() bool { return g.phase < given || g.phase == ending }
+func (g *Predecessor) Owns() bool { return g.phase < given || g.phase == ending }
 
 // Handle takes in an event and says what is to be done, in order. What an event means in no phase is passed over: it was
 // under way when the phase ended.
-func (g *Giver) Handle(e Event) []Action {
+func (g *Predecessor) Handle(e Event) []Action {
 	if e == Told {
 		g.told = true
 	}
@@ -144,7 +144,7 @@
 }
 
 // back goes on as the owner, since the other process will not take over.
-func (g *Giver) back() []Action {
+func (g *Predecessor) back() []Action {
 	if g.told {
 		g.phase = ending
 		return []Action{Refuse, Thaw, Drain}
@@ -154,7 +154,7 @@
 }
 
 // orphan is left by a new owner that has died. One that was told to end leaves the folder to the platform's next.
-func (g *Giver) orphan() []Action {
+func (g *Predecessor) orphan() []Action {
 	g.phase = left
 	if g.told {
 		return []Action{Leave}
@@ -172,14 +172,14 @@
 	failed
 )
 
-// Taker is the side that wants to own a relay. Its zero value has not asked yet.
-type Taker struct{ phase phase }
+// Successor is the side that wants to own a relay. Its zero value has not asked yet.
+type Successor struct{ phase phase }
 
 // Owns tells whether this process owns the relay.
-func (t *Taker) Owns() bool { return t.phase == owner || t.phase == serving }
+func (t *Successor) Owns() bool { return t.phase == owner || t.phase == serving }
 
 // Handle takes in an event and says what is to be done, in order.
-func (t *Taker) Handle(e Event) []Action {
+func (t *Successor) Handle(e Event) []Action {
 	switch t.phase {
 	case asking:
 		switch e {
--- a/internal/handover/core_test.go
+++ b/internal/handover/core_test.go
@@ -7,8 +7,8 @@
 
 // pair is both processes, what is under way between them, and who holds the folder's lock. It is compared by value.
 type pair struct {
-	giver        Giver
-	taker        Taker
+	giver        Predecessor
+	taker        Successor
 	gLives       bool
 	tLives       bool
 	up           bool // the connection
--- a/internal/handover/giver.go
+++ b/internal/handover/giver.go
@@ -26,35 +26,35 @@
 
 // The kinds of connection.
 const (
-	FromClient = "client" // idle, or with a part of a request read
-	OnCall     = "call"   // to a host, a call's answer is waited for
-	ToHost     = "host"   // to a host, idle
+	ClientConn       = "client" // idle, or with a part of a request read
+	AttemptConn      = "call"   // to a host, a call's answer is waited for
+	IdleEndpointConn = "host"   // to a host, idle
 )
 
-// Item is a connection that is passed.
-type Item struct {
+// Conn is a connection that is passed.
+type Conn struct {
 	Kind string `json:"kind"`
-	// Read is what was read of a request or an answer that is not whole yet.
-	Read []byte `json:"read,omitempty"`
-	// Fresh: nothing has ever come on a client's connection.
-	Fresh bool `json:"fresh,omitempty"`
-	// Host and Addr are a host's, ID the message's on call.
-	Host  string        `json:"host,omitempty"`
-	Addr  string        `json:"addr,omitempty"`
-	ID    string        `json:"id,omitempty"`
-	Since clock.Instant `json:"since,omitzero"` // when it became idle, or the call began
+	// Buffered is what was read of a request or an answer that is not whole yet.
+	Buffered []byte `json:"read,omitempty"`
+	// Unused: nothing has ever come on a client's connection.
+	Unused bool `json:"fresh,omitempty"`
+	// Endpoint and Addr are a host's, ID the message's on call.
+	Endpoint string        `json:"host,omitempty"`
+	Addr     string        `json:"addr,omitempty"`
+	ID       string        `json:"id,omitempty"`
+	Since    clock.Instant `json:"since,omitzero"` // when it became idle, or the call began
 
 	Conn *net.TCPConn `json:"-"`
 }
 
-// Relay is the old process's, as far as it can be handed over.
-type Relay interface {
-	// Freeze brings all to a stop, writes the state down and gives it with the connections that are parked.
-	Freeze(ctx context.Context) (state any, items []Item, err error)
-	// Thaw goes on as before.
-	Thaw()
-	// Given says that another process owns the relay now.
-	Given()
+// Source is the old process's, as far as it can be handed over.
+type Source interface {
+	// Quiesce brings all to a stop, writes the state down and gives it with the connections that are parked.
+	Quiesce(ctx context.Context) (state any, items []Conn, err error)
+	// Resume goes on as before.
+	Resume()
+	// Released says that another process owns the relay now.
+	Released()
 }
 
 // Owner is a process's hold on a folder, and where others ask it to hand over.
@@ -64,7 +64,7 @@
 	mu       sync.Mutex
 	l        *net.UnixListener // nil: it can't be listened yet
 	released bool
-	giver    Giver
+	giver    Predecessor
 	askers   chan *link // of other processes, once they have said hello
 }
 
@@ -85,17 +85,17 @@
 
 // passes tells whether listening failed for what passes.
 func passes(err error) bool {
-	return syserr.Of(syserr.Bind, err) == syserr.Local || syserr.Of(syserr.File, err) == syserr.Local
+	return syserr.Classify(syserr.Bind, err) == syserr.Local || syserr.Classify(syserr.File, err) == syserr.Local
 }
 
 // listenAgain tries to listen until it can, or until the process is told to end.
 func (o *Owner) listenAgain(told <-chan struct{}) (listening bool) {
-	pause := syserr.Backoff{Least: leastListenPause, Most: mostListenPause}
+	pause := syserr.Backoff{Min: leastListenPause, Max: mostListenPause}
 	for o.listener() == nil {
 		select {
 		case <-told:
 			return false
-		case <-time.After(pause.Failed()):
+		case <-time.After(pause.Next()):
 		}
 		if err := o.listenOnce(); err != nil && !passes(err) {
 			slog.Error("no other process can take over", "err", err)
@@ -161,13 +161,13 @@
 
 // The ends of ownership.
 const (
-	Ended  Outcome = iota // by the platform's signal: a planned end is due
-	Handed                // over, and the process has nothing left to do
-	Orphan                // handed over to a process that has died: begin anew from the journal
+	Ended         Outcome = iota // by the platform's signal: a planned end is due
+	HandedOver                   // over, and the process has nothing left to do
+	SuccessorDied                // handed over to a process that has died: begin anew from the journal
 )
 
 // Serve answers processes that ask, until told ends or the relay is handed over. It is to be called once.
-func (o *Owner) Serve(told <-chan struct{}, relay Relay) Outcome {
+func (o *Owner) Serve(told <-chan struct{}, relay Source) Outcome {
 	go func() {
 		if !o.listenAgain(told) {
 			return
@@ -207,7 +207,7 @@
 
 // handOver carries one hand-over through; over is false if this process owns the relay still. It does what the machine
 // says, and tells it what came of that.
-func (o *Owner) handOver(told <-chan struct{}, l *link, relay Relay) (out Outcome, over bool) {
+func (o *Owner) handOver(told <-chan struct{}, l *link, relay Source) (out Outcome, over bool) {
 	defer l.close()
 	begun := time.Now()
 	h := &handing{owner: o, link: l, relay: relay}
@@ -217,17 +217,17 @@
 		for _, a := range actions {
 			switch a {
 			case Leave:
-				return Handed, true
+				return HandedOver, true
 			case Drain:
 				return Ended, true
 			case Reclaim:
 				slog.Warn("the process that took over has died")
-				return Orphan, true
+				return SuccessorDied, true
 			case Refuse:
 				slog.Warn("not handed over", "err", h.err, "took", time.Since(begun))
 				l.close()
 			case Thaw:
-				relay.Thaw()
+				relay.Resume()
 			default:
 				next, more = h.do(a), true
 			}
@@ -255,9 +255,9 @@
 type handing struct {
 	owner  *Owner
 	link   *link
-	relay  Relay
+	relay  Source
 	state  any
-	items  []Item
+	items  []Conn
 	passed int
 	err    error
 }
@@ -268,7 +268,7 @@
 	case Freeze:
 		ctx, cancel := context.WithTimeout(context.Background(), freezeTime)
 		defer cancel()
-		if h.state, h.items, h.err = h.relay.Freeze(ctx); h.err != nil {
+		if h.state, h.items, h.err = h.relay.Quiesce(ctx); h.err != nil {
 			return Unready
 		}
 		return Frozen
@@ -278,7 +278,7 @@
 		}
 		return h.await(packReady, readyTime, Ready)
 	case Give:
-		h.relay.Given()
+		h.relay.Released()
 		if h.err = h.link.send(packYours, nil, int(h.owner.lock.f.Fd())); h.err != nil {
 			return Gone
 		}
@@ -344,7 +344,7 @@
 }
 
 // send passes a batch of connections.
-func (h *handing) send(batch []Item) error {
+func (h *handing) send(batch []Conn) error {
 	var fds []int
 	defer func() {
 		for _, fd := range fds {
--- a/internal/handover/taker.go
+++ b/internal/handover/taker.go
@@ -16,31 +16,31 @@
 // askAgain is the pause before the folder's owner is asked again, and offerTime how long it may take to freeze and offer.
 const askAgain, offerTime = 20 * time.Millisecond, 3 * time.Second
 
-// Heir is the new process's relay, as far as it takes over.
-type Heir interface {
+// Recipient is the new process's relay, as far as it takes over.
+type Recipient interface {
 	// Start begins from the journal: nobody else holds the folder.
 	Start() error
 	// Prepare reads the journal, which it must not change, and makes ready to go on from a state.
 	Prepare(state json.RawMessage) error
 	// Discard forgets what was prepared: the other process did not hand over after all.
 	Discard()
-	// Own takes the journal. It is told at the moment at which this process comes to own the relay.
-	Own() error
+	// Acquire takes the journal. It is told at the moment at which this process comes to own the relay.
+	Acquire() error
 	// Serve begins, with the connections that came.
-	Serve(items []Item) error
+	Serve(items []Conn) error
 }
 
 // taking is a process that wants to own a folder.
 type taking struct {
 	ctx     context.Context
 	dir     string
-	heir    Heir
-	machine Taker
+	heir    Recipient
+	machine Successor
 	owner   *Owner
 	link    *link
 	state   json.RawMessage
-	items   []Item
-	batch   []Item
+	items   []Conn
+	batch   []Conn
 	waiting bool   // said that it waits
 	said    string // the error that the folder could not be taken for last
 	err     error
@@ -48,7 +48,7 @@
 
 // Acquire takes a folder that nobody holds, or takes over from the process that holds it, and returns once its heir serves. It
 // asks until ctx ends.
-func Acquire(ctx context.Context, dir string, heir Heir) (*Owner, error) {
+func Acquire(ctx context.Context, dir string, heir Recipient) (*Owner, error) {
 	t := &taking{ctx: ctx, dir: dir, heir: heir, owner: &Owner{dir: dir}}
 	for actions := []Action{Ask}; ; {
 		var next Event
@@ -108,7 +108,7 @@
 		t.owner.lock = &lock{p.files[0]}
 		return Yours
 	case Own:
-		if t.err = errors.Join(t.owner.listen(), t.heir.Own()); t.err != nil {
+		if t.err = errors.Join(t.owner.listen(), t.heir.Acquire()); t.err != nil {
 			return Gone
 		}
 		return t.connections()
@@ -193,8 +193,8 @@
 }
 
 // unpack joins a batch's items with their descriptors. A descriptor that is no connection costs its item alone.
-func unpack(body []byte, files []*os.File) (items []Item, err error) {
-	var batch []Item
+func unpack(body []byte, files []*os.File) (items []Conn, err error) {
+	var batch []Conn
 	if err := json.Unmarshal(body, &batch); err != nil || len(batch) != len(files) {
 		for _, f := range files {
 			_ = f.Close()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -20,19 +20,19 @@
 
 // The kinds of violation.
 const (
-	SendAfterEnd      Kind = iota // an attempt of a message whose terminal outcome is decided
-	SendAfterDeadline             // an attempt of a message whose time is up
-	SendUnrecorded                // an attempt whose record a later process would not find
-	SecondAttempt                 // an attempt while another is out
-	UnsafeRepeat                  // an attempt of an unsafe message that may have run
-	ExpiredKeyRepeat              // an attempt of a keyed message that may have run, when its key is not remembered any more
-	EndTwice                      // a second terminal outcome
-	EndOverdue                    // no terminal outcome when the message's time is up
-	EndUnrecorded                 // an outcome told early whose record a later process would not find
-	ResumedAfterEnd               // a message taken up by a later process though it was over
-	ClosedUnanswered              // a client's connection closed with a request that was read and not answered
-	MixedClocks                   // a span taken from two kinds of clock
-	kinds                         // their number
+	SendAfterCompletion      Kind = iota // an attempt of a message whose terminal outcome is decided
+	SendAfterDeadline                    // an attempt of a message whose time is up
+	SendUnrecorded                       // an attempt whose record a later process would not find
+	SecondAttempt                        // an attempt while another is out
+	NonIdempotentRepeat                  // an attempt of an unsafe message that may have run
+	ExpiredKeyRepeat                     // an attempt of a keyed message that may have run, when its key is not remembered any more
+	CompletedTwice                       // a second terminal outcome
+	CompletionOverdue                    // no terminal outcome when the message's time is up
+	CompletionUnrecorded                 // an outcome told early whose record a later process would not find
+	RecoveredAfterCompletion             // a message taken up by a later process though it was over
+	ClosedUnanswered                     // a client's connection closed with a request that was read and not answered
+	MixedClocks                          // a span taken from two kinds of clock
+	kinds                                // their number
 )
 
 var names = [kinds]string{"send_after_end", "send_after_deadline", "send_unrecorded", "second_attempt", "unsafe_repeat",
@@ -46,8 +46,8 @@
 // Counts are the violations of a process by kind. It is safe for concurrent use.
 type Counts struct{ of [kinds]atomic.Int64 }
 
-// Violated counts and logs a violation. args are further attributes of the log line, as slog takes them.
-func (c *Counts) Violated(k Kind, id string, args ...any) {
+// Record counts and logs a violation. args are further attributes of the log line, as slog takes them.
+func (c *Counts) Record(k Kind, id string, args ...any) {
 	c.of[k].Add(1)
 	slog.Error(LogMessage, append([]any{"kind", k.String(), "request_id", id}, args...)...)
 }
@@ -65,29 +65,29 @@
 type Message struct {
 	*journal.Entry               // its attempts are those before the one that is asked for
 	Terms          *policy.Class // of its class, as it was accepted; nil: not known
-	Ended          bool          // its terminal outcome is decided
-	Out            bool          // an attempt of this process is out
+	Completed      bool          // its terminal outcome is decided
+	InFlight       bool          // an attempt of this process is out
 }
 
-// Send tells whether a further attempt of a message may be sent now, or which invariant that would violate.
-func Send(m Message, now clock.Instant) (k Kind, ok bool) {
+// CheckSend tells whether a further attempt of a message may be sent now, or which invariant that would violate.
+func CheckSend(m Message, now clock.Instant) (k Kind, ok bool) {
 	switch {
-	case m.Ended:
-		return SendAfterEnd, false
-	case m.Out:
+	case m.Completed:
+		return SendAfterCompletion, false
+	case m.InFlight:
 		return SecondAttempt, false
-	case now >= m.Expires:
+	case now >= m.Deadline:
 		return SendAfterDeadline, false
-	case m.Terms == nil || m.Terms.Effect == policy.Safe:
+	case m.Terms == nil || m.Terms.Idempotency == policy.Idempotent:
 		return 0, true
 	}
 	first, doubtful := firstDoubtful(m.Attempts)
 	switch {
 	case !doubtful:
 		return 0, true
-	case m.Terms.Effect == policy.Unsafe:
-		return UnsafeRepeat, false
-	case now.Sub(first) > m.Terms.Memory:
+	case m.Terms.Idempotency == policy.NotIdempotent:
+		return NonIdempotentRepeat, false
+	case now.Sub(first) > m.Terms.KeyTTL:
 		return ExpiredKeyRepeat, false
 	}
 	return 0, true
@@ -96,8 +96,8 @@
 // firstDoubtful is when the first attempt began that may have run, if there is one.
 func firstDoubtful(attempts []journal.Attempt) (begun clock.Instant, doubtful bool) {
 	for _, a := range attempts {
-		if !a.Ended || !a.Unrun {
-			return a.Begun, true
+		if !a.Ended || !a.NotExecuted {
+			return a.StartedAt, true
 		}
 	}
 	return 0, false
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -16,13 +16,13 @@
 // Each violation of sending is caught, and what is allowed beside it is let through.
 func TestSend(t *testing.T) {
 	const now = clock.Instant(time.Hour)
-	unrun := journal.Attempt{Begun: now.Add(-3 * time.Second), Ended: true, Unrun: true}
-	doubtful := journal.Attempt{Begun: now.Add(-2 * time.Second), Ended: true}
-	open := journal.Attempt{Begun: now.Add(-2 * time.Second)} // of a process that has ended
-	safe := &policy.Class{Effect: policy.Safe}
-	short := &policy.Class{Effect: policy.Keyed, Memory: time.Second}
-	long := &policy.Class{Effect: policy.Keyed, Memory: 3 * time.Second}
-	unsafe := &policy.Class{Effect: policy.Unsafe}
+	unrun := journal.Attempt{StartedAt: now.Add(-3 * time.Second), Ended: true, NotExecuted: true}
+	doubtful := journal.Attempt{StartedAt: now.Add(-2 * time.Second), Ended: true}
+	open := journal.Attempt{StartedAt: now.Add(-2 * time.Second)} // of a process that has ended
+	safe := &policy.Class{Idempotency: policy.Idempotent}
+	short := &policy.Class{Idempotency: policy.IdempotentByKey, KeyTTL: time.Second}
+	long := &policy.Class{Idempotency: policy.IdempotentByKey, KeyTTL: 3 * time.Second}
+	unsafe := &policy.Class{Idempotency: policy.NotIdempotent}
 	none := Kind(-1)
 	for name, c := range map[string]struct {
 		m    Message
@@ -30,13 +30,13 @@
 		want Kind
 	}{
 		"the first attempt":              {Message{Terms: unsafe}, time.Second, none},
-		"after its end":                  {Message{Terms: safe, Ended: true}, time.Second, SendAfterEnd},
+		"after its end":                  {Message{Terms: safe, Completed: true}, time.Second, SendAfterCompletion},
 		"in the instant of its time":     {Message{Terms: safe}, 0, SendAfterDeadline},
 		"after its time":                 {Message{Terms: safe}, -time.Second, SendAfterDeadline},
-		"while one is out":               {Message{Terms: safe, Out: true}, time.Second, SecondAttempt},
+		"while one is out":               {Message{Terms: safe, InFlight: true}, time.Second, SecondAttempt},
 		"unsafe, never run":              {Message{Terms: unsafe, Entry: attempts(unrun, unrun)}, time.Second, none},
-		"unsafe, may have run":           {Message{Terms: unsafe, Entry: attempts(unrun, doubtful)}, time.Second, UnsafeRepeat},
-		"unsafe, out at a restart":       {Message{Terms: unsafe, Entry: attempts(open)}, time.Second, UnsafeRepeat},
+		"unsafe, may have run":           {Message{Terms: unsafe, Entry: attempts(unrun, doubtful)}, time.Second, NonIdempotentRepeat},
+		"unsafe, out at a restart":       {Message{Terms: unsafe, Entry: attempts(open)}, time.Second, NonIdempotentRepeat},
 		"safe, may have run":             {Message{Terms: safe, Entry: attempts(doubtful)}, time.Second, none},
 		"keyed, remembered":              {Message{Terms: long, Entry: attempts(doubtful)}, time.Second, none},
 		"keyed, forgotten":               {Message{Terms: short, Entry: attempts(doubtful)}, time.Second, ExpiredKeyRepeat},
@@ -46,8 +46,8 @@
 		if c.m.Entry == nil {
 			c.m.Entry = attempts()
 		}
-		c.m.Expires = now.Add(c.left)
-		k, ok := Send(c.m, now)
+		c.m.Deadline = now.Add(c.left)
+		k, ok := CheckSend(c.m, now)
 		if ok != (c.want == none) || !ok && k != c.want {
 			t.Errorf("%s: %v, allowed: %v", name, k, ok)
 		}
@@ -111,7 +111,7 @@
 
 func TestCounts(t *testing.T) {
 	var c Counts
-	c.Violated(EndTwice, "m", "outcome", "deferred")
+	c.Record(CompletedTwice, "m", "outcome", "deferred")
 	by := c.ByKind()
 	if len(by) != int(kinds) || by["end_twice"] != 1 || by["send_after_end"] != 0 {
 		t.Errorf("%v", by)
--- a/internal/journal/failing_test.go
+++ b/internal/journal/failing_test.go
@@ -35,7 +35,7 @@
 func TestTornWrites(t *testing.T) {
 	batch := func(j *Journal) {
 		for _, id := range []string{"first", "second"} {
-			j.Take(&Entry{ID: id, Expires: j.Timeline().Now().Add(time.Minute)})
+			j.Accept(&Entry{ID: id, Deadline: j.Timeline().Now().Add(time.Minute)})
 		}
 	}
 	whole := func() int {
@@ -47,20 +47,20 @@
 		for _, stuck := range []error{nil, syscall.EIO} {
 			dir := t.TempDir()
 			j := openJournal(t, dir, 3)
-			j.Take(&Entry{ID: "before"})
+			j.Accept(&Entry{ID: "before"})
 			commit(t, j)
 			good := j.file
 			j.file = &tornFile{good, takes, stuck}
 			batch(j)
-			if j.Commit() == nil || !j.Broken() || j.Doubtful() != (stuck != nil) || j.Durable(j.Noted()) {
-				t.Fatalf("%d bytes taken: broken %v, doubtful %v", takes, j.Broken(), j.Doubtful())
+			if j.Commit() == nil || !j.Failed() || j.MayHoldUncommitted() != (stuck != nil) || j.Durable(j.LastRecord()) {
+				t.Fatalf("%d bytes taken: broken %v, doubtful %v", takes, j.Failed(), j.MayHoldUncommitted())
 			}
-			left, err := Look(dir)
+			left, err := Inspect(dir)
 			if err != nil || left.Get("before") == nil || stuck == nil && len(left.Entries()) != 1 {
 				t.Fatalf("%d bytes taken: a later process finds %d entries, %v", takes, len(left.Entries()), err)
 			}
 			commit(t, j)
-			if left, err = Look(dir); err != nil || len(left.Entries()) != 3 || j.Doubtful() || !j.Durable(j.Noted()) {
+			if left, err = Inspect(dir); err != nil || len(left.Entries()) != 3 || j.MayHoldUncommitted() || !j.Durable(j.LastRecord()) {
 				t.Fatalf("%d bytes taken: after the next commit a later process finds %d entries, %v", takes, len(left.Entries()), err)
 			}
 		}
@@ -98,7 +98,7 @@
 				t.Fatal(err)
 			}
 		}
-		if again := openJournal(t, dir, 3); len(again.Entries()) != want || len(again.Ends()) != len(j.Ends()) {
+		if again := openJournal(t, dir, 3); len(again.Entries()) != want || len(again.CompletedRequests()) != len(j.CompletedRequests()) {
 			t.Fatalf("killed after %d of %d bytes: %d entries of %d", cut, len(compacted), len(again.Entries()), want)
 		}
 	}
--- a/internal/journal/folder.go
+++ b/internal/journal/folder.go
@@ -25,9 +25,9 @@
 	recoverTime = time.Second
 )
 
-// Folder follows a folder through its failures. It has no I/O and no clock: times are spans of any steady clock. Its zero value is
+// FolderMonitor follows a folder through its failures. It has no I/O and no clock: times are spans of any steady clock. Its zero value is
 // healthy.
-type Folder struct {
+type FolderMonitor struct {
 	state   FolderState
 	retryAt time.Duration // while degraded
 	until   time.Duration // while recovering
@@ -35,27 +35,29 @@
 }
 
 // State gives the state as of the last event.
-func (f *Folder) State() FolderState { return f.state }
+func (f *FolderMonitor) State() FolderState { return f.state }
 
-// May tells whether a commit may be tried now.
-func (f *Folder) May(now time.Duration) bool { return f.state != Degraded || now >= f.retryAt }
+// MayWrite tells whether a commit may be tried now.
+func (f *FolderMonitor) MayWrite(now time.Duration) bool {
+	return f.state != Degraded || now >= f.retryAt
+}
 
-// Retry is when a degraded folder is to be tried again.
-func (f *Folder) Retry() time.Duration { return f.retryAt }
+// RetryAt is when a degraded folder is to be tried again.
+func (f *FolderMonitor) RetryAt() time.Duration { return f.retryAt }
 
-// Failed takes in a commit that failed.
-func (f *Folder) Failed(now time.Duration) {
-	f.pause.Least, f.pause.Most = leastRetry, mostRetry
-	f.state, f.retryAt = Degraded, now+f.pause.Failed()
+// WriteFailed takes in a commit that failed.
+func (f *FolderMonitor) WriteFailed(now time.Duration) {
+	f.pause.Min, f.pause.Max = leastRetry, mostRetry
+	f.state, f.retryAt = Degraded, now+f.pause.Next()
 }
 
-// Written takes in a commit that was written.
-func (f *Folder) Written(now time.Duration) {
+// WriteSucceeded takes in a commit that was written.
+func (f *FolderMonitor) WriteSucceeded(now time.Duration) {
 	switch {
 	case f.state == Degraded:
 		f.state, f.until = Recovering, now+recoverTime
 	case f.state == Recovering && now >= f.until:
 		f.state = Healthy
-		f.pause.Succeeded()
+		f.pause.Reset()
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -37,46 +37,46 @@
 
 // Entry is a message that was taken on and has not come to its end.
 type Entry struct {
-	ID     string        `json:"id"`
-	Class  string        `json:"class,omitempty"`
-	Dest   int           `json:"dest,omitempty"`
-	Tenant string        `json:"tenant,omitempty"` // where undelivered messages are kept
-	Taken  clock.Instant `json:"taken,omitzero"`   // the same
-	Resend bool          `json:"resend,omitempty"` // from the store of undelivered messages: its end goes there, not to the platform
-	Key    string        `json:"key,omitempty"`
-	// Item is what messages of a class in order take turns by; empty: it is free of order, or an earlier program took it on.
-	Item    string        `json:"item,omitempty"`
-	Expires clock.Instant `json:"expires,omitzero"`
-	// Terms is the number of the terms of its class as it was taken on, in this journal; 0: an earlier program took it
+	ID             string        `json:"id"`
+	Class          string        `json:"class,omitempty"`
+	Destination    int           `json:"dest,omitempty"`
+	Tenant         string        `json:"tenant,omitempty"` // where undelivered messages are kept
+	AcceptedAt     clock.Instant `json:"taken,omitzero"`   // the same
+	Redelivery     bool          `json:"resend,omitempty"` // from the store of undelivered messages: its end goes there, not to the platform
+	IdempotencyKey string        `json:"key,omitempty"`
+	// OrderKey is what messages of a class in order take turns by; empty: it is free of order, or an earlier program took it on.
+	OrderKey string        `json:"item,omitempty"`
+	Deadline clock.Instant `json:"expires,omitzero"`
+	// TermsNumber is the number of the terms of its class as it was taken on, in this journal; 0: an earlier program took it
 	// on, and it is under the settings'.
-	Terms    int       `json:"terms,omitempty"`
-	Body     []byte    `json:"-"`
-	Attempts []Attempt `json:"-"`
+	TermsNumber int       `json:"terms,omitempty"`
+	Body        []byte    `json:"-"`
+	Attempts    []Attempt `json:"-"`
 	// Subject and Order are what it is about, in classes of which the operator says where that stands.
 	Subject string            `json:"subject,omitempty"`
 	Order   *deadletter.Order `json:"order,omitempty"`
 	// Delivered: it was, and the store is still to know that nothing older of its topic may follow it.
-	Delivered bool                 `json:"-"`
-	Owed      *notification.Notice `json:"-"` // its end, until the platform has it
-	Reason    string               `json:"-"` // of that end, and Over when it came, where undelivered messages are kept
-	Over      clock.Instant        `json:"-"`
+	Delivered     bool                 `json:"-"`
+	PendingNotice *notification.Notice `json:"-"` // its end, until the platform has it
+	Reason        string               `json:"-"` // of that end, and Over when it came, where undelivered messages are kept
+	CompletedAt   clock.Instant        `json:"-"`
 }
 
 // Attempt is one call made for a message.
 type Attempt struct {
-	Host  string
-	Begun clock.Instant
-	Ended bool
-	Unrun bool // proved never to have run
+	Endpoint    string
+	StartedAt   clock.Instant
+	Ended       bool
+	NotExecuted bool // proved never to have run
 	// Where undelivered messages are kept:
-	At      clock.Instant // of its end
+	EndedAt clock.Instant // of its end
 	Outcome string
 }
 
 // Health is what is remembered of a host's outage.
 type Health struct {
-	Sick bool          `json:"sick,omitempty"`
-	At   clock.Instant `json:"at,omitzero"`
+	Unhealthy bool          `json:"sick,omitempty"`
+	At        clock.Instant `json:"at,omitzero"`
 }
 
 // openFile is the journal's file, as far as it is written in place.
@@ -103,11 +103,11 @@
 	entries  map[string]*Entry
 	order    []*Entry // as taken; those that are over leave at the next compaction
 	health   map[string]Health
-	list     *discovery.Members   // as last told; nil for never
-	from     string               // the discovery that told it
-	listLen  int                  // of its record
-	store    string               // the one that knows all that was delivered, or has it to come from this journal; empty: none
-	terms    map[int]policy.Class // by number
+	list     *discovery.EndpointList // as last told; nil for never
+	from     string                  // the discovery that told it
+	listLen  int                     // of its record
+	store    string                  // the one that knows all that was delivered, or has it to come from this journal; empty: none
+	terms    map[int]policy.Class    // by number
 	lastTerm int
 	arrivals int64 // the highest Order.Arrival of all that was ever taken on
 	past     past
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return j, j.Own()
+	return j, j.Acquire()
 }
 
 // Read replays the journal in a folder that another process still owns, and changes nothing there. Nothing can be written
@@ -138,7 +138,7 @@
 		slog.Warn("journal: unreadable end skipped", "bytes", rest)
 	}
 	j.timeline = clock.Continue(j.anchor, j.latest)
-	if j.anchor != nil && !j.timeline.Continued() {
+	if j.anchor != nil && !j.timeline.SameBoot() {
 		slog.Warn("journal: written in another boot of this machine; the time since then is the wall clock's")
 	}
 	j.detailed, j.limit = detailed, int(diskShare*diskMB*1e6)
@@ -148,15 +148,15 @@
 	return j, nil
 }
 
-// Own makes a journal ready to be written: this process owns the folder now.
-func (j *Journal) Own() error {
+// Acquire makes a journal ready to be written: this process owns the folder now.
+func (j *Journal) Acquire() error {
 	// A process that ended while it compacted leaves a file that was never used.
 	err := os.Remove(j.temporary())
 	if errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
 	err = errors.Join(err, j.compact())
-	if err != nil && syserr.Of(syserr.File, err) == syserr.Local {
+	if err != nil && syserr.Classify(syserr.File, err) == syserr.Local {
 		// Guards against a start that fails for what passes: what the folder has was read, and is owed.
 		slog.Error("journal: the folder can't be written", "err", err)
 		j.broken = true
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// Look reads the journal in a folder as it stands, also that of a running process. Nothing can be written to it.
-func Look(dir string) (*Journal, error) {
+// Inspect reads the journal in a folder as it stands, also that of a running process. Nothing can be written to it.
+func Inspect(dir string) (*Journal, error) {
 	j, _, err := load(dir)
 	if err != nil {
 		return nil, err
@@ -234,7 +234,7 @@
 
 // need is the room that an entry takes up, with its later records.
 func (j *Journal) need(e *Entry) int {
-	n := len(e.Body) + 4*len(e.ID) + len(e.Key) + len(e.Item) + len(e.Tenant) + attemptsRoom
+	n := len(e.Body) + 4*len(e.ID) + len(e.IdempotencyKey) + len(e.OrderKey) + len(e.Tenant) + attemptsRoom
 	if j.detailed {
 		n += detailRoom
 	}
@@ -244,11 +244,11 @@
 	return n
 }
 
-// Take notes a message taken on.
-func (j *Journal) Take(e *Entry) { j.note(record{Op: opTaken, Entry: e}, e.Body) }
+// Accept notes a message taken on.
+func (j *Journal) Accept(e *Entry) { j.note(record{Op: opTaken, Entry: e}, e.Body) }
 
-// Under has a message that is to be taken on keep the terms of its class as they are now.
-func (j *Journal) Under(e *Entry, class policy.Class) { e.Terms = j.number(class) }
+// SetTerms has a message that is to be taken on keep the terms of its class as they are now.
+func (j *Journal) SetTerms(e *Entry, class policy.Class) { e.TermsNumber = j.number(class) }
 
 // number gives the number of terms, and notes those that are new.
 func (j *Journal) number(class policy.Class) int {
@@ -266,19 +266,19 @@
 
 // Terms are those of a message's class as it was taken on; nil where they are not known.
 func (j *Journal) Terms(e *Entry) *policy.Class {
-	if c, ok := j.terms[e.Terms]; ok {
+	if c, ok := j.terms[e.TermsNumber]; ok {
 		return &c
 	}
 	return nil
 }
 
-// Begin notes an attempt; it must be committed before the attempt's first byte goes out.
-func (j *Journal) Begin(e *Entry, host string, at clock.Instant) {
+// BeginAttempt notes an attempt; it must be committed before the attempt's first byte goes out.
+func (j *Journal) BeginAttempt(e *Entry, host string, at clock.Instant) {
 	j.note(record{Op: opBegun, ID: e.ID, Host: host, At: at}, nil)
 }
 
-// End notes the outcome of a message's last attempt, and how and when it came where that is kept.
-func (j *Journal) End(e *Entry, unrun bool, outcome string, at clock.Instant) {
+// EndAttempt notes the outcome of a message's last attempt, and how and when it came where that is kept.
+func (j *Journal) EndAttempt(e *Entry, unrun bool, outcome string, at clock.Instant) {
 	r := record{Op: opEnded, ID: e.ID, Unrun: unrun}
 	if j.detailed {
 		r.Why, r.At = outcome, at
@@ -286,8 +286,8 @@
 	j.note(r, nil)
 }
 
-// Owe notes that a message ends by a notice, and why and when where that is kept.
-func (j *Journal) Owe(e *Entry, n notification.Notice, reason string, at clock.Instant) {
+// DecideOutcome notes that a message ends by a notice, and why and when where that is kept.
+func (j *Journal) DecideOutcome(e *Entry, n notification.Notice, reason string, at clock.Instant) {
 	r := record{Op: opOwed, ID: e.ID, Notice: &n}
 	if j.detailed {
 		r.Why, r.At = reason, at
@@ -295,35 +295,35 @@
 	j.note(r, nil)
 }
 
-// Deliver notes that a message was delivered, and that the store is to know.
-func (j *Journal) Deliver(e *Entry) { j.note(record{Op: opDone, ID: e.ID}, nil) }
+// MarkDelivered notes that a message was delivered, and that the store is to know.
+func (j *Journal) MarkDelivered(e *Entry) { j.note(record{Op: opDone, ID: e.ID}, nil) }
 
-// Told notes which store knows all that was delivered, or has it to come from this journal; empty for none.
-func (j *Journal) Told(store string) {
+// SetStore notes which store knows all that was delivered, or has it to come from this journal; empty for none.
+func (j *Journal) SetStore(store string) {
 	j.note(record{Op: opStore, From: store, Count: j.arrivals}, nil)
 }
 
 // Store names the store that knows all that was delivered, or has it to come from this journal; empty for none.
 func (j *Journal) Store() string { return j.store }
 
-// Arrivals is the highest Order.Arrival of all that was ever taken on.
-func (j *Journal) Arrivals() int64 { return j.arrivals }
+// LastArrival is the highest Order.Arrival of all that was ever taken on.
+func (j *Journal) LastArrival() int64 { return j.arrivals }
 
-// Remember notes what a later process has to know of a host's outage.
-func (j *Journal) Remember(host string, h Health) {
+// SetHealth notes what a later process has to know of a host's outage.
+func (j *Journal) SetHealth(host string, h Health) {
 	j.note(record{Op: opHealth, Host: host, Health: &h}, nil)
 }
 
-// Forget drops what is remembered of a host that is gone; the file forgets with its next compaction.
-func (j *Journal) Forget(host string) { delete(j.health, host) }
+// DeleteHealth drops what is remembered of a host that is gone; the file forgets with its next compaction.
+func (j *Journal) DeleteHealth(host string) { delete(j.health, host) }
 
-// List notes the list of hosts, or a change of it, as a discovery has told it.
-func (j *Journal) List(m discovery.Members, from string) {
+// UpdateEndpoints notes the list of hosts, or a change of it, as a discovery has told it.
+func (j *Journal) UpdateEndpoints(m discovery.EndpointList, from string) {
 	j.note(record{Op: opList, List: &m, From: from}, nil)
 }
 
-// Listed is the list as last told to this process or an earlier one, or nil, and which discovery told it.
-func (j *Journal) Listed() (list *discovery.Members, from string) { return j.list, j.from }
+// Endpoints is the list as last told to this process or an earlier one, or nil, and which discovery told it.
+func (j *Journal) Endpoints() (list *discovery.EndpointList, from string) { return j.list, j.from }
 
 // note applies a record and buffers it.
 func (j *Journal) note(r record, body []byte) {
@@ -332,8 +332,8 @@
 	j.pending = appendRecord(j.pending, r, body)
 }
 
-// Noted is the number of the last record that was noted.
-func (j *Journal) Noted() uint64 { return j.noted }
+// LastRecord is the number of the last record that was noted.
+func (j *Journal) LastRecord() uint64 { return j.noted }
 
 // Durable tells whether a later process finds a record of this number.
 func (j *Journal) Durable(record uint64) bool { return record <= j.durable }
@@ -373,11 +373,11 @@
 	return err
 }
 
-// Broken tells whether the last commit failed: only what is in the file as it stood before is known to a later process.
-func (j *Journal) Broken() bool { return j.broken }
+// Failed tells whether the last commit failed: only what is in the file as it stood before is known to a later process.
+func (j *Journal) Failed() bool { return j.broken }
 
-// Doubtful tells whether the commits that failed since the last good one may have left records in the file all the same.
-func (j *Journal) Doubtful() bool { return j.doubtful }
+// MayHoldUncommitted tells whether the commits that failed since the last good one may have left records in the file all the same.
+func (j *Journal) MayHoldUncommitted() bool { return j.doubtful }
 
 // pastRoom is how many bytes of a new file may go to messages that are over: what is live comes first, the old file stands
 // beside the new one, and half of what is left is for the records until the next compaction.
@@ -395,7 +395,7 @@
 	j.order = j.Entries()
 	used := map[int]bool{}
 	for _, e := range j.order {
-		used[e.Terms] = true
+		used[e.TermsNumber] = true
 	}
 	for n, c := range j.terms {
 		if used[n] {
@@ -407,16 +407,16 @@
 	for _, e := range j.order {
 		b = appendRecord(b, record{Op: opTaken, Entry: e}, e.Body)
 		for _, a := range e.Attempts {
-			b = appendRecord(b, record{Op: opBegun, ID: e.ID, Host: a.Host, At: a.Begun}, nil)
+			b = appendRecord(b, record{Op: opBegun, ID: e.ID, Host: a.Endpoint, At: a.StartedAt}, nil)
 			if a.Ended {
-				b = appendRecord(b, record{Op: opEnded, ID: e.ID, Unrun: a.Unrun, Why: a.Outcome, At: a.At}, nil)
+				b = appendRecord(b, record{Op: opEnded, ID: e.ID, Unrun: a.NotExecuted, Why: a.Outcome, At: a.EndedAt}, nil)
 			}
 		}
 		if e.Delivered {
 			b = appendRecord(b, record{Op: opDone, ID: e.ID}, nil)
 		}
-		if e.Owed != nil {
-			b = appendRecord(b, record{Op: opOwed, ID: e.ID, Notice: e.Owed, Why: e.Reason, At: e.Over}, nil)
+		if e.PendingNotice != nil {
+			b = appendRecord(b, record{Op: opOwed, ID: e.ID, Notice: e.PendingNotice, Why: e.Reason, At: e.CompletedAt}, nil)
 		}
 	}
 	if ends := j.past.fitting(j.pastRoom()); len(ends) > 0 {
@@ -510,8 +510,8 @@
 		return
 	case r.Op == opList && r.List != nil:
 		j.live -= j.listLen
-		j.list, j.from = j.list.Changed(*r.List), r.From
-		j.listLen = len(j.list.Hosts) * memberRoom
+		j.list, j.from = j.list.Apply(*r.List), r.From
+		j.listLen = len(j.list.Endpoints) * memberRoom
 		j.live += j.listLen
 		return
 	}
@@ -521,21 +521,21 @@
 	}
 	switch r.Op {
 	case opBegun:
-		e.Attempts = append(e.Attempts, Attempt{Host: r.Host, Begun: r.At})
+		e.Attempts = append(e.Attempts, Attempt{Endpoint: r.Host, StartedAt: r.At})
 	case opEnded:
 		if n := len(e.Attempts); n > 0 {
 			a := &e.Attempts[n-1]
-			a.Ended, a.Unrun, a.Outcome, a.At = true, r.Unrun, r.Why, r.At
+			a.Ended, a.NotExecuted, a.Outcome, a.EndedAt = true, r.Unrun, r.Why, r.At
 		}
 	case opOwed:
-		e.Owed, e.Reason, e.Over = r.Notice, r.Why, r.At
+		e.PendingNotice, e.Reason, e.CompletedAt = r.Notice, r.Why, r.At
 	case opDone:
 		e.Delivered = true
 	case opOver:
 		delete(j.entries, e.ID)
 		j.live -= j.need(e)
 		if !r.At.IsZero() { // an earlier program did not say
-			j.past.add(End{e.ID, r.At})
+			j.past.add(CompletedRequest{e.ID, r.At})
 		}
 	}
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -33,16 +33,16 @@
 func fill(t *testing.T, j *Journal, at clock.Instant) {
 	t.Helper()
 	for _, id := range []string{"over", "tried", "owing"} {
-		j.Take(&Entry{ID: id, Class: "order", Dest: 7, Key: "k", Expires: at.Add(time.Minute), Body: []byte("body\x00" + id)})
+		j.Accept(&Entry{ID: id, Class: "order", Destination: 7, IdempotencyKey: "k", Deadline: at.Add(time.Minute), Body: []byte("body\x00" + id)})
 	}
 	commit(t, j)
-	j.Over(j.Get("over"), at)
+	j.Complete(j.Get("over"), at)
 	e := j.Get("tried")
-	j.Begin(e, "h1", at)
-	j.End(e, true, "", 0)
-	j.Begin(e, "h2", at.Add(time.Second))
-	j.Owe(j.Get("owing"), notification.Notice{ID: "owing", Status: notification.Deferred, AgainMS: 30}, "", 0)
-	j.Remember("h2", Health{Sick: true, At: at})
+	j.BeginAttempt(e, "h1", at)
+	j.EndAttempt(e, true, "", 0)
+	j.BeginAttempt(e, "h2", at.Add(time.Second))
+	j.DecideOutcome(j.Get("owing"), notification.Notice{ID: "owing", Status: notification.Deferred, RetryAfterMS: 30}, "", 0)
+	j.SetHealth("h2", Health{Unhealthy: true, At: at})
 	commit(t, j)
 }
 
@@ -56,18 +56,18 @@
 			t.Fatalf("entries: %v", list)
 		}
 		e := list[0]
-		if e.Class != "order" || e.Dest != 7 || e.Key != "k" || e.Expires != at.Add(time.Minute) ||
+		if e.Class != "order" || e.Destination != 7 || e.IdempotencyKey != "k" || e.Deadline != at.Add(time.Minute) ||
 			!bytes.Equal(e.Body, []byte("body\x00tried")) {
 			t.Errorf("entry: %+v", e)
 		}
-		if len(e.Attempts) != 2 || !e.Attempts[0].Unrun || e.Attempts[1].Ended || e.Attempts[1].Host != "h2" ||
-			e.Attempts[1].Begun != at.Add(time.Second) {
+		if len(e.Attempts) != 2 || !e.Attempts[0].NotExecuted || e.Attempts[1].Ended || e.Attempts[1].Endpoint != "h2" ||
+			e.Attempts[1].StartedAt != at.Add(time.Second) {
 			t.Errorf("attempts: %+v", e.Attempts)
 		}
-		if n := list[1].Owed; n == nil || *n != (notification.Notice{ID: "owing", Status: notification.Deferred, AgainMS: 30}) {
+		if n := list[1].PendingNotice; n == nil || *n != (notification.Notice{ID: "owing", Status: notification.Deferred, RetryAfterMS: 30}) {
 			t.Errorf("notice: %v", n)
 		}
-		if h := j.Health()["h2"]; !h.Sick || h.At != at {
+		if h := j.Health()["h2"]; !h.Unhealthy || h.At != at {
 			t.Errorf("health: %v", j.Health())
 		}
 	}
@@ -77,10 +77,10 @@
 func TestJournalTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&Entry{ID: "a", Body: []byte("1")})
+	j.Accept(&Entry{ID: "a", Body: []byte("1")})
 	commit(t, j)
 	whole := j.size
-	j.Take(&Entry{ID: "b", Body: []byte("2")})
+	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
 	raw, err := os.ReadFile(filepath.Join(dir, Name))
 	if err != nil {
@@ -107,7 +107,7 @@
 				t.Fatalf("cut %d at byte %d: %d entries, want %d", i, end, len(list), want)
 			}
 			// What is noted after it is found again.
-			j.Take(&Entry{ID: "c"})
+			j.Accept(&Entry{ID: "c"})
 			commit(t, j)
 			if again := openJournal(t, other, 3); again.Get("c") == nil {
 				t.Fatalf("cut %d at byte %d: what came later is lost", i, end)
@@ -126,14 +126,14 @@
 		e := &Entry{ID: fmt.Sprint("m", i), Body: make([]byte, 64<<10)}
 		if !j.Reserve(e) {
 			refused++
-			j.Over(j.Entries()[0], j.Timeline().Now())
+			j.Complete(j.Entries()[0], j.Timeline().Now())
 			commit(t, j)
 			continue
 		}
-		j.Take(e)
+		j.Accept(e)
 		for range 12 {
-			j.Begin(e, "a-host-with-a-rather-long-name", j.Timeline().Now())
-			j.End(e, true, "", 0)
+			j.BeginAttempt(e, "a-host-with-a-rather-long-name", j.Timeline().Now())
+			j.EndAttempt(e, true, "", 0)
 		}
 		commit(t, j)
 		// At worst both the old file and a new one with all that is live.
@@ -167,10 +167,10 @@
 func TestJournalFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	j.Take(&Entry{ID: "a"})
+	j.Accept(&Entry{ID: "a"})
 	commit(t, j)
 	_ = j.file.Close()
-	j.Take(&Entry{ID: "b"})
+	j.Accept(&Entry{ID: "b"})
 	if j.Commit() == nil || j.Reserve(&Entry{ID: "c"}) {
 		t.Error("a failed write went unnoticed")
 	}
@@ -185,30 +185,30 @@
 func TestTimelineOutlastsTheProcess(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
-	if j.Timeline().Continued() {
+	if j.Timeline().SameBoot() {
 		t.Error("an empty folder continues a timeline")
 	}
 	first := j.Timeline().Anchor()
 	fill(t, j, j.Timeline().Now())
 	for range 2 {
 		j = openJournal(t, dir, 3)
-		if !j.Timeline().Continued() || j.Timeline().Anchor() != first {
+		if !j.Timeline().SameBoot() || j.Timeline().Anchor() != first {
 			t.Errorf("anchored at %+v, want %+v", j.Timeline().Anchor(), first)
 		}
 	}
 
 	ahead := clock.New().Now().Add(time.Hour) // the wall clock was an hour ahead when this was written
-	old := appendRecord(nil, record{Op: opTaken, Entry: &Entry{ID: "a", Expires: ahead.Add(time.Minute)}}, nil)
+	old := appendRecord(nil, record{Op: opTaken, Entry: &Entry{ID: "a", Deadline: ahead.Add(time.Minute)}}, nil)
 	old = appendRecord(old, record{Op: opBegun, ID: "a", Host: "h", At: ahead}, nil)
 	if err := os.WriteFile(filepath.Join(dir, Name), old, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j = openJournal(t, dir, 3)
 	e := j.Get("a")
-	if e == nil || e.Attempts[0].Begun != ahead || j.Timeline().Continued() {
-		t.Fatalf("%+v, continued: %v", e, j.Timeline().Continued())
+	if e == nil || e.Attempts[0].StartedAt != ahead || j.Timeline().SameBoot() {
+		t.Fatalf("%+v, continued: %v", e, j.Timeline().SameBoot())
 	}
-	if left := e.Expires.Sub(j.Timeline().Now()); left > time.Minute {
+	if left := e.Deadline.Sub(j.Timeline().Now()); left > time.Minute {
 		t.Errorf("%v left of a minute", left)
 	}
 }
--- a/internal/journal/past.go
+++ b/internal/journal/past.go
@@ -18,8 +18,8 @@
 	mostMilliseconds = math.MaxInt64 / 1_000_000
 )
 
-// End is a message that was taken on and is over.
-type End struct {
+// CompletedRequest is a message that was taken on and is over.
+type CompletedRequest struct {
 	ID string
 	At clock.Instant
 }
@@ -28,11 +28,11 @@
 // be taken for new, also after a restart. It is pure state.
 type past struct {
 	ids  map[string]bool
-	ends []End
+	ends []CompletedRequest
 }
 
 // add remembers an end, in the place of the oldest where there are too many.
-func (p *past) add(e End) {
+func (p *past) add(e CompletedRequest) {
 	if p.ids[e.ID] {
 		return
 	}
@@ -65,7 +65,7 @@
 }
 
 // fitting are the latest ends whose encoding fits into so many bytes.
-func (p *past) fitting(room int) []End {
+func (p *past) fitting(room int) []CompletedRequest {
 	first := len(p.ends)
 	for first > 0 {
 		if room -= len(appendEnd(nil, p.ends[first-1])); room < 0 {
@@ -77,7 +77,7 @@
 }
 
 // appendEnd encodes an end: the id's length as a uvarint, the id, Unix milliseconds as a varint.
-func appendEnd(b []byte, e End) []byte {
+func appendEnd(b []byte, e CompletedRequest) []byte {
 	b = append(binary.AppendUvarint(b, uint64(len(e.ID))), e.ID...)
 	return binary.AppendVarint(b, e.At.Milliseconds())
 }
@@ -85,7 +85,7 @@
 var errEnd = errors.New("ends that make no sense")
 
 // readEnds reads what appendEnd wrote, all of raw or none.
-func readEnds(raw []byte) (ends []End, err error) {
+func readEnds(raw []byte) (ends []CompletedRequest, err error) {
 	for len(raw) > 0 {
 		length, n := binary.Uvarint(raw)
 		if n <= 0 || length > uint64(len(raw)-n) {
@@ -98,22 +98,24 @@
 			return nil, errEnd
 		}
 		raw = raw[n:]
-		ends = append(ends, End{id, clock.FromMilliseconds(at)})
+		ends = append(ends, CompletedRequest{id, clock.FromMilliseconds(at)})
 	}
 	return ends, nil
 }
 
-// Over notes that nothing more is owed for a message, from a time on.
-func (j *Journal) Over(e *Entry, at clock.Instant) { j.note(record{Op: opOver, ID: e.ID, At: at}, nil) }
+// Complete notes that nothing more is owed for a message, from a time on.
+func (j *Journal) Complete(e *Entry, at clock.Instant) {
+	j.note(record{Op: opOver, ID: e.ID, At: at}, nil)
+}
 
-// Passed notes an end that another process has told.
-func (j *Journal) Passed(e End) { j.past.add(e) }
+// AddCompleted notes an end that another process has told.
+func (j *Journal) AddCompleted(e CompletedRequest) { j.past.add(e) }
 
-// Past tells whether a message of an id was taken on and is over, as far as that is remembered.
-func (j *Journal) Past(id string) bool { return j.past.ids[id] }
+// IsCompleted tells whether a message of an id was taken on and is over, as far as that is remembered.
+func (j *Journal) IsCompleted(id string) bool { return j.past.ids[id] }
 
-// Ends are the messages that are over and remembered, in the order in which they ended.
-func (j *Journal) Ends() []End { return slices.Clone(j.past.ends) }
+// CompletedRequests are the messages that are over and remembered, in the order in which they ended.
+func (j *Journal) CompletedRequests() []CompletedRequest { return slices.Clone(j.past.ends) }
 
-// ForgetPast drops what ended before a time; the file forgets with its next compaction.
-func (j *Journal) ForgetPast(before clock.Instant) { j.past.forget(before) }
+// ExpireCompleted drops what ended before a time; the file forgets with its next compaction.
+func (j *Journal) ExpireCompleted(before clock.Instant) { j.past.forget(before) }
--- a/internal/journal/past_test.go
+++ b/internal/journal/past_test.go
@@ -19,26 +19,26 @@
 	j := openJournal(t, dir, 3)
 	for i := range 5 {
 		e := &Entry{ID: fmt.Sprint("m", i)}
-		j.Take(e)
-		j.Over(e, at.Add(time.Duration(i)*time.Second))
+		j.Accept(e)
+		j.Complete(e, at.Add(time.Duration(i)*time.Second))
 	}
 	old := &Entry{ID: "old"}
-	j.Take(old)
+	j.Accept(old)
 	j.note(record{Op: opOver, ID: "old"}, nil)
 	commit(t, j)
 	for range 3 { // the log, its compaction, and that one's
 		j = openJournal(t, dir, 3)
-		ends := j.Ends()
-		if len(ends) != 5 || ends[0].ID != "m0" || ends[4].At != at.Add(4*time.Second) || !j.Past("m2") || j.Past("old") || j.Past("new") {
+		ends := j.CompletedRequests()
+		if len(ends) != 5 || ends[0].ID != "m0" || ends[4].At != at.Add(4*time.Second) || !j.IsCompleted("m2") || j.IsCompleted("old") || j.IsCompleted("new") {
 			t.Fatalf("%v", ends)
 		}
 	}
-	j.ForgetPast(at.Add(2 * time.Second))
+	j.ExpireCompleted(at.Add(2 * time.Second))
 	if err := j.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	if j = openJournal(t, dir, 3); j.Past("m1") || !j.Past("m2") || len(j.Ends()) != 3 {
-		t.Errorf("after forgetting: %v", j.Ends())
+	if j = openJournal(t, dir, 3); j.IsCompleted("m1") || !j.IsCompleted("m2") || len(j.CompletedRequests()) != 3 {
+		t.Errorf("after forgetting: %v", j.CompletedRequests())
 	}
 }
 
@@ -54,8 +54,8 @@
 		if !j.Reserve(e) {
 			t.Fatalf("message %d is refused", i)
 		}
-		j.Take(e)
-		j.Over(e, at)
+		j.Accept(e)
+		j.Complete(e, at)
 		if i%64 == 0 {
 			commit(t, j)
 		}
@@ -67,8 +67,8 @@
 		}
 	}
 	commit(t, j)
-	if len(j.Ends()) != mostPast || len(j.past.ids) != mostPast {
-		t.Errorf("%d ends in memory, %d ids", len(j.Ends()), len(j.past.ids))
+	if len(j.CompletedRequests()) != mostPast || len(j.past.ids) != mostPast {
+		t.Errorf("%d ends in memory, %d ids", len(j.CompletedRequests()), len(j.past.ids))
 	}
 	if written > 60 {
 		t.Errorf("the file was written anew %d times", written)
@@ -76,10 +76,10 @@
 	if err := j.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	last := j.Ends()[mostPast-1]
+	last := j.CompletedRequests()[mostPast-1]
 	again := openJournal(t, dir, mb)
-	n := len(again.Ends())
-	if room := pastShare * diskShare * mb * 1e6; n < int(room)/50 || n > int(room)/32 || !again.Past(last.ID) {
+	n := len(again.CompletedRequests())
+	if room := pastShare * diskShare * mb * 1e6; n < int(room)/50 || n > int(room)/32 || !again.IsCompleted(last.ID) {
 		t.Errorf("%d ends come back of a room of %.0f bytes", n, room)
 	}
 }
@@ -92,13 +92,13 @@
 	if err := os.WriteFile(filepath.Join(dir, Name), whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if j := openJournal(t, dir, 3); len(j.Ends()) != 0 || j.Get("a") == nil {
-		t.Errorf("%v, %v", j.Ends(), j.Get("a"))
+	if j := openJournal(t, dir, 3); len(j.CompletedRequests()) != 0 || j.Get("a") == nil {
+		t.Errorf("%v, %v", j.CompletedRequests(), j.Get("a"))
 	}
 }
 
 func FuzzReadEnds(f *testing.F) {
-	f.Add(appendEnd(appendEnd(nil, End{"9b1f03aa5c7e2d41", clock.FromMilliseconds(1764625871000)}), End{"", clock.FromMilliseconds(-1)}))
+	f.Add(appendEnd(appendEnd(nil, CompletedRequest{"9b1f03aa5c7e2d41", clock.FromMilliseconds(1764625871000)}), CompletedRequest{"", clock.FromMilliseconds(-1)}))
 	f.Add([]byte{200, 'x'})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -24,20 +24,20 @@
 // record is one line of the journal. Times in it are instants of the relay's timeline, which its first record anchors; programs
 // before that record wrote times of the wall clock in the same form.
 type record struct {
-	Op     string               `json:"op"`
-	Entry  *Entry               `json:"entry,omitempty"`
-	ID     string               `json:"id,omitempty"`
-	Host   string               `json:"host,omitempty"`
-	At     clock.Instant        `json:"at,omitzero"`
-	Unrun  bool                 `json:"unrun,omitempty"`
-	Why    string               `json:"why,omitempty"` // an attempt's outcome, or the reason of a message's end
-	Notice *notification.Notice `json:"notice,omitempty"`
-	Health *Health              `json:"health,omitempty"`
-	List   *discovery.Members   `json:"list,omitempty"`
-	From   string               `json:"from,omitempty"` // the discovery that told List, or the store's name
-	Count  int64                `json:"count,omitempty"`
-	Terms  *policy.Class        `json:"terms,omitempty"` // number Count
-	Anchor *clock.Anchor        `json:"anchor,omitempty"`
+	Op     string                  `json:"op"`
+	Entry  *Entry                  `json:"entry,omitempty"`
+	ID     string                  `json:"id,omitempty"`
+	Host   string                  `json:"host,omitempty"`
+	At     clock.Instant           `json:"at,omitzero"`
+	Unrun  bool                    `json:"unrun,omitempty"`
+	Why    string                  `json:"why,omitempty"` // an attempt's outcome, or the reason of a message's end
+	Notice *notification.Notice    `json:"notice,omitempty"`
+	Health *Health                 `json:"health,omitempty"`
+	List   *discovery.EndpointList `json:"list,omitempty"`
+	From   string                  `json:"from,omitempty"` // the discovery that told List, or the store's name
+	Count  int64                   `json:"count,omitempty"`
+	Terms  *policy.Class           `json:"terms,omitempty"` // number Count
+	Anchor *clock.Anchor           `json:"anchor,omitempty"`
 }
 
 // The kinds of record.
--- a/internal/journal/store_test.go
+++ b/internal/journal/store_test.go
@@ -21,11 +21,11 @@
 	j := open(true)
 	over := &Entry{ID: "a", Class: "status", Subject: "k-1", Order: &deadletter.Order{Whole: 4, Arrival: 900}}
 	owed := &Entry{ID: "b", Class: "status", Subject: "k-1", Order: &deadletter.Order{Whole: 5, Arrival: 800}}
-	j.Told("store")
-	j.Take(over)
-	j.Over(over, j.Timeline().Now())
-	j.Take(owed)
-	j.Deliver(owed)
+	j.SetStore("store")
+	j.Accept(over)
+	j.Complete(over, j.Timeline().Now())
+	j.Accept(owed)
+	j.MarkDelivered(owed)
 	if err := j.Commit(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/notification/notification.go
+++ b/internal/notification/notification.go
@@ -31,9 +31,9 @@
 
 // Notice is the end of a message that was taken on and not delivered.
 type Notice struct {
-	ID      string `json:"id"`
-	Status  string `json:"status"`
-	AgainMS int64  `json:"again_ms,omitempty"`
+	ID           string `json:"id"`
+	Status       string `json:"status"`
+	RetryAfterMS int64  `json:"again_ms,omitempty"`
 }
 
 // The states of a notice.
@@ -66,8 +66,8 @@
 
 func outcomesAt(discovery string) string { return "http://" + discovery + "/v1/outcomes" }
 
-// Move has notices posted at another address from now on, those that are being posted as well.
-func (n *Notifier) Move(discovery string) {
+// SetAddress has notices posted at another address from now on, those that are being posted as well.
+func (n *Notifier) SetAddress(discovery string) {
 	n.mu.Lock()
 	n.url = outcomesAt(discovery)
 	close(n.moved)
@@ -76,8 +76,8 @@
 	n.client.CloseIdleConnections()
 }
 
-// Owe adds a notice; it never blocks, however long the platform may be out of reach.
-func (n *Notifier) Owe(notice Notice) {
+// Enqueue adds a notice; it never blocks, however long the platform may be out of reach.
+func (n *Notifier) Enqueue(notice Notice) {
 	n.mu.Lock()
 	n.owed = append(n.owed, notice)
 	n.mu.Unlock()
--- a/internal/notification/notification_test.go
+++ b/internal/notification/notification_test.go
@@ -32,8 +32,8 @@
 	n := New(stalled, func(ids []string) { done <- ids })
 	n.client.Timeout = waittest.Long
 	go n.Run(t.Context())
-	n.Owe(Notice{ID: "m", Status: Deferred})
-	n.Move(prompt)
+	n.Enqueue(Notice{ID: "m", Status: Deferred})
+	n.SetAddress(prompt)
 	select {
 	case ids := <-done:
 		if !slices.Equal(ids, []string{"m"}) {
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	if f.Version != Version {
-		doc.Bad("version", "is %d; this program reads version %d", f.Version, Version)
+		doc.AddError("version", "is %d; this program reads version %d", f.Version, Version)
 	}
 	if f.Undelivered != nil {
 		f.Undelivered.Check(doc, "undelivered")
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	_, err := Read(path)
-	var got strictconfig.Problems
+	var got strictconfig.FieldErrors
 	if !errors.As(err, &got) || len(got) != 3 || got[0].Line != 1 || got[1].Line != 2 || got[2].Line != 4 {
 		t.Errorf("got %v", err)
 	}
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -20,16 +20,16 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	l := &loop{timeline: j.Timeline(), journal: j, violated: &invariant.Counts{}, hosts: map[string]discovery.Member{"h": {Host: "h", Block: 3}}, messages: map[string]*message{}}
+	l := &loop{timeline: j.Timeline(), journal: j, violated: &invariant.Counts{}, hosts: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, messages: map[string]*message{}}
 	now := l.now() + time.Second
 	for i, within := range []time.Duration{0, 300 * time.Millisecond} {
 		id := strconv.Itoa(i) // each has one call out at most
-		e := &journal.Entry{ID: id, Dest: 3, Expires: l.timeline.Now().Add(time.Minute)}
-		j.Take(e)
+		e := &journal.Entry{ID: id, Destination: 3, Deadline: l.timeline.Now().Add(time.Minute)}
+		j.Accept(e)
 		l.messages[id] = &message{Entry: e}
-		l.send(now, policy.Send{ID: id, Endpoint: "h", Within: within})
+		l.send(now, policy.Send{ID: id, Endpoint: "h", WriteWithin: within})
 		got := l.sends[i].writeBy
-		if want := l.timeline.Moment(clock.Instant(now + within)); within == 0 && !got.IsZero() || within > 0 && !got.Equal(want) {
+		if want := l.timeline.TimeOf(clock.Instant(now + within)); within == 0 && !got.IsZero() || within > 0 && !got.Equal(want) {
 			t.Errorf("within %v of %v: by %v", within, now, got)
 		}
 	}
@@ -42,13 +42,13 @@
 	for id, flag := range flags {
 		l.messages[id] = &message{Entry: &journal.Entry{ID: id, Attempts: make([]journal.Attempt, 2)}, unsend: flag}
 	}
-	for _, a := range []policy.Unsend{{ID: "m"}, {ID: "resting"}, {ID: "gone"}} {
+	for _, a := range []policy.CancelBeforeSend{{ID: "m"}, {ID: "resting"}, {ID: "gone"}} {
 		l.act(0, a)
 	}
 	if flags["m"].Load() {
 		t.Error("an attempt that is over takes back the next one")
 	}
-	l.act(0, policy.Unsend{ID: "m", Attempt: 1})
+	l.act(0, policy.CancelBeforeSend{ID: "m", Attempt: 1})
 	if !flags["m"].Load() || flags["other"].Load() {
 		t.Errorf("taken back: %v, and of another message: %v", flags["m"].Load(), flags["other"].Load())
 	}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -53,7 +53,7 @@
 		switch { // not accepted after all
 		case m.verdicts != nil:
 			l.end(m)
-		case m.Resend && !m.over && !written:
+		case m.Redelivery && !m.over && !written:
 			l.giveBack(m, "")
 		}
 	}
@@ -61,28 +61,28 @@
 		do()
 	}
 	l.carryOut(written)
-	l.book.Show(admin.Gauges{HostsListed: len(l.hosts), HostsDown: l.d.Down()})
+	l.book.Publish(admin.Gauges{EndpointsListed: len(l.hosts), EndpointsUnhealthy: l.d.UnhealthyEndpoints()})
 }
 
 // answer answers the requests that brought a message, where they are not answered yet.
 func (l *loop) answer(m *message, written bool) {
 	replies := m.verdicts
 	switch {
-	case replies == nil && (!m.Resend || m.over || written): // refused, or nobody waits for an answer
+	case replies == nil && (!m.Redelivery || m.over || written): // refused, or nobody waits for an answer
 	case !written:
 		// Where records may be in the file all the same a later process may deliver it: that is no promise of no effect.
-		v := frontend.Verdict{Status: http.StatusServiceUnavailable, After: l.cfg.policy.MaxStayAway}
-		if l.journal.Doubtful() {
-			v = frontend.Verdict{Status: http.StatusBadGateway}
+		v := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
+		if l.journal.MayHoldUncommitted() {
+			v = frontend.Response{Status: http.StatusBadGateway}
 		}
 		reply(replies, v)
-		l.traceTurn(m.Entry, m.retry, refusedUnrecorded, v.After)
-		l.count(m, admin.Busy)
-		l.events = append(l.events, policy.Withdrawn{ID: m.ID})
+		l.traceTurn(m.Entry, m.retry, refusedUnrecorded, v.RetryAfter)
+		l.count(m, admin.Shed)
+		l.events = append(l.events, policy.Cancelled{ID: m.ID})
 		l.wakeAt = 0 // the module has an event to act on
 	default:
 		m.verdicts = nil
-		reply(replies, frontend.Verdict{Status: http.StatusAccepted})
+		reply(replies, frontend.Response{Status: http.StatusAccepted})
 	}
 }
 
@@ -106,18 +106,18 @@
 // again after a pause.
 func (l *loop) write() (written bool) {
 	now, before := l.now(), l.folder.State()
-	if !l.folder.May(now) {
+	if !l.folder.MayWrite(now) {
 		return false
 	}
 	err := l.journal.Commit()
 	if err != nil {
-		l.folder.Failed(now)
+		l.folder.WriteFailed(now)
 	} else {
-		l.folder.Written(now)
+		l.folder.WriteSucceeded(now)
 	}
 	if after := l.folder.State(); after != before {
 		slog.Warn("the folder's state has changed", "from", before.String(), "to", after.String(), "err", err)
-		l.note(trace.Event{Kind: trace.Folder, How: after.String()})
+		l.note(trace.Event{Kind: trace.FolderStateChanged, Outcome: after.String()})
 		l.holdBack(after == journal.Degraded)
 	}
 	return err == nil
@@ -127,9 +127,9 @@
 func (l *loop) holdBack(degraded bool) {
 	switch {
 	case degraded:
-		l.events = append(l.events, policy.Stopping{})
+		l.events = append(l.events, policy.Quiesced{})
 	case !l.stopping:
-		l.events = append(l.events, policy.Serving{})
+		l.events = append(l.events, policy.Resumed{})
 	}
 	l.wakeAt = 0 // the module has an event to act on
 }
@@ -140,7 +140,7 @@
 	if l.folder.State() != journal.Degraded {
 		return 0, false
 	}
-	at = l.folder.Retry()
+	at = l.folder.RetryAt()
 	for _, e := range l.effects {
 		if e.by > 0 {
 			at = min(at, time.Duration(e.by))
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -33,10 +33,10 @@
 	Discovery string `json:"discovery"`
 	Seed      string `json:"seed"` // hexadecimal
 	// Management is where the operators' door listens; empty: there is none.
-	Management string            `json:"management"`
-	Limits     Limits            `json:"limits"`
-	Known      discovery.Members `json:"known"`
-	Settings   settings.Settings `json:"settings"`
+	Management string                 `json:"management"`
+	Limits     Limits                 `json:"limits"`
+	Known      discovery.EndpointList `json:"known"`
+	Settings   settings.Settings      `json:"settings"`
 
 	// ListenFD is the descriptor of a clients' socket that the platform holds and every process inherits; 0: none.
 	ListenFD int `json:"-"`
@@ -142,8 +142,8 @@
 func (c *Config) journalRoom() float64 { return min(c.Limits.DiskMB, journalShare*c.Limits.MemoryMB) }
 
 // clientCheck is the check of what clients hand in.
-func (c *Config) clientCheck() *frontend.Check {
-	check := &frontend.Check{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*deadletter.Subject{}}
+func (c *Config) clientCheck() *frontend.Validator {
+	check := &frontend.Validator{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*deadletter.Subject{}}
 	for i := range c.policy.Classes {
 		if class := &c.policy.Classes[i]; !class.Retired {
 			check.Classes[class.Name] = class
@@ -213,12 +213,12 @@
 
 // overSockets has the module know what differs from the simulator's wire on sockets.
 func (c *Config) overSockets() {
-	c.policy.Slots = min(c.policy.Slots, c.hostRoom()) // a call needs a connection
+	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.hostRoom()) // a call needs a connection
 	// A list that the platform pushes comes on a watch as well: what its agent has counts as told whether or not one is open.
-	c.policy.Subscribe = true
-	c.policy.Settles = true // a notice is posted, and an answer written, after it is decided on
+	c.policy.WatchEndpoints = true
+	c.policy.AwaitAcknowledgement = true // a notice is posted, and an answer written, after it is decided on
 	for i := range c.policy.Kinds {
-		c.policy.Kinds[i].Bundle = 1 // a call carries one message
+		c.policy.Kinds[i].MaxBatch = 1 // a call carries one message
 	}
 }
 
@@ -336,12 +336,12 @@
 	next := *l.cfg
 	next.Settings, next.Discovery = read.Settings, read.Discovery
 	next.policy = read.policy
-	next.policy.Classes = policy.Merge(l.cfg.policy.Classes, read.policy.Classes)
+	next.policy.Classes = policy.MergeClasses(l.cfg.policy.Classes, read.policy.Classes)
 	l.cfg = &next
 	for _, name := range next.classNames() {
-		l.book.Know(name)
+		l.book.AddClass(name)
 	}
-	l.events = append(l.events, policy.Retuned{Settings: next.policy})
+	l.events = append(l.events, policy.SettingsChanged{Settings: next.policy})
 	l.recheck(next.clientCheck())
 	if l.keeper != nil {
 		l.keeper.reclass(next.ResendClasses(next.Own.Undelivered))
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -65,8 +65,8 @@
 		if limits.Sockets >= 256 && clients < limits.Sockets/3 {
 			t.Errorf("%+v: %d for clients", limits, clients)
 		}
-		if c.policy.Slots > hosts {
-			t.Errorf("%+v: %d calls out on %d connections", limits, c.policy.Slots, hosts)
+		if c.policy.MaxInFlight > hosts {
+			t.Errorf("%+v: %d calls out on %d connections", limits, c.policy.MaxInFlight, hosts)
 		}
 		if c.idleRoom() >= limits.Sockets/3 {
 			t.Errorf("%+v: %d idle ones leave none for requests", limits, c.idleRoom())
--- a/internal/relay/customers_test.go
+++ b/internal/relay/customers_test.go
@@ -126,10 +126,10 @@
 	p.addHost("h1", 7)
 	j := earlier(t, p.dir)
 	for _, id := range []string{"a1", "a2", "b1"} {
-		j.Take(&journal.Entry{ID: id, Class: "status", Dest: 7, Item: id[:1], Expires: j.Timeline().Now().Add(time.Minute)})
+		j.Accept(&journal.Entry{ID: id, Class: "status", Destination: 7, OrderKey: id[:1], Deadline: j.Timeline().Now().Add(time.Minute)})
 	}
 	commit(t, j)
-	j.Owe(j.Get("a1"), notification.Notice{ID: "a1", Status: notification.Deferred}, "", j.Timeline().Now())
+	j.DecideOutcome(j.Get("a1"), notification.Notice{ID: "a1", Status: notification.Deferred}, "", j.Timeline().Now())
 	commit(t, j)
 	p.deaf = 1 << 30
 	p.start()
@@ -154,7 +154,7 @@
 	p.addHost("h1", 7)
 	j := earlier(t, p.dir)
 	for _, id := range []string{"a1", "a2"} {
-		j.Take(&journal.Entry{ID: id, Class: "status", Dest: 7, Item: "a", Expires: j.Timeline().Now().Add(time.Minute)})
+		j.Accept(&journal.Entry{ID: id, Class: "status", Destination: 7, OrderKey: "a", Deadline: j.Timeline().Now().Add(time.Minute)})
 	}
 	commit(t, j)
 	open := p.gate("a1")
@@ -189,7 +189,7 @@
 	h.Health = discovery.Draining
 	p.lines <- hostLine(t, 42, h, next)
 	p.until("the change is known", func() bool {
-		list, _ := readJournal(t, p.dir).Listed()
+		list, _ := readJournal(t, p.dir).Endpoints()
 		return list != nil && list.Seq == 42
 	})
 	p.take("status", "m", "20")
@@ -215,11 +215,11 @@
 	} {
 		j := earlier(t, t.TempDir())
 		if tt.told > 0 {
-			j.List(discovery.Members{Seq: tt.told, Whole: true, Hosts: []discovery.Member{{Host: "h", Block: int(tt.told)}}}, tt.from)
+			j.UpdateEndpoints(discovery.EndpointList{Seq: tt.told, Full: true, Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.told)}}}, tt.from)
 		}
-		l := &loop{journal: j, cfg: &Config{Discovery: here, Known: discovery.Members{Seq: tt.known,
-			Hosts: []discovery.Member{{Host: "h", Block: int(tt.known)}}}}}
-		if got := l.lastList(); got.Seq != tt.wantAt || int64(got.Hosts[0].Block) != tt.want {
+		l := &loop{journal: j, cfg: &Config{Discovery: here, Known: discovery.EndpointList{Seq: tt.known,
+			Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.known)}}}}}
+		if got := l.lastList(); got.Seq != tt.wantAt || int64(got.Endpoints[0].Block) != tt.want {
 			t.Errorf("%s: %+v", tt.name, got)
 		}
 	}
@@ -237,7 +237,7 @@
 	p.called()
 	p.until("its end is decided", func() bool {
 		e := readEntries(t, p.dir)
-		return len(e) == 1 && e[0].Owed != nil && e[0].Owed.Status == notification.Undeliverable
+		return len(e) == 1 && e[0].PendingNotice != nil && e[0].PendingNotice.Status == notification.Undeliverable
 	})
 	if resp := p.handIn("order", "m", "20"); resp.StatusCode != http.StatusAccepted {
 		t.Errorf("a copy: %s", resp.Status)
@@ -288,7 +288,7 @@
 	}
 	p.kill(c)
 	j := earlier(t, p.dir)
-	j.Take(&journal.Entry{ID: "held", Class: "ferry", Dest: 7, Expires: j.Timeline().Now().Add(time.Minute)})
+	j.Accept(&journal.Entry{ID: "held", Class: "ferry", Destination: 7, Deadline: j.Timeline().Now().Add(time.Minute)})
 	commit(t, j)
 	p.settings = func(string) string { return strings.Replace(made, `"deadline_s":23`, `"deadline_s":0`, 1) }
 	bad := p.begin()
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -10,9 +10,9 @@
 )
 
 // hostLine is a change of one host, as a watch tells it.
-func hostLine(t *testing.T, seq int64, hosts ...discovery.Member) string {
+func hostLine(t *testing.T, seq int64, hosts ...discovery.Endpoint) string {
 	t.Helper()
-	line, err := json.Marshal(discovery.Members{Seq: seq, Hosts: hosts})
+	line, err := json.Marshal(discovery.EndpointList{Seq: seq, Endpoints: hosts})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	old.Health = discovery.Draining
 	p.lines <- hostLine(t, 42, old)
 	p.until("the change is noted", func() bool {
-		list, _ := readJournal(t, p.dir).Listed()
+		list, _ := readJournal(t, p.dir).Endpoints()
 		return list != nil && list.Seq == 42
 	})
 	p.kill(c)
--- a/internal/relay/door.go
+++ b/internal/relay/door.go
@@ -39,9 +39,9 @@
 
 // door is what operators reach of a relay.
 type door struct {
-	*admin.Door
-	stance   *servingmode.Stance
-	book     *admin.Book
+	*admin.Server
+	stance   *servingmode.Mode
+	book     *admin.Metrics
 	violated *invariant.Counts
 	front    atomic.Pointer[front.Server]
 	taking   atomic.Bool // clients are taken, and no planned end has begun
@@ -49,7 +49,7 @@
 
 // openDoor opens the operators' door, where the platform names an address for it. It answers from the start on, and says no
 // until clients are taken.
-func openDoor(cfg *Config, stance *servingmode.Stance, book *admin.Book, violated *invariant.Counts) (*door, error) {
+func openDoor(cfg *Config, stance *servingmode.Mode, book *admin.Metrics, violated *invariant.Counts) (*door, error) {
 	d := &door{stance: stance, book: book, violated: violated}
 	if cfg.Management == "" {
 		return d, nil
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("the operators' door: %w", err)
 	}
-	d.Door = admin.New(d, cfg.doorRoom())
+	d.Server = admin.New(d, cfg.doorRoom())
 	go func() {
 		if err := d.Serve(listener); err != nil {
 			slog.Error("operators are not answered any more", "err", err)
@@ -71,14 +71,14 @@
 func (d *door) open(srv *front.Server) {
 	d.front.Store(srv)
 	d.taking.Store(true)
-	if away, _ := d.stance.Away(); away { // by the process before
-		go srv.SeeOff()
+	if away, _ := d.stance.InStandby(); away { // by the process before
+		go srv.CloseIdleConns()
 	}
 }
 
 func (d *door) close() {
-	if d.Door != nil {
-		d.Door.Close()
+	if d.Server != nil {
+		d.Server.Close()
 	}
 }
 
@@ -87,7 +87,7 @@
 	switch state := d.stance.State(time.Now()); {
 	case d.taking.Load():
 		return true, state.String()
-	case state == servingmode.Ending:
+	case state == servingmode.ShuttingDown:
 		return false, state.String()
 	case d.front.Load() == nil:
 		return false, "starting"
@@ -98,36 +98,36 @@
 // Standby sends clients away.
 func (d *door) Standby() {
 	slog.Info("standing by: clients are sent away")
-	d.stance.Leave(time.Now())
+	d.stance.EnterStandby(time.Now())
 	if srv := d.front.Load(); srv != nil {
-		go srv.SeeOff()
+		go srv.CloseIdleConns()
 	}
 }
 
 // Active takes clients again.
 func (d *door) Active() {
 	slog.Info("active: clients are taken again")
-	d.stance.Return()
+	d.stance.Activate()
 }
 
-// Figures gives the figures as JSON.
-func (d *door) Figures() ([]byte, error) { return d.book.JSON() }
+// Metrics gives the figures as JSON.
+func (d *door) Metrics() ([]byte, error) { return d.book.JSON() }
 
 // Violations gives how often invariants were violated, by kind.
 func (d *door) Violations() map[string]int64 { return d.violated.ByKind() }
 
 // taken has the figures count a message as taken on; resends are none of the clients'.
 func (l *loop) taken(m *message) {
-	if !m.Resend {
+	if !m.Redelivery {
 		m.inflight = true
-		l.book.Taken()
+		l.book.Accepted()
 	}
 }
 
 // count has the figures count a message's end, once.
-func (l *loop) count(m *message, end admin.End) {
-	if !m.Resend && !m.counted {
+func (l *loop) count(m *message, end admin.Outcome) {
+	if !m.Redelivery && !m.counted {
 		m.counted = true
-		l.book.Ended(m.Class, end, m.inflight)
+		l.book.Completed(m.Class, end, m.inflight)
 	}
 }
--- a/internal/relay/endings_test.go
+++ b/internal/relay/endings_test.go
@@ -124,7 +124,7 @@
 	p.addHost("h1", 7)
 	p.answer = func(*http.Request) int { return 0 } // a host that hangs: nothing is over before the end
 	j := earlier(t, p.dir)
-	j.Take(&journal.Entry{ID: "kept", Class: "status", Dest: 7, Expires: j.Timeline().Now().Add(10 * time.Minute)})
+	j.Accept(&journal.Entry{ID: "kept", Class: "status", Destination: 7, Deadline: j.Timeline().Now().Add(10 * time.Minute)})
 	commit(t, j)
 	for moment := time.Duration(0); moment < 64*time.Millisecond; moment = 2*moment + 4*time.Millisecond {
 		c := p.begin()
--- a/internal/relay/guard.go
+++ b/internal/relay/guard.go
@@ -17,13 +17,13 @@
 	if m.terms == nil {
 		m.terms = l.journal.Terms(m.Entry)
 	}
-	return invariant.Message{Entry: m.Entry, Terms: m.terms, Ended: m.over, Out: m.sending}
+	return invariant.Message{Entry: m.Entry, Terms: m.terms, Completed: m.over, InFlight: m.sending}
 }
 
 // decide decides a message's terminal outcome; it has one only. Callers leave messages alone that are over.
 func (l *loop) decide(m *message, outcome string) {
 	if m.over {
-		l.violated.Violated(invariant.EndTwice, m.ID, "destination", m.Dest, "outcome", outcome)
+		l.violated.Record(invariant.CompletedTwice, m.ID, "destination", m.Destination, "outcome", outcome)
 	}
 	m.over = true
 }
@@ -31,10 +31,10 @@
 // recorded checks that a terminal outcome which is about to be told would be found by a later process, or that its message's time
 // is up, so that a later process could only end it again.
 func (l *loop) recorded(m *message) bool {
-	if l.journal.Durable(m.outcome) || l.timeline.Now() >= m.Expires {
+	if l.journal.Durable(m.outcome) || l.timeline.Now() >= m.Deadline {
 		return true
 	}
-	l.violated.Violated(invariant.EndUnrecorded, m.ID, "destination", m.Dest, "left", m.Expires.Sub(l.timeline.Now()))
+	l.violated.Record(invariant.CompletionUnrecorded, m.ID, "destination", m.Destination, "left", m.Deadline.Sub(l.timeline.Now()))
 	return false
 }
 
@@ -43,9 +43,9 @@
 	open := func(id string) bool { m := l.messages[id]; return m != nil && !m.over }
 	for _, id := range l.due.Overdue(l.timeline.Now(), open) {
 		m := l.messages[id]
-		l.violated.Violated(invariant.EndOverdue, id, "destination", m.Dest, "attempts", len(m.Attempts), "late", l.timeline.Now().Sub(m.Expires))
-		l.refuse(m, frontend.Verdict{}, notification.Undeliverable)
-		l.events = append(l.events, policy.Withdrawn{ID: id})
+		l.violated.Record(invariant.CompletionOverdue, id, "destination", m.Destination, "attempts", len(m.Attempts), "late", l.timeline.Now().Sub(m.Deadline))
+		l.refuse(m, frontend.Response{}, notification.Undeliverable)
+		l.events = append(l.events, policy.Cancelled{ID: id})
 		l.wakeAt = 0 // the module has an event to act on
 		if m.cancel != nil {
 			l.promptly(m.cancel)
@@ -70,7 +70,7 @@
 
 // checkClocks counts spans that were taken from two kinds of clock.
 func (l *loop) checkClocks() {
-	for range l.timeline.Mixed() {
-		l.violated.Violated(invariant.MixedClocks, "", "at", clock.Instant(l.now()).Calendar())
+	for range l.timeline.MixedReadings() {
+		l.violated.Record(invariant.MixedClocks, "", "at", clock.Instant(l.now()).Time())
 	}
 }
--- a/internal/relay/guard_test.go
+++ b/internal/relay/guard_test.go
@@ -23,23 +23,23 @@
 	t.Cleanup(func() { _ = j.Close() })
 	cfg := &Config{}
 	cfg.policy.Classes = []policy.Class{class}
-	l := &loop{cfg: cfg, timeline: j.Timeline(), journal: j, violated: &invariant.Counts{}, book: admin.NewBook(nil),
-		notices: notification.New("127.0.0.1:0", nil), hosts: map[string]discovery.Member{"h": {Host: "h", Block: 3}}, messages: map[string]*message{}}
-	m := &message{Entry: &journal.Entry{ID: "m", Class: class.Name, Dest: 3, Expires: l.timeline.Now().Add(left)}}
-	j.Under(m.Entry, class)
-	j.Take(m.Entry)
+	l := &loop{cfg: cfg, timeline: j.Timeline(), journal: j, violated: &invariant.Counts{}, book: admin.NewMetrics(nil),
+		notices: notification.New("127.0.0.1:0", nil), hosts: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, messages: map[string]*message{}}
+	m := &message{Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
+	j.SetTerms(m.Entry, class)
+	j.Accept(m.Entry)
 	l.messages[m.ID] = m
-	l.due.Add(m.ID, m.Expires)
+	l.due.Add(m.ID, m.Deadline)
 	return l, m
 }
 
 // Whatever the module asks for against the invariants is counted and not done.
 func TestGuardStopsWhatTheModuleMayNotDo(t *testing.T) {
-	unsafe := policy.Class{Name: "order", Effect: policy.Unsafe}
-	keyed := policy.Class{Name: "payment", Effect: policy.Keyed, Memory: time.Millisecond}
+	unsafe := policy.Class{Name: "order", Idempotency: policy.NotIdempotent}
+	keyed := policy.Class{Name: "payment", Idempotency: policy.IdempotentByKey, KeyTTL: time.Millisecond}
 	doubtful := func(l *loop, m *message) {
-		l.journal.Begin(m.Entry, "h", l.timeline.Now().Add(-time.Second))
-		l.journal.End(m.Entry, false, "reset", l.timeline.Now())
+		l.journal.BeginAttempt(m.Entry, "h", l.timeline.Now().Add(-time.Second))
+		l.journal.EndAttempt(m.Entry, false, "reset", l.timeline.Now())
 	}
 	for name, c := range map[string]struct {
 		class   policy.Class
@@ -50,7 +50,7 @@
 		"a send after the end":          {unsafe, time.Minute, func(_ *loop, m *message) { m.over = true }, -1}, // passed over: its end may cross the send
 		"a send after the deadline":     {unsafe, -time.Second, nil, invariant.SendAfterDeadline},
 		"a send while one is out":       {unsafe, time.Minute, func(_ *loop, m *message) { m.sending = true }, invariant.SecondAttempt},
-		"an unsafe message twice":       {unsafe, time.Minute, doubtful, invariant.UnsafeRepeat},
+		"an unsafe message twice":       {unsafe, time.Minute, doubtful, invariant.NonIdempotentRepeat},
 		"a keyed message out of memory": {keyed, time.Minute, doubtful, invariant.ExpiredKeyRepeat},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 
 // An attempt whose record was not written is not made.
 func TestGuardStopsUnrecordedSend(t *testing.T) {
-	l, m := guardedLoop(t, policy.Class{Name: "order", Effect: policy.Unsafe}, time.Minute)
+	l, m := guardedLoop(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
 	l.send(l.now(), policy.Send{ID: m.ID, Endpoint: "h"})
 	l.call(l.sends[0]) // and no commit
 	if l.out != 0 || l.violated.ByKind()[invariant.SendUnrecorded.String()] != 1 {
@@ -81,7 +81,7 @@
 
 // A message that the module forgets is ended all the same, and its call given up.
 func TestGuardEndsOverdueMessages(t *testing.T) {
-	l, m := guardedLoop(t, policy.Class{Name: "order", Effect: policy.Unsafe}, -250*time.Millisecond) // 50 ms past what is allowed
+	l, m := guardedLoop(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms past what is allowed
 	ctx, cancel := context.WithCancel(t.Context())
 	m.cancel = cancel
 	l.endOverdue()
@@ -93,11 +93,11 @@
 		do()
 	}
 	l.carryOut(true)
-	if !m.over || m.Owed == nil || ctx.Err() == nil || l.violated.ByKind()[invariant.EndOverdue.String()] != 1 {
-		t.Errorf("over %v, owed %v, call %v, counted: %v", m.over, m.Owed, ctx.Err(), l.violated.ByKind())
+	if !m.over || m.PendingNotice == nil || ctx.Err() == nil || l.violated.ByKind()[invariant.CompletionOverdue.String()] != 1 {
+		t.Errorf("over %v, owed %v, call %v, counted: %v", m.over, m.PendingNotice, ctx.Err(), l.violated.ByKind())
 	}
 	l.decide(m, "once more")
-	if l.violated.ByKind()[invariant.EndTwice.String()] != 1 {
+	if l.violated.ByKind()[invariant.CompletedTwice.String()] != 1 {
 		t.Errorf("a second end is not counted: %v", l.violated.ByKind())
 	}
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -25,10 +25,10 @@
 
 // inheritance is what one process hands another beside the journal.
 type inheritance struct {
-	Memory  *policy.Memory `json:"memory"`
-	Classes []policy.Class `json:"classes"` // the table, with the numbers that Memory goes by
-	Past    []passedEnd    `json:"past,omitempty"`
-	Calls   []passedCall   `json:"calls,omitempty"`
+	Memory  *policy.Snapshot `json:"memory"`
+	Classes []policy.Class   `json:"classes"` // the table, with the numbers that Memory goes by
+	Past    []passedEnd      `json:"past,omitempty"`
+	Calls   []passedCall     `json:"calls,omitempty"`
 	// Away: clients are sent away, since then.
 	Away  bool          `json:"away,omitempty"`
 	Since clock.Instant `json:"since,omitzero"`
@@ -44,11 +44,11 @@
 
 // passedCall is a call out.
 type passedCall struct {
-	ID      string           `json:"id"`
-	Attempt int              `json:"attempt"`
-	Host    discovery.Member `json:"host"`
-	Begun   clock.Instant    `json:"begun"`
-	Timeout time.Duration    `json:"timeout"` // from Begun on
+	ID      string             `json:"id"`
+	Attempt int                `json:"attempt"`
+	Host    discovery.Endpoint `json:"host"`
+	Begun   clock.Instant      `json:"begun"`
+	Timeout time.Duration      `json:"timeout"` // from Begun on
 }
 
 // resume goes on with a message's call, if its connection has come; else what the journal says is all that is known of it.
@@ -60,7 +60,7 @@
 	delete(h.conns, m.ID)
 	for _, c := range h.Calls {
 		if c.ID == m.ID && c.Attempt == len(m.Attempts)-1 && !m.Attempts[c.Attempt].Ended {
-			m.begun = l.timeline.Moment(c.Begun)
+			m.begun = l.timeline.TimeOf(c.Begun)
 			l.resumeCall(send{m: m, attempt: c.Attempt, host: c.Host, timeout: c.Timeout}, conn)
 			return true
 		}
@@ -71,7 +71,9 @@
 
 // resumeCall waits for the answer to a call that was written before.
 func (l *loop) resumeCall(s send, conn *net.TCPConn) {
-	l.begin(s, func(ctx context.Context, r upstream.Request) upstream.Result { return l.pool.Resume(ctx, r, conn) })
+	l.begin(s, func(ctx context.Context, r upstream.Request) upstream.Result {
+		return l.pool.AwaitResponse(ctx, r, conn)
+	})
 }
 
 // freeze asks the loop to write its state down and to do nothing until it is thawed, or ended. It does so once no call is
@@ -107,28 +109,28 @@
 
 // inheritance is what this process hands over beside the journal.
 func (l *loop) inheritance() *inheritance {
-	h := &inheritance{Memory: l.d.Memory(), Classes: l.cfg.policy.Classes, conns: l.parked}
-	if away, since := l.stance.Away(); away {
-		h.Away, h.Since = true, l.timeline.Of(since)
+	h := &inheritance{Memory: l.d.Snapshot(), Classes: l.cfg.policy.Classes, conns: l.parked}
+	if away, since := l.stance.InStandby(); away {
+		h.Away, h.Since = true, l.timeline.InstantOf(since)
 	}
-	for _, e := range l.journal.Ends() { // what the file had no room for as well
+	for _, e := range l.journal.CompletedRequests() { // what the file had no room for as well
 		h.Past = append(h.Past, passedEnd(e))
 	}
 	for id := range l.parked {
 		s := l.messages[id].call
-		h.Calls = append(h.Calls, passedCall{id, s.attempt, s.host, l.timeline.Of(s.m.begun), s.timeout})
+		h.Calls = append(h.Calls, passedCall{id, s.attempt, s.host, l.timeline.InstantOf(s.m.begun), s.timeout})
 	}
 	return h
 }
 
-// Freeze brings the relay to a stop and gives what another process needs to go on from there.
-func (n *node) Freeze(ctx context.Context) (state any, items []handover.Item, err error) {
+// Quiesce brings the relay to a stop and gives what another process needs to go on from there.
+func (n *node) Quiesce(ctx context.Context) (state any, items []handover.Conn, err error) {
 	n.frozen = &frozen{freeze: freeze{make(chan *inheritance, 1), make(chan struct{})}}
 	n.l.put(stopSending{})
-	if n.frozen.clients, err = n.srv.Freeze(ctx); err != nil {
+	if n.frozen.clients, err = n.srv.Quiesce(ctx); err != nil {
 		return nil, nil, err
 	}
-	n.frozen.idle = n.l.pool.Freeze(ctx)
+	n.frozen.idle = n.l.pool.Quiesce(ctx)
 	n.frozen.asked = true
 	n.l.put(n.frozen.freeze)
 	h := <-n.frozen.answer
@@ -136,13 +138,13 @@
 		return nil, nil, errors.New("the journal can't be written")
 	}
 	for id, conn := range h.conns {
-		items = append(items, handover.Item{Kind: handover.OnCall, ID: id, Conn: conn})
+		items = append(items, handover.Conn{Kind: handover.AttemptConn, ID: id, Conn: conn})
 	}
 	for _, c := range n.frozen.clients {
-		items = append(items, handover.Item{Kind: handover.FromClient, Conn: c.Conn, Read: c.Read, Fresh: c.Fresh, Since: n.l.timeline.Of(c.Since)})
+		items = append(items, handover.Conn{Kind: handover.ClientConn, Conn: c.Conn, Buffered: c.Buffered, Unused: c.Unused, Since: n.l.timeline.InstantOf(c.Since)})
 	}
 	for _, c := range n.frozen.idle {
-		items = append(items, handover.Item{Kind: handover.ToHost, Conn: c.Conn, Host: c.Host, Addr: c.Addr, Since: n.l.timeline.Of(c.Since)})
+		items = append(items, handover.Conn{Kind: handover.IdleEndpointConn, Conn: c.Conn, Endpoint: c.Endpoint, Addr: c.Addr, Since: n.l.timeline.InstantOf(c.Since)})
 	}
 	return h, items, nil
 }
@@ -151,30 +153,30 @@
 type frozen struct {
 	freeze
 	asked   bool // the loop was
-	clients []front.Parked
-	idle    []http1.Idle
+	clients []front.DetachedConn
+	idle    []http1.IdleConn
 }
 
-// Thaw goes on as before.
-func (n *node) Thaw() {
+// Resume goes on as before.
+func (n *node) Resume() {
 	f := n.frozen
 	n.frozen = nil
-	n.l.pool.Thaw(f.idle)
+	n.l.pool.Resume(f.idle)
 	if f.asked {
 		close(f.thaw)
 	} else {
 		n.l.put(serveOn{})
 	}
-	n.srv.Thaw(f.clients)
+	n.srv.Resume(f.clients)
 }
 
-// Given ends all that this process does: another owns the relay from now on.
-func (n *node) Given() {
+// Released ends all that this process does: another owns the relay from now on.
+func (n *node) Released() {
 	n.door.taking.Store(false)
 	n.stop()
 	n.work.Wait()
 	_ = n.l.journal.Close()
-	n.book.Given()
+	n.book.HandedOver()
 	_ = n.listener.Close()
 }
 
@@ -194,14 +196,14 @@
 // openJournal opens the journal. Where the folder can't be read for the moment it is tried again: without it nothing that is owed is
 // known.
 func (n *node) openJournal() (*journal.Journal, error) {
-	pause := syserr.Backoff{Least: leastOpenPause, Most: mostOpenPause}
+	pause := syserr.Backoff{Min: leastOpenPause, Max: mostOpenPause}
 	for {
 		kept, err := journal.Open(n.dir, n.cfg.journalRoom(), n.cfg.keeping() != nil)
-		if err == nil || syserr.Of(syserr.File, err) != syserr.Local {
+		if err == nil || syserr.Classify(syserr.File, err) != syserr.Local {
 			return kept, err
 		}
 		slog.Error("the journal can't be opened", "err", err)
-		if !wait.For(n.told, pause.Failed()) {
+		if !wait.For(n.told, pause.Next()) {
 			return nil, err
 		}
 	}
@@ -220,9 +222,9 @@
 	if err != nil {
 		return err
 	}
-	n.cfg.policy.Classes = policy.Merge(n.from.Classes, n.cfg.policy.Classes)
+	n.cfg.policy.Classes = policy.MergeClasses(n.from.Classes, n.cfg.policy.Classes)
 	if n.from.Away {
-		n.stance.Leave(kept.Timeline().Moment(n.from.Since))
+		n.stance.EnterStandby(kept.Timeline().TimeOf(n.from.Since))
 	}
 	return n.assemble(kept)
 }
@@ -232,23 +234,23 @@
 	if n.listener != nil {
 		_ = n.listener.Close()
 	}
-	n.stance.Return()
+	n.stance.Activate()
 	n.cfg.policy.Classes = n.ownClasses
 	n.from, n.l, n.srv, n.listener = nil, nil, nil, nil
 }
 
-// Own takes the journal.
-func (n *node) Own() error { return n.l.journal.Own() }
+// Acquire takes the journal.
+func (n *node) Acquire() error { return n.l.journal.Acquire() }
 
 // Serve begins, with the connections that came from the process before.
-func (n *node) Serve(items []handover.Item) error {
+func (n *node) Serve(items []handover.Conn) error {
 	for _, item := range items {
 		switch item.Kind {
-		case handover.OnCall:
+		case handover.AttemptConn:
 			n.from.conns[item.ID] = item.Conn
-		case handover.ToHost:
-			n.l.pool.Adopt(http1.Idle{Target: upstream.Target{Host: item.Host, Addr: item.Addr}, Conn: item.Conn, Since: n.l.timeline.Moment(item.Since)})
-		case handover.FromClient:
+		case handover.IdleEndpointConn:
+			n.l.pool.Adopt(http1.IdleConn{Target: upstream.Target{Endpoint: item.Endpoint, Addr: item.Addr}, Conn: item.Conn, Since: n.l.timeline.TimeOf(item.Since)})
+		case handover.ClientConn:
 		default:
 			_ = item.Conn.Close()
 		}
@@ -259,8 +261,8 @@
 	}
 	n.from = nil
 	for _, item := range items {
-		if item.Kind == handover.FromClient {
-			n.srv.Adopt(front.Parked{Conn: item.Conn, Read: item.Read, Fresh: item.Fresh, Since: n.l.timeline.Moment(item.Since)})
+		if item.Kind == handover.ClientConn {
+			n.srv.Adopt(front.DetachedConn{Conn: item.Conn, Buffered: item.Buffered, Unused: item.Unused, Since: n.l.timeline.TimeOf(item.Since)})
 		}
 	}
 	slog.Info("taken over", "connections", len(items), "messages", len(n.l.messages))
--- a/internal/relay/keep.go
+++ b/internal/relay/keep.go
@@ -87,7 +87,7 @@
 }
 
 // now is the time by which the store reckons: a date on the relay's timeline.
-func (k *keeper) now() time.Time { return k.timeline.Now().Calendar() }
+func (k *keeper) now() time.Time { return k.timeline.Now().Time() }
 
 // keptIn gives the store of undelivered messages, or nil while there is none.
 func (l *loop) keptIn() *deadletter.Store {
@@ -440,9 +440,9 @@
 )
 
 // outcomes are the names of outcomes in records.
-var outcomes = map[policy.Outcome]string{policy.OK: "delivered", policy.Failed: "error", policy.QueueFull: "turned away",
-	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.Reset: "reset", policy.Canceled: "given up",
-	policy.Ignored: "not sent"}
+var outcomes = map[policy.Outcome]string{policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
+	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.ConnectionReset: "reset", policy.Canceled: "given up",
+	policy.NotSent: "not sent"}
 
 // reason says why a message ends undelivered.
 func (l *loop) reason(m *message, status string) deadletter.Reason {
@@ -450,7 +450,7 @@
 	switch {
 	case l.class(m.Class) < 0:
 		return deadletter.Settings
-	case now > m.Expires:
+	case now > m.Deadline:
 		if m.resumed {
 			return deadletter.ProcessEnded
 		}
@@ -459,7 +459,7 @@
 		return deadletter.Spent
 	case status == notification.Undeliverable:
 		return deadletter.Doubtful
-	case now > m.Expires.Add(-endMargin):
+	case now > m.Deadline.Add(-endMargin):
 		return deadletter.OutOfTime
 	}
 	return deadletter.RefusedLate
@@ -467,27 +467,27 @@
 
 // life is what this relay knows of one time that a message was taken on.
 func (l *loop) life(m *message) deadletter.Life {
-	life := deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.Taken.Calendar(), Expires: m.Expires.Calendar(), Over: m.Over.Calendar(),
-		Reason: deadletter.Reason(m.Reason), Status: m.Owed.Status}
+	life := deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(), Over: m.CompletedAt.Time(),
+		Reason: deadletter.Reason(m.Reason), Status: m.PendingNotice.Status}
 	if life.Taken.IsZero() { // taken on by a process that kept no undelivered messages
 		life.Taken = life.Over
 	}
 	for _, a := range m.Attempts {
 		ran := deadletter.May // also of one that was out when a process ended
 		switch {
-		case a.Ended && a.Unrun:
+		case a.Ended && a.NotExecuted:
 			ran = deadletter.Never
-		case a.Outcome == outcomes[policy.OK]:
+		case a.Outcome == outcomes[policy.Succeeded]:
 			ran = deadletter.Did
 		}
-		life.Attempts = append(life.Attempts, deadletter.Attempt{Host: a.Host, Begun: a.Begun.Calendar(), Ended: a.At.Calendar(), Outcome: a.Outcome, Ran: ran})
+		life.Attempts = append(life.Attempts, deadletter.Attempt{Host: a.Endpoint, Begun: a.StartedAt.Time(), Ended: a.EndedAt.Time(), Outcome: a.Outcome, Ran: ran})
 	}
 	return life
 }
 
 // record makes the store's record of a message that is over.
 func (l *loop) record(m *message, life deadletter.Life) deadletter.Kept {
-	return deadletter.Kept{Record: deadletter.Record{ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Dest, Key: m.Key, Item: m.Item,
+	return deadletter.Kept{Record: deadletter.Record{ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Destination, Key: m.IdempotencyKey, Item: m.OrderKey,
 		Subject: m.Subject, Order: m.Order, Lives: []deadletter.Life{life}, State: deadletter.Held, Since: life.Over, Due: life.Over},
 		Body: m.Body}
 }
@@ -495,11 +495,11 @@
 // refusedAt tells the store of a message that is refused at its arrival: it owes the platform nothing, and was in no
 // journal.
 func (l *loop) refusedAt(m *message, status string) {
-	if l.keeper == nil || m.Resend {
+	if l.keeper == nil || m.Redelivery {
 		return
 	}
-	l.keeper.refuse(l.record(m, deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.Taken.Calendar(), Expires: m.Expires.Calendar(),
-		Over:   l.timeline.Now().Calendar(),
+	l.keeper.refuse(l.record(m, deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(),
+		Over:   l.timeline.Now().Time(),
 		Reason: deadletter.AtArrival, Status: status}))
 }
 
@@ -508,19 +508,19 @@
 func (l *loop) tellEnd(m *message) {
 	l.recorded(m)
 	switch {
-	case (m.Resend || m.Owed.Status == outOfTime) && l.keeper == nil: // the operator has turned the store off: nobody is left to tell
+	case (m.Redelivery || m.PendingNotice.Status == outOfTime) && l.keeper == nil: // the operator has turned the store off: nobody is left to tell
 		l.end(m)
-	case m.Resend:
-		res := deadletter.Result{Life: l.life(m), Delivered: m.Owed.Status == delivered}
-		if m.Owed.Status == overtaken {
+	case m.Redelivery:
+		res := deadletter.Result{Life: l.life(m), Delivered: m.PendingNotice.Status == delivered}
+		if m.PendingNotice.Status == overtaken {
 			res.Life.Reason, res.Overtaken = deadletter.Overtaken, m.Reason // which by
 		}
 		l.keeper.result(res)
-	case m.Owed.Status == outOfTime:
+	case m.PendingNotice.Status == outOfTime:
 		l.noticed(m) // there is none
 		l.keeper.keep(l.record(m, l.life(m)))
 	default:
-		l.notices.Owe(*m.Owed)
+		l.notices.Enqueue(*m.PendingNotice)
 		if l.keeper != nil {
 			l.keeper.keep(l.record(m, l.life(m)))
 		}
@@ -535,13 +535,13 @@
 func (l *loop) gone(m *message) {
 	now := l.timeline.Now()
 	switch {
-	case m.Resend:
+	case m.Redelivery:
 		l.endResend(m, outOfTime, "")
-	case now > m.Expires.Add(-endMargin):
+	case now > m.Deadline.Add(-endMargin):
 		l.decide(m, outOfTime)
-		l.journal.Owe(m.Entry, notification.Notice{ID: m.ID, Status: outOfTime}, string(deadletter.OutOfTime), now)
-		m.outcome = l.journal.Noted()
-		l.afterOrBy(m.Expires, func() { l.tellEnd(m) })
+		l.journal.DecideOutcome(m.Entry, notification.Notice{ID: m.ID, Status: outOfTime}, string(deadletter.OutOfTime), now)
+		m.outcome = l.journal.LastRecord()
+		l.afterOrBy(m.Deadline, func() { l.tellEnd(m) })
 	default: // its client has withdrawn it
 		l.end(m)
 	}
@@ -563,7 +563,7 @@
 func (l *loop) inStore(m *message) {
 	m.kept = true
 	l.underway.Ended(m.ID, m.topic()) // the store says now what waits
-	if m.noticed || m.Resend || m.Delivered {
+	if m.noticed || m.Redelivery || m.Delivered {
 		l.end(m)
 	}
 	for len(l.unkept) > 0 && l.unkept[0].kept {
@@ -575,7 +575,7 @@
 // store make room: keeping them is not to stop the relay's main job.
 func (l *loop) reserve(e *journal.Entry) bool {
 	for !l.journal.Reserve(e) {
-		if l.journal.Broken() {
+		if l.journal.Failed() {
 			return false // for want of no room
 		}
 		for len(l.unkept) > 0 && l.unkept[0].kept {
@@ -587,7 +587,7 @@
 		m := l.unkept[0]
 		l.unkept = l.unkept[1:]
 		l.misses++
-		l.journal.Told("") // until the store knows that something is missing
+		l.journal.SetStore("") // until the store knows that something is missing
 		l.keeper.abandon(m)
 		l.end(m)
 	}
--- a/internal/relay/keep_test.go
+++ b/internal/relay/keep_test.go
@@ -59,7 +59,7 @@
 // journalled counts what the journal of a running relay holds, in a copy.
 func (p *platform) journalled() int {
 	p.t.Helper()
-	j, err := journal.Look(p.dir)
+	j, err := journal.Inspect(p.dir)
 	if err != nil {
 		p.t.Fatal(err)
 	}
--- a/internal/relay/lastwords_test.go
+++ b/internal/relay/lastwords_test.go
@@ -16,10 +16,10 @@
 
 // A request that was read and has no answer when the process ends is counted.
 func TestUnansweredAtTheEndIsCounted(t *testing.T) {
-	check := &frontend.Check{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
+	check := &frontend.Validator{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
 	n := &node{violated: &invariant.Counts{}}
-	n.srv = front.New(front.Config{Check: check, Stance: &servingmode.Stance{}, MemoryMB: 64, Room: 4, Keep: 4},
-		func(*frontend.Arrival) {}, func(string) {}) // nobody decides
+	n.srv = front.New(front.Config{Validator: check, Mode: &servingmode.Mode{}, MemoryMB: 64, MaxConns: 4, MaxIdleConns: 4},
+		func(*frontend.Submission) {}, func(string) {}) // nobody decides
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
