--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -40,7 +40,7 @@
 	timeUp struct{ id string }
 	// told is a list, or a change of it.
 	told struct {
-		discovery.Members
+		discovery.EndpointList
 		from string // the discovery that told it
 	}
 	// watchEnded says that the watch on discovery ended or could not be had.
@@ -61,26 +61,26 @@
 // message is what the loop holds of a message taken on.
 type message struct {
 	*journal.Entry
-	verdicts []chan frontend.Verdict // of the requests that brought it, until they are answered
-	cancel   context.CancelFunc      // of the call out; nil while there is none
-	call     send                    // that call
-	unsend   *atomic.Bool            // takes it back, where nothing of it has left
-	begun    time.Time               // when it did
-	retry    string                  // what its client says of an earlier hand-in
-	over     bool                    // ended, but a call is still out
-	sending  bool                    // an attempt was decided on whose end the loop has not heard
-	terms    *policy.Class           // of its class as it was accepted, once they were asked for
-	outcome  uint64                  // the number of the record of its terminal outcome
-	resumed  bool                    // taken on by an earlier process
-	noticed  bool                    // the platform has its notice, and it waits for the store
-	kept     bool                    // the store of undelivered messages has it
-	inflight bool                    // the figures count it as taken on
-	counted  bool                    // the figures have its end
+	verdicts []chan frontend.Response // of the requests that brought it, until they are answered
+	cancel   context.CancelFunc       // of the call out; nil while there is none
+	call     send                     // that call
+	unsend   *atomic.Bool             // takes it back, where nothing of it has left
+	begun    time.Time                // when it did
+	retry    string                   // what its client says of an earlier hand-in
+	over     bool                     // ended, but a call is still out
+	sending  bool                     // an attempt was decided on whose end the loop has not heard
+	terms    *policy.Class            // of its class as it was accepted, once they were asked for
+	outcome  uint64                   // the number of the record of its terminal outcome
+	resumed  bool                     // taken on by an earlier process
+	noticed  bool                     // the platform has its notice, and it waits for the store
+	kept     bool                     // the store of undelivered messages has it
+	inflight bool                     // the figures count it as taken on
+	counted  bool                     // the figures have its end
 }
 
 // topic is what a message is about.
 func (m *message) topic() deadletter.Topic {
-	return deadletter.Topic{Class: m.Class, Partner: m.Dest, Subject: m.Subject}
+	return deadletter.Topic{Class: m.Class, Partner: m.Destination, Subject: m.Subject}
 }
 
 // loop owns the dispatcher and the journal: nothing else touches their state. It batches events by tick,
@@ -94,20 +94,20 @@
 	watch    *discovery.Watcher
 	notices  *notification.Notifier
 	trace    *trace.Recorder
-	book     *admin.Book
-	stance   *servingmode.Stance
-	recheck  func(*frontend.Check) // has clients' messages checked by other settings
-	keeper   *keeper               // nil: undelivered messages are not kept
-	unkept   []*message            // noticed or delivered, and the store does not know yet
-	misses   int                   // so many of them were dropped, since the journal had no room
-	underway deadletter.Underway   // messages taken on that are about something, until the store knows of their end
-	again    deadletter.Underway   // resends that are
-	timeline *clock.Timeline       // its instants are the module's clock
-	steps    *clock.StepWatch
+	book     *admin.Metrics
+	stance   *servingmode.Mode
+	recheck  func(*frontend.Validator) // has clients' messages checked by other settings
+	keeper   *keeper                   // nil: undelivered messages are not kept
+	unkept   []*message                // noticed or delivered, and the store does not know yet
+	misses   int                       // so many of them were dropped, since the journal had no room
+	underway deadletter.Underway       // messages taken on that are about something, until the store knows of their end
+	again    deadletter.Underway       // resends that are
+	timeline *clock.Timeline           // its instants are the module's clock
+	steps    *clock.StepDetector
 	violated *invariant.Counts
 	due      invariant.Deadlines // of messages that were accepted
 	messages map[string]*message
-	hosts    map[string]discovery.Member
+	hosts    map[string]discovery.Endpoint
 	dests    map[int]bool  // named by some list
 	arrivals int64         // the last Order.Arrival
 	wakeAt   time.Duration // when the loop goes on by itself
@@ -122,7 +122,7 @@
 	sends    []send     // of this batch
 	effects  []effect   // once their records are written
 	prompt   []func()   // of this batch, whatever becomes of its records
-	folder   journal.Folder
+	folder   journal.FolderMonitor
 	stopping bool // the process is about to end: the module sends nothing
 }
 
@@ -134,9 +134,9 @@
 func (l *loop) put(e any) { l.inbox <- e }
 
 // lastList is the newest list that this relay, or its platform for it, is known to have had.
-func (l *loop) lastList() discovery.Members {
+func (l *loop) lastList() discovery.EndpointList {
 	list := l.cfg.Known
-	told, from := l.journal.Listed()
+	told, from := l.journal.Endpoints()
 	switch {
 	case told == nil:
 	case from != l.cfg.Discovery: // versions are one discovery's own: nothing tells which is newer
@@ -154,36 +154,36 @@
 // handed over beside the journal, or nil.
 func (l *loop) restore(from *inheritance) {
 	list := l.lastList()
-	list.Whole = true
-	l.note(trace.Event{Kind: trace.Start, Relay: l.cfg.Name, Count: l.cfg.Settings.NInstances})
+	list.Full = true
+	l.note(trace.Event{Kind: trace.RelayStarted, Relay: l.cfg.Name, Count: l.cfg.Settings.NInstances})
 	l.told(list)
-	l.journal.List(list, l.cfg.Discovery) // what the watch tells from here on may be changes of it only
+	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // what the watch tells from here on may be changes of it only
 	l.watch.Seq = list.Seq
-	if l.journal.Broken() { // from its start on
-		l.folder.Failed(l.now())
+	if l.journal.Failed() { // from its start on
+		l.folder.WriteFailed(l.now())
 		l.holdBack(true)
 	}
 	if from != nil {
-		l.events = append(l.events, policy.Inherited{Memory: from.Memory})
+		l.events = append(l.events, policy.SnapshotRestored{Snapshot: from.Memory})
 		for _, e := range from.Past {
-			l.journal.Passed(journal.End{ID: e.ID, At: e.At})
+			l.journal.AddCompleted(journal.CompletedRequest{ID: e.ID, At: e.At})
 		}
 	}
 	for _, e := range l.journal.Entries() {
 		m := &message{Entry: e, resumed: true}
 		l.messages[e.ID] = m
-		if l.journal.Past(e.ID) {
-			l.violated.Violated(invariant.ResumedAfterEnd, e.ID, "destination", e.Dest)
+		if l.journal.IsCompleted(e.ID) {
+			l.violated.Record(invariant.RecoveredAfterCompletion, e.ID, "destination", e.Destination)
 		}
 		l.begun(m)
 		l.traceResume(e)
 		switch {
-		case e.Owed != nil:
+		case e.PendingNotice != nil:
 			m.over = true // by the process before
 			l.tellEnd(m)
-			if class := l.class(e.Class); class >= 0 && e.Item != "" {
+			if class := l.class(e.Class); class >= 0 && e.OrderKey != "" {
 				// Guards against a call for the next of its key that overtakes its notice.
-				l.events = append(l.events, policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Key: e.Item, Resumed: true, Decided: true})
+				l.events = append(l.events, policy.Arrived{ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, OutcomeDecided: true})
 			}
 			continue
 		case e.Delivered:
@@ -193,19 +193,19 @@
 		}
 		class := l.class(e.Class)
 		if class < 0 { // the settings have changed, and the module could not end it
-			l.refuse(m, frontend.Verdict{}, notification.Undeliverable)
+			l.refuse(m, frontend.Response{}, notification.Undeliverable)
 			continue
 		}
 		l.taken(m)
-		l.due.Add(m.ID, m.Expires)
-		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Dest, Key: e.Item, Resumed: true, Background: e.Resend, Terms: l.journal.Terms(e),
-			Left: e.Expires.Sub(l.timeline.Now())}
+		l.due.Add(m.ID, m.Deadline)
+		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, Background: e.Redelivery, Terms: l.journal.Terms(e),
+			TimeLeft: e.Deadline.Sub(l.timeline.Now())}
 		for _, t := range e.Attempts {
 			// An attempt that was out when the process ended may have run.
-			a.Tried = append(a.Tried, policy.Tried{Endpoint: t.Host, Sent: l.sent(t), Unrun: t.Ended && t.Unrun})
+			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Endpoint, SentAt: l.sent(t), NotExecuted: t.Ended && t.NotExecuted})
 		}
 		if from != nil && from.resume(l, m) {
-			a.Tried[len(a.Tried)-1].Open = true
+			a.PriorAttempts[len(a.PriorAttempts)-1].InFlight = true
 		}
 		l.events = append(l.events, a)
 	}
@@ -215,10 +215,10 @@
 // sent is when an attempt of an earlier process began, in the module's terms. Where that process did not run in this boot how
 // long ago it was is not known: it counts as longer ago than any destination keeps a key.
 func (l *loop) sent(a journal.Attempt) time.Duration {
-	if !l.timeline.Continued() {
+	if !l.timeline.SameBoot() {
 		return 0
 	}
-	return time.Duration(a.Begun)
+	return time.Duration(a.StartedAt)
 }
 
 // class gives the number of a class, or -1.
@@ -244,8 +244,8 @@
 			return
 		case <-sweep.C:
 			l.pool.Sweep()
-			if step, stepped := l.steps.Look(); stepped {
-				l.note(trace.Event{Kind: trace.Step, Ms: milliseconds(step)})
+			if step, stepped := l.steps.Check(); stepped {
+				l.note(trace.Event{Kind: trace.ClockStepped, Ms: milliseconds(step)})
 			}
 			l.checkClocks()
 			l.forgetEnds()
@@ -255,7 +255,7 @@
 		case <-timer.C:
 		}
 		// What comes within a tick of the last batch is one batch.
-		tick := time.NewTimer(l.stepped + l.cfg.policy.Tick - l.now())
+		tick := time.NewTimer(l.stepped + l.cfg.policy.BatchInterval - l.now())
 		for more := true; more; {
 			select {
 			case e := <-l.inbox:
@@ -274,30 +274,30 @@
 // accept turns one event into the module's terms.
 func (l *loop) accept(e any) {
 	switch e := e.(type) {
-	case *frontend.Arrival:
+	case *frontend.Submission:
 		l.arrive(e)
 	case answered:
 		l.answered(e)
 	case timeUp:
-		l.events = append(l.events, policy.Expired{ID: e.id})
+		l.events = append(l.events, policy.DeadlineExceeded{ID: e.id})
 	case told:
-		l.note(trace.Event{Kind: trace.Told, Whole: e.Whole, Count: len(e.Hosts)})
-		l.told(e.Members)
-		if e.Whole {
+		l.note(trace.Event{Kind: trace.EndpointsReceived, Full: e.Full, Count: len(e.Endpoints)})
+		l.told(e.EndpointList)
+		if e.Full {
 			for host := range l.journal.Health() {
 				if _, ok := l.hosts[host]; !ok {
-					l.journal.Forget(host)
+					l.journal.DeleteHealth(host)
 				}
 			}
 		}
-		l.journal.List(e.Members, e.from)
+		l.journal.UpdateEndpoints(e.EndpointList, e.from)
 	case watchEnded:
-		l.note(trace.Event{Kind: trace.Lost, Count: e.lines})
-		l.events = append(l.events, policy.ListFailed{})
+		l.note(trace.Event{Kind: trace.WatchEnded, Count: e.lines})
+		l.events = append(l.events, policy.WatchFailed{})
 	case received:
 		for _, id := range e.ids {
 			if m := l.messages[id]; m != nil {
-				l.note(trace.Event{Kind: trace.Notice, ID: id, Class: m.Class, Dest: m.Dest})
+				l.note(trace.Event{Kind: trace.Notified, ID: id, Class: m.Class, Destination: m.Destination})
 				l.settled(m)
 				l.noticed(m)
 			}
@@ -306,26 +306,26 @@
 		l.resend(e)
 	case holds:
 		m := l.messages[e.id]
-		e.answer <- m != nil && m.Resend
+		e.answer <- m != nil && m.Redelivery
 	case kept:
 		for _, id := range e.ids {
-			if m := l.messages[id]; m != nil && (m.Owed != nil || m.Delivered) {
+			if m := l.messages[id]; m != nil && (m.PendingNotice != nil || m.Delivered) {
 				l.inStore(m)
 			}
 		}
 	case storeKnows:
 		if e.misses == l.misses {
-			l.journal.Told(e.name)
+			l.journal.SetStore(e.name)
 		}
 	case stopSending:
 		l.stopping = true
-		l.events = append(l.events, policy.Stopping{})
+		l.events = append(l.events, policy.Quiesced{})
 	case serveOn:
 		l.serveOn()
 	case question:
 		e.idle <- len(l.messages) == 0
 	case refusedUnread:
-		l.book.Ended(e.class, admin.Busy, false)
+		l.book.Completed(e.class, admin.Shed, false)
 	case freeze:
 		l.freeze = &e
 	case reconfigured:
@@ -340,7 +340,7 @@
 func (l *loop) serveOn() {
 	l.stopping = false
 	if l.folder.State() != journal.Degraded {
-		l.events = append(l.events, policy.Serving{})
+		l.events = append(l.events, policy.Resumed{})
 	}
 }
 
@@ -350,20 +350,20 @@
 	if e.made {
 		l.out--
 	}
-	if e.Parked != nil {
-		l.parked[e.id] = e.Parked
+	if e.Detached != nil {
+		l.parked[e.id] = e.Detached
 		return
 	}
 	m.cancel, m.sending = nil, false
 	l.traceAnswer(m, e)
 	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.End(m.Entry, e.Unrun(), outcomes[e.Outcome], l.timeline.Now())
+		l.journal.EndAttempt(m.Entry, e.NotExecuted(), outcomes[e.Outcome], l.timeline.Now())
 	}
-	l.events = append(l.events, policy.Ended{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
-		Wait: e.Wait, Took: e.took, Over: e.Over, Spent: e.Spent, Doubtful: e.Doubtful, Report: e.Report})
+	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.took, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown, LoadReport: e.LoadReport})
 	switch {
-	case !e.Over || m.over:
-	case e.Outcome == policy.OK:
+	case !e.Final || m.over:
+	case e.Outcome == policy.Succeeded:
 		l.traceEnd(m, trace.Delivered)
 		l.count(m, admin.Success)
 	default: // withdrawn, or out of time
@@ -371,28 +371,28 @@
 		l.count(m, admin.Failure)
 	}
 	switch {
-	case e.Over && e.Outcome != policy.OK && l.keeper != nil && !m.over:
+	case e.Final && e.Outcome != policy.Succeeded && l.keeper != nil && !m.over:
 		l.gone(m)
-	case e.Over && m.Resend && !m.over:
+	case e.Final && m.Redelivery && !m.over:
 		l.endResend(m, delivered, "")
-	case e.Over && m.Order != nil && l.keeper != nil && !m.over:
+	case e.Final && m.Order != nil && l.keeper != nil && !m.over:
 		l.decide(m, delivered)
-		l.journal.Deliver(m.Entry)
+		l.journal.MarkDelivered(m.Entry)
 		l.after(func() { l.tellDelivered(m) })
-	case e.Over && !m.Resend, m.over && m.Owed == nil:
+	case e.Final && !m.Redelivery, m.over && m.PendingNotice == nil:
 		l.end(m)
 	}
 }
 
 // told takes in a change of the list.
-func (l *loop) told(m discovery.Members) {
+func (l *loop) told(m discovery.EndpointList) {
 	named := map[string]bool{}
 	var recalled []policy.Event
-	for _, h := range m.Hosts {
+	for _, h := range m.Endpoints {
 		named[h.Host] = true
 		old, had := l.hosts[h.Host]
 		if had && (old.Dial != h.Dial || h.Health == discovery.Deleted) {
-			l.pool.Forget(upstream.Target{Host: h.Host, Addr: old.Dial})
+			l.pool.Evict(upstream.Target{Endpoint: h.Host, Addr: old.Dial})
 		}
 		if h.Health == discovery.Deleted {
 			l.forget(h.Host)
@@ -402,23 +402,23 @@
 		l.dests[h.Block] = true
 		if health, ok := l.journal.Health()[h.Host]; ok && !had {
 			// An earlier process saw it go out; the list that came with the configuration may lack it.
-			recalled = append(recalled, policy.Recalled{Endpoint: h.Host, Sick: health.Sick, At: time.Duration(health.At)})
+			recalled = append(recalled, policy.HealthRecovered{Endpoint: h.Host, Unhealthy: health.Unhealthy, At: time.Duration(health.At)})
 		}
 	}
-	if m.Whole {
+	if m.Full {
 		for id, h := range l.hosts {
 			if !named[id] {
-				l.pool.Forget(upstream.Target{Host: id, Addr: h.Dial})
+				l.pool.Evict(upstream.Target{Endpoint: id, Addr: h.Dial})
 				l.forget(id)
 			}
 		}
 	}
-	l.events = append(append(l.events, m.Listed(&l.cfg.Settings)), recalled...)
+	l.events = append(append(l.events, m.Event(&l.cfg.Settings)), recalled...)
 }
 
 func (l *loop) forget(host string) {
 	delete(l.hosts, host)
-	l.journal.Forget(host)
+	l.journal.DeleteHealth(host)
 }
 
 // end notes that nothing more is owed for a message.
@@ -429,9 +429,9 @@
 		l.again.Ended(m.ID, m.topic())
 	}
 	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.Over(m.Entry, l.timeline.Now())
+		l.journal.Complete(m.Entry, l.timeline.Now())
 	}
-	m.Owed = nil
+	m.PendingNotice = nil
 	if m.cancel == nil {
 		delete(l.messages, m.ID)
 	}
@@ -442,17 +442,17 @@
 	now := l.now()
 	l.stepped = now
 	if l.woken(now) {
-		l.events = append(l.events, policy.Woken{})
+		l.events = append(l.events, policy.TimerFired{})
 	}
 	events := l.events
 	l.events = nil
 	actions := l.d.Handle(now, events)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case policy.Refuse:
-			l.refuse(l.messages[a.ID], frontend.Verdict{Status: http.StatusTooManyRequests, After: a.StayAway}, notification.Deferred)
+		case policy.Reject:
+			l.refuse(l.messages[a.ID], frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}, notification.Deferred)
 		case policy.Fail:
-			l.refuse(l.messages[a.ID], frontend.Verdict{Status: http.StatusBadGateway}, notification.Undeliverable)
+			l.refuse(l.messages[a.ID], frontend.Response{Status: http.StatusBadGateway}, notification.Undeliverable)
 		}
 	}
 	l.admitted()
@@ -469,33 +469,33 @@
 	for _, m := range l.fresh {
 		if !m.over {
 			if class := l.class(m.Class); class >= 0 {
-				l.journal.Under(m.Entry, l.cfg.policy.Classes[class])
+				l.journal.SetTerms(m.Entry, l.cfg.policy.Classes[class])
 			}
-			l.journal.Take(m.Entry)
-			l.traceMessage(trace.Take, m.Entry, m.retry, trace.Event{})
+			l.journal.Accept(m.Entry)
+			l.traceMessage(trace.Accepted, m.Entry, m.retry, trace.Event{})
 			l.taken(m)
 			l.begun(m)
-			l.due.Add(m.ID, m.Expires)
+			l.due.Add(m.ID, m.Deadline)
 		}
 	}
 }
 
 // refuse ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) refuse(m *message, v frontend.Verdict, status string) {
+func (l *loop) refuse(m *message, v frontend.Response, status string) {
 	if m == nil || m.over {
 		return
 	}
-	if m.Resend {
+	if m.Redelivery {
 		l.endResend(m, status, "")
 		return
 	}
 	if status == notification.Deferred {
-		l.count(m, admin.Busy)
+		l.count(m, admin.Shed)
 	} else {
 		l.count(m, admin.Failure)
 	}
 	if replies := m.verdicts; replies != nil {
-		l.traceTurn(m.Entry, m.retry, refusedByModule, v.After)
+		l.traceTurn(m.Entry, m.retry, refusedByModule, v.RetryAfter)
 		l.refusedAt(m, status)
 		m.verdicts = nil
 		l.promptly(func() {
@@ -507,23 +507,23 @@
 	}
 	l.traceEnd(m, status)
 	l.decide(m, status)
-	n := notification.Notice{ID: m.ID, Status: status, AgainMS: v.After.Milliseconds()}
-	l.journal.Owe(m.Entry, n, string(l.reason(m, status)), l.timeline.Now())
-	m.outcome = l.journal.Noted()
-	l.afterOrBy(m.Expires, func() { l.tellEnd(m) })
+	n := notification.Notice{ID: m.ID, Status: status, RetryAfterMS: v.RetryAfter.Milliseconds()}
+	l.journal.DecideOutcome(m.Entry, n, string(l.reason(m, status)), l.timeline.Now())
+	m.outcome = l.journal.LastRecord()
+	l.afterOrBy(m.Deadline, func() { l.tellEnd(m) })
 }
 
 // settled tells the module that the end which it gave a message of a class in order is known where it is owed: only then
 // the next one of its item may go. A call that overtakes the notice of the message before it is a call out of turn.
 func (l *loop) settled(m *message) {
-	if m.Item != "" {
-		l.events = append(l.events, policy.Settled{ID: m.ID})
+	if m.OrderKey != "" {
+		l.events = append(l.events, policy.Acknowledged{ID: m.ID})
 		l.wakeAt = 0 // the module has an event to act on
 	}
 }
 
 // reply answers all requests that brought a message.
-func reply(to []chan frontend.Verdict, v frontend.Verdict) {
+func reply(to []chan frontend.Response, v frontend.Response) {
 	for _, c := range to {
 		c <- v
 	}
@@ -534,25 +534,25 @@
 	switch a := a.(type) {
 	case policy.Send:
 		l.send(now, a)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		if m := l.messages[a.ID]; m != nil && m.cancel != nil && a.Attempt == len(m.Attempts)-1 {
 			l.promptly(m.cancel)
 		}
-	case policy.Unsend:
+	case policy.CancelBeforeSend:
 		if m := l.messages[a.ID]; m != nil && m.unsend != nil && a.Attempt == len(m.Attempts)-1 {
 			m.unsend.Store(true) // of a call of an earlier batch: that one's record is written
 		}
-	case policy.CloseIdle:
+	case policy.CloseIdleConns:
 		if h, ok := l.hosts[a.Endpoint]; ok {
-			l.promptly(func() { l.pool.CloseIdle(upstream.Target{Host: h.Host, Addr: h.Dial}) })
+			l.promptly(func() { l.pool.CloseIdle(upstream.Target{Endpoint: h.Host, Addr: h.Dial}) })
 		}
-	case policy.Wake:
+	case policy.SetTimer:
 		l.arm(now + a.After)
-	case policy.Subscribe:
-		l.watch.Ask()
-	case policy.Remember:
+	case policy.WatchEndpoints:
+		l.watch.Subscribe()
+	case policy.PersistHealth:
 		if _, ok := l.hosts[a.Endpoint]; ok {
-			l.journal.Remember(a.Endpoint, journal.Health{Sick: a.Sick, At: clock.Instant(a.At)})
+			l.journal.SetHealth(a.Endpoint, journal.Health{Unhealthy: a.Unhealthy, At: clock.Instant(a.At)})
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -50,8 +50,8 @@
 	cfg        *Config
 	dir        string
 	ownClasses []policy.Class // as the configuration has them
-	stance     *servingmode.Stance
-	book       *admin.Book
+	stance     *servingmode.Mode
+	book       *admin.Metrics
 	violated   *invariant.Counts
 	door       *door
 	fleet      *fleettask.Fleet // its part of the fleet's tasks; nil: it has none
@@ -77,7 +77,7 @@
 	if err := cfg.checkOwn(); err != nil {
 		return err
 	}
-	stance, book, violated := &servingmode.Stance{}, admin.NewBook(cfg.classNames()), &invariant.Counts{}
+	stance, book, violated := &servingmode.Mode{}, admin.NewMetrics(cfg.classNames()), &invariant.Counts{}
 	door, err := openDoor(cfg, stance, book, violated)
 	if err != nil {
 		return err
@@ -128,15 +128,15 @@
 			slog.Info("configuration read again", "discovery", r.Config.Discovery, "classes", r.Config.classNames())
 			if r.Config.Discovery != discoveryAt {
 				discoveryAt = r.Config.Discovery
-				n.l.notices.Move(discoveryAt) // first: who sees the watch move may rely on it
-				n.l.watch.Move(discoveryAt)
+				n.l.notices.SetAddress(discoveryAt) // first: who sees the watch move may rely on it
+				n.l.watch.SetAddress(discoveryAt)
 			}
 		case end := <-ends:
 			n.door.taking.Store(false)
 			switch end {
-			case handover.Orphan:
+			case handover.SuccessorDied:
 				return errOrphan
-			case handover.Handed:
+			case handover.HandedOver:
 				n.lastWords()
 				return nil
 			}
@@ -157,23 +157,23 @@
 		return err
 	}
 	s := cfg.Settings
-	l := &loop{cfg: cfg, d: d, journal: kept, inbox: make(chan any, inboxSize), timeline: kept.Timeline(), steps: clock.NewStepWatch(kept.Timeline()), calls: n.live,
+	l := &loop{cfg: cfg, d: d, journal: kept, inbox: make(chan any, inboxSize), timeline: kept.Timeline(), steps: clock.NewStepDetector(kept.Timeline()), calls: n.live,
 		book: n.book, violated: n.violated, stance: n.stance, parked: map[string]*net.TCPConn{},
-		messages: map[string]*message{}, hosts: map[string]discovery.Member{}, dests: map[int]bool{},
-		pool: http1.New(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.ConnIdle, cfg.hostRoom())}
-	l.pool.Written = func() { l.book.Calls.Add(1) }
-	l.watch = discovery.NewWatcher(cfg.Discovery, func(m discovery.Members, from string) { l.put(told{m, from}) },
+		messages: map[string]*message{}, hosts: map[string]discovery.Endpoint{}, dests: map[int]bool{},
+		pool: http1.New(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout, cfg.hostRoom())}
+	l.pool.OnWritten = func() { l.book.AttemptsSent.Add(1) }
+	l.watch = discovery.NewWatcher(cfg.Discovery, func(m discovery.EndpointList, from string) { l.put(told{m, from}) },
 		func(lines int) { l.put(watchEnded{lines}) })
 	share := s.NInstances
 	if cfg.pushed() {
 		share = 1 // what is asked is this relay's own
 	}
-	l.watch.Share(share, cfg.seed)
+	l.watch.ShareWith(share, cfg.seed)
 	l.trace = trace.New(cfg.tracing(), os.Stderr)
-	l.watch.Asked = func() { l.trace.Note(l.now(), trace.Event{Kind: trace.Ask}) }
+	l.watch.OnSubscribe = func() { l.trace.Record(l.now(), trace.Event{Kind: trace.WatchRequested}) }
 	l.notices = notification.New(cfg.Discovery, func(ids []string) { l.put(received{ids}) })
 	if cfg.keeping() != nil {
-		l.arrivals = kept.Arrivals()
+		l.arrivals = kept.LastArrival()
 		l.keeper = newKeeper(cfg, kept.Store(), kept.Timeline(), func(e any) {
 			select {
 			case l.inbox <- e:
@@ -190,9 +190,9 @@
 		}
 	}
 	n.l = l
-	n.srv = front.New(front.Config{Check: cfg.clientCheck(), Stance: n.stance, MemoryMB: cfg.Limits.MemoryMB, Room: cfg.clientRoom(),
-		Keep: cfg.idleRoom(), Closed: func(why string) { l.note(trace.Event{Kind: trace.Close, Why: why}) }}, func(a *frontend.Arrival) { l.put(a) }, func(class string) { l.put(refusedUnread{class}) })
-	l.recheck = n.srv.SetCheck
+	n.srv = front.New(front.Config{Validator: cfg.clientCheck(), Mode: n.stance, MemoryMB: cfg.Limits.MemoryMB, MaxConns: cfg.clientRoom(),
+		MaxIdleConns: cfg.idleRoom(), OnClose: func(why string) { l.note(trace.Event{Kind: trace.ConnClosed, Reason: why}) }}, func(a *frontend.Submission) { l.put(a) }, func(class string) { l.put(refusedUnread{class}) })
+	l.recheck = n.srv.SetValidator
 	if n.listener, err = listen(cfg); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -226,8 +226,8 @@
 		n.endTasks()
 	}
 	until := func(stage time.Duration) time.Duration { return time.Until(begun.Add(stage)) }
-	l.trace.Note(l.now(), trace.Event{Kind: trace.Stop})
-	l.stance.End()
+	l.trace.Record(l.now(), trace.Event{Kind: trace.ShutdownRequested})
+	l.stance.Shutdown()
 	time.Sleep(until(listenOn))
 	_ = n.listener.Close()
 	for until(sendOn) > 0 && !l.idle() {
@@ -247,7 +247,7 @@
 	if err := n.srv.Shutdown(ctx); err != nil {
 		slog.Warn("connections left", "err", err)
 		for range n.srv.Unanswered() {
-			n.violated.Violated(invariant.ClosedUnanswered, "")
+			n.violated.Record(invariant.ClosedUnanswered, "")
 		}
 	}
 }
--- a/internal/relay/resend.go
+++ b/internal/relay/resend.go
@@ -36,14 +36,14 @@
 
 // ResendClasses are the settings' classes in the terms of the store of undelivered messages.
 func (cfg *Config) ResendClasses(own *deadletter.Section) (classes []deadletter.Class) {
-	effects := map[policy.Effect]deadletter.Effect{policy.Safe: deadletter.Safe, policy.Keyed: deadletter.Keyed,
-		policy.Unsafe: deadletter.Unsafe}
+	effects := map[policy.Idempotency]deadletter.Effect{policy.Idempotent: deadletter.Safe, policy.IdempotentByKey: deadletter.Keyed,
+		policy.NotIdempotent: deadletter.Unsafe}
 	for _, c := range cfg.policy.Classes {
 		if c.Retired {
 			continue
 		}
 		subject := slices.ContainsFunc(own.Subjects, func(s deadletter.Subject) bool { return s.Class == c.Name })
-		classes = append(classes, deadletter.Class{Name: c.Name, Effect: effects[c.Effect], Memory: c.Memory,
+		classes = append(classes, deadletter.Class{Name: c.Name, Effect: effects[c.Idempotency], Memory: c.KeyTTL,
 			Attempts: cfg.policy.MaxAttempts, Subject: subject, Returns: own.ClientsReturn == nil || *own.ClientsReturn})
 	}
 	return classes
@@ -109,9 +109,9 @@
 			k.result(deadletter.Result{Life: deadletter.Life{ID: o.Life.ID}})
 			continue
 		}
-		k.offer(resend{&journal.Entry{ID: o.Life.ID, Class: o.Record.Class, Dest: o.Record.Partner, Tenant: o.Record.Tenant,
-			Key: o.Record.Key, Item: o.Record.Item, Subject: o.Record.Subject, Order: o.Record.Order, Taken: clock.FromCalendar(o.Life.Taken), Expires: clock.FromCalendar(o.Life.Expires),
-			Body: body, Resend: true}})
+		k.offer(resend{&journal.Entry{ID: o.Life.ID, Class: o.Record.Class, Destination: o.Record.Partner, Tenant: o.Record.Tenant,
+			IdempotencyKey: o.Record.Key, OrderKey: o.Record.Item, Subject: o.Record.Subject, Order: o.Record.Order, AcceptedAt: clock.FromTime(o.Life.Taken), Deadline: clock.FromTime(o.Life.Expires),
+			Body: body, Redelivery: true}})
 	}
 	return err
 }
@@ -130,14 +130,14 @@
 			return
 		}
 	}
-	if !l.dests[m.Dest] || !l.journal.Reserve(m.Entry) {
+	if !l.dests[m.Destination] || !l.journal.Reserve(m.Entry) {
 		l.giveBack(m, "")
 		return
 	}
 	l.messages[m.ID] = m
 	l.fresh = append(l.fresh, m)
-	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Dest, Key: m.Item, Background: true,
-		Left: m.Expires.Sub(l.timeline.Now())})
+	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Destination, OrderKey: m.OrderKey, Background: true,
+		TimeLeft: m.Deadline.Sub(l.timeline.Now())})
 }
 
 // giveBack tells the store that a resend never left, and by which newer message it was overtaken if it was.
@@ -168,8 +168,8 @@
 	if status != delivered && status != overtaken {
 		reason = l.reason(m, status)
 	}
-	l.journal.Owe(m.Entry, notification.Notice{ID: m.ID, Status: status}, string(reason), l.timeline.Now())
-	m.outcome = l.journal.Noted()
+	l.journal.DecideOutcome(m.Entry, notification.Notice{ID: m.ID, Status: status}, string(reason), l.timeline.Now())
+	m.outcome = l.journal.LastRecord()
 	l.after(func() { l.tellEnd(m) })
 	l.settled(m) // nobody but the store is told
 }
@@ -178,7 +178,7 @@
 func (l *loop) begun(m *message) {
 	switch {
 	case m.Order == nil || l.keeper == nil:
-	case m.Resend:
+	case m.Redelivery:
 		l.again.Taken(m.ID, m.topic(), *m.Order)
 	default:
 		l.underway.Taken(m.ID, m.topic(), *m.Order)
@@ -189,7 +189,7 @@
 // that are out are given up.
 func (l *loop) overtake() {
 	for _, newer := range l.fresh {
-		if newer.Order == nil || newer.Resend || newer.over || l.keeper == nil {
+		if newer.Order == nil || newer.Redelivery || newer.over || l.keeper == nil {
 			continue
 		}
 		for _, id := range l.again.Before(newer.topic(), *newer.Order) {
@@ -204,7 +204,7 @@
 				return s.m == m
 			})
 			l.endResend(m, overtaken, newer.ID)
-			l.events = append(l.events, policy.Withdrawn{ID: m.ID})
+			l.events = append(l.events, policy.Cancelled{ID: m.ID})
 			l.wakeAt = 0 // the module has an event to act on
 			if m.cancel != nil {
 				l.promptly(m.cancel)
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -13,7 +13,7 @@
 // note notes an event of now, where a trace is wanted.
 func (l *loop) note(e trace.Event) {
 	if l.trace != nil {
-		l.trace.Note(l.now(), e)
+		l.trace.Record(l.now(), e)
 	}
 }
 
@@ -22,33 +22,33 @@
 	if l.trace == nil {
 		return
 	}
-	t := trace.Event{Kind: trace.Answer, ID: m.ID, Class: m.Class, Dest: m.Dest, Host: e.host, How: outcomes[e.Outcome], Count: e.attempt + 1,
-		Ms: float64(e.took.Microseconds()) / 1000, Fresh: e.Fresh, WaitMs: float64(e.Wait.Microseconds()) / 1000}
-	if e.Report != nil {
-		t.Left, t.Limit = e.Report.Left, e.Report.Limit
+	t := trace.Event{Kind: trace.AttemptEnded, ID: m.ID, Class: m.Class, Destination: m.Destination, Endpoint: e.host, Outcome: outcomes[e.Outcome], Count: e.attempt + 1,
+		Ms: float64(e.took.Microseconds()) / 1000, NewConn: e.NewConn, WaitMs: float64(e.RetryAfter.Microseconds()) / 1000}
+	if e.LoadReport != nil {
+		t.Left, t.Limit = e.LoadReport.Remaining, e.LoadReport.RateLimit
 	}
 	l.note(t)
 }
 
 // effects are those of classes, as the trace names them.
-var effects = map[policy.Effect]string{policy.Safe: trace.Safe, policy.Keyed: trace.Keyed, policy.Unsafe: trace.Unsafe}
+var effects = map[policy.Idempotency]string{policy.Idempotent: trace.Idempotent, policy.IdempotentByKey: trace.IdempotentByKey, policy.NotIdempotent: trace.NotIdempotent}
 
 // traceMessage notes what becomes of a message as it comes, with its terms.
 func (l *loop) traceMessage(kind trace.Kind, m *journal.Entry, retry string, t trace.Event) {
 	if l.trace == nil {
 		return
 	}
-	t.Kind, t.ID, t.Class, t.Dest = kind, m.ID, m.Class, m.Dest
-	t.LeftMs = milliseconds(m.Expires.Sub(l.timeline.Now()))
-	t.Key, t.Retry, t.Due = trace.Digest(m.Key), retry, float64(m.Expires)/float64(time.Millisecond)
+	t.Kind, t.ID, t.Class, t.Destination = kind, m.ID, m.Class, m.Destination
+	t.LeftMs = milliseconds(m.Deadline.Sub(l.timeline.Now()))
+	t.Key, t.Retry, t.Deadline = trace.Digest(m.IdempotencyKey), retry, float64(m.Deadline)/float64(time.Millisecond)
 	terms := l.journal.Terms(m)
 	if class := l.class(m.Class); terms == nil && class >= 0 {
 		terms = &l.cfg.policy.Classes[class]
 	}
 	if terms != nil {
-		t.Effect = effects[terms.Effect]
-		if terms.Effect == policy.Keyed {
-			t.MemoryMs = float64(terms.Memory.Microseconds()) / 1000
+		t.Idempotency = effects[terms.Idempotency]
+		if terms.Idempotency == policy.IdempotentByKey {
+			t.KeyTTLMs = float64(terms.KeyTTL.Microseconds()) / 1000
 		}
 	}
 	l.note(t)
@@ -68,19 +68,19 @@
 
 // traceTurn notes a message that is refused at its arrival, why, and how long its client is to stay away.
 func (l *loop) traceTurn(m *journal.Entry, retry, why string, away time.Duration) {
-	l.traceMessage(trace.Turn, m, retry, trace.Event{Ms: float64(away.Milliseconds()), Why: why})
+	l.traceMessage(trace.Rejected, m, retry, trace.Event{Ms: float64(away.Milliseconds()), Reason: why})
 }
 
 // traceResume notes a message that was taken up from the journal.
 func (l *loop) traceResume(e *journal.Entry) {
 	t := trace.Event{Count: len(e.Attempts)}
 	switch {
-	case e.Owed != nil:
-		t.How = e.Owed.Status
+	case e.PendingNotice != nil:
+		t.Outcome = e.PendingNotice.Status
 	case e.Delivered:
-		t.How = trace.Delivered
+		t.Outcome = trace.Delivered
 	}
-	l.traceMessage(trace.Resume, e, "", t)
+	l.traceMessage(trace.Recovered, e, "", t)
 }
 
 // traceEnd notes the end of a message that was accepted, and why it was not delivered.
@@ -88,14 +88,14 @@
 	if l.trace == nil {
 		return
 	}
-	t := trace.Event{Kind: trace.End, ID: m.ID, Class: m.Class, Dest: m.Dest, How: how}
+	t := trace.Event{Kind: trace.Completed, ID: m.ID, Class: m.Class, Destination: m.Destination, Outcome: how}
 	if how != trace.Delivered && how != trace.Withdrawn {
-		t.Why = string(l.reason(m, how))
+		t.Reason = string(l.reason(m, how))
 	}
 	if class := l.class(m.Class); class >= 0 {
 		terms := &l.cfg.policy.Classes[class]
-		age := l.timeline.Now().Sub(m.Expires) + terms.Deadline
-		t.Ms, t.Late = float64(age.Milliseconds()), age > terms.Aim
+		age := l.timeline.Now().Sub(m.Deadline) + terms.Deadline
+		t.Ms, t.Late = float64(age.Milliseconds()), age > terms.LatencyObjective
 	}
 	l.note(t)
 }
--- a/internal/servingmode/servingmode.go
+++ b/internal/servingmode/servingmode.go
@@ -14,14 +14,14 @@
 
 // The stages of leaving, from the operators' call on.
 const (
-	// CloseRested is when connections that have rested for Rested are closed: until then the front may send new ones,
+	// CloseIdleAfter is when connections that have rested for Rested are closed: until then the front may send new ones,
 	// and a client that has just been answered may be about to send.
-	CloseRested = 600 * time.Millisecond
-	// Rested without a request makes it unlikely that one is on its way.
-	Rested = 400 * time.Millisecond
-	// CloseAll is when all connections without a request are closed. At 4 s none may be held idle, nor carry a message
+	CloseIdleAfter = 600 * time.Millisecond
+	// MinIdle without a request makes it unlikely that one is on its way.
+	MinIdle = 400 * time.Millisecond
+	// CloseAllAfter is when all connections without a request are closed. At 4 s none may be held idle, nor carry a message
 	// that began in the last 2 s.
-	CloseAll = 1500 * time.Millisecond
+	CloseAllAfter = 1500 * time.Millisecond
 )
 
 // State is where a relay stands.
@@ -30,25 +30,25 @@
 // The states of a relay.
 const (
 	Active State = iota
-	Leaving
-	StandingBy
-	Ending // the process is about to end: nothing undoes it
+	DrainingClients
+	Standby
+	ShuttingDown // the process is about to end: nothing undoes it
 )
 
 func (s State) String() string {
 	return [...]string{"active", "leaving", "standing by", "ending"}[s]
 }
 
-// Stance is a relay's stance to its clients. Its zero value is active; it is safe for concurrent use.
-type Stance struct {
+// Mode is a relay's stance to its clients. Its zero value is active; it is safe for concurrent use.
+type Mode struct {
 	mu     sync.Mutex
 	away   bool
 	ending bool
 	since  time.Time // of away
 }
 
-// Leave sends clients away from now on; said again it changes nothing.
-func (s *Stance) Leave(now time.Time) {
+// EnterStandby sends clients away from now on; said again it changes nothing.
+func (s *Mode) EnterStandby(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.away {
@@ -56,37 +56,37 @@
 	}
 }
 
-// Return takes clients again, at any point of leaving.
-func (s *Stance) Return() {
+// Activate takes clients again, at any point of leaving.
+func (s *Mode) Activate() {
 	s.mu.Lock()
 	s.away = false
 	s.mu.Unlock()
 }
 
-// End begins the planned end of the process.
-func (s *Stance) End() {
+// Shutdown begins the planned end of the process.
+func (s *Mode) Shutdown() {
 	s.mu.Lock()
 	s.ending = true
 	s.mu.Unlock()
 }
 
 // State is where the relay stands at a time.
-func (s *Stance) State(now time.Time) State {
+func (s *Mode) State(now time.Time) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.ending:
-		return Ending
+		return ShuttingDown
 	case !s.away:
 		return Active
-	case now.Sub(s.since) < CloseAll:
-		return Leaving
+	case now.Sub(s.since) < CloseAllAfter:
+		return DrainingClients
 	}
-	return StandingBy
+	return Standby
 }
 
-// Away tells whether clients are sent away by the operators, and since when; a planned end is not that.
-func (s *Stance) Away() (away bool, since time.Time) {
+// InStandby tells whether clients are sent away by the operators, and since when; a planned end is not that.
+func (s *Mode) InStandby() (away bool, since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.away, s.since
@@ -94,28 +94,28 @@
 
 // Healthy tells whether clients may be sent here. At a planned end health says yes until the listener closes: the platform
 // knows, and stops sending by itself.
-func (s *Stance) Healthy() bool {
+func (s *Mode) Healthy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.away
 }
 
-// LastAnswer tells whether an answer is the last on its connection.
-func (s *Stance) LastAnswer() bool {
+// CloseAfterResponse tells whether an answer is the last on its connection.
+func (s *Mode) CloseAfterResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.away || s.ending
 }
 
-// MayRest is for how long a connection may go on without a request at a time, and whether that is bounded at all.
-func (s *Stance) MayRest(now time.Time) (rest time.Duration, bounded bool) {
+// IdleLimit is for how long a connection may go on without a request at a time, and whether that is bounded at all.
+func (s *Mode) IdleLimit(now time.Time) (rest time.Duration, bounded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch after := now.Sub(s.since); {
-	case !s.away, after < CloseRested:
+	case !s.away, after < CloseIdleAfter:
 		return 0, false
-	case after < CloseAll:
-		return Rested, true
+	case after < CloseAllAfter:
+		return MinIdle, true
 	}
 	return 0, true
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -92,7 +92,7 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
+	effects = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NotIdempotent}
 	weights = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal,
 		"rough": policy.WeightsRough}
 )
@@ -100,20 +100,20 @@
 // Policy translates the settings into the policy's terms.
 func (s *Settings) Policy() (policy.Settings, error) {
 	p := policy.Settings{
-		Instances: s.NInstances, Zone: s.Az, ZoneFee: s.Specifics.RouteFee, Slots: s.Specifics.MaxCalls,
-		HoldRoom: s.Limits.MaxOpen, MaxAttempts: s.Limits.MaxAttempts, SecondCopies: s.Limits.SecondCopies,
-		CanCancel: s.Limits.Cancel,
-		Tick:      Seconds(s.QuantumS),
-		ColdShare: s.Rules.ColdShare, RampTime: Seconds(s.Rules.RampTimeS),
-		OverloadFactor: s.Rules.OverloadFactor, OverloadFor: Seconds(s.Rules.OverloadForS),
-		OrderPause: Seconds(s.Rules.OrderPauseS), ConnIdle: Seconds(s.Limits.ConnIdleS),
+		Instances: s.NInstances, Zone: s.Az, ZoneCost: s.Specifics.RouteFee, MaxInFlight: s.Specifics.MaxCalls,
+		MaxQueued: s.Limits.MaxOpen, MaxAttempts: s.Limits.MaxAttempts, Hedging: s.Limits.SecondCopies,
+		CanCancel:     s.Limits.Cancel,
+		BatchInterval: Seconds(s.QuantumS),
+		ColdCapacity:  s.Rules.ColdShare, SlowStartTime: Seconds(s.Rules.RampTimeS),
+		OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: Seconds(s.Rules.OverloadForS),
+		OrderKeyCooldown: Seconds(s.Rules.OrderPauseS), IdleConnTimeout: Seconds(s.Limits.ConnIdleS),
 	}
 	if s.Limits.RetryAfter {
-		p.MaxStayAway = Seconds(s.Limits.MaxRetryAfterS)
+		p.MaxRetryAfter = Seconds(s.Limits.MaxRetryAfterS)
 	}
 	switch s.Discovery {
 	case "subscribe":
-		p.Subscribe = true
+		p.WatchEndpoints = true
 	case "automatic":
 	default:
 		return p, fmt.Errorf("settings: discovery: unknown mode %q", s.Discovery)
@@ -130,18 +130,18 @@
 		if !ok {
 			return p, fmt.Errorf("settings: categories[%d].idempotency: unknown effect %q", i, c.Idempotency)
 		}
-		p.Classes = append(p.Classes, policy.Class{Name: c.Name, Aim: Seconds(c.AimS),
-			Deadline: Seconds(c.DeadlineS), Worth: c.Points, LateShare: c.LateShare,
-			Halving: s.Specifics.LosesWorth == "halving", Effect: effect, ByZone: c.Group != "all",
-			Memory: Seconds(c.MemorySpanS), Ordered: c.FifoByKey})
+		p.Classes = append(p.Classes, policy.Class{Name: c.Name, LatencyObjective: Seconds(c.AimS),
+			Deadline: Seconds(c.DeadlineS), PriorityWeight: c.Points, LateFraction: c.LateShare,
+			ExponentialDecay: s.Specifics.LosesWorth == "halving", Idempotency: effect, KeyPerZone: c.Group != "all",
+			KeyTTL: Seconds(c.MemorySpanS), Ordered: c.FifoByKey})
 	}
 	for i := range s.Shapes {
-		k := policy.Kind{Bundle: 1}
+		k := policy.DestinationKind{MaxBatch: 1}
 		if i < len(s.Specifics.BundleMax) {
-			k.Bundle = s.Specifics.BundleMax[i]
+			k.MaxBatch = s.Specifics.BundleMax[i]
 		}
 		if i < len(s.Specifics.SeparateRoutes) {
-			k.Separate = s.Specifics.SeparateRoutes[i]
+			k.SeparateRoutes = s.Specifics.SeparateRoutes[i]
 		}
 		p.Kinds = append(p.Kinds, k)
 	}
--- a/internal/socket/dial.go
+++ b/internal/socket/dial.go
@@ -28,10 +28,10 @@
 		ctx, cancel = context.WithTimeout(ctx, d.Timeout)
 		defer cancel()
 	}
-	pause := syserr.Backoff{Least: leastPause, Most: mostPause}
+	pause := syserr.Backoff{Min: leastPause, Max: mostPause}
 	for {
 		c, err := d.Dialer.DialContext(ctx, network, addr)
-		if err == nil || syserr.Of(syserr.Connect, err) != syserr.Local || !wait.For(ctx, pause.Failed()) {
+		if err == nil || syserr.Classify(syserr.Connect, err) != syserr.Local || !wait.For(ctx, pause.Next()) {
 			return c, err
 		}
 	}
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -18,11 +18,11 @@
 func Listen(addr string) (net.Listener, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), listenWithin)
 	defer cancel()
-	pause := syserr.Backoff{Least: leastPause, Most: mostPause}
+	pause := syserr.Backoff{Min: leastPause, Max: mostPause}
 	said := false
 	for {
 		l, err := net.Listen("tcp", addr)
-		if err == nil || syserr.Of(syserr.Bind, err) != syserr.Local || !wait.For(ctx, pause.Failed()) {
+		if err == nil || syserr.Classify(syserr.Bind, err) != syserr.Local || !wait.For(ctx, pause.Next()) {
 			return l, err
 		}
 		if !said {
--- a/internal/socket/patient.go
+++ b/internal/socket/patient.go
@@ -43,6 +43,6 @@
 }
 
 // passes tells whether a call failed for want of something here.
-func passes(call syserr.Call, err error) bool {
-	return err != nil && syserr.Of(call, err) == syserr.Local
+func passes(call syserr.Operation, err error) bool {
+	return err != nil && syserr.Classify(call, err) == syserr.Local
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -32,7 +32,7 @@
 			}
 		}
 	})
-	if syserr.Of(syserr.Read, err) == syserr.Local {
+	if syserr.Classify(syserr.Read, err) == syserr.Local {
 		n, err = -1, syscall.EAGAIN
 	}
 	return n, errors.Join(controlErr, err)
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -23,15 +23,15 @@
 // maxFile bounds a file in bytes: what people write is far smaller, and a wrong path may name anything.
 const maxFile = 4 << 20
 
-// Problem is one thing that is wrong in a file.
-type Problem struct {
+// FieldError is one thing that is wrong in a file.
+type FieldError struct {
 	File   string `json:"file"`
 	Line   int    `json:"line,omitempty"` // from 1; 0 where the whole file is meant
 	Key    string `json:"key,omitempty"`  // as in "partner[2].limit.count", elements counted from 1
 	Reason string `json:"reason"`
 }
 
-func (p Problem) String() string {
+func (p FieldError) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
 	if p.Line > 0 {
@@ -45,10 +45,10 @@
 	return b.String()
 }
 
-// Problems is an error that holds all that is wrong, a line each.
-type Problems []Problem
+// FieldErrors is an error that holds all that is wrong, a line each.
+type FieldErrors []FieldError
 
-func (p Problems) Error() string {
+func (p FieldErrors) Error() string {
 	lines := make([]string, len(p))
 	for i, one := range p {
 		lines[i] = one.String()
@@ -56,24 +56,24 @@
 	return strings.Join(lines, "\n")
 }
 
-// Doc is a file that was read. Checks of values add what they find with Bad.
-type Doc struct {
+// Document is a file that was read. Checks of values add what they find with Bad.
+type Document struct {
 	file     string
 	lines    map[string]int // of each key and table
-	problems Problems
+	problems FieldErrors
 }
 
-// Bad notes that the value at a key is no good. A key that the file lacks is reported at its table's line. One
+// AddError notes that the value at a key is no good. A key that the file lacks is reported at its table's line. One
 // problem a key is enough: what a value of the wrong type would be checked for is not known.
-func (d *Doc) Bad(key, format string, args ...any) {
-	if slices.ContainsFunc(d.problems, func(p Problem) bool { return p.Key == key }) {
+func (d *Document) AddError(key, format string, args ...any) {
+	if slices.ContainsFunc(d.problems, func(p FieldError) bool { return p.Key == key }) {
 		return
 	}
-	d.problems = append(d.problems, Problem{d.file, d.Line(key), key, fmt.Sprintf(format, args...)})
+	d.problems = append(d.problems, FieldError{d.file, d.Line(key), key, fmt.Sprintf(format, args...)})
 }
 
 // Line gives the line of a key, or of the nearest table round it, or 0.
-func (d *Doc) Line(key string) int {
+func (d *Document) Line(key string) int {
 	for key != "" {
 		if n := d.lines[key]; n > 0 {
 			return n
@@ -84,10 +84,10 @@
 }
 
 // Has tells whether the file has a key.
-func (d *Doc) Has(key string) bool { return d.lines[key] > 0 }
+func (d *Document) Has(key string) bool { return d.lines[key] > 0 }
 
 // Err gives Problems with all that was found, by line, or nil.
-func (d *Doc) Err() error {
+func (d *Document) Err() error {
 	if len(d.problems) == 0 {
 		return nil
 	}
@@ -99,7 +99,7 @@
 type Valuer interface{ FromTOML(v any) error }
 
 // ReadFile reads and lays out a file as Decode does.
-func ReadFile(path string, into any) (*Doc, error) {
+func ReadFile(path string, into any) (*Document, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -119,11 +119,11 @@
 
 // Decode lays a document over the struct that into points to. Fields are named by the tag `toml:"name"`; with
 // ",required" the key has to be there. What the document lacks keeps its value. All problems are in the Doc.
-func Decode(file string, raw []byte, into any) *Doc {
-	d := &Doc{file: file, lines: map[string]int{}}
+func Decode(file string, raw []byte, into any) *Document {
+	d := &Document{file: file, lines: map[string]int{}}
 	var values map[string]any
 	if err := toml.Unmarshal(raw, &values); err != nil {
-		p := Problem{File: file, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
+		p := FieldError{File: file, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 		if at := (*toml.DecodeError)(nil); errors.As(err, &at) {
 			p.Line, _ = at.Position()
 			p.Key = strings.Join(at.Key(), ".")
@@ -137,7 +137,7 @@
 }
 
 // locate finds the line of each key. The document is known to parse.
-func (d *Doc) locate(raw []byte) {
+func (d *Document) locate(raw []byte) {
 	p := unstable.Parser{}
 	p.Reset(raw)
 	counts := map[string]int{} // of the elements of arrays of tables
@@ -166,7 +166,7 @@
 }
 
 // value notes a key, and what lies in it.
-func (d *Doc) value(p *unstable.Parser, under string, e *unstable.Node) {
+func (d *Document) value(p *unstable.Parser, under string, e *unstable.Node) {
 	keys, line := path(p, e.Key())
 	for _, k := range keys {
 		under = join(under, k)
@@ -175,7 +175,7 @@
 	d.inside(p, under, e.Value())
 }
 
-func (d *Doc) inside(p *unstable.Parser, under string, v *unstable.Node) {
+func (d *Document) inside(p *unstable.Parser, under string, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.InlineTable:
 		for it := v.Children(); it.Next(); {
@@ -190,7 +190,7 @@
 	}
 }
 
-func (d *Doc) note(key string, line int) {
+func (d *Document) note(key string, line int) {
 	if d.lines[key] == 0 {
 		d.lines[key] = line
 	}
@@ -212,7 +212,7 @@
 }
 
 // table lays a table over a struct.
-func (d *Doc) table(at string, values map[string]any, into reflect.Value) {
+func (d *Document) table(at string, values map[string]any, into reflect.Value) {
 	known := map[string]bool{}
 	var names []string
 	for i := range into.NumField() {
@@ -227,21 +227,21 @@
 		case ok:
 			d.set(join(at, name), v, into.Field(i))
 		case opts == "required":
-			d.Bad(join(at, name), "is missing")
+			d.AddError(join(at, name), "is missing")
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(values)) {
 		if !known[k] {
-			d.Bad(join(at, k), "unknown key%s", nearest(k, names))
+			d.AddError(join(at, k), "unknown key%s", nearest(k, names))
 		}
 	}
 }
 
 // set lays one value over a field.
-func (d *Doc) set(at string, v any, into reflect.Value) {
+func (d *Document) set(at string, v any, into reflect.Value) {
 	if own, ok := into.Addr().Interface().(Valuer); ok {
 		if err := own.FromTOML(v); err != nil {
-			d.Bad(at, "%v", err)
+			d.AddError(at, "%v", err)
 		}
 		return
 	}
@@ -270,7 +270,7 @@
 			return
 		case float64:
 			if math.IsNaN(n) || math.IsInf(n, 0) {
-				d.Bad(at, "%v is no finite number", n)
+				d.AddError(at, "%v is no finite number", n)
 			} else {
 				into.SetFloat(n)
 			}
@@ -279,7 +279,7 @@
 	case reflect.Int, reflect.Int64:
 		if n, ok := v.(int64); ok {
 			if into.OverflowInt(n) {
-				d.Bad(at, "%d is out of range", n)
+				d.AddError(at, "%d is out of range", n)
 			} else {
 				into.SetInt(n)
 			}
@@ -296,7 +296,7 @@
 			return
 		}
 	}
-	d.Bad(at, "is %s, has to be %s", kindOf(v), wanted(into.Type()))
+	d.AddError(at, "is %s, has to be %s", kindOf(v), wanted(into.Type()))
 }
 
 // kindOf names the type of a TOML value.
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// Call is the system call that failed.
-type Call int
+// Operation is the system call that failed.
+type Operation int
 
 // The calls.
 const (
-	Accept Call = iota
+	Accept Operation = iota
 	Socket
 	Bind
 	Connect
@@ -65,8 +65,8 @@
 	File: {Local: {syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS, syscall.EBUSY, syscall.ESTALE, syscall.ETIMEDOUT, syscall.ENOLCK}},
 }
 
-// Of classifies the error of a call. One that holds no errno is fatal: it is not of a system call.
-func Of(call Call, err error) Class {
+// Classify classifies the error of a call. One that holds no errno is fatal: it is not of a system call.
+func Classify(call Operation, err error) Class {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return Fatal
@@ -80,31 +80,31 @@
 	return Fatal
 }
 
-// NoDescriptor tells whether an error is the want of a descriptor, which one that is closed relieves.
-func NoDescriptor(err error) bool {
+// IsDescriptorShortage tells whether an error is the want of a descriptor, which one that is closed relieves.
+func IsDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// LastsLonger is the class of a connect's error that did not pass: what may be a missing route counts as the other side's then.
-func LastsLonger(err error) Class {
+// ClassifyPersistent is the class of a connect's error that did not pass: what may be a missing route counts as the other side's then.
+func ClassifyPersistent(err error) Class {
 	if errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN) {
 		return Peer
 	}
-	return Of(Connect, err)
+	return Classify(Connect, err)
 }
 
 // Backoff is the pause before a call that failed is made again: it doubles from the least to the most with each failure.
 type Backoff struct {
-	Least, Most time.Duration
-	next        time.Duration
+	Min, Max time.Duration
+	next     time.Duration
 }
 
-// Failed gives the pause after one more failure.
-func (b *Backoff) Failed() time.Duration {
-	pause := max(b.next, b.Least)
-	b.next = min(2*pause, b.Most)
+// Next gives the pause after one more failure.
+func (b *Backoff) Next() time.Duration {
+	pause := max(b.next, b.Min)
+	b.next = min(2*pause, b.Max)
 	return pause
 }
 
-// Succeeded begins anew with the least pause.
-func (b *Backoff) Succeeded() { b.next = 0 }
+// Reset begins anew with the least pause.
+func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/trace/fleet/fleet.go
+++ b/internal/trace/fleet/fleet.go
@@ -104,7 +104,7 @@
 	at := map[int]*about{}
 	for _, e := range events {
 		relays[e.Relay] = true
-		if e.Kind == trace.Start {
+		if e.Kind == trace.RelayStarted {
 			t.Told = max(t.Told, e.Count)
 		}
 		// Seconds in which nothing was logged have no row: a clock that was far off makes no endless table.
@@ -116,10 +116,10 @@
 		if !ofMessages[e.Kind] {
 			continue
 		}
-		d := at[e.Dest]
+		d := at[e.Destination]
 		if d == nil {
 			d = &about{hosts: map[string]bool{}, relays: map[string]bool{}}
-			at[e.Dest] = d
+			at[e.Destination] = d
 		}
 		d.add(e)
 		now.add(e.Event)
@@ -133,18 +133,18 @@
 	return t
 }
 
-var ofMessages = map[trace.Kind]bool{trace.Take: true, trace.Turn: true, trace.End: true, trace.Send: true, trace.Answer: true}
+var ofMessages = map[trace.Kind]bool{trace.Accepted: true, trace.Rejected: true, trace.Completed: true, trace.AttemptStarted: true, trace.AttemptEnded: true}
 
 // note counts what concerns no destination.
 func (s *Second) note(e Logged) {
 	switch e.Kind {
-	case trace.Start:
+	case trace.RelayStarted:
 		s.Starts++
-	case trace.Ask:
+	case trace.WatchRequested:
 		s.Asks++
-	case trace.Told:
+	case trace.EndpointsReceived:
 		s.Told++
-	case trace.Lost:
+	case trace.WatchEnded:
 		if e.Count == 0 {
 			s.Turned++
 		}
@@ -153,37 +153,37 @@
 
 func (c *Counts) add(e trace.Event) {
 	switch e.Kind {
-	case trace.Take:
+	case trace.Accepted:
 		c.Taken++
-	case trace.Turn:
+	case trace.Rejected:
 		c.Refused++
-	case trace.Send:
+	case trace.AttemptStarted:
 		if e.Count == 1 {
 			c.First++
 		} else {
 			c.Again++
 		}
-	case trace.End:
+	case trace.Completed:
 		switch {
-		case e.How == trace.Deferred:
+		case e.Outcome == trace.Deferred:
 			c.Back++
-		case e.How == trace.Undeliverable:
+		case e.Outcome == trace.Undeliverable:
 			c.Failed++
 		case e.Late:
 			c.Late++
 		}
-	case trace.Answer:
-		if e.Fresh {
+	case trace.AttemptEnded:
+		if e.NewConn {
 			c.Fresh++
 		}
 		switch {
-		case e.How == trace.Delivered:
+		case e.Outcome == trace.Delivered:
 			c.Delivered++
-		case e.How == turnedAway && (!e.Fresh || e.Limit > 0):
+		case e.Outcome == turnedAway && (!e.NewConn || e.Limit > 0):
 			c.Limit++
-		case e.How == turnedAway:
+		case e.Outcome == turnedAway:
 			c.Door++
-		case e.How == noConnection:
+		case e.Outcome == noConnection:
 			c.Unmade++
 		default:
 			c.Other++
@@ -203,15 +203,15 @@
 
 func (d *about) add(e Logged) {
 	d.Counts.add(e.Event)
-	if e.Host != "" {
-		d.hosts[e.Host] = true
+	if e.Endpoint != "" {
+		d.hosts[e.Endpoint] = true
 	}
 	switch e.Kind {
-	case trace.Take, trace.Turn:
+	case trace.Accepted, trace.Rejected:
 		d.relays[e.Relay] = true
-	case trace.Send:
+	case trace.AttemptStarted:
 		d.sends = append(d.sends, e)
-	case trace.Answer:
+	case trace.AttemptEnded:
 		d.answers = append(d.answers, e)
 		if e.Limit > 0 {
 			d.limits = append(d.limits, e.Limit)
@@ -235,12 +235,12 @@
 	failed, from, last := 0, 0.0, 0.0
 	for i, e := range d.answers {
 		last = e.At
-		if e.How != trace.Delivered {
+		if e.Outcome != trace.Delivered {
 			if failed++; failed == 1 {
 				from = e.At - e.Ms // it was sent while the destination was out already
 			}
 		}
-		if end := i == len(d.answers)-1; e.How == trace.Delivered || end {
+		if end := i == len(d.answers)-1; e.Outcome == trace.Delivered || end {
 			if failed >= leastFailed && last-from >= outageFor {
 				out = append(out, d.outage(from, last, began))
 			}
--- a/internal/trace/fleet/follow.go
+++ b/internal/trace/fleet/follow.go
@@ -99,17 +99,17 @@
 		}
 		p.last = max(p.last, e.At)
 		switch e.Kind {
-		case trace.Start:
+		case trace.RelayStarted:
 			p.starts = append(p.starts, e.At)
 			t.Told = max(t.Told, e.Count)
-		case trace.Stop:
+		case trace.ShutdownRequested:
 			p.stops = append(p.stops, e.At)
 		}
 		if e.ID == "" {
 			continue
 		}
 		t.ids[e.ID] = append(t.ids[e.ID], e)
-		if (e.Kind == trace.Take || e.Kind == trace.Turn) && e.Key != "" {
+		if (e.Kind == trace.Accepted || e.Kind == trace.Rejected) && e.Key != "" {
 			t.keys[e.Key] = append(t.keys[e.Key], e)
 		}
 	}
@@ -141,7 +141,7 @@
 	if len(events) == 0 {
 		return nil
 	}
-	c := &Course{ID: id, Class: events[0].Class, Dest: events[0].Dest}
+	c := &Course{ID: id, Class: events[0].Class, Dest: events[0].Destination}
 	at := map[string]*stay{}
 	var order []string
 	for _, e := range events {
@@ -152,7 +152,7 @@
 			order = append(order, e.Relay)
 		}
 		s.add(e)
-		c.Effect = cmp.Or(e.Effect, c.Effect)
+		c.Effect = cmp.Or(e.Idempotency, c.Effect)
 	}
 	c.Events = slices.Clone(events)
 	for _, relay := range order {
@@ -161,12 +161,12 @@
 		// Its relay's starts and stops belong to its course while it was there.
 		for _, start := range s.process.starts {
 			if start > s.first && start < s.until() {
-				c.Events = append(c.Events, Logged{relay, trace.Event{Version: trace.Version, At: start, Kind: trace.Start}})
+				c.Events = append(c.Events, Logged{relay, trace.Event{Version: trace.Version, At: start, Kind: trace.RelayStarted}})
 			}
 		}
 		for _, stop := range s.process.stops {
 			if stop > s.first && stop < s.until() {
-				c.Events = append(c.Events, Logged{relay, trace.Event{Version: trace.Version, At: stop, Kind: trace.Stop}})
+				c.Events = append(c.Events, Logged{relay, trace.Event{Version: trace.Version, At: stop, Kind: trace.ShutdownRequested}})
 			}
 		}
 	}
@@ -189,7 +189,7 @@
 	}
 	for _, e := range t.keys[key] {
 		if e.ID != c.ID {
-			c.Kin = append(c.Kin, Kin{ID: e.ID, Relay: e.Relay, At: e.At, How: map[trace.Kind]string{trace.Take: "taken on", trace.Turn: "refused"}[e.Kind], Retry: e.Retry})
+			c.Kin = append(c.Kin, Kin{ID: e.ID, Relay: e.Relay, At: e.At, How: map[trace.Kind]string{trace.Accepted: "taken on", trace.Rejected: "refused"}[e.Kind], Retry: e.Retry})
 		}
 	}
 	slices.SortStableFunc(c.Kin, func(a, b Kin) int { return cmp.Compare(a.At, b.At) })
@@ -266,20 +266,20 @@
 	}
 	s.last = max(s.last, e.At)
 	switch e.Kind {
-	case trace.Take, trace.Turn, trace.Resume:
-		s.taken = s.taken || e.Kind != trace.Turn
-		s.turned = s.turned || e.Kind == trace.Turn
-		s.due, s.effect, s.memory = max(s.due, e.Due), cmp.Or(e.Effect, s.effect), max(s.memory, e.MemoryMs)
-		if e.Kind == trace.Resume {
+	case trace.Accepted, trace.Rejected, trace.Recovered:
+		s.taken = s.taken || e.Kind != trace.Rejected
+		s.turned = s.turned || e.Kind == trace.Rejected
+		s.due, s.effect, s.memory = max(s.due, e.Deadline), cmp.Or(e.Idempotency, s.effect), max(s.memory, e.KeyTTLMs)
+		if e.Kind == trace.Recovered {
 			s.resume(e)
 		}
-	case trace.Send:
+	case trace.AttemptStarted:
 		s.send(e)
-	case trace.Answer:
+	case trace.AttemptEnded:
 		s.answer(e)
-	case trace.End:
+	case trace.Completed:
 		s.ended(e)
-	case trace.Notice:
+	case trace.Notified:
 		s.noticed = cmp.Or(s.noticed, e.At)
 	}
 }
@@ -290,9 +290,9 @@
 		s.mayHaveRun(s.out, "out when the process ended")
 		s.out = nil
 	}
-	if e.How != "" && s.end == "" {
+	if e.Outcome != "" && s.end == "" {
 		// Its end was journalled, and the line of the trace was not written any more, or it is another log's.
-		s.end, s.endAt = e.How, e.At
+		s.end, s.endAt = e.Outcome, e.At
 	}
 	if e.Count > s.calls {
 		s.unsure("the journal knows of %d calls, and the log of %d", e.Count, s.calls)
@@ -311,21 +311,21 @@
 	case s.out != nil && s.restarted(s.out.At, e.At):
 		s.mayHaveRun(s.out, "out when the process ended")
 	case s.out != nil:
-		s.fault(TwoCopies, e.At, "call %d to %s while call %d to %s was out", e.Count, e.Host, s.out.Count, s.out.Host)
+		s.fault(TwoCopies, e.At, "call %d to %s while call %d to %s was out", e.Count, e.Endpoint, s.out.Count, s.out.Endpoint)
 	}
 	switch {
 	case !s.taken:
-		s.unsure("call %d to %s, and no line that it was taken on", e.Count, e.Host)
+		s.unsure("call %d to %s, and no line that it was taken on", e.Count, e.Endpoint)
 	case s.end != "" && !s.restarted(s.endAt, e.At):
-		s.fault(AfterEnd, e.At, "call %d to %s, %.0f ms after its end (%s)", e.Count, e.Host, e.At-s.endAt, s.end)
+		s.fault(AfterEnd, e.At, "call %d to %s, %.0f ms after its end (%s)", e.Count, e.Endpoint, e.At-s.endAt, s.end)
 	}
 	if s.ranAt > 0 {
 		since := e.At - s.ranAt
 		switch {
-		case s.effect == trace.Unsafe:
-			s.fault(Twice, e.At, "call %d to %s, though one %.0f ms before may have run (%s)", e.Count, e.Host, since, s.ran)
-		case s.effect == trace.Keyed && s.memory > 0 && since > s.memory+memorySlack:
-			s.fault(Twice, e.At, "call %d to %s, %.0f ms after one that may have run (%s); its key is kept for %.0f ms", e.Count, e.Host, since,
+		case s.effect == trace.NotIdempotent:
+			s.fault(Twice, e.At, "call %d to %s, though one %.0f ms before may have run (%s)", e.Count, e.Endpoint, since, s.ran)
+		case s.effect == trace.IdempotentByKey && s.memory > 0 && since > s.memory+memorySlack:
+			s.fault(Twice, e.At, "call %d to %s, %.0f ms after one that may have run (%s); its key is kept for %.0f ms", e.Count, e.Endpoint, since,
 				s.ran, s.memory)
 		}
 	}
@@ -339,31 +339,31 @@
 func (s *stay) answer(e Logged) {
 	call := s.out
 	if call == nil {
-		s.unsure("call %d to %s ended (%s), and no line that it was made", e.Count, e.Host, e.How)
-		call = &Logged{e.Relay, trace.Event{At: e.At - e.Ms, Host: e.Host, Count: e.Count}}
+		s.unsure("call %d to %s ended (%s), and no line that it was made", e.Count, e.Endpoint, e.Outcome)
+		call = &Logged{e.Relay, trace.Event{At: e.At - e.Ms, Endpoint: e.Endpoint, Count: e.Count}}
 	}
 	s.out = nil
-	if unrun[e.How] {
+	if unrun[e.Outcome] {
 		return
 	}
-	s.mayHaveRun(call, e.How)
+	s.mayHaveRun(call, e.Outcome)
 	// A connection may come up long after the call was decided on: its last byte left before the answer, and no more is known.
-	if s.effect == trace.Keyed && s.memory > 0 && s.ranAt < call.At && e.At-s.ranAt > s.memory+memorySlack && call.At-s.ranAt <= s.memory+memorySlack {
+	if s.effect == trace.IdempotentByKey && s.memory > 0 && s.ranAt < call.At && e.At-s.ranAt > s.memory+memorySlack && call.At-s.ranAt <= s.memory+memorySlack {
 		s.unsure("call %d to %s was made %.0f ms after one that may have run, and answered %.0f ms after it; its key is kept for %.0f ms: whether it "+
-			"left in time does not show", e.Count, e.Host, call.At-s.ranAt, e.At-s.ranAt, s.memory)
+			"left in time does not show", e.Count, e.Endpoint, call.At-s.ranAt, e.At-s.ranAt, s.memory)
 	}
 }
 
 func (s *stay) ended(e Logged) {
 	switch {
 	case s.end == "":
-		s.end, s.endAt = e.How, e.At
-	case s.end == e.How && s.restarted(s.endAt, e.At): // the process did not live to journal it
+		s.end, s.endAt = e.Outcome, e.At
+	case s.end == e.Outcome && s.restarted(s.endAt, e.At): // the process did not live to journal it
 	default:
-		s.fault(TwoEnds, e.At, "%s, and %s %.0f ms before", e.How, s.end, e.At-s.endAt)
+		s.fault(TwoEnds, e.At, "%s, and %s %.0f ms before", e.Outcome, s.end, e.At-s.endAt)
 	}
-	if late := s.due > 0 && e.At > s.due+endSlack; late && e.How != trace.Withdrawn && !s.away(s.due+endSlack, e.At) {
-		s.fault(LateEnd, e.At, "%s %.0f ms after its time was up", e.How, e.At-s.due)
+	if late := s.due > 0 && e.At > s.due+endSlack; late && e.Outcome != trace.Withdrawn && !s.away(s.due+endSlack, e.At) {
+		s.fault(LateEnd, e.At, "%s %.0f ms after its time was up", e.Outcome, e.At-s.due)
 	}
 }
 
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -29,22 +29,22 @@
 
 // The kinds of event.
 const (
-	Start  Kind = "start"  // the relay has its list and journal; Relay, Count: relays in the fleet
-	Ask    Kind = "ask"    // a watch was asked for
-	Told   Kind = "told"   // a list came, or a change of it; Whole, Count: entries
-	Lost   Kind = "lost"   // a watch ended; Count: lists it had brought
-	Take   Kind = "take"   // a message was taken on; Class
-	Turn   Kind = "turn"   // one was refused at its arrival; Class, Ms: told to stay away
-	End    Kind = "end"    // one taken on came to its end; Class, How, Ms: its age, Late
-	Send   Kind = "send"   // a call was made; Host, Count: its number among the message's
-	Answer Kind = "answer" // a call ended; Host, How, Ms: how long it took, Left, Limit, Fresh
-	Again  Kind = "again"  // a message was handed in once more under an id that the relay knows; Count: the answer's status
-	Resume Kind = "resume" // one was taken up from the journal; Class, How: its end, where only the notice is owed, Count: calls made
-	Notice Kind = "notice" // the platform has a message's notice
-	Stop   Kind = "stop"   // a planned end was asked for
-	Close  Kind = "close"  // a client's connection was closed; Why
-	Folder Kind = "folder" // the folder's state has changed; How: the new one
-	Step   Kind = "step"   // the wall clock was stepped; Ms: by so much
+	RelayStarted       Kind = "start"  // the relay has its list and journal; Relay, Count: relays in the fleet
+	WatchRequested     Kind = "ask"    // a watch was asked for
+	EndpointsReceived  Kind = "told"   // a list came, or a change of it; Whole, Count: entries
+	WatchEnded         Kind = "lost"   // a watch ended; Count: lists it had brought
+	Accepted           Kind = "take"   // a message was taken on; Class
+	Rejected           Kind = "turn"   // one was refused at its arrival; Class, Ms: told to stay away
+	Completed          Kind = "end"    // one taken on came to its end; Class, How, Ms: its age, Late
+	AttemptStarted     Kind = "send"   // a call was made; Host, Count: its number among the message's
+	AttemptEnded       Kind = "answer" // a call ended; Host, How, Ms: how long it took, Left, Limit, Fresh
+	Resubmitted        Kind = "again"  // a message was handed in once more under an id that the relay knows; Count: the answer's status
+	Recovered          Kind = "resume" // one was taken up from the journal; Class, How: its end, where only the notice is owed, Count: calls made
+	Notified           Kind = "notice" // the platform has a message's notice
+	ShutdownRequested  Kind = "stop"   // a planned end was asked for
+	ConnClosed         Kind = "close"  // a client's connection was closed; Why
+	FolderStateChanged Kind = "folder" // the folder's state has changed; How: the new one
+	ClockStepped       Kind = "step"   // the wall clock was stepped; Ms: by so much
 )
 
 // How messages and calls end.
@@ -57,9 +57,9 @@
 
 // What a second effect of a message would do, as Event.Effect says it.
 const (
-	Safe   = "safe"
-	Keyed  = "keyed"
-	Unsafe = "unsafe"
+	Idempotent      = "safe"
+	IdempotentByKey = "keyed"
+	NotIdempotent   = "unsafe"
 )
 
 // Digest stands for an idempotency key in a trace: equal keys have equal ones, and none gives its key away.
@@ -73,32 +73,32 @@
 
 // Event is one line.
 type Event struct {
-	Version int     `json:"trace"`
-	At      float64 `json:"at"` // Unix time in milliseconds
-	Kind    Kind    `json:"ev"`
-	Relay   string  `json:"relay,omitempty"`
-	ID      string  `json:"id,omitempty"`
-	Class   string  `json:"class,omitempty"`
-	Dest    int     `json:"dest"`
-	Host    string  `json:"host,omitempty"`
-	How     string  `json:"how,omitempty"`
-	Count   int     `json:"n,omitempty"`
-	Ms      float64 `json:"ms,omitempty"`
-	Left    float64 `json:"left,omitempty"`  // share of the destination's allowance that is left, as reported
-	Limit   float64 `json:"limit,omitempty"` // calls a second, as reported
-	Fresh   bool    `json:"fresh,omitempty"` // a connection was opened, or tried to be, for the call
-	Whole   bool    `json:"whole,omitempty"`
-	Late    bool    `json:"late,omitempty"`    // after its class's aim
-	WaitMs  float64 `json:"wait_ms,omitempty"` // with Answer: told to wait so long
-	LeftMs  float64 `json:"left_ms,omitempty"` // with Take, Turn, Resume and Send: what is left of the message\'s time
-	Why     string  `json:"why,omitempty"`     // with Turn, End and Close: the reason
+	Version     int     `json:"trace"`
+	At          float64 `json:"at"` // Unix time in milliseconds
+	Kind        Kind    `json:"ev"`
+	Relay       string  `json:"relay,omitempty"`
+	ID          string  `json:"id,omitempty"`
+	Class       string  `json:"class,omitempty"`
+	Destination int     `json:"dest"`
+	Endpoint    string  `json:"host,omitempty"`
+	Outcome     string  `json:"how,omitempty"`
+	Count       int     `json:"n,omitempty"`
+	Ms          float64 `json:"ms,omitempty"`
+	Left        float64 `json:"left,omitempty"`  // share of the destination's allowance that is left, as reported
+	Limit       float64 `json:"limit,omitempty"` // calls a second, as reported
+	NewConn     bool    `json:"fresh,omitempty"` // a connection was opened, or tried to be, for the call
+	Full        bool    `json:"whole,omitempty"`
+	Late        bool    `json:"late,omitempty"`    // after its class's aim
+	WaitMs      float64 `json:"wait_ms,omitempty"` // with Answer: told to wait so long
+	LeftMs      float64 `json:"left_ms,omitempty"` // with Take, Turn, Resume and Send: what is left of the message\'s time
+	Reason      string  `json:"why,omitempty"`     // with Turn, End and Close: the reason
 	// With Take, Turn and Resume: the digest of its key, what its client says of an earlier hand-in, when its time is up (Unix
 	// time in milliseconds), and under which terms it was taken on.
-	Key      string  `json:"key,omitempty"`
-	Retry    string  `json:"retry,omitempty"`
-	Due      float64 `json:"due,omitempty"`
-	Effect   string  `json:"effect,omitempty"`
-	MemoryMs float64 `json:"memory_ms,omitempty"` // how long a destination keeps its key
+	Key         string  `json:"key,omitempty"`
+	Retry       string  `json:"retry,omitempty"`
+	Deadline    float64 `json:"due,omitempty"`
+	Idempotency string  `json:"effect,omitempty"`
+	KeyTTLMs    float64 `json:"memory_ms,omitempty"` // how long a destination keeps its key
 }
 
 // Recorder writes events. The nil Recorder writes none.
@@ -115,8 +115,8 @@
 	return &Recorder{out: out}
 }
 
-// Note writes an event with its time. A log that takes nothing more stops nothing else.
-func (r *Recorder) Note(at time.Duration, e Event) {
+// Record writes an event with its time. A log that takes nothing more stops nothing else.
+func (r *Recorder) Record(at time.Duration, e Event) {
 	if r == nil {
 		return
 	}
--- a/internal/upstream/http1/http1.go
+++ b/internal/upstream/http1/http1.go
@@ -60,8 +60,8 @@
 	dialer socket.Dialer
 	keep   time.Duration
 	room   int // connections at most, idle or with a call out; no fewer than calls out at once
-	// Written, where set, hears of each request whose last byte was written. Set before the first call.
-	Written func()
+	// OnWritten, where set, hears of each request whose last byte was written. Set before the first call.
+	OnWritten func()
 
 	mu    sync.Mutex
 	idle  map[upstream.Target]*shelf
@@ -99,8 +99,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = time.Now().Add(c.grace)
-	most := r.Expires
-	if r.TimeUp != nil {
+	most := r.Deadline
+	if r.OnDeadline != nil {
 		most = most.Add(leastGrace)
 	}
 	if c.until.After(most) {
@@ -113,8 +113,8 @@
 	c.mu.Lock()
 	listening := time.Now().Before(c.until)
 	c.mu.Unlock()
-	if listening && r.TimeUp != nil && errors.Is(whole.Err(), context.DeadlineExceeded) {
-		r.TimeUp()
+	if listening && r.OnDeadline != nil && errors.Is(whole.Err(), context.DeadlineExceeded) {
+		r.OnDeadline()
 	}
 }
 
@@ -153,7 +153,7 @@
 	whole, ctx, cancel := times(ctx, &r)
 	defer cancel()
 	if !p.begin() {
-		return upstream.Result{Outcome: policy.Ignored}
+		return upstream.Result{Outcome: policy.NotSent}
 	}
 	defer p.end()
 	dial := ctx
@@ -164,25 +164,25 @@
 	}
 	c, fresh, err := p.get(dial, r.Target)
 	switch {
-	case err != nil && (p.isFrozen() || r.Late()):
-		return upstream.Result{Outcome: policy.Ignored, Fresh: fresh}
-	case syserr.LastsLonger(err) == syserr.Local:
+	case err != nil && (p.isFrozen() || r.TooLate()):
+		return upstream.Result{Outcome: policy.NotSent, NewConn: fresh}
+	case syserr.ClassifyPersistent(err) == syserr.Local:
 		slog.Error("call not made", "err", err) // for want of something here: no fault of the host
-		return upstream.Result{Outcome: policy.Ignored}
+		return upstream.Result{Outcome: policy.NotSent}
 	case err != nil:
-		return upstream.Result{Outcome: policy.ConnectError, Fresh: fresh}
+		return upstream.Result{Outcome: policy.ConnectError, NewConn: fresh}
 	}
 	res := p.carry(whole, ctx, c, r, true)
-	res.Fresh = fresh
+	res.NewConn = fresh
 	return res
 }
 
 // times gives the time of a call's message and, within it, that of the call.
 func times(ctx context.Context, r *upstream.Request) (whole, call context.Context, cancel func()) {
-	if r.Expires.IsZero() {
-		r.Expires = time.Now().Add(r.Timeout)
+	if r.Deadline.IsZero() {
+		r.Deadline = time.Now().Add(r.Timeout)
 	}
-	whole, endWhole := context.WithDeadline(ctx, r.Expires)
+	whole, endWhole := context.WithDeadline(ctx, r.Deadline)
 	call, endCall := context.WithTimeout(whole, r.Timeout)
 	return whole, call, func() { endCall(); endWhole() }
 }
@@ -192,7 +192,7 @@
 func (p *Pool) carry(whole, ctx context.Context, c *conn, r upstream.Request, write bool) upstream.Result {
 	if !p.engage(c, write) {
 		p.put(r.Target, c, true)
-		return upstream.Result{Outcome: policy.Ignored}
+		return upstream.Result{Outcome: policy.NotSent}
 	}
 	c.mu.Lock()
 	c.begun, c.until = false, time.Time{}
@@ -201,8 +201,8 @@
 	defer context.AfterFunc(whole, func() { c.timeUp(whole, &r) })()
 	res, reuse := p.exchange(whole, ctx, c, r, write)
 	reuse = stop() && reuse
-	p.disengage(c, res.Parked != nil)
-	if res.Parked == nil {
+	p.disengage(c, res.Detached != nil)
+	if res.Detached == nil {
 		p.put(r.Target, c, reuse)
 	}
 	return res
@@ -213,8 +213,8 @@
 	if write {
 		// Guards against a connection that came up late, as when a cut link is back: written now, the request would
 		// run again at a host that has forgotten its key, or come in a wait that was told meanwhile.
-		if r.Late() {
-			return upstream.Result{Outcome: policy.Ignored}, c.SetDeadline(time.Time{}) == nil
+		if r.TooLate() {
+			return upstream.Result{Outcome: policy.NotSent}, c.SetDeadline(time.Time{}) == nil
 		}
 		if !r.WriteBy.IsZero() {
 			_ = c.SetWriteDeadline(r.WriteBy)
@@ -231,14 +231,14 @@
 		if n, _ := (socket.Patient{Conn: c.Conn}).Write(out); n < len(out) {
 			return upstream.Result{Outcome: policy.ConnectError}, false // the last byte never left: it can't have run
 		}
-		if p.Written != nil {
-			p.Written()
+		if p.OnWritten != nil {
+			p.OnWritten()
 		}
 	}
 	c.limit.N = maxAnswer
 	_, err := c.in.Peek(1)
 	if raw, ok := c.Conn.(*net.TCPConn); ok && errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil && p.isFrozen() {
-		return upstream.Result{Parked: raw}, false
+		return upstream.Result{Detached: raw}, false
 	}
 	var resp *http.Response
 	ok := false
@@ -256,9 +256,9 @@
 		res = classify(resp)
 	case ok:
 		// The first line said so, and it is true whatever came after it.
-		return upstream.Result{Outcome: policy.OK, Over: true}, false
+		return upstream.Result{Outcome: policy.Succeeded, Final: true}, false
 	case ctx.Err() == nil:
-		return upstream.Result{Outcome: policy.Reset}, false
+		return upstream.Result{Outcome: policy.ConnectionReset}, false
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return upstream.Result{Outcome: policy.TimedOut}, false
 	default:
@@ -267,7 +267,7 @@
 	// What lies behind an answer may be a part of it whose length does not fit: then it is spoilt, and the
 	// request has run.
 	quiet := c.in.Buffered() == 0 && c.up()
-	res.Doubtful = !quiet && c.in.Buffered() > 0
+	res.OutcomeUnknown = !quiet && c.in.Buffered() > 0
 	return res, quiet && !resp.Close && c.SetDeadline(time.Time{}) == nil
 }
 
@@ -279,8 +279,8 @@
 	}
 	req.Header.Set("User-Agent", "frostlink")
 	req.Header.Set("Request-Id", r.ID)
-	if r.Key != "" {
-		req.Header.Set("Idempotency-Key", r.Key)
+	if r.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", r.IdempotencyKey)
 	}
 	req.Header.Set("Request-Timeout", strconv.FormatFloat(max(wait, time.Millisecond).Seconds(), 'f', 3, 64))
 	var out bytes.Buffer
@@ -338,40 +338,40 @@
 func classify(resp *http.Response) upstream.Result {
 	res := upstream.Result{Outcome: policy.Failed}
 	if loads := resp.Header["Server-Load"]; len(loads) == 1 {
-		res.Report = parseReport(loads[0])
+		res.LoadReport = parseReport(loads[0])
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		res.Outcome, res.Over = policy.OK, true
+		res.Outcome, res.Final = policy.Succeeded, true
 	case http.StatusTooManyRequests:
-		res.Outcome = policy.QueueFull
+		res.Outcome = policy.Rejected
 		if ms, err := strconv.ParseFloat(resp.Header.Get("X-Retry-In-Ms"), 64); err == nil && ms > 0 {
 			// Guards against a wait that is cut to the life of a message: those that come later are held back as well.
-			res.Wait = time.Duration(min(ms, float64(mostWait.Milliseconds())) * float64(time.Millisecond))
+			res.RetryAfter = time.Duration(min(ms, float64(mostWait.Milliseconds())) * float64(time.Millisecond))
 		}
 	case http.StatusServiceUnavailable:
-		res.Outcome = policy.QueueFull
+		res.Outcome = policy.Rejected
 		if resp.Header.Get("X-No-Slot") == "1" {
-			res.Outcome = policy.Ignored
+			res.Outcome = policy.NotSent
 		}
 	case http.StatusGatewayTimeout:
-		res.Outcome, res.Spent = policy.Ignored, true
+		res.Outcome, res.AttemptsExhausted = policy.NotSent, true
 	case http.StatusGone:
-		res.Outcome, res.Over = policy.Ignored, true
+		res.Outcome, res.Final = policy.NotSent, true
 	}
 	return res
 }
 
 // parseReport reads a load report such as "x0=0.4,x1=25", or gives nil where it is none to believe.
-func parseReport(text string) *policy.Report {
-	r := policy.Report{Left: -1, Limit: -1}
+func parseReport(text string) *policy.LoadReport {
+	r := policy.LoadReport{Remaining: -1, RateLimit: -1}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		into, most := &r.Left, float64(maxLeft)
+		into, most := &r.Remaining, float64(maxLeft)
 		switch name {
 		case "x0":
 		case "x1":
-			into, most = &r.Limit, maxLimit
+			into, most = &r.RateLimit, maxLimit
 		default:
 			continue
 		}
@@ -381,7 +381,7 @@
 		}
 		*into = v
 	}
-	if r.Left < 0 || r.Limit < 0 {
+	if r.Remaining < 0 || r.RateLimit < 0 {
 		return nil
 	}
 	return &r
@@ -478,8 +478,8 @@
 	}
 }
 
-// Forget closes the idle connections to a host that is gone, and keeps none that is out.
-func (p *Pool) Forget(t upstream.Target) {
+// Evict closes the idle connections to a host that is gone, and keeps none that is out.
+func (p *Pool) Evict(t upstream.Target) {
 	p.CloseIdle(t)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/http1/park.go
+++ b/internal/upstream/http1/park.go
@@ -16,8 +16,8 @@
 // parkEvery is between looks whether all calls are parked.
 const parkEvery = time.Millisecond
 
-// Idle is an idle connection to a host.
-type Idle struct {
+// IdleConn is an idle connection to a host.
+type IdleConn struct {
 	upstream.Target
 	Conn  *net.TCPConn
 	Since time.Time
@@ -72,9 +72,9 @@
 	p.mu.Unlock()
 }
 
-// Freeze begins no call any more and ends those that wait for an answer as parked; one whose answer has begun comes to
+// Quiesce begins no call any more and ends those that wait for an answer as parked; one whose answer has begun comes to
 // its end. Calls that are out when ctx ends lose their connections. It gives the idle connections.
-func (p *Pool) Freeze(ctx context.Context) (idle []Idle) {
+func (p *Pool) Quiesce(ctx context.Context) (idle []IdleConn) {
 	p.mu.Lock()
 	p.frozen = true
 	p.freeze()
@@ -99,7 +99,7 @@
 	for t, s := range p.idle {
 		for _, c := range s.conns {
 			if raw, ok := c.Conn.(*net.TCPConn); ok && c.up() && time.Since(c.since) < p.keep {
-				idle = append(idle, Idle{t, raw, c.since})
+				idle = append(idle, IdleConn{t, raw, c.since})
 				p.count--
 				continue
 			}
@@ -108,12 +108,12 @@
 		s.conns = nil
 	}
 	// In the order in which they became idle, so that the shelves stand as before.
-	slices.SortFunc(idle, func(a, b Idle) int { return a.Since.Compare(b.Since) })
+	slices.SortFunc(idle, func(a, b IdleConn) int { return a.Since.Compare(b.Since) })
 	return idle
 }
 
-// Thaw goes on as before. Parked calls are resumed one by one.
-func (p *Pool) Thaw(idle []Idle) {
+// Resume goes on as before. Parked calls are resumed one by one.
+func (p *Pool) Resume(idle []IdleConn) {
 	p.mu.Lock()
 	p.frozen = false
 	p.dials, p.freeze = context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 }
 
 // Adopt keeps an idle connection that another process had, where there is room.
-func (p *Pool) Adopt(c Idle) {
+func (p *Pool) Adopt(c IdleConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.count >= p.room {
@@ -142,14 +142,14 @@
 	p.count++
 }
 
-// Resume waits for the answer to a call whose request was written, on the connection on which it was.
-func (p *Pool) Resume(ctx context.Context, r upstream.Request, raw *net.TCPConn) upstream.Result {
+// AwaitResponse waits for the answer to a call whose request was written, on the connection on which it was.
+func (p *Pool) AwaitResponse(ctx context.Context, r upstream.Request, raw *net.TCPConn) upstream.Result {
 	whole, ctx, cancel := times(ctx, &r)
 	defer cancel()
 	p.mu.Lock()
 	if p.frozen {
 		p.mu.Unlock()
-		return upstream.Result{Parked: raw}
+		return upstream.Result{Detached: raw}
 	}
 	p.calls++
 	p.count++
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -10,44 +10,44 @@
 )
 
 // Target is a host at an address: another host may come to the same address.
-type Target struct{ Host, Addr string }
+type Target struct{ Endpoint, Addr string }
 
 // Request is one call to a host.
 type Request struct {
 	Target
-	ID, Key string
-	Body    []byte
-	Timeout time.Duration
-	// Expires is when the message's time is up; zero: when Timeout is over. Where TimeUp is set, it is called then if an answer
+	ID, IdempotencyKey string
+	Body               []byte
+	Timeout            time.Duration
+	// Deadline is when the message's time is up; zero: when Timeout is over. Where TimeUp is set, it is called then if an answer
 	// is still listened to.
-	Expires time.Time
-	TimeUp  func()
+	Deadline   time.Time
+	OnDeadline func()
 	// WriteBy, where it is set, is when its last byte must have left: written later it may run a second time.
 	WriteBy time.Time
-	// Unsend, once it holds true, says that it is not to be written any more. May be nil.
-	Unsend *atomic.Bool
+	// CancelBeforeSend, once it holds true, says that it is not to be written any more. May be nil.
+	CancelBeforeSend *atomic.Bool
 }
 
-// Late tells whether a request may not be written any more.
-func (r *Request) Late() bool {
-	return !r.WriteBy.IsZero() && !time.Now().Before(r.WriteBy) || r.Unsend != nil && r.Unsend.Load()
+// TooLate tells whether a request may not be written any more.
+func (r *Request) TooLate() bool {
+	return !r.WriteBy.IsZero() && !time.Now().Before(r.WriteBy) || r.CancelBeforeSend != nil && r.CancelBeforeSend.Load()
 }
 
 // Result is how a call ended.
 type Result struct {
-	Outcome  policy.Outcome
-	Wait     time.Duration
-	Over     bool
-	Spent    bool
-	Doubtful bool // it may have run, whatever the outcome says
-	Report   *policy.Report
-	Fresh    bool // a connection was made for it, or tried to be
-	// Parked is the connection of a call that has no end yet: its answer is to be waited for by another process, or by this
+	Outcome           policy.Outcome
+	RetryAfter        time.Duration
+	Final             bool
+	AttemptsExhausted bool
+	OutcomeUnknown    bool // it may have run, whatever the outcome says
+	LoadReport        *policy.LoadReport
+	NewConn           bool // a connection was made for it, or tried to be
+	// Detached is the connection of a call that has no end yet: its answer is to be waited for by another process, or by this
 	// one later on. All else means nothing then.
-	Parked *net.TCPConn
+	Detached *net.TCPConn
 }
 
-// Unrun tells whether a call is known never to have run.
-func (r Result) Unrun() bool {
-	return !r.Doubtful && (r.Outcome == policy.QueueFull || r.Outcome == policy.ConnectError || r.Outcome == policy.Ignored)
+// NotExecuted tells whether a call is known never to have run.
+func (r Result) NotExecuted() bool {
+	return !r.OutcomeUnknown && (r.Outcome == policy.Rejected || r.Outcome == policy.ConnectError || r.Outcome == policy.NotSent)
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -94,7 +94,7 @@
 	d := &Dispatcher{s: s, endpoints: map[string]*endpoint{}, dests: map[int]*destination{},
 		messages: map[string]*message{}, keys: map[string][]*message{},
 		pools: map[int]*latencies{}, chance: rand.New(rand.NewPCG(uint64(seed), 0)), resub: never}
-	if s.Subscribe {
+	if s.WatchEndpoints {
 		d.resub = 0 // at once
 	}
 	d.weighClasses()
@@ -114,37 +114,37 @@
 			if m := d.take(e); m != nil {
 				fresh = append(fresh, m)
 			}
-		case Ended:
+		case AttemptEnded:
 			d.ended(e)
-		case Expired:
+		case DeadlineExceeded:
 			if m := d.messages[e.ID]; m != nil && !m.over {
 				d.giveUp(m)
 			}
-		case Settled:
+		case Acknowledged:
 			d.settle(e.ID)
-		case Withdrawn:
+		case Cancelled:
 			d.withdraw(e.ID)
-		case Listed:
+		case EndpointsChanged:
 			d.listed(e)
-		case ListFailed:
-			if d.s.Subscribe {
+		case WatchFailed:
+			if d.s.WatchEndpoints {
 				d.resub = d.now + subscribeAgain
 			}
-		case Recalled:
+		case HealthRecovered:
 			d.recall(e)
-		case Retuned:
+		case SettingsChanged:
 			d.retune(e.Settings)
-		case Inherited:
-			d.inherit(e.Memory)
-		case Stopping:
+		case SnapshotRestored:
+			d.inherit(e.Snapshot)
+		case Quiesced:
 			d.stopping = true
-		case Serving:
+		case Resumed:
 			d.stopping = false
 		}
 	}
 	if d.now >= d.resub {
 		d.resub = never
-		d.act(Subscribe{})
+		d.act(WatchEndpoints{})
 	}
 	for _, m := range fresh {
 		if !m.over {
@@ -182,8 +182,8 @@
 	if λ*q.pitch() > 1 {
 		left = math.Min(left, d.lateAge(m.class).Seconds()) // little time left need not be age
 	}
-	room := roomShare * float64(d.s.HoldRoom)
-	crowded := float64(len(d.live)) > room && float64(len(q.held)) > room/2 || len(d.live) > d.s.HoldRoom
+	room := roomShare * float64(d.s.MaxQueued)
+	crowded := float64(len(d.live)) > room && float64(len(q.held)) > room/2 || len(d.live) > d.s.MaxQueued
 	if refusing(u, x, left-x, λ-r, len(q.held) > 0) || crowded {
 		d.refuse(m, u+2*x-left)
 		return
@@ -196,8 +196,8 @@
 // what is fresh.
 func (d *Dispatcher) idle(q *queue) bool {
 	if len(q.held) > 0 || d.now < q.pausedUntil() || d.stopping ||
-		float64(d.out+1) > backgroundShare*float64(d.s.Slots) ||
-		float64(len(d.live)) > backgroundShare*float64(d.s.HoldRoom) {
+		float64(d.out+1) > backgroundShare*float64(d.s.MaxInFlight) ||
+		float64(len(d.live)) > backgroundShare*float64(d.s.MaxQueued) {
 		return false
 	}
 	if q.pace > 0 && d.tokens(q) < backgroundTokens {
@@ -213,7 +213,7 @@
 	for _, other := range d.active {
 		for _, c := range other.out {
 			if c.msgs[0].Background {
-				if out++; other == q || float64(out+1) > math.Max(1, backgroundSlots*float64(d.s.Slots)) {
+				if out++; other == q || float64(out+1) > math.Max(1, backgroundSlots*float64(d.s.MaxInFlight)) {
 					return false
 				}
 			}
@@ -227,7 +227,7 @@
 func (d *Dispatcher) lateAge(c *Class) time.Duration {
 	age := c.ageAt(keepWorth)
 	for i := range d.s.Classes {
-		if k := &d.s.Classes[i]; k.Worth >= c.Worth && !k.Retired {
+		if k := &d.s.Classes[i]; k.PriorityWeight >= c.PriorityWeight && !k.Retired {
 			age = min(age, k.ageAt(keepWorth))
 		}
 	}
@@ -297,7 +297,7 @@
 		}
 		// The next trial, and if it succeeds the others at the budget of a half-warm endpoint.
 		first := math.Max(0, 1-d.epTokens(ep)) / math.Max(1e-9, d.budget(ep, d.coldFor(ep)))
-		half := d.budget(ep, max(d.coldFor(ep), d.s.RampTime/2)) * float64(len(q.eps))
+		half := d.budget(ep, max(d.coldFor(ep), d.s.SlowStartTime/2)) * float64(len(q.eps))
 		ramp = math.Min(ramp, first+calls/math.Max(1e-9, half))
 	}
 	if len(q.eps) == 0 {
@@ -319,10 +319,10 @@
 		}
 		done := d.backlog(q) + math.Max(q.class[m.Class], d.latency(q))
 		late := m.expires - d.now - time.Duration(math.Min(done, 1e6)*float64(time.Second))
-		cost := m.class.Worth*(1-m.class.worthAt(m.class.Deadline-late)) +
+		cost := m.class.PriorityWeight*(1-m.class.worthAt(m.class.Deadline-late)) +
 			d.meanWorth*done/m.class.Deadline.Seconds()
-		if zone := q.eps[0].Zone; zone >= 0 && zone < len(d.s.ZoneFee) {
-			cost += d.s.ZoneFee[zone] * d.meanWorth
+		if zone := q.eps[0].Zone; zone >= 0 && zone < len(d.s.ZoneCost) {
+			cost += d.s.ZoneCost[zone] * d.meanWorth
 		}
 		if cost < least {
 			best, least = q, cost
@@ -336,7 +336,7 @@
 // dispatch gives free slots in turns to the queues that can send: fewest calls out first, and among these
 // the message whose worth falls first.
 func (d *Dispatcher) dispatch() {
-	for d.out < d.s.Slots && !d.stopping {
+	for d.out < d.s.MaxInFlight && !d.stopping {
 		var best *queue
 		var ep *endpoint
 		var first *message
@@ -374,7 +374,7 @@
 	if !d.s.CanCancel {
 		return
 	}
-	want := d.out >= d.s.Slots && slices.ContainsFunc(d.active, func(q *queue) bool {
+	want := d.out >= d.s.MaxInFlight && slices.ContainsFunc(d.active, func(q *queue) bool {
 		_, m := d.ready(q)
 		return m != nil
 	})
@@ -393,7 +393,7 @@
 			c.canceled, want = true, want && lost
 			for _, m := range c.msgs {
 				if i := len(m.attempts) - 1; m.attempts[i].call == c && m.attempts[i].open {
-					d.act(Cancel{ID: m.ID, Attempt: i})
+					d.act(CancelAttempt{ID: m.ID, Attempt: i})
 				}
 			}
 		}
@@ -412,7 +412,7 @@
 // expendable tells whether every message of a call may be sent again after it.
 func (d *Dispatcher) expendable(c *call) bool {
 	for _, m := range c.msgs {
-		if m.class.Effect == Unsafe || !d.repeatable(m, nil) || len(m.attempts) >= d.s.MaxAttempts {
+		if m.class.Idempotency == NotIdempotent || !d.repeatable(m, nil) || len(m.attempts) >= d.s.MaxAttempts {
 			return false
 		}
 	}
@@ -434,7 +434,7 @@
 
 // ready tells which message a queue would send now and where, if any.
 func (d *Dispatcher) ready(q *queue) (*endpoint, *message) {
-	most := max(1, int(math.Ceil(slotShare*float64(d.s.Slots))))
+	most := max(1, int(math.Ceil(slotShare*float64(d.s.MaxInFlight))))
 	if len(q.held) == 0 || d.now < q.waitUntil || d.now < q.holdUntil || len(q.out) >= most {
 		return nil, nil
 	}
@@ -473,7 +473,7 @@
 	for _, ep := range d.done {
 		ep.q.warm = nil
 		if ep.lastUsed != d.now && (len(ep.out) == 0 || !d.keeps()) && d.seldom(ep) {
-			d.act(CloseIdle{Endpoint: ep.ID})
+			d.act(CloseIdleConns{Endpoint: ep.ID})
 		}
 	}
 	d.done = nil
@@ -484,8 +484,8 @@
 	if len(m.attempts) >= d.s.MaxAttempts || d.now >= m.expires {
 		return false
 	}
-	if m.class.Ordered && m.Key != "" {
-		if line := d.keys[m.Key]; line[0] != m {
+	if m.class.Ordered && m.OrderKey != "" {
+		if line := d.keys[m.OrderKey]; line[0] != m {
 			return false
 		}
 	}
@@ -496,11 +496,11 @@
 func (d *Dispatcher) repeatable(m *message, ep *endpoint) bool {
 	first := m.firstRun()
 	switch {
-	case first == nil || m.class.Effect == Safe:
+	case first == nil || m.class.Idempotency == Idempotent:
 		return true
-	case m.class.Effect == Unsafe:
+	case m.class.Idempotency == NotIdempotent:
 		return false
-	case ep != nil && m.class.ByZone && (first.call.ep.Zone != ep.Zone || ep.Zone <= nowhere):
+	case ep != nil && m.class.KeyPerZone && (first.call.ep.Zone != ep.Zone || ep.Zone <= nowhere):
 		return false
 	}
 	return d.now < d.forgotten(m)
@@ -508,7 +508,7 @@
 
 // forgotten is when a destination may not remember any more that a keyed message has run there.
 func (d *Dispatcher) forgotten(m *message) time.Duration {
-	return m.firstRun().sent + m.class.Memory - 2*d.s.Tick
+	return m.firstRun().sent + m.class.KeyTTL - 2*d.s.BatchInterval
 }
 
 // endpoint chooses where in a queue a message goes: a sick endpoint whose trial is due, else a healthy
@@ -563,7 +563,7 @@
 
 // open tells whether an endpoint may get a call now.
 func (d *Dispatcher) open(ep *endpoint) bool {
-	if ep.Draining || ep.Gone || ep.connCap > 0 && float64(len(ep.out)+1) > ep.connCap {
+	if ep.Draining || ep.Removed || ep.connCap > 0 && float64(len(ep.out)+1) > ep.connCap {
 		return false
 	}
 	if ep.sick {
@@ -621,21 +621,21 @@
 func (d *Dispatcher) attempt(m *message, c *call) {
 	m.release()
 	within := time.Duration(0)
-	if m.firstRun() != nil && m.class.Effect == Keyed {
+	if m.firstRun() != nil && m.class.Idempotency == IdempotentByKey {
 		within = d.forgotten(m) - d.now // and that may pass while a connection is made
 	}
 	m.attempts = append(m.attempts, attempt{call: c, sent: d.now, open: true})
 	m.open++
 	c.open++
 	c.msgs = append(c.msgs, m)
-	d.act(Send{ID: m.ID, Endpoint: c.ep.ID, Timeout: d.timeout(m, c), Within: within})
+	d.act(Send{ID: m.ID, Endpoint: c.ep.ID, Timeout: d.timeout(m, c), WriteWithin: within})
 }
 
 // timeout is how long an answer is waited for; an unsafe message waits to its end, since after a
 // time-out it could only be failed.
 func (d *Dispatcher) timeout(m *message, c *call) time.Duration {
 	left := m.expires - d.now
-	if m.class.Effect == Unsafe || len(m.attempts) >= d.s.MaxAttempts {
+	if m.class.Idempotency == NotIdempotent || len(m.attempts) >= d.s.MaxAttempts {
 		return 0
 	}
 	wait := math.Max(answerShare*left.Seconds(), timeoutMeans*c.ep.q.mean)
@@ -651,11 +651,11 @@
 
 // epTokens is what the budget of a sick or ramping endpoint allows to be sent now.
 func (d *Dispatcher) epTokens(ep *endpoint) float64 {
-	if ep.ramping && d.coldFor(ep) >= d.s.RampTime {
+	if ep.ramping && d.coldFor(ep) >= d.s.SlowStartTime {
 		ep.ramping = false
 	}
 	rate := d.budget(ep, d.coldFor(ep))
-	return ep.fill(d.now, rate, math.Max(1, rampBurst*rate*d.s.OverloadFor.Seconds()))
+	return ep.fill(d.now, rate, math.Max(1, rampBurst*rate*d.s.OverloadWindow.Seconds()))
 }
 
 // coldFor is how long an endpoint has been back.
@@ -663,7 +663,7 @@
 	if ep.sick {
 		return 0
 	}
-	return min(d.now-ep.recovered, d.s.RampTime)
+	return min(d.now-ep.recovered, d.s.SlowStartTime)
 }
 
 // budget is the calls a second that this relay may make to an endpoint that has been back for so long:
@@ -671,8 +671,8 @@
 // each span of the rule.
 func (d *Dispatcher) budget(ep *endpoint, back time.Duration) float64 {
 	share := 1.0
-	if d.s.RampTime > 0 {
-		share = d.s.ColdShare + (1-d.s.ColdShare)*float64(back)/float64(d.s.RampTime)
+	if d.s.SlowStartTime > 0 {
+		share = d.s.ColdCapacity + (1-d.s.ColdCapacity)*float64(back)/float64(d.s.SlowStartTime)
 	}
 	weight := ep.q.weight
 	if weight == 0 {
@@ -689,7 +689,7 @@
 // --- Outcomes ---
 
 // ended takes in the outcome of an attempt.
-func (d *Dispatcher) ended(e Ended) {
+func (d *Dispatcher) ended(e AttemptEnded) {
 	m := d.messages[e.ID]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
 		return
@@ -697,13 +697,13 @@
 	a := &m.attempts[e.Attempt]
 	a.open = false
 	m.open--
-	a.unrun = !e.Doubtful && (e.Outcome == QueueFull || e.Outcome == ConnectError || e.Outcome == Ignored)
+	a.unrun = !e.OutcomeUnknown && (e.Outcome == Rejected || e.Outcome == ConnectError || e.Outcome == NotSent)
 	c := a.call
-	if e.Report != nil {
-		d.reported(c.ep.q, e.Report.Limit)
+	if e.LoadReport != nil {
+		d.reported(c.ep.q, e.LoadReport.RateLimit)
 	}
-	if e.Outcome == QueueFull && e.Wait > 0 {
-		c.ep.q.waitUntil = max(c.ep.q.waitUntil, d.now+min(e.Wait, never-d.now))
+	if e.Outcome == Rejected && e.RetryAfter > 0 {
+		c.ep.q.waitUntil = max(c.ep.q.waitUntil, d.now+min(e.RetryAfter, never-d.now))
 		d.unsend(c.ep.q.out, c)
 	}
 	if c.open--; c.open == 0 {
@@ -714,16 +714,16 @@
 			d.done = append(d.done, c.ep)
 		}
 	}
-	if e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Canceled {
-		m.rest = d.now + d.s.OrderPause
+	if e.Outcome == TimedOut || e.Outcome == ConnectionReset || e.Outcome == Canceled {
+		m.rest = d.now + d.s.OrderKeyCooldown
 	}
 	switch {
-	case e.Over || e.Outcome == OK:
+	case e.Final || e.Outcome == Succeeded:
 		d.finish(m)
 	case m.over:
 		d.retire(m)
 	case m.open > 0:
-	case m.Background, e.Spent || len(m.attempts) >= d.s.MaxAttempts, d.now >= m.expires-d.s.Tick,
+	case m.Background, e.AttemptsExhausted || len(m.attempts) >= d.s.MaxAttempts, d.now >= m.expires-d.s.BatchInterval,
 		!d.repeatable(m, nil):
 		d.giveUp(m)
 	default:
@@ -737,7 +737,7 @@
 	for _, c := range calls {
 		for _, m := range c.msgs {
 			if i := len(m.attempts) - 1; c != told && m.attempts[i].call == c && m.attempts[i].open {
-				d.act(Unsend{ID: m.ID, Attempt: i})
+				d.act(CancelBeforeSend{ID: m.ID, Attempt: i})
 			}
 		}
 	}
@@ -747,7 +747,7 @@
 // relays that keep idle ones leave no room for each other. It costs a handshake where it is wrong.
 func (d *Dispatcher) seldom(ep *endpoint) bool {
 	// Counted, not as a rate: at the start one arrival looks like many.
-	expected := ep.q.arrivals.count(d.now) * float64(d.s.ConnIdle) / float64(counterAge)
+	expected := ep.q.arrivals.count(d.now) * float64(d.s.IdleConnTimeout) / float64(counterAge)
 	return ep.connCap > 0 || !d.keeps() ||
 		d.s.Instances > idleRoom && expected < reuses*float64(max(1, len(ep.q.eps)))
 }
@@ -756,30 +756,30 @@
 func (d *Dispatcher) keeps() bool { return d.s.Instances <= connRoom }
 
 // learn draws from a call's end what it tells, by its own time: a relay without turns hears late of it.
-func (d *Dispatcher) learn(c *call, m *message, e Ended) {
+func (d *Dispatcher) learn(c *call, m *message, e AttemptEnded) {
 	ep, q := c.ep, c.ep.q
-	if e.Took <= 0 {
-		e.Took = d.now - c.sent
+	if e.Latency <= 0 {
+		e.Latency = d.now - c.sent
 	}
-	took := min(e.Took, m.class.Deadline).Seconds()
-	if c.sent+e.Took >= d.lateAt(c, stuckAfter) {
+	took := min(e.Latency, m.class.Deadline).Seconds()
+	if c.sent+e.Latency >= d.lateAt(c, stuckAfter) {
 		d.unanswered *= 1 - latencyGain
-		if e.Outcome != OK {
+		if e.Outcome != Succeeded {
 			d.unanswered += latencyGain
 		}
 	}
 	switch e.Outcome {
-	case OK:
+	case Succeeded:
 		ep.lastBegun, ep.lastTook = max(ep.lastBegun, c.sent), took
 		q.observe(m.Class, took)
 		d.pool(q.kind).observe(m.Class, took)
 		ep.strikes[m.Class] = 0
-		d.succeeded(ep, e.Report == nil || e.Report.Left >= roomLeft)
-	case QueueFull:
+		d.succeeded(ep, e.LoadReport == nil || e.LoadReport.Remaining >= roomLeft)
+	case Rejected:
 		if c.sent >= q.pausedAt {
 			// A host that reports its limit in its answers, but not in this one, did not look at it: it has
 			// all the connections it takes, or is shut.
-			d.full(q, e.Report == nil && q.limit > 0)
+			d.full(q, e.LoadReport == nil && q.limit > 0)
 		}
 	case ConnectError:
 		if ep.lastOK > c.sent {
@@ -789,7 +789,7 @@
 		}
 		d.unreached(ep, c)
 		d.failed(ep, c, 1)
-	case Failed, Reset:
+	case Failed, ConnectionReset:
 		d.failed(ep, c, answeredFailure)
 	case TimedOut, Canceled:
 		if took > stuckAfter*q.mean && (e.Outcome == TimedOut || c.canceled) {
@@ -824,11 +824,11 @@
 	if ep.sick {
 		d.epTokens(ep)
 		ep.sick, ep.ramping, ep.recovered = false, true, d.now
-		if !ep.Gone {
+		if !ep.Removed {
 			d.down--
 		}
 		ep.tokens = math.Max(ep.tokens, d.phase(ep))
-		d.act(Remember{Endpoint: ep.ID, At: d.now})
+		d.act(PersistHealth{Endpoint: ep.ID, At: d.now})
 		for _, other := range q.eps {
 			other.tokens = math.Max(other.tokens, 1) // outages mostly end for a whole destination
 		}
@@ -878,7 +878,7 @@
 // phase is what a budget of less than a call a span starts with: a chance part of a call, so that of many
 // relays with a call in a minute each some try at any time, and the total is what the rule allows.
 func (d *Dispatcher) phase(ep *endpoint) float64 {
-	return math.Max(0, d.chance.Float64()-d.budget(ep, d.coldFor(ep))*d.s.OverloadFor.Seconds())
+	return math.Max(0, d.chance.Float64()-d.budget(ep, d.coldFor(ep))*d.s.OverloadWindow.Seconds())
 }
 
 // sicken marks an endpoint sick and lets the messages of its route choose again.
@@ -887,11 +887,11 @@
 		return
 	}
 	ep.sick, ep.ramping, ep.sickAt, ep.q.ill = true, false, d.now, true
-	if !ep.Gone {
+	if !ep.Removed {
 		d.down++
 	}
 	ep.tokens, ep.tokensAt = d.phase(ep), max(d.now, ep.q.waitUntil)
-	d.act(Remember{Endpoint: ep.ID, Sick: true, At: d.now})
+	d.act(PersistHealth{Endpoint: ep.ID, Unhealthy: true, At: d.now})
 	if ep.q.apart {
 		d.reroute(ep.q)
 	}
@@ -954,7 +954,7 @@
 	d.finish(m)
 	for i := range m.attempts {
 		if m.attempts[i].open && d.s.CanCancel {
-			d.act(Cancel{ID: m.ID, Attempt: i})
+			d.act(CancelAttempt{ID: m.ID, Attempt: i})
 		}
 	}
 }
@@ -977,12 +977,12 @@
 // lastChance is when a held message is given up: its time left is then its expected latency.
 func (d *Dispatcher) lastChance(m *message) time.Duration {
 	x := time.Duration(m.q.class[m.Class] * float64(time.Second))
-	return m.expires - max(2*d.s.Tick, x)
+	return m.expires - max(2*d.s.BatchInterval, x)
 }
 
 // giveUp ends a message: a refusal where trying again is harmless, else a failure.
 func (d *Dispatcher) giveUp(m *message) {
-	if m.firstRun() == nil || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.ByZone {
+	if m.firstRun() == nil || m.class.Idempotency == Idempotent || m.class.Idempotency == IdempotentByKey && !m.class.KeyPerZone {
 		d.refuse(m, 0)
 		return
 	}
@@ -991,8 +991,8 @@
 }
 
 func (d *Dispatcher) refuse(m *message, after float64) {
-	stay := time.Duration(math.Min(math.Max(0, after), d.s.MaxStayAway.Seconds()) * float64(time.Second))
-	d.act(Refuse{ID: m.ID, StayAway: stay})
+	stay := time.Duration(math.Min(math.Max(0, after), d.s.MaxRetryAfter.Seconds()) * float64(time.Second))
+	d.act(Reject{ID: m.ID, RetryAfter: stay})
 	d.told(m)
 }
 
@@ -1066,7 +1066,7 @@
 			q.pace = math.Min(math.Max(q.pace, paceFloor*d.even(q)), q.weight)
 		}
 	}
-	if !s.Subscribe {
+	if !s.WatchEndpoints {
 		d.resub = never
 	}
 }
@@ -1075,16 +1075,16 @@
 // say now. A message of a class that was safe has no key for a destination to remember: where the class is
 // keyed now, it is repeated only if it never ran.
 func (c *Class) stricter(now *Class) *Class {
-	as := c.Effect != Keyed || now.Memory >= c.Memory && (c.ByZone || !now.ByZone) // as strict
-	if now.Retired || now.Effect == c.Effect && as {
+	as := c.Idempotency != IdempotentByKey || now.KeyTTL >= c.KeyTTL && (c.KeyPerZone || !now.KeyPerZone) // as strict
+	if now.Retired || now.Idempotency == c.Idempotency && as {
 		return c
 	}
 	both := *c
 	switch {
-	case c.Effect == Unsafe || now.Effect == Unsafe || c.Effect == Safe && now.Effect == Keyed:
-		both.Effect = Unsafe
-	case now.Effect == Keyed: // and so is c
-		both.Memory, both.ByZone = min(c.Memory, now.Memory), c.ByZone || now.ByZone
+	case c.Idempotency == NotIdempotent || now.Idempotency == NotIdempotent || c.Idempotency == Idempotent && now.Idempotency == IdempotentByKey:
+		both.Idempotency = NotIdempotent
+	case now.Idempotency == IdempotentByKey: // and so is c
+		both.KeyTTL, both.KeyPerZone = min(c.KeyTTL, now.KeyTTL), c.KeyPerZone || now.KeyPerZone
 	}
 	return &both
 }
@@ -1094,12 +1094,12 @@
 // arm asks for a timer when something is next due by time alone.
 func (d *Dispatcher) arm() {
 	next := never
-	soon := func(t time.Duration) { next = min(next, max(t, d.now+d.s.Tick)) }
+	soon := func(t time.Duration) { next = min(next, max(t, d.now+d.s.BatchInterval)) }
 	soon(d.resub)
 	for _, m := range d.live {
 		if m.q != nil {
 			soon(d.lastChance(m))
-			if m.firstRun() != nil && m.class.Effect == Keyed {
+			if m.firstRun() != nil && m.class.Idempotency == IdempotentByKey {
 				soon(d.forgotten(m))
 			}
 		}
@@ -1132,8 +1132,8 @@
 		soon(m.rest)
 	}
 	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.wakeAt < d.now+d.s.Tick || next < d.wakeAt) {
+	if next < never && (d.wakeAt < d.now+d.s.BatchInterval || next < d.wakeAt) {
 		d.wakeAt = next
-		d.act(Wake{After: next - d.now})
+		d.act(SetTimer{After: next - d.now})
 	}
 }
