--- a/cmd/frostlinkctl/fleet_test.go
+++ b/cmd/frostlinkctl/fleet_test.go
@@ -3,11 +3,12 @@
 import (
 	"bytes"
 	"encoding/json"
-	"frostlink/internal/cli"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"frostlink/internal/cli"
 )
 
 // The fleet commands' exit codes say what came of them, and their faults are one line.
--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -53,8 +53,10 @@
 				return err
 			}
 			trail := fleet.NewTrail(logs)
-			out := followed{Courses: []*fleet.Course{}, Messages: trail.Messages(), Unsure: append([]string{}, trail.Unsure...),
-				Bad: append([]fleet.BadLine{}, logs.Bad...)}
+			out := followed{
+				Courses: []*fleet.Course{}, Messages: trail.Messages(), Unsure: append([]string{}, trail.Unsure...),
+				Bad: append([]fleet.BadLine{}, logs.Bad...),
+			}
 			if wrong {
 				out.Courses = append(out.Courses, trail.Wrong()...)
 			} else if course := trail.Follow(id); course != nil {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -74,10 +74,12 @@
 	mux.HandleFunc("GET /status/invariants", d.violations)
 	mux.HandleFunc("POST /standby", func(w http.ResponseWriter, _ *http.Request) { relay.Standby(); answer(w, true, "standing by") })
 	mux.HandleFunc("POST /active", func(w http.ResponseWriter, _ *http.Request) { relay.Active(); answer(w, true, "active") })
-	d.http = http.Server{Handler: d.heard(mux), ReadTimeout: callTime, WriteTimeout: callTime + answerTime, MaxHeaderBytes: maxHead,
+	d.http = http.Server{
+		Handler: d.heard(mux), ReadTimeout: callTime, WriteTimeout: callTime + answerTime, MaxHeaderBytes: maxHead,
 		ErrorLog: log.New(io.Discard, "", 0), ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, callerKey{}, c)
-		}}
+		},
+	}
 	d.http.SetKeepAlivesEnabled(false) // one call a connection
 	return d
 }
--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -51,12 +51,14 @@
 	}()
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer Guard(&err)
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin, NoSync: o.NoSync, NoGrowSync: o.NoSync,
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{
+		Timeout: openWithin, NoSync: o.NoSync, NoGrowSync: o.NoSync,
 		FreelistType: bbolt.FreelistMapType, ReadOnly: o.ReadOnly,
 		OpenFile: func(name string, flag int, mode os.FileMode) (f *os.File, err error) {
 			file, err = os.OpenFile(name, flag, mode)
 			return file, err
-		}})
+		},
+	})
 	switch {
 	case errors.Is(err, bbolt.ErrTimeout):
 		return nil, ErrInUse
--- a/internal/coord/disk/disk.go
+++ b/internal/coord/disk/disk.go
@@ -134,8 +134,10 @@
 		if err := putJSON(meta, kIdentity, id); err != nil {
 			return err
 		}
-		if err := save(tx, replica.Write{Lives: state.Lives, Marks: state.Marks, Hard: state.Hard, Snapshot: state.Snapshot,
-			Entries: state.Entries}); err != nil {
+		if err := save(tx, replica.Write{
+			Lives: state.Lives, Marks: state.Marks, Hard: state.Hard, Snapshot: state.Snapshot,
+			Entries: state.Entries,
+		}); err != nil {
 			return err
 		}
 		return meta.Put(kVersion, binary.BigEndian.AppendUint32(nil, version))
--- a/internal/coord/leases.go
+++ b/internal/coord/leases.go
@@ -42,8 +42,10 @@
 		// A quarter at a time, so that the rest is not moved at every event.
 		m.history = slices.Clone(m.history[MostHistory/4:])
 	}
-	m.history = append(m.history, Event{Index: m.index, At: m.now, Wall: m.wall, Lease: l.Name, Token: l.Token, Holder: holder,
-		What: what, Reason: reason})
+	m.history = append(m.history, Event{
+		Index: m.index, At: m.now, Wall: m.wall, Lease: l.Name, Token: l.Token, Holder: holder,
+		What: what, Reason: reason,
+	})
 }
 
 // acquire grants a lease that is free, and queues for one that is not.
@@ -181,8 +183,10 @@
 		}
 		l := m.leases[name]
 		s := m.sessions[l.Holder]
-		one := Lease{Name: name, Holder: s.Name, Session: s.ID, Reason: l.Reason, Token: l.Token, For: m.now - l.Since,
-			Lasts: s.Deadline - m.now, Revoked: l.Revoked}
+		one := Lease{
+			Name: name, Holder: s.Name, Session: s.ID, Reason: l.Reason, Token: l.Token, For: m.now - l.Since,
+			Lasts: s.Deadline - m.now, Revoked: l.Revoked,
+		}
 		if l.Revoked {
 			one.Lasts = l.FreeAt - m.now
 		}
--- a/internal/coord/machine.go
+++ b/internal/coord/machine.go
@@ -68,8 +68,10 @@
 
 // New makes the empty state of a cluster.
 func New(cluster string) *Machine {
-	return &Machine{cluster: cluster, sessions: map[uint64]*session{}, nonces: map[string]uint64{}, leases: map[string]*held{},
-		ending: map[string]*held{}, values: map[string]*Value{}, members: map[uint64]Member{}, touched: map[uint64]bool{}, soonest: math.MaxInt64}
+	return &Machine{
+		cluster: cluster, sessions: map[uint64]*session{}, nonces: map[string]uint64{}, leases: map[string]*held{},
+		ending: map[string]*held{}, values: map[string]*Value{}, members: map[uint64]Member{}, touched: map[uint64]bool{}, soonest: math.MaxInt64,
+	}
 }
 
 // Cluster is the id of the cluster that the state belongs to.
@@ -245,8 +247,14 @@
 
 // check says what is wrong with a command by itself, or nothing.
 func (c *Command) check() string {
-	for _, text := range []struct{ key, value string }{{"nonce", c.Nonce}, {"name", c.Name}, {"lease", c.Lease}, {"to", c.To},
-		{"reason", c.Reason}, {"key", c.Key}} {
+	for _, text := range []struct{ key, value string }{
+		{"nonce", c.Nonce},
+		{"name", c.Name},
+		{"lease", c.Lease},
+		{"to", c.To},
+		{"reason", c.Reason},
+		{"key", c.Key},
+	} {
 		if len(text.value) > MostName {
 			return fmt.Sprintf("%s: %d bytes, %d at most", text.key, len(text.value), MostName)
 		}
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -110,15 +110,19 @@
 	}
 	return Disk{
 		Hard: &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))},
-		Snapshot: &raftpb.Snapshot{Data: machine.Snapshot(), Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: new(uint64(1)),
-			Term: new(uint64(1))}},
+		Snapshot: &raftpb.Snapshot{Data: machine.Snapshot(), Metadata: &raftpb.SnapshotMetadata{
+			ConfState: conf, Index: new(uint64(1)),
+			Term: new(uint64(1)),
+		}},
 	}
 }
 
 // New starts a member from its disk. An error means that the disk can't be used.
 func New(cfg Config, disk Disk) (*Core, error) {
-	c := &Core{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), storage: raft.NewMemoryStorage(), machine: coord.New(cfg.Cluster),
-		conf: &raftpb.ConfState{}, waiting: map[uint64][]uint64{}}
+	c := &Core{
+		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), storage: raft.NewMemoryStorage(), machine: coord.New(cfg.Cluster),
+		conf: &raftpb.ConfState{}, waiting: map[uint64][]uint64{},
+	}
 	if disk.Snapshot != nil {
 		if err := c.storage.ApplySnapshot(disk.Snapshot); err != nil {
 			return nil, fmt.Errorf("snapshot: %w", err)
@@ -137,10 +141,12 @@
 	c.lives.begin(cfg, disk)
 	c.pending.Lives = c.past
 	var err error
-	c.node, err = raft.NewRawNode(&raft.Config{ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: cfg.HeartbeatTicks,
+	c.node, err = raft.NewRawNode(&raft.Config{
+		ID: cfg.ID, ElectionTick: cfg.ElectionTicks, HeartbeatTick: cfg.HeartbeatTicks,
 		Storage: c.storage, Applied: c.applied, MaxSizePerMsg: mostBytes, MaxCommittedSizePerReady: 4 * mostBytes, MaxInflightMsgs: 256,
 		MaxUncommittedEntriesSize: 64 * mostBytes, CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
-		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{}})
+		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{},
+	})
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
 	}
@@ -264,8 +270,10 @@
 	if err != nil {
 		return err
 	}
-	return c.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: context,
-		Changes: []*raftpb.ConfChangeSingle{{Type: kind.Enum(), NodeId: &id}}})
+	return c.node.ProposeConfChange(&raftpb.ConfChangeV2{
+		Context: context,
+		Changes: []*raftpb.ConfChangeSingle{{Type: kind.Enum(), NodeId: &id}},
+	})
 }
 
 // flush proposes what waits, stamped with the time since the entry before. The clock is read after the commands came:
--- a/internal/coord/replica/status.go
+++ b/internal/coord/replica/status.go
@@ -10,8 +10,10 @@
 // Status tells how the member is.
 func (c *Core) Status() coord.Status {
 	st := c.node.Status()
-	s := coord.Status{ID: c.cfg.ID, Life: c.life.Number, Leader: st.Lead, Term: st.HardState.GetTerm(), Applied: c.applied,
-		Commit: st.HardState.GetCommit(), Snapshot: c.taken}
+	s := coord.Status{
+		ID: c.cfg.ID, Life: c.life.Number, Leader: st.Lead, Term: st.HardState.GetTerm(), Applied: c.applied,
+		Commit: st.HardState.GetCommit(), Snapshot: c.taken,
+	}
 	switch {
 	case c.failed != nil:
 		s.Role, s.Why = "failed", c.failed.Error()
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -46,8 +46,10 @@
 	if err != nil {
 		return nil, err
 	}
-	core, err := replica.New(replica.Config{Cluster: id.Cluster, ID: id.ID, Peers: id.Peers, Seed: rand.Uint64(), Nonce: rand.Uint64(),
-		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotEvery: snapshotEvery, KeepEntries: keepEntries}, state)
+	core, err := replica.New(replica.Config{
+		Cluster: id.Cluster, ID: id.ID, Peers: id.Peers, Seed: rand.Uint64(), Nonce: rand.Uint64(),
+		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotEvery: snapshotEvery, KeepEntries: keepEntries,
+	}, state)
 	if err != nil {
 		_ = d.Close()
 		return nil, fmt.Errorf("%s: %w", dir, err)
@@ -56,8 +58,10 @@
 	for i, peer := range id.Peers {
 		known[peer] = id.Via[i]
 	}
-	return &Node{core: core, disk: d, id: id, log: log, inbox: make(chan func(), inboxRoom), done: make(chan struct{}),
-		peers: newPeers(known, reach), answers: map[uint64]chan<- replica.Answer{}, hints: map[uint64]chan struct{}{}}, nil
+	return &Node{
+		core: core, disk: d, id: id, log: log, inbox: make(chan func(), inboxRoom), done: make(chan struct{}),
+		peers: newPeers(known, reach), answers: map[uint64]chan<- replica.Answer{}, hints: map[uint64]chan struct{}{},
+	}, nil
 }
 
 // Identity says which member it is.
--- a/internal/coord/server/peers.go
+++ b/internal/coord/server/peers.go
@@ -43,8 +43,10 @@
 
 func newPeers(known, reach map[uint64]string) *peers {
 	ctx, stop := context.WithCancel(context.Background())
-	return &peers{known: known, reach: reach, queues: map[uint64]chan message{}, ctx: ctx, stop: stop,
-		client: &http.Client{Timeout: callWithin, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
+	return &peers{
+		known: known, reach: reach, queues: map[uint64]chan message{}, ctx: ctx, stop: stop,
+		client: &http.Client{Timeout: callWithin, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}},
+	}
 }
 
 func (p *peers) close() { p.stop() }
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -43,9 +43,11 @@
 
 // Snapshot gives the state's bytes: the same bytes for the same state.
 func (m *Machine) Snapshot() []byte {
-	raw, err := json.Marshal(image{Version: SnapshotVersion, Cluster: m.cluster, Now: m.now, Wall: m.wall, Index: m.index, Stamp: m.stamp,
+	raw, err := json.Marshal(image{
+		Version: SnapshotVersion, Cluster: m.cluster, Now: m.now, Wall: m.wall, Index: m.index, Stamp: m.stamp,
 		Opened: m.opened, Tokens: m.tokens, Revision: m.revision, Sessions: byKey(m.sessions), Leases: byKey(m.leases),
-		Values: byKey(m.values), History: m.history, Members: m.Members(), Retired: m.retired})
+		Values: byKey(m.values), History: m.history, Members: m.Members(), Retired: m.retired,
+	})
 	if err != nil {
 		panic(fmt.Sprintf("coord: a state that can't be encoded: %v", err)) // its types all can
 	}
--- a/internal/deadletter/access.go
+++ b/internal/deadletter/access.go
@@ -69,7 +69,8 @@
 	return &Access{client: http.Client{Timeout: askWithin, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
-		}}}}, nil
+		},
+	}}}, nil
 }
 
 // OpenFolder reaches the store of a relay that is not running; write says whether anything is to be changed.
--- a/internal/deadletter/resend.go
+++ b/internal/deadletter/resend.go
@@ -73,8 +73,10 @@
 
 // NewResender decides for a store. newID makes ids that nobody else uses.
 func NewResender(store *Store, rules []Rule, classes []Class, relay string, newID func() string) *Resender {
-	r := &Resender{store: store, rules: rules, classes: map[string]*Class{}, relay: relay, newID: newID,
-		lanes: map[int]*lane{}}
+	r := &Resender{
+		store: store, rules: rules, classes: map[string]*Class{}, relay: relay, newID: newID,
+		lanes: map[int]*lane{},
+	}
 	r.Reclass(classes)
 	return r
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -64,9 +64,11 @@
 func (m EndpointList) Event(s *settings.Settings) policy.EndpointsChanged {
 	e := policy.EndpointsChanged{Full: m.Full}
 	for _, h := range m.Endpoints {
-		e.Endpoints = append(e.Endpoints, policy.Endpoint{ID: h.Host, Destination: h.Block,
+		e.Endpoints = append(e.Endpoints, policy.Endpoint{
+			ID: h.Host, Destination: h.Block,
 			Kind: slices.Index(s.Shapes, h.Class), Zone: slices.Index(s.Localities, h.Site), Weight: h.Share,
-			Draining: h.Health == Draining, Removed: h.Health == Deleted})
+			Draining: h.Health == Draining, Removed: h.Health == Deleted,
+		})
 	}
 	return e
 }
@@ -109,9 +111,11 @@
 // NewWatcher watches at an address once it runs: told gets each list, or change of it, with the address that it came from,
 // failed the end of each watch, with how many it had brought.
 func NewWatcher(discovery string, told func(m EndpointList, from string), failed func(lines int)) *Watcher {
-	return &Watcher{from: discovery, told: told, failed: failed, silence: watchSilence, relays: 1,
+	return &Watcher{
+		from: discovery, told: told, failed: failed, silence: watchSilence, relays: 1,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: new(socket.Dialer).DialContext}}, asked: make(chan struct{}, 1),
-		moved: make(chan string), ended: make(chan struct{})}
+		moved: make(chan string), ended: make(chan struct{}),
+	}
 }
 
 // ShareWith says how many relays share discovery, this one included, and seeds what spreads their asks. Before Run.
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -42,8 +42,10 @@
 	if relays >= herd {
 		span = min(max(span, herdSpan), allCalls)
 	}
-	return &Schedule{backoff.New(askAgain, span, max(askAgainMost, mostPaces*span), seed),
-		backoff.New(0, min(span, silentSpan), 0, seed), relays >= herd}
+	return &Schedule{
+		backoff.New(askAgain, span, max(askAgainMost, mostPaces*span), seed),
+		backoff.New(0, min(span, silentSpan), 0, seed), relays >= herd,
+	}
 }
 
 // Start is the delay of the first ask. Guards against a release that starts the whole fleet: each would ask at once for a
--- a/internal/faultinjection/checker/judge.go
+++ b/internal/faultinjection/checker/judge.go
@@ -122,8 +122,10 @@
 
 // Judge judges a run that was over at a time.
 func Judge(f Figures, log []Event, over time.Duration) *Report {
-	j := &judge{Figures: f, over: over, charges: map[string]*charge{}, calls: map[int]*attempt{}, away: map[int][]span{},
-		reset: map[int][]time.Duration{}, lost: map[int][]time.Duration{}, failing: newPeriods(), breaking: newPeriods(), halted: newPeriods()}
+	j := &judge{
+		Figures: f, over: over, charges: map[string]*charge{}, calls: map[int]*attempt{}, away: map[int][]span{},
+		reset: map[int][]time.Duration{}, lost: map[int][]time.Duration{}, failing: newPeriods(), breaking: newPeriods(), halted: newPeriods(),
+	}
 	log = byTime(log)
 	j.read(log)
 	for _, c := range j.order {
@@ -181,13 +183,17 @@
 		c := j.charges[e.ID]
 		switch e.Kind {
 		case HandedIn:
-			c = &charge{id: e.ID, msg: e.Msg, relay: e.Relay, dest: e.Dest, class: e.Class, item: e.Item, subject: e.Subject, handed: e.At,
-				expires: e.At + e.For, answered: -1, delivered: -1, gone: -1, voids: -1}
+			c = &charge{
+				id: e.ID, msg: e.Msg, relay: e.Relay, dest: e.Dest, class: e.Class, item: e.Item, subject: e.Subject, handed: e.At,
+				expires: e.At + e.For, answered: -1, delivered: -1, gone: -1, voids: -1,
+			}
 			j.charges[e.ID] = c
 			j.order = append(j.order, c)
 		case Resent, Before:
-			c = &charge{id: e.ID, msg: e.Msg, relay: e.Relay, dest: e.Dest, class: e.Class, subject: e.Subject, handed: e.At,
-				resend: e.Kind == Resent, before: e.Kind == Before, expires: never, answered: -1, delivered: -1, gone: -1, voids: -1}
+			c = &charge{
+				id: e.ID, msg: e.Msg, relay: e.Relay, dest: e.Dest, class: e.Class, subject: e.Subject, handed: e.At,
+				resend: e.Kind == Resent, before: e.Kind == Before, expires: never, answered: -1, delivered: -1, gone: -1, voids: -1,
+			}
 			j.charges[e.ID] = c
 			j.order = append(j.order, c)
 		case Answered:
@@ -196,8 +202,10 @@
 				c.taken = e.Status == 200 || e.Status == 202
 			}
 		case Called, Probed:
-			a := &attempt{no: e.Call, relay: e.Relay, dest: e.Dest, host: e.Host, first: e.First, last: e.At, ended: -1,
-				probe: e.Kind == Probed}
+			a := &attempt{
+				no: e.Call, relay: e.Relay, dest: e.Dest, host: e.Host, first: e.First, last: e.At, ended: -1,
+				probe: e.Kind == Probed,
+			}
 			j.calls[e.Call] = a
 			j.listed = append(j.listed, a)
 			switch {
--- a/internal/faultinjection/checker/register.go
+++ b/internal/faultinjection/checker/register.go
@@ -11,8 +11,10 @@
 const failedAsk = 4
 
 // ofRegister are the events that say what a relay could know of the register.
-var ofRegister = map[Kind]bool{Shown: true, RegDown: true, RegUp: true, Asked: true, Unwatched: true, Silent: true, Ready: true, Resumed: true,
-	Moved: true, Killed: true, Lost: true, Crashed: true, Halted: true}
+var ofRegister = map[Kind]bool{
+	Shown: true, RegDown: true, RegUp: true, Asked: true, Unwatched: true, Silent: true, Ready: true, Resumed: true,
+	Moved: true, Killed: true, Lost: true, Crashed: true, Halted: true,
+}
 
 // drains checks that no relay sent anything new to an endpoint later than the grace after it was told that this
 // drains or is gone, or counts as told.
--- a/internal/faultinjection/checker/resends.go
+++ b/internal/faultinjection/checker/resends.go
@@ -108,8 +108,10 @@
 // relay, once; what is held never to have run has not; what is delivered was. unkept are ids that a store lists as not
 // kept. It gives the count of each state.
 func (r *Report) Stores(f Figures, log []Event, kept []Kept, unkept []string, over time.Duration) map[string]int {
-	j := &judge{Figures: f, over: over, charges: map[string]*charge{}, calls: map[int]*attempt{}, away: map[int][]span{},
-		reset: map[int][]time.Duration{}, lost: map[int][]time.Duration{}}
+	j := &judge{
+		Figures: f, over: over, charges: map[string]*charge{}, calls: map[int]*attempt{}, away: map[int][]span{},
+		reset: map[int][]time.Duration{}, lost: map[int][]time.Duration{},
+	}
 	j.read(byTime(log))
 	j.breaches = nil // the ends of reading are Judge's
 	states := map[string]int{}
--- a/internal/faultinjection/coordsim/clients.go
+++ b/internal/faultinjection/coordsim/clients.go
@@ -55,8 +55,10 @@
 func (c *client) start() {
 	w := c.run.world
 	c.up, c.busy = true, 0
-	c.core = lease.New(lease.Config{Name: c.name, TTL: c.run.ttl, Guard: c.run.guard, Timeout: max(300*time.Millisecond, c.run.ttl/6),
-		Servers: len(c.run.members), Seed: w.rand.Uint64()})
+	c.core = lease.New(lease.Config{
+		Name: c.name, TTL: c.run.ttl, Guard: c.run.guard, Timeout: max(300*time.Millisecond, c.run.ttl/6),
+		Servers: len(c.run.members), Seed: w.rand.Uint64(),
+	})
 	c.asked, c.askedBy, c.queued, c.known = map[string]time.Duration{}, map[string]uint64{}, map[string]place{}, map[string]uint64{}
 	c.fancy()
 	c.step()
--- a/internal/faultinjection/coordsim/members.go
+++ b/internal/faultinjection/coordsim/members.go
@@ -46,8 +46,10 @@
 	m.up, m.busy, m.saving = true, 0, nil
 	m.answers, m.sessions = map[uint64]func(replica.Answer){}, map[uint64]*client{}
 	var err error
-	m.core, err = replica.New(replica.Config{Cluster: cluster, ID: m.id, Peers: m.run.others(m.id), Seed: w.rand.Uint64(), Nonce: w.rand.Uint64(),
-		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotEvery: m.run.snapshotEvery, KeepEntries: m.run.keepEntries}, m.disk)
+	m.core, err = replica.New(replica.Config{
+		Cluster: cluster, ID: m.id, Peers: m.run.others(m.id), Seed: w.rand.Uint64(), Nonce: w.rand.Uint64(),
+		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotEvery: m.run.snapshotEvery, KeepEntries: m.run.keepEntries,
+	}, m.disk)
 	if err != nil {
 		m.run.fault("start", "member %d can't use its disk: %v", m.id, err)
 		m.stopped = err
--- a/internal/faultinjection/coordsim/replace.go
+++ b/internal/faultinjection/coordsim/replace.go
@@ -29,8 +29,10 @@
 	}
 	w := r.world
 	r.nextID++
-	joins := &member{process: process{number: len(r.members), rate: old.rate, zero: old.zero}, run: r, id: r.nextID, usual: old.usual, slow: old.usual,
-		disk: replica.Disk{}}
+	joins := &member{
+		process: process{number: len(r.members), rate: old.rate, zero: old.zero}, run: r, id: r.nextID, usual: old.usual, slow: old.usual,
+		disk: replica.Disk{},
+	}
 	r.members = append(r.members, joins)
 	joins.start()
 	learner := coord.Member{ID: joins.id, Address: fmt.Sprint("m", joins.id), Learner: true}
--- a/internal/faultinjection/coordsim/trouble.go
+++ b/internal/faultinjection/coordsim/trouble.go
@@ -17,9 +17,11 @@
 		if r.calm {
 			return
 		}
-		kinds := []string{"crash", "crash all", "pause", "pause", "cut", "cut", "cut one way", "cut one way", "client crash", "client pause",
+		kinds := []string{
+			"crash", "crash all", "pause", "pause", "cut", "cut", "cut one way", "cut one way", "client crash", "client pause",
 			"client cut one way", "client cut one way", "disk full", "disk slow", "leader pause", "leader cut one way", "hand on", "set back", "slow network",
-			"leader cut from members", "leader cut from members", "client hears late", "client hears late", "crash in a write", "replace"}
+			"leader cut from members", "leader cut from members", "client hears late", "client hears late", "crash in a write", "replace",
+		}
 		if r.clocks {
 			kinds = []string{"client cut one way"}
 		}
--- a/internal/faultinjection/destination/destination.go
+++ b/internal/faultinjection/destination/destination.go
@@ -139,8 +139,10 @@
 
 // New gives a partner as it is at the start: warm and well.
 func New(s *scenario.Script, number int, d scenario.Draws) *Partner {
-	p := &Partner{script: s, spec: &s.Partners[number], keys: map[string]time.Duration{}, refresh: never, lowered: 1,
-		reports: d.For("report", number)}
+	p := &Partner{
+		script: s, spec: &s.Partners[number], keys: map[string]time.Duration{}, refresh: never, lowered: 1,
+		reports: d.For("report", number),
+	}
 	for i := range p.spec.Endpoints {
 		p.add(d.For("pause", number, i))
 	}
--- a/internal/faultinjection/faults/fleet.go
+++ b/internal/faultinjection/faults/fleet.go
@@ -206,13 +206,15 @@
 		"name": name, "listen": listen, "discovery": register, "seed": fmt.Sprintf("%016x", f.o.Seed*1000+uint64(number)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 128, "disk_mb": 3},
 		"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}},
-		"settings": settings.Settings{Discovery: "subscribe", NInstances: f.o.Relays, Ordinal: number, QuantumS: 0.002, Weights: "nominal",
+		"settings": settings.Settings{
+			Discovery: "subscribe", NInstances: f.o.Relays, Ordinal: number, QuantumS: 0.002, Weights: "nominal",
 			Limits:     settings.Limits{ConnIdleS: 5, ConnTimeoutS: 1, MaxAttempts: 3, MaxOpen: 100, MaxRetryAfterS: 3, RetryAfter: true},
 			Rules:      settings.Rules{AnswerSlackS: 0.1, AskWithinS: 4, ColdShare: 0.3, DrainGraceS: 2, OverloadFactor: 2, OverloadForS: 1, RampTimeS: 5},
 			Report:     settings.Report{Columns: []string{}, Via: "off"},
 			Specifics:  settings.Specifics{LosesWorth: "linear", MaxCalls: 4, BundleMax: []int{1}, SeparateRoutes: []bool{false}, RouteFee: []float64{0}},
 			Categories: []settings.Category{{Name: "C", AimS: 1, DeadlineS: 5, Idempotency: "retryable", Group: "all", LateShare: 0.5, Points: 1}},
-			Shapes:     []string{"A"}, Localities: []string{"L"}},
+			Shapes:     []string{"A"}, Localities: []string{"L"},
+		},
 	})
 	if err != nil {
 		return nil, err
--- a/internal/faultinjection/faults/schedule.go
+++ b/internal/faultinjection/faults/schedule.go
@@ -30,8 +30,10 @@
 		if at >= length {
 			return list
 		}
-		s := Step{At: at, For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second))), Kind: kinds[rng.IntN(len(kinds))],
-			Target: rng.IntN(members * relays), Way: rng.IntN(2)}
+		s := Step{
+			At: at, For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second))), Kind: kinds[rng.IntN(len(kinds))],
+			Target: rng.IntN(members * relays), Way: rng.IntN(2),
+		}
 		list = append(list, s)
 	}
 }
--- a/internal/faultinjection/harness/endpoint.go
+++ b/internal/faultinjection/harness/endpoint.go
@@ -232,8 +232,10 @@
 		kind = checker.Probed
 	}
 	at := h.r.note(checker.Event{Kind: kind, ID: id, Relay: c.relay, Dest: h.number, Host: h.id, Call: number, First: first})
-	k := &call{number: number, c: c, charge: charge, began: at, model: &destination.Call{ID: id, Relay: c.relay, New: c.fresh,
-		Overfull: c.overfull, Probe: probe}}
+	k := &call{number: number, c: c, charge: charge, began: at, model: &destination.Call{
+		ID: id, Relay: c.relay, New: c.fresh,
+		Overfull: c.overfull, Probe: probe,
+	}}
 	select {
 	case <-c.answered: // of an earlier call
 	default:
--- a/internal/faultinjection/harness/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -36,8 +36,10 @@
 }
 
 func newNetwork(r *rig) (*network, error) {
-	n := &network{r: r, loss: r.s.Network.Loss, halve: r.s.Network.Halved, turn: map[[2]int]int{},
-		paths: make([][]*net.UDPConn, len(r.relays))}
+	n := &network{
+		r: r, loss: r.s.Network.Loss, halve: r.s.Network.Halved, turn: map[[2]int]int{},
+		paths: make([][]*net.UDPConn, len(r.relays)),
+	}
 	for a, rel := range r.relays {
 		for b := range r.relays {
 			c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, byte(120+a), byte(b), 1)})
--- a/internal/faultinjection/harness/stores.go
+++ b/internal/faultinjection/harness/stores.go
@@ -56,9 +56,13 @@
 		var all []deadletter.Kept
 		for _, m := range part {
 			id, class := fmt.Sprintf("before-%d", m.No), &rel.r.s.Classes[m.Class]
-			k := deadletter.Kept{Body: bodyOf(&charge{m: m}), Record: deadletter.Record{ID: id, Class: class.Name, Partner: m.Partner, Key: m.Key,
-				State: deadletter.Held, Since: at, Due: at, Lives: []deadletter.Life{{ID: id, Relay: rel.name, Taken: at.Add(-scenario.Seconds(class.Deadline)),
-					Expires: at, Over: at, Reason: deadletter.OutOfTime, Status: "undeliverable"}}}}
+			k := deadletter.Kept{Body: bodyOf(&charge{m: m}), Record: deadletter.Record{
+				ID: id, Class: class.Name, Partner: m.Partner, Key: m.Key,
+				State: deadletter.Held, Since: at, Due: at, Lives: []deadletter.Life{{
+					ID: id, Relay: rel.name, Taken: at.Add(-scenario.Seconds(class.Deadline)),
+					Expires: at, Over: at, Reason: deadletter.OutOfTime, Status: "undeliverable",
+				}},
+			}}
 			if m.Tenant >= 0 {
 				k.Tenant = rel.r.s.Tenants[m.Tenant].Name
 			}
--- a/internal/faultinjection/harness/timeline.go
+++ b/internal/faultinjection/harness/timeline.go
@@ -15,8 +15,10 @@
 )
 
 // modes are what outages make of endpoints.
-var modes = map[string]destination.Mode{"refuse": destination.Refusing, "shut": destination.Shut, "silent": destination.Silent,
-	"gone": destination.Gone, "failing": destination.Failing}
+var modes = map[string]destination.Mode{
+	"refuse": destination.Refusing, "shut": destination.Shut, "silent": destination.Silent,
+	"gone": destination.Gone, "failing": destination.Failing,
+}
 
 // happening is something that the timeline does at a time.
 type happening struct {
--- a/internal/faultinjection/scenario/errno.go
+++ b/internal/faultinjection/scenario/errno.go
@@ -9,8 +9,10 @@
 )
 
 // Calls are the kinds of system call on sockets that an event may have fail, by their names in scripts.
-var Calls = map[string]faults.Call{"accept": faults.Accept, "connect": faults.Connect, "socket": faults.Socket, "read": faults.SocketRead,
-	"write": faults.SocketWrite, "wait": faults.Wait}
+var Calls = map[string]faults.Call{
+	"accept": faults.Accept, "connect": faults.Connect, "socket": faults.Socket, "read": faults.SocketRead,
+	"write": faults.SocketWrite, "wait": faults.Wait,
+}
 
 // FolderCalls are those that write to a relay's folder.
 var FolderCalls = []faults.Call{faults.FileWrite, faults.FileSync, faults.FileOpen, faults.FileRename}
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -69,8 +69,10 @@
 }
 
 func newRelay(f *fleet, no int) *relay {
-	return &relay{f: f, no: no, held: map[string]*held{}, known: map[string]policy.Endpoint{}, gone: map[string]time.Duration{},
-		memory: map[string]policy.PersistHealth{}, due: forever, seen: len(f.register.changes)}
+	return &relay{
+		f: f, no: no, held: map[string]*held{}, known: map[string]policy.Endpoint{}, gone: map[string]time.Duration{},
+		memory: map[string]policy.PersistHealth{}, due: forever, seen: len(f.register.changes),
+	}
 }
 
 // start starts a process, which takes up what the one before had taken on.
@@ -112,8 +114,10 @@
 		for i := range h.tried {
 			h.tried[i].NotExecuted = h.tried[i].NotExecuted && h.ended[i]
 		}
-		r.put(policy.Arrived{ID: h.id, Class: h.m.Class, Destination: h.m.Partner, OrderKey: h.m.Item, TimeLeft: h.expires - f.now, Recovered: true,
-			PriorAttempts: slices.Clone(h.tried)})
+		r.put(policy.Arrived{
+			ID: h.id, Class: h.m.Class, Destination: h.m.Partner, OrderKey: h.m.Item, TimeLeft: h.expires - f.now, Recovered: true,
+			PriorAttempts: slices.Clone(h.tried),
+		})
 	}
 	return nil
 }
@@ -384,8 +388,10 @@
 	h.ended = append(h.ended, false)
 	fl := &flight{r: r, life: r.life, held: h, attempt: len(h.tried) - 1, host: to, sent: f.now}
 	h.out = fl
-	fl.call = &destination.Call{ID: h.id, Relay: r.no, Key: h.m.Key, Memory: scenario.Seconds(f.Script.Classes[h.m.Class].Memory),
-		Work: f.Script.Work(f.draws, h.m, h.n*100+fl.attempt), Chance: f.draws.For("chance", h.m.No, h.n, fl.attempt).Float64()}
+	fl.call = &destination.Call{
+		ID: h.id, Relay: r.no, Key: h.m.Key, Memory: scenario.Seconds(f.Script.Classes[h.m.Class].Memory),
+		Work: f.Script.Work(f.draws, h.m, h.n*100+fl.attempt), Chance: f.draws.For("chance", h.m.No, h.n, fl.attempt).Float64(),
+	}
 	timeout := a.Timeout
 	if timeout == 0 {
 		timeout = h.expires - f.now
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -42,8 +42,10 @@
 }
 
 func (e *export) task() lease.Task {
-	return lease.Task{Lease: ExportLease, Reason: "collects undelivered messages in " + e.section.Folder, Again: e.section.Every(),
-		Guard: lease.Fenced("the ledger, a value of the coordination service"), Due: e.due, Turn: e.turn}
+	return lease.Task{
+		Lease: ExportLease, Reason: "collects undelivered messages in " + e.section.Folder, Again: e.section.Every(),
+		Guard: lease.Fenced("the ledger, a value of the coordination service"), Due: e.due, Turn: e.turn,
+	}
 }
 
 // due tells whether the relay keeps something that is not in the export yet.
--- a/internal/fleettask/heartbeat.go
+++ b/internal/fleettask/heartbeat.go
@@ -33,7 +33,8 @@
 // token.
 func beat(b *Beat, relay string) lease.Task {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	return lease.Task{Lease: BeatLease, Reason: "tells " + b.URL + " that the fleet lives", Guard: lease.Fenced("the monitor"),
+	return lease.Task{
+		Lease: BeatLease, Reason: "tells " + b.URL + " that the fleet lives", Guard: lease.Fenced("the monitor"),
 		Again: b.Every(), Turn: func(ctx context.Context, h *lease.Hold) error {
 			for {
 				act, err := h.Act(ctx, b.Within())
@@ -52,7 +53,8 @@
 					return ctx.Err()
 				}
 			}
-		}}
+		},
+	}
 }
 
 // post sends one beat. Whether it arrived does not matter: the next one comes.
--- a/internal/fleettask/ledger.go
+++ b/internal/fleettask/ledger.go
@@ -72,8 +72,10 @@
 		}
 		return '_'
 	}, relay)
-	head := SliceHead{Version: LedgerVersion, Name: fmt.Sprintf("slice-%016x-%08d-%s.jsonl", token, l.Slices+1, safe), Before: l.Head, Relay: relay,
-		Store: store, Token: token, From: from, To: to, Records: records}
+	head := SliceHead{
+		Version: LedgerVersion, Name: fmt.Sprintf("slice-%016x-%08d-%s.jsonl", token, l.Slices+1, safe), Before: l.Head, Relay: relay,
+		Store: store, Token: token, From: from, To: to, Records: records,
+	}
 	next := Ledger{Version: LedgerVersion, Head: head.Name, Slices: l.Slices + 1, Records: l.Records + records, Places: maps.Clone(l.Places)}
 	if next.Places == nil {
 		next.Places = map[string]Place{}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -134,8 +134,10 @@
 	}
 	// The client counts from when it sent; no class gives a message more than its deadline.
 	whole := settings.Seconds(min(left, class.Deadline.Seconds()))
-	return &Submission{ReceivedAt: now, TimeLeft: whole, Response: make(chan Response, 1), Retry: retry, Entry: &journal.Entry{ID: id, Class: name, Destination: no, IdempotencyKey: key, OrderKey: item,
-		Tenant: value["Tenant"]}}, 0, nil
+	return &Submission{ReceivedAt: now, TimeLeft: whole, Response: make(chan Response, 1), Retry: retry, Entry: &journal.Entry{
+		ID: id, Class: name, Destination: no, IdempotencyKey: key, OrderKey: item,
+		Tenant: value["Tenant"],
+	}}, 0, nil
 }
 
 // itemOf gives what a message of a class in order is about: messages with one item take turns. Empty: it is free of order.
--- a/internal/frontend/http1/conns.go
+++ b/internal/frontend/http1/conns.go
@@ -400,7 +400,8 @@
 // answer writes an answer without a body, and tells whether it went out.
 func (c *client) answer(v frontend.Response) bool {
 	r := http.Response{StatusCode: v.Status, ProtoMajor: 1, ProtoMinor: 1, Close: v.Close, Header: http.Header{
-		"Date": {time.Now().UTC().Format(http.TimeFormat)}}}
+		"Date": {time.Now().UTC().Format(http.TimeFormat)},
+	}}
 	if v.RetryAfter > 0 {
 		r.Header.Set("Retry-After", strconv.FormatFloat(v.RetryAfter.Seconds(), 'f', 3, 64))
 	}
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -60,8 +60,10 @@
 // New makes a server; admit gets each message that passes the check, and refused hears of those for which there is no
 // room to read them.
 func New(c Config, admit func(*frontend.Submission), refused func(class string)) *Server {
-	s := &Server{stance: c.Mode, admit: admit, refused: refused, closed: c.OnClose, memory: budget{left: max(frontend.MaxBodySize, int(bodyShare*c.MemoryMB*(1<<20)))},
-		room: c.MaxConns, keep: c.MaxIdleConns, clients: map[*client]bool{}}
+	s := &Server{
+		stance: c.Mode, admit: admit, refused: refused, closed: c.OnClose, memory: budget{left: max(frontend.MaxBodySize, int(bodyShare*c.MemoryMB*(1<<20)))},
+		room: c.MaxConns, keep: c.MaxIdleConns, clients: map[*client]bool{},
+	}
 	s.left.L = &s.mu
 	s.SetValidator(c.Validator)
 	return s
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -35,8 +35,10 @@
 	kinds                                // their number
 )
 
-var names = [kinds]string{"send_after_end", "send_after_deadline", "send_unrecorded", "second_attempt", "unsafe_repeat",
-	"expired_key_repeat", "end_twice", "end_overdue", "end_unrecorded", "resumed_after_end", "closed_unanswered", "mixed_clocks"}
+var names = [kinds]string{
+	"send_after_end", "send_after_deadline", "send_unrecorded", "second_attempt", "unsafe_repeat",
+	"expired_key_repeat", "end_twice", "end_overdue", "end_unrecorded", "resumed_after_end", "closed_unanswered", "mixed_clocks",
+}
 
 func (k Kind) String() string { return names[k] }
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -191,8 +191,10 @@
 
 // load replays a folder's journal, an empty one where there is none, and gives how many bytes at its end can't be read.
 func load(dir string) (j *Journal, rest int, err error) {
-	j = &Journal{path: filepath.Join(dir, Name), entries: map[string]*Entry{}, health: map[string]Health{},
-		terms: map[int]policy.Class{}}
+	j = &Journal{
+		path: filepath.Join(dir, Name), entries: map[string]*Entry{}, health: map[string]Health{},
+		terms: map[int]policy.Class{},
+	}
 	raw, err := os.ReadFile(j.path)
 	if err != nil {
 		return j, 0, fmt.Errorf("journal: %w", err)
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -39,9 +39,11 @@
 
 // NewClient makes a client of a cluster's members. A time to live is that of its session.
 func NewClient(name, cluster string, members []coord.Member, ttl, guard time.Duration, log *slog.Logger) *Client {
-	return &Client{caller: api.NewCaller(cluster), members: members, log: log, wake: make(chan struct{}, 1), open: map[uint64]*Act{},
+	return &Client{
+		caller: api.NewCaller(cluster), members: members, log: log, wake: make(chan struct{}, 1), open: map[uint64]*Act{},
 		changed: make(chan struct{}), puts: map[uint64]chan PutEnd{},
-		core: New(Config{Name: name, TTL: ttl, Guard: guard, Timeout: min(callWithin, ttl/4), Servers: len(members), Seed: rand.Uint64()})}
+		core: New(Config{Name: name, TTL: ttl, Guard: guard, Timeout: min(callWithin, ttl/4), Servers: len(members), Seed: rand.Uint64()}),
+	}
 }
 
 // with does something with the core, and lets Run see to what follows.
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -108,8 +108,10 @@
 
 // New makes a core that wants nothing.
 func New(cfg Config) *Core {
-	c := &Core{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 0x6c65617365)), want: map[string]*wanted{}, acts: map[uint64]Permit{},
-		calls: map[uint64]call{}}
+	c := &Core{
+		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 0x6c65617365)), want: map[string]*wanted{}, acts: map[uint64]Permit{},
+		calls: map[uint64]call{},
+	}
 	c.forget()
 	if cfg.Servers > 0 {
 		c.server = c.rand.IntN(cfg.Servers)
--- a/internal/notification/notification.go
+++ b/internal/notification/notification.go
@@ -57,9 +57,13 @@
 
 // New posts to a discovery's address once it runs; done gets the ids of what was received.
 func New(discovery string, done func([]string)) *Notifier {
-	n := &Notifier{url: outcomesAt(discovery), done: done, moved: make(chan struct{}),
-		client: &http.Client{Timeout: noticeTimeout, Transport: &http.Transport{MaxConnsPerHost: noticePosts,
-			MaxIdleConnsPerHost: noticePosts, IdleConnTimeout: 5 * time.Second}}}
+	n := &Notifier{
+		url: outcomesAt(discovery), done: done, moved: make(chan struct{}),
+		client: &http.Client{Timeout: noticeTimeout, Transport: &http.Transport{
+			MaxConnsPerHost:     noticePosts,
+			MaxIdleConnsPerHost: noticePosts, IdleConnTimeout: 5 * time.Second,
+		}},
+	}
 	n.more.L = &n.mu
 	return n
 }
--- a/internal/relay/arrive.go
+++ b/internal/relay/arrive.go
@@ -60,8 +60,10 @@
 	m := &message{Entry: a.Entry, verdicts: []chan frontend.Response{a.Response}, retry: a.Retry}
 	l.messages[m.ID] = m
 	l.fresh = append(l.fresh, m)
-	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Destination, OrderKey: m.OrderKey,
-		TimeLeft: m.Deadline.Sub(l.timeline.Now())})
+	l.events = append(l.events, policy.Arrived{
+		ID: m.ID, Class: l.class(m.Class), Destination: m.Destination, OrderKey: m.OrderKey,
+		TimeLeft: m.Deadline.Sub(l.timeline.Now()),
+	})
 }
 
 // unacceptable says why a message is refused before the module hears of it.
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -72,8 +72,10 @@
 		return
 	}
 	s.m.begun = time.Now()
-	l.note(trace.Event{Kind: trace.AttemptStarted, ID: s.m.ID, Class: s.m.Class, Destination: s.m.Destination, Endpoint: s.host.Host, Count: s.attempt + 1,
-		LeftMs: milliseconds(s.m.Deadline.Sub(l.timeline.Now()))})
+	l.note(trace.Event{
+		Kind: trace.AttemptStarted, ID: s.m.ID, Class: s.m.Class, Destination: s.m.Destination, Endpoint: s.host.Host, Count: s.attempt + 1,
+		LeftMs: milliseconds(s.m.Deadline.Sub(l.timeline.Now())),
+	})
 	l.begin(s, l.pool.Call)
 }
 
@@ -82,9 +84,11 @@
 	ctx, cancel := context.WithCancel(l.calls)
 	begun := s.m.begun
 	s.m.call, s.m.cancel, s.m.unsend = s, cancel, new(atomic.Bool)
-	r := upstream.Request{Target: upstream.Target{Endpoint: s.host.Host, Addr: s.host.Dial}, ID: s.m.ID, IdempotencyKey: s.m.IdempotencyKey, Body: s.m.Body,
+	r := upstream.Request{
+		Target: upstream.Target{Endpoint: s.host.Host, Addr: s.host.Dial}, ID: s.m.ID, IdempotencyKey: s.m.IdempotencyKey, Body: s.m.Body,
 		Timeout: max(s.timeout-time.Since(begun), time.Millisecond), WriteBy: s.writeBy, CancelBeforeSend: s.m.unsend,
-		Deadline: l.timeline.TimeOf(s.m.Deadline), OnDeadline: func() { l.put(timeUp{s.m.ID}) }}
+		Deadline: l.timeline.TimeOf(s.m.Deadline), OnDeadline: func() { l.put(timeUp{s.m.ID}) },
+	}
 	l.out++
 	go func() {
 		defer cancel()
--- a/internal/relay/keep.go
+++ b/internal/relay/keep.go
@@ -183,9 +183,11 @@
 		k.more.Wait()
 	}
 	k.tick = false
-	return todo{wait: slices.Clone(k.wait[:min(len(k.wait), keepBatch)]), back: slices.Clone(k.back), drop: slices.Clone(k.drop),
+	return todo{
+		wait: slices.Clone(k.wait[:min(len(k.wait), keepBatch)]), back: slices.Clone(k.back), drop: slices.Clone(k.drop),
 		notes: slices.Clone(k.notes[:min(len(k.notes), keepBatch)]), refused: maps.Clone(k.refused),
-		turned: slices.Clone(k.turned[:min(len(k.turned), keepBatch)])}, !k.ended
+		turned: slices.Clone(k.turned[:min(len(k.turned), keepBatch)]),
+	}, !k.ended
 }
 
 // set changes what take waits for.
@@ -440,9 +442,11 @@
 )
 
 // outcomes are the names of outcomes in records.
-var outcomes = map[policy.Outcome]string{policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
+var outcomes = map[policy.Outcome]string{
+	policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
 	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.ConnectionReset: "reset", policy.Canceled: "given up",
-	policy.NotSent: "not sent"}
+	policy.NotSent: "not sent",
+}
 
 // reason says why a message ends undelivered.
 func (l *loop) reason(m *message, status string) deadletter.Reason {
@@ -467,8 +471,10 @@
 
 // life is what this relay knows of one time that a message was taken on.
 func (l *loop) life(m *message) deadletter.Life {
-	life := deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(), Over: m.CompletedAt.Time(),
-		Reason: deadletter.Reason(m.Reason), Status: m.PendingNotice.Status}
+	life := deadletter.Life{
+		ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(), Over: m.CompletedAt.Time(),
+		Reason: deadletter.Reason(m.Reason), Status: m.PendingNotice.Status,
+	}
 	if life.Taken.IsZero() { // taken on by a process that kept no undelivered messages
 		life.Taken = life.Over
 	}
@@ -487,9 +493,13 @@
 
 // record makes the store's record of a message that is over.
 func (l *loop) record(m *message, life deadletter.Life) deadletter.Kept {
-	return deadletter.Kept{Record: deadletter.Record{ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Destination, Key: m.IdempotencyKey, Item: m.OrderKey,
-		Subject: m.Subject, Order: m.Order, Lives: []deadletter.Life{life}, State: deadletter.Held, Since: life.Over, Due: life.Over},
-		Body: m.Body}
+	return deadletter.Kept{
+		Record: deadletter.Record{
+			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Destination, Key: m.IdempotencyKey, Item: m.OrderKey,
+			Subject: m.Subject, Order: m.Order, Lives: []deadletter.Life{life}, State: deadletter.Held, Since: life.Over, Due: life.Over,
+		},
+		Body: m.Body,
+	}
 }
 
 // refusedAt tells the store of a message that is refused at its arrival: it owes the platform nothing, and was in no
@@ -498,9 +508,11 @@
 	if l.keeper == nil || m.Redelivery {
 		return
 	}
-	l.keeper.refuse(l.record(m, deadletter.Life{ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(),
+	l.keeper.refuse(l.record(m, deadletter.Life{
+		ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(),
 		Over:   l.timeline.Now().Time(),
-		Reason: deadletter.AtArrival, Status: status}))
+		Reason: deadletter.AtArrival, Status: status,
+	}))
 }
 
 // tellEnd tells the end of a message that owes one: to the platform, and to the store where one is kept; that of a
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -198,8 +198,10 @@
 		}
 		l.taken(m)
 		l.due.Add(m.ID, m.Deadline)
-		a := policy.Arrived{ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, Background: e.Redelivery, Terms: l.journal.Terms(e),
-			TimeLeft: e.Deadline.Sub(l.timeline.Now())}
+		a := policy.Arrived{
+			ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, Background: e.Redelivery, Terms: l.journal.Terms(e),
+			TimeLeft: e.Deadline.Sub(l.timeline.Now()),
+		}
 		for _, t := range e.Attempts {
 			// An attempt that was out when the process ended may have run.
 			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Endpoint, SentAt: l.sent(t), NotExecuted: t.Ended && t.NotExecuted})
@@ -359,8 +361,10 @@
 	if l.journal.Get(m.ID) == m.Entry {
 		l.journal.EndAttempt(m.Entry, e.NotExecuted(), outcomes[e.Outcome], l.timeline.Now())
 	}
-	l.events = append(l.events, policy.AttemptEnded{ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
-		RetryAfter: e.RetryAfter, Latency: e.took, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown, LoadReport: e.LoadReport})
+	l.events = append(l.events, policy.AttemptEnded{
+		ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.took, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown, LoadReport: e.LoadReport,
+	})
 	switch {
 	case !e.Final || m.over:
 	case e.Outcome == policy.Succeeded:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -84,8 +84,10 @@
 	}
 	defer door.close()
 	for {
-		n := &node{cfg: cfg, dir: dir, ownClasses: cfg.policy.Classes, stance: stance, book: book, violated: violated, door: door,
-			served: make(chan error, 1)}
+		n := &node{
+			cfg: cfg, dir: dir, ownClasses: cfg.policy.Classes, stance: stance, book: book, violated: violated, door: door,
+			served: make(chan error, 1),
+		}
 		if err := n.run(ctx, reread); !errors.Is(err, errOrphan) {
 			return err
 		}
@@ -157,10 +159,12 @@
 		return err
 	}
 	s := cfg.Settings
-	l := &loop{cfg: cfg, d: d, journal: kept, inbox: make(chan any, inboxSize), timeline: kept.Timeline(), steps: clock.NewStepDetector(kept.Timeline()), calls: n.live,
+	l := &loop{
+		cfg: cfg, d: d, journal: kept, inbox: make(chan any, inboxSize), timeline: kept.Timeline(), steps: clock.NewStepDetector(kept.Timeline()), calls: n.live,
 		book: n.book, violated: n.violated, stance: n.stance, parked: map[string]*net.TCPConn{},
 		messages: map[string]*message{}, hosts: map[string]discovery.Endpoint{}, dests: map[int]bool{},
-		pool: http1.New(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout, cfg.hostRoom())}
+		pool: http1.New(settings.Seconds(s.Limits.ConnTimeoutS), cfg.policy.IdleConnTimeout, cfg.hostRoom()),
+	}
 	l.pool.OnWritten = func() { l.book.AttemptsSent.Add(1) }
 	l.watch = discovery.NewWatcher(cfg.Discovery, func(m discovery.EndpointList, from string) { l.put(told{m, from}) },
 		func(lines int) { l.put(watchEnded{lines}) })
@@ -190,8 +194,10 @@
 		}
 	}
 	n.l = l
-	n.srv = front.New(front.Config{Validator: cfg.clientCheck(), Mode: n.stance, MemoryMB: cfg.Limits.MemoryMB, MaxConns: cfg.clientRoom(),
-		MaxIdleConns: cfg.idleRoom(), OnClose: func(why string) { l.note(trace.Event{Kind: trace.ConnClosed, Reason: why}) }}, func(a *frontend.Submission) { l.put(a) }, func(class string) { l.put(refusedUnread{class}) })
+	n.srv = front.New(front.Config{
+		Validator: cfg.clientCheck(), Mode: n.stance, MemoryMB: cfg.Limits.MemoryMB, MaxConns: cfg.clientRoom(),
+		MaxIdleConns: cfg.idleRoom(), OnClose: func(why string) { l.note(trace.Event{Kind: trace.ConnClosed, Reason: why}) },
+	}, func(a *frontend.Submission) { l.put(a) }, func(class string) { l.put(refusedUnread{class}) })
 	l.recheck = n.srv.SetValidator
 	if n.listener, err = listen(cfg); err != nil {
 		return fmt.Errorf("listen: %w", err)
--- a/internal/relay/resend.go
+++ b/internal/relay/resend.go
@@ -36,15 +36,19 @@
 
 // ResendClasses are the settings' classes in the terms of the store of undelivered messages.
 func (cfg *Config) ResendClasses(own *deadletter.Section) (classes []deadletter.Class) {
-	effects := map[policy.Idempotency]deadletter.Effect{policy.Idempotent: deadletter.Safe, policy.IdempotentByKey: deadletter.Keyed,
-		policy.NotIdempotent: deadletter.Unsafe}
+	effects := map[policy.Idempotency]deadletter.Effect{
+		policy.Idempotent: deadletter.Safe, policy.IdempotentByKey: deadletter.Keyed,
+		policy.NotIdempotent: deadletter.Unsafe,
+	}
 	for _, c := range cfg.policy.Classes {
 		if c.Retired {
 			continue
 		}
 		subject := slices.ContainsFunc(own.Subjects, func(s deadletter.Subject) bool { return s.Class == c.Name })
-		classes = append(classes, deadletter.Class{Name: c.Name, Effect: effects[c.Idempotency], Memory: c.KeyTTL,
-			Attempts: cfg.policy.MaxAttempts, Subject: subject, Returns: own.ClientsReturn == nil || *own.ClientsReturn})
+		classes = append(classes, deadletter.Class{
+			Name: c.Name, Effect: effects[c.Idempotency], Memory: c.KeyTTL,
+			Attempts: cfg.policy.MaxAttempts, Subject: subject, Returns: own.ClientsReturn == nil || *own.ClientsReturn,
+		})
 	}
 	return classes
 }
@@ -109,9 +113,11 @@
 			k.result(deadletter.Result{Life: deadletter.Life{ID: o.Life.ID}})
 			continue
 		}
-		k.offer(resend{&journal.Entry{ID: o.Life.ID, Class: o.Record.Class, Destination: o.Record.Partner, Tenant: o.Record.Tenant,
+		k.offer(resend{&journal.Entry{
+			ID: o.Life.ID, Class: o.Record.Class, Destination: o.Record.Partner, Tenant: o.Record.Tenant,
 			IdempotencyKey: o.Record.Key, OrderKey: o.Record.Item, Subject: o.Record.Subject, Order: o.Record.Order, AcceptedAt: clock.FromTime(o.Life.Taken), Deadline: clock.FromTime(o.Life.Expires),
-			Body: body, Redelivery: true}})
+			Body: body, Redelivery: true,
+		}})
 	}
 	return err
 }
@@ -136,8 +142,10 @@
 	}
 	l.messages[m.ID] = m
 	l.fresh = append(l.fresh, m)
-	l.events = append(l.events, policy.Arrived{ID: m.ID, Class: l.class(m.Class), Destination: m.Destination, OrderKey: m.OrderKey, Background: true,
-		TimeLeft: m.Deadline.Sub(l.timeline.Now())})
+	l.events = append(l.events, policy.Arrived{
+		ID: m.ID, Class: l.class(m.Class), Destination: m.Destination, OrderKey: m.OrderKey, Background: true,
+		TimeLeft: m.Deadline.Sub(l.timeline.Now()),
+	})
 }
 
 // giveBack tells the store that a resend never left, and by which newer message it was overtaken if it was.
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -22,8 +22,10 @@
 	if l.trace == nil {
 		return
 	}
-	t := trace.Event{Kind: trace.AttemptEnded, ID: m.ID, Class: m.Class, Destination: m.Destination, Endpoint: e.host, Outcome: outcomes[e.Outcome], Count: e.attempt + 1,
-		Ms: float64(e.took.Microseconds()) / 1000, NewConn: e.NewConn, WaitMs: float64(e.RetryAfter.Microseconds()) / 1000}
+	t := trace.Event{
+		Kind: trace.AttemptEnded, ID: m.ID, Class: m.Class, Destination: m.Destination, Endpoint: e.host, Outcome: outcomes[e.Outcome], Count: e.attempt + 1,
+		Ms: float64(e.took.Microseconds()) / 1000, NewConn: e.NewConn, WaitMs: float64(e.RetryAfter.Microseconds()) / 1000,
+	}
 	if e.LoadReport != nil {
 		t.Left, t.Limit = e.LoadReport.Remaining, e.LoadReport.RateLimit
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -93,8 +93,10 @@
 
 var (
 	effects = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NotIdempotent}
-	weights = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal,
-		"rough": policy.WeightsRough}
+	weights = map[string]policy.Weights{
+		"off": policy.WeightsOff, "nominal": policy.WeightsNominal,
+		"rough": policy.WeightsRough,
+	}
 )
 
 // Policy translates the settings into the policy's terms.
@@ -130,10 +132,12 @@
 		if !ok {
 			return p, fmt.Errorf("settings: categories[%d].idempotency: unknown effect %q", i, c.Idempotency)
 		}
-		p.Classes = append(p.Classes, policy.Class{Name: c.Name, LatencyObjective: Seconds(c.AimS),
+		p.Classes = append(p.Classes, policy.Class{
+			Name: c.Name, LatencyObjective: Seconds(c.AimS),
 			Deadline: Seconds(c.DeadlineS), PriorityWeight: c.Points, LateFraction: c.LateShare,
 			ExponentialDecay: s.Specifics.LosesWorth == "halving", Idempotency: effect, KeyPerZone: c.Group != "all",
-			KeyTTL: Seconds(c.MemorySpanS), Ordered: c.FifoByKey})
+			KeyTTL: Seconds(c.MemorySpanS), Ordered: c.FifoByKey,
+		})
 	}
 	for i := range s.Shapes {
 		k := policy.DestinationKind{MaxBatch: 1}
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -137,11 +137,15 @@
 func (s *session) event(name string, f *fields) policy.Event {
 	switch name {
 	case "call":
-		return policy.Arrived{ID: f.text(2), TimeLeft: f.seconds(8), OrderKey: f.text(9), Class: int(f.whole(10)),
-			Destination: int(f.whole(11))}
+		return policy.Arrived{
+			ID: f.text(2), TimeLeft: f.seconds(8), OrderKey: f.text(9), Class: int(f.whole(10)),
+			Destination: int(f.whole(11)),
+		}
 	case "answer":
-		e := policy.AttemptEnded{ID: f.text(2), Endpoint: f.text(3), Attempt: int(f.whole(4)),
-			Outcome: f.outcome(5), Latency: f.seconds(7), Final: f.truth(8), LoadReport: f.report(9)}
+		e := policy.AttemptEnded{
+			ID: f.text(2), Endpoint: f.text(3), Attempt: int(f.whole(4)),
+			Outcome: f.outcome(5), Latency: f.seconds(7), Final: f.truth(8), LoadReport: f.report(9),
+		}
 		if e.Outcome == policy.Rejected {
 			e.RetryAfter = time.Duration(f.number(6) * float64(time.Millisecond))
 		}
@@ -288,9 +292,11 @@
 	for _, row := range rows {
 		e := &fields{raw: row}
 		state := e.text(4)
-		list = append(list, policy.Endpoint{Kind: int(e.whole(0)), Destination: int(e.whole(1)), ID: e.text(2),
+		list = append(list, policy.Endpoint{
+			Kind: int(e.whole(0)), Destination: int(e.whole(1)), ID: e.text(2),
 			Weight: e.number(3), Draining: state == "terminating", Removed: state == "terminated",
-			Zone: int(e.whole(5))})
+			Zone: int(e.whole(5)),
+		})
 		if e.err != nil {
 			f.fail(e.err)
 		}
--- a/internal/syserr/syserr.go
+++ b/internal/syserr/syserr.go
@@ -44,9 +44,11 @@
 var local = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE}
 
 // broken are the errors of a connection that is broken, or cannot be made.
-var broken = []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ETIMEDOUT,
+var broken = []syscall.Errno{
+	syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ETIMEDOUT,
 	syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENETRESET, syscall.ENONET, syscall.EPROTO,
-	syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENOTCONN, syscall.ESHUTDOWN}
+	syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENOTCONN, syscall.ESHUTDOWN,
+}
 
 // table is what each call may meet beside the errors in local.
 var table = [calls]map[Class][]syscall.Errno{
--- a/internal/upstream/http1/http1.go
+++ b/internal/upstream/http1/http1.go
@@ -142,8 +142,10 @@
 
 // New has room for so many connections, and keeps idle ones for less than hostIdle.
 func New(connect, hostIdle time.Duration, room int) *Pool {
-	p := &Pool{dialer: socket.Dialer{Dialer: net.Dialer{KeepAlive: -1}, Timeout: connect}, room: room, idle: map[upstream.Target]*shelf{},
-		keep: time.Duration(idleShare * float64(hostIdle)), out: map[*conn]bool{}}
+	p := &Pool{
+		dialer: socket.Dialer{Dialer: net.Dialer{KeepAlive: -1}, Timeout: connect}, room: room, idle: map[upstream.Target]*shelf{},
+		keep: time.Duration(idleShare * float64(hostIdle)), out: map[*conn]bool{},
+	}
 	p.dials, p.freeze = context.WithCancel(context.Background())
 	return p
 }
--- a/internal/upstream/http2/streams.go
+++ b/internal/upstream/http2/streams.go
@@ -84,8 +84,10 @@
 
 // NewStreams gives the state of a connection whose preface was written.
 func NewStreams() *Streams {
-	return &Streams{next: 1, streams: map[uint32]*stream{}, limit: math.MaxUint32, initial: defaultWindow, frame: defaultFrame,
-		window: defaultWindow}
+	return &Streams{
+		next: 1, streams: map[uint32]*stream{}, limit: math.MaxUint32, initial: defaultWindow, frame: defaultFrame,
+		window: defaultWindow,
+	}
 }
 
 // Open is how many calls are out, and Room how many more may begin now.
--- a/internal/upstream/http2/streams_test.go
+++ b/internal/upstream/http2/streams_test.go
@@ -6,9 +6,10 @@
 	"strings"
 	"testing"
 
-	"frostlink/internal/testseed"
 	"golang.org/x/net/http2"
 	"pgregory.net/rapid"
+
+	"frostlink/internal/testseed"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -103,11 +103,13 @@
 	}
 	for _, no := range sortedKeys(d.dests) {
 		for _, q := range d.dests[no].queues {
-			m := QueueSnapshot{Destination: no, Latency: q.latencies.memory(), WaitUntil: q.waitUntil, HoldUntil: q.holdUntil, ConnHoldUntil: q.doorUntil,
+			m := QueueSnapshot{
+				Destination: no, Latency: q.latencies.memory(), WaitUntil: q.waitUntil, HoldUntil: q.holdUntil, ConnHoldUntil: q.doorUntil,
 				PausedAt: q.pausedAt, LimitAt: q.limitAt, Limit: q.limit, Rejections: q.fulls, FirstRejection: q.firstFull, LastOK: q.lastOK, Failures: q.failures,
 				Weight: q.weight, SendRate: q.pace, Tokens: q.tokens,
 				TokensAt: q.tokensAt, Arrivals: q.arrivals.memory(), Misses: q.misses.memory(), ShadowWork: q.copyWork,
-				ShadowAt: q.copyAt, Unhealthy: q.ill}
+				ShadowAt: q.copyAt, Unhealthy: q.ill,
+			}
 			if q.apart && len(q.eps) > 0 {
 				m.Route = q.eps[0].ID
 			}
@@ -116,10 +118,12 @@
 	}
 	for _, id := range sortedKeys(d.endpoints) {
 		ep := d.endpoints[id]
-		mem.Endpoints = append(mem.Endpoints, EndpointSnapshot{ID: id, Failures: ep.failures, ClassFailures: slices.Clone(ep.strikes),
+		mem.Endpoints = append(mem.Endpoints, EndpointSnapshot{
+			ID: id, Failures: ep.failures, ClassFailures: slices.Clone(ep.strikes),
 			Unhealthy: ep.sick, UnhealthySince: ep.sickAt, Recovered: ep.recovered, SlowStart: ep.ramping, Tokens: ep.tokens,
 			TokensAt: ep.tokensAt, LastOK: ep.lastOK, LastUsed: ep.lastUsed, LastBegun: ep.lastBegun, LastLatency: ep.lastTook,
-			ConnLimit: ep.connCap})
+			ConnLimit: ep.connCap,
+		})
 	}
 	for kind, p := range d.pools {
 		mem.Kinds[kind] = p.memory()
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -91,9 +91,11 @@
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	d := &Dispatcher{s: s, endpoints: map[string]*endpoint{}, dests: map[int]*destination{},
+	d := &Dispatcher{
+		s: s, endpoints: map[string]*endpoint{}, dests: map[int]*destination{},
 		messages: map[string]*message{}, keys: map[string][]*message{},
-		pools: map[int]*latencies{}, chance: rand.New(rand.NewPCG(uint64(seed), 0)), resub: never}
+		pools: map[int]*latencies{}, chance: rand.New(rand.NewPCG(uint64(seed), 0)), resub: never,
+	}
 	if s.WatchEndpoints {
 		d.resub = 0 // at once
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -211,8 +211,10 @@
 		return nil
 	}
 	d.seq++
-	m := &message{Arrived: e, class: &d.s.Classes[e.Class], seq: d.seq,
-		expires: d.now + e.TimeLeft}
+	m := &message{
+		Arrived: e, class: &d.s.Classes[e.Class], seq: d.seq,
+		expires: d.now + e.TimeLeft,
+	}
 	if e.Terms != nil {
 		m.class = e.Terms.stricter(m.class)
 	}
@@ -242,8 +244,10 @@
 		ep := d.endpoints[t.Endpoint]
 		if ep == nil {
 			// Its zone is not known any more: a repeat that has to stay in it has nowhere to go.
-			ep = &endpoint{Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: nowhere, Removed: true},
-				q: d.dest(m.Destination).queues[0], strikes: make([]float64, len(d.s.Classes))}
+			ep = &endpoint{
+				Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: nowhere, Removed: true},
+				q:        d.dest(m.Destination).queues[0], strikes: make([]float64, len(d.s.Classes)),
+			}
 		}
 		c := &call{ep: ep, sent: t.SentAt, msgs: []*message{m}}
 		m.attempts = append(m.attempts, attempt{call: c, sent: t.SentAt, unrun: t.NotExecuted, open: t.InFlight})
@@ -434,8 +438,10 @@
 
 // addQueue adds a queue to a destination.
 func (d *Dispatcher) addQueue(dest *destination, bundle int, apart bool) *queue {
-	q := &queue{dest: dest, latencies: latencies{class: make([]float64, len(d.s.Classes))}, bundle: max(1, bundle), apart: apart,
-		bucket: bucket{tokensAt: d.now}, arrivals: aged{since: d.now}, misses: aged{since: d.now}}
+	q := &queue{
+		dest: dest, latencies: latencies{class: make([]float64, len(d.s.Classes))}, bundle: max(1, bundle), apart: apart,
+		bucket: bucket{tokensAt: d.now}, arrivals: aged{since: d.now}, misses: aged{since: d.now},
+	}
 	dest.queues = append(dest.queues, q)
 	d.queues = append(d.queues, q)
 	return q
