--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -34,15 +34,15 @@
 	holds := func(name string) func() bool {
 		return func() bool { _, ok := clients[name].Holds("x"); return ok }
 	}
-	clients["a"].Want("x", "test")
+	clients["a"].Request("x", "test")
 	servertest.Eventually(t, "a holds", holds("a"))
-	clients["b"].Want("x", "test")
+	clients["b"].Request("x", "test")
 	act, err := clients["a"].Act(ctx, "x", 100*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := act.Token
-	clients["a"].Drop("x", "")
+	clients["a"].Release("x", "")
 	if _, err := clients["a"].Act(ctx, "x", time.Millisecond); err == nil {
 		t.Error("a may act on although it gives the lease back")
 	}
@@ -64,8 +64,8 @@
 		t.Errorf("the lease was lost by a change of leader: token %d, then %d", was, now)
 	}
 	c.Start(old, nil)
-	clients["b"].Drop("x", "")
-	clients["a"].Want("x", "test")
+	clients["b"].Release("x", "")
+	clients["a"].Request("x", "test")
 	servertest.Eventually(t, "a holds again", holds("a"))
 	list, err := c.Lead(api.PathRead, api.Request{Query: &api.Query{Leases: "*", History: "x"}})
 	if err != nil || len(list.Leases) != 1 || list.Leases[0].Holder != "a" || len(list.History) < 5 {
@@ -75,8 +75,8 @@
 
 func TestTaskWithoutGuard(t *testing.T) {
 	c := lease.NewClient("a", "c", nil, time.Second, 0, slog.Default())
-	if err := c.Keep(context.Background(), lease.Task{Lease: "x"}); err == nil {
-		t.Error("a task that says neither Fenced nor Harmless is kept")
+	if err := c.RunTask(context.Background(), lease.Task{Lease: "x"}); err == nil {
+		t.Error("a task that says neither Fenced nor Idempotent is run")
 	}
 }
 
--- a/internal/faultinjection/coordsim/clients.go
+++ b/internal/faultinjection/coordsim/clients.go
@@ -70,13 +70,13 @@
 	for _, name := range c.names {
 		switch {
 		case c.run.calm || w.chance(0.6):
-			c.core.Want(name, "drawn")
+			c.core.Request(name, "drawn")
 		case w.chance(0.4):
 			to := c.run.clients[w.rand.IntN(len(c.run.clients))].name
 			c.run.handed = append(c.run.handed, handed{name, to, w.now})
-			c.core.Drop(name, to)
+			c.core.Release(name, to)
 		default:
-			c.core.Drop(name, "")
+			c.core.Release(name, "")
 		}
 	}
 	w.after(w.between(20*time.Millisecond, 3*time.Second), &c.process, func() {
@@ -92,7 +92,7 @@
 }
 
 func (c *client) hinted() {
-	c.core.Hint(c.run.world.clock(&c.process))
+	c.core.HandleHint(c.run.world.clock(&c.process))
 	c.step()
 }
 
@@ -100,7 +100,7 @@
 func (c *client) step() {
 	w := c.run.world
 	now := w.clock(&c.process)
-	for _, p := range c.core.Cancelled(now) {
+	for _, p := range c.core.ExpiredActs(now) {
 		for _, a := range slices.Clone(c.acts) {
 			if a.permit == p {
 				c.done(a)
@@ -156,7 +156,7 @@
 		a.end = c.run.world.now
 	}
 	c.acts = slices.DeleteFunc(c.acts, func(b *act) bool { return a == b })
-	c.core.Done(c.run.world.clock(&c.process), a.permit)
+	c.core.EndAct(c.run.world.clock(&c.process), a.permit)
 }
 
 // still stops all that the process does: for checks its acts end here.
@@ -188,11 +188,11 @@
 		m.call(&c.process, c, command, func(r reply) {
 			now := w.clock(&c.process)
 			if r.ok {
-				c.core.Answered(now, call.ID, r.result)
+				c.core.HandleResult(now, call.ID, r.result)
 				c.heard(command, r.result, sent)
 			} else {
-				c.core.Extend(r.leader + 1) // who leads is told with its address
-				c.core.Failed(now, call.ID, r.leader)
+				c.core.SetServers(r.leader + 1) // who leads is told with its address
+				c.core.HandleFailure(now, call.ID, r.leader)
 			}
 			c.step()
 		})
--- a/internal/faultinjection/coordsim/run.go
+++ b/internal/faultinjection/coordsim/run.go
@@ -154,7 +154,7 @@
 		}
 		w.after(0, &c.process, func() { // all want all they may
 			for _, name := range c.names {
-				c.core.Want(name, "calm")
+				c.core.Request(name, "calm")
 			}
 			c.step()
 		})
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -43,8 +43,8 @@
 
 func (e *export) task() lease.Task {
 	return lease.Task{
-		Lease: ExportLease, Reason: "collects undelivered messages in " + e.section.Folder, Again: e.section.Every(),
-		Guard: lease.Fenced("the ledger, a value of the coordination service"), Due: e.due, Turn: e.turn,
+		Lease: ExportLease, Reason: "collects undelivered messages in " + e.section.Folder, Interval: e.section.Every(),
+		Guard: lease.Fenced("the ledger, a value of the coordination service"), Due: e.due, Run: e.turn,
 	}
 }
 
--- a/internal/fleettask/export_test.go
+++ b/internal/fleettask/export_test.go
@@ -89,7 +89,7 @@
 		client := lease.NewClient(relay, servertest.Name, c.Members, 2*time.Second, 50*time.Millisecond, slog.Default())
 		task := newExport(&Export{Folder: folder, EveryS: 0.02}, relay, client, func() *deadletter.Store { return stores[relay] }).task()
 		work.Go(func() { client.Run(ctx) })
-		work.Go(func() { _ = client.Keep(ctx, task) }) // ends with its context
+		work.Go(func() { _ = client.RunTask(ctx, task) }) // ends with its context
 		return client
 	}
 	defer work.Wait()
@@ -141,7 +141,7 @@
 		t.Helper()
 		var act *lease.Act
 		servertest.Eventually(t, e.relay+" holds", func() bool {
-			e.client.Want(ExportLease, "test")
+			e.client.Request(ExportLease, "test")
 			var err error
 			act, err = e.client.Act(ctx, ExportLease, 100*time.Millisecond)
 			return err == nil
@@ -154,9 +154,9 @@
 		t.Fatalf("%v, %v", paused, err)
 	}
 	first.End()
-	a.client.Want("other", "keeps its session") // so that the service is asked
+	a.client.Request("other", "keeps its session") // so that the service is asked
 	servertest.Eventually(t, "a's other lease", func() bool { _, ok := a.client.Holds("other"); return ok })
-	a.client.Drop(ExportLease, "")
+	a.client.Release(ExportLease, "")
 	second := act(b)
 	next, err := b.look(ctx, sliceMost)
 	if err != nil || next == nil {
--- a/internal/fleettask/fleettask.go
+++ b/internal/fleettask/fleettask.go
@@ -42,7 +42,7 @@
 	defer work.Wait()
 	for _, t := range f.tasks() {
 		work.Go(func() {
-			if err := f.client.Keep(ctx, t); err != nil && ctx.Err() == nil {
+			if err := f.client.RunTask(ctx, t); err != nil && ctx.Err() == nil {
 				slog.Error("a fleet task", "lease", t.Lease, "err", err)
 			}
 		})
--- a/internal/fleettask/heartbeat.go
+++ b/internal/fleettask/heartbeat.go
@@ -35,7 +35,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	return lease.Task{
 		Lease: BeatLease, Reason: "tells " + b.URL + " that the fleet lives", Guard: lease.Fenced("the monitor"),
-		Again: b.Every(), Turn: func(ctx context.Context, h *lease.Hold) error {
+		Interval: b.Every(), Run: func(ctx context.Context, h *lease.Hold) error {
 			for {
 				act, err := h.Act(ctx, b.Within())
 				pause := retryAct
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -14,7 +14,7 @@
 func ResendLease(partner int) string { return fmt.Sprint("resend/", partner) }
 
 // ResendGuard says why a resend that leaves late does no harm.
-var ResendGuard = lease.Harmless("a resend is a message like any other: module, journal and rules see to it that it is never sent " +
+var ResendGuard = lease.Idempotent("a resend is a message like any other: module, journal and rules see to it that it is never sent " +
 	"against its class, and a late one costs the partner one call more")
 
 // roundCost is how long a round of resends may take from its first look to its last offer.
@@ -84,10 +84,10 @@
 		})
 		r.mu.Unlock()
 		for _, partner := range want {
-			r.client.Want(ResendLease(partner), "resends what was not delivered; "+ResendGuard.String())
+			r.client.Request(ResendLease(partner), "resends what was not delivered; "+ResendGuard.String())
 		}
 		for _, partner := range drop {
-			r.client.Drop(ResendLease(partner), "")
+			r.client.Release(ResendLease(partner), "")
 		}
 	}
 }
--- a/internal/lease/task.go
+++ b/internal/lease/task.go
@@ -5,98 +5,108 @@
 	"errors"
 	"fmt"
 	"time"
+
+	"frostlink/internal/logkey"
+	"frostlink/internal/wait"
+)
+
+// The keys of log attributes that only this package has.
+const (
+	keyLease = "lease"
+	keyToken = "token"
 )
 
-// Guard says what makes an act harmless that a holder, paused between its check and its system call, does after the
-// lease has passed on. There is no default: a task says one of the two.
+// Guard says what makes a late act harmless: one that a holder, paused between its check and its system call, does after the
+// lease has passed on. There is no default: each task states one of the two.
 type Guard struct {
 	fenced bool
-	why    string
+	reason string
 }
 
-// Fenced is for a resource that is given the token with each act and refuses one lower than it has seen.
+// Fenced is for a resource that gets the fencing token with each act, and rejects one lower than it has seen.
 func Fenced(resource string) Guard { return Guard{true, resource} }
 
-// Harmless is for acts that do no harm whoever does them, and how often: the reason says by what.
-func Harmless(reason string) Guard { return Guard{false, reason} }
+// Idempotent is for acts that may be done by anyone, any number of times; the reason says why.
+func Idempotent(reason string) Guard { return Guard{false, reason} }
 
 func (g Guard) String() string {
 	if g.fenced {
-		return "fenced by " + g.why
+		return "fenced by " + g.reason
 	}
-	return "harmless: " + g.why
+	return "harmless: " + g.reason
 }
 
 // Task is work that one process of the fleet does at a time.
 type Task struct {
-	Lease  string
-	Reason string // for people
-	Guard  Guard
-	Again  time.Duration // after its end, before the lease is asked for again
-	// Due tells whether there is anything to do; the lease is not asked for else. nil: there always is.
+	Lease    string
+	Reason   string // for people
+	Guard    Guard
+	Interval time.Duration // between the end of a run and the next request for the lease
+	// Due reports whether there is anything to do; the lease is not requested else. nil: there always is.
 	Due func(ctx context.Context) bool
-	// Turn does the work while the lease is held; its context ends when it is lost. Each act asks Hold.Act. After a
-	// nil error the lease goes to the next who waits.
-	Turn func(ctx context.Context, h *Hold) error
+	// Run does the work while the lease is held; its context ends when the lease is lost. Each act asks Hold.Act. After
+	// a run the lease goes to the next process in the queue.
+	Run func(ctx context.Context, h *Hold) error
 }
 
-// Hold is a lease that is held.
+// Hold is a lease that is held, under one fencing token.
 type Hold struct {
 	client *Client
 	lease  string
 	Token  uint64
 }
 
-// Act allows one act that ends within cost, or says why not.
+// Act allows one act that ends within cost, or returns a RefusedError.
 func (h *Hold) Act(ctx context.Context, cost time.Duration) (*Act, error) {
 	a, err := h.client.Act(ctx, h.lease, cost)
 	if err == nil && a.Token != h.Token {
 		a.End()
-		return nil, Refused("the lease was lost and granted again meanwhile")
+		return nil, errRegranted
 	}
 	return a, err
 }
 
-// ErrNoGuard is the end of a task that does not say what makes a late act harmless.
-var ErrNoGuard = errors.New("it says neither Fenced nor Harmless")
+// ErrMissingGuard is returned for a task that does not say what makes a late act harmless.
+var ErrMissingGuard = errors.New("it says neither Fenced nor Idempotent")
 
-// Keep does a task's turns, one after the other, until its context ends.
-func (c *Client) Keep(ctx context.Context, t Task) error {
-	if t.Guard.why == "" {
-		return fmt.Errorf("task %q: %w", t.Lease, ErrNoGuard)
+// RunTask runs a task each time that its lease is held, until its context ends.
+func (c *Client) RunTask(ctx context.Context, t Task) error {
+	if t.Guard.reason == "" {
+		return fmt.Errorf("task %q: %w", t.Lease, ErrMissingGuard)
 	}
-	defer c.Drop(t.Lease, "")
+	defer c.Release(t.Lease, "")
 	for ctx.Err() == nil {
 		if t.Due == nil || t.Due(ctx) {
-			c.Want(t.Lease, t.Reason)
-			token, ok := c.await(ctx, t.Lease)
-			if !ok {
+			c.Request(t.Lease, t.Reason)
+			token, held := c.awaitLease(ctx, t.Lease)
+			if !held {
 				break
 			}
-			c.log.Info("a fleet task begins", "lease", t.Lease, "token", token)
-			c.turn(ctx, t, token)
-			if g, ok := c.Grant(t.Lease); !ok || g.Token != token {
-				c.log.Warn("a fleet task stopped: its lease was lost", "lease", t.Lease, "token", token)
-			} else {
-				c.log.Info("a fleet task ends its turn", "lease", t.Lease, "token", token)
-			}
-			c.Drop(t.Lease, "")
-		}
-		select {
-		case <-time.After(t.Again):
-		case <-ctx.Done():
+			c.runLogged(ctx, t, token)
+			c.Release(t.Lease, "")
 		}
+		wait.For(ctx, t.Interval)
+	}
+	return fmt.Errorf("task %q: %w", t.Lease, context.Cause(ctx))
+}
+
+// runLogged runs a task once under a token, and logs its beginning and end.
+func (c *Client) runLogged(ctx context.Context, t Task, token uint64) {
+	log := c.log.With(keyLease, t.Lease, keyToken, token)
+	log.Info("a fleet task begins")
+	c.runOnce(ctx, t, token)
+	if grant, held := c.Grant(t.Lease); !held || grant.Token != token {
+		log.Warn("a fleet task stopped: its lease was lost")
+		return
 	}
-	return ctx.Err()
+	log.Info("a fleet task ends its turn")
 }
 
-// await waits until a lease is held.
-func (c *Client) await(ctx context.Context, name string) (token uint64, ok bool) {
+// awaitLease waits until a lease is held, and reports false if the context ends first.
+func (c *Client) awaitLease(ctx context.Context, name string) (token uint64, held bool) {
 	for {
-		c.mu.Lock()
-		changed := c.changed
-		c.mu.Unlock()
-		if token, ok = c.Holds(name); ok {
+		changed := c.nextChangeOfHoldings()
+		if token, held = c.Holds(name); held {
 			return token, true
 		}
 		select {
@@ -107,23 +117,21 @@
 	}
 }
 
-// turn does one turn, and cuts it off when the lease is not held under its token any more.
-func (c *Client) turn(ctx context.Context, t Task, token uint64) {
-	ctx, cut := context.WithCancel(ctx)
-	defer cut()
+// runOnce runs a task once, and cancels it when the lease is not held under its token any more.
+func (c *Client) runOnce(ctx context.Context, t Task, token uint64) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- t.Turn(ctx, &Hold{client: c, lease: t.Lease, Token: token}) }()
+	go func() { done <- t.Run(ctx, &Hold{client: c, lease: t.Lease, Token: token}) }()
 	for {
-		c.mu.Lock()
-		changed := c.changed
-		c.mu.Unlock()
-		if now, ok := c.Holds(t.Lease); !ok || now != token {
-			cut()
+		changed := c.nextChangeOfHoldings()
+		if current, held := c.Holds(t.Lease); !held || current != token {
+			cancel()
 		}
 		select {
 		case err := <-done:
 			if err != nil && !errors.Is(err, context.Canceled) {
-				c.log.Warn("a task's turn failed", "lease", t.Lease, "why", err)
+				c.log.Warn("a fleet task failed", keyLease, t.Lease, logkey.Err, err)
 			}
 			return
 		case <-changed:
