--- a/internal/deadletter/allowed.go
+++ b/internal/deadletter/allowed.go
@@ -17,12 +17,12 @@
 
 // Class is what the rules need to know of a class of message.
 type Class struct {
-	Name     string
-	Effect   Effect
-	Memory   time.Duration // keyed: how long partners drop a repeat
-	Attempts int           // allowed, over the whole lineage
-	Returns  bool          // clients come again with what was handed back to them, to this relay or another
-	Subject  bool          // its messages have a subject, and the newest of one is not to be overwritten
+	Name     string        `json:"Name"`
+	Effect   Effect        `json:"Effect"`
+	Memory   time.Duration `json:"Memory"`   // keyed: how long partners drop a repeat
+	Attempts int           `json:"Attempts"` // allowed, over the whole lineage
+	Returns  bool          `json:"Returns"`  // clients come again with what was handed back to them, to this relay or another
+	Subject  bool          `json:"Subject"`  // its messages have a subject, and the newest of one is not to be overwritten
 }
 
 // keyMargin of a key's memory is not used: the attempt that begins now reaches the partner later, and clocks differ.
--- a/internal/deadletter/config.go
+++ b/internal/deadletter/config.go
@@ -42,13 +42,13 @@
 
 // Subject says where a class's messages tell what they are about, and which of two is the newer.
 type Subject struct {
-	Class   string `toml:"class,required"`
-	Header  string `toml:"header"`  // of the request, or
-	Pointer string `toml:"pointer"` // into a JSON body (RFC 6901)
-	Order   string `toml:"order"`   // number, time (RFC 3339) or arrival
+	Class   string `json:"Class" toml:"class,required"`
+	Header  string `json:"Header" toml:"header"`   // of the request, or
+	Pointer string `json:"Pointer" toml:"pointer"` // into a JSON body (RFC 6901)
+	Order   string `json:"Order" toml:"order"`     // number, time (RFC 3339) or arrival
 	// Where the order stands, unless it is arrival.
-	OrderHeader  string `toml:"order_header"`
-	OrderPointer string `toml:"order_pointer"`
+	OrderHeader  string `json:"OrderHeader" toml:"order_header"`
+	OrderPointer string `json:"OrderPointer" toml:"order_pointer"`
 }
 
 // The orders of a subject's messages.
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -14,7 +14,7 @@
 		goldentest.Form{Name: "listing", Value: &Listing{}}, goldentest.Form{Name: "stats", Value: &Stats{}},
 		goldentest.Form{Name: "verified", Value: &Verified{}}, goldentest.Form{Name: "command", Value: &Command{}},
 		goldentest.Form{Name: "check-order", Value: &CheckOrder{}}, goldentest.Form{Name: "rule-check", Value: &RuleCheck{}},
-		goldentest.Form{Name: "fault", Value: &Fault{}})
+		goldentest.Form{Name: "fault", Value: &Fault{}}, goldentest.Form{Name: "subject", Value: &Subject{}})
 }
 
 // TestGoldenStore: a store that an earlier build has written is opened, and holds what it held.
--- a/internal/deadletter/rules.go
+++ b/internal/deadletter/rules.go
@@ -18,18 +18,18 @@
 
 // Rule says what becomes of messages that match it. What a rule leaves out matches anything.
 type Rule struct {
-	Class      string  `toml:"class"`
-	Tenant     string  `toml:"tenant"`
-	Partner    *int    `toml:"partner"`
-	Reason     string  `toml:"reason"`
-	MayHaveRun *bool   `toml:"may_have_run"`
-	OlderThan  float64 `toml:"older_than_s"` // since it was given up
-	Action     string  `toml:"action,required"`
-	After      float64 `toml:"after_s"`     // resend: since it was last given up
-	Most       int     `toml:"most"`        // resend: lives in all, the first one counted
-	Rate       float64 `toml:"rate"`        // resend: a second and partner
-	Hours      string  `toml:"hours"`       // resend: of the day, as "08:00-18:30", local time
-	Age        float64 `toml:"after_age_s"` // discard: since it was first taken on
+	Class      string  `json:"Class" toml:"class"`
+	Tenant     string  `json:"Tenant" toml:"tenant"`
+	Partner    *int    `json:"Partner" toml:"partner"`
+	Reason     string  `json:"Reason" toml:"reason"`
+	MayHaveRun *bool   `json:"MayHaveRun" toml:"may_have_run"`
+	OlderThan  float64 `json:"OlderThan" toml:"older_than_s"` // since it was given up
+	Action     string  `json:"Action" toml:"action,required"`
+	After      float64 `json:"After" toml:"after_s"`   // resend: since it was last given up
+	Most       int     `json:"Most" toml:"most"`       // resend: lives in all, the first one counted
+	Rate       float64 `json:"Rate" toml:"rate"`       // resend: a second and partner
+	Hours      string  `json:"Hours" toml:"hours"`     // resend: of the day, as "08:00-18:30", local time
+	Age        float64 `json:"Age" toml:"after_age_s"` // discard: since it was first taken on
 	hours      [2]time.Duration
 }
 
