--- a/internal/deadletter/access.go
+++ b/internal/deadletter/access.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// askWithin bounds one question of the tool; verify reads all there is.
-	askWithin = 5 * time.Minute
-	// headWithin bounds how long the relay waits for a question's head: only the relay's own user can ask.
-	headWithin = 5 * time.Second
+	// requestTimeout bounds one question of the tool; verify reads all there is.
+	requestTimeout = 5 * time.Minute
+	// readHeaderTimeout bounds how long the relay waits for a question's head: only the relay's own user can ask.
+	readHeaderTimeout = 5 * time.Second
 )
 
 // Serve answers the tool on a Unix socket of mode 0600 until ctx ends. A socket that an earlier process left behind is
@@ -44,7 +44,7 @@
 		_ = ln.Close()
 		return fmt.Errorf("undelivered: %w", err)
 	}
-	srv := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: headWithin}
+	srv := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("no relay answers at %s: %w", socket, err)
 	}
 	_ = c.Close()
-	return &Access{client: http.Client{Timeout: askWithin, Transport: &http.Transport{
+	return &Access{client: http.Client{Timeout: requestTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 		},
@@ -87,14 +87,14 @@
 		return nil, err
 	}
 	a := &Admin{Store: s, Now: time.Now}
-	return &Access{store: s, client: http.Client{Transport: direct{a.Handler()}}}, nil
+	return &Access{store: s, client: http.Client{Transport: handlerTransport{a.Handler()}}}, nil
 }
 
-// direct answers requests by a handler in this process.
-type direct struct{ http.Handler }
+// handlerTransport answers requests by a handler in this process.
+type handlerTransport struct{ http.Handler }
 
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
-	w := &answer{header: http.Header{}, status: http.StatusOK}
+func (d handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	w := &responseRecorder{header: http.Header{}, status: http.StatusOK}
 	if r.Body == nil {
 		r.Body = http.NoBody
 	}
@@ -102,16 +102,16 @@
 	return &http.Response{StatusCode: w.status, Header: w.header, Body: io.NopCloser(&w.body), Request: r}, nil
 }
 
-// answer collects what a handler writes.
-type answer struct {
+// responseRecorder collects what a handler writes.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *answer) Header() http.Header         { return a.header }
-func (a *answer) WriteHeader(status int)      { a.status = status }
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *responseRecorder) Header() http.Header         { return a.header }
+func (a *responseRecorder) WriteHeader(status int)      { a.status = status }
+func (a *responseRecorder) Write(b []byte) (int, error) { return a.body.Write(b) }
 
 // Close lets go of a folder.
 func (a *Access) Close() error {
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// ask makes one request and decodes its answer.
-func (a *Access) ask(ctx context.Context, method, path string, body, into any) error {
+// request makes one request and decodes its answer.
+func (a *Access) request(ctx context.Context, method, path string, body, into any) error {
 	var in io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
@@ -158,47 +158,47 @@
 	q := f.Query()
 	q.Set("from", fmt.Sprint(from))
 	q.Set("most", fmt.Sprint(most))
-	err = a.ask(ctx, http.MethodGet, "/messages?"+q.Encode(), nil, &l)
+	err = a.request(ctx, http.MethodGet, "/messages?"+q.Encode(), nil, &l)
 	return l, err
 }
 
 // Get gives a message by the id of any of its lives.
 func (a *Access) Get(ctx context.Context, id string) (r *Record, err error) {
 	r = &Record{}
-	return r, a.ask(ctx, http.MethodGet, "/messages/"+url.PathEscape(id), nil, r)
+	return r, a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id), nil, r)
 }
 
 // Body gives a message's body.
 func (a *Access) Body(ctx context.Context, id string) ([]byte, error) {
 	var b struct{ Body []byte }
-	err := a.ask(ctx, http.MethodGet, "/messages/"+url.PathEscape(id)+"/body", nil, &b)
+	err := a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id)+"/body", nil, &b)
 	return b.Body, err
 }
 
 // Do has something done with a message: hold, resend, discard or attest.
 func (a *Access) Do(ctx context.Context, what, id string, c Command) (r *Record, err error) {
 	r = &Record{}
-	return r, a.ask(ctx, http.MethodPost, "/messages/"+url.PathEscape(id)+"/"+what, c, r)
+	return r, a.request(ctx, http.MethodPost, "/messages/"+url.PathEscape(id)+"/"+what, c, r)
 }
 
 // Import hands a message in that was exported, and tells whether it was news.
 func (a *Access) Import(ctx context.Context, e *Exported) (kept bool, err error) {
 	var got struct{ Kept bool }
-	err = a.ask(ctx, http.MethodPost, "/import", e, &got)
+	err = a.request(ctx, http.MethodPost, "/import", e, &got)
 	return got.Kept, err
 }
 
 // Stats gives what the store holds.
 func (a *Access) Stats(ctx context.Context) (s Stats, err error) {
-	return s, a.ask(ctx, http.MethodGet, "/stats", nil, &s)
+	return s, a.request(ctx, http.MethodGet, "/stats", nil, &s)
 }
 
 // Check tells what rules would do with what is in the store now.
 func (a *Access) Check(ctx context.Context, o CheckOrder) (out []RuleCheck, err error) {
-	return out, a.ask(ctx, http.MethodPost, "/check", o, &out)
+	return out, a.request(ctx, http.MethodPost, "/check", o, &out)
 }
 
 // Verify reads all there is.
 func (a *Access) Verify(ctx context.Context) (v Verified, err error) {
-	return v, a.ask(ctx, http.MethodGet, "/verify", nil, &v)
+	return v, a.request(ctx, http.MethodGet, "/verify", nil, &v)
 }
--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/admin.go
@@ -15,9 +15,9 @@
 const (
 	// defaultPage and mostPage are how many messages a page has, and lookPage how many are looked at for it, so that a
 	// filter that few pass does not hold up the store.
-	defaultPage, mostPage, lookPage = 100, 10_000, 200_000
-	// maxOrder bounds what a tool sends, in bytes: an import brings one message a request.
-	maxOrder = 1 << 20
+	defaultPage, maxPage, maxScanned = 100, 10_000, 200_000
+	// maxRequestBody bounds what a tool sends, in bytes: an import brings one message a request.
+	maxRequestBody = 1 << 20
 )
 
 // Filter says which messages are meant. What it leaves out matches anything.
@@ -129,17 +129,17 @@
 	Now   func() time.Time
 	// Classes are the relay's; nil on a stopped one's folder.
 	Classes []Class
-	// anew are those of new settings.
-	anew atomic.Pointer[[]Class]
+	// newClasses are those of new settings.
+	newClasses atomic.Pointer[[]Class]
 	// Changed tells the relay that a message was given to it to resend; nil on a stopped one's folder.
 	Changed func()
 }
 
 // Reclass has the classes be others from now on.
-func (a *Admin) Reclass(classes []Class) { a.anew.Store(&classes) }
+func (a *Admin) Reclass(classes []Class) { a.newClasses.Store(&classes) }
 
-// errRefused says that a command is not done, with the reason.
-type errRefused struct{ error }
+// conflictError says that a command is not done, with the reason.
+type conflictError struct{ error }
 
 // Handler answers the tool's requests.
 func (a *Admin) Handler() http.Handler {
@@ -162,7 +162,7 @@
 		return map[string][]byte{"body": body}, err
 	})
 	handle("POST /messages/{id}/{what}", a.command)
-	handle("POST /import", a.bring)
+	handle("POST /import", a.importMessage)
 	handle("POST /check", a.check)
 	handle("GET /stats", a.stats)
 	handle("GET /verify", func(*http.Request) (any, error) {
@@ -174,7 +174,7 @@
 
 // status is the HTTP status of an error.
 func status(err error) int {
-	refused := errRefused{}
+	refused := conflictError{}
 	switch {
 	case errors.Is(err, ErrUnknown):
 		return http.StatusNotFound
@@ -198,8 +198,8 @@
 	}
 	most := defaultPage
 	if v := q.Get("most"); v != "" {
-		if most, err = strconv.Atoi(v); err != nil || most < 1 || most > mostPage {
-			return nil, fmt.Errorf("%w: most: %q is not from 1 to %d", errBadRequest, v, mostPage)
+		if most, err = strconv.Atoi(v); err != nil || most < 1 || most > maxPage {
+			return nil, fmt.Errorf("%w: most: %q is not from 1 to %d", errBadRequest, v, maxPage)
 		}
 	}
 	from := uint64(0)
@@ -209,7 +209,7 @@
 		}
 	}
 	l := &Listing{}
-	l.Messages, l.Next, l.Damaged, err = a.Store.Page(from, most, lookPage, f.Passes)
+	l.Messages, l.Next, l.Damaged, err = a.Store.Page(from, most, maxScanned, f.Passes)
 	if l.Messages == nil {
 		l.Messages = []*Record{}
 	}
@@ -224,7 +224,7 @@
 // command does what an operator wants done with a message.
 func (a *Admin) command(r *http.Request) (any, error) {
 	var o Command
-	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxOrder)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&o); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	if o.By == "" {
@@ -249,7 +249,7 @@
 // apply changes a record as a command says, and gives when to look at it again.
 func (o *Command) apply(what string, r *Record, now time.Time) (due time.Time, err error) {
 	refuse := func(format string, args ...any) (time.Time, error) {
-		return r.Due, errRefused{fmt.Errorf("%s: "+format, append([]any{r.ID}, args...)...)}
+		return r.Due, conflictError{fmt.Errorf("%s: "+format, append([]any{r.ID}, args...)...)}
 	}
 	if r.State.Ended() {
 		return refuse("it is %s already: %s", r.State, r.Why)
@@ -261,23 +261,23 @@
 	switch what {
 	case "hold":
 		r.Kept, r.Asked = true, false
-		set(Held, "held by "+o.By+because(o.Why))
+		set(Held, "held by "+o.By+suffix(o.Why))
 		return time.Time{}, nil
 	case "discard":
 		if o.Why == "" {
 			return refuse("a discard says why")
 		}
-		set(Discarded, "discarded by "+o.By+because(o.Why))
+		set(Discarded, "discarded by "+o.By+suffix(o.Why))
 		return time.Time{}, nil
 	case "resend":
 		r.Kept, r.Asked = false, true
-		set(Due, "to be resent, asked for by "+o.By+because(o.Why))
+		set(Due, "to be resent, asked for by "+o.By+suffix(o.Why))
 		return now, nil
 	case "attest":
 		if o.Evidence == "" {
 			return refuse("an attest names its evidence")
 		}
-		if r.attest() != nil {
+		if r.unusedAttestation() != nil {
 			return refuse("an attest for it is there already, and serves for one resend")
 		}
 		r.Attests = append(r.Attests, Attest{By: o.By, Evidence: o.Evidence, At: now})
@@ -286,18 +286,18 @@
 	return r.Due, fmt.Errorf("%w: nothing is called %q", errBadRequest, what)
 }
 
-func because(why string) string {
+func suffix(why string) string {
 	if why == "" {
 		return ""
 	}
 	return ": " + why
 }
 
-// bring takes a message in that was exported from another store. It is held until a rule or an operator says else,
+// importMessage takes a message in that was exported from another store. It is held until a rule or an operator says else,
 // and what was attested for it elsewhere counts as used: an attest serves where it was given.
-func (a *Admin) bring(r *http.Request) (any, error) {
+func (a *Admin) importMessage(r *http.Request) (any, error) {
 	var e Exported
-	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxOrder)).Decode(&e); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&e); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	switch {
--- a/internal/deadletter/allowed.go
+++ b/internal/deadletter/allowed.go
@@ -74,17 +74,17 @@
 	switch {
 	case c.Effect == Safe:
 		return Verdict{Allowed: true, Why: "its class is safe to repeat"}
-	case c.Returns && r.handedBack():
+	case c.Returns && r.wasReturnedToClient():
 		// Guards against an effect by two ids: the client may have handed it in anew, and had it delivered by any relay.
 	case ran == nil:
 		return Verdict{Allowed: true, Why: "no attempt can have run"}
 	case c.Effect == Keyed && ran.Ran != Did && now.Add(keyMargin).Before(ran.Begun.Add(c.Memory)):
 		return Verdict{Allowed: true, Why: "its partner still remembers its key"}
 	}
-	if a := r.attest(); a != nil {
+	if a := r.unusedAttestation(); a != nil {
 		return Verdict{Allowed: true, Attest: a, Why: fmt.Sprintf("%s attests that the partner does not have it", a.By)}
 	}
-	if c.Returns && r.handedBack() {
+	if c.Returns && r.wasReturnedToClient() {
 		return no("its client was told that it may come again with it, and may have done so")
 	}
 	if c.Effect == Keyed {
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// lookAtOnce is how many records one round of Bounds looks at for each bound, and dropAtOnce how many leave in one
+// scanBatch is how many records one round of Bounds looks at for each bound, and dropAtOnce how many leave in one
 // transaction: the store serves the hand-over meanwhile.
-const lookAtOnce, dropAtOnce = 20_000, 500
+const scanBatch, removeBatch = 20_000, 500
 
 // Bounds drops what is too old or too many, a round at a time.
 type Bounds struct {
 	store   *Store
 	section *Section
 	dir     string
-	next    []uint64 // of each bound, and of the store's own: where the next round goes on
+	cursors    []uint64 // of each bound, and of the store's own: where the next round goes on
 }
 
 // NewBounds gives the bounds of a section, the store's own first.
 func NewBounds(store *Store, s *Section) *Bounds {
-	return &Bounds{store: store, section: s, dir: s.Folder, next: make([]uint64, len(s.Bounds)+1)}
+	return &Bounds{store: store, section: s, dir: s.Folder, cursors: make([]uint64, len(s.Bounds)+1)}
 }
 
 // Keep drops what the bounds do not allow, a bounded number at once, and tells how many left. full says that the store
@@ -39,10 +39,10 @@
 		bound, over := own, 0
 		if i >= 0 {
 			bound = b.section.Bounds[i]
-			over = bound.over(groups)
+			over = bound.excess(groups)
 		}
 		ended := i < 0 && (full || totals.Messages >= b.section.Messages)
-		n, err := b.round(i+1, bound, over, ended, now)
+		n, err := b.enforce(i+1, bound, over, ended, now)
 		left += n
 		if err != nil {
 			return left, err
@@ -51,8 +51,8 @@
 	return left, nil
 }
 
-// over is how many messages of its groups are more than a bound allows, by number or, at their mean size, by bytes.
-func (b *Bound) over(groups []Group) int {
+// excess is how many messages of its groups are more than a bound allows, by number or, at their mean size, by bytes.
+func (b *Bound) excess(groups []Group) int {
 	messages, bytes := 0, int64(0)
 	for _, g := range groups {
 		if (b.Class == "" || b.Class == g.Class) && (b.Tenant == "" || b.Tenant == g.Tenant) {
@@ -70,13 +70,13 @@
 	return over
 }
 
-// round drops what one bound does not allow: too old ones, over of the oldest, and where ended is set those that have
+// enforce drops what one bound does not allow: too old ones, over of the oldest, and where ended is set those that have
 // ended. A message that is being resent stays.
-func (b *Bounds) round(n int, bound Bound, over int, ended bool, now time.Time) (left int, err error) {
+func (b *Bounds) enforce(n int, bound Bound, over int, ended bool, now time.Time) (left int, err error) {
 	if over == 0 && bound.Age == 0 && !ended {
 		return 0, nil
 	}
-	from := b.next[n]
+	from := b.cursors[n]
 	if over > 0 {
 		from = 0 // the oldest first
 	}
@@ -92,7 +92,7 @@
 		}
 		return old || ended && r.State.Ended()
 	}
-	drop, b.next[n], _, err = b.store.Page(from, dropAtOnce, lookAtOnce, pass)
+	drop, b.cursors[n], _, err = b.store.Page(from, removeBatch, scanBatch, pass)
 	if err != nil || len(drop) == 0 {
 		return 0, err
 	}
--- a/internal/deadletter/check.go
+++ b/internal/deadletter/check.go
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	classes := a.Classes
-	if anew := a.anew.Load(); anew != nil {
+	if anew := a.newClasses.Load(); anew != nil {
 		classes = *anew
 	}
 	if classes == nil {
--- a/internal/deadletter/config.go
+++ b/internal/deadletter/config.go
@@ -134,7 +134,7 @@
 			d.AddError(at+"."+headerKey, "either %s or %s says where it is", headerKey, pointerKey)
 		}
 		if pointer != "" {
-			if _, err := tokens(pointer); err != nil {
+			if _, err := pointerTokens(pointer); err != nil {
 				d.AddError(at+"."+pointerKey, "%v", err)
 			}
 		}
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -10,7 +10,7 @@
 func TestGoldenForms(t *testing.T) {
 	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "record", Value: &Record{}}, goldentest.Form{Name: "exported", Value: &Exported{}},
 		goldentest.Form{Name: "totals", Value: &Totals{}}, goldentest.Form{Name: "group", Value: &Group{}},
-		goldentest.Form{Name: "newest", Value: &latest{}}, goldentest.Form{Name: "era", Value: &era{}},
+		goldentest.Form{Name: "newest", Value: &newestMessage{}}, goldentest.Form{Name: "era", Value: &trackingEpoch{}},
 		goldentest.Form{Name: "listing", Value: &Listing{}}, goldentest.Form{Name: "stats", Value: &Stats{}},
 		goldentest.Form{Name: "verified", Value: &Verified{}}, goldentest.Form{Name: "command", Value: &Command{}},
 		goldentest.Form{Name: "check-order", Value: &CheckOrder{}}, goldentest.Form{Name: "rule-check", Value: &RuleCheck{}},
--- a/internal/deadletter/newest_test.go
+++ b/internal/deadletter/newest_test.go
@@ -9,35 +9,35 @@
 	"pgregory.net/rapid"
 )
 
-// plainShelf is a shelf in memory.
-type plainShelf struct {
-	eras  map[string]*era
-	all   map[Topic]latest
+// memorySubjects is a shelf in memory.
+type memorySubjects struct {
+	eras  map[string]*trackingEpoch
+	all   map[Topic]newestMessage
 	order []Topic // put longest ago first
-	wait  map[Topic][]latest
+	wait  map[Topic][]newestMessage
 }
 
-func newPlainShelf() *plainShelf {
-	return &plainShelf{eras: map[string]*era{}, all: map[Topic]latest{}, wait: map[Topic][]latest{}}
+func newPlainShelf() *memorySubjects {
+	return &memorySubjects{eras: map[string]*trackingEpoch{}, all: map[Topic]newestMessage{}, wait: map[Topic][]newestMessage{}}
 }
 
-func (s *plainShelf) era(class string) *era       { return s.eras[class] }
-func (s *plainShelf) setEra(class string, e *era) { s.eras[class] = e }
-func (s *plainShelf) size() int                   { return len(s.all) }
+func (s *memorySubjects) epoch(class string) *trackingEpoch       { return s.eras[class] }
+func (s *memorySubjects) setEpoch(class string, e *trackingEpoch) { s.eras[class] = e }
+func (s *memorySubjects) size() int                   { return len(s.all) }
 
-func (s *plainShelf) latest(t Topic) *latest {
+func (s *memorySubjects) newest(t Topic) *newestMessage {
 	if l, ok := s.all[t]; ok {
 		return &l
 	}
 	return nil
 }
 
-func (s *plainShelf) put(t Topic, l latest) {
+func (s *memorySubjects) put(t Topic, l newestMessage) {
 	s.order = append(slices.DeleteFunc(s.order, func(o Topic) bool { return o == t }), t)
 	s.all[t] = l
 }
 
-func (s *plainShelf) oldest() (string, *latest) {
+func (s *memorySubjects) evictOldest() (string, *newestMessage) {
 	t := s.order[0]
 	l := s.all[t]
 	s.order = s.order[1:]
@@ -45,7 +45,7 @@
 	return t.Class, &l
 }
 
-func (s *plainShelf) waiting(t Topic, version int) (best *latest) {
+func (s *memorySubjects) waiting(t Topic, version int) (best *newestMessage) {
 	for _, l := range s.wait[t] {
 		if l.Version == version && (best == nil || l.Order.compare(best.Order) > 0) {
 			best = &l
@@ -55,9 +55,9 @@
 }
 
 // known gives what knows of class c, read since an hour before noon.
-func known(most int) (*Newest, *plainShelf) {
+func known(most int) (*Newest, *memorySubjects) {
 	s := newPlainShelf()
-	n := &Newest{on: s, most: most, alone: true, settle: 10 * time.Minute}
+	n := &Newest{storage: s, maxSubjects: most, exclusive: true, settlingTime: 10 * time.Minute}
 	n.Begin(map[string]string{"c": "by number"}, false, noon.Add(-time.Hour))
 	return n, s
 }
@@ -83,59 +83,59 @@
 	c.Subject = true
 	s := Topic{"c", 3, "s"}
 	for name, x := range map[string]struct {
-		tell    func(n *Newest, shelf *plainShelf)
+		tell    func(n *Newest, shelf *memorySubjects)
 		rec     *Record
 		by      string
 		allowed bool
 	}{
-		"nothing newer":                   {func(n *Newest, _ *plainShelf) { n.Delivered("b", s, at(4)) }, about("s", at(5)), "", true},
-		"a newer one was delivered":       {func(n *Newest, _ *plainShelf) { n.Delivered("b", s, at(6)) }, about("s", at(5)), "b", false},
-		"and an older one after it":       {func(n *Newest, _ *plainShelf) { n.Delivered("b", s, at(6)); n.Delivered("d", s, at(2)) }, about("s", at(5)), "b", false},
-		"a newer one waits":               {func(_ *Newest, p *plainShelf) { p.wait[s] = []latest{{ID: "b", Order: at(6)}} }, about("s", at(5)), "b", false},
-		"an older one waits":              {func(_ *Newest, p *plainShelf) { p.wait[s] = []latest{{ID: "b", Order: at(4)}} }, about("s", at(5)), "", true},
-		"it waits itself":                 {func(_ *Newest, p *plainShelf) { p.wait[s] = []latest{{ID: "a", Order: at(5)}} }, about("s", at(5)), "", true},
-		"a newer one, of another partner": {func(n *Newest, _ *plainShelf) { n.Delivered("b", Topic{"c", 4, "s"}, at(6)) }, about("s", at(5)), "", true},
-		"a newer one, of another class":   {func(n *Newest, _ *plainShelf) { n.Delivered("b", Topic{"d", 3, "s"}, at(6)) }, about("s", at(5)), "", true},
-		"other relays may have delivered": {func(n *Newest, _ *plainShelf) { n.alone = false }, about("s", at(5)), "", false},
+		"nothing newer":                   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(4)) }, about("s", at(5)), "", true},
+		"a newer one was delivered":       {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)) }, about("s", at(5)), "b", false},
+		"and an older one after it":       {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); n.Delivered("d", s, at(2)) }, about("s", at(5)), "b", false},
+		"a newer one waits":               {func(_ *Newest, p *memorySubjects) { p.wait[s] = []newestMessage{{ID: "b", Order: at(6)}} }, about("s", at(5)), "b", false},
+		"an older one waits":              {func(_ *Newest, p *memorySubjects) { p.wait[s] = []newestMessage{{ID: "b", Order: at(4)}} }, about("s", at(5)), "", true},
+		"it waits itself":                 {func(_ *Newest, p *memorySubjects) { p.wait[s] = []newestMessage{{ID: "a", Order: at(5)}} }, about("s", at(5)), "", true},
+		"a newer one, of another partner": {func(n *Newest, _ *memorySubjects) { n.Delivered("b", Topic{"c", 4, "s"}, at(6)) }, about("s", at(5)), "", true},
+		"a newer one, of another class":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", Topic{"d", 3, "s"}, at(6)) }, about("s", at(5)), "", true},
+		"other relays may have delivered": {func(n *Newest, _ *memorySubjects) { n.exclusive = false }, about("s", at(5)), "", false},
 		"they may, but a newer one is known": {
-			func(n *Newest, _ *plainShelf) { n.alone = false; n.Delivered("b", s, at(6)) },
+			func(n *Newest, _ *memorySubjects) { n.exclusive = false; n.Delivered("b", s, at(6)) },
 			about("s", at(5)), "b", false,
 		},
-		"no subject in the message":  {func(*Newest, *plainShelf) {}, record(life("a", OutOfTime)), "", false},
-		"its class is not read":      {func(_ *Newest, p *plainShelf) { p.eras["c"] = nil }, about("s", at(5)), "", false},
-		"a newer one was forgotten":  {func(n *Newest, _ *plainShelf) { n.Delivered("b", s, at(6)); fill(n, 0) }, about("s", at(5)), "", false},
-		"newer than all forgotten":   {func(n *Newest, _ *plainShelf) { n.Delivered("b", s, at(6)); fill(n, 0) }, about("s", at(7)), "", true},
-		"equal orders go by arrival": {func(n *Newest, _ *plainShelf) { n.Delivered("b", s, Order{Whole: 5, Arrival: 7}) }, about("s", Order{Whole: 5, Arrival: 6}), "b", false},
-		"one unread went after it":   {func(n *Newest, _ *plainShelf) { n.Delivered("b", Topic{"c", 3, ""}, Order{Arrival: 9}) }, about("s", at(5)), "", false},
-		"one unread went before it": {func(n *Newest, _ *plainShelf) {
+		"no subject in the message":  {func(*Newest, *memorySubjects) {}, record(life("a", OutOfTime)), "", false},
+		"its class is not read":      {func(_ *Newest, p *memorySubjects) { p.eras["c"] = nil }, about("s", at(5)), "", false},
+		"a newer one was forgotten":  {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n, 0) }, about("s", at(5)), "", false},
+		"newer than all forgotten":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n, 0) }, about("s", at(7)), "", true},
+		"equal orders go by arrival": {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, Order{Whole: 5, Arrival: 7}) }, about("s", Order{Whole: 5, Arrival: 6}), "b", false},
+		"one unread went after it":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", Topic{"c", 3, ""}, Order{Arrival: 9}) }, about("s", at(5)), "", false},
+		"one unread went before it": {func(n *Newest, _ *memorySubjects) {
 			n.Delivered("b", Topic{"c", 3, ""}, Order{Arrival: 9})
 		}, about("s", Order{Whole: 5, Arrival: 10}), "", true},
-		"one unread, another partner": {func(n *Newest, _ *plainShelf) { n.Delivered("b", Topic{"c", 4, ""}, Order{Arrival: 9}) }, about("s", at(5)), "", true},
-		"forgotten, and an older one came": {func(n *Newest, _ *plainShelf) {
+		"one unread, another partner": {func(n *Newest, _ *memorySubjects) { n.Delivered("b", Topic{"c", 4, ""}, Order{Arrival: 9}) }, about("s", at(5)), "", true},
+		"forgotten, and an older one came": {func(n *Newest, _ *memorySubjects) {
 			n.Delivered("b", s, at(6))
 			fill(n, 0)
 			n.Delivered("d", s, at(2))
 		}, about("s", at(5)), "", false},
-		"forgotten, and two older ones came": {func(n *Newest, _ *plainShelf) {
+		"forgotten, and two older ones came": {func(n *Newest, _ *memorySubjects) {
 			n.Delivered("b", s, at(6))
 			fill(n, 0)
 			n.Delivered("d", s, at(2))
 			n.Delivered("e", s, at(3))
 		}, about("s", at(5)), "", false},
-		"something may have been missed": {func(n *Newest, _ *plainShelf) {
+		"something may have been missed": {func(n *Newest, _ *memorySubjects) {
 			n.Begin(map[string]string{"c": "by number"}, true, noon.Add(-5*time.Minute))
 		}, about("s", at(5)), "", false},
-		"read otherwise than before": {func(n *Newest, _ *plainShelf) {
+		"read otherwise than before": {func(n *Newest, _ *memorySubjects) {
 			n.Delivered("b", s, at(6))
 			n.Begin(map[string]string{"c": "by time"}, false, noon.Add(-30*time.Minute))
 		}, about("s", at(5)), "", true},
-		"read otherwise of late": {func(n *Newest, _ *plainShelf) {
+		"read otherwise of late": {func(n *Newest, _ *memorySubjects) {
 			n.Begin(map[string]string{"c": "by time"}, false, noon.Add(-5*time.Minute))
 		}, about("s", at(5)), "", false},
-		"read as before, restarted": {func(n *Newest, _ *plainShelf) {
+		"read as before, restarted": {func(n *Newest, _ *memorySubjects) {
 			n.Begin(map[string]string{"c": "by number"}, false, noon.Add(-2*time.Minute))
 		}, about("s", at(5)), "", true},
-		"waits, read otherwise": {func(_ *Newest, p *plainShelf) { p.wait[s] = []latest{{ID: "b", Order: at(6), Version: 7}} }, about("s", at(5)), "", true},
+		"waits, read otherwise": {func(_ *Newest, p *memorySubjects) { p.wait[s] = []newestMessage{{ID: "b", Order: at(6), Version: 7}} }, about("s", at(5)), "", true},
 	} {
 		n, shelf := known(4)
 		x.tell(n, shelf)
@@ -218,7 +218,7 @@
 	after(at(5), "", true)
 	u.Ended("b", s)
 	u.Ended("e", Topic{"c", 4, "s"})
-	if len(u.by) != 0 {
-		t.Errorf("left: %v", u.by)
+	if len(u.orders) != 0 {
+		t.Errorf("left: %v", u.orders)
 	}
 }
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// handedBack tells whether the client was told that it may come again with the message, and nobody has vouched since
+// wasReturnedToClient tells whether the client was told that it may come again with the message, and nobody has vouched since
 // that it did not.
-func (r *Record) handedBack() bool {
+func (r *Record) wasReturnedToClient() bool {
 	if r.Lives[0].Status != deferred && r.Lives[0].Reason != AtArrival {
 		return false
 	}
@@ -150,8 +150,8 @@
 	return true
 }
 
-// refused tells whether a message was never taken on.
-func (r *Record) refused() bool { return len(r.Lives) == 1 && r.Lives[0].Reason == AtArrival }
+// neverAccepted tells whether a message was never taken on.
+func (r *Record) neverAccepted() bool { return len(r.Lives) == 1 && r.Lives[0].Reason == AtArrival }
 
 // deferred is the status of a notice that hands a message back.
 const deferred = "deferred"
@@ -167,8 +167,8 @@
 	return t
 }
 
-// attest gives an attest that was not used yet, or nil.
-func (r *Record) attest() *Attest {
+// unusedAttestation gives an attest that was not used yet, or nil.
+func (r *Record) unusedAttestation() *Attest {
 	for i := range r.Attests {
 		if !r.Attests[i].Used {
 			return &r.Attests[i]
--- a/internal/deadletter/resend.go
+++ b/internal/deadletter/resend.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// busyLeast and busyMost bound the pause of a partner's resends after the relay had no room for one, failLeast and
+	// minBusyBackoff and busyMost bound the pause of a partner's resends after the relay had no room for one, failLeast and
 	// failMost after one that failed: each in a row doubles it, so that a partner that is down sees a few.
-	busyLeast, busyMost = 200 * time.Millisecond, 5 * time.Second
-	failLeast, failMost = 5 * time.Second, 5 * time.Minute
-	// burst is how many resends a partner may get at once after a rest: its rate is kept in the mean.
-	burst = 1.0
-	// mostAtOnce is how many messages of a partner are looked at in one round.
-	mostAtOnce = 20
-	// sweepAtOnce is how many messages one round of a sweep has looked at again.
-	sweepAtOnce = 500
+	minBusyBackoff, maxBusyBackoff = 200 * time.Millisecond, 5 * time.Second
+	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
+	// tokenBurst is how many resends a partner may get at once after a rest: its rate is kept in the mean.
+	tokenBurst = 1.0
+	// maxPerRound is how many messages of a partner are looked at in one round.
+	maxPerRound = 20
+	// sweepBatch is how many messages one round of a sweep has looked at again.
+	sweepBatch = 500
 	// lostAfter its time a message that was to be resent and of which the relay knows nothing counts as returned.
 	lostAfter = 30 * time.Second
 )
@@ -34,16 +34,16 @@
 	Life   *Life // its new one
 }
 
-// lane is the pace of one partner's resends.
-type lane struct {
+// throttle is the pace of one partner's resends.
+type throttle struct {
 	tokens float64
-	at     time.Time // as of when
-	until  time.Time // paused
-	busy   time.Duration
-	fail   time.Duration
-	out    string    // the life that is out; empty: none
-	lost   time.Time // when that counts as lost
-	turn   uint64    // the gate's token under which it goes
+	updatedAt     time.Time // as of when
+	pausedUntil  time.Time // paused
+	busyBackoff   time.Duration
+	failureBackoff   time.Duration
+	inFlight    string    // the life that is out; empty: none
+	lostAt   time.Time // when that counts as lost
+	gateToken   uint64    // the gate's token under which it goes
 }
 
 // Gate lets resends through where one relay of a fleet at a time is to resend towards a partner.
@@ -65,17 +65,17 @@
 	classes map[string]*Class
 	relay   string
 	newID   func() string
-	lanes   map[int]*lane
+	throttles   map[int]*throttle
 	gate    Gate // nil: there is none
-	// sweep goes over all records once after the rules have changed; 0: it is through.
-	sweep uint64
+	// sweepFrom goes over all records once after the rules have changed; 0: it is through.
+	sweepFrom uint64
 }
 
 // NewResender decides for a store. newID makes ids that nobody else uses.
 func NewResender(store *Store, rules []Rule, classes []Class, relay string, newID func() string) *Resender {
 	r := &Resender{
 		store: store, rules: rules, classes: map[string]*Class{}, relay: relay, newID: newID,
-		lanes: map[int]*lane{},
+		throttles: map[int]*throttle{},
 	}
 	r.Reclass(classes)
 	return r
@@ -84,18 +84,18 @@
 // Through has resends go through a gate from now on.
 func (r *Resender) Through(g Gate) { r.gate = g }
 
-// let asks the gate. A turn begins without tokens: another relay may just have used the partner's rate.
-func (r *Resender) let(l *lane, partner int, now time.Time) bool {
+// passGate asks the gate. A turn begins without tokens: another relay may just have used the partner's rate.
+func (r *Resender) passGate(l *throttle, partner int, now time.Time) bool {
 	if r.gate == nil {
 		return true
 	}
 	turn, ok := r.gate.Begin(partner)
 	if !ok {
-		l.until = now.Add(gatePause)
+		l.pausedUntil = now.Add(gatePause)
 		return false
 	}
-	if turn != l.turn {
-		l.turn, l.tokens, l.at = turn, 0, now
+	if turn != l.gateToken {
+		l.gateToken, l.tokens, l.updatedAt = turn, 0, now
 	}
 	return true
 }
@@ -109,11 +109,11 @@
 }
 
 // Sweep has every message that is held looked at again: the rules are others than before.
-func (r *Resender) Sweep() { r.sweep = 1 }
+func (r *Resender) Sweep() { r.sweepFrom = 1 }
 
-// sweepOn goes on with a sweep.
-func (r *Resender) sweepOn(now time.Time) error {
-	page, next, _, err := r.store.Page(r.sweep, sweepAtOnce, 10*sweepAtOnce, func(rec *Record) bool { return rec.State == Held && rec.Due.IsZero() })
+// continueSweep goes on with a sweep.
+func (r *Resender) continueSweep(now time.Time) error {
+	page, next, _, err := r.store.Page(r.sweepFrom, sweepBatch, 10*sweepBatch, func(rec *Record) bool { return rec.State == Held && rec.Due.IsZero() })
 	if err != nil {
 		return err
 	}
@@ -122,15 +122,15 @@
 			return err
 		}
 	}
-	r.sweep = next
+	r.sweepFrom = next
 	return nil
 }
 
-func (r *Resender) lane(partner int, now time.Time) *lane {
-	l := r.lanes[partner]
+func (r *Resender) throttle(partner int, now time.Time) *throttle {
+	l := r.throttles[partner]
 	if l == nil {
-		l = &lane{tokens: burst, at: now}
-		r.lanes[partner] = l
+		l = &throttle{tokens: tokenBurst, updatedAt: now}
+		r.throttles[partner] = l
 	}
 	return l
 }
@@ -138,22 +138,22 @@
 // Round looks at what is due, writes down what the rules make of it, and gives what is to be offered to the module.
 // holds says whether the relay still has a message under an id.
 func (r *Resender) Round(now time.Time, holds func(id string) bool) (offers []Offer, err error) {
-	if r.sweep > 0 {
-		if err := r.sweepOn(now); err != nil {
+	if r.sweepFrom > 0 {
+		if err := r.continueSweep(now); err != nil {
 			return nil, err
 		}
 	}
 	due, err := r.store.Due(now, func(partner int) int {
-		if l := r.lane(partner, now); l.until.After(now) || l.out != "" && l.lost.After(now) {
+		if l := r.throttle(partner, now); l.pausedUntil.After(now) || l.inFlight != "" && l.lostAt.After(now) {
 			return 0
 		}
-		return mostAtOnce
+		return maxPerRound
 	})
 	if err != nil {
 		return nil, err
 	}
 	for _, rec := range due {
-		o, err := r.look(rec, now, holds)
+		o, err := r.decide(rec, now, holds)
 		if err != nil {
 			return offers, err
 		}
@@ -164,22 +164,22 @@
 	return offers, nil
 }
 
-// look decides on one message.
-func (r *Resender) look(rec *Record, now time.Time, holds func(id string) bool) (offer *Offer, err error) {
+// decide decides on one message.
+func (r *Resender) decide(rec *Record, now time.Time, holds func(id string) bool) (offer *Offer, err error) {
 	if rec.State == Out {
-		return nil, r.lost(rec, now, holds)
+		return nil, r.handleLost(rec, now, holds)
 	}
-	l := r.lane(rec.Partner, now)
-	newer := r.newer(rec)
+	l := r.throttle(rec.Partner, now)
+	newer := r.newerOf(rec)
 	err = r.store.Change(rec.ID, func(rec *Record) (time.Time, error) {
 		p := r.plan(rec, newer, now)
 		if p.Action != Resend {
-			return r.settle(rec, p, now), nil
+			return r.applyPlan(rec, p, now), nil
 		}
-		if l.out != "" || !r.let(l, rec.Partner, now) || !l.take(p.Rate, now) {
+		if l.inFlight != "" || !r.passGate(l, rec.Partner, now) || !l.takeToken(p.Rate, now) {
 			return rec.Due, errLater
 		}
-		life := Life{ID: r.newID(), Relay: r.relay, Taken: now, Expires: now.Add(r.lifeOf(rec))}
+		life := Life{ID: r.newID(), Relay: r.relay, Taken: now, Expires: now.Add(r.timeToLive(rec))}
 		if p.Use != nil {
 			p.Use.Used = true
 			used := *p.Use
@@ -194,7 +194,7 @@
 		return nil, nil
 	}
 	if err == nil && offer != nil {
-		l.out, l.lost = offer.Life.ID, offer.Life.Expires.Add(lostAfter)
+		l.inFlight, l.lostAt = offer.Life.ID, offer.Life.Expires.Add(lostAfter)
 	}
 	return offer, err
 }
@@ -202,9 +202,9 @@
 // errLater says that a message stays as it is for now.
 var errLater = errors.New("later")
 
-// newer looks up what has overtaken a message: before the transaction that changes it, as a store can't be read by
+// newerOf looks up what has overtaken a message: before the transaction that changes it, as a store can't be read by
 // another one within that.
-func (r *Resender) newer(rec *Record) Newer {
+func (r *Resender) newerOf(rec *Record) Newer {
 	if c := r.classes[rec.Class]; c == nil || !c.Subject {
 		return nil // nobody will ask
 	}
@@ -222,8 +222,8 @@
 	return Decide(r.rules, c, rec, newer, now)
 }
 
-// settle writes down a plan other than a resend, and gives when to look again.
-func (r *Resender) settle(rec *Record, p Plan, now time.Time) time.Time {
+// applyPlan writes down a plan other than a resend, and gives when to look again.
+func (r *Resender) applyPlan(rec *Record, p Plan, now time.Time) time.Time {
 	rec.Why, rec.Since, rec.Asked = p.Why, now, false
 	switch p.Action {
 	case Discard:
@@ -237,15 +237,15 @@
 	return p.At
 }
 
-// lifeOf is how long a resend may take: as long as the message had when it was first taken on.
-func (r *Resender) lifeOf(rec *Record) time.Duration {
+// timeToLive is how long a resend may take: as long as the message had when it was first taken on.
+func (r *Resender) timeToLive(rec *Record) time.Duration {
 	return max(time.Second, rec.Lives[0].Expires.Sub(rec.Lives[0].Taken))
 }
 
-// take takes a resend out of a lane's pace.
-func (l *lane) take(rate float64, now time.Time) bool {
-	l.tokens = min(burst, l.tokens+max(0, now.Sub(l.at).Seconds())*rate)
-	l.at = now
+// takeToken takes a resend out of a lane's pace.
+func (l *throttle) takeToken(rate float64, now time.Time) bool {
+	l.tokens = min(tokenBurst, l.tokens+max(0, now.Sub(l.updatedAt).Seconds())*rate)
+	l.updatedAt = now
 	if l.tokens < 1 {
 		return false
 	}
@@ -253,9 +253,9 @@
 	return true
 }
 
-// lost looks at a resend whose time is long over. Where the relay does not have it, it can't be told whether it went:
+// handleLost looks at a resend whose time is long over. Where the relay does not have it, it can't be told whether it went:
 // its process was killed before it was journalled, or its machine was lost with the journal.
-func (r *Resender) lost(rec *Record, now time.Time, holds func(id string) bool) error {
+func (r *Resender) handleLost(rec *Record, now time.Time, holds func(id string) bool) error {
 	if holds(rec.Last().ID) {
 		return r.store.Change(rec.ID, func(*Record) (time.Time, error) { return now.Add(lostAfter), nil })
 	}
@@ -275,7 +275,7 @@
 				return rec.Due, nil // told before
 			}
 			partner, news = rec.Partner, true
-			return rec.returned(res, now), nil
+			return rec.applyResult(res, now), nil
 		})
 		if errors.Is(err, ErrUnknown) {
 			continue // its record left by a bound, or the store is another one
@@ -284,14 +284,14 @@
 			return err
 		}
 		if news {
-			r.lane(partner, now).returned(res, now)
+			r.throttle(partner, now).handleResult(res, now)
 		}
 	}
 	return nil
 }
 
-// returned changes a record by what became of its resend, and gives when to look at it again.
-func (rec *Record) returned(res *Result, now time.Time) time.Time {
+// applyResult changes a record by what became of its resend, and gives when to look at it again.
+func (rec *Record) applyResult(res *Result, now time.Time) time.Time {
 	last := rec.Last()
 	attest := last.Attest
 	rec.Since, rec.Asked = now, rec.Asked && len(res.Life.Attempts) == 0
@@ -333,22 +333,22 @@
 	return now
 }
 
-// returned paces a lane by what became of a resend.
-func (l *lane) returned(res *Result, now time.Time) {
-	if l.out == res.Life.ID {
-		l.out = ""
+// handleResult paces a lane by what became of a resend.
+func (l *throttle) handleResult(res *Result, now time.Time) {
+	if l.inFlight == res.Life.ID {
+		l.inFlight = ""
 	}
 	grow := func(d *time.Duration, least, most time.Duration) {
 		*d = min(most, max(least, 2**d))
-		l.until = now.Add(*d)
+		l.pausedUntil = now.Add(*d)
 	}
 	switch {
 	case res.Overtaken != "": // that says nothing of the partner
 	case res.Delivered:
-		l.busy, l.fail = 0, 0
+		l.busyBackoff, l.failureBackoff = 0, 0
 	case len(res.Life.Attempts) == 0:
-		grow(&l.busy, busyLeast, busyMost)
+		grow(&l.busyBackoff, minBusyBackoff, maxBusyBackoff)
 	default:
-		grow(&l.fail, failLeast, failMost)
+		grow(&l.failureBackoff, minFailureBackoff, maxFailureBackoff)
 	}
 }
--- a/internal/deadletter/resend_test.go
+++ b/internal/deadletter/resend_test.go
@@ -109,7 +109,7 @@
 			t.Error("its attest is used up by nothing")
 		}
 	}
-	if got := d.round(busyLeast / 2); got != "" {
+	if got := d.round(minBusyBackoff / 2); got != "" {
 		t.Errorf("offered %q at once", got)
 	}
 	d.round(10 * time.Second)
@@ -166,7 +166,7 @@
 	d.held["r1"] = true
 	d.round(time.Hour)
 	d.is("a", Out, 2)         // the relay still has it
-	d.lanes = map[int]*lane{} // another process
+	d.throttles = map[int]*throttle{} // another process
 	delete(d.held, "r1")
 	d.round(time.Hour)
 	if r := d.is("a", Held, 2); r.MayHaveRun() == nil || r.Last().Reason != ProcessEnded {
--- a/internal/deadletter/rules.go
+++ b/internal/deadletter/rules.go
@@ -100,8 +100,8 @@
 	return span, nil
 }
 
-// open tells whether a rule's hours are on, and if not when they begin.
-func (r *Rule) open(now time.Time) (bool, time.Time) {
+// inHours tells whether a rule's hours are on, and if not when they begin.
+func (r *Rule) inHours(now time.Time) (bool, time.Time) {
 	if r.Hours == "" {
 		return true, now
 	}
@@ -118,11 +118,11 @@
 
 // matches tells whether a rule is for a message, old as it is.
 func (r *Rule) matches(rec *Record, now time.Time) bool {
-	return r.means(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().Over) >= seconds(r.OlderThan))
+	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().Over) >= seconds(r.OlderThan))
 }
 
-// means tells whether a rule is for a message once that is old enough.
-func (r *Rule) means(rec *Record) bool {
+// matchesAttributes tells whether a rule is for a message once that is old enough.
+func (r *Rule) matchesAttributes(rec *Record) bool {
 	last := rec.Last()
 	switch {
 	case r.Class != "" && r.Class != rec.Class,
@@ -172,7 +172,7 @@
 // nextMatch is when a rule may come to match that does not yet, since it waits for an age.
 func nextMatch(rules []Rule, rec *Record, now time.Time) (at time.Time) {
 	for i := range rules {
-		if due := rec.Last().Over.Add(seconds(rules[i].OlderThan)); rules[i].OlderThan > 0 && rules[i].means(rec) && due.After(now) && (at.IsZero() || due.Before(at)) {
+		if due := rec.Last().Over.Add(seconds(rules[i].OlderThan)); rules[i].OlderThan > 0 && rules[i].matchesAttributes(rec) && due.After(now) && (at.IsZero() || due.Before(at)) {
 			at = due
 		}
 	}
@@ -206,7 +206,7 @@
 	if due := rec.Last().Over.Add(seconds(r.After)); due.After(now) {
 		return Plan{Action: Hold, At: due, Why: "it will be resent after " + due.Format(time.RFC3339)}
 	}
-	if on, from := r.open(now); !on {
+	if on, from := r.inHours(now); !on {
 		return Plan{Action: Hold, At: from, Why: "it will be resent in the rule's hours, from " + from.Format(time.RFC3339)}
 	}
 	return Plan{Action: Resend, At: now, Rate: r.Rate, Why: v.Why, Use: v.Attest}
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -31,17 +31,17 @@
 const (
 	fileName     = "undelivered.db"
 	storeVersion = 2 // 1: without topics
-	// growBy is by how much the file grows at once, in bytes: a small quota is not to be overshot by much.
-	growBy = 128 << 10
+	// growthSize is by how much the file grows at once, in bytes: a small quota is not to be overshot by much.
+	growthSize = 128 << 10
 )
 
 var (
-	bMeta, bRecords, bBodies = []byte("meta"), []byte("records"), []byte("bodies")
-	bIDs, bDue, bGroups      = []byte("ids"), []byte("due"), []byte("groups")
-	bUnkept                  = []byte("unkept")
-	buckets                  = [][]byte{bMeta, bRecords, bBodies, bIDs, bDue, bGroups, bUnkept, bNewest, bYoung, bWaiting, bEras}
-	kVersion, kTotals        = []byte("version"), []byte("totals")
-	kRules                   = []byte("rules")
+	metaBucket, recordsBucket, bodiesBucket = []byte("meta"), []byte("records"), []byte("bodies")
+	idsBucket, dueBucket, groupsBucket      = []byte("ids"), []byte("due"), []byte("groups")
+	droppedBucket                  = []byte("unkept")
+	buckets                  = [][]byte{metaBucket, recordsBucket, bodiesBucket, idsBucket, dueBucket, groupsBucket, droppedBucket, newestBucket, insertionBucket, waitingBucket, epochsBucket}
+	versionKey, totalsKey        = []byte("version"), []byte("totals")
+	rulesKey                   = []byte("rules")
 )
 
 // The errors that callers tell apart.
@@ -58,10 +58,10 @@
 type Store struct {
 	db    *boltfile.File
 	path  string
-	limit int64 // bytes of the file; 0: none
-	most  int   // messages; 0: any number
+	maxBytes int64 // bytes of the file; 0: none
+	maxMessages  int   // messages; 0: any number
 
-	known atomic.Pointer[Section] // how topics are known; nil where they are not
+	section atomic.Pointer[Section] // how topics are known; nil where they are not
 }
 
 // Kept is a message as it is handed over.
@@ -95,8 +95,8 @@
 	case err != nil:
 		return nil, fmt.Errorf("undelivered: %s: %w", path, err)
 	}
-	db.AllocSize = growBy
-	s := &Store{db: db, path: path, limit: limit, most: most}
+	db.AllocSize = growthSize
+	s := &Store{db: db, path: path, maxBytes: limit, maxMessages: most}
 	if err := s.prepare(readOnly); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("undelivered: %s: %w", path, err)
@@ -108,11 +108,11 @@
 func (s *Store) prepare(readOnly bool) error {
 	older := false
 	check := func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(bMeta)
+		meta := tx.Bucket(metaBucket)
 		if meta == nil {
 			return errNoRecord
 		}
-		v := meta.Get(kVersion)
+		v := meta.Get(versionKey)
 		if len(v) != 4 {
 			return fmt.Errorf("its version: %w", ErrDamaged)
 		}
@@ -132,8 +132,8 @@
 				return err
 			}
 		}
-		return errors.Join(tx.Bucket(bMeta).Put(kStoreID, newStoreID()),
-			tx.Bucket(bMeta).Put(kVersion, binary.BigEndian.AppendUint32(nil, storeVersion)))
+		return errors.Join(tx.Bucket(metaBucket).Put(storeIDKey, newStoreID()),
+			tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, storeVersion)))
 	})
 }
 
@@ -149,16 +149,16 @@
 	return info.Size()
 }
 
-// key is a record's key.
-func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// recordKey is a record's key.
+func recordKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// seal puts a checksum before a value.
-func seal(v []byte) []byte {
+// addChecksum puts a checksum before a value.
+func addChecksum(v []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(v)+4), boltfile.Sum(v)), v...)
 }
 
-// unseal checks a value and gives it without its checksum. It is valid within its transaction only.
-func unseal(v []byte) ([]byte, error) {
+// verifyChecksum checks a value and gives it without its checksum. It is valid within its transaction only.
+func verifyChecksum(v []byte) ([]byte, error) {
 	if len(v) < 4 || boltfile.Sum(v[4:]) != binary.BigEndian.Uint32(v) {
 		return nil, ErrDamaged
 	}
@@ -174,7 +174,7 @@
 			return err
 		}
 		for i := range messages {
-			if err := s.put(tx, t, &messages[i]); err != nil {
+			if err := s.putMessage(tx, t, &messages[i]); err != nil {
 				return err
 			}
 		}
@@ -182,47 +182,47 @@
 	})
 }
 
-// put keeps one message.
-func (s *Store) put(tx *bbolt.Tx, t *Totals, m *Kept) error {
-	ids := tx.Bucket(bIDs)
+// putMessage keeps one message.
+func (s *Store) putMessage(tx *bbolt.Tx, t *Totals, m *Kept) error {
+	ids := tx.Bucket(idsBucket)
 	for _, l := range m.Lives {
 		k := ids.Get([]byte(l.ID))
 		if k == nil {
 			continue
 		}
 		// One that was refused, and came again under its old id: now it was taken on.
-		old, err := read(tx.Bucket(bRecords), k)
-		if err != nil || !old.refused() || m.refused() {
+		old, err := readRecord(tx.Bucket(recordsBucket), k)
+		if err != nil || !old.neverAccepted() || m.neverAccepted() {
 			return nil
 		}
-		if err := s.drop(tx, t, append([]byte{}, k...), old); err != nil {
+		if err := s.deleteRecord(tx, t, append([]byte{}, k...), old); err != nil {
 			return err
 		}
 	}
-	if s.most > 0 && t.Messages >= s.most || s.limit > 0 && s.used(tx)+int64(len(m.Body)) > s.limit {
+	if s.maxMessages > 0 && t.Messages >= s.maxMessages || s.maxBytes > 0 && s.bytesUsed(tx)+int64(len(m.Body)) > s.maxBytes {
 		return ErrFull
 	}
-	records := tx.Bucket(bRecords)
+	records := tx.Bucket(recordsBucket)
 	n, err := records.NextSequence()
 	if err != nil {
 		return err
 	}
 	m.Version, m.BodySize = Version, len(m.Body)
-	if err := write(records, n, &m.Record); err != nil {
+	if err := writeRecord(records, n, &m.Record); err != nil {
 		return err
 	}
-	if err := tx.Bucket(bBodies).Put(key(n), seal(m.Body)); err != nil {
+	if err := tx.Bucket(bodiesBucket).Put(recordKey(n), addChecksum(m.Body)); err != nil {
 		return err
 	}
 	for _, l := range m.Lives {
-		if err := ids.Put([]byte(l.ID), key(n)); err != nil {
+		if err := ids.Put([]byte(l.ID), recordKey(n)); err != nil {
 			return err
 		}
 	}
-	if err := moveDue(tx, m.Partner, n, time.Time{}, m.Due); err != nil {
+	if err := updateDue(tx, m.Partner, n, time.Time{}, m.Due); err != nil {
 		return err
 	}
-	if err := s.moveTopic(tx, &m.Record, n, false, !m.State.Ended() && !m.refused()); err != nil {
+	if err := s.updateSubject(tx, &m.Record, n, false, !m.State.Ended() && !m.neverAccepted()); err != nil {
 		return err
 	}
 	t.count(m.State, 1)
@@ -231,22 +231,22 @@
 	return changeGroup(tx, m.Class, m.Tenant, 1, int64(len(m.Body)))
 }
 
-// used is how much of the file is in use: what was removed leaves pages that are used again.
-func (s *Store) used(tx *bbolt.Tx) int64 {
+// bytesUsed is how much of the file is in use: what was removed leaves pages that are used again.
+func (s *Store) bytesUsed(tx *bbolt.Tx) int64 {
 	st := s.db.Stats()
 	return tx.Size() - int64(st.FreePageN+st.PendingPageN)*int64(s.db.Info().PageSize)
 }
 
-func write(b *bbolt.Bucket, n uint64, r *Record) error {
+func writeRecord(b *bbolt.Bucket, n uint64, r *Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return err
 	}
-	return b.Put(key(n), seal(raw))
+	return b.Put(recordKey(n), addChecksum(raw))
 }
 
-func read(b *bbolt.Bucket, k []byte) (*Record, error) {
-	raw, err := unseal(b.Get(k))
+func readRecord(b *bbolt.Bucket, k []byte) (*Record, error) {
+	raw, err := verifyChecksum(b.Get(k))
 	if err != nil {
 		return nil, err
 	}
@@ -272,9 +272,9 @@
 	return nil
 }
 
-// find gives the key of a message by the id of any of its lives.
-func find(tx *bbolt.Tx, id string) ([]byte, error) {
-	k := tx.Bucket(bIDs).Get([]byte(id))
+// findKey gives the key of a message by the id of any of its lives.
+func findKey(tx *bbolt.Tx, id string) ([]byte, error) {
+	k := tx.Bucket(idsBucket).Get([]byte(id))
 	if k == nil {
 		return nil, fmt.Errorf("%w: %s", ErrUnknown, id)
 	}
@@ -284,11 +284,11 @@
 // Get gives a message by the id of any of its lives.
 func (s *Store) Get(id string) (r *Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		k, err := find(tx, id)
+		k, err := findKey(tx, id)
 		if err != nil {
 			return err
 		}
-		if r, err = read(tx.Bucket(bRecords), k); err != nil {
+		if r, err = readRecord(tx.Bucket(recordsBucket), k); err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
 		return nil
@@ -299,11 +299,11 @@
 // Body gives a message's body.
 func (s *Store) Body(id string) (body []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		k, err := find(tx, id)
+		k, err := findKey(tx, id)
 		if err != nil {
 			return err
 		}
-		raw, err := unseal(tx.Bucket(bBodies).Get(k))
+		raw, err := verifyChecksum(tx.Bucket(bodiesBucket).Get(k))
 		if err != nil {
 			return fmt.Errorf("body of %s: %w", id, err)
 		}
@@ -317,12 +317,12 @@
 // gives an error nothing is changed.
 func (s *Store) Change(id string, do func(r *Record) (due time.Time, err error)) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		k, err := find(tx, id)
+		k, err := findKey(tx, id)
 		if err != nil {
 			return err
 		}
-		records, ids := tx.Bucket(bRecords), tx.Bucket(bIDs)
-		r, err := read(records, k)
+		records, ids := tx.Bucket(recordsBucket), tx.Bucket(idsBucket)
+		r, err := readRecord(records, k)
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
@@ -333,21 +333,21 @@
 		}
 		r.Due = due
 		n := binary.BigEndian.Uint64(k)
-		if err := write(records, n, r); err != nil {
+		if err := writeRecord(records, n, r); err != nil {
 			return err
 		}
 		for _, l := range r.Lives[min(lives, len(r.Lives)):] {
-			if err := ids.Put([]byte(l.ID), key(n)); err != nil {
+			if err := ids.Put([]byte(l.ID), recordKey(n)); err != nil {
 				return err
 			}
 		}
-		if err := moveDue(tx, r.Partner, n, wasDue, due); err != nil {
+		if err := updateDue(tx, r.Partner, n, wasDue, due); err != nil {
 			return err
 		}
 		if was == r.State {
 			return nil
 		}
-		if err := s.moveTopic(tx, r, n, !was.Ended(), !r.State.Ended()); err != nil {
+		if err := s.updateSubject(tx, r, n, !was.Ended(), !r.State.Ended()); err != nil {
 			return err
 		}
 		t, err := readTotals(tx)
@@ -367,8 +367,8 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, uint64(at.UnixMilli())), n)
 }
 
-func moveDue(tx *bbolt.Tx, partner int, n uint64, from, to time.Time) error {
-	b := tx.Bucket(bDue)
+func updateDue(tx *bbolt.Tx, partner int, n uint64, from, to time.Time) error {
+	b := tx.Bucket(dueBucket)
 	if !from.IsZero() {
 		if err := b.Delete(dueKey(partner, from, n)); err != nil {
 			return err
@@ -383,7 +383,7 @@
 // Due gives messages that are to be looked at by a time: of each partner the first so many as most says for it.
 func (s *Store) Due(at time.Time, most func(partner int) int) (due []*Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		c, records := tx.Bucket(bDue).Cursor(), tx.Bucket(bRecords)
+		c, records := tx.Bucket(dueBucket).Cursor(), tx.Bucket(recordsBucket)
 		for k, _ := c.First(); k != nil; {
 			partner := binary.BigEndian.Uint32(k)
 			left := most(int(partner))
@@ -391,7 +391,7 @@
 				if time.UnixMilli(int64(binary.BigEndian.Uint64(k[4:]))).After(at) {
 					break
 				}
-				r, err := read(records, k[12:])
+				r, err := readRecord(records, k[12:])
 				if err != nil {
 					continue // verify tells of it
 				}
@@ -413,16 +413,16 @@
 // hold up others.
 func (s *Store) Page(from uint64, most, look int, pass func(r *Record) bool) (page []*Record, next uint64, damaged int, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		records := tx.Bucket(bRecords)
+		records := tx.Bucket(recordsBucket)
 		c := records.Cursor()
-		for k, _ := c.Seek(key(from)); k != nil; k, _ = c.Next() {
+		for k, _ := c.Seek(recordKey(from)); k != nil; k, _ = c.Next() {
 			n := binary.BigEndian.Uint64(k)
 			if len(page) == most || look == 0 {
 				next = n
 				return nil
 			}
 			look--
-			r, err := read(records, k)
+			r, err := readRecord(records, k)
 			if err != nil {
 				damaged++
 				continue
@@ -441,11 +441,11 @@
 func (s *Store) Slice(from uint64, most int) (list []*Record, to uint64, err error) {
 	to = from
 	err = s.view(func(tx *bbolt.Tx) error {
-		records := tx.Bucket(bRecords)
+		records := tx.Bucket(recordsBucket)
 		c := records.Cursor()
-		for k, _ := c.Seek(key(from)); k != nil && len(list) < most; k, _ = c.Next() {
+		for k, _ := c.Seek(recordKey(from)); k != nil && len(list) < most; k, _ = c.Next() {
 			to = binary.BigEndian.Uint64(k) + 1
-			if r, err := read(records, k); err == nil {
+			if r, err := readRecord(records, k); err == nil {
 				list = append(list, r)
 			}
 		}
@@ -462,14 +462,14 @@
 			return err
 		}
 		for _, id := range ids {
-			k, err := find(tx, id)
+			k, err := findKey(tx, id)
 			if errors.Is(err, ErrUnknown) {
 				continue
 			}
 			if err != nil {
 				return err
 			}
-			if err := s.remove(tx, t, append([]byte{}, k...)); err != nil {
+			if err := s.removeCounted(tx, t, append([]byte{}, k...)); err != nil {
 				return err
 			}
 		}
@@ -477,8 +477,8 @@
 	})
 }
 
-func (s *Store) remove(tx *bbolt.Tx, t *Totals, k []byte) error {
-	r, err := read(tx.Bucket(bRecords), k)
+func (s *Store) removeCounted(tx *bbolt.Tx, t *Totals, k []byte) error {
+	r, err := readRecord(tx.Bucket(recordsBucket), k)
 	if err != nil {
 		return err
 	}
@@ -486,23 +486,23 @@
 		t.Left = map[string]int{}
 	}
 	t.Left[r.Class+" of "+r.Tenant]++
-	return s.drop(tx, t, k, r)
+	return s.deleteRecord(tx, t, k, r)
 }
 
-// drop takes a record out.
-func (s *Store) drop(tx *bbolt.Tx, t *Totals, k []byte, r *Record) error {
-	if err := s.moveTopic(tx, r, binary.BigEndian.Uint64(k), !r.State.Ended(), false); err != nil {
+// deleteRecord takes a record out.
+func (s *Store) deleteRecord(tx *bbolt.Tx, t *Totals, k []byte, r *Record) error {
+	if err := s.updateSubject(tx, r, binary.BigEndian.Uint64(k), !r.State.Ended(), false); err != nil {
 		return err
 	}
-	if err := moveDue(tx, r.Partner, binary.BigEndian.Uint64(k), r.Due, time.Time{}); err != nil {
+	if err := updateDue(tx, r.Partner, binary.BigEndian.Uint64(k), r.Due, time.Time{}); err != nil {
 		return err
 	}
 	for _, l := range r.Lives {
-		if err := tx.Bucket(bIDs).Delete([]byte(l.ID)); err != nil {
+		if err := tx.Bucket(idsBucket).Delete([]byte(l.ID)); err != nil {
 			return err
 		}
 	}
-	if err := errors.Join(tx.Bucket(bRecords).Delete(k), tx.Bucket(bBodies).Delete(k)); err != nil {
+	if err := errors.Join(tx.Bucket(recordsBucket).Delete(k), tx.Bucket(bodiesBucket).Delete(k)); err != nil {
 		return err
 	}
 	t.count(r.State, -1)
@@ -514,8 +514,8 @@
 // RulesAre notes which rules are used, and tells whether they differ from those that were used last.
 func (s *Store) RulesAre(digest []byte) (changed bool, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
-		changed = !bytes.Equal(tx.Bucket(bMeta).Get(kRules), digest)
-		return tx.Bucket(bMeta).Put(kRules, digest)
+		changed = !bytes.Equal(tx.Bucket(metaBucket).Get(rulesKey), digest)
+		return tx.Bucket(metaBucket).Put(rulesKey, digest)
 	})
 	return changed, err
 }
@@ -527,7 +527,7 @@
 		if err != nil {
 			return err
 		}
-		b := tx.Bucket(bUnkept)
+		b := tx.Bucket(droppedBucket)
 		for _, id := range ids {
 			if b.Get([]byte(id)) != nil {
 				continue
@@ -544,7 +544,7 @@
 // UnkeptIDs lists what could not be kept.
 func (s *Store) UnkeptIDs() (ids []string, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bUnkept).ForEach(func(k, _ []byte) error {
+		return tx.Bucket(droppedBucket).ForEach(func(k, _ []byte) error {
 			ids = append(ids, string(k))
 			return nil
 		})
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -224,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bMeta).Put(kVersion, []byte{0, 0, 0, 9}) })
+	err = db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{0, 0, 0, 9}) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deadletter/subject.go
+++ b/internal/deadletter/subject.go
@@ -52,7 +52,7 @@
 // Read finds out what a message is about, and its place in the order but for its arrival. The error says why
 // that can't be told.
 func (s *Subject) Read(h http.Header, body []byte) (subject string, o Order, err error) {
-	value, err := lookUp(h, s.Header, s.Pointer, body)
+	value, err := valueOf(h, s.Header, s.Pointer, body)
 	if err != nil {
 		return "", o, fmt.Errorf("subject: %w", err)
 	}
@@ -67,7 +67,7 @@
 	case s.Order == byArrival:
 		return subject, o, nil
 	}
-	if value, err = lookUp(h, s.OrderHeader, s.OrderPointer, body); err != nil {
+	if value, err = valueOf(h, s.OrderHeader, s.OrderPointer, body); err != nil {
 		return "", o, fmt.Errorf("order: %w", err)
 	}
 	if s.Order == byTime {
@@ -116,10 +116,10 @@
 	return Order{Whole: whole.Int64(), Part: part.Num().Int64()}, nil
 }
 
-// lookUp finds the one value that a header has, or that a pointer leads to.
-func lookUp(h http.Header, header, pointer string, body []byte) (v string, err error) {
+// valueOf finds the one value that a header has, or that a pointer leads to.
+func valueOf(h http.Header, header, pointer string, body []byte) (v string, err error) {
 	if pointer != "" {
-		return follow(body, pointer)
+		return resolvePointer(body, pointer)
 	}
 	values := h.Values(header)
 	if len(values) != 1 {
@@ -128,8 +128,8 @@
 	return values[0], nil
 }
 
-// tokens are the names that a pointer goes through (RFC 6901, sections 3 and 4).
-func tokens(pointer string) ([]string, error) {
+// pointerTokens are the names that a pointer goes through (RFC 6901, sections 3 and 4).
+func pointerTokens(pointer string) ([]string, error) {
 	if !strings.HasPrefix(pointer, "/") {
 		return nil, fmt.Errorf("%q is no JSON pointer: it begins with a slash", pointer)
 	}
@@ -143,17 +143,17 @@
 	return names, nil
 }
 
-// follow gives the string or number that a JSON pointer leads to (RFC 6901). It is written by hand on the standard
+// resolvePointer gives the string or number that a JSON pointer leads to (RFC 6901). It is written by hand on the standard
 // decoder's tokens: what works on decoded values takes the last of two members of one name, where a partner may take
 // the first, and turns numbers into floats.
-func follow(body []byte, pointer string) (v string, err error) {
-	names, err := tokens(pointer)
+func resolvePointer(body []byte, pointer string) (v string, err error) {
+	names, err := pointerTokens(pointer)
 	if err != nil {
 		return "", err
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.UseNumber()
-	found, err := descend(d, names, maxDepth)
+	found, err := resolveIn(d, names, maxDepth)
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", pointer, err)
 	}
@@ -171,9 +171,9 @@
 	return "", fmt.Errorf("%s: neither a string nor a number", pointer)
 }
 
-// descend reads one value and gives what a pointer's names lead to in it: nil where nothing does, and a json.Delim
+// resolveIn reads one value and gives what a pointer's names lead to in it: nil where nothing does, and a json.Delim
 // where that is an object or an array. deep is how many levels are left.
-func descend(d *json.Decoder, names []string, deep int) (found any, err error) {
+func resolveIn(d *json.Decoder, names []string, deep int) (found any, err error) {
 	if deep == 0 {
 		return nil, errors.New("nested too deep")
 	}
@@ -211,7 +211,7 @@
 		if on {
 			rest = names[1:]
 		}
-		inner, err := descend(d, rest, deep-1)
+		inner, err := resolveIn(d, rest, deep-1)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/deadletter/subject_test.go
+++ b/internal/deadletter/subject_test.go
@@ -28,17 +28,17 @@
 		"/foo/0": "bar", "/foo/1": "baz", "/": "0", "/a~1b": "1", "/c%d": "2", "/e^f": "3", "/g|h": "4",
 		"/i\\j": "5", "/k\"l": "6", "/ ": "7", "/m~0n": "8", "/o/p/q": "x", "/01": "9",
 	} {
-		if got, err := follow([]byte(doc), pointer); err != nil || got != want {
+		if got, err := resolvePointer([]byte(doc), pointer); err != nil || got != want {
 			t.Errorf("%s: %q, %v, want %q", pointer, got, err, want)
 		}
 	}
 	for _, pointer := range []string{"/foo", "/foo/2", "/foo/-", "/foo/00", "/foo/bar", "/o/p", "/none", "/n", "/b", "foo", "", "/~2", "/m~", "/o/p/q/r"} {
-		if got, err := follow([]byte(doc), pointer); err == nil {
+		if got, err := resolvePointer([]byte(doc), pointer); err == nil {
 			t.Errorf("%s: %q", pointer, got)
 		}
 	}
 	for _, body := range []string{``, `{"a":1`, `{"a":1}{`, `{"a":1,"a":2}`, `{"a":1} 2`, `{"a" 1}`, `[1]`, strings.Repeat("[", 60_000), `{"a":` + strings.Repeat("[", 99)} {
-		if got, err := follow([]byte(body), "/a"); err == nil {
+		if got, err := resolvePointer([]byte(body), "/a"); err == nil {
 			t.Errorf("%.40s: %q", body, got)
 		}
 	}
@@ -116,8 +116,8 @@
 		f.Add([]byte(s[0]), s[1])
 	}
 	f.Fuzz(func(t *testing.T, body []byte, pointer string) {
-		v, err := follow(body, pointer)
-		if again, err2 := follow(body, pointer); again != v || (err == nil) != (err2 == nil) {
+		v, err := resolvePointer(body, pointer)
+		if again, err2 := resolvePointer(body, pointer); again != v || (err == nil) != (err2 == nil) {
 			t.Errorf("%q, then %q", v, again)
 		}
 		_, _ = numberOrder(v)
--- a/internal/deadletter/subjects.go
+++ b/internal/deadletter/subjects.go
@@ -20,96 +20,96 @@
 //	waiting  topic + number of the record -> latest as JSON
 //	eras     class -> era as JSON
 var (
-	bNewest, bYoung  = []byte("newest"), []byte("young")
-	bWaiting, bEras  = []byte("waiting"), []byte("eras")
-	kStoreID, kSized = []byte("id"), []byte("topics")
+	newestBucket, insertionBucket  = []byte("newest"), []byte("young")
+	waitingBucket, epochsBucket  = []byte("waiting"), []byte("eras")
+	storeIDKey, subjectCountKey = []byte("id"), []byte("topics")
 )
 
-// topicLen is how much of a topic's hash is its key: two of a million topics agree in it once in 1e26 stores.
-const topicLen = 16
+// topicKeySize is how much of a topic's hash is its key: two of a million topics agree in it once in 1e26 stores.
+const topicKeySize = 16
 
 func topicKey(t Topic) []byte {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s", t.Class, t.Partner, t.Subject))
-	return sum[:topicLen]
+	return sum[:topicKeySize]
 }
 
-// boltShelf is a shelf within one transaction. Its first error ends what it was used for.
-type boltShelf struct {
+// boltSubjects is a shelf within one transaction. Its first error ends what it was used for.
+type boltSubjects struct {
 	tx   *bbolt.Tx
-	eras map[string]*era
-	n    int // topics; -1: not read yet
+	epochs map[string]*trackingEpoch
+	count    int // topics; -1: not read yet
 	err  error
 }
 
-func shelfOf(tx *bbolt.Tx) *boltShelf { return &boltShelf{tx: tx, eras: map[string]*era{}, n: -1} }
+func newBoltSubjects(tx *bbolt.Tx) *boltSubjects { return &boltSubjects{tx: tx, epochs: map[string]*trackingEpoch{}, count: -1} }
 
-func (s *boltShelf) fail(err error) {
+func (s *boltSubjects) recordError(err error) {
 	if err != nil && s.err == nil {
 		s.err = err
 	}
 }
 
 // decode reads a value, and reports whether it was there and readable.
-func (s *boltShelf) decode(raw []byte, into any) bool {
+func (s *boltSubjects) decode(raw []byte, into any) bool {
 	if raw == nil {
 		return false
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		s.fail(fmt.Errorf("its topics: %w", ErrDamaged))
+		s.recordError(fmt.Errorf("its topics: %w", ErrDamaged))
 		return false
 	}
 	return true
 }
 
-func (s *boltShelf) encode(v any) []byte {
+func (s *boltSubjects) encode(v any) []byte {
 	raw, err := json.Marshal(v)
-	s.fail(err)
+	s.recordError(err)
 	return raw
 }
 
-func (s *boltShelf) era(class string) *era {
-	if e, ok := s.eras[class]; ok {
+func (s *boltSubjects) epoch(class string) *trackingEpoch {
+	if e, ok := s.epochs[class]; ok {
 		return e
 	}
-	e := &era{}
+	e := &trackingEpoch{}
 	// The store of an earlier version that was opened to read has no such bucket.
-	if b := s.tx.Bucket(bEras); b == nil || !s.decode(b.Get([]byte(class)), e) {
+	if b := s.tx.Bucket(epochsBucket); b == nil || !s.decode(b.Get([]byte(class)), e) {
 		e = nil
 	}
-	s.eras[class] = e
+	s.epochs[class] = e
 	return e
 }
 
-func (s *boltShelf) setEra(class string, e *era) {
-	s.eras[class] = e
-	s.fail(s.tx.Bucket(bEras).Put([]byte(class), s.encode(e)))
+func (s *boltSubjects) setEpoch(class string, e *trackingEpoch) {
+	s.epochs[class] = e
+	s.recordError(s.tx.Bucket(epochsBucket).Put([]byte(class), s.encode(e)))
 }
 
-func (s *boltShelf) latest(t Topic) *latest {
-	raw := s.tx.Bucket(bNewest).Get(topicKey(t))
-	l := &latest{}
+func (s *boltSubjects) newest(t Topic) *newestMessage {
+	raw := s.tx.Bucket(newestBucket).Get(topicKey(t))
+	l := &newestMessage{}
 	if len(raw) < 9+len(t.Class) || !s.decode(raw[9+len(t.Class):], l) {
 		return nil
 	}
 	return l
 }
 
-func (s *boltShelf) put(t Topic, l latest) {
-	newest, young := s.tx.Bucket(bNewest), s.tx.Bucket(bYoung)
+func (s *boltSubjects) put(t Topic, l newestMessage) {
+	newest, young := s.tx.Bucket(newestBucket), s.tx.Bucket(insertionBucket)
 	k := topicKey(t)
 	if was := newest.Get(k); len(was) >= 8 {
-		s.fail(young.Delete(append([]byte{}, was[:8]...)))
+		s.recordError(young.Delete(append([]byte{}, was[:8]...)))
 	} else {
-		s.n = s.size() + 1
+		s.count = s.size() + 1
 	}
 	n, err := young.NextSequence()
-	s.fail(err)
-	s.fail(young.Put(key(n), k))
-	s.fail(newest.Put(k, append(append(append(key(n), t.Class...), 0), s.encode(l)...)))
+	s.recordError(err)
+	s.recordError(young.Put(recordKey(n), k))
+	s.recordError(newest.Put(k, append(append(append(recordKey(n), t.Class...), 0), s.encode(l)...)))
 }
 
-func (s *boltShelf) oldest() (class string, l *latest) {
-	newest, young := s.tx.Bucket(bNewest), s.tx.Bucket(bYoung)
+func (s *boltSubjects) evictOldest() (class string, l *newestMessage) {
+	newest, young := s.tx.Bucket(newestBucket), s.tx.Bucket(insertionBucket)
 	number, k := young.Cursor().First()
 	if number == nil {
 		return "", nil
@@ -118,31 +118,31 @@
 	raw := newest.Get(k)
 	for i := 8; i < len(raw); i++ {
 		if raw[i] == 0 {
-			class, l = string(raw[8:i]), &latest{}
+			class, l = string(raw[8:i]), &newestMessage{}
 			s.decode(raw[i+1:], l)
 			break
 		}
 	}
-	s.fail(errors.Join(young.Delete(number), newest.Delete(k)))
-	s.n = s.size() - 1
+	s.recordError(errors.Join(young.Delete(number), newest.Delete(k)))
+	s.count = s.size() - 1
 	return class, l
 }
 
-func (s *boltShelf) size() int {
-	if s.n < 0 {
-		s.n = 0
-		if raw := s.tx.Bucket(bMeta).Get(kSized); len(raw) == 8 {
-			s.n = int(binary.BigEndian.Uint64(raw))
+func (s *boltSubjects) size() int {
+	if s.count < 0 {
+		s.count = 0
+		if raw := s.tx.Bucket(metaBucket).Get(subjectCountKey); len(raw) == 8 {
+			s.count = int(binary.BigEndian.Uint64(raw))
 		}
 	}
-	return s.n
+	return s.count
 }
 
-func (s *boltShelf) waiting(t Topic, version int) (best *latest) {
+func (s *boltSubjects) waiting(t Topic, version int) (best *newestMessage) {
 	k := topicKey(t)
-	c := s.tx.Bucket(bWaiting).Cursor()
-	for at, raw := c.Seek(k); len(at) == topicLen+8 && string(at[:topicLen]) == string(k); at, raw = c.Next() {
-		l := &latest{}
+	c := s.tx.Bucket(waitingBucket).Cursor()
+	for at, raw := c.Seek(k); len(at) == topicKeySize+8 && string(at[:topicKeySize]) == string(k); at, raw = c.Next() {
+		l := &newestMessage{}
 		if s.decode(raw, l) && l.Version == version && (best == nil || l.Order.compare(best.Order) > 0) {
 			best = l
 		}
@@ -150,27 +150,27 @@
 	return best
 }
 
-// done writes what was counted, and gives the first error.
-func (s *boltShelf) done() error {
-	if s.n >= 0 {
-		s.fail(s.tx.Bucket(bMeta).Put(kSized, binary.BigEndian.AppendUint64(nil, uint64(s.n))))
+// commit writes what was counted, and gives the first error.
+func (s *boltSubjects) commit() error {
+	if s.count >= 0 {
+		s.recordError(s.tx.Bucket(metaBucket).Put(subjectCountKey, binary.BigEndian.AppendUint64(nil, uint64(s.count))))
 	}
 	return s.err
 }
 
-// newest gives what knows the topics, within a transaction.
-func (s *Store) newest(on shelf) *Newest {
-	known := s.known.Load()
+// newestIn gives what knows the topics, within a transaction.
+func (s *Store) newestIn(on subjectStorage) *Newest {
+	known := s.section.Load()
 	if known == nil {
 		known = &Section{}
 	}
-	return &Newest{on: on, most: known.SubjectsMost, alone: known.SubjectsStick, settle: seconds(known.SubjectsSettle)}
+	return &Newest{storage: on, maxSubjects: known.SubjectsMost, exclusive: known.SubjectsStick, settlingTime: seconds(known.SubjectsSettle)}
 }
 
 // Topics has the store know the newest message of each topic for the classes of a section whose subjects are read. anew
 // says that messages may have been delivered of which the store was not told.
 func (s *Store) Topics(section *Section, anew bool, now time.Time) error {
-	s.known.Store(section)
+	s.section.Store(section)
 	subjects := section.Subjects
 	reading := map[string]string{}
 	for i := range subjects {
@@ -181,23 +181,23 @@
 		reading[subjects[i].Class] = string(raw)
 	}
 	return s.update(func(tx *bbolt.Tx) error {
-		on := shelfOf(tx)
+		on := newBoltSubjects(tx)
 		// A class whose subjects are no longer read begins anew when they are again.
 		var gone [][]byte
-		err := tx.Bucket(bEras).ForEach(func(class, _ []byte) error {
+		err := tx.Bucket(epochsBucket).ForEach(func(class, _ []byte) error {
 			if reading[string(class)] == "" {
 				gone = append(gone, append([]byte{}, class...))
 			}
 			return nil
 		})
 		for _, class := range gone {
-			e := on.era(string(class))
-			if e != nil && e.Reading != "" {
-				on.setEra(string(class), &era{Version: e.Version + 1})
+			e := on.epoch(string(class))
+			if e != nil && e.Definition != "" {
+				on.setEpoch(string(class), &trackingEpoch{Version: e.Version + 1})
 			}
 		}
-		s.newest(on).Begin(reading, anew, now)
-		return errors.Join(err, on.done())
+		s.newestIn(on).Begin(reading, anew, now)
+		return errors.Join(err, on.commit())
 	})
 }
 
@@ -211,12 +211,12 @@
 // Delivered notes messages of a topic that were delivered. One that is noted again changes nothing.
 func (s *Store) Delivered(notes []Note) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		on := shelfOf(tx)
-		n := s.newest(on)
+		on := newBoltSubjects(tx)
+		n := s.newestIn(on)
 		for i := range notes {
 			n.Delivered(notes[i].ID, notes[i].Topic, notes[i].Order)
 		}
-		return on.done()
+		return on.commit()
 	})
 }
 
@@ -224,8 +224,8 @@
 // be told.
 func (s *Store) Newer(r *Record) (by string, known bool) {
 	err := s.view(func(tx *bbolt.Tx) error {
-		on := shelfOf(tx)
-		by, known = s.newest(on).After(r)
+		on := newBoltSubjects(tx)
+		by, known = s.newestIn(on).After(r)
 		return on.err
 	})
 	if err != nil {
@@ -234,37 +234,37 @@
 	return by, known
 }
 
-// moveTopic keeps what is known of a record's topic as the record comes, ends or leaves.
-func (s *Store) moveTopic(tx *bbolt.Tx, r *Record, n uint64, was, is bool) error {
-	on := shelfOf(tx)
+// updateSubject keeps what is known of a record's topic as the record comes, ends or leaves.
+func (s *Store) updateSubject(tx *bbolt.Tx, r *Record, n uint64, was, is bool) error {
+	on := newBoltSubjects(tx)
 	if r.Subject == "" || r.Order == nil {
 		// Whatever it is about, it may have been delivered.
 		if !was && r.Order != nil && r.MayHaveRun() != nil {
-			s.newest(on).Delivered(r.ID, r.topic(), *r.Order)
+			s.newestIn(on).Delivered(r.ID, r.topic(), *r.Order)
 		}
-		return on.done()
+		return on.commit()
 	}
-	waiting, k := tx.Bucket(bWaiting), append(topicKey(r.topic()), key(n)...)
+	waiting, k := tx.Bucket(waitingBucket), append(topicKey(r.topic()), recordKey(n)...)
 	switch {
 	case !was && is:
-		l := latest{ID: r.ID, Order: *r.Order}
-		if e := on.era(r.Class); e != nil {
+		l := newestMessage{ID: r.ID, Order: *r.Order}
+		if e := on.epoch(r.Class); e != nil {
 			l.Version = e.Version
 		}
-		on.fail(waiting.Put(k, on.encode(l)))
+		on.recordError(waiting.Put(k, on.encode(l)))
 	case was && !is:
-		on.fail(waiting.Delete(k))
+		on.recordError(waiting.Delete(k))
 		if r.State == Delivered || r.MayHaveRun() != nil {
-			s.newest(on).Delivered(r.ID, r.topic(), *r.Order)
+			s.newestIn(on).Delivered(r.ID, r.topic(), *r.Order)
 		}
 	}
-	return on.done()
+	return on.commit()
 }
 
 // ID names the store: another folder has another.
 func (s *Store) ID() (id string, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		id = string(tx.Bucket(bMeta).Get(kStoreID))
+		id = string(tx.Bucket(metaBucket).Get(storeIDKey))
 		return nil
 	})
 	return id, err
--- a/internal/deadletter/subjects_test.go
+++ b/internal/deadletter/subjects_test.go
@@ -106,7 +106,7 @@
 			return s.Topics(parcels(func(s *Section) { s.Subjects[0].Order = byTime }), false, noon)
 		},
 		"a bucket can't be read": func(s *Store) error {
-			return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bEras).Put([]byte("c"), []byte("{")) })
+			return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(epochsBucket).Put([]byte("c"), []byte("{")) })
 		},
 	} {
 		s := openStore(t, t.TempDir())
@@ -136,13 +136,13 @@
 	s := openStore(t, dir)
 	put(t, s, "a", "b")
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		for _, b := range [][]byte{bNewest, bYoung, bWaiting, bEras} {
+		for _, b := range [][]byte{newestBucket, insertionBucket, waitingBucket, epochsBucket} {
 			if err := tx.DeleteBucket(b); err != nil {
 				return err
 			}
 		}
-		_ = tx.Bucket(bMeta).Delete(kStoreID)
-		return tx.Bucket(bMeta).Put(kVersion, binary.BigEndian.AppendUint32(nil, 1))
+		_ = tx.Bucket(metaBucket).Delete(storeIDKey)
+		return tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, 1))
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/deadletter/totals.go
+++ b/internal/deadletter/totals.go
@@ -37,7 +37,7 @@
 
 func readTotals(tx *bbolt.Tx) (*Totals, error) {
 	t := &Totals{}
-	if raw := tx.Bucket(bMeta).Get(kTotals); raw != nil {
+	if raw := tx.Bucket(metaBucket).Get(totalsKey); raw != nil {
 		if err := json.Unmarshal(raw, t); err != nil {
 			return nil, fmt.Errorf("its totals: %w", ErrDamaged)
 		}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket(bMeta).Put(kTotals, raw)
+	return tx.Bucket(metaBucket).Put(totalsKey, raw)
 }
 
 // Refused counts messages that were refused at their arrival, by class and tenant as Totals name them.
@@ -72,7 +72,7 @@
 
 // changeGroup changes what is held of a class and tenant.
 func changeGroup(tx *bbolt.Tx, class, tenant string, messages int, bytes int64) error {
-	b, k := tx.Bucket(bGroups), []byte(class+"\x00"+tenant)
+	b, k := tx.Bucket(groupsBucket), []byte(class+"\x00"+tenant)
 	g := Group{Class: class, Tenant: tenant}
 	if raw := b.Get(k); raw != nil {
 		if err := json.Unmarshal(raw, &g); err != nil {
@@ -94,7 +94,7 @@
 		if t, err = readTotals(tx); err != nil {
 			return err
 		}
-		return tx.Bucket(bGroups).ForEach(func(_, raw []byte) error {
+		return tx.Bucket(groupsBucket).ForEach(func(_, raw []byte) error {
 			var g Group
 			if err := json.Unmarshal(raw, &g); err != nil {
 				return fmt.Errorf("its groups: %w", ErrDamaged)
--- a/internal/deadletter/verify.go
+++ b/internal/deadletter/verify.go
@@ -24,7 +24,7 @@
 			// A page could not be read: go on behind it.
 			add(fmt.Sprintf("a page behind record %d", n), err)
 			next = n + 1
-			if behind, ok := s.skip(n); ok {
+			if behind, ok := s.nextReadable(n); ok {
 				next = behind
 			} else {
 				return good, faults
@@ -44,21 +44,21 @@
 func (s *Store) verifyFrom(from uint64, good *int, add func(string, error)) (last, next uint64, err error) {
 	last = from
 	err = s.view(func(tx *bbolt.Tx) error {
-		records, bodies := tx.Bucket(bRecords), tx.Bucket(bBodies)
+		records, bodies := tx.Bucket(recordsBucket), tx.Bucket(bodiesBucket)
 		c := records.Cursor()
 		steps := 0
-		for k, _ := c.Seek(key(from)); k != nil; k, _ = c.Next() {
+		for k, _ := c.Seek(recordKey(from)); k != nil; k, _ = c.Next() {
 			n := binary.BigEndian.Uint64(k)
 			if steps++; steps > verifyStep {
 				next = n
 				return nil
 			}
 			last = n
-			if _, err := read(records, k); err != nil {
+			if _, err := readRecord(records, k); err != nil {
 				add(fmt.Sprintf("record %d", n), err)
 				continue
 			}
-			if err := bodyThere(bodies, k); err != nil {
+			if err := verifyBody(bodies, k); err != nil {
 				add(fmt.Sprintf("body of record %d", n), err)
 				continue
 			}
@@ -69,23 +69,23 @@
 	return last, next, err
 }
 
-// bodyThere checks a body; a damaged page under it is a fault of this body alone.
-func bodyThere(b *bbolt.Bucket, k []byte) (err error) {
+// verifyBody checks a body; a damaged page under it is a fault of this body alone.
+func verifyBody(b *bbolt.Bucket, k []byte) (err error) {
 	defer boltfile.Guard(&err)
-	_, err = unseal(b.Get(k))
+	_, err = verifyChecksum(b.Get(k))
 	return err
 }
 
-// skip finds the next record that can be reached behind one at which a page could not be read: the damaged stretch is
+// nextReadable finds the next record that can be reached behind one at which a page could not be read: the damaged stretch is
 // first overleapt in growing steps, and then its end is searched for by halves.
-func (s *Store) skip(n uint64) (behind uint64, ok bool) {
+func (s *Store) nextReadable(n uint64) (behind uint64, ok bool) {
 	top := uint64(0)
-	if s.view(func(tx *bbolt.Tx) error { top = tx.Bucket(bRecords).Sequence(); return nil }) != nil {
+	if s.view(func(tx *bbolt.Tx) error { top = tx.Bucket(recordsBucket).Sequence(); return nil }) != nil {
 		return 0, false
 	}
 	reach := func(from uint64) (found uint64) {
 		_ = s.view(func(tx *bbolt.Tx) error {
-			if k, _ := tx.Bucket(bRecords).Cursor().Seek(key(from)); k != nil {
+			if k, _ := tx.Bucket(recordsBucket).Cursor().Seek(recordKey(from)); k != nil {
 				found = binary.BigEndian.Uint64(k)
 			}
 			return nil
