--- a/internal/clock/lint_test.go
+++ b/internal/clock/lint_test.go
@@ -23,9 +23,9 @@
 	"cmd/frostlinkctl/follow.go: UnixMilli":         "a date of a log, shown to people",
 	"cmd/frostlinkctl/lease.go: UnixMilli":          "a date of a record, shown to people",
 	"internal/socket/socket.go: Unix":               "a deadline that has passed on any clock",
-	"internal/deadletter/store.go: UnixMilli":       "the key of a date that the store was given, and its way back",
-	"internal/deadletter/subject.go: Unix":          "an order that clients give as a date",
-	"internal/deadletter/access.go: time.Now":       "the tool on a folder of which no relay runs",
+	"internal/deadletter/due.go: UnixMilli":         "the key of a date that the store was given, and its way back",
+	"internal/deadletter/order.go: Unix":            "an order that clients give as a date",
+	"internal/deadletter/client.go: time.Now":       "the tool on a folder of which no relay runs",
 	"internal/deadletter/record.go: time.Time json": "dates on the relay's timeline, kept for people",
 	"internal/deadletter/newest.go: time.Time json": "the same",
 }
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -19,7 +19,7 @@
 	store   *Store
 	section *Section
 	dir     string
-	cursors    []uint64 // of each bound, and of the store's own: where the next round goes on
+	cursors []uint64 // of each bound, and of the store's own: where the next round goes on
 }
 
 // NewBounds gives the bounds of a section, the store's own first.
--- a/internal/deadletter/access.go
+++ b/internal/deadletter/client.go
@@ -10,7 +10,6 @@
 	"net"
 	"net/http"
 	"net/url"
-	"os"
 	"time"
 )
 
@@ -21,38 +20,6 @@
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Serve answers the tool on a Unix socket of mode 0600 until ctx ends. A socket that an earlier process left behind is
-// taken over; one that answers is not.
-func Serve(ctx context.Context, path string, a *Admin) error {
-	if c, err := net.Dial("unix", path); err == nil {
-		_ = c.Close()
-		return fmt.Errorf("undelivered: socket %s: %w", path, ErrInUse)
-	}
-	if info, err := os.Lstat(path); err == nil {
-		if info.Mode()&os.ModeSocket == 0 {
-			return fmt.Errorf("undelivered: socket %s: a file that is no socket is there", path)
-		}
-		if err := os.Remove(path); err != nil {
-			return fmt.Errorf("undelivered: %w", err)
-		}
-	}
-	ln, err := net.Listen("unix", path)
-	if err != nil {
-		return fmt.Errorf("undelivered: %w", err)
-	}
-	if err := os.Chmod(path, 0o600); err != nil {
-		_ = ln.Close()
-		return fmt.Errorf("undelivered: %w", err)
-	}
-	srv := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: readHeaderTimeout}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
-	defer stop()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("undelivered: socket %s: %w", path, err)
-	}
-	return nil
-}
-
 // Access is the tool's way to a store: to a running relay's by its socket, or to a stopped one's folder.
 type Access struct {
 	client http.Client
@@ -90,29 +57,6 @@
 	return &Access{store: s, client: http.Client{Transport: handlerTransport{a.Handler()}}}, nil
 }
 
-// handlerTransport answers requests by a handler in this process.
-type handlerTransport struct{ http.Handler }
-
-func (d handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	w := &responseRecorder{header: http.Header{}, status: http.StatusOK}
-	if r.Body == nil {
-		r.Body = http.NoBody
-	}
-	d.ServeHTTP(w, r)
-	return &http.Response{StatusCode: w.status, Header: w.header, Body: io.NopCloser(&w.body), Request: r}, nil
-}
-
-// responseRecorder collects what a handler writes.
-type responseRecorder struct {
-	header http.Header
-	status int
-	body   bytes.Buffer
-}
-
-func (a *responseRecorder) Header() http.Header         { return a.header }
-func (a *responseRecorder) WriteHeader(status int)      { a.status = status }
-func (a *responseRecorder) Write(b []byte) (int, error) { return a.body.Write(b) }
-
 // Close lets go of a folder.
 func (a *Access) Close() error {
 	if a.store != nil {
--- /dev/null
+++ b/internal/deadletter/filter.go
@@ -0,0 +1,78 @@
+package deadletter
+
+import (
+	"fmt"
+	"net/url"
+	"slices"
+	"strconv"
+)
+
+// Filter says which messages are meant. What it leaves out matches anything.
+type Filter struct {
+	Class, Tenant string
+	Partner       *int
+	Reason        Reason
+	State         State
+	MayHaveRun    *bool
+}
+
+// Passes tells whether a message is meant.
+func (f *Filter) Passes(r *Record) bool {
+	switch {
+	case f.Class != "" && f.Class != r.Class,
+		f.Tenant != "" && f.Tenant != r.Tenant,
+		f.Partner != nil && *f.Partner != r.Partner,
+		f.Reason != "" && f.Reason != r.Last().Reason,
+		f.State != "" && f.State != r.State,
+		f.MayHaveRun != nil && *f.MayHaveRun != (r.MayHaveRun() != nil):
+		return false
+	}
+	return true
+}
+
+// Query writes a filter as the parameters of a request.
+func (f *Filter) Query() url.Values {
+	q := url.Values{}
+	set := func(name, v string) {
+		if v != "" {
+			q.Set(name, v)
+		}
+	}
+	set("class", f.Class)
+	set("tenant", f.Tenant)
+	set("reason", string(f.Reason))
+	set("state", string(f.State))
+	if f.Partner != nil {
+		set("partner", strconv.Itoa(*f.Partner))
+	}
+	if f.MayHaveRun != nil {
+		set("may_have_run", strconv.FormatBool(*f.MayHaveRun))
+	}
+	return q
+}
+
+// ParseFilter reads a filter from the parameters of a request.
+func ParseFilter(q url.Values) (*Filter, error) {
+	f := &Filter{Class: q.Get("class"), Tenant: q.Get("tenant"), Reason: Reason(q.Get("reason")), State: State(q.Get("state"))}
+	if f.Reason != "" && !slices.Contains(reasons, f.Reason) {
+		return nil, fmt.Errorf("reason: %q is none of %v", f.Reason, reasons)
+	}
+	if states := []State{Held, Due, Out, Delivered, Superseded, Discarded}; f.State != "" && !slices.Contains(states, f.State) {
+		return nil, fmt.Errorf("state: %q is none of %v", f.State, states)
+	}
+	if v := q.Get("partner"); v != "" {
+		n, err := strconv.Atoi(v)
+		if err != nil {
+			return nil, fmt.Errorf("partner: %q is no number", v)
+		}
+		f.Partner = &n
+	}
+	if v := q.Get("may_have_run"); v != "" {
+		b, err := strconv.ParseBool(v)
+		if err != nil {
+			return nil, fmt.Errorf("may_have_run: %q is neither true nor false", v)
+		}
+		f.MayHaveRun = &b
+	}
+	return f, nil
+}
--- /dev/null
+++ b/internal/deadletter/messages.go
@@ -0,0 +1,193 @@
+package deadletter
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// Kept is a message as it is handed over.
+type Kept struct {
+	Record
+	Body []byte
+}
+
+// recordKey is a record's key.
+func recordKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+
+// Put keeps messages. One whose id is there already changes nothing: after a crash the journal hands it over again.
+// Where there is no room for all, none is kept, and the error is ErrFull.
+func (s *Store) Put(messages []Kept) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		t, err := readTotals(tx)
+		if err != nil {
+			return err
+		}
+		for i := range messages {
+			if err := s.putMessage(tx, t, &messages[i]); err != nil {
+				return err
+			}
+		}
+		return writeTotals(tx, t)
+	})
+}
+
+// putMessage keeps one message.
+func (s *Store) putMessage(tx *bbolt.Tx, t *Totals, m *Kept) error {
+	ids := tx.Bucket(idsBucket)
+	for _, l := range m.Lives {
+		k := ids.Get([]byte(l.ID))
+		if k == nil {
+			continue
+		}
+		// One that was refused, and came again under its old id: now it was taken on.
+		old, err := readRecord(tx.Bucket(recordsBucket), k)
+		if err != nil || !old.neverAccepted() || m.neverAccepted() {
+			return nil
+		}
+		if err := s.deleteRecord(tx, t, append([]byte{}, k...), old); err != nil {
+			return err
+		}
+	}
+	if s.maxMessages > 0 && t.Messages >= s.maxMessages || s.maxBytes > 0 && s.bytesUsed(tx)+int64(len(m.Body)) > s.maxBytes {
+		return ErrFull
+	}
+	records := tx.Bucket(recordsBucket)
+	n, err := records.NextSequence()
+	if err != nil {
+		return err
+	}
+	m.Version, m.BodySize = Version, len(m.Body)
+	if err := writeRecord(records, n, &m.Record); err != nil {
+		return err
+	}
+	if err := tx.Bucket(bodiesBucket).Put(recordKey(n), addChecksum(m.Body)); err != nil {
+		return err
+	}
+	for _, l := range m.Lives {
+		if err := ids.Put([]byte(l.ID), recordKey(n)); err != nil {
+			return err
+		}
+	}
+	if err := updateDue(tx, m.Partner, n, time.Time{}, m.Due); err != nil {
+		return err
+	}
+	if err := s.updateSubject(tx, &m.Record, n, false, !m.State.Ended() && !m.neverAccepted()); err != nil {
+		return err
+	}
+	t.count(m.State, 1)
+	t.Messages++
+	t.Bytes += int64(len(m.Body))
+	return changeGroup(tx, m.Class, m.Tenant, 1, int64(len(m.Body)))
+}
+
+func writeRecord(b *bbolt.Bucket, n uint64, r *Record) error {
+	raw, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	return b.Put(recordKey(n), addChecksum(raw))
+}
+
+func readRecord(b *bbolt.Bucket, k []byte) (*Record, error) {
+	raw, err := verifyChecksum(b.Get(k))
+	if err != nil {
+		return nil, err
+	}
+	r := &Record{}
+	if err := json.Unmarshal(raw, r); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	return r, nil
+}
+
+// findKey gives the key of a message by the id of any of its lives.
+func findKey(tx *bbolt.Tx, id string) ([]byte, error) {
+	k := tx.Bucket(idsBucket).Get([]byte(id))
+	if k == nil {
+		return nil, fmt.Errorf("%w: %s", ErrUnknown, id)
+	}
+	return k, nil
+}
+
+// Get gives a message by the id of any of its lives.
+func (s *Store) Get(id string) (r *Record, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		k, err := findKey(tx, id)
+		if err != nil {
+			return err
+		}
+		if r, err = readRecord(tx.Bucket(recordsBucket), k); err != nil {
+			return fmt.Errorf("%s: %w", id, err)
+		}
+		return nil
+	})
+	return r, err
+}
+
+// Body gives a message's body.
+func (s *Store) Body(id string) (body []byte, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		k, err := findKey(tx, id)
+		if err != nil {
+			return err
+		}
+		raw, err := verifyChecksum(tx.Bucket(bodiesBucket).Get(k))
+		if err != nil {
+			return fmt.Errorf("body of %s: %w", id, err)
+		}
+		body = append([]byte{}, raw...)
+		return nil
+	})
+	return body, err
+}
+
+// Change changes a message in one transaction; due is when to look at it again by itself, zero for never. Where do
+// gives an error nothing is changed.
+func (s *Store) Change(id string, do func(r *Record) (due time.Time, err error)) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		k, err := findKey(tx, id)
+		if err != nil {
+			return err
+		}
+		records, ids := tx.Bucket(recordsBucket), tx.Bucket(idsBucket)
+		r, err := readRecord(records, k)
+		if err != nil {
+			return fmt.Errorf("%s: %w", id, err)
+		}
+		was, wasDue, lives := r.State, r.Due, len(r.Lives)
+		due, err := do(r)
+		if err != nil {
+			return err
+		}
+		r.Due = due
+		n := binary.BigEndian.Uint64(k)
+		if err := writeRecord(records, n, r); err != nil {
+			return err
+		}
+		for _, l := range r.Lives[min(lives, len(r.Lives)):] {
+			if err := ids.Put([]byte(l.ID), recordKey(n)); err != nil {
+				return err
+			}
+		}
+		if err := updateDue(tx, r.Partner, n, wasDue, due); err != nil {
+			return err
+		}
+		if was == r.State {
+			return nil
+		}
+		if err := s.updateSubject(tx, r, n, !was.Ended(), !r.State.Ended()); err != nil {
+			return err
+		}
+		t, err := readTotals(tx)
+		if err != nil {
+			return err
+		}
+		t.count(was, -1)
+		t.count(r.State, 1)
+		return writeTotals(tx, t)
+	})
+}
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -1,6 +1,8 @@
 package deadletter
 
-import "time"
+import (
+	"time"
+)
 
 // newestMessage is the newest message of a topic that was delivered, or may have been.
 type newestMessage struct {
@@ -15,11 +17,11 @@
 
 // trackingEpoch is what is known of a class's topics as a whole.
 type trackingEpoch struct {
-	Since   time.Time     `json:"since"`             // from when on all that was delivered is known
-	Definition string        `json:"reading"`           // how its subjects are read
-	Version int           `json:"version,omitempty"` // how often that has changed
+	Since         time.Time     `json:"since"`             // from when on all that was delivered is known
+	Definition    string        `json:"reading"`           // how its subjects are read
+	Version       int           `json:"version,omitempty"` // how often that has changed
 	NewestEvicted *Order        `json:"horizon,omitempty"` // the newest that was forgotten since, of whatever topic
-	Unreadable  map[int]int64 `json:"unread,omitempty"`  // by partner: arrival of the last one delivered whose subject can't be read
+	Unreadable    map[int]int64 `json:"unread,omitempty"`  // by partner: arrival of the last one delivered whose subject can't be read
 }
 
 // active tells whether the class's subjects are read at present.
@@ -41,7 +43,7 @@
 // Newest knows the newest message of each topic that was delivered: of so many topics. What it forgets it can't tell
 // any more.
 type Newest struct {
-	storage   subjectStorage
+	storage     subjectStorage
 	maxSubjects int // 0: any number, for a tool that ends a message of a stopped relay's
 	// settlingTime after a class's subjects were first read, what can be told of them begins to be relied on: until then a
 	// message may have a newer one that was delivered before. No client hands messages of one topic in so far out of
@@ -129,48 +131,3 @@
 	known = known && n.exclusive && !r.Lives[0].Taken.Before(e.Since.Add(n.settlingTime)) && r.Order.Arrival >= e.Unreadable[t.Partner]
 	return best.ID, known || best.ID != ""
 }
-
-// Underway knows the messages of each topic that were taken on and have not ended.
-type Underway struct {
-	orders map[Topic]map[string]Order
-}
-
-// Taken notes a message that was taken on, and Ended that it has ended.
-func (u *Underway) Taken(id string, t Topic, order Order) {
-	if u.orders == nil {
-		u.orders = map[Topic]map[string]Order{}
-	}
-	if u.orders[t] == nil {
-		u.orders[t] = map[string]Order{}
-	}
-	u.orders[t][id] = order
-}
-
-// Ended notes that a message has ended, and is known to Newest where it should be.
-func (u *Underway) Ended(id string, t Topic) {
-	if delete(u.orders[t], id); len(u.orders[t]) == 0 {
-		delete(u.orders, t)
-	}
-}
-
-// After gives the newest message of a topic that is newer than a place in its order, or "". known is false where one is
-// out whose subject can't be read: it may be of any topic of its class and partner.
-func (u *Underway) After(t Topic, order Order) (newest string, known bool) {
-	best := order
-	for id, at := range u.orders[t] {
-		if at.compare(best) > 0 {
-			newest, best = id, at
-		}
-	}
-	return newest, newest != "" || len(u.orders[Topic{Class: t.Class, Partner: t.Partner}]) == 0
-}
-
-// Before gives the messages of a topic that come before a place in its order.
-func (u *Underway) Before(t Topic, order Order) (older []string) {
-	for id, at := range u.orders[t] {
-		if at.compare(order) < 0 {
-			older = append(older, id)
-		}
-	}
-	return older
-}
--- a/internal/deadletter/newest_test.go
+++ b/internal/deadletter/newest_test.go
@@ -23,7 +23,7 @@
 
 func (s *memorySubjects) epoch(class string) *trackingEpoch       { return s.eras[class] }
 func (s *memorySubjects) setEpoch(class string, e *trackingEpoch) { s.eras[class] = e }
-func (s *memorySubjects) size() int                   { return len(s.all) }
+func (s *memorySubjects) size() int                               { return len(s.all) }
 
 func (s *memorySubjects) newest(t Topic) *newestMessage {
 	if l, ok := s.all[t]; ok {
--- /dev/null
+++ b/internal/deadletter/order.go
@@ -0,0 +1,59 @@
+package deadletter
+
+import (
+	"cmp"
+	"fmt"
+	"math/big"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Order is a message's place among those of its topic: a number or a time, exactly, or its arrival.
+type Order struct {
+	Whole int64 `json:"whole,omitempty"` // the number, or the seconds since 1970
+	Part  int64 `json:"part,omitempty"`  // of a whole, in units of 1e-18, never below 0
+	// Arrival decides where the rest is equal, as it is by arrival. It rises with each message that a relay takes on,
+	// also where its clock is set back.
+	Arrival int64 `json:"arrival,omitempty"`
+}
+
+// compare puts two orders in sequence.
+func (o Order) compare(p Order) int {
+	return cmp.Or(cmp.Compare(o.Whole, p.Whole), cmp.Compare(o.Part, p.Part), cmp.Compare(o.Arrival, p.Arrival))
+}
+
+// timeOrder reads a time after RFC 3339.
+func timeOrder(text string) (Order, error) {
+	t, err := time.Parse(time.RFC3339Nano, text)
+	if err != nil {
+		return Order{}, fmt.Errorf("%q is no time after RFC 3339", text)
+	}
+	return Order{Whole: t.Unix(), Part: int64(t.Nanosecond()) * (perWhole / int64(time.Second))}, nil
+}
+
+// numberOrder reads a decimal number exactly: as a float two long ones that differ would be equal.
+func numberOrder(text string) (Order, error) {
+	if len(text) > maxNumber {
+		return Order{}, fmt.Errorf("a number of %d bytes", len(text))
+	}
+	if strings.ContainsAny(text, "/_xXpPbBoO") { // what big takes and no decimal number has
+		return Order{}, fmt.Errorf("%q is no decimal number", text)
+	}
+	if i := strings.IndexAny(text, "eE"); i >= 0 {
+		if e, err := strconv.Atoi(text[i+1:]); err != nil || e > maxExponent || e < -maxExponent {
+			return Order{}, fmt.Errorf("%q is no decimal number", text)
+		}
+	}
+	r, ok := new(big.Rat).SetString(text)
+	if !ok {
+		return Order{}, fmt.Errorf("%q is no decimal number", text)
+	}
+	whole := new(big.Int).Div(r.Num(), r.Denom()) // towards minus infinity: the part is never below 0
+	part := new(big.Rat).Sub(r, new(big.Rat).SetInt(whole))
+	part.Mul(part, new(big.Rat).SetInt64(perWhole))
+	if !whole.IsInt64() || !part.IsInt() {
+		return Order{}, fmt.Errorf("%q has more places than are told apart", text)
+	}
+	return Order{Whole: whole.Int64(), Part: part.Num().Int64()}, nil
+}
--- /dev/null
+++ b/internal/deadletter/plan.go
@@ -0,0 +1,81 @@
+package deadletter
+
+import (
+	"fmt"
+	"time"
+)
+
+// Plan is what the rules make of a message at a time.
+type Plan struct {
+	Action string
+	Rule   int       // from 1; 0: no rule matched
+	At     time.Time // when to act, or to look again; zero: never by itself
+	Rate   float64   // resend: a second and partner
+	Why    string
+	Use    *Attest // resend: the attest that it takes
+}
+
+// Decide says what the rules make of a message: the first that matches decides, and none that does is hold. A resend
+// that its class forbids is held, whatever the rule says.
+func Decide(rules []Rule, c *Class, rec *Record, newer Newer, now time.Time) Plan {
+	if rec.Kept {
+		return Plan{Action: Hold, Why: rec.Why}
+	}
+	for i := range rules {
+		r := &rules[i]
+		if !r.matches(rec, now) {
+			continue
+		}
+		p := r.plan(c, rec, newer, now)
+		p.Rule = i + 1
+		// A rule before it may come to match when the message is older.
+		if at := nextMatch(rules[:i], rec, now); p.Action == Hold && !at.IsZero() && (p.At.IsZero() || at.Before(p.At)) {
+			p.At = at
+		}
+		return p
+	}
+	return Plan{Action: Hold, Why: "no rule matches it", At: nextMatch(rules, rec, now)}
+}
+
+// nextMatch is when a rule may come to match that does not yet, since it waits for an age.
+func nextMatch(rules []Rule, rec *Record, now time.Time) (at time.Time) {
+	for i := range rules {
+		if due := rec.Last().Over.Add(seconds(rules[i].OlderThan)); rules[i].OlderThan > 0 && rules[i].matchesAttributes(rec) && due.After(now) && (at.IsZero() || due.Before(at)) {
+			at = due
+		}
+	}
+	return at
+}
+
+func (r *Rule) plan(c *Class, rec *Record, newer Newer, now time.Time) Plan {
+	switch r.Action {
+	case Discard:
+		due := rec.Lives[0].Taken.Add(seconds(r.Age))
+		if due.After(now) {
+			return Plan{Action: Hold, At: due, Why: "it will be discarded at " + due.Format(time.RFC3339)}
+		}
+		return Plan{Action: Discard, At: now, Why: fmt.Sprintf("it is older than %v", seconds(r.Age))}
+	case Resend:
+		return r.resend(c, rec, newer, now)
+	}
+	return Plan{Action: Hold, Why: "a rule holds it"}
+}
+
+func (r *Rule) resend(c *Class, rec *Record, newer Newer, now time.Time) Plan {
+	v := Allowed(c, rec, newer, now)
+	switch {
+	case v.Superseded != "":
+		return Plan{Action: string(Superseded), At: now, Why: v.Why}
+	case !v.Allowed:
+		return Plan{Action: Hold, At: v.Again, Why: v.Why}
+	case len(rec.Lives) >= r.Most:
+		return Plan{Action: Hold, Why: fmt.Sprintf("it has had %d lives, the rule's most", len(rec.Lives))}
+	}
+	if due := rec.Last().Over.Add(seconds(r.After)); due.After(now) {
+		return Plan{Action: Hold, At: due, Why: "it will be resent after " + due.Format(time.RFC3339)}
+	}
+	if on, from := r.inHours(now); !on {
+		return Plan{Action: Hold, At: from, Why: "it will be resent in the rule's hours, from " + from.Format(time.RFC3339)}
+	}
+	return Plan{Action: Resend, At: now, Rate: r.Rate, Why: v.Why, Use: v.Attest}
+}
--- a/internal/deadletter/resend.go
+++ b/internal/deadletter/redelivery.go
@@ -2,14 +2,13 @@
 
 import (
 	"errors"
-	"fmt"
 	"time"
 )
 
 const (
 	// minBusyBackoff and busyMost bound the pause of a partner's resends after the relay had no room for one, failLeast and
 	// failMost after one that failed: each in a row doubles it, so that a partner that is down sees a few.
-	minBusyBackoff, maxBusyBackoff = 200 * time.Millisecond, 5 * time.Second
+	minBusyBackoff, maxBusyBackoff       = 200 * time.Millisecond, 5 * time.Second
 	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
 	// tokenBurst is how many resends a partner may get at once after a rest: its rate is kept in the mean.
 	tokenBurst = 1.0
@@ -34,39 +33,16 @@
 	Life   *Life // its new one
 }
 
-// throttle is the pace of one partner's resends.
-type throttle struct {
-	tokens float64
-	updatedAt     time.Time // as of when
-	pausedUntil  time.Time // paused
-	busyBackoff   time.Duration
-	failureBackoff   time.Duration
-	inFlight    string    // the life that is out; empty: none
-	lostAt   time.Time // when that counts as lost
-	gateToken   uint64    // the gate's token under which it goes
-}
-
-// Gate lets resends through where one relay of a fleet at a time is to resend towards a partner.
-type Gate interface {
-	// Begin allows resends towards a partner until End, or refuses. The token is another one for each turn.
-	Begin(partner int) (token uint64, ok bool)
-	// End says that what was decided since has been offered.
-	End()
-}
-
-// gatePause is before the gate is asked again for a partner for which it refused.
-const gatePause = 100 * time.Millisecond
-
 // Resender decides what of a store is resent when: which messages the rules want, in which order, and at which pace.
 // It is not safe for concurrent use; times come in as arguments.
 type Resender struct {
-	store   *Store
-	rules   []Rule
-	classes map[string]*Class
-	relay   string
-	newID   func() string
-	throttles   map[int]*throttle
-	gate    Gate // nil: there is none
+	store     *Store
+	rules     []Rule
+	classes   map[string]*Class
+	relay     string
+	newID     func() string
+	throttles map[int]*throttle
+	gate      Gate // nil: there is none
 	// sweepFrom goes over all records once after the rules have changed; 0: it is through.
 	sweepFrom uint64
 }
@@ -84,22 +60,6 @@
 // Through has resends go through a gate from now on.
 func (r *Resender) Through(g Gate) { r.gate = g }
 
-// passGate asks the gate. A turn begins without tokens: another relay may just have used the partner's rate.
-func (r *Resender) passGate(l *throttle, partner int, now time.Time) bool {
-	if r.gate == nil {
-		return true
-	}
-	turn, ok := r.gate.Begin(partner)
-	if !ok {
-		l.pausedUntil = now.Add(gatePause)
-		return false
-	}
-	if turn != l.gateToken {
-		l.gateToken, l.tokens, l.updatedAt = turn, 0, now
-	}
-	return true
-}
-
 // Reclass has the classes be others from now on.
 func (r *Resender) Reclass(classes []Class) {
 	clear(r.classes)
@@ -126,15 +86,6 @@
 	return nil
 }
 
-func (r *Resender) throttle(partner int, now time.Time) *throttle {
-	l := r.throttles[partner]
-	if l == nil {
-		l = &throttle{tokens: tokenBurst, updatedAt: now}
-		r.throttles[partner] = l
-	}
-	return l
-}
-
 // Round looks at what is due, writes down what the rules make of it, and gives what is to be offered to the module.
 // holds says whether the relay still has a message under an id.
 func (r *Resender) Round(now time.Time, holds func(id string) bool) (offers []Offer, err error) {
@@ -241,114 +192,3 @@
 func (r *Resender) timeToLive(rec *Record) time.Duration {
 	return max(time.Second, rec.Lives[0].Expires.Sub(rec.Lives[0].Taken))
 }
-
-// takeToken takes a resend out of a lane's pace.
-func (l *throttle) takeToken(rate float64, now time.Time) bool {
-	l.tokens = min(tokenBurst, l.tokens+max(0, now.Sub(l.updatedAt).Seconds())*rate)
-	l.updatedAt = now
-	if l.tokens < 1 {
-		return false
-	}
-	l.tokens--
-	return true
-}
-
-// handleLost looks at a resend whose time is long over. Where the relay does not have it, it can't be told whether it went:
-// its process was killed before it was journalled, or its machine was lost with the journal.
-func (r *Resender) handleLost(rec *Record, now time.Time, holds func(id string) bool) error {
-	if holds(rec.Last().ID) {
-		return r.store.Change(rec.ID, func(*Record) (time.Time, error) { return now.Add(lostAfter), nil })
-	}
-	life := *rec.Last()
-	life.Over, life.Reason, life.Status = now, ProcessEnded, "unknown"
-	life.Attempts = append(life.Attempts, Attempt{Begun: life.Taken, Outcome: "unknown", Ran: May})
-	return r.Return([]Result{{Life: life}}, now)
-}
-
-// Return takes in what became of resends. One that is told again changes nothing.
-func (r *Resender) Return(results []Result, now time.Time) error {
-	for i := range results {
-		res := &results[i]
-		partner, news := 0, false
-		err := r.store.Change(res.Life.ID, func(rec *Record) (time.Time, error) {
-			if rec.State != Out || rec.Last().ID != res.Life.ID {
-				return rec.Due, nil // told before
-			}
-			partner, news = rec.Partner, true
-			return rec.applyResult(res, now), nil
-		})
-		if errors.Is(err, ErrUnknown) {
-			continue // its record left by a bound, or the store is another one
-		}
-		if err != nil {
-			return err
-		}
-		if news {
-			r.throttle(partner, now).handleResult(res, now)
-		}
-	}
-	return nil
-}
-
-// applyResult changes a record by what became of its resend, and gives when to look at it again.
-func (rec *Record) applyResult(res *Result, now time.Time) time.Time {
-	last := rec.Last()
-	attest := last.Attest
-	rec.Since, rec.Asked = now, rec.Asked && len(res.Life.Attempts) == 0
-	switch {
-	case res.Delivered:
-		*last = res.Life
-		last.Attest = attest
-		rec.State, rec.Why = Delivered, "delivered as "+last.ID
-		return time.Time{}
-	case res.Overtaken != "" && len(res.Life.Attempts) > 0: // it was out already: what came of it can't be told
-		*last = res.Life
-		last.Attest = attest
-		rec.State, rec.Why = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", res.Overtaken, rec.Subject)
-		return time.Time{}
-	case len(res.Life.Attempts) == 0:
-		// It never left the relay: that was no life, and no attest is used up by it.
-		rec.Lives = rec.Lives[:len(rec.Lives)-1]
-		if attest != nil {
-			for i := range rec.Attests {
-				if a := &rec.Attests[i]; a.At.Equal(attest.At) && a.By == attest.By {
-					a.Used = false
-				}
-			}
-		}
-		rec.Why = "the relay had no room for it"
-		if res.Overtaken != "" {
-			rec.State, rec.Why = Superseded, fmt.Sprintf("a newer message of %q, %s, has overtaken it", rec.Subject, res.Overtaken)
-			return time.Time{}
-		}
-	default:
-		*last = res.Life
-		last.Attest = attest
-		rec.Why = fmt.Sprintf("its resend %s was not delivered: %s", last.ID, last.Reason)
-	}
-	rec.State = Held
-	if rec.Asked {
-		rec.State = Due
-	}
-	return now
-}
-
-// handleResult paces a lane by what became of a resend.
-func (l *throttle) handleResult(res *Result, now time.Time) {
-	if l.inFlight == res.Life.ID {
-		l.inFlight = ""
-	}
-	grow := func(d *time.Duration, least, most time.Duration) {
-		*d = min(most, max(least, 2**d))
-		l.pausedUntil = now.Add(*d)
-	}
-	switch {
-	case res.Overtaken != "": // that says nothing of the partner
-	case res.Delivered:
-		l.busyBackoff, l.failureBackoff = 0, 0
-	case len(res.Life.Attempts) == 0:
-		grow(&l.busyBackoff, minBusyBackoff, maxBusyBackoff)
-	default:
-		grow(&l.failureBackoff, minFailureBackoff, maxFailureBackoff)
-	}
-}
--- a/internal/deadletter/resend_test.go
+++ b/internal/deadletter/resend_test.go
@@ -165,7 +165,7 @@
 	d.round(0)
 	d.held["r1"] = true
 	d.round(time.Hour)
-	d.is("a", Out, 2)         // the relay still has it
+	d.is("a", Out, 2)                 // the relay still has it
 	d.throttles = map[int]*throttle{} // another process
 	delete(d.held, "r1")
 	d.round(time.Hour)
