--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -81,18 +81,7 @@
 		from = 0 // the oldest first
 	}
 	var drop []*Record
-	pass := func(r *Record) bool {
-		if r.State == Out || bound.Class != "" && bound.Class != r.Class || bound.Tenant != "" && bound.Tenant != r.Tenant {
-			return false
-		}
-		old := bound.Age > 0 && now.Sub(r.Lives[0].Taken) > seconds(bound.Age)
-		if !old && over > 0 {
-			over--
-			return true
-		}
-		return old || ended && r.State.Ended()
-	}
-	drop, b.cursors[n], _, err = b.store.Page(from, removeBatch, scanBatch, pass)
+	drop, b.cursors[n], _, err = b.store.Page(from, removeBatch, scanBatch, bound.exceeded(over, ended, now))
 	if err != nil || len(drop) == 0 {
 		return 0, err
 	}
@@ -108,6 +97,22 @@
 	return len(ids), b.store.Remove(ids)
 }
 
+// exceeded returns a filter of the messages that have to leave by a bound, from the oldest on: too old ones, over further
+// ones, and where ended is set those that have ended.
+func (b *Bound) exceeded(over int, ended bool, now time.Time) func(r *Record) bool {
+	return func(r *Record) bool {
+		if r.State == Out || b.Class != "" && b.Class != r.Class || b.Tenant != "" && b.Tenant != r.Tenant {
+			return false
+		}
+		old := b.Age > 0 && now.Sub(r.Lives[0].Taken) > seconds(b.Age)
+		if !old && over > 0 {
+			over--
+			return true
+		}
+		return old || ended && r.State.Ended()
+	}
+}
+
 // export appends messages that are about to leave to the day's file. One that was written, and did not leave because
 // the process ended, is written again: import takes it once.
 func (b *Bounds) export(list []*Record, now time.Time) (err error) {
--- a/internal/deadletter/client.go
+++ b/internal/deadletter/client.go
@@ -71,30 +71,38 @@
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return err
+			return fmt.Errorf("request to the store: %w", err)
 		}
 		in = bytes.NewReader(raw)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://relay"+path, in)
 	if err != nil {
-		return err
+		return fmt.Errorf("request to the store: %w", err)
 	}
 	resp, err := a.client.Do(req)
 	if err != nil {
-		return err
+		return fmt.Errorf("request to the store: %w", err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // only read
 	if resp.StatusCode != http.StatusOK {
-		var told struct{ Error string }
-		if err := json.NewDecoder(resp.Body).Decode(&told); err != nil || told.Error == "" {
-			return fmt.Errorf("the store answers %d", resp.StatusCode)
-		}
-		if resp.StatusCode == http.StatusNotFound {
-			return fmt.Errorf("%w (%s)", ErrUnknown, told.Error)
-		}
-		return errors.New(told.Error)
+		return responseError(resp)
+	}
+	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
+		return fmt.Errorf("answer of the store: %w", err)
+	}
+	return nil
+}
+
+// responseError reads the error that a store has answered with.
+func responseError(resp *http.Response) error {
+	var answer struct{ Error string }
+	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil || answer.Error == "" {
+		return fmt.Errorf("the store answers %d", resp.StatusCode)
+	}
+	if resp.StatusCode == http.StatusNotFound {
+		return fmt.Errorf("%w (%s)", ErrUnknown, answer.Error)
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return errors.New(answer.Error)
 }
 
 // List gives a page of messages from a number on.
--- a/internal/deadletter/core_test.go
+++ b/internal/deadletter/core_test.go
@@ -162,7 +162,7 @@
 		rule   int
 		next   time.Time
 	}{
-		"none matches":                {with(func(r *Record) {}), noon, Hold, 0, time.Time{}},
+		"none matches":                {with(func(*Record) {}), noon, Hold, 0, time.Time{}},
 		"none matches yet":            {with(func(r *Record) { r.Tenant = "lahore" }), noon, Hold, 0, noon.Add(99 * time.Second)},
 		"held by a rule":              {with(func(r *Record) { r.Partner = 4 }), noon, Hold, 4, time.Time{}},
 		"resend not due yet":          {with(late), noon, Hold, 2, noon.Add(29 * time.Second)},
@@ -305,7 +305,7 @@
 
 // The check above has teeth: a core without Allowed is caught by it.
 func TestACoreWithoutItsCheckIsCaught(t *testing.T) {
-	mutant := func(set []Rule, c *Class, r *Record, _ Newer, now time.Time) Plan {
+	mutant := func(set []Rule, _ *Class, r *Record, _ Newer, now time.Time) Plan {
 		for i := range set {
 			if set[i].matches(r, now) {
 				return Plan{Action: set[i].Action}
--- a/internal/deadletter/dry_run.go
+++ b/internal/deadletter/dry_run.go
@@ -34,9 +34,22 @@
 	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRules)).Decode(&o); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
+	classes, err := a.classesFor(&o)
+	if err != nil {
+		return nil, err
+	}
+	out, err := o.prepare(classes)
+	if err != nil {
+		return nil, err
+	}
+	return out, a.applyRules(&o, classes, out)
+}
+
+// classesFor returns the relay's classes, or those that come with a check where the relay is not running.
+func (a *Admin) classesFor(o *CheckOrder) ([]Class, error) {
 	classes := a.Classes
-	if anew := a.newClasses.Load(); anew != nil {
-		classes = *anew
+	if changed := a.newClasses.Load(); changed != nil {
+		classes = *changed
 	}
 	if classes == nil {
 		classes = o.Classes
@@ -44,10 +57,11 @@
 	if len(classes) == 0 {
 		return nil, fmt.Errorf("%w: which classes the relay has is not known", errBadRequest)
 	}
-	by := map[string]*Class{}
-	for i := range classes {
-		by[classes[i].Name] = &classes[i]
-	}
+	return classes, nil
+}
+
+// prepare reads the rules' hours, and returns what is wrong with each rule; no message is counted yet.
+func (o *CheckOrder) prepare(classes []Class) ([]RuleCheck, error) {
 	out := make([]RuleCheck, len(o.Rules)+1)
 	for i := range o.Rules {
 		rule := &o.Rules[i]
@@ -59,25 +73,38 @@
 		}
 		out[i+1].Rule, out[i+1].Faults = i+1, rule.Against(classes)
 	}
+	return out, nil
+}
+
+// applyRules counts what the rules would do with each message that has not ended.
+func (a *Admin) applyRules(o *CheckOrder, classes []Class, out []RuleCheck) error {
+	byName := map[string]*Class{}
+	for i := range classes {
+		byName[classes[i].Name] = &classes[i]
+	}
 	now := a.Now()
 	for from, first := uint64(0), true; first || from > 0; first = false {
 		page, next, _, err := a.Store.Page(from, checkPage, checkPage, func(rec *Record) bool { return !rec.State.Ended() })
 		if err != nil {
-			return nil, err
+			return err
 		}
 		for _, rec := range page {
-			p := Decide(o.Rules, by[rec.Class], rec, a.Store.Newer, now)
-			c := &out[p.Rule]
-			if c.Actions == nil {
-				c.Actions = map[string]int{}
-			}
-			c.Matches++
-			c.Actions[p.Action]++
-			if len(c.Samples) < samples {
-				c.Samples = append(c.Samples, rec.ID+": "+p.Action+", "+p.Why)
-			}
+			p := Decide(o.Rules, byName[rec.Class], rec, a.Store.Newer, now)
+			out[p.Rule].count(rec.ID, p)
 		}
 		from = next
 	}
-	return out, nil
+	return nil
+}
+
+// count counts a message for which a rule has a plan.
+func (c *RuleCheck) count(id string, p Plan) {
+	if c.Actions == nil {
+		c.Actions = map[string]int{}
+	}
+	c.Matches++
+	c.Actions[p.Action]++
+	if len(c.Samples) < samples {
+		c.Samples = append(c.Samples, id+": "+p.Action+", "+p.Why)
+	}
 }
--- a/internal/deadletter/handler_transport.go
+++ b/internal/deadletter/handler_transport.go
@@ -25,6 +25,11 @@
 	body   bytes.Buffer
 }
 
-func (a *responseRecorder) Header() http.Header         { return a.header }
-func (a *responseRecorder) WriteHeader(status int)      { a.status = status }
-func (a *responseRecorder) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *responseRecorder) Header() http.Header    { return a.header }
+func (a *responseRecorder) WriteHeader(status int) { a.status = status }
+
+// Write never fails.
+func (a *responseRecorder) Write(b []byte) (int, error) {
+	a.body.Write(b)
+	return len(b), nil
+}
--- a/internal/deadletter/json_pointer.go
+++ b/internal/deadletter/json_pointer.go
@@ -53,54 +53,85 @@
 	return "", fmt.Errorf("%s: neither a string nor a number", pointer)
 }
 
-// resolveIn reads one value and gives what a pointer's names lead to in it: nil where nothing does, and a json.Delim
-// where that is an object or an array. deep is how many levels are left.
-func resolveIn(d *json.Decoder, names []string, deep int) (found any, err error) {
-	if deep == 0 {
+// resolveIn reads one value and returns what a pointer's names lead to in it: nil where nothing does, and a json.Delim
+// where that is an object or an array. depth is how many levels of nesting are left.
+func resolveIn(d *json.Decoder, names []string, depth int) (found any, err error) {
+	if depth == 0 {
 		return nil, errors.New("nested too deep")
 	}
-	t, err := d.Token()
+	token, err := nextToken(d)
 	if err != nil {
 		return nil, err
 	}
-	open, ok := t.(json.Delim)
+	open, nested := token.(json.Delim)
 	switch {
-	case !ok && len(names) == 0:
-		return t, nil
-	case !ok:
-		return nil, nil
+	case !nested && len(names) == 0:
+		return token, nil
+	case !nested:
+		return nil, nil // the pointer leads to nothing
 	case len(names) == 0:
 		found = open
 	}
-	seen := map[string]bool{}
-	for i := 0; d.More(); i++ {
-		name := strconv.Itoa(i) // of an array; "-" and leading zeros name no element
-		if open == '{' {
-			if t, err = d.Token(); err != nil {
-				return nil, err
-			}
-			name = t.(string) // an object's members are named by strings
-			if seen[name] {
-				// Guards against a body that two readers understand differently.
-				return nil, fmt.Errorf("%q is there twice", name)
-			}
-			if len(names) > 0 {
-				seen[name] = true
-			}
+	members := memberNames{isObject: open == '{', tracked: len(names) > 0, seen: map[string]bool{}}
+	for d.More() {
+		name, err := members.next(d)
+		if err != nil {
+			return nil, err
 		}
 		var rest []string
-		on := len(names) > 0 && name == names[0]
-		if on {
+		matches := len(names) > 0 && name == names[0]
+		if matches {
 			rest = names[1:]
 		}
-		inner, err := resolveIn(d, rest, deep-1)
+		inner, err := resolveIn(d, rest, depth-1)
 		if err != nil {
 			return nil, err
 		}
-		if on {
+		if matches {
 			found = inner
 		}
 	}
-	_, err = d.Token() // the end
+	_, err = nextToken(d) // the end
 	return found, err
 }
+
+// nextToken reads a token. Its errors name the place in the text.
+func nextToken(d *json.Decoder) (json.Token, error) {
+	token, err := d.Token()
+	if err != nil {
+		return nil, fmt.Errorf("JSON: %w", err)
+	}
+	return token, nil
+}
+
+// memberNames names the members of an object, or the elements of an array by their index.
+type memberNames struct {
+	isObject bool
+	tracked  bool // the names matter: a pointer goes on through one of them
+	index    int
+	seen     map[string]bool
+}
+
+// next reads the name of the next member. One that is there twice is an error: it guards against a body that two readers
+// understand differently.
+func (m *memberNames) next(d *json.Decoder) (string, error) {
+	if !m.isObject {
+		m.index++
+		return strconv.Itoa(m.index - 1), nil // "-" and leading zeros name no element
+	}
+	token, err := nextToken(d)
+	if err != nil {
+		return "", err
+	}
+	name, ok := token.(string)
+	if !ok {
+		return "", fmt.Errorf("a member's name is %v", token)
+	}
+	if m.seen[name] {
+		return "", fmt.Errorf("%q is there twice", name)
+	}
+	if m.tracked {
+		m.seen[name] = true
+	}
+	return name, nil
+}
--- a/internal/deadletter/messages.go
+++ b/internal/deadletter/messages.go
@@ -35,22 +35,10 @@
 	})
 }
 
-// putMessage keeps one message.
+// putMessage stores one message.
 func (s *Store) putMessage(tx *bbolt.Tx, t *Totals, m *Kept) error {
-	ids := tx.Bucket(idsBucket)
-	for _, l := range m.Lives {
-		k := ids.Get([]byte(l.ID))
-		if k == nil {
-			continue
-		}
-		// One that was refused, and came again under its old id: now it was taken on.
-		old, err := readRecord(tx.Bucket(recordsBucket), k)
-		if err != nil || !old.neverAccepted() || m.neverAccepted() {
-			return nil
-		}
-		if err := s.deleteRecord(tx, t, append([]byte{}, k...), old); err != nil {
-			return err
-		}
+	if stored, err := s.replaceRejected(tx, t, m); stored || err != nil {
+		return err
 	}
 	if s.maxMessages > 0 && t.Messages >= s.maxMessages || s.maxBytes > 0 && s.bytesUsed(tx)+int64(len(m.Body)) > s.maxBytes {
 		return ErrFull
@@ -58,19 +46,17 @@
 	records := tx.Bucket(recordsBucket)
 	n, err := records.NextSequence()
 	if err != nil {
-		return err
+		return fmt.Errorf("record number: %w", err)
 	}
 	m.Version, m.BodySize = Version, len(m.Body)
 	if err := writeRecord(records, n, &m.Record); err != nil {
 		return err
 	}
 	if err := tx.Bucket(bodiesBucket).Put(recordKey(n), addChecksum(m.Body)); err != nil {
-		return err
+		return fmt.Errorf("body of %s: %w", m.ID, err)
 	}
-	for _, l := range m.Lives {
-		if err := ids.Put([]byte(l.ID), recordKey(n)); err != nil {
-			return err
-		}
+	if err := indexIDs(tx, n, m.Lives); err != nil {
+		return err
 	}
 	if err := updateDue(tx, m.Partner, n, time.Time{}, m.Due); err != nil {
 		return err
@@ -84,14 +70,49 @@
 	return changeGroup(tx, m.Class, m.Tenant, 1, int64(len(m.Body)))
 }
 
+// replaceRejected looks for a message that is stored under one of the ids already, and reports true if it stays. One that was
+// rejected at its arrival, and was accepted later under its old id, makes room.
+func (s *Store) replaceRejected(tx *bbolt.Tx, t *Totals, m *Kept) (stored bool, err error) {
+	for _, life := range m.Lives {
+		k := tx.Bucket(idsBucket).Get([]byte(life.ID))
+		if k == nil {
+			continue
+		}
+		old, err := readRecord(tx.Bucket(recordsBucket), k)
+		if err != nil || !old.neverAccepted() || m.neverAccepted() {
+			return true, nil // a record that can't be read stays, for Verify to report
+		}
+		if err := s.deleteRecord(tx, t, append([]byte{}, k...), old); err != nil {
+			return false, err
+		}
+	}
+	return false, nil
+}
+
+// indexIDs has a record found by the ids of its lives.
+func indexIDs(tx *bbolt.Tx, n uint64, lives []Life) error {
+	ids := tx.Bucket(idsBucket)
+	for _, life := range lives {
+		if err := ids.Put([]byte(life.ID), recordKey(n)); err != nil {
+			return fmt.Errorf("id %s: %w", life.ID, err)
+		}
+	}
+	return nil
+}
+
+// writeRecord writes a record under its number.
 func writeRecord(b *bbolt.Bucket, n uint64, r *Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
-		return err
+		return fmt.Errorf("record %s: %w", r.ID, err)
+	}
+	if err := b.Put(recordKey(n), addChecksum(raw)); err != nil {
+		return fmt.Errorf("record %s: %w", r.ID, err)
 	}
-	return b.Put(recordKey(n), addChecksum(raw))
+	return nil
 }
 
+// readRecord reads a record and verifies its checksum.
 func readRecord(b *bbolt.Bucket, k []byte) (*Record, error) {
 	raw, err := verifyChecksum(b.Get(k))
 	if err != nil {
@@ -153,41 +174,43 @@
 		if err != nil {
 			return err
 		}
-		records, ids := tx.Bucket(recordsBucket), tx.Bucket(idsBucket)
-		r, err := readRecord(records, k)
+		r, err := readRecord(tx.Bucket(recordsBucket), k)
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
-		was, wasDue, lives := r.State, r.Due, len(r.Lives)
+		before := *r
 		due, err := do(r)
 		if err != nil {
 			return err
 		}
 		r.Due = due
-		n := binary.BigEndian.Uint64(k)
-		if err := writeRecord(records, n, r); err != nil {
-			return err
-		}
-		for _, l := range r.Lives[min(lives, len(r.Lives)):] {
-			if err := ids.Put([]byte(l.ID), recordKey(n)); err != nil {
-				return err
-			}
-		}
-		if err := updateDue(tx, r.Partner, n, wasDue, due); err != nil {
-			return err
-		}
-		if was == r.State {
-			return nil
-		}
-		if err := s.updateSubject(tx, r, n, !was.Ended(), !r.State.Ended()); err != nil {
-			return err
-		}
-		t, err := readTotals(tx)
-		if err != nil {
-			return err
-		}
-		t.count(was, -1)
-		t.count(r.State, 1)
-		return writeTotals(tx, t)
+		return s.rewriteRecord(tx, binary.BigEndian.Uint64(k), &before, r)
 	})
 }
+
+// rewriteRecord writes a record that was changed, and what follows from the change: its ids, when it is due, its subject and
+// the totals.
+func (s *Store) rewriteRecord(tx *bbolt.Tx, n uint64, before, r *Record) error {
+	if err := writeRecord(tx.Bucket(recordsBucket), n, r); err != nil {
+		return err
+	}
+	if err := indexIDs(tx, n, r.Lives[min(len(before.Lives), len(r.Lives)):]); err != nil {
+		return err
+	}
+	if err := updateDue(tx, r.Partner, n, before.Due, r.Due); err != nil {
+		return err
+	}
+	if before.State == r.State {
+		return nil
+	}
+	if err := s.updateSubject(tx, r, n, !before.State.Ended(), !r.State.Ended()); err != nil {
+		return err
+	}
+	t, err := readTotals(tx)
+	if err != nil {
+		return err
+	}
+	t.count(before.State, -1)
+	t.count(r.State, 1)
+	return writeTotals(tx, t)
+}
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -78,30 +78,46 @@
 		return
 	}
 	if t.Subject == "" {
-		if o.Arrival > e.Unreadable[t.Partner] {
-			if e.Unreadable == nil {
-				e.Unreadable = map[int]int64{}
-			}
-			e.Unreadable[t.Partner] = o.Arrival
-			n.storage.setEpoch(t.Class, e)
-		}
+		n.deliveredUnreadable(e, t, o)
 		return
 	}
-	l := newestMessage{ID: id, Order: o, NeverEvicted: e.NewestEvicted == nil, Version: e.Version}
-	if was := n.storage.newest(t); was != nil && was.Version == e.Version {
-		l.NeverEvicted = was.NeverEvicted
-		if o.compare(was.Order) <= 0 {
-			l = *was
+	newest := newestMessage{ID: id, Order: o, NeverEvicted: e.NewestEvicted == nil, Version: e.Version}
+	if stored := n.storage.newest(t); stored != nil && stored.Version == e.Version {
+		newest.NeverEvicted = stored.NeverEvicted
+		if o.compare(stored.Order) <= 0 {
+			newest = *stored
 		}
 	}
-	n.storage.put(t, l)
+	n.storage.put(t, newest)
+	n.evict()
+}
+
+// deliveredUnreadable notes a delivered message whose subject could not be read: it may be of any subject of its class and
+// destination.
+func (n *Newest) deliveredUnreadable(e *trackingEpoch, t Topic, o Order) {
+	if o.Arrival <= e.Unreadable[t.Partner] {
+		return
+	}
+	if e.Unreadable == nil {
+		e.Unreadable = map[int]int64{}
+	}
+	e.Unreadable[t.Partner] = o.Arrival
+	n.storage.setEpoch(t.Class, e)
+}
+
+// evict drops the subjects that were stored longest ago while there are too many, and notes the newest message among them.
+func (n *Newest) evict() {
 	for n.maxSubjects > 0 && n.storage.size() > n.maxSubjects {
-		class, gone := n.storage.evictOldest()
-		if gone == nil {
+		class, evicted := n.storage.evictOldest()
+		if evicted == nil {
 			return
 		}
-		if e := n.storage.epoch(class); e != nil && gone.Version == e.Version && (e.NewestEvicted == nil || gone.Order.compare(*e.NewestEvicted) > 0) {
-			e.NewestEvicted = &gone.Order
+		e := n.storage.epoch(class)
+		if e == nil || evicted.Version != e.Version {
+			continue
+		}
+		if e.NewestEvicted == nil || evicted.Order.compare(*e.NewestEvicted) > 0 {
+			e.NewestEvicted = &evicted.Order
 			n.storage.setEpoch(class, e)
 		}
 	}
--- a/internal/deadletter/newest_test.go
+++ b/internal/deadletter/newest_test.go
@@ -71,10 +71,10 @@
 	return r
 }
 
-// fill has an index of four topics forget all it knew.
-func fill(n *Newest, value int64) {
+// fill has an index of four subjects evict all that it knew.
+func fill(n *Newest) {
 	for i := range 4 {
-		n.Delivered(fmt.Sprint(i), Topic{"c", 9, fmt.Sprint("other ", i)}, at(value))
+		n.Delivered(fmt.Sprint(i), Topic{"c", 9, fmt.Sprint("other ", i)}, at(0))
 	}
 }
 
@@ -103,8 +103,8 @@
 		},
 		"no subject in the message":  {func(*Newest, *memorySubjects) {}, record(life("a", OutOfTime)), "", false},
 		"its class is not read":      {func(_ *Newest, p *memorySubjects) { p.eras["c"] = nil }, about("s", at(5)), "", false},
-		"a newer one was forgotten":  {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n, 0) }, about("s", at(5)), "", false},
-		"newer than all forgotten":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n, 0) }, about("s", at(7)), "", true},
+		"a newer one was forgotten":  {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n) }, about("s", at(5)), "", false},
+		"newer than all forgotten":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n) }, about("s", at(7)), "", true},
 		"equal orders go by arrival": {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, Order{Whole: 5, Arrival: 7}) }, about("s", Order{Whole: 5, Arrival: 6}), "b", false},
 		"one unread went after it":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", Topic{"c", 3, ""}, Order{Arrival: 9}) }, about("s", at(5)), "", false},
 		"one unread went before it": {func(n *Newest, _ *memorySubjects) {
@@ -113,12 +113,12 @@
 		"one unread, another partner": {func(n *Newest, _ *memorySubjects) { n.Delivered("b", Topic{"c", 4, ""}, Order{Arrival: 9}) }, about("s", at(5)), "", true},
 		"forgotten, and an older one came": {func(n *Newest, _ *memorySubjects) {
 			n.Delivered("b", s, at(6))
-			fill(n, 0)
+			fill(n)
 			n.Delivered("d", s, at(2))
 		}, about("s", at(5)), "", false},
 		"forgotten, and two older ones came": {func(n *Newest, _ *memorySubjects) {
 			n.Delivered("b", s, at(6))
-			fill(n, 0)
+			fill(n)
 			n.Delivered("d", s, at(2))
 			n.Delivered("e", s, at(3))
 		}, about("s", at(5)), "", false},
--- a/internal/deadletter/permission.go
+++ b/internal/deadletter/permission.go
@@ -40,42 +40,49 @@
 // Newer tells which message of the same topic has overtaken one, or "", and whether an empty answer can be relied on.
 type Newer func(r *Record) (by string, known bool)
 
-// Allowed is the only judge of whether a message may be sent again at a time.
+// denied is the verdict that a message may not be sent again, with the reason.
+func denied(format string, args ...any) Verdict { return Verdict{Why: fmt.Sprintf(format, args...)} }
+
+// Allowed decides whether a message may be sent again at a time. Nothing else does.
 func Allowed(c *Class, r *Record, newer Newer, now time.Time) Verdict {
-	no := func(format string, args ...any) Verdict { return Verdict{Why: fmt.Sprintf(format, args...)} }
 	switch {
 	case c == nil:
-		return no("its class %q is not in the relay's settings", r.Class)
+		return denied("its class %q is not in the relay's settings", r.Class)
 	case r.State.Ended():
-		return no("it is %s already", r.State)
+		return denied("it is %s already", r.State)
 	case r.State == Out:
-		return no("it is being resent at this moment")
+		return denied("it is being resent at this moment")
 	case len(r.Lives) == 0:
-		return no("its record has no history")
+		return denied("its record has no history")
 	case now.Before(r.latest()):
 		// Guards against a clock that was set back: how long ago an attempt was can't be told.
-		v := no("the clock stands before the last that is known of it, %s", r.latest().Format(time.RFC3339))
+		v := denied("the clock stands before the last that is known of it, %s", r.latest().Format(time.RFC3339))
 		v.Again = r.latest()
 		return v
 	case r.Attempts() >= c.Attempts:
-		return no("it has had %d attempts, and its class is allowed %d", r.Attempts(), c.Attempts)
+		return denied("it has had %d attempts, and its class is allowed %d", r.Attempts(), c.Attempts)
 	}
 	if c.Subject {
 		switch by, known := newer(r); {
 		case by != "":
 			return Verdict{Superseded: by, Why: fmt.Sprintf("a newer message of %q, %s, has overtaken it", r.Subject, by)}
 		case r.Subject == "":
-			return no("its subject can't be read from it, and a newer message of it may have been delivered")
+			return denied("its subject can't be read from it, and a newer message of it may have been delivered")
 		case !known:
-			return no("whether a newer message of %q was delivered can't be told", r.Subject)
+			return denied("whether a newer message of %q was delivered can't be told", r.Subject)
 		}
 	}
+	return allowedByEffect(c, r, now)
+}
+
+// allowedByEffect decides by what a second execution of a message would do, and by what is known of its attempts.
+func allowedByEffect(c *Class, r *Record, now time.Time) Verdict {
 	ran := r.MayHaveRun()
 	switch {
 	case c.Effect == Safe:
 		return Verdict{Allowed: true, Why: "its class is safe to repeat"}
 	case c.Returns && r.wasReturnedToClient():
-		// Guards against an effect by two ids: the client may have handed it in anew, and had it delivered by any relay.
+		// Guards against an effect under two ids: the client may have submitted it anew, and had it delivered by any relay.
 	case ran == nil:
 		return Verdict{Allowed: true, Why: "no attempt can have run"}
 	case c.Effect == Keyed && ran.Ran != Did && now.Add(keyMargin).Before(ran.Begun.Add(c.Memory)):
@@ -85,10 +92,10 @@
 		return Verdict{Allowed: true, Attest: a, Why: fmt.Sprintf("%s attests that the partner does not have it", a.By)}
 	}
 	if c.Returns && r.wasReturnedToClient() {
-		return no("its client was told that it may come again with it, and may have done so")
+		return denied("its client was told that it may come again with it, and may have done so")
 	}
 	if c.Effect == Keyed {
-		return no("an attempt at %s may have run, and its key is remembered for %v only", ran.Begun.Format(time.RFC3339), c.Memory)
+		return denied("an attempt at %s may have run, and its key is remembered for %v only", ran.Begun.Format(time.RFC3339), c.Memory)
 	}
-	return no("an attempt at %s may have run, and its class may not be repeated", ran.Begun.Format(time.RFC3339))
+	return denied("an attempt at %s may have run, and its class may not be repeated", ran.Begun.Format(time.RFC3339))
 }
--- a/internal/deadletter/redelivery_result.go
+++ b/internal/deadletter/redelivery_result.go
@@ -43,45 +43,53 @@
 	return nil
 }
 
-// applyResult changes a record by what became of its resend, and gives when to look at it again.
-func (rec *Record) applyResult(res *Result, now time.Time) time.Time {
-	last := rec.Last()
-	attest := last.Attest
-	rec.Since, rec.Asked = now, rec.Asked && len(res.Life.Attempts) == 0
+// applyResult changes a record by the result of its redelivery, and returns when to look at it again.
+func (r *Record) applyResult(res *Result, now time.Time) time.Time {
+	r.Since, r.Asked = now, r.Asked && len(res.Life.Attempts) == 0
 	switch {
 	case res.Delivered:
-		*last = res.Life
-		last.Attest = attest
-		rec.State, rec.Why = Delivered, "delivered as "+last.ID
+		r.endLife(res)
+		r.State, r.Why = Delivered, "delivered as "+r.Last().ID
 		return time.Time{}
-	case res.Overtaken != "" && len(res.Life.Attempts) > 0: // it was out already: what came of it can't be told
-		*last = res.Life
-		last.Attest = attest
-		rec.State, rec.Why = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", res.Overtaken, rec.Subject)
+	case res.Overtaken != "" && len(res.Life.Attempts) > 0: // in flight already: whether it had its effect is not known
+		r.endLife(res)
+		r.State, r.Why = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", res.Overtaken, r.Subject)
 		return time.Time{}
 	case len(res.Life.Attempts) == 0:
-		// It never left the relay: that was no life, and no attest is used up by it.
-		rec.Lives = rec.Lives[:len(rec.Lives)-1]
-		if attest != nil {
-			for i := range rec.Attests {
-				if a := &rec.Attests[i]; a.At.Equal(attest.At) && a.By == attest.By {
-					a.Used = false
-				}
-			}
-		}
-		rec.Why = "the relay had no room for it"
+		r.cancelLife()
+		r.Why = "the relay had no room for it"
 		if res.Overtaken != "" {
-			rec.State, rec.Why = Superseded, fmt.Sprintf("a newer message of %q, %s, has overtaken it", rec.Subject, res.Overtaken)
+			r.State, r.Why = Superseded, fmt.Sprintf("a newer message of %q, %s, has overtaken it", r.Subject, res.Overtaken)
 			return time.Time{}
 		}
 	default:
-		*last = res.Life
-		last.Attest = attest
-		rec.Why = fmt.Sprintf("its resend %s was not delivered: %s", last.ID, last.Reason)
+		r.endLife(res)
+		r.Why = fmt.Sprintf("its resend %s was not delivered: %s", r.Last().ID, r.Last().Reason)
 	}
-	rec.State = Held
-	if rec.Asked {
-		rec.State = Due
+	r.State = Held
+	if r.Asked {
+		r.State = Due
 	}
 	return now
 }
+
+// endLife replaces the latest life by what a redelivery has made of it.
+func (r *Record) endLife(res *Result) {
+	attest := r.Last().Attest
+	*r.Last() = res.Life
+	r.Last().Attest = attest
+}
+
+// cancelLife drops the latest life: it never left the relay, and no attestation is used up by it.
+func (r *Record) cancelLife() {
+	attest := r.Last().Attest
+	r.Lives = r.Lives[:len(r.Lives)-1]
+	if attest == nil {
+		return
+	}
+	for i := range r.Attests {
+		if a := &r.Attests[i]; a.At.Equal(attest.At) && a.By == attest.By {
+			a.Used = false
+		}
+	}
+}
--- a/internal/deadletter/removal.go
+++ b/internal/deadletter/removal.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"time"
 
 	"go.etcd.io/bbolt"
@@ -53,7 +54,7 @@
 	}
 	for _, l := range r.Lives {
 		if err := tx.Bucket(idsBucket).Delete([]byte(l.ID)); err != nil {
-			return err
+			return fmt.Errorf("id %s: %w", l.ID, err)
 		}
 	}
 	if err := errors.Join(tx.Bucket(recordsBucket).Delete(k), tx.Bucket(bodiesBucket).Delete(k)); err != nil {
@@ -78,7 +79,7 @@
 				continue
 			}
 			if err := b.Put([]byte(id), []byte(at.UTC().Format(time.RFC3339)+" "+why)); err != nil {
-				return err
+				return fmt.Errorf("id %s: %w", id, err)
 			}
 			t.Unkept++
 		}
--- a/internal/deadletter/rule.go
+++ b/internal/deadletter/rule.go
@@ -45,6 +45,18 @@
 			d.AddError(at+"."+key, "%v is below 0", v)
 		}
 	}
+	r.checkAction(d, at)
+	if r.Hours == "" {
+		return
+	}
+	var err error
+	if r.hours, err = parseHours(r.Hours); err != nil {
+		d.AddError(at+".hours", "%v", err)
+	}
+}
+
+// checkAction reports keys that have no meaning for the rule's action, and those that it lacks.
+func (r *Rule) checkAction(d *strictconfig.Document, at string) {
 	only := func(key, action string) {
 		if d.Has(at+"."+key) && r.Action != action {
 			d.AddError(at+"."+key, "has no meaning for %q", r.Action)
@@ -55,28 +67,20 @@
 	only("rate", Resend)
 	only("hours", Resend)
 	only("after_age_s", Discard)
-	switch r.Action {
-	case Resend:
-		if r.Most < 2 {
-			d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.Most)
-		}
-		if !(r.Rate > 0) {
-			d.AddError(at+".rate", "is missing: how many a second a partner gets at most")
-		}
-	case Discard:
-		if !(r.Age > 0) {
-			d.AddError(at+".after_age_s", "is missing: nothing is discarded without an age")
-		}
-	}
-	if r.Hours == "" {
-		return
+	switch {
+	case r.Action == Discard && !(r.Age > 0):
+		d.AddError(at+".after_age_s", "is missing: nothing is discarded without an age")
+	case r.Action == Resend && r.Most < minLives:
+		d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.Most)
 	}
-	var err error
-	if r.hours, err = parseHours(r.Hours); err != nil {
-		d.AddError(at+".hours", "%v", err)
+	if r.Action == Resend && !(r.Rate > 0) {
+		d.AddError(at+".rate", "is missing: how many a second a partner gets at most")
 	}
 }
 
+// minLives is the least number of lives that leaves room for a redelivery: the first one counts.
+const minLives = 2
+
 // matches tells whether a rule is for a message, old as it is.
 func (r *Rule) matches(rec *Record, now time.Time) bool {
 	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().Over) >= seconds(r.OlderThan))
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -81,6 +81,26 @@
 	if !d.Has(at + ".subjects_settle_s") {
 		s.SubjectsSettle = defaultSettle
 	}
+	s.checkValues(d, at)
+	for i := range s.Bounds {
+		s.Bounds[i].check(d, fmt.Sprintf("%s.bound[%d]", at, i+1))
+	}
+	for i := range s.Rules {
+		s.Rules[i].Check(d, fmt.Sprintf("%s.rule[%d]", at, i+1))
+	}
+	seen := map[string]bool{}
+	for i := range s.Subjects {
+		key := fmt.Sprintf("%s.subject[%d]", at, i+1)
+		s.Subjects[i].check(d, key)
+		if seen[s.Subjects[i].Class] {
+			d.AddError(key+".class", "%q has a subject already", s.Subjects[i].Class)
+		}
+		seen[s.Subjects[i].Class] = true
+	}
+}
+
+// checkValues reports values out of range.
+func (s *Section) checkValues(d *strictconfig.Document, at string) {
 	if s.SubjectsSettle < 0 {
 		d.AddError(at+".subjects_settle_s", "%v is below 0", s.SubjectsSettle)
 	}
@@ -99,23 +119,9 @@
 	if s.SubjectsMost < 1 {
 		d.AddError(at+".subjects_most", "%d is below 1", s.SubjectsMost)
 	}
-	for i := range s.Bounds {
-		s.Bounds[i].check(d, fmt.Sprintf("%s.bound[%d]", at, i+1))
-	}
-	for i := range s.Rules {
-		s.Rules[i].Check(d, fmt.Sprintf("%s.rule[%d]", at, i+1))
-	}
-	seen := map[string]bool{}
-	for i := range s.Subjects {
-		key := fmt.Sprintf("%s.subject[%d]", at, i+1)
-		s.Subjects[i].check(d, key)
-		if seen[s.Subjects[i].Class] {
-			d.AddError(key+".class", "%q has a subject already", s.Subjects[i].Class)
-		}
-		seen[s.Subjects[i].Class] = true
-	}
 }
 
+// check reports what is wrong with a bound at a key of the file.
 func (b *Bound) check(d *strictconfig.Document, at string) {
 	if b.Class == "" && b.Tenant == "" {
 		d.AddError(at, "names neither a class nor a tenant")
@@ -128,6 +134,7 @@
 	}
 }
 
+// check reports what is wrong with a subject at a key of the file.
 func (s *Subject) check(d *strictconfig.Document, at string) {
 	one := func(header, pointer, headerKey, pointerKey string) {
 		if (header == "") == (pointer == "") {
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -29,7 +29,8 @@
 // Nothing is synced: what was written outlasts the process, also SIGKILL, as the journal's records do.
 const (
 	fileName     = "undelivered.db"
-	storeVersion = 2 // 1: without topics
+	storeVersion = 2 // 1: without subjects
+	versionSize  = 4 // bytes
 	// growthSize is by how much the file grows at once, in bytes: a small quota is not to be overshot by much.
 	growthSize = 128 << 10
 )
@@ -87,41 +88,57 @@
 	return s, nil
 }
 
-// prepare checks the version, and makes the buckets that a new file or one of an earlier version lacks.
+// prepare checks the version, and upgrades a new file or one of an earlier version, unless the store is read only.
 func (s *Store) prepare(readOnly bool) error {
-	older := false
-	check := func(tx *bbolt.Tx) error {
-		meta := tx.Bucket(metaBucket)
-		if meta == nil {
-			return errNoRecord
-		}
-		v := meta.Get(versionKey)
-		if len(v) != 4 {
-			return fmt.Errorf("its version: %w", ErrDamaged)
-		}
-		if n := binary.BigEndian.Uint32(v); n > storeVersion {
-			return fmt.Errorf("%w: %d, this program knows %d", ErrNewer, n, storeVersion)
-		} else {
-			older = n < storeVersion
-		}
-		return nil
-	}
-	if err := s.db.View(check); err != nil && !errors.Is(err, errNoRecord) || err == nil && !older || readOnly {
+	version := 0
+	err := s.db.View(func(tx *bbolt.Tx) (err error) {
+		version, err = readVersion(tx)
 		return err
+	})
+	switch {
+	case errors.Is(err, errNoRecord) && !readOnly:
+	case err != nil || readOnly || version == storeVersion:
+		return err
+	}
+	return s.db.Update(upgrade)
+}
+
+// readVersion returns the version of a store's format, or errNoRecord for a new file.
+func readVersion(tx *bbolt.Tx) (version int, err error) {
+	meta := tx.Bucket(metaBucket)
+	if meta == nil {
+		return 0, errNoRecord
 	}
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range buckets {
-			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return err
-			}
+	raw := meta.Get(versionKey)
+	if len(raw) != versionSize {
+		return 0, fmt.Errorf("its version: %w", ErrDamaged)
+	}
+	version = int(binary.BigEndian.Uint32(raw))
+	if version > storeVersion {
+		return 0, fmt.Errorf("%w: %d, this program knows %d", ErrNewer, version, storeVersion)
+	}
+	return version, nil
+}
+
+// upgrade makes the buckets that a new file or one of an earlier version lacks, and gives the store a new name: what was
+// delivered while an earlier program ran is not known.
+func upgrade(tx *bbolt.Tx) error {
+	for _, name := range buckets {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return fmt.Errorf("bucket %s: %w", name, err)
 		}
-		return errors.Join(tx.Bucket(metaBucket).Put(storeIDKey, newStoreID()),
-			tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, storeVersion)))
-	})
+	}
+	return errors.Join(tx.Bucket(metaBucket).Put(storeIDKey, newStoreID()),
+		tx.Bucket(metaBucket).Put(versionKey, binary.BigEndian.AppendUint32(nil, storeVersion)))
 }
 
 // Close closes the file.
-func (s *Store) Close() error { return s.db.Close() }
+func (s *Store) Close() error {
+	if err := s.db.Close(); err != nil {
+		return fmt.Errorf("undelivered: %w", err)
+	}
+	return nil
+}
 
 // Size is the file's size in bytes.
 func (s *Store) Size() int64 {
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -16,13 +16,13 @@
 	"go.etcd.io/bbolt"
 )
 
-func openStore(t testing.TB, dir string) *Store {
-	t.Helper()
+func openStore(tb testing.TB, dir string) *Store {
+	tb.Helper()
 	s, err := Open(dir, 0, 0)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = s.Close() })
+	tb.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
@@ -33,11 +33,11 @@
 	}, Body: []byte("body of " + id)}
 }
 
-func put(t testing.TB, s *Store, ids ...string) {
-	t.Helper()
+func put(tb testing.TB, s *Store, ids ...string) {
+	tb.Helper()
 	for _, id := range ids {
 		if err := s.Put([]Kept{kept(id)}); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 }
--- a/internal/deadletter/subject_store.go
+++ b/internal/deadletter/subject_store.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"time"
 
 	"go.etcd.io/bbolt"
@@ -26,7 +27,7 @@
 	for i := range subjects {
 		raw, err := json.Marshal(subjects[i])
 		if err != nil {
-			return err
+			return fmt.Errorf("undelivered: subject of class %s: %w", subjects[i].Class, err)
 		}
 		reading[subjects[i].Class] = string(raw)
 	}
--- a/internal/deadletter/subjects_test.go
+++ b/internal/deadletter/subjects_test.go
@@ -36,6 +36,7 @@
 func TestTopicsInTheStore(t *testing.T) {
 	end := func(id string, state State) func(t *testing.T, s *Store) {
 		return func(t *testing.T, s *Store) {
+			t.Helper()
 			err := s.Change(id, func(r *Record) (time.Time, error) { r.State = state; return time.Time{}, nil })
 			if err != nil {
 				t.Fatal(err)
@@ -44,6 +45,7 @@
 	}
 	remove := func(id string) func(t *testing.T, s *Store) {
 		return func(t *testing.T, s *Store) {
+			t.Helper()
 			if err := s.Remove([]string{id}); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/deadletter/totals.go
+++ b/internal/deadletter/totals.go
@@ -48,9 +48,12 @@
 func writeTotals(tx *bbolt.Tx, t *Totals) error {
 	raw, err := json.Marshal(t)
 	if err != nil {
-		return err
+		return fmt.Errorf("its totals: %w", err)
 	}
-	return tx.Bucket(metaBucket).Put(totalsKey, raw)
+	if err := tx.Bucket(metaBucket).Put(totalsKey, raw); err != nil {
+		return fmt.Errorf("its totals: %w", err)
+	}
+	return nil
 }
 
 // Refused counts messages that were refused at their arrival, by class and tenant as Totals name them.
@@ -83,9 +86,12 @@
 	g.Bytes += bytes
 	raw, err := json.Marshal(g)
 	if err != nil {
-		return err
+		return fmt.Errorf("its groups: %w", err)
+	}
+	if err := b.Put(k, raw); err != nil {
+		return fmt.Errorf("its groups: %w", err)
 	}
-	return b.Put(k, raw)
+	return nil
 }
 
 // Totals gives what the store holds in all, and by class and tenant.
--- a/internal/deadletter/verify.go
+++ b/internal/deadletter/verify.go
@@ -23,12 +23,11 @@
 		if err != nil {
 			// A page could not be read: go on behind it.
 			add(fmt.Sprintf("a page behind record %d", n), err)
-			next = n + 1
-			if behind, ok := s.nextReadable(n); ok {
-				next = behind
-			} else {
+			behind, found := s.nextReadable(n)
+			if !found {
 				return good, faults
 			}
+			next = behind
 		}
 		if next == 0 {
 			return good, faults
