--- a/internal/faultinjection/checker/figures.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -38,12 +38,12 @@
 	ends    map[string]map[string][]time.Duration // by count and class
 	unheard map[string][]time.Duration            // by class: these may stand under any count, or under none
 	calls   []time.Duration
-	inside  []step // messages that their clients know to be taken on, and not ended
-	around  []step // the same with those of which no client has heard yet
+	inside  []inFlightChange // messages that their clients know to be taken on, and not ended
+	around  []inFlightChange // the same with those of which no client has heard yet
 }
 
-// step changes the number of messages in flight.
-type step struct {
+// inFlightChange changes the number of messages in flight.
+type inFlightChange struct {
 	at time.Duration
 	by int
 }
@@ -52,8 +52,8 @@
 // clients may be counted by the process before it.
 type process struct{ started, ready time.Duration }
 
-// figures holds what each door showed against the account.
-func (j *judge) figures(log []Event) {
+// checkMetrics holds what each door showed against the account.
+func (j *history) checkMetrics(log []Event) {
 	accounts := map[int]*account{}
 	processes := map[int]map[int]*process{}
 	found := map[int]int{}
@@ -80,44 +80,44 @@
 			}
 			for _, text := range a.against(e.At, p, e.Figures) {
 				found[e.Relay]++
-				j.breach(FiguresWrong, e.At, "", e.Relay, -1, "%s", text)
+				j.report(FiguresWrong, e.At, "", e.Relay, -1, "%s", text)
 			}
 		}
 	}
 }
 
 // account puts together what a relay's figures should say.
-func (j *judge) account(relay int) *account {
+func (j *history) account(relay int) *account {
 	a := &account{ends: map[string]map[string][]time.Duration{successes: {}, busies: {}, failed: {}}, unheard: map[string][]time.Duration{}}
-	for _, c := range j.order {
-		if c.relay != relay || c.resend || c.before {
+	for _, c := range j.requests {
+		if c.relay != relay || c.redelivery || c.fromStore {
 			continue
 		}
 		class := j.Settings.Categories[c.class].Name
-		under, at := j.endOf(c)
-		a.around = append(a.around, step{c.handed, 1})
+		under, at := j.metricOf(c)
+		a.around = append(a.around, inFlightChange{c.submittedAt, 1})
 		switch {
-		case c.answered < 0:
-			a.unheard[class] = append(a.unheard[class], c.handed)
-			if at = c.end(); at < 0 {
-				at = c.expires
+		case c.answeredAt < 0:
+			a.unheard[class] = append(a.unheard[class], c.submittedAt)
+			if at = c.completedAt(); at < 0 {
+				at = c.deadline
 			}
-			a.around = append(a.around, step{max(at, c.handed), -1})
-		case c.taken:
-			a.inside = append(a.inside, step{c.answered, 1})
+			a.around = append(a.around, inFlightChange{max(at, c.submittedAt), -1})
+		case c.accepted:
+			a.inside = append(a.inside, inFlightChange{c.answeredAt, 1})
 			if under != "" {
-				a.inside, a.around = append(a.inside, step{at, -1}), append(a.around, step{at, -1})
+				a.inside, a.around = append(a.inside, inFlightChange{at, -1}), append(a.around, inFlightChange{at, -1})
 			}
 		default:
-			a.around = append(a.around, step{c.answered, -1})
+			a.around = append(a.around, inFlightChange{c.answeredAt, -1})
 		}
-		if c.answered >= 0 && under != "" {
+		if c.answeredAt >= 0 && under != "" {
 			a.ends[under][class] = append(a.ends[under][class], at)
 		}
 	}
-	for _, k := range j.listed {
+	for _, k := range j.attempts {
 		if k.relay == relay && !k.probe && k.outcome != Unsent {
-			a.calls = append(a.calls, k.last)
+			a.calls = append(a.calls, k.lastByte)
 		}
 	}
 	for _, by := range a.ends {
@@ -125,31 +125,31 @@
 			slices.Sort(list)
 		}
 	}
-	for _, list := range [][]step{a.inside, a.around} {
-		slices.SortFunc(list, func(x, y step) int { return cmp.Compare(x.at, y.at) })
+	for _, list := range [][]inFlightChange{a.inside, a.around} {
+		slices.SortFunc(list, func(x, y inFlightChange) int { return cmp.Compare(x.at, y.at) })
 	}
 	return a
 }
 
-// endOf is the count that a message comes under, and when; none while it has no end, or none that is counted.
-func (j *judge) endOf(c *charge) (under string, at time.Duration) {
+// metricOf is the count that a message comes under, and when; none while it has no end, or none that is counted.
+func (j *history) metricOf(c *request) (under string, at time.Duration) {
 	switch {
-	case c.answered < 0:
+	case c.answeredAt < 0:
 		return "", 0
-	case !c.taken && (c.status == 429 || c.status == 503):
-		return busies, c.answered
-	case !c.taken && c.status >= 500:
-		return failed, c.answered
-	case !c.taken: // it was no message
+	case !c.accepted && (c.status == 429 || c.status == 503):
+		return busies, c.answeredAt
+	case !c.accepted && c.status >= 500:
+		return failed, c.answeredAt
+	case !c.accepted: // it was no message
 		return "", 0
-	case c.end() < 0:
+	case c.completedAt() < 0:
 		return "", 0
-	case c.delivered >= 0 && c.delivered == c.end():
-		return successes, max(c.delivered, c.answered)
-	case len(c.notices) > 0 && c.notices[0].At == c.end() && c.notices[0].State == Deferred:
-		return busies, c.end()
+	case c.deliveredAt >= 0 && c.deliveredAt == c.completedAt():
+		return successes, max(c.deliveredAt, c.answeredAt)
+	case len(c.notices) > 0 && c.notices[0].At == c.completedAt() && c.notices[0].State == Deferred:
+		return busies, c.completedAt()
 	}
-	return failed, c.end()
+	return failed, c.completedAt()
 }
 
 // between counts the times after one and up to another.
@@ -189,7 +189,7 @@
 }
 
 // within gives the least and the most messages in flight between two times.
-func within(steps []step, from, to time.Duration) (least, most int) {
+func within(steps []inFlightChange, from, to time.Duration) (least, most int) {
 	n := 0
 	for _, s := range steps {
 		if s.at <= from {
--- a/internal/faultinjection/checker/worth.go
+++ b/internal/faultinjection/checker/weight.go
@@ -1,7 +1,6 @@
 package checker
 
 import (
-	"slices"
 	"time"
 
 	"frostlink/internal/settings"
@@ -30,108 +29,6 @@
 	WorstTenant float64            `json:"worst_tenant"`
 }
 
-// Counts are what came of all messages. A message is counted once, however often its client came with it.
-type Counts struct {
-	Asked     int `json:"asked"`
-	Delivered int `json:"delivered"`
-	InTime    int `json:"in_time"` // within its class's aim
-	Refused   int `json:"refused"` // not delivered; the last word was to come again
-	Failed    int `json:"failed"`  // not delivered; the last word was that it failed
-	Unserved  int `json:"unserved"`
-	HandIns   int `json:"hand_ins"`
-	Taken     int `json:"taken_on"`
-	Unheard   int `json:"unheard"` // hand-ins without an answer
-	Deferred  int `json:"notices_deferred"`
-	GivenUp   int `json:"notices_undeliverable"`
-
-	Calls       int            `json:"calls"`
-	Outcomes    map[string]int `json:"calls_by_outcome"`
-	Probes      int            `json:"probes"`
-	Connections int            `json:"connections"`
-	Effects     int            `json:"effects"`
-	Wasted      int            `json:"effects_for_nothing"` // of messages that had it already, or had ended
-}
-
-// Report is what came of a run.
-type Report struct {
-	Breaches []Breach            `json:"breaches"`
-	Worth    Worth               `json:"worth"`
-	Counts   Counts              `json:"counts"`
-	Relays   []Counts            `json:"relays"`
-	Partners []Counts            `json:"partners"`
-	Waits    map[string]Quantile `json:"time_to_delivery_s"` // by class
-}
-
-// Quantile is how long things took, in seconds.
-type Quantile struct {
-	Median float64 `json:"p50"`
-	P99    float64 `json:"p99"`
-	Most   float64 `json:"most"`
-}
-
-// count fills in the figures that no rule needs.
-func (j *judge) count(r *Report, log []Event) {
-	r.Relays = make([]Counts, j.Settings.NInstances)
-	r.Partners = make([]Counts, len(j.Destinations))
-	all := []*Counts{&r.Counts}
-	for i := range r.Relays {
-		all = append(all, &r.Relays[i])
-	}
-	for i := range r.Partners {
-		all = append(all, &r.Partners[i])
-	}
-	for _, c := range all {
-		c.Outcomes = map[string]int{}
-	}
-	add := func(e Event, relay bool, do func(*Counts)) {
-		do(&r.Counts)
-		if relay && e.Relay < len(r.Relays) {
-			do(&r.Relays[e.Relay])
-		}
-		if e.Dest < len(r.Partners) {
-			do(&r.Partners[e.Dest])
-		}
-	}
-	for _, e := range log {
-		switch c := j.charges[e.ID]; e.Kind {
-		case HandedIn:
-			add(e, true, func(n *Counts) { n.HandIns++ })
-		case Answered:
-			if c != nil && c.taken && c.answered == e.At {
-				e.Dest = c.dest
-				add(e, true, func(n *Counts) { n.Taken++ })
-			}
-		case Unheard:
-			if c != nil {
-				e.Dest = c.dest
-				add(e, true, func(n *Counts) { n.Unheard++ })
-			}
-		case Noticed:
-			if c != nil && c.notices[0].At == e.At {
-				e.Dest = c.dest
-				if e.State == Deferred {
-					add(e, true, func(n *Counts) { n.Deferred++ })
-				} else {
-					add(e, true, func(n *Counts) { n.GivenUp++ })
-				}
-			}
-		case Called:
-			add(e, true, func(n *Counts) { n.Calls++ })
-		case Probed:
-			add(e, true, func(n *Counts) { n.Probes++ })
-		case Connected:
-			add(e, true, func(n *Counts) { n.Connections++ })
-		case Ended:
-			if a := j.calls[e.Call]; a != nil && !a.probe {
-				e.Relay, e.Dest = a.relay, a.dest
-				add(e, true, func(n *Counts) { n.Outcomes[e.Outcome]++ })
-			}
-		case Effect:
-			add(e, false, func(n *Counts) { n.Effects++ })
-		}
-	}
-}
-
 // Weigh adds what was asked for, and how much of its worth was delivered.
 func (r *Report) Weigh(f Figures, asked []Want, log []Event) {
 	first, word := map[int]time.Duration{}, map[int]string{}
@@ -156,7 +53,7 @@
 					deliver(m, e.At)
 				}
 			} else if ok {
-				word[m] = wordOf(e.Status)
+				word[m] = statusOf(e.Status)
 			}
 		case Ended:
 			if m, ok := heard[e.ID]; ok && e.Outcome == OK {
@@ -176,13 +73,13 @@
 	}
 	r.Waits = map[string]Quantile{}
 	times := make([][]float64, len(f.Settings.Categories))
-	var whole part
-	classes, tenants := make([]part, len(f.Settings.Categories)), make([]part, len(f.Settings.Tenants))
+	var whole fraction
+	classes, tenants := make([]fraction, len(f.Settings.Categories)), make([]fraction, len(f.Settings.Tenants))
 	var last time.Duration
 	for _, a := range asked {
 		last = max(last, a.At)
 	}
-	stretches := make([]part, int(max(0, last+worstStep-worstSpan)/worstStep)+1)
+	stretches := make([]fraction, int(max(0, last+worstStep-worstSpan)/worstStep)+1)
 	r.Counts.Asked = len(asked)
 	for n, a := range asked {
 		k := &f.Settings.Categories[a.Class]
@@ -251,20 +148,20 @@
 	}
 }
 
-// wordOf is what a client was told by an answer that took nothing on.
-func wordOf(status int) string {
+// statusOf is what a client was told by an answer that took nothing on.
+func statusOf(status int) string {
 	if status == 429 || status == 503 {
 		return Deferred
 	}
 	return Undeliverable
 }
 
-// part is worth got of worth asked for.
-type part struct{ got, asked float64 }
+// fraction is worth got of worth asked for.
+type fraction struct{ got, asked float64 }
 
-func (p *part) add(got, asked float64) { p.got, p.asked = p.got+got, p.asked+asked }
+func (p *fraction) add(got, asked float64) { p.got, p.asked = p.got+got, p.asked+asked }
 
-func (p part) share() float64 {
+func (p fraction) share() float64 {
 	if p.asked == 0 {
 		return 1
 	}
@@ -283,13 +180,3 @@
 	}
 	return 1 - (1-k.LateShare)*float64(age-aim)/float64(deadline-aim)
 }
-
-// Quantiles gives the quantiles of times in seconds, and puts these in order.
-func Quantiles(v []float64) Quantile {
-	if len(v) == 0 {
-		return Quantile{}
-	}
-	slices.Sort(v)
-	at := func(q float64) float64 { return v[min(len(v)-1, int(q*float64(len(v))))] }
-	return Quantile{at(0.5), at(0.99), v[len(v)-1]}
-}
