--- a/internal/faultinjection/checker/absences.go
+++ b/internal/faultinjection/checker/absences.go
@@ -5,70 +5,108 @@
 	"time"
 )
 
-// interval is a stretch of time.
+// never is later than any run.
+const never = time.Duration(1<<63 - 1)
+
+// interval is a span of time, both ends included.
 type interval struct{ from, to time.Duration }
 
-func (s interval) has(t time.Duration) bool { return t >= s.from && t <= s.to }
+func (i interval) contains(t time.Duration) bool { return t >= i.from && t <= i.to }
 
-// relayIntervals are the stretches of time in which something held for a relay, which may begin several times before it ends.
+// relayIntervals are the intervals in which something was true of each relay; it may begin several times before it ends.
 type relayIntervals struct {
-	of   map[int][]interval
-	open map[int]int
+	byRelay map[int][]interval
+	depth   map[int]int // how often it has begun and not ended
 }
 
-func newPeriods() relayIntervals { return relayIntervals{map[int][]interval{}, map[int]int{}} }
+func newRelayIntervals() relayIntervals {
+	return relayIntervals{byRelay: map[int][]interval{}, depth: map[int]int{}}
+}
 
-func (p relayIntervals) begin(relay int, at time.Duration) {
-	if p.open[relay]++; p.open[relay] == 1 {
-		p.of[relay] = append(p.of[relay], interval{at, never})
+func (r relayIntervals) begin(relay int, at time.Duration) {
+	r.depth[relay]++
+	if r.depth[relay] == 1 {
+		r.byRelay[relay] = append(r.byRelay[relay], interval{at, never})
 	}
 }
 
-func (p relayIntervals) end(relay int, at time.Duration) {
-	if p.open[relay]--; p.open[relay] == 0 {
-		all := p.of[relay]
+func (r relayIntervals) end(relay int, at time.Duration) {
+	r.depth[relay]--
+	if r.depth[relay] == 0 {
+		all := r.byRelay[relay]
 		all[len(all)-1].to = at
 	}
 }
 
-// hold tells whether it held at a time.
-func (p relayIntervals) hold(relay int, at time.Duration) bool {
-	return slices.ContainsFunc(p.of[relay], func(s interval) bool { return s.has(at) })
+// contains reports whether it was true of a relay at a time.
+func (r relayIntervals) contains(relay int, at time.Duration) bool {
+	return slices.ContainsFunc(r.byRelay[relay], func(i interval) bool { return i.contains(at) })
 }
 
-// never is later than any run.
-const never = time.Duration(1<<63 - 1)
+// absences are the intervals in which each relay did not serve: from the first sign of its end until it is ready again, and a
+// slack longer.
+type absences struct {
+	byRelay map[int][]interval
+	since   map[int]time.Duration // of relays that are absent now
+}
+
+func newAbsences() absences {
+	return absences{byRelay: map[int][]interval{}, since: map[int]time.Duration{}}
+}
+
+// begin notes that a relay stops serving; said again it changes nothing.
+func (a absences) begin(relay int, at time.Duration) {
+	if _, absent := a.since[relay]; !absent {
+		a.since[relay] = at
+	}
+}
+
+// end ends a relay's absence, if it is absent.
+func (a absences) end(relay int, at time.Duration) {
+	if from, absent := a.since[relay]; absent {
+		a.byRelay[relay] = append(a.byRelay[relay], interval{from, at})
+		delete(a.since, relay)
+	}
+}
+
+// finish ends the run: relays that are absent stay so.
+func (a absences) finish() {
+	for relay, from := range a.since {
+		a.byRelay[relay] = append(a.byRelay[relay], interval{from, never})
+	}
+}
 
-// excused tells whether a relay was away at a time, and until when.
-func (j *history) excused(relay int, at time.Duration) (until time.Duration, ok bool) {
-	for _, s := range j.absences[relay] {
-		if s.has(at) {
-			return s.to, true
+// excused reports whether a relay was absent at a time, and until when.
+func (h *history) excused(relay int, at time.Duration) (until time.Duration, absent bool) {
+	for _, i := range h.absences.byRelay[relay] {
+		if i.contains(at) {
+			return i.to, true
 		}
 	}
 	return 0, false
 }
 
-// unreadFor is how long a request lay unread at a relay that did not run when it came: nothing in it tells when it was sent, so that its
-// time counts from when it could be read.
-func (j *history) unreadFor(c *request) time.Duration {
-	for _, s := range j.halts.of[c.relay] {
-		if s.has(c.submittedAt) && s.to != never {
-			return s.to - c.submittedAt
+// unreadFor is how long a request lay unread at a relay that was halted when it came: nothing in it tells when it was sent, so
+// that its time counts from when it could be read.
+func (h *history) unreadFor(r *request) time.Duration {
+	for _, i := range h.halts.byRelay[r.relay] {
+		if i.contains(r.submittedAt) && i.to != never {
+			return i.to - r.submittedAt
 		}
 	}
 	return 0
 }
 
-// couldNotRecord tells whether a relay could not record what it learned at a time: its folder failed then, and its process ended before
-// that worked again. The next one can't know of it, however right the relay is.
-func (j *history) couldNotRecord(relay int, at time.Duration) bool {
-	for _, failing := range j.folderFailures.of[relay] {
-		if !failing.has(at) {
+// couldNotRecord reports whether a relay could not record what it learned at a time: its folder failed then, and its process
+// ended before the folder worked again. The next process can't know of it, however right the relay is.
+func (h *history) couldNotRecord(relay int, at time.Duration) bool {
+	for _, failure := range h.folderFailures.byRelay[relay] {
+		if !failure.contains(at) {
 			continue
 		}
-		for _, ended := range j.processEnds[relay] {
-			if ended >= at && ended <= min(failing.to, never-folderRetry)+folderRetry {
+		writableBy := min(failure.to, never-folderRetry) + folderRetry
+		for _, ended := range h.processEnds[relay] {
+			if ended >= at && ended <= writableBy {
 				return true
 			}
 		}
@@ -76,7 +114,7 @@
 	return false
 }
 
-// restarted tells whether a relay's process ended between two times.
-func (j *history) restarted(relay int, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.processEnds[relay], func(at time.Duration) bool { return at >= from && at <= to })
+// restarted reports whether a relay's process ended between two times.
+func (h *history) restarted(relay int, from, to time.Duration) bool {
+	return slices.ContainsFunc(h.processEnds[relay], func(at time.Duration) bool { return at >= from && at <= to })
 }
--- a/internal/faultinjection/checker/audit_test.go
+++ b/internal/faultinjection/checker/audit_test.go
@@ -137,19 +137,19 @@
 			n.call(2500*ms, "a", "g", OK, ms)
 		}},
 		"sent after a drain's grace": {DrainBroken, func(n *notes) {
-			n.told(sec, "h", Draining)
+			n.told(Draining)
 			n.take(sec, "a", status)
 			n.call(2100*ms, "a", "h", OK, ms)
 		}},
 		"sent to one that is gone": {DrainBroken, func(n *notes) {
-			n.told(sec, "h", Deleted)
+			n.told(Deleted)
 			n.take(sec, "a", status)
 			n.call(2100*ms, "a", "h", Full, ms)
 			n.call(2200*ms, "a", "g", OK, ms)
 		}},
 		"counts as told of a drain": {DrainBroken, func(n *notes) {
 			n.up()
-			n.shown(sec, "h", Draining)
+			n.draining()
 			n.take(sec, "a", status)
 			n.call(8100*ms, "a", "h", OK, ms)
 		}},
@@ -157,18 +157,18 @@
 			n.up()
 			n.add(Event{At: 500 * ms, Kind: Unwatched})
 			n.regDown(600 * ms)
-			n.shown(sec, "h", Draining)
+			n.draining()
 			n.take(5*sec, "a", status)
 			n.call(12100*ms, "a", "h", OK, ms)
 		}},
-		"a cold partner is pushed over": {PushedOver, func(n *notes) { n.out(sec, "shut", 3*sec); n.burst(1500*ms, 1, Full, 0); n.burst(3100*ms, 20, Full, 0) }},
+		"a cold partner is pushed over": {PushedOver, func(n *notes) { n.out("shut"); n.burst(1500*ms, 1, 0); n.burst(3100*ms, 20, 0) }},
 		"pushed, its refusals unseen": {PushedOver, func(n *notes) {
-			n.out(sec, "refuse", 3*sec)
+			n.out("refuse")
 			n.take(sec, "w", status)
-			n.burst(3100*ms, 20, Full, 0)
+			n.burst(3100*ms, 20, 0)
 			n.call(3600*ms, "w", "h", OK, ms)
 		}},
-		"pushed by probes": {PushedOver, func(n *notes) { n.out(sec, "shut", 3*sec); n.burst(1500*ms, 1, Full, 0); n.probes(3100*ms, 20) }},
+		"pushed by probes": {PushedOver, func(n *notes) { n.out("shut"); n.burst(1500*ms, 1, 0); n.probes(3100*ms, 20) }},
 		"sent out of turn": {OrderBroken, func(n *notes) {
 			n.take(sec, "a", lined)
 			n.take(2*sec, "b", lined)
@@ -358,20 +358,20 @@
 			n.call(2960*ms, "a", "h", OK, ms)
 		},
 		"within a drain's grace": func(n *notes) {
-			n.told(sec, "h", Draining)
+			n.told(Draining)
 			n.take(sec, "a", status)
 			n.call(2040*ms, "a", "h", OK, ms)
 		},
 		"a drain that nobody told of yet": func(n *notes) {
 			n.up()
-			n.shown(sec, "h", Draining)
+			n.draining()
 			n.take(sec, "a", status)
 			n.call(8*sec, "a", "h", OK, ms)
 		},
 		"a drain while the register is down": func(n *notes) {
 			n.up()
 			n.regDown(1500 * ms)
-			n.shown(sec, "h", Draining)
+			n.draining()
 			n.take(sec, "a", status)
 			n.call(9*sec, "a", "h", OK, ms)
 			n.add(Event{At: 30 * sec, Kind: RegUp})
@@ -381,19 +381,19 @@
 			n.take(sec, "a", status)
 			n.call(4*sec, "a", "h", OK, ms)
 		},
-		"as much as a cold partner bears":     func(n *notes) { n.out(sec, "shut", 3*sec); n.burst(1500*ms, 1, Full, 0); n.burst(3*sec, 18, Full, 0) },
-		"pushed over by one that saw nothing": func(n *notes) { n.out(sec, "shut", 3*sec); n.burst(3100*ms, 40, Full, 0) },
+		"as much as a cold partner bears":     func(n *notes) { n.out("shut"); n.burst(1500*ms, 1, 0); n.burst(3*sec, 18, 0) },
+		"pushed over by one that saw nothing": func(n *notes) { n.out("shut"); n.burst(3100*ms, 40, 0) },
 		"more than a third saw nothing": func(n *notes) {
-			n.out(sec, "shut", 3*sec)
-			n.burst(1500*ms, 1, Full, 0)
-			n.burst(3100*ms, 9, Full, 1)
-			n.burst(3100*ms, 12, Full, 0)
+			n.out("shut")
+			n.burst(1500*ms, 1, 0)
+			n.burst(3100*ms, 9, 1)
+			n.burst(3100*ms, 12, 0)
 		},
-		"a burst at a warm partner": func(n *notes) { n.out(sec, "shut", 3*sec); n.burst(1500*ms, 1, Full, 0); n.burst(14*sec, 70, Full, 0) },
+		"a burst at a warm partner": func(n *notes) { n.out("shut"); n.burst(1500*ms, 1, 0); n.burst(14*sec, 70, 0) },
 		"refused before, while held briefly": func(n *notes) {
-			n.out(sec, "refuse", 3*sec)
+			n.out("refuse")
 			n.take(2600*ms, "w", status)
-			n.burst(3100*ms, 40, Full, 0)
+			n.burst(3100*ms, 40, 0)
 			n.call(5*sec, "w", "h", OK, ms)
 		},
 		"in order": func(n *notes) {
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -10,59 +10,83 @@
 const (
 	// socketSlack is what the protocol adds to each limit in time on sockets.
 	socketSlack = 50 * time.Millisecond
-	// waitGrace is how long after a wait was written calls may still come.
+	// waitGrace is how long after a Retry-After was written attempts may still come.
 	waitGrace = 100 * time.Millisecond
 	// restartSlack after it is ready again a restarted relay's notices may be overdue.
 	restartSlack = 1500 * time.Millisecond
-	// lostAfter the time of a message its end is none any more: up to then it only earns nothing.
+	// lostAfter its deadline the terminal outcome of a request counts as lost: up to then it only earns nothing.
 	lostAfter = 500 * time.Millisecond
-	// crossingTime bounds how long two sides may take for the same: an answer that is written while the relay gives
-	// its call up, a notice that is on its way while the next call goes out.
+	// crossingTime bounds how long messages of two sides may cross: an answer that is written while the relay cancels its
+	// attempt, a notice that is on its way while the next attempt is sent.
 	crossingTime = 250 * time.Millisecond
 	// folderRetry is how long after a folder works again a relay may take to write to it what it could not.
 	folderRetry = 150 * time.Millisecond
-	// overloadSlack is the little slack for chance in the rule on returning destinations, in calls.
+	// overloadSlack is the slack for chance in the rule on recovering destinations, in attempts.
 	overloadSlack = 3
-	// overloadShare of what pushed a destination over must have come from relays that knew of its outage.
+	// overloadShare of what overloaded a recovering destination must have come from relays that knew of its outage.
 	overloadShare = 2.0 / 3
-	// observedAfter is how long a relay must have held a message for a partner that refuses connections, to be held to
-	// have seen it: what the kernel refuses no stand-in sees.
+	// observedAfter is how long a relay must have held a request for a destination that refuses connections, to count as having
+	// observed the outage: what the kernel refuses no stand-in sees.
 	observedAfter = 500 * time.Millisecond
 )
 
-// Judge judges a run that was over at a time.
-func Judge(f Figures, log []Event, over time.Duration) *Report {
-	j := &history{
-		Figures: f, end: over, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: map[int][]interval{},
-		processEnds: map[int][]time.Duration{}, machineLosses: map[int][]time.Duration{}, folderFailures: newPeriods(), socketFailures: newPeriods(), halts: newPeriods(),
+// rule checks a whole run, and reports the breaches that it finds.
+type rule func(h *history, log []Event)
+
+// rules are all checks, in the order in which breaches at one time are reported. Each is in a file of its own, rule_NAME.go.
+var rules = []rule{
+	eachRequest(
+		(*history).checkOutcome,
+		(*history).checkAnswered,
+		(*history).checkIdempotency,
+	),
+	(*history).checkRedeliveries,
+	(*history).checkOverwrites,
+	(*history).checkAcceptedLate,
+	(*history).checkRestartedUntried,
+	(*history).checkDraining,
+	(*history).checkRetryAfter,
+	(*history).checkSlowStart,
+	(*history).checkOrder,
+	(*history).checkMetrics,
+}
+
+// eachRequest applies checks of one request to each of a run, all checks to one before the next.
+func eachRequest(checks ...func(h *history, r *request)) rule {
+	return func(h *history, _ []Event) {
+		for _, r := range h.requests {
+			for _, check := range checks {
+				check(h, r)
+			}
+		}
 	}
+}
+
+// Judge checks a run that ended at a time against all rules, and counts what came of it.
+func Judge(f Figures, log []Event, end time.Duration) *Report {
 	log = byTime(log)
-	j.read(log)
-	for _, c := range j.requests {
-		j.checkOutcome(c)
-		j.checkAnswered(c)
-		j.checkIdempotency(c)
+	h := readHistory(f, log, end)
+	for _, check := range rules {
+		check(h, log)
 	}
-	j.checkRedeliveries()
-	j.checkOverwrites()
-	j.checkRestartedUntried(log)
-	j.checkDraining(log)
-	j.checkRetryAfter()
-	j.checkSlowStart(log)
-	j.checkOrder()
-	j.checkMetrics(log)
-	slices.SortStableFunc(j.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	r := &Report{Breaches: append([]Breach{}, j.breaches...)} // never null in JSON
-	j.count(r, log)
+	slices.SortStableFunc(h.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	r := &Report{Breaches: append([]Breach{}, h.breaches...)} // never null in JSON
+	h.count(r, log)
 	return r
 }
 
-func (j *history) report(rule Rule, at time.Duration, id string, relay, dest int, format string, args ...any) {
+// report reports a breach. A relay is numbered from 1 there; a destination below 0 is none.
+func (h *history) report(rule Rule, at time.Duration, id string, relay, destination int, format string, args ...any) {
 	name := ""
-	if dest >= 0 && dest < len(j.Destinations) {
-		name = j.Destinations[dest].Name
+	if destination >= 0 && destination < len(h.Destinations) {
+		name = h.Destinations[destination].Name
 	}
-	j.breaches = append(j.breaches, Breach{rule, at, id, relay + 1, name, fmt.Sprintf(format, args...)})
+	h.breaches = append(h.breaches, Breach{rule, at, id, relay + 1, name, fmt.Sprintf(format, args...)})
+}
+
+// reportRequest reports a breach that concerns a request.
+func (h *history) reportRequest(rule Rule, at time.Duration, r *request, format string, args ...any) {
+	h.report(rule, at, r.id, r.relay, r.destination, format, args...)
 }
 
 // formatTime writes a time for people.
--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -4,13 +4,13 @@
 type Counts struct {
 	Asked     int `json:"asked"`
 	Delivered int `json:"delivered"`
-	InTime    int `json:"in_time"` // within its class's aim
-	Refused   int `json:"refused"` // not delivered; the last word was to come again
-	Failed    int `json:"failed"`  // not delivered; the last word was that it failed
+	InTime    int `json:"in_time"` // within its class's latency objective
+	Refused   int `json:"refused"` // not delivered; the last answer was to come again
+	Failed    int `json:"failed"`  // not delivered; the last answer was that it failed
 	Unserved  int `json:"unserved"`
 	HandIns   int `json:"hand_ins"`
 	Taken     int `json:"taken_on"`
-	Unheard   int `json:"unheard"` // hand-ins without an answer
+	Unheard   int `json:"unheard"` // submissions without an answer
 	Deferred  int `json:"notices_deferred"`
 	GivenUp   int `json:"notices_undeliverable"`
 
@@ -32,65 +32,93 @@
 	Waits    map[string]Quantile `json:"time_to_delivery_s"` // by class
 }
 
-// count fills in the figures that no rule needs.
-func (j *history) count(r *Report, log []Event) {
-	r.Relays = make([]Counts, j.Settings.NInstances)
-	r.Partners = make([]Counts, len(j.Destinations))
-	all := []*Counts{&r.Counts}
+// count counts what no rule needs: in all, by relay and by destination.
+func (h *history) count(r *Report, log []Event) {
+	r.Relays = make([]Counts, h.Settings.NInstances)
+	r.Partners = make([]Counts, len(h.Destinations))
+	r.Counts.Outcomes = map[string]int{}
 	for i := range r.Relays {
-		all = append(all, &r.Relays[i])
+		r.Relays[i].Outcomes = map[string]int{}
 	}
 	for i := range r.Partners {
-		all = append(all, &r.Partners[i])
+		r.Partners[i].Outcomes = map[string]int{}
 	}
-	for _, c := range all {
-		c.Outcomes = map[string]int{}
+	for _, e := range log {
+		if e, counted := h.attributed(e); counted {
+			r.add(e)
+		}
 	}
-	add := func(e Event, relay bool, do func(*Counts)) {
-		do(&r.Counts)
-		if relay && e.Relay < len(r.Relays) {
-			do(&r.Relays[e.Relay])
+}
+
+// attributed returns an event with its relay and destination, and whether it is counted at all: of answers and notices the first
+// one of a request is.
+func (h *history) attributed(e Event) (Event, bool) {
+	request := h.requestsByID[e.ID]
+	switch e.Kind {
+	case HandedIn, Called, Probed, Connected, Effect:
+		return e, true
+	case Ended:
+		a := h.attemptsByNumber[e.Call]
+		if a == nil || a.probe {
+			return e, false
 		}
-		if e.Dest < len(r.Partners) {
-			do(&r.Partners[e.Dest])
+		e.Relay, e.Dest = a.relay, a.destination
+		return e, true
+	case Answered:
+		if request == nil || !request.accepted || request.answeredAt != e.At {
+			return e, false
 		}
+	case Noticed:
+		if request == nil || request.notices[0].At != e.At {
+			return e, false
+		}
+	case Unheard:
+		if request == nil {
+			return e, false
+		}
+	default:
+		return e, false
 	}
-	for _, e := range log {
-		switch c := j.requestsByID[e.ID]; e.Kind {
-		case HandedIn:
-			add(e, true, func(n *Counts) { n.HandIns++ })
-		case Answered:
-			if c != nil && c.accepted && c.answeredAt == e.At {
-				e.Dest = c.destination
-				add(e, true, func(n *Counts) { n.Taken++ })
-			}
-		case Unheard:
-			if c != nil {
-				e.Dest = c.destination
-				add(e, true, func(n *Counts) { n.Unheard++ })
-			}
-		case Noticed:
-			if c != nil && c.notices[0].At == e.At {
-				e.Dest = c.destination
-				if e.State == Deferred {
-					add(e, true, func(n *Counts) { n.Deferred++ })
-				} else {
-					add(e, true, func(n *Counts) { n.GivenUp++ })
-				}
-			}
-		case Called:
-			add(e, true, func(n *Counts) { n.Calls++ })
-		case Probed:
-			add(e, true, func(n *Counts) { n.Probes++ })
-		case Connected:
-			add(e, true, func(n *Counts) { n.Connections++ })
-		case Ended:
-			if a := j.attemptsByNumber[e.Call]; a != nil && !a.probe {
-				e.Relay, e.Dest = a.relay, a.destination
-				add(e, true, func(n *Counts) { n.Outcomes[e.Outcome]++ })
-			}
-		case Effect:
-			add(e, false, func(n *Counts) { n.Effects++ })
+	e.Dest = request.destination
+	return e, true
+}
+
+// add counts an event. An effect is of no relay: nothing tells which one's attempt it was.
+func (r *Report) add(e Event) {
+	r.Counts.add(e)
+	if e.Kind != Effect && e.Relay < len(r.Relays) {
+		r.Relays[e.Relay].add(e)
+	}
+	if e.Dest < len(r.Partners) {
+		r.Partners[e.Dest].add(e)
+	}
+}
+
+// add counts an event that was attributed.
+func (c *Counts) add(e Event) {
+	switch e.Kind {
+	case HandedIn:
+		c.HandIns++
+	case Answered:
+		c.Taken++
+	case Unheard:
+		c.Unheard++
+	case Noticed:
+		if e.State == Deferred {
+			c.Deferred++
+		} else {
+			c.GivenUp++
 		}
+	case Called:
+		c.Calls++
+	case Probed:
+		c.Probes++
+	case Connected:
+		c.Connections++
+	case Ended:
+		c.Outcomes[e.Outcome]++
+	case Effect:
+		c.Effects++
+	default:
 	}
 }
--- a/internal/faultinjection/checker/history.go
+++ b/internal/faultinjection/checker/history.go
@@ -5,192 +5,239 @@
 	"time"
 )
 
-// attempt is one call for a message.
+// unset stands for a time at which nothing happened.
+const unset = time.Duration(-1)
+
+// attempt is one call that a relay made for a request, or a probe of an endpoint.
 type attempt struct {
-	number              int
 	relay, destination  int
 	endpoint            string
 	firstByte, lastByte time.Duration
-	endedAt             time.Duration // -1: never
+	endedAt             time.Duration // unset: never
 	outcome             string
 	retryAfter          time.Duration
-	probe, effect       bool
+	probe               bool
 }
 
-// mayHaveExecuted tells what the relay could know: only a refusal proves that a call never ran.
+// mayHaveExecuted reports what the relay could know: only a rejection proves that an attempt was not executed.
 func (a *attempt) mayHaveExecuted() bool {
 	return a.outcome != Full && a.outcome != Wait && a.outcome != Unsent
 }
 
-// failed tells whether the relay saw the partner fail or refuse.
+// failed reports whether the relay saw the destination fail or reject.
 func (a *attempt) failed() bool { return a.outcome != OK && a.outcome != Unsent }
 
-// request is a message that a relay was handed.
+// overlaps reports whether an attempt was still in flight when a later one was sent whole.
+func (a *attempt) overlaps(later *attempt) bool {
+	return a.endedAt < 0 || a.endedAt > later.lastByte+socketSlack
+}
+
+// request is a message under one id, as a client submitted it or a relay redelivered it.
 type request struct {
 	id                          string
 	message, relay, destination int
 	class                       int
 	orderKey                    string
+	subject                     string
 	submittedAt, deadline       time.Duration
-	answeredAt                  time.Duration // -1: never
-	status                      int
+	answeredAt                  time.Duration // unset: never
+	status                      int           // of the answer
+	accepted                    bool
 	attempts                    []*attempt
-	deliveredAt                 time.Duration // -1: not
-	expiredAt                   time.Duration // when a call was told that the message is out of time; -1: not
+	deliveredAt                 time.Duration // unset: not
+	expiredAt                   time.Duration // when an attempt was answered that the deadline has passed; unset: not
 	notices                     []Event
-	effects                     int
-	accepted                    bool
-	redelivery                  bool
-	fromStore                   bool // given up before the run
-	subject                     string
+	effects                     int             // how often a destination executed it
+	redelivery                  bool            // under an id of the relay's making
+	fromStore                   bool            // it was a dead letter before the run
 	closedAt                    []time.Duration // when its connection was, without an answer
-	excusedUntil, machineLostAt time.Duration   // end of a restart's excuse; when its machine was lost (-1: not)
+	machineLostAt               time.Duration   // unset: not
+}
+
+// newRequest returns a request to which nothing has happened.
+func newRequest(e Event) *request {
+	return &request{
+		id: e.ID, message: e.Msg, relay: e.Relay, destination: e.Dest, class: e.Class, orderKey: e.Item, subject: e.Subject,
+		submittedAt: e.At, deadline: e.At + e.For,
+		answeredAt: unset, deliveredAt: unset, expiredAt: unset, machineLostAt: unset,
+	}
 }
 
-// completedAt is when a message came to its end, or -1.
-func (c *request) completedAt() time.Duration {
-	end := c.deliveredAt
-	if len(c.notices) > 0 && (end < 0 || c.notices[0].At < end) {
-		end = c.notices[0].At
+// completedAt is when a request came to its terminal outcome, or unset.
+func (r *request) completedAt() time.Duration {
+	end := r.deliveredAt
+	if len(r.notices) > 0 && (end < 0 || r.notices[0].At < end) {
+		end = r.notices[0].At
 	}
-	if c.expiredAt >= 0 && (end < 0 || c.expiredAt < end) {
-		end = c.expiredAt
+	if r.expiredAt >= 0 && (end < 0 || r.expiredAt < end) {
+		end = r.expiredAt
 	}
 	return end
 }
 
+// history is a run, put together by request, attempt and relay.
 type history struct {
 	Figures
-	end              time.Duration
+	end              time.Duration // of the run
 	requestsByID     map[string]*request
-	requests         []*request // as handed in
+	requests         []*request // in order of submission
 	attemptsByNumber map[int]*attempt
-	attempts         []*attempt // calls and probes, as they came
-	absences         map[int][]interval
-	processEnds      map[int][]time.Duration // when each relay's process ended
-	machineLosses    map[int][]time.Duration // when each relay's machine was lost
+	attempts         []*attempt // probes too, by their last byte
+	absences         absences
+	processEnds      map[int][]time.Duration // by relay
+	machineLosses    map[int][]time.Duration // by relay
 	folderFailures   relayIntervals          // when each relay's folder failed
 	socketFailures   relayIntervals          // when connections of each were made to look broken
 	halts            relayIntervals          // when each did not run
 	breaches         []Breach
 }
 
-// read puts the log together by message and call.
-func (j *history) read(log []Event) {
-	begun := map[int]time.Duration{} // of each relay's present absence
-	leave := func(relay int, at time.Duration) {
-		if _, away := begun[relay]; !away {
-			begun[relay] = at
-		}
+// readHistory puts a log together, whose events are in order of time. Attempts that belong to no request, or to one of another
+// destination, are breaches.
+func readHistory(f Figures, log []Event, end time.Duration) *history {
+	h := &history{
+		Figures: f, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
+		processEnds: map[int][]time.Duration{}, machineLosses: map[int][]time.Duration{},
+		folderFailures: newRelayIntervals(), socketFailures: newRelayIntervals(), halts: newRelayIntervals(),
 	}
 	for _, e := range log {
-		c := j.requestsByID[e.ID]
-		switch e.Kind {
-		case HandedIn:
-			c = &request{
-				id: e.ID, message: e.Msg, relay: e.Relay, destination: e.Dest, class: e.Class, orderKey: e.Item, subject: e.Subject, submittedAt: e.At,
-				deadline: e.At + e.For, answeredAt: -1, deliveredAt: -1, expiredAt: -1, machineLostAt: -1,
-			}
-			j.requestsByID[e.ID] = c
-			j.requests = append(j.requests, c)
-		case Resent, Before:
-			c = &request{
-				id: e.ID, message: e.Msg, relay: e.Relay, destination: e.Dest, class: e.Class, subject: e.Subject, submittedAt: e.At,
-				redelivery: e.Kind == Resent, fromStore: e.Kind == Before, deadline: never, answeredAt: -1, deliveredAt: -1, expiredAt: -1, machineLostAt: -1,
-			}
-			j.requestsByID[e.ID] = c
-			j.requests = append(j.requests, c)
-		case Answered:
-			if c != nil && c.answeredAt < 0 {
-				c.answeredAt, c.status = e.At, e.Status
-				c.accepted = e.Status == 200 || e.Status == 202
-			}
-		case Called, Probed:
-			a := &attempt{
-				number: e.Call, relay: e.Relay, destination: e.Dest, endpoint: e.Host, firstByte: e.First, lastByte: e.At, endedAt: -1,
-				probe: e.Kind == Probed,
-			}
-			j.attemptsByNumber[e.Call] = a
-			j.attempts = append(j.attempts, a)
-			switch {
-			case e.Kind == Probed:
-			case c == nil:
-				j.report(Unknown, e.At, e.ID, e.Relay, e.Dest, "call to %s for an id that no client handed in", e.Host)
-			default:
-				if c.destination != e.Dest {
-					j.report(WrongHost, e.At, e.ID, e.Relay, c.destination, "call to %s, which is %s's", e.Host,
-						j.Destinations[e.Dest].Name)
-				}
-				c.attempts = append(c.attempts, a)
-			}
-		case Ended:
-			if a := j.attemptsByNumber[e.Call]; a != nil && a.endedAt < 0 {
-				a.endedAt, a.outcome, a.retryAfter = e.At, e.Outcome, e.For
-				if c != nil && e.Outcome == OK && c.deliveredAt < 0 {
-					c.deliveredAt = e.At
-				}
-				if c != nil && e.Outcome == Unsent && a.lastByte > c.deadline && c.expiredAt < 0 {
-					c.expiredAt = e.At // the platform has told the relay that its time was up: nothing more is owed
-				}
-			}
-		case Effect:
-			if c != nil {
-				c.effects++
-			}
-		case Noticed:
-			if c != nil {
-				c.notices = append(c.notices, e)
-			}
-		case Stopping, Halted:
-			leave(e.Relay, e.At)
-			if e.Kind == Halted {
-				j.halts.begin(e.Relay, e.At)
-			}
-		case Unheard:
-			if c != nil && e.OK {
-				c.closedAt = append(c.closedAt, e.At)
-			}
-		case SocketsBreak:
-			j.socketFailures.begin(e.Relay, e.At)
-		case SocketsHold:
-			j.socketFailures.end(e.Relay, e.At)
-		case FolderFails:
-			j.folderFailures.begin(e.Relay, e.At)
-		case FolderWorks:
-			j.folderFailures.end(e.Relay, e.At)
-		case Killed, Crashed:
-			leave(e.Relay, e.At)
-			j.processEnds[e.Relay] = append(j.processEnds[e.Relay], e.At)
-		case Lost:
-			leave(e.Relay, e.At)
-			j.processEnds[e.Relay] = append(j.processEnds[e.Relay], e.At)
-			j.machineLosses[e.Relay] = append(j.machineLosses[e.Relay], e.At)
-		case Ready, Resumed:
-			if e.Kind == Resumed {
-				j.halts.end(e.Relay, e.At)
-			}
-			if from, ok := begun[e.Relay]; ok {
-				j.absences[e.Relay] = append(j.absences[e.Relay], interval{from, e.At + restartSlack})
-				delete(begun, e.Relay)
+		h.readRequestEvent(e)
+		h.readRelayEvent(e)
+	}
+	h.absences.finish()
+	for _, r := range h.requests {
+		for _, at := range h.machineLosses[r.relay] {
+			if r.machineLostAt < 0 && at >= r.submittedAt {
+				r.machineLostAt = at
 			}
 		}
 	}
-	for relay, from := range begun {
-		j.absences[relay] = append(j.absences[relay], interval{from, never})
+	return h
+}
+
+// addRequest adds a request under its id.
+func (h *history) addRequest(r *request) {
+	h.requestsByID[r.id] = r
+	h.requests = append(h.requests, r)
+}
+
+// readRequestEvent reads an event that tells of a request or an attempt.
+func (h *history) readRequestEvent(e Event) {
+	switch e.Kind {
+	case HandedIn:
+		h.addRequest(newRequest(e))
+	case Resent, Before:
+		r := newRequest(e)
+		r.orderKey, r.deadline = "", never
+		r.redelivery, r.fromStore = e.Kind == Resent, e.Kind == Before
+		h.addRequest(r)
+	case Called, Probed:
+		h.addAttempt(e)
+	case Ended:
+		h.endAttempt(e)
+	default:
+		if r := h.requestsByID[e.ID]; r != nil {
+			r.read(e)
+		}
 	}
-	for _, c := range j.requests {
-		for _, at := range j.machineLosses[c.relay] {
-			if c.machineLostAt < 0 && at >= c.submittedAt {
-				c.machineLostAt = at
-			}
+}
+
+// read reads an event that concerns this request alone.
+func (r *request) read(e Event) {
+	switch e.Kind {
+	case Answered:
+		if r.answeredAt < 0 {
+			r.answeredAt, r.status = e.At, e.Status
+			r.accepted = isAcceptance(e.Status)
+		}
+	case Effect:
+		r.effects++
+	case Noticed:
+		r.notices = append(r.notices, e)
+	case Unheard:
+		if e.OK {
+			r.closedAt = append(r.closedAt, e.At)
 		}
+	default:
+	}
+}
+
+// addAttempt reads the last byte of an attempt or a probe.
+func (h *history) addAttempt(e Event) {
+	a := &attempt{
+		relay: e.Relay, destination: e.Dest, endpoint: e.Host, firstByte: e.First, lastByte: e.At, endedAt: unset,
+		probe: e.Kind == Probed,
+	}
+	h.attemptsByNumber[e.Call] = a
+	h.attempts = append(h.attempts, a)
+	if a.probe {
+		return
+	}
+	r := h.requestsByID[e.ID]
+	if r == nil {
+		h.report(Unknown, e.At, e.ID, e.Relay, e.Dest, "call to %s for an id that no client handed in", e.Host)
+		return
+	}
+	if r.destination != e.Dest {
+		h.report(WrongHost, e.At, e.ID, e.Relay, r.destination, "call to %s, which is %s's", e.Host, h.Destinations[e.Dest].Name)
+	}
+	r.attempts = append(r.attempts, a)
+}
+
+// endAttempt reads the outcome of an attempt.
+func (h *history) endAttempt(e Event) {
+	a := h.attemptsByNumber[e.Call]
+	if a == nil || a.endedAt >= 0 {
+		return
+	}
+	a.endedAt, a.outcome, a.retryAfter = e.At, e.Outcome, e.For
+	r := h.requestsByID[e.ID]
+	switch {
+	case r == nil:
+	case e.Outcome == OK && r.deliveredAt < 0:
+		r.deliveredAt = e.At
+	case e.Outcome == Unsent && a.lastByte > r.deadline && r.expiredAt < 0:
+		r.expiredAt = e.At // the platform has told the relay that the deadline has passed: no outcome is owed any more
+	}
+}
+
+// readRelayEvent reads an event that tells of a relay's process, machine, folder or sockets.
+func (h *history) readRelayEvent(e Event) {
+	switch e.Kind {
+	case Stopping:
+		h.absences.begin(e.Relay, e.At)
+	case Halted:
+		h.absences.begin(e.Relay, e.At)
+		h.halts.begin(e.Relay, e.At)
+	case Killed, Crashed:
+		h.absences.begin(e.Relay, e.At)
+		h.processEnds[e.Relay] = append(h.processEnds[e.Relay], e.At)
+	case Lost:
+		h.absences.begin(e.Relay, e.At)
+		h.processEnds[e.Relay] = append(h.processEnds[e.Relay], e.At)
+		h.machineLosses[e.Relay] = append(h.machineLosses[e.Relay], e.At)
+	case Ready:
+		h.absences.end(e.Relay, e.At+restartSlack)
+	case Resumed:
+		h.halts.end(e.Relay, e.At)
+		h.absences.end(e.Relay, e.At+restartSlack)
+	case SocketsBreak:
+		h.socketFailures.begin(e.Relay, e.At)
+	case SocketsHold:
+		h.socketFailures.end(e.Relay, e.At)
+	case FolderFails:
+		h.folderFailures.begin(e.Relay, e.At)
+	case FolderWorks:
+		h.folderFailures.end(e.Relay, e.At)
+	default:
 	}
 }
 
-func (j *history) idOf(a *attempt) string {
-	for _, c := range j.requests {
-		if slices.Contains(c.attempts, a) {
-			return c.id
+// idOf returns the id of the request for which an attempt was made, or "".
+func (h *history) idOf(a *attempt) string {
+	for _, r := range h.requests {
+		if slices.Contains(r.attempts, a) {
+			return r.id
 		}
 	}
 	return ""
--- a/internal/faultinjection/checker/notes_test.go
+++ b/internal/faultinjection/checker/notes_test.go
@@ -104,8 +104,9 @@
 	}
 }
 
-func (n *notes) told(at time.Duration, host, state string) {
-	n.add(Event{At: at, Kind: Told, Host: host, State: state})
+// told has the first relay told of the endpoint's state, a second into the run.
+func (n *notes) told(state string) {
+	n.add(Event{At: sec, Kind: Told, Host: "h", State: state})
 }
 
 func (n *notes) up() {
@@ -117,22 +118,24 @@
 
 func (n *notes) regDown(at time.Duration) { n.add(Event{At: at, Kind: RegDown}) }
 
-func (n *notes) shown(at time.Duration, host, state string) {
-	n.add(Event{At: at, Kind: Shown, Host: host, State: state})
+// draining has discovery show that the endpoint drains, a second into the run.
+func (n *notes) draining() {
+	n.add(Event{At: sec, Kind: Shown, Host: "h", State: Draining})
 }
 
-func (n *notes) out(at time.Duration, how string, until time.Duration) {
-	n.add(Event{At: at, Kind: Out, State: how})
-	n.add(Event{At: until, Kind: Back, OK: true})
+// out has the destination go out a second into the run, and come back cold two seconds later.
+func (n *notes) out(how string) {
+	n.add(Event{At: sec, Kind: Out, State: how})
+	n.add(Event{At: 3 * sec, Kind: Back, OK: true})
 }
 
-// burst has a relay send so many messages of their own, each refused by the partner and then ended.
-func (n *notes) burst(at time.Duration, count int, outcome string, relay int) {
+// burst has a relay send so many messages of their own, each rejected as one too many by the destination and then ended.
+func (n *notes) burst(at time.Duration, count, relay int) {
 	for i := range count {
 		id := fmt.Sprintf("%v-%d-%d", at, relay, i)
 		n.add(Event{At: at - 50*ms, Kind: HandedIn, ID: id, Relay: relay, For: 10 * sec})
 		n.add(Event{At: at - 40*ms, Kind: Answered, ID: id, Relay: relay, Status: 202})
-		n.call(at+time.Duration(i)*ms, id, "h", outcome, ms, func(a, _ *Event) { a.Relay = relay })
+		n.call(at+time.Duration(i)*ms, id, "h", Full, ms, func(a, _ *Event) { a.Relay = relay })
 		n.notice(at+200*ms, id, Deferred)
 	}
 }
--- a/internal/faultinjection/checker/resends_test.go
+++ b/internal/faultinjection/checker/resends_test.go
@@ -7,9 +7,9 @@
 )
 
 // resend notes a resend of the message that an id stands for, and its call.
-func (n *notes) resend(at time.Duration, id string, class int, outcome string, took time.Duration) {
+func (n *notes) resend(at time.Duration, id string, class int, outcome string) {
 	n.add(Event{At: at - ms, Kind: Resent, ID: id, Class: class})
-	n.call(at, id, "h", outcome, took)
+	n.call(at, id, "h", outcome, ms)
 }
 
 // givenUp has a message taken on, called and given up.
@@ -24,43 +24,43 @@
 		rule Rule // empty: kept
 		run  func(n *notes)
 	}{
-		"status that may have run":    {"", func(n *notes) { n.givenUp("a", status, Reset); n.resend(20*sec, "r", status, OK, ms) }},
-		"a payment that never ran":    {"", func(n *notes) { n.givenUp("a", payment, Full); n.resend(20*sec, "r", payment, OK, ms) }},
-		"a payment within its memory": {"", func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7*sec, "r", payment, OK, ms) }},
-		"a payment past its memory":   {Twice, func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7100*ms, "r", payment, OK, ms) }},
+		"status that may have run":    {"", func(n *notes) { n.givenUp("a", status, Reset); n.resend(20*sec, "r", status, OK) }},
+		"a payment that never ran":    {"", func(n *notes) { n.givenUp("a", payment, Full); n.resend(20*sec, "r", payment, OK) }},
+		"a payment within its memory": {"", func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7*sec, "r", payment, OK) }},
+		"a payment past its memory":   {Twice, func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7100*ms, "r", payment, OK) }},
 		"over two resends": {Twice, func(n *notes) {
 			n.givenUp("a", payment, Full)
-			n.resend(20*sec, "r", payment, Left, ms)
-			n.resend(30*sec, "s", payment, OK, ms)
+			n.resend(20*sec, "r", payment, Left)
+			n.resend(30*sec, "s", payment, OK)
 		}},
-		"unsafe that may have run": {Twice, func(n *notes) { n.givenUp("a", order, Error); n.resend(4*sec, "r", order, OK, ms) }},
-		"unsafe that never ran":    {"", func(n *notes) { n.givenUp("a", order, Full); n.resend(20*sec, "r", order, OK, ms) }},
+		"unsafe that may have run": {Twice, func(n *notes) { n.givenUp("a", order, Error); n.resend(4*sec, "r", order, OK) }},
+		"unsafe that never ran":    {"", func(n *notes) { n.givenUp("a", order, Full); n.resend(20*sec, "r", order, OK) }},
 		"a payment that was delivered": {Twice, func(n *notes) {
 			n.take(sec, "a", payment)
 			n.call(2*sec, "a", "h", OK, ms)
-			n.resend(3*sec, "r", payment, OK, ms)
+			n.resend(3*sec, "r", payment, OK)
 		}},
 		"status that was delivered": {"", func(n *notes) {
 			n.take(sec, "a", status)
 			n.call(2*sec, "a", "h", OK, ms)
-			n.resend(3*sec, "r", status, OK, ms)
+			n.resend(3*sec, "r", status, OK)
 		}},
 		"while its first is out": {SecondCopy, func(n *notes) {
 			n.take(sec, "a", status)
 			n.call(2*sec, "a", "h", OK, 2*sec)
-			n.resend(3*sec, "r", status, OK, ms)
+			n.resend(3*sec, "r", status, OK)
 		}},
 		"into a wait": {WaitIgnored, func(n *notes) {
 			n.take(sec, "a", status)
 			n.call(2*sec, "a", "h", Wait, ms, wait(sec))
 			n.notice(2100*ms, "a", Deferred)
-			n.resend(2900*ms, "r", status, OK, ms)
+			n.resend(2900*ms, "r", status, OK)
 		}},
 		"to a drained endpoint": {DrainBroken, func(n *notes) {
-			n.told(sec, "h", Draining)
+			n.told(Draining)
 			n.take(sec, "a", status)
 			n.notice(1500*ms, "a", Deferred)
-			n.resend(9*sec, "r", status, OK, ms)
+			n.resend(9*sec, "r", status, OK)
 		}},
 	} {
 		n := &notes{}
@@ -122,7 +122,7 @@
 		n.givenUp("a", payment, Full)
 		n.givenUp("b", payment, Reset)
 		n.add(Event{At: 2 * sec, Kind: Effect, ID: "b"})
-		n.resend(20*sec, "r", payment, OK, ms)
+		n.resend(20*sec, "r", payment, OK)
 		for i := range n.log {
 			if n.log[i].ID == "b" {
 				n.log[i].Msg = 1
--- a/internal/faultinjection/checker/rule_accepted_late.go
+++ b/internal/faultinjection/checker/rule_accepted_late.go
@@ -1,20 +1,20 @@
 package checker
 
-// checkAcceptedLate checks that messages were taken on in order to be delivered: not only once they were.
-func (j *history) checkAcceptedLate() {
-	taken, late := 0, 0
+// checkAcceptedLate checks that requests are accepted in order to be delivered: not only once they were, for over half of them.
+func (h *history) checkAcceptedLate(_ []Event) {
+	accepted, late := 0, 0
 	var last *request
-	for _, c := range j.requests {
-		if !c.accepted || c.redelivery {
+	for _, r := range h.requests {
+		if !r.accepted || r.redelivery {
 			continue
 		}
-		taken++
-		if c.deliveredAt >= 0 && c.deliveredAt < c.answeredAt {
-			late, last = late+1, c
+		accepted++
+		if r.deliveredAt >= 0 && r.deliveredAt < r.answeredAt {
+			late, last = late+1, r
 		}
 	}
-	if float64(late) > half*float64(taken) {
-		j.report(TakenLate, last.answeredAt, last.id, last.relay, last.destination,
-			"%d of %d messages were answered only after their delivery, this one the last", late, taken)
+	if float64(late) > half*float64(accepted) {
+		h.reportRequest(TakenLate, last.answeredAt, last,
+			"%d of %d messages were answered only after their delivery, this one the last", late, accepted)
 	}
 }
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -7,109 +7,145 @@
 	"frostlink/internal/settings"
 )
 
-// failedWatchFactor stretches the time within which a relay must ask, after a call to the register that failed.
+// failedWatchFactor stretches the time within which a relay must ask for the endpoint list, after a watch that failed.
 const failedWatchFactor = 4
 
-// discoveryEvents are the events that say what a relay could know of the register.
+// discoveryEvents say what a relay could know of the endpoint list.
 var discoveryEvents = map[Kind]bool{
 	Shown: true, RegDown: true, RegUp: true, Asked: true, Unwatched: true, Silent: true, Ready: true, Resumed: true,
 	Moved: true, Killed: true, Lost: true, Crashed: true, Halted: true,
 }
 
-// checkDraining checks that no relay sent anything new to an endpoint later than the grace after it was told that this
-// drains or is gone, or counts as told.
-func (j *history) checkDraining(log []Event) {
-	type about struct {
-		relay int
-		host  string
+// relayEndpoint is an endpoint as one relay sees it.
+type relayEndpoint struct {
+	relay    int
+	endpoint string
+}
+
+// checkDraining checks that no relay sent anything new to an endpoint later than the grace after it was notified, or counts as
+// notified, that the endpoint drains or is removed.
+func (h *history) checkDraining(log []Event) {
+	notified := h.drainingNotified(log)
+	grace := settings.Seconds(h.Settings.Rules.DrainGraceS) + socketSlack
+	reported := map[relayEndpoint]bool{}
+	for _, a := range h.attempts {
+		key := relayEndpoint{a.relay, a.endpoint}
+		if at, ok := notified[key]; ok && a.firstByte > at+grace && !reported[key] {
+			reported[key] = true
+			h.report(DrainBroken, a.firstByte, h.idOf(a), a.relay, a.destination, "sent to %s %s after it was told that this drains or is gone",
+				a.endpoint, formatTime(a.firstByte-at))
+		}
+	}
+}
+
+// drainingNotified returns when each relay was first notified, or counts as notified, of each endpoint that drains or is
+// removed.
+func (h *history) drainingNotified(log []Event) map[relayEndpoint]time.Duration {
+	notified := map[relayEndpoint]time.Duration{}
+	note := func(key relayEndpoint, at time.Duration) {
+		if known, ok := notified[key]; at < never && (!ok || at < known) {
+			notified[key] = at
+		}
 	}
-	told := map[about]time.Duration{}
 	for _, e := range log {
 		if e.Kind == Told && e.State != Serving {
-			key := about{e.Relay, e.Host}
-			if _, known := told[key]; !known {
-				told[key] = e.At
-			}
+			note(relayEndpoint{e.Relay, e.Host}, e.At)
 		}
 	}
-	news := slices.DeleteFunc(slices.Clone(log), func(e Event) bool { return !discoveryEvents[e.Kind] })
-	for _, e := range news {
+	changes := slices.DeleteFunc(slices.Clone(log), func(e Event) bool { return !discoveryEvents[e.Kind] })
+	for _, e := range changes {
 		if e.Kind != Shown || e.State == Serving {
 			continue
 		}
-		for relay := range j.Settings.NInstances {
-			key := about{relay, e.Host}
-			at := j.countsAsTold(news, relay, e.At)
-			if was, known := told[key]; at < never && (!known || at < was) {
-				told[key] = at
-			}
+		for relay := range h.Settings.NInstances {
+			note(relayEndpoint{relay, e.Host}, h.countsAsNotified(changes, relay, e.At))
 		}
 	}
-	grace := settings.Seconds(j.Settings.Rules.DrainGraceS) + socketSlack
-	reported := map[about]bool{}
-	for _, a := range j.attempts {
-		key := about{a.relay, a.endpoint}
-		if at, ok := told[key]; ok && a.firstByte > at+grace && !reported[key] {
-			reported[key] = true
-			j.report(DrainBroken, a.firstByte, j.idOf(a), a.relay, a.destination, "sent to %s %s after it was told that this drains or is gone",
-				a.endpoint, formatTime(a.firstByte-at))
+	return notified
+}
+
+// watchState is what is known of a relay's watch on the endpoint list, at some point of a log, as far as it matters for one
+// change that discovery showed.
+type watchState struct {
+	shown      time.Duration // when discovery showed the change
+	tellWithin time.Duration // what discovery shows counts as told after this, while it is up
+	askWithin  time.Duration // a relay without a watch has to ask so often
+
+	up, alive, watching bool
+	upSince             time.Duration // discovery could tell the relay, from shown on
+	since               time.Duration // the relay last watched or asked
+	silentSince         time.Duration // its watch says nothing from then on; never: it does
+	patience            time.Duration // from since on, it has to ask
+}
+
+// notifiedBefore returns when the relay counts as notified of the change, if that is before a time; else never.
+func (w *watchState) notifiedBefore(at time.Duration) time.Duration {
+	if !w.alive {
+		return never
+	}
+	earliest := never
+	consider := func(t time.Duration) {
+		if t < at {
+			earliest = min(earliest, t)
 		}
 	}
+	if w.up && w.upSince+w.tellWithin < at {
+		consider(max(w.shown, w.upSince) + w.tellWithin)
+	}
+	if w.silentSince < never {
+		consider(max(w.silentSince+w.tellWithin, w.shown)) // one clock for all that a silent watch misses
+	}
+	if !w.watching {
+		consider(max(w.since, w.shown) + w.patience)
+	}
+	return earliest
 }
 
-// countsAsTold is when a relay counts as told of what the register showed at a time: once the register was up for
-// long enough since, or the relay neither watched nor asked for as long as the settings allow.
-func (j *history) countsAsTold(log []Event, relay int, shown time.Duration) time.Duration {
-	within := settings.Seconds(j.Settings.Rules.AskWithinS)
-	up, watching, alive := true, false, false
-	silent := never                  // since then its watch says nothing: one clock for all that it misses
-	var since, upSince time.Duration // it last watched or asked; the register has been up, from shown on
-	upSince = shown
-	patience := within
-	earliest := func(at time.Duration) time.Duration {
-		best := never
-		if up && alive && upSince+j.TellWithin < at {
-			best = max(shown, upSince) + j.TellWithin
+// read takes in an event of discovery, or one of this relay.
+func (w *watchState) read(e Event) {
+	switch e.Kind {
+	case RegDown:
+		w.up = false
+	case RegUp:
+		w.up, w.upSince = true, max(e.At, w.shown)
+	case Silent:
+		w.silentSince = e.At
+	case Asked:
+		w.since, w.watching, w.patience = e.At, e.OK, w.askWithin
+		if e.OK {
+			w.silentSince = never
+		} else {
+			w.patience = failedWatchFactor * w.askWithin
 		}
-		if heard := silent + j.TellWithin; silent < never && alive && max(heard, shown) < at {
-			best = min(best, max(heard, shown))
-		}
-		if !watching && alive && max(since, shown)+patience < at {
-			best = min(best, max(since, shown)+patience)
-		}
-		return best
+	case Unwatched:
+		w.since, w.watching, w.patience = e.At, false, w.askWithin
+	case Ready, Resumed:
+		w.alive, w.since, w.upSince = true, e.At, max(w.upSince, e.At)
+	case Moved:
+		w.upSince, w.silentSince = max(w.upSince, e.At), never
+	case Killed, Lost, Crashed, Halted:
+		w.alive, w.watching, w.silentSince = false, false, never
+	default:
+	}
+}
+
+// countsAsNotified is when a relay counts as notified of what discovery showed at a time: once discovery was up for long enough
+// since, or the relay neither watched nor asked for as long as the settings allow.
+func (h *history) countsAsNotified(log []Event, relay int, shown time.Duration) time.Duration {
+	within := settings.Seconds(h.Settings.Rules.AskWithinS)
+	w := &watchState{
+		shown: shown, tellWithin: h.TellWithin, askWithin: within,
+		up: true, upSince: shown, silentSince: never, patience: within,
 	}
 	for _, e := range log {
 		if e.At > shown {
-			if at := earliest(e.At); at < never {
+			if at := w.notifiedBefore(e.At); at < never {
 				return at
 			}
 		}
-		switch {
-		case e.Kind == RegDown:
-			up = false
-		case e.Kind == RegUp:
-			up, upSince = true, max(e.At, shown)
-		case e.Relay != relay:
-		case e.Kind == Silent:
-			silent = e.At
-		case e.Kind == Asked:
-			since, watching, patience = e.At, e.OK, within
-			if e.OK {
-				silent = never
-			}
-			if !e.OK {
-				patience = failedWatchFactor * within
-			}
-		case e.Kind == Unwatched:
-			since, watching, patience = e.At, false, within
-		case e.Kind == Ready, e.Kind == Resumed:
-			alive, since, upSince = true, e.At, max(upSince, e.At)
-		case e.Kind == Moved:
-			upSince, silent = max(upSince, e.At), never
-		case e.Kind == Killed, e.Kind == Lost, e.Kind == Crashed, e.Kind == Halted:
-			alive, watching, silent = false, false, never
+		if e.Kind == RegDown || e.Kind == RegUp || e.Relay == relay {
+			w.read(e)
 		}
 	}
-	return earliest(j.end)
+	return w.notifiedBefore(h.end)
 }
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -1,51 +1,92 @@
 package checker
 
 import (
+	"time"
+
 	"frostlink/internal/settings"
 )
 
-// checkIdempotency checks that no effect can have happened twice, and that no two copies were out at once.
-func (j *history) checkIdempotency(c *request) {
-	k := &j.Settings.Categories[c.class]
-	var mayRun *attempt // the first
-	broken := false
-	for i, a := range c.attempts {
-		for _, b := range c.attempts[:i] {
-			if !j.Settings.Limits.SecondCopies && (b.endedAt < 0 || b.endedAt > a.lastByte+socketSlack) && b.lastByte <= a.lastByte {
-				j.report(SecondCopy, a.lastByte, c.id, c.relay, c.destination, "call to %s while one to %s was out", a.endpoint, b.endpoint)
-				return
-			}
+// The effects of a class, as the settings name them.
+const (
+	retryable = "retryable" // may be repeated
+	dedup     = "dedup"     // repeats are dropped while the key is remembered
+	fragile   = "fragile"   // must not be repeated
+)
+
+// checkIdempotency checks that no effect can have happened twice, and that no two attempts of a request were in flight at once.
+func (h *history) checkIdempotency(r *request) {
+	class := &h.Settings.Categories[r.class]
+	var first *attempt // that may have been executed
+	reported := false
+	for i, a := range r.attempts {
+		if earlier := h.concurrent(r.attempts[:i], a); earlier != nil {
+			h.reportRequest(SecondCopy, a.lastByte, r, "call to %s while one to %s was out", a.endpoint, earlier.endpoint)
+			return
 		}
-		if mayRun != nil && !broken {
-			switch k.Idempotency {
-			case "fragile":
-				broken = true
-				j.report(Twice, a.lastByte, c.id, a.relay, c.destination, "%s sent to %s again, though the call to %s at %s (%s) may have run",
-					k.Name, a.endpoint, mayRun.endpoint, formatTime(mayRun.lastByte), mayRun.outcome)
-			case "dedup":
-				if limit := mayRun.lastByte + settings.Seconds(k.MemorySpanS) + socketSlack; a.lastByte > limit {
-					broken = true
-					j.report(Twice, a.lastByte, c.id, a.relay, c.destination,
-						"%s sent to %s again %s after the call at %s (%s) that may have run; its key is kept for %v s", k.Name,
-						a.endpoint, formatTime(a.lastByte-mayRun.lastByte), formatTime(mayRun.lastByte), mayRun.outcome, k.MemorySpanS)
-				}
-			}
+		if first != nil && !reported {
+			reported = h.checkRepeat(r, first, a)
 		}
-		if mayRun == nil && a.mayHaveExecuted() {
-			mayRun = a
+		if first == nil && a.mayHaveExecuted() {
+			first = a
 		}
 	}
-	if mayRun != nil && k.Idempotency == "fragile" && !broken {
-		for _, n := range c.notices {
-			if n.State == Deferred && (c.deliveredAt < 0 || c.deliveredAt > n.At) {
-				broken = true
-				j.report(Twice, n.At, c.id, c.relay, c.destination, "%s handed back as safe to repeat, though the call at %s (%s) may have run",
-					k.Name, formatTime(mayRun.lastByte), mayRun.outcome)
-				break
-			}
+	if first != nil && class.Idempotency == fragile && !reported {
+		reported = h.checkReturned(r, first)
+	}
+	if r.effects > 1 && class.Idempotency != retryable && !reported {
+		last := r.attempts[len(r.attempts)-1]
+		h.reportRequest(Twice, last.lastByte, r, "%s had its effect %d times", class.Name, r.effects)
+	}
+}
+
+// concurrent returns an earlier attempt that was still in flight when a later one was sent, or nil; where hedged requests are
+// allowed there is none to find.
+func (h *history) concurrent(earlier []*attempt, a *attempt) *attempt {
+	if h.Settings.Limits.SecondCopies {
+		return nil
+	}
+	for _, b := range earlier {
+		if b.overlaps(a) && b.lastByte <= a.lastByte {
+			return b
 		}
 	}
-	if c.effects > 1 && k.Idempotency != "retryable" && !broken {
-		j.report(Twice, c.attempts[len(c.attempts)-1].lastByte, c.id, c.relay, c.destination, "%s had its effect %d times", k.Name, c.effects)
+	return nil
+}
+
+// checkRepeat checks an attempt after one that may have been executed, and reports whether it is a breach.
+func (h *history) checkRepeat(r *request, first, a *attempt) bool {
+	class := &h.Settings.Categories[r.class]
+	switch class.Idempotency {
+	case fragile:
+		h.report(Twice, a.lastByte, r.id, a.relay, r.destination, "%s sent to %s again, though the call to %s at %s (%s) may have run",
+			class.Name, a.endpoint, first.endpoint, formatTime(first.lastByte), first.outcome)
+		return true
+	case dedup:
+		if a.lastByte <= keyRememberedUntil(first, class) {
+			return false
+		}
+		h.report(Twice, a.lastByte, r.id, a.relay, r.destination,
+			"%s sent to %s again %s after the call at %s (%s) that may have run; its key is kept for %v s", class.Name,
+			a.endpoint, formatTime(a.lastByte-first.lastByte), formatTime(first.lastByte), first.outcome, class.MemorySpanS)
+		return true
+	}
+	return false
+}
+
+// keyRememberedUntil is how long after an attempt its destination drops repeats of its key.
+func keyRememberedUntil(a *attempt, class *settings.Category) time.Duration {
+	return a.lastByte + settings.Seconds(class.MemorySpanS) + socketSlack
+}
+
+// checkReturned checks that a request which must not be repeated, and may have been executed, was not returned to its client
+// as safe to submit again. It reports whether that is a breach.
+func (h *history) checkReturned(r *request, first *attempt) bool {
+	for _, n := range r.notices {
+		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
+			h.reportRequest(Twice, n.At, r, "%s handed back as safe to repeat, though the call at %s (%s) may have run",
+				h.Settings.Categories[r.class].Name, formatTime(first.lastByte), first.outcome)
+			return true
+		}
 	}
+	return false
 }
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -5,22 +5,30 @@
 	"fmt"
 	"maps"
 	"math"
+	"net/http"
 	"slices"
 	"time"
 )
 
-// The margins within which a door's figures have to agree with the account: they may lag, and be off by a few or by a
-// share; calls are written by other goroutines than the one that counts ends, and get a larger share.
+// The margins within which a relay's metrics have to agree with the account: they may lag, and differ by a few or by a share.
+// Attempts are written by other goroutines than the one that counts outcomes, and get a larger share.
 const (
-	figuresLag                = 500 * time.Millisecond
-	offBy                     = 3.0
-	offShare, offCalls        = 0.01, 0.02
-	offInflight               = 0.1
-	mostFigureBreaches        = 3 // a relay that counts wrongly once is wrong from there on
-	successes, busies, failed = "success", "busy", "failure"
+	metricsLag        = 500 * time.Millisecond
+	minDifference     = 3.0
+	differenceShare   = 0.01
+	attemptsShare     = 0.02
+	inFlightShare     = 0.1
+	maxMetricBreaches = 3 // a relay that counts wrongly once is wrong from there on
 )
 
-// Scrape is what a relay's door showed.
+// The metrics under which each request is counted once.
+const (
+	successMetric = "success"
+	busyMetric    = "busy"
+	failureMetric = "failure"
+)
+
+// Scrape is what a relay's admin endpoint showed.
 type Scrape struct {
 	Success        map[string]int `json:"success"`
 	Busy           map[string]int `json:"busy"`
@@ -33,123 +41,153 @@
 	ReconfigFailed int            `json:"reconfig_failed"`
 }
 
-// account is what the log says of one relay, over all its processes: when each of its messages came under which count.
+// account is what the log says of one relay, over all its processes: when each of its requests came under which metric.
 type account struct {
-	ends    map[string]map[string][]time.Duration // by count and class
-	unheard map[string][]time.Duration            // by class: these may stand under any count, or under none
-	calls   []time.Duration
-	inside  []inFlightChange // messages that their clients know to be taken on, and not ended
-	around  []inFlightChange // the same with those of which no client has heard yet
+	outcomes    map[string]map[string][]time.Duration // by metric and class
+	unanswered  map[string][]time.Duration            // by class: these may be counted under any metric, or under none
+	attempts    []time.Duration
+	surelyHeld  []inFlightChange // requests whose clients know that they were accepted, until their outcome
+	perhapsHeld []inFlightChange // the same with those that were not answered yet
 }
 
-// inFlightChange changes the number of messages in flight.
+// inFlightChange changes the number of requests in flight.
 type inFlightChange struct {
 	at time.Duration
 	by int
 }
 
-// process is one process of a relay: the figures of a process count from its start, and what ends before it takes
-// clients may be counted by the process before it.
+// process is one process of a relay: its metrics count from its start, and outcomes before it takes clients may be counted by
+// the process before it.
 type process struct{ started, ready time.Duration }
 
-// checkMetrics holds what each door showed against the account.
-func (j *history) checkMetrics(log []Event) {
-	accounts := map[int]*account{}
-	processes := map[int]map[int]*process{}
-	found := map[int]int{}
+// metricsCheck compares the metrics of all relays with the log.
+type metricsCheck struct {
+	history   *history
+	accounts  map[int]*account
+	processes map[int]map[int]*process // by relay and number
+	breaches  map[int]int              // by relay
+}
+
+// checkMetrics checks what each admin endpoint showed against the account of its relay.
+func (h *history) checkMetrics(log []Event) {
+	c := &metricsCheck{history: h, accounts: map[int]*account{}, processes: map[int]map[int]*process{}, breaches: map[int]int{}}
 	for _, e := range log {
 		switch e.Kind {
 		case Started:
-			if processes[e.Relay] == nil {
-				processes[e.Relay] = map[int]*process{}
-			}
-			processes[e.Relay][e.Process] = &process{e.At, never}
+			c.start(e)
 		case Ready:
-			if p := processes[e.Relay][e.Process]; p != nil {
+			if p := c.processes[e.Relay][e.Process]; p != nil {
 				p.ready = e.At
 			}
 		case Scraped:
-			a := accounts[e.Relay]
-			if a == nil {
-				a = j.account(e.Relay)
-				accounts[e.Relay] = a
-			}
-			p := processes[e.Relay][e.Process]
-			if p == nil || found[e.Relay] >= mostFigureBreaches {
-				continue
-			}
-			for _, text := range a.against(e.At, p, e.Figures) {
-				found[e.Relay]++
-				j.report(FiguresWrong, e.At, "", e.Relay, -1, "%s", text)
-			}
+			c.check(e)
+		default:
 		}
 	}
 }
 
-// account puts together what a relay's figures should say.
-func (j *history) account(relay int) *account {
-	a := &account{ends: map[string]map[string][]time.Duration{successes: {}, busies: {}, failed: {}}, unheard: map[string][]time.Duration{}}
-	for _, c := range j.requests {
-		if c.relay != relay || c.redelivery || c.fromStore {
-			continue
-		}
-		class := j.Settings.Categories[c.class].Name
-		under, at := j.metricOf(c)
-		a.around = append(a.around, inFlightChange{c.submittedAt, 1})
-		switch {
-		case c.answeredAt < 0:
-			a.unheard[class] = append(a.unheard[class], c.submittedAt)
-			if at = c.completedAt(); at < 0 {
-				at = c.deadline
-			}
-			a.around = append(a.around, inFlightChange{max(at, c.submittedAt), -1})
-		case c.accepted:
-			a.inside = append(a.inside, inFlightChange{c.answeredAt, 1})
-			if under != "" {
-				a.inside, a.around = append(a.inside, inFlightChange{at, -1}), append(a.around, inFlightChange{at, -1})
-			}
-		default:
-			a.around = append(a.around, inFlightChange{c.answeredAt, -1})
+// start notes a new process.
+func (c *metricsCheck) start(e Event) {
+	if c.processes[e.Relay] == nil {
+		c.processes[e.Relay] = map[int]*process{}
+	}
+	c.processes[e.Relay][e.Process] = &process{e.At, never}
+}
+
+// check checks one scrape.
+func (c *metricsCheck) check(e Event) {
+	a := c.accounts[e.Relay]
+	if a == nil {
+		a = c.history.account(e.Relay)
+		c.accounts[e.Relay] = a
+	}
+	p := c.processes[e.Relay][e.Process]
+	if p == nil || c.breaches[e.Relay] >= maxMetricBreaches {
+		return
+	}
+	for _, text := range a.differences(e.At, p, e.Figures) {
+		c.breaches[e.Relay]++
+		c.history.report(FiguresWrong, e.At, "", e.Relay, -1, "%s", text)
+	}
+}
+
+// account puts together what a relay's metrics should say.
+func (h *history) account(relay int) *account {
+	a := &account{
+		outcomes:   map[string]map[string][]time.Duration{successMetric: {}, busyMetric: {}, failureMetric: {}},
+		unanswered: map[string][]time.Duration{},
+	}
+	for _, r := range h.requests {
+		if r.relay == relay && !r.redelivery && !r.fromStore {
+			a.add(r, h.Settings.Categories[r.class].Name)
 		}
-		if c.answeredAt >= 0 && under != "" {
-			a.ends[under][class] = append(a.ends[under][class], at)
+	}
+	for _, at := range h.attempts {
+		if at.relay == relay && !at.probe && at.outcome != Unsent {
+			a.attempts = append(a.attempts, at.lastByte)
 		}
 	}
-	for _, k := range j.attempts {
-		if k.relay == relay && !k.probe && k.outcome != Unsent {
-			a.calls = append(a.calls, k.lastByte)
+	a.sort()
+	return a
+}
+
+// add accounts for a request.
+func (a *account) add(r *request, class string) {
+	metric, at := r.metric()
+	a.perhapsHeld = append(a.perhapsHeld, inFlightChange{r.submittedAt, 1})
+	switch {
+	case r.answeredAt < 0:
+		a.unanswered[class] = append(a.unanswered[class], r.submittedAt)
+		if at = r.completedAt(); at < 0 {
+			at = r.deadline
+		}
+		a.perhapsHeld = append(a.perhapsHeld, inFlightChange{max(at, r.submittedAt), -1})
+		return
+	case r.accepted:
+		a.surelyHeld = append(a.surelyHeld, inFlightChange{r.answeredAt, 1})
+		if metric != "" {
+			a.surelyHeld, a.perhapsHeld = append(a.surelyHeld, inFlightChange{at, -1}), append(a.perhapsHeld, inFlightChange{at, -1})
 		}
+	default:
+		a.perhapsHeld = append(a.perhapsHeld, inFlightChange{r.answeredAt, -1})
 	}
-	for _, by := range a.ends {
-		for _, list := range by {
-			slices.Sort(list)
+	if metric != "" {
+		a.outcomes[metric][class] = append(a.outcomes[metric][class], at)
+	}
+}
+
+// sort puts all times in order.
+func (a *account) sort() {
+	for _, byClass := range a.outcomes {
+		for _, times := range byClass {
+			slices.Sort(times)
 		}
 	}
-	for _, list := range [][]inFlightChange{a.inside, a.around} {
-		slices.SortFunc(list, func(x, y inFlightChange) int { return cmp.Compare(x.at, y.at) })
+	for _, changes := range [][]inFlightChange{a.surelyHeld, a.perhapsHeld} {
+		slices.SortFunc(changes, func(x, y inFlightChange) int { return cmp.Compare(x.at, y.at) })
 	}
-	return a
 }
 
-// metricOf is the count that a message comes under, and when; none while it has no end, or none that is counted.
-func (j *history) metricOf(c *request) (under string, at time.Duration) {
+// metric is the metric that a request comes under, and when; "" while it has no outcome, or none that is counted.
+func (r *request) metric() (metric string, at time.Duration) {
+	end := r.completedAt()
 	switch {
-	case c.answeredAt < 0:
+	case r.answeredAt < 0:
 		return "", 0
-	case !c.accepted && (c.status == 429 || c.status == 503):
-		return busies, c.answeredAt
-	case !c.accepted && c.status >= 500:
-		return failed, c.answeredAt
-	case !c.accepted: // it was no message
+	case !r.accepted && statusOf(r.status) == Deferred:
+		return busyMetric, r.answeredAt
+	case !r.accepted && r.status >= http.StatusInternalServerError:
+		return failureMetric, r.answeredAt
+	case !r.accepted: // it was malformed
 		return "", 0
-	case c.completedAt() < 0:
+	case end < 0:
 		return "", 0
-	case c.deliveredAt >= 0 && c.deliveredAt == c.completedAt():
-		return successes, max(c.deliveredAt, c.answeredAt)
-	case len(c.notices) > 0 && c.notices[0].At == c.completedAt() && c.notices[0].State == Deferred:
-		return busies, c.completedAt()
+	case r.deliveredAt >= 0 && r.deliveredAt == end:
+		return successMetric, max(r.deliveredAt, r.answeredAt)
+	case len(r.notices) > 0 && r.notices[0].At == end && r.notices[0].State == Deferred:
+		return busyMetric, end
 	}
-	return failed, c.completedAt()
+	return failureMetric, end
 }
 
 // between counts the times after one and up to another.
@@ -163,43 +201,43 @@
 	return n
 }
 
-// against names what in figures read at a time does not agree with the account.
-func (a *account) against(at time.Duration, p *process, f *Scrape) (wrong []string) {
+// differences names what in metrics that were read at a time does not agree with the account.
+func (a *account) differences(at time.Duration, p *process, s *Scrape) (found []string) {
 	check := func(name string, shown, least, most int, share float64) {
-		slack := math.Max(offBy, share*float64(most))
+		slack := math.Max(minDifference, share*float64(most))
 		if float64(shown) < float64(least)-slack || float64(shown) > float64(most)+slack {
-			wrong = append(wrong, fmt.Sprintf("%s shows %d, and the log has %d to %d", name, shown, least, most))
+			found = append(found, fmt.Sprintf("%s shows %d, and the log has %d to %d", name, shown, least, most))
 		}
 	}
-	counts := map[string]map[string]int{successes: f.Success, busies: f.Busy, failed: f.Failure}
-	for _, under := range slices.Sorted(maps.Keys(counts)) {
-		for class, shown := range counts[under] {
-			times := a.ends[under][class]
-			least := between(times, p.ready+figuresLag, at-figuresLag)
-			most := between(times, p.started-figuresLag, at+figuresLag) + between(a.unheard[class], p.started-figuresLag, at)
-			check(under+" of "+class, shown, least, most, offShare)
+	counts := map[string]map[string]int{successMetric: s.Success, busyMetric: s.Busy, failureMetric: s.Failure}
+	for _, metric := range slices.Sorted(maps.Keys(counts)) {
+		for class, shown := range counts[metric] {
+			times := a.outcomes[metric][class]
+			least := between(times, p.ready+metricsLag, at-metricsLag)
+			most := between(times, p.started-metricsLag, at+metricsLag) + between(a.unanswered[class], p.started-metricsLag, at)
+			check(metric+" of "+class, shown, least, most, differenceShare)
 		}
 	}
-	check("backend_calls", f.BackendCalls, between(a.calls, p.ready+figuresLag, at-figuresLag),
-		between(a.calls, p.started-figuresLag, at+figuresLag), offCalls)
-	least, _ := within(a.inside, at-figuresLag, at+figuresLag)
-	_, most := within(a.around, at-figuresLag, at+figuresLag)
-	check("inflight", f.Inflight, least, most, offInflight)
-	return wrong
+	check("backend_calls", s.BackendCalls, between(a.attempts, p.ready+metricsLag, at-metricsLag),
+		between(a.attempts, p.started-metricsLag, at+metricsLag), attemptsShare)
+	least, _ := heldBetween(a.surelyHeld, at-metricsLag, at+metricsLag)
+	_, most := heldBetween(a.perhapsHeld, at-metricsLag, at+metricsLag)
+	check("inflight", s.Inflight, least, most, inFlightShare)
+	return found
 }
 
-// within gives the least and the most messages in flight between two times.
-func within(steps []inFlightChange, from, to time.Duration) (least, most int) {
+// heldBetween returns the least and the most requests in flight between two times.
+func heldBetween(changes []inFlightChange, from, to time.Duration) (least, most int) {
 	n := 0
-	for _, s := range steps {
-		if s.at <= from {
-			n += s.by
+	for _, c := range changes {
+		if c.at <= from {
+			n += c.by
 		}
 	}
 	least, most = n, n
-	for _, s := range steps {
-		if s.at > from && s.at <= to {
-			n += s.by
+	for _, c := range changes {
+		if c.at > from && c.at <= to {
+			n += c.by
 			least, most = min(least, n), max(most, n)
 		}
 	}
--- a/internal/faultinjection/checker/rule_order.go
+++ b/internal/faultinjection/checker/rule_order.go
@@ -6,53 +6,64 @@
 	"frostlink/internal/settings"
 )
 
-// checkOrder checks that messages with one key went one at a time, in the order in which their relay took them on.
-func (j *history) checkOrder() {
-	type turn struct {
+// checkOrder checks that requests with one order key were sent one at a time, in the order in which their relay accepted them.
+func (h *history) checkOrder(_ []Event) {
+	type key struct {
 		relay int
-		item  string
+		order string
 	}
-	lines := map[turn][]*request{}
-	for _, c := range j.requests {
-		if c.accepted && c.orderKey != "" && j.Settings.Categories[c.class].FifoByKey {
-			key := turn{c.relay, c.orderKey}
-			lines[key] = append(lines[key], c)
+	byKey := map[key][]*request{}
+	for _, r := range h.requests {
+		if r.accepted && r.orderKey != "" && h.Settings.Categories[r.class].FifoByKey {
+			k := key{r.relay, r.orderKey}
+			byKey[k] = append(byKey[k], r)
 		}
 	}
-	pause := settings.Seconds(j.Settings.Rules.OrderPauseS)
-	for _, line := range lines {
-		for i, c := range line {
-			if broken := j.overtaken(line[:i], c, pause); broken != nil {
-				j.report(OrderBroken, c.attempts[0].firstByte, c.id, c.relay, c.destination, "sent while %s, which came before it, was not over",
-					broken.id)
+	for _, requests := range byKey {
+		for i, r := range requests {
+			if earlier := h.overtaken(requests[:i], r); earlier != nil {
+				h.reportRequest(OrderBroken, r.attempts[0].firstByte, r, "sent while %s, which came before it, was not over", earlier.id)
 			}
 		}
 	}
 }
 
-// overtaken finds a message that came before another with its key, and was neither over nor at rest when that went.
-func (j *history) overtaken(before []*request, c *request, pause time.Duration) *request {
-	if len(c.attempts) == 0 {
+// overtaken returns a request that was accepted before another with its key, and did not allow it to be sent yet when it was;
+// nil for none.
+func (h *history) overtaken(earlier []*request, r *request) *request {
+	if len(r.attempts) == 0 {
 		return nil
 	}
-	sent := c.attempts[0].firstByte
-	for _, b := range before {
-		// Only where one answer came before the other request is it known which was taken on first.
-		if b.answeredAt >= c.submittedAt || j.restarted(b.relay, b.answeredAt, sent) {
+	sent := r.attempts[0].firstByte
+	cooldown := settings.Seconds(h.Settings.Rules.OrderPauseS)
+	for _, e := range earlier {
+		// Only where one answer came before the other request is it known which was accepted first.
+		if e.answeredAt >= r.submittedAt || h.restarted(e.relay, e.answeredAt, sent) {
 			continue
 		}
-		end := b.completedAt()
-		if end < 0 || end > sent+crossingTime || b.deliveredAt >= 0 && len(b.notices) == 0 && end > sent {
-			return b
-		}
-		for _, a := range b.attempts {
-			if a.endedAt < 0 || a.endedAt > sent {
-				return b
-			}
-			if unknown := a.outcome == Reset || a.outcome == Left || a.outcome == Cut; unknown && sent < a.endedAt+pause-socketSlack {
-				return b
-			}
+		if e.blocksKeyAt(sent, cooldown) {
+			return e
 		}
 	}
 	return nil
 }
+
+// blocksKeyAt reports whether a request did not allow the next of its order key to be sent at a time: it was not completed, had
+// an attempt in flight, or one whose outcome is unknown had ended less than a cooldown before.
+func (r *request) blocksKeyAt(sent, cooldown time.Duration) bool {
+	end := r.completedAt()
+	unnoticed := r.deliveredAt >= 0 && len(r.notices) == 0 // its delivery is known to the relay alone: nothing crosses
+	if end < 0 || end > sent+crossingTime || unnoticed && end > sent {
+		return true
+	}
+	for _, a := range r.attempts {
+		if a.endedAt < 0 || a.endedAt > sent {
+			return true
+		}
+		unknown := a.outcome == Reset || a.outcome == Left || a.outcome == Cut
+		if unknown && sent < a.endedAt+cooldown-socketSlack {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/faultinjection/checker/rule_outcome.go
+++ b/internal/faultinjection/checker/rule_outcome.go
@@ -1,56 +1,80 @@
 package checker
 
 import (
+	"time"
+
 	"frostlink/internal/settings"
 )
 
-// checkOutcome checks that a message that was taken on has exactly one end, in time.
-func (j *history) checkOutcome(c *request) {
-	if !c.accepted {
+// checkOutcome checks that an accepted request has exactly one terminal outcome, in time.
+func (h *history) checkOutcome(r *request) {
+	if !r.accepted || !h.checkInTime(r) || len(r.notices) == 0 || !h.checkNotices(r) {
 		return
 	}
-	due := c.deadline + j.unreadFor(c) + settings.Seconds(j.Settings.Rules.AnswerSlackS)
-	for until, away := j.excused(c.relay, due); away; until, away = j.excused(c.relay, due) {
-		if until == never {
-			due = never
-			break
+	h.checkNothingAfter(r)
+}
+
+// outcomeDue is when the outcome of a request is due: a relay that is absent then gets until it is back.
+func (h *history) outcomeDue(r *request) time.Duration {
+	due := r.deadline + h.unreadFor(r) + settings.Seconds(h.Settings.Rules.AnswerSlackS)
+	for {
+		until, absent := h.excused(r.relay, due)
+		switch {
+		case !absent:
+			return due
+		case until == never:
+			return never
 		}
 		due = until + 1
 	}
-	end := c.completedAt()
+}
+
+// checkInTime checks that a request has an outcome in time. It reports false where there is none to look at any further.
+func (h *history) checkInTime(r *request) bool {
+	due, end := h.outcomeDue(r), r.completedAt()
 	switch {
-	case c.machineLostAt >= 0 && (end < 0 || end >= c.machineLostAt):
-		return // its relay's machine was lost, and it with that
-	case end < 0 && due < j.end:
-		j.report(NoEnd, due, c.id, c.relay, c.destination, "taken on at %s, no end by %s", formatTime(c.answeredAt), formatTime(due))
-		return
-	case end > max(due, c.deadline+lostAfter+socketSlack):
-		j.report(NoEnd, end, c.id, c.relay, c.destination, "ended at %s, %s after its time was up: that is no end", formatTime(end), formatTime(end-c.deadline))
+	case r.machineLostAt >= 0 && (end < 0 || end >= r.machineLostAt):
+		return false // the relay's machine was lost, and the request with it
+	case end < 0 && due < h.end:
+		h.reportRequest(NoEnd, due, r, "taken on at %s, no end by %s", formatTime(r.answeredAt), formatTime(due))
+		return false
+	case end > max(due, r.deadline+lostAfter+socketSlack):
+		h.reportRequest(NoEnd, end, r, "ended at %s, %s after its time was up: that is no end", formatTime(end), formatTime(end-r.deadline))
 	case end > due:
-		j.report(LateEnd, end, c.id, c.relay, c.destination, "ended at %s, due by %s", formatTime(end), formatTime(due))
+		h.reportRequest(LateEnd, end, r, "ended at %s, due by %s", formatTime(end), formatTime(due))
 	}
-	for _, n := range c.notices {
-		if n.State != c.notices[0].State {
-			j.report(TwoEnds, n.At, c.id, c.relay, c.destination, "notices of %s and of %s", c.notices[0].State, n.State)
-			return
+	return true
+}
+
+// checkNotices checks that a request's notices agree with one another and with its delivery. It reports false after a breach.
+func (h *history) checkNotices(r *request) bool {
+	first := r.notices[0]
+	for _, n := range r.notices {
+		if n.State != first.State {
+			h.reportRequest(TwoEnds, n.At, r, "notices of %s and of %s", first.State, n.State)
+			return false
 		}
 	}
-	if len(c.notices) == 0 {
-		return
+	crossing := max(first.At, r.deliveredAt)-min(first.At, r.deliveredAt) <= crossingTime
+	if r.deliveredAt < 0 || crossing {
+		return true
 	}
-	told := c.notices[0].At
-	// An answer that crosses the relay's giving up, or that a process did not live to note, is no second end.
-	if c.deliveredAt >= 0 && (told > c.deliveredAt+crossingTime || c.deliveredAt > told+crossingTime) {
-		if _, away := j.excused(c.relay, c.deliveredAt+crossingTime); !away && !j.couldNotRecord(c.relay, c.deliveredAt) {
-			j.report(TwoEnds, max(told, c.deliveredAt), c.id, c.relay, c.destination, "delivered at %s, and noticed as %s at %s",
-				formatTime(c.deliveredAt), c.notices[0].State, formatTime(told))
-			return
-		}
+	// An answer that a process did not live to record is no second outcome.
+	if _, absent := h.excused(r.relay, r.deliveredAt+crossingTime); absent || h.couldNotRecord(r.relay, r.deliveredAt) {
+		return true
 	}
-	for _, a := range c.attempts {
-		if a.firstByte > told+crossingTime && a.outcome != OK {
-			j.report(TwoEnds, a.firstByte, c.id, c.relay, c.destination, "sent to %s at %s, after its end at %s", a.endpoint,
-				formatTime(a.firstByte), formatTime(told))
+	h.reportRequest(TwoEnds, max(first.At, r.deliveredAt), r, "delivered at %s, and noticed as %s at %s",
+		formatTime(r.deliveredAt), first.State, formatTime(first.At))
+	return false
+}
+
+// checkNothingAfter checks that no attempt began after the platform had a request's notice.
+func (h *history) checkNothingAfter(r *request) {
+	noticedAt := r.notices[0].At
+	for _, a := range r.attempts {
+		if a.firstByte > noticedAt+crossingTime && a.outcome != OK {
+			h.reportRequest(TwoEnds, a.firstByte, r, "sent to %s at %s, after its end at %s", a.endpoint,
+				formatTime(a.firstByte), formatTime(noticedAt))
 			return
 		}
 	}
--- a/internal/faultinjection/checker/rule_redelivery.go
+++ b/internal/faultinjection/checker/rule_redelivery.go
@@ -3,64 +3,77 @@
 import (
 	"cmp"
 	"slices"
-
-	"frostlink/internal/settings"
 )
 
-// checkRedeliveries checks calls under ids of relays' own making: the class's allowance holds over all ids of a message.
-func (j *history) checkRedeliveries() {
-	by := map[int][]*request{} // message
+// checkRedeliveries checks attempts under ids of relays' own making: what the class allows holds over all ids of a message.
+func (h *history) checkRedeliveries(_ []Event) {
+	byMessage := map[int][]*request{}
 	any := false
-	for _, c := range j.requests {
-		by[c.message] = append(by[c.message], c)
-		any = any || c.redelivery
+	for _, r := range h.requests {
+		byMessage[r.message] = append(byMessage[r.message], r)
+		any = any || r.redelivery
 	}
 	if !any {
 		return
 	}
-	for _, all := range by {
-		var calls []*attempt
-		of := map[*attempt]*request{}
-		for _, c := range all {
-			for _, a := range c.attempts {
-				calls = append(calls, a)
-				of[a] = c
-			}
+	for _, requests := range byMessage {
+		h.checkLineage(newLineage(requests))
+	}
+}
+
+// lineage are the attempts of one message under all its ids, by their last byte.
+type lineage struct {
+	attempts []*attempt
+	of       map[*attempt]*request
+}
+
+func newLineage(requests []*request) lineage {
+	l := lineage{of: map[*attempt]*request{}}
+	for _, r := range requests {
+		for _, a := range r.attempts {
+			l.attempts = append(l.attempts, a)
+			l.of[a] = r
 		}
-		slices.SortStableFunc(calls, func(a, b *attempt) int { return cmp.Compare(a.lastByte, b.lastByte) })
-		j.checkLineage(calls, of)
 	}
+	slices.SortStableFunc(l.attempts, func(a, b *attempt) int { return cmp.Compare(a.lastByte, b.lastByte) })
+	return l
 }
 
-// checkLineage checks the calls of one message, in their order.
-func (j *history) checkLineage(calls []*attempt, of map[*attempt]*request) {
-	var mayRun, delivered *attempt
-	for _, a := range calls {
-		c := of[a]
-		k := &j.Settings.Categories[c.class]
-		if c.redelivery {
-			switch {
-			case delivered != nil && k.Idempotency != "retryable":
-				j.report(Twice, a.lastByte, c.id, a.relay, c.destination, "%s resent, though it was delivered at %s", k.Name, formatTime(delivered.endedAt))
-				return
-			case mayRun != nil && k.Idempotency == "fragile",
-				mayRun != nil && k.Idempotency == "dedup" && a.lastByte > mayRun.lastByte+settings.Seconds(k.MemorySpanS)+socketSlack:
-				j.report(Twice, a.lastByte, c.id, a.relay, c.destination, "%s resent %s after a call (%s) that may have run", k.Name,
-					formatTime(a.lastByte-mayRun.lastByte), mayRun.outcome)
-				return
-			}
-			for _, b := range calls {
-				if b != a && b.lastByte < a.lastByte && (b.endedAt < 0 || b.endedAt > a.lastByte+socketSlack) && !j.Settings.Limits.SecondCopies {
-					j.report(SecondCopy, a.lastByte, c.id, a.relay, c.destination, "resent to %s while a call to %s was out", a.endpoint, b.endpoint)
-					return
-				}
-			}
+// checkLineage checks the attempts of one message up to the first breach.
+func (h *history) checkLineage(l lineage) {
+	var mayHaveExecuted, delivered *attempt // the first of each
+	for _, a := range l.attempts {
+		if l.of[a].redelivery && h.checkRedelivery(l, a, mayHaveExecuted, delivered) {
+			return
 		}
 		if a.outcome == OK && delivered == nil {
 			delivered = a
 		}
-		if a.mayHaveExecuted() && mayRun == nil {
-			mayRun = a
+		if a.mayHaveExecuted() && mayHaveExecuted == nil {
+			mayHaveExecuted = a
+		}
+	}
+}
+
+// checkRedelivery checks an attempt of a redelivery against those before it, and reports whether it is a breach.
+func (h *history) checkRedelivery(l lineage, a, mayHaveExecuted, delivered *attempt) bool {
+	r := l.of[a]
+	class := &h.Settings.Categories[r.class]
+	switch {
+	case delivered != nil && class.Idempotency != retryable:
+		h.report(Twice, a.lastByte, r.id, a.relay, r.destination, "%s resent, though it was delivered at %s", class.Name, formatTime(delivered.endedAt))
+		return true
+	case mayHaveExecuted != nil && class.Idempotency == fragile,
+		mayHaveExecuted != nil && class.Idempotency == dedup && a.lastByte > keyRememberedUntil(mayHaveExecuted, class):
+		h.report(Twice, a.lastByte, r.id, a.relay, r.destination, "%s resent %s after a call (%s) that may have run", class.Name,
+			formatTime(a.lastByte-mayHaveExecuted.lastByte), mayHaveExecuted.outcome)
+		return true
+	}
+	for _, b := range l.attempts {
+		if b != a && b.lastByte < a.lastByte && b.overlaps(a) && !h.Settings.Limits.SecondCopies {
+			h.report(SecondCopy, a.lastByte, r.id, a.relay, r.destination, "resent to %s while a call to %s was out", a.endpoint, b.endpoint)
+			return true
 		}
 	}
+	return false
 }
--- a/internal/faultinjection/checker/rule_restart.go
+++ b/internal/faultinjection/checker/rule_restart.go
@@ -1,45 +1,49 @@
 package checker
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	// half is the share of a run's messages beyond which its terms are broken.
+	// half is the share of a run's requests beyond which a term that counts over the run is broken.
 	half = 0.5
-	// fewUntried messages that restarts find untried, or fewer, say nothing.
+	// fewUntried requests that restarts find untried, or fewer, say nothing.
 	fewUntried = 3
 )
 
-// checkRestartedUntried checks the terms that count over the run: what restarts find taken on and untried is still tried, and messages
-// are taken on before they are delivered, for over half of either.
-func (j *history) checkRestartedUntried(log []Event) {
-	j.checkAcceptedLate()
-	out := j.outages(log)
-	found, given := 0, 0
+// checkRestartedUntried checks that what restarts find accepted and untried is still tried: at most half of it may be given up
+// without an attempt.
+func (h *history) checkRestartedUntried(log []Event) {
+	out := outages(log)
+	found, failed := 0, 0
 	var last *request
-	for relay, ends := range j.processEnds {
+	for relay, ends := range h.processEnds {
 		for _, end := range ends {
-			ready := j.readyAfter(log, relay, end)
-			for _, c := range j.requests {
-				if c.relay != relay || !c.untriedAt(end) || c.deadline <= ready || destinationOut(out, c, ready) {
-					continue
-				}
+			for _, r := range h.untriedBy(relay, end, readyAfter(log, relay, end), out) {
 				found++
-				if c.failedUntried() {
-					given, last = given+1, c
+				if r.failedUntried() {
+					failed, last = failed+1, r
 				}
 			}
 		}
 	}
-	if found > fewUntried && float64(given) > half*float64(found) {
-		j.report(GivenUntried, last.notices[0].At, last.id, last.relay, last.destination,
-			"%d of %d messages that restarts found untried were given up with no call, this one the last", given, found)
+	if found > fewUntried && float64(failed) > half*float64(found) {
+		h.reportRequest(GivenUntried, last.notices[0].At, last,
+			"%d of %d messages that restarts found untried were given up with no call, this one the last", failed, found)
+	}
+}
+
+// untriedBy returns the requests that a process which ended left accepted and untried, and that the next one, once it was
+// ready, could still have tried.
+func (h *history) untriedBy(relay int, end, ready time.Duration, out []outage) (untried []*request) {
+	for _, r := range h.requests {
+		if r.relay == relay && r.untriedAt(end) && r.deadline > ready && !destinationOut(out, r, ready) {
+			untried = append(untried, r)
+		}
 	}
+	return untried
 }
 
 // readyAfter is when a relay next took clients after its process ended; never: it did not.
-func (j *history) readyAfter(log []Event, relay int, end time.Duration) time.Duration {
+func readyAfter(log []Event, relay int, end time.Duration) time.Duration {
 	for _, e := range log {
 		if e.Kind == Ready && e.Relay == relay && e.At >= end {
 			return e.At
@@ -48,22 +52,26 @@
 	return never
 }
 
-// untriedAt tells whether a message was taken on by a time, had no end and no call by then, and no machine was lost with it.
-func (c *request) untriedAt(at time.Duration) bool {
-	if !c.accepted || c.redelivery || c.answeredAt > at || c.machineLostAt >= 0 || c.completedAt() >= 0 && c.completedAt() <= at {
+// untriedAt reports whether a request was accepted by a time, had no outcome and no attempt by then, and no machine was lost
+// with it.
+func (r *request) untriedAt(at time.Duration) bool {
+	if !r.accepted || r.redelivery || r.answeredAt > at || r.machineLostAt >= 0 {
+		return false
+	}
+	if end := r.completedAt(); end >= 0 && end <= at {
 		return false
 	}
-	return len(c.attempts) == 0 || c.attempts[0].firstByte > at
+	return len(r.attempts) == 0 || r.attempts[0].firstByte > at
 }
 
-// failedUntried tells whether a message ended by a notice, and no call was ever made for it.
-func (c *request) failedUntried() bool { return len(c.attempts) == 0 && len(c.notices) > 0 }
+// failedUntried reports whether a request ended by a notice, and no attempt was ever made for it.
+func (r *request) failedUntried() bool { return len(r.attempts) == 0 && len(r.notices) > 0 }
 
-// destinationOut tells whether a message's partner was out as a whole for some of what was left of its time: calls that a kernel
-// refuses are seen by no stand-in, and a partner that is back may have to be spared.
-func destinationOut(out []outage, c *request, from time.Duration) bool {
+// destinationOut reports whether a request's destination was out as a whole for some of what was left of its time: attempts
+// that a kernel refuses are seen by no stand-in, and a destination that is back may have to be spared.
+func destinationOut(out []outage, r *request, from time.Duration) bool {
 	for _, o := range out {
-		if o.dest == c.destination && o.from < c.deadline && o.to > from {
+		if o.destination == r.destination && o.from < r.deadline && o.to > from {
 			return true
 		}
 	}
--- a/internal/faultinjection/checker/rule_retry_after.go
+++ b/internal/faultinjection/checker/rule_retry_after.go
@@ -5,37 +5,47 @@
 	"time"
 )
 
-// checkRetryAfter checks that a relay that was told to wait sent nothing to that partner until the wait was over.
-func (j *history) checkRetryAfter() {
-	type told struct{ from, until time.Duration }
-	type towards struct{ relay, dest int }
-	by := map[towards][]told{} // in the order in which they were told
-	for _, a := range j.attempts {
-		if a.outcome != Wait {
-			continue
-		}
-		until := a.endedAt + a.retryAfter
-		for _, end := range j.processEnds[a.relay] { // a restart ends it
-			if end >= a.endedAt {
-				until = min(until, end)
-			}
-		}
-		key := towards{a.relay, a.destination}
-		by[key] = append(by[key], told{a.endedAt, until})
-	}
-	for _, a := range j.attempts {
-		key := towards{a.relay, a.destination}
-		// Calls come here in the order of their last bytes: a wait that is over for one is over for all that follow.
-		by[key] = slices.DeleteFunc(by[key], func(w told) bool {
+// route is one relay's way to one destination.
+type route struct{ relay, destination int }
+
+// hold is a time in which a relay may send nothing on a route, since it was answered to retry after it.
+type hold struct{ from, until time.Duration }
+
+// checkRetryAfter checks that a relay that was answered with a Retry-After sent nothing to that destination until it was over.
+func (h *history) checkRetryAfter(_ []Event) {
+	holds := h.holds()
+	for _, a := range h.attempts {
+		on := route{a.relay, a.destination}
+		// Attempts come in the order of their last bytes: a hold that is over for one is over for all that follow.
+		holds[on] = slices.DeleteFunc(holds[on], func(w hold) bool {
 			if a.lastByte >= w.until {
 				return true
 			}
 			if a.lastByte <= w.from+waitGrace {
 				return false
 			}
-			j.report(WaitIgnored, a.lastByte, j.idOf(a), a.relay, a.destination, "call to %s %s before the end of a wait told at %s", a.endpoint,
+			h.report(WaitIgnored, a.lastByte, h.idOf(a), a.relay, a.destination, "call to %s %s before the end of a wait told at %s", a.endpoint,
 				formatTime(w.until-a.lastByte), formatTime(w.from))
-			return true // one report a wait
+			return true // one report a hold
 		})
 	}
 }
+
+// holds returns the holds of each route, in the order in which they began. The end of a relay's process ends its holds.
+func (h *history) holds() map[route][]hold {
+	holds := map[route][]hold{}
+	for _, a := range h.attempts {
+		if a.outcome != Wait {
+			continue
+		}
+		until := a.endedAt + a.retryAfter
+		for _, end := range h.processEnds[a.relay] {
+			if end >= a.endedAt {
+				until = min(until, end)
+			}
+		}
+		on := route{a.relay, a.destination}
+		holds[on] = append(holds[on], hold{a.endedAt, until})
+	}
+	return holds
+}
--- a/internal/faultinjection/checker/rule_slow_start.go
+++ b/internal/faultinjection/checker/rule_slow_start.go
@@ -6,16 +6,16 @@
 	"frostlink/internal/settings"
 )
 
-// outage is one outage of a whole partner.
+// outage is an outage of a whole destination.
 type outage struct {
-	dest     int
-	how      string
-	from, to time.Duration
-	cold     bool
+	destination int
+	how         string
+	from, to    time.Duration
+	cold        bool // the destination came back cold
 }
 
-// outages puts together when each partner was out as a whole.
-func (j *history) outages(log []Event) []outage {
+// outages returns when each destination was out as a whole.
+func outages(log []Event) []outage {
 	var all []outage
 	open := map[int]int{} // destination to its place in all
 	for _, e := range log {
@@ -26,7 +26,7 @@
 				all[i].to = e.At
 			}
 			open[e.Dest] = len(all)
-			all = append(all, outage{dest: e.Dest, how: e.State, from: e.At, to: never})
+			all = append(all, outage{destination: e.Dest, how: e.State, from: e.At, to: never})
 		case e.Kind == Back:
 			if i, ok := open[e.Dest]; ok {
 				all[i].to, all[i].cold = e.At, e.OK
@@ -37,87 +37,109 @@
 	return all
 }
 
-// checkSlowStart checks that no partner that came back cold was pushed over by relays that had seen it fail.
-func (j *history) checkSlowStart(log []Event) {
-	r := &j.Settings.Rules
-	width := settings.Seconds(r.OverloadForS)
-	all := j.outages(log)
+// checkSlowStart checks that no destination that came back cold was overloaded by relays that had observed its outage.
+func (h *history) checkSlowStart(log []Event) {
+	all := outages(log)
 	for _, o := range all {
-		if !o.cold {
+		if o.cold {
+			h.checkRecovery(o, warmingUntil(h.Destinations[o.destination], o, all))
+		}
+	}
+}
+
+// warmingUntil is when a destination is warm after an outage, or out again.
+func warmingUntil(d Destination, o outage, all []outage) time.Duration {
+	until := o.to + d.Warm
+	for _, later := range all {
+		if later.destination == o.destination && later.from >= o.to {
+			until = min(until, later.from)
+		}
+	}
+	return until
+}
+
+// checkRecovery checks the recovery from one outage. It reports the first overload only: from there on the destination is out.
+func (h *history) checkRecovery(o outage, until time.Duration) {
+	window := settings.Seconds(h.Settings.Rules.OverloadForS)
+	observed := map[int]bool{}
+	for relay := range h.Settings.NInstances {
+		observed[relay] = h.observedOutage(relay, o)
+	}
+	var recent []*attempt
+	for _, a := range h.attempts {
+		if a.destination != o.destination || a.lastByte < o.to || a.lastByte > until {
 			continue
 		}
-		d := j.Destinations[o.dest]
-		until := o.to + d.Warm
-		for _, later := range all { // it went out again, or fell
-			if later.dest == o.dest && later.from >= o.to {
-				until = min(until, later.from)
-			}
+		recent = append(recent, a)
+		for recent[0].lastByte < a.lastByte-window {
+			recent = recent[1:]
 		}
-		knew := map[int]bool{}
-		for relay := range j.Settings.NInstances {
-			knew[relay] = j.sawOutage(relay, o)
+		budget := h.recoveryBudget(o, a.lastByte)
+		if float64(len(recent)) <= budget {
+			continue
 		}
-		var within []*attempt
-		for _, a := range j.attempts {
-			if a.destination != o.dest || a.lastByte < o.to || a.lastByte > until {
-				continue
-			}
-			within = append(within, a)
-			for within[0].lastByte < a.lastByte-width {
-				within = within[1:]
-			}
-			warmth := d.ColdShare + (1-d.ColdShare)*min(1, float64(a.lastByte-o.to)/float64(max(1, d.Warm)))
-			budget := r.OverloadFactor*d.Capacity*warmth*r.OverloadForS + overloadSlack
-			if float64(len(within)) <= budget {
-				continue
-			}
-			guilty, most, by := 0, 0, map[int]int{}
-			for _, p := range within {
-				if knew[p.relay] {
-					guilty++
-					by[p.relay]++
-					if by[p.relay] > by[most] || by[most] == 0 {
-						most = p.relay
-					}
-				}
-			}
-			if float64(guilty) >= overloadShare*float64(len(within)) {
-				j.report(PushedOver, a.lastByte, "", most, o.dest, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
-					len(within), r.OverloadForS, formatTime(a.lastByte-o.to), budget, guilty)
-			}
-			break
+		guilty, worst := countGuilty(recent, observed)
+		if float64(guilty) >= overloadShare*float64(len(recent)) {
+			h.report(PushedOver, a.lastByte, "", worst, o.destination, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
+				len(recent), h.Settings.Rules.OverloadForS, formatTime(a.lastByte-o.to), budget, guilty)
 		}
+		return
 	}
 }
 
-// sawOutage tells whether a relay had a call or probe fail or be refused at a partner during its outage. Connections
-// that the kernel refuses, or that never come up, no stand-in sees: there a relay that held a message for the
-// partner for long enough is held to have tried.
-func (j *history) sawOutage(relay int, o outage) bool {
-	for _, a := range j.attempts {
-		if a.relay == relay && a.destination == o.dest && a.firstByte <= o.to && a.endedAt >= o.from && a.failed() {
+// recoveryBudget is how many attempts in the window of the settings a destination bears at a time after an outage.
+func (h *history) recoveryBudget(o outage, at time.Duration) float64 {
+	rules, d := &h.Settings.Rules, h.Destinations[o.destination]
+	warmth := d.ColdShare + (1-d.ColdShare)*min(1, float64(at-o.to)/float64(max(1, d.Warm)))
+	return rules.OverloadFactor*d.Capacity*warmth*rules.OverloadForS + overloadSlack
+}
+
+// countGuilty counts the attempts of relays that had observed an outage, and names the relay that made most of them.
+func countGuilty(attempts []*attempt, observed map[int]bool) (guilty, worst int) {
+	byRelay := map[int]int{}
+	for _, a := range attempts {
+		if !observed[a.relay] {
+			continue
+		}
+		guilty++
+		byRelay[a.relay]++
+		if byRelay[a.relay] > byRelay[worst] || byRelay[worst] == 0 {
+			worst = a.relay
+		}
+	}
+	return guilty, worst
+}
+
+// observedOutage reports whether a relay had an attempt or probe fail or be rejected at a destination during its outage.
+// Connections that the kernel refuses, or that never come up, no stand-in sees: there a relay that held a request for the
+// destination for long enough counts as having tried.
+func (h *history) observedOutage(relay int, o outage) bool {
+	for _, a := range h.attempts {
+		if a.relay == relay && a.destination == o.destination && a.firstByte <= o.to && a.endedAt >= o.from && a.failed() {
 			return true
 		}
 	}
 	need := observedAfter
 	switch o.how {
 	case "gone":
-		need += settings.Seconds(j.Settings.Limits.ConnTimeoutS)
+		need += settings.Seconds(h.Settings.Limits.ConnTimeoutS)
 	case "refuse", "fell":
 	default:
 		return false
 	}
-	for _, c := range j.requests {
-		if c.relay != relay || c.destination != o.dest || !c.accepted {
-			continue
-		}
-		end := c.completedAt()
-		if end < 0 {
-			end = c.deadline
-		}
-		if min(end, o.to)-max(c.answeredAt, o.from) >= need {
+	for _, r := range h.requests {
+		if r.relay == relay && r.destination == o.destination && r.accepted && r.heldDuring(o) >= need {
 			return true
 		}
 	}
 	return false
 }
+
+// heldDuring is for how long of an outage a relay held a request.
+func (r *request) heldDuring(o outage) time.Duration {
+	end := r.completedAt()
+	if end < 0 {
+		end = r.deadline
+	}
+	return min(end, o.to) - max(r.answeredAt, o.from)
+}
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -1,6 +1,7 @@
 package checker
 
 import (
+	"net/http"
 	"time"
 
 	"frostlink/internal/settings"
@@ -31,132 +32,200 @@
 
 // Weigh adds what was asked for, and how much of its worth was delivered.
 func (r *Report) Weigh(f Figures, asked []Want, log []Event) {
-	first, word := map[int]time.Duration{}, map[int]string{}
-	heard := map[string]int{} // ids taken on, and what message each is
-	ids := map[string]int{}
-	effects := map[int]int{}
-	early := map[string]bool{} // delivered before the client heard that they were taken on
-	deliver := func(m int, at time.Duration) {
-		if _, had := first[m]; !had {
-			first[m] = at
-		}
+	served := readServed(log)
+	w := newWeighing(f, asked)
+	r.Waits = map[string]Quantile{}
+	r.Counts.Asked = len(asked)
+	for n, want := range asked {
+		r.countWant(served, n, want, &f.Settings.Categories[want.Class])
+		w.add(served, n, want)
 	}
-	for _, e := range byTime(log) {
-		switch e.Kind {
-		case HandedIn:
-			ids[e.ID] = e.Msg
-		case Answered:
-			if m, ok := ids[e.ID]; ok && (e.Status == 202 || e.Status == 200) {
-				heard[e.ID] = m
-				word[m] = ""
-				if early[e.ID] {
-					deliver(m, e.At)
-				}
-			} else if ok {
-				word[m] = statusOf(e.Status)
-			}
-		case Ended:
-			if m, ok := heard[e.ID]; ok && e.Outcome == OK {
-				deliver(m, e.At)
-			} else if e.Outcome == OK {
-				early[e.ID] = true
-			}
-		case Noticed:
-			if m, ok := heard[e.ID]; ok {
-				word[m] = e.State
-			}
-		case Effect:
-			if m, ok := ids[e.ID]; ok {
-				effects[m]++
-			}
-		}
+	r.Worth = w.worth()
+	for i, times := range w.times {
+		r.Waits[f.Settings.Categories[i].Name] = Quantiles(times)
 	}
-	r.Waits = map[string]Quantile{}
-	times := make([][]float64, len(f.Settings.Categories))
-	var whole fraction
-	classes, tenants := make([]fraction, len(f.Settings.Categories)), make([]fraction, len(f.Settings.Tenants))
-	var last time.Duration
-	for _, a := range asked {
-		last = max(last, a.At)
+}
+
+// served is what came of each message, by its number: under whichever id a client submitted it.
+type served struct {
+	deliveredAt map[int]time.Duration // once the client knew that it was accepted
+	lastStatus  map[int]string        // Deferred, Undeliverable or none
+	effects     map[int]int
+
+	accepted map[string]int  // ids that were accepted, and their message
+	message  map[string]int  // of each id
+	early    map[string]bool // ids that were delivered before the client had the answer
+}
+
+// readServed reads what came of each message.
+func readServed(log []Event) *served {
+	s := &served{
+		deliveredAt: map[int]time.Duration{}, lastStatus: map[int]string{}, effects: map[int]int{},
+		accepted: map[string]int{}, message: map[string]int{}, early: map[string]bool{},
 	}
-	stretches := make([]fraction, int(max(0, last+worstStep-worstSpan)/worstStep)+1)
-	r.Counts.Asked = len(asked)
-	for n, a := range asked {
-		k := &f.Settings.Categories[a.Class]
-		full, got := k.Points, 0.0
-		if a.OverShare {
-			full *= f.Settings.OverShare
+	for _, e := range byTime(log) {
+		s.read(e)
+	}
+	return s
+}
+
+func (s *served) read(e Event) {
+	switch e.Kind {
+	case HandedIn:
+		s.message[e.ID] = e.Msg
+	case Answered:
+		s.answered(e)
+	case Ended:
+		if e.Outcome != OK {
+			return
 		}
-		p := &r.Partners[a.Dest]
-		p.Asked++
-		if at, ok := first[n]; ok {
-			left := WorthLeft(k, at-a.At)
-			got = full * left
-			times[a.Class] = append(times[a.Class], (at - a.At).Seconds())
-			r.Counts.Delivered++
-			p.Delivered++
-			if left == 1 {
-				r.Counts.InTime++
-				p.InTime++
-			}
+		if m, ok := s.accepted[e.ID]; ok {
+			s.delivered(m, e.At)
 		} else {
-			switch word[n] {
-			case Deferred:
-				r.Counts.Refused++
-				p.Refused++
-			case Undeliverable:
-				r.Counts.Failed++
-				p.Failed++
-			default:
-				r.Counts.Unserved++
-				p.Unserved++
-			}
+			s.early[e.ID] = true
 		}
-		if effects[n] > 1 {
-			r.Counts.Wasted += effects[n] - 1
-			p.Wasted += effects[n] - 1
+	case Noticed:
+		if m, ok := s.accepted[e.ID]; ok {
+			s.lastStatus[m] = e.State
 		}
-		whole.add(got, full)
-		classes[a.Class].add(got, full)
-		if a.Tenant >= 0 && !a.OverShare {
-			tenants[a.Tenant].add(got, full)
+	case Effect:
+		if m, ok := s.message[e.ID]; ok {
+			s.effects[m]++
 		}
-		for i := range stretches {
-			if from := time.Duration(i) * worstStep; a.At >= from && a.At < from+worstSpan {
-				stretches[i].add(got, full)
+	default:
+	}
+}
+
+// answered reads a relay's answer to a client.
+func (s *served) answered(e Event) {
+	m, ok := s.message[e.ID]
+	if !ok {
+		return
+	}
+	if !isAcceptance(e.Status) {
+		s.lastStatus[m] = statusOf(e.Status)
+		return
+	}
+	s.accepted[e.ID] = m
+	s.lastStatus[m] = ""
+	if s.early[e.ID] {
+		s.delivered(m, e.At)
+	}
+}
+
+// delivered notes the first delivery of a message.
+func (s *served) delivered(m int, at time.Duration) {
+	if _, known := s.deliveredAt[m]; !known {
+		s.deliveredAt[m] = at
+	}
+}
+
+// countWant counts what came of a message, in all and by destination.
+func (r *Report) countWant(s *served, n int, want Want, class *settings.Category) {
+	for _, c := range []*Counts{&r.Counts, &r.Partners[want.Dest]} {
+		if c != &r.Counts {
+			c.Asked++
+		}
+		if effects := s.effects[n]; effects > 1 {
+			c.Wasted += effects - 1
+		}
+		at, delivered := s.deliveredAt[n]
+		switch {
+		case delivered:
+			c.Delivered++
+			if WorthLeft(class, at-want.At) == 1 {
+				c.InTime++
 			}
+		case s.lastStatus[n] == Deferred:
+			c.Refused++
+		case s.lastStatus[n] == Undeliverable:
+			c.Failed++
+		default:
+			c.Unserved++
+		}
+	}
+}
+
+// weighing adds up worth delivered and worth asked for.
+type weighing struct {
+	settings         *settings.Settings
+	whole            fraction
+	classes, tenants []fraction
+	stretches        []fraction  // of worstSpan, worstStep apart
+	times            [][]float64 // to delivery in seconds, by class
+}
+
+func newWeighing(f Figures, asked []Want) *weighing {
+	var last time.Duration
+	for _, want := range asked {
+		last = max(last, want.At)
+	}
+	return &weighing{
+		settings:  &f.Settings,
+		classes:   make([]fraction, len(f.Settings.Categories)),
+		tenants:   make([]fraction, len(f.Settings.Tenants)),
+		stretches: make([]fraction, int(max(0, last+worstStep-worstSpan)/worstStep)+1),
+		times:     make([][]float64, len(f.Settings.Categories)),
+	}
+}
+
+// add adds a message.
+func (w *weighing) add(s *served, n int, want Want) {
+	class := &w.settings.Categories[want.Class]
+	full, got := class.Points, 0.0
+	if want.OverShare {
+		full *= w.settings.OverShare
+	}
+	if at, delivered := s.deliveredAt[n]; delivered {
+		got = full * WorthLeft(class, at-want.At)
+		w.times[want.Class] = append(w.times[want.Class], (at - want.At).Seconds())
+	}
+	w.whole.add(got, full)
+	w.classes[want.Class].add(got, full)
+	if want.Tenant >= 0 && !want.OverShare {
+		w.tenants[want.Tenant].add(got, full)
+	}
+	for i := range w.stretches {
+		if from := time.Duration(i) * worstStep; want.At >= from && want.At < from+worstSpan {
+			w.stretches[i].add(got, full)
 		}
 	}
-	r.Worth = Worth{Whole: whole.share(), Classes: map[string]float64{}, WorstClass: 1, WorstTenant: 1, Worst10s: 1}
-	for i, s := range stretches {
-		if v := s.share(); v < r.Worth.Worst10s {
-			r.Worth.Worst10s, r.Worth.WorstFrom = v, time.Duration(i)*worstStep
+}
+
+// worth returns the result.
+func (w *weighing) worth() Worth {
+	result := Worth{Whole: w.whole.share(), Classes: map[string]float64{}, WorstClass: 1, WorstTenant: 1, Worst10s: 1}
+	for i, stretch := range w.stretches {
+		if share := stretch.share(); share < result.Worst10s {
+			result.Worst10s, result.WorstFrom = share, time.Duration(i)*worstStep
 		}
 	}
-	for i, c := range classes {
-		name := f.Settings.Categories[i].Name
-		r.Worth.Classes[name] = c.share()
-		r.Worth.WorstClass = min(r.Worth.WorstClass, c.share())
-		r.Waits[name] = Quantiles(times[i])
+	for i, class := range w.classes {
+		result.Classes[w.settings.Categories[i].Name] = class.share()
+		result.WorstClass = min(result.WorstClass, class.share())
 	}
-	if len(tenants) > 0 {
-		r.Worth.Tenants = map[string]float64{}
+	if len(w.tenants) > 0 {
+		result.Tenants = map[string]float64{}
 	}
-	for i, t := range tenants {
-		r.Worth.Tenants[f.Settings.Tenants[i].Name] = t.share()
-		r.Worth.WorstTenant = min(r.Worth.WorstTenant, t.share())
+	for i, tenant := range w.tenants {
+		result.Tenants[w.settings.Tenants[i].Name] = tenant.share()
+		result.WorstTenant = min(result.WorstTenant, tenant.share())
 	}
+	return result
 }
 
-// statusOf is what a client was told by an answer that took nothing on.
+// isAcceptance reports whether an answer's status accepts a request.
+func isAcceptance(status int) bool { return status == http.StatusOK || status == http.StatusAccepted }
+
+// statusOf is the status of a notice that says the same as an answer that accepts nothing.
 func statusOf(status int) string {
-	if status == 429 || status == 503 {
+	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		return Deferred
 	}
 	return Undeliverable
 }
 
-// fraction is worth got of worth asked for.
+// fraction is worth delivered of worth asked for.
 type fraction struct{ got, asked float64 }
 
 func (p *fraction) add(got, asked float64) { p.got, p.asked = p.got+got, p.asked+asked }
