--- /dev/null
+++ b/internal/upstream/http1/endpoint_test.go
@@ -0,0 +1,82 @@
+package http1
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"frostlink/internal/upstream"
+	"frostlink/internal/wait/waittest"
+)
+
+// okResponse is the shortest response of an endpoint that was delivered to.
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+
+// serveEndpoint listens as an endpoint and serves each connection by a function. It returns its address.
+func serveEndpoint(t *testing.T, serve func(net.Conn)) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				serve(c)
+			}()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// readRequest reads one whole request.
+func readRequest(in *bufio.Reader) error {
+	r, err := http.ReadRequest(in)
+	if err == nil {
+		_, err = io.Copy(io.Discard, r.Body)
+	}
+	return err
+}
+
+// respondWith returns a function that gives every request of a connection the same response.
+func respondWith(text string) func(net.Conn) {
+	return func(c net.Conn) {
+		in := bufio.NewReader(c)
+		for {
+			if err := readRequest(in); err != nil {
+				return
+			}
+			if _, err := io.WriteString(c, text); err != nil {
+				return
+			}
+		}
+	}
+}
+
+func newTestPool() *Pool { return New(time.Second, 10*time.Second, 4) }
+
+func newTestRequest(addr string) upstream.Request {
+	return upstream.Request{
+		Target: upstream.Target{Endpoint: "h", Addr: addr}, ID: "m1", IdempotencyKey: "k1", Body: []byte("a\x00b"),
+		Timeout: waittest.Long,
+	}
+}
+
+// dialEndpoint returns a connection outside of any pool.
+func dialEndpoint(t *testing.T, addr string) *net.TCPConn {
+	t.Helper()
+	raw, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw.(*net.TCPConn)
+}
--- /dev/null
+++ b/internal/upstream/http1/exchange_test.go
@@ -0,0 +1,167 @@
+package http1
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"frostlink/internal/upstream"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
+)
+
+func TestCall_WritesRequest(t *testing.T) {
+	heads := make(chan *http.Request, 1)
+	bodies := make(chan string, 1)
+	addr := serveEndpoint(t, func(c net.Conn) {
+		r, err := http.ReadRequest(bufio.NewReader(c))
+		if err != nil {
+			return
+		}
+		b, _ := io.ReadAll(r.Body)
+		heads <- r
+		bodies <- string(b)
+	})
+	request := newTestRequest(addr)
+	request.Timeout = 90 * time.Second
+	newTestPool().Call(t.Context(), request)
+	r := <-heads
+	if r.Method != "POST" || r.URL.Path != "/inbox" || r.Header.Get("Request-Id") != "m1" ||
+		r.Header.Get("Idempotency-Key") != "k1" || r.ContentLength != 3 {
+		t.Errorf("head: %v %v %v", r.Method, r.URL, r.Header)
+	}
+	if !strings.HasPrefix(r.Header.Get("Request-Timeout"), "8") && r.Header.Get("Request-Timeout") != "90.000" {
+		t.Errorf("Request-Timeout %q", r.Header.Get("Request-Timeout"))
+	}
+	if b := <-bodies; b != "a\x00b" {
+		t.Errorf("body %q", b)
+	}
+}
+
+// An attempt that timed out or was canceled is off the wire when its end is reported: the endpoint's side of the
+// connection ends.
+func TestCall_EndedAttemptIsOffTheWire(t *testing.T) {
+	for _, canceled := range []bool{false, true} {
+		began, ended := make(chan bool, 1), make(chan error, 1)
+		addr := serveEndpoint(t, func(c net.Conn) {
+			in := bufio.NewReader(c)
+			if err := readRequest(in); err != nil {
+				return
+			}
+			began <- true
+			_, err := in.ReadByte()
+			ended <- err
+		})
+		ctx, cancel := context.WithCancel(t.Context())
+		request := newTestRequest(addr)
+		want := policy.TimedOut
+		if canceled {
+			want = policy.Canceled
+			go func() {
+				<-began
+				cancel()
+			}()
+		} else {
+			request.Timeout = 50 * time.Millisecond
+		}
+		if got := newTestPool().Call(ctx, request); got.Outcome != want {
+			t.Errorf("canceled %v: outcome %v, want %v", canceled, got.Outcome, want)
+		}
+		select {
+		case err := <-ended:
+			if err == nil {
+				t.Error("the endpoint read more")
+			}
+		case <-time.After(waittest.Long):
+			t.Errorf("canceled %v: the connection is still open", canceled)
+		}
+		cancel()
+	}
+}
+
+// A request whose WriteBy passes while its connection is established, or has passed, is not written, so that it is not
+// executed. The connection carries the next one.
+func TestCall_NotWrittenAfterWriteBy(t *testing.T) {
+	var requests atomic.Int32
+	addr := serveEndpoint(t, func(c net.Conn) {
+		for in := bufio.NewReader(c); ; {
+			if err := readRequest(in); err != nil {
+				return
+			}
+			requests.Add(1)
+			_, _ = io.WriteString(c, okResponse)
+		}
+	})
+	p := newTestPool()
+	notSent := upstream.Result{Outcome: policy.NotSent, NewConn: true}
+	slow := newTestRequest(addr)
+	slow.WriteBy = time.Now().Add(20 * time.Millisecond)
+	p.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
+		<-ctx.Done() // as a link that is cut
+		return ctx.Err()
+	}
+	if got := p.Call(t.Context(), slow); got != notSent {
+		t.Errorf("no connection in time: %+v", got)
+	}
+	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
+		time.Sleep(time.Until(slow.WriteBy)) // established, but late
+		return nil
+	}
+	late := newTestRequest(addr)
+	late.WriteBy = slow.WriteBy
+	if got := p.Call(t.Context(), late); got.Outcome != policy.NotSent || !got.NotExecuted() {
+		t.Errorf("written too late: %+v", got)
+	}
+	p.dialer.ControlContext = nil
+	inTime := newTestRequest(addr)
+	inTime.WriteBy = time.Now().Add(time.Minute)
+	for _, r := range []upstream.Request{inTime, newTestRequest(addr)} {
+		if got := p.Call(t.Context(), r); got.Outcome != policy.Succeeded {
+			t.Errorf("in time: %+v", got)
+		}
+	}
+	if r := p.exchange(t.Context(), t.Context(), p.idle[late.Target].conns[0], late, connWriting); r.Outcome != policy.NotSent {
+		t.Errorf("on a connection that was established: %+v", r)
+	}
+	if requests.Load() != 2 || p.size != 1 {
+		t.Errorf("%d requests were written, and %d connections are cached", requests.Load(), p.size)
+	}
+}
+
+// A request that is canceled while its connection is established is not written, and the connection is cached. One that
+// was written goes on.
+func TestCall_CancelBeforeSend(t *testing.T) {
+	var requests atomic.Int32
+	var canceled atomic.Bool
+	addr := serveEndpoint(t, func(c net.Conn) {
+		for in := bufio.NewReader(c); ; {
+			if err := readRequest(in); err != nil {
+				return
+			}
+			requests.Add(1)
+			canceled.Store(true) // as where another response asks to wait
+			_, _ = io.WriteString(c, okResponse)
+		}
+	})
+	p := newTestPool()
+	r := newTestRequest(addr)
+	r.CancelBeforeSend = &canceled
+	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
+		canceled.Store(true)
+		return nil
+	}
+	if got := p.Call(t.Context(), r); got.Outcome != policy.NotSent || !got.NotExecuted() || requests.Load() != 0 || p.size != 1 {
+		t.Errorf("canceled before it was written: %+v, %d requests written, %d connections cached", got, requests.Load(), p.size)
+	}
+	canceled.Store(false)
+	if got := p.Call(t.Context(), r); got.Outcome != policy.Succeeded || got.NewConn || requests.Load() != 1 {
+		t.Errorf("canceled after it was written: %+v, %d requests written", got, requests.Load())
+	}
+}
