--- a/internal/upstream/http2/streams_test.go
+++ b/internal/upstream/http2/streams_test.go
@@ -7,48 +7,85 @@
 	"testing"
 
 	"golang.org/x/net/http2"
-	"pgregory.net/rapid"
-
-	"frostlink/internal/testseed"
 )
 
-func TestMain(m *testing.M) { testseed.Main(m) }
-
-// peer is a core with one call of a body of 10 bytes, as far as a test lets it go.
-type peer struct {
+// connection is a core with one request of a body of 10 bytes, as far as a test lets it go.
+type connection struct {
 	*Streams
-	a Actions // of the last event
+	last Actions // of the last event
 }
 
-// begun has a call begun; sent says that its last frame was handed to the kernel.
-func begun(sent bool) *peer {
-	p := &peer{Streams: NewStreams()}
-	_, p.a = p.Begin([]byte("0123456789"))
-	if sent {
-		p.Sent(1)
+// begun returns a connection whose request was given out whole; written says that the kernel has its last frame.
+func begun(written bool) *connection {
+	c := &connection{Streams: NewStreams()}
+	_, c.last = c.Begin([]byte("0123456789"))
+	if written {
+		c.Written(1)
 	}
-	return p
+	return c
+}
+
+// halfSent returns a connection of whose request the peer accepted half: the rest waits for a window.
+func halfSent() *connection {
+	c := &connection{Streams: NewStreams()}
+	c.Settings([]Setting{{http2.SettingInitialWindowSize, 5}})
+	_, c.last = c.Begin([]byte("0123456789"))
+	return c
+}
+
+// respond has headers of the response received.
+func (c *connection) respond(status int, endStream bool) *connection {
+	c.last = c.Headers(1, HeaderBlock{Status: status, ContentLength: unknownLength, EndStream: endStream})
+	return c
 }
 
-// half has a call of which the peer took half: the rest waits for a window.
-func half() *peer {
-	p := &peer{Streams: NewStreams()}
-	p.Settings([]Setting{{http2.SettingInitialWindowSize, 5}})
-	_, p.a = p.Begin([]byte("0123456789"))
-	return p
+func (c *connection) headers(block HeaderBlock) *connection {
+	c.last = c.Headers(1, block)
+	return c
 }
 
-func (p *peer) ok(status int, end bool) *peer {
-	p.a = p.Headers(1, status, nil, -1, end, "")
-	return p
+func (c *connection) data(n, padding int, endStream bool) *connection {
+	return c.dataOf(1, n, padding, endStream)
+}
+
+func (c *connection) dataOf(id uint32, n, padding int, endStream bool) *connection {
+	c.last = c.Data(id, n, padding, endStream)
+	return c
+}
+
+func (c *connection) reset(code http2.ErrCode) *connection { return c.resetOf(1, code) }
+
+func (c *connection) resetOf(id uint32, code http2.ErrCode) *connection {
+	c.last = c.Reset(id, code)
+	return c
 }
 
-func (p *peer) does(a Actions) *peer {
-	p.a = a
-	return p
+func (c *connection) goAway(lastID uint32) *connection {
+	c.last = c.GoAway(lastID, http2.ErrCodeNo)
+	return c
 }
 
-// wrote is what an event has written, in short.
+func (c *connection) lost() *connection {
+	c.last = c.ConnectionLost("closed")
+	return c
+}
+
+func (c *connection) canceled() *connection {
+	c.last = c.Cancel(1)
+	return c
+}
+
+func (c *connection) settings(list ...Setting) *connection {
+	c.last = c.Settings(list)
+	return c
+}
+
+func (c *connection) windowUpdate(id, increment uint32) *connection {
+	c.last = c.WindowUpdate(id, increment)
+	return c
+}
+
+// wrote returns what an event has written, in short.
 func (a Actions) wrote() string {
 	var all []string
 	for _, f := range a.Write {
@@ -60,8 +97,9 @@
 			text += fmt.Sprint(" ", len(f.Data))
 		case http2.FrameWindowUpdate:
 			text += fmt.Sprint(" ", f.Window)
+		default:
 		}
-		if f.End {
+		if f.EndStream {
 			text += " END"
 		}
 		if f.Ack {
@@ -72,273 +110,254 @@
 	return strings.Join(all, ", ")
 }
 
-// Every sequence by which a call can end: whether it can have run, what is written for it, and whether the connection
-// goes on. The sections are RFC 9113's.
-func TestEnds(t *testing.T) {
+// Every sequence by which a stream can end: whether the request can have been executed, what is written, whether the
+// connection goes on, and the reason that logs show. The sections are RFC 9113's.
+func TestStreams_Ends(t *testing.T) {
 	const no, may = false, true
-	for name, c := range map[string]struct {
-		p      *peer
-		ran    bool
-		status int
-		whole  bool
-		wrote  string
-		closed bool
+	for name, tt := range map[string]struct {
+		connection      *connection
+		mayHaveExecuted bool
+		status          int
+		complete        bool
+		wrote           string
+		closed          bool
+		reason          EndReason
 	}{
-		"200 (8.1)":                               {begun(true).ok(200, true), may, 200, true, "", false},
-		"500":                                     {begun(true).ok(500, true), may, 500, true, "", false},
-		"200 and its body":                        {func() *peer { p := begun(true).ok(200, false); return p.does(p.Data(1, 3, 0, true)) }(), may, 200, true, "", false},
-		"200, then a reset":                       {func() *peer { p := begun(true).ok(200, false); return p.does(p.Reset(1, http2.ErrCodeInternal)) }(), may, 200, false, "", false},
-		"200 early, before the request's end":     {half().ok(200, true), may, 200, true, "RST_STREAM CANCEL", false},
-		"503 early, before the request's end":     {half().ok(503, true), no, 503, true, "RST_STREAM CANCEL", false},
-		"503, then NO_ERROR before the end (8.1)": {func() *peer { p := half().ok(503, false); return p.does(p.Reset(1, http2.ErrCodeNo)) }(), no, 503, false, "", false},
-		"REFUSED_STREAM after the end (8.7)":      {func() *peer { p := begun(true); return p.does(p.Reset(1, http2.ErrCodeRefusedStream)) }(), no, 0, false, "", false},
-		"REFUSED_STREAM after an answer":          {func() *peer { p := begun(true).ok(500, false); return p.does(p.Reset(1, http2.ErrCodeRefusedStream)) }(), may, 500, false, "", false},
-		"reset before the end":                    {func() *peer { p := half(); return p.does(p.Reset(1, http2.ErrCodeInternal)) }(), no, 0, false, "", false},
-		"reset before the kernel had the end":     {func() *peer { p := begun(false); return p.does(p.Reset(1, http2.ErrCodeInternal)) }(), no, 0, false, "", false},
-		"reset after the end":                     {func() *peer { p := begun(true); return p.does(p.Reset(1, http2.ErrCodeInternal)) }(), may, 0, false, "", false},
-		"CANCEL by the host after the end":        {func() *peer { p := begun(true); return p.does(p.Reset(1, http2.ErrCodeCancel)) }(), may, 0, false, "", false},
-		"GOAWAY below it after a 200":             {func() *peer { p := begun(true).ok(200, false); return p.does(p.GoAway(0, http2.ErrCodeNo)) }(), may, 200, false, "", true},
-		"GOAWAY below it (6.8)":                   {func() *peer { p := begun(true); return p.does(p.GoAway(0, http2.ErrCodeNo)) }(), no, 0, false, "", true},
-		"GOAWAY that covers it, then the end":     {func() *peer { p := begun(true); p.GoAway(1, http2.ErrCodeNo); return p.does(p.Broken("closed")) }(), may, 0, false, "", true},
-		"GOAWAY that covers it, then one below": {func() *peer {
-			p := begun(true)
-			p.GoAway(1, http2.ErrCodeNo)
-			return p.does(p.GoAway(0, http2.ErrCodeNo))
-		}(), no, 0, false, "", true},
-		"GOAWAY that covers it, then its answer": {func() *peer { p := begun(true); p.GoAway(1, http2.ErrCodeNo); return p.ok(200, true) }(), may, 200, true, "", true},
-		"the connection ends after the end":      {func() *peer { p := begun(true); return p.does(p.Broken("closed")) }(), may, 0, false, "", true},
-		"the connection ends before the end":     {func() *peer { p := half(); return p.does(p.Broken("closed")) }(), no, 0, false, "", true},
-		"given up after the end":                 {func() *peer { p := begun(true); return p.does(p.Cancel(1)) }(), may, 0, false, "RST_STREAM CANCEL", false},
-		"given up before the end":                {func() *peer { p := half(); return p.does(p.Cancel(1)) }(), no, 0, false, "RST_STREAM CANCEL", false},
-		"malformed (8.1.1)":                      {func() *peer { p := begun(true); return p.does(p.Headers(1, 0, nil, -1, true, "no status")) }(), may, 0, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"interim, then 200":                      {begun(true).ok(103, false).ok(200, true), may, 200, true, "", false},
-		"interim that ends the stream":           {begun(true).ok(103, true), may, 0, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"trailers":                               {begun(true).ok(500, false).ok(0, true), may, 500, true, "", false},
-		"trailers that do not end it":            {begun(true).ok(500, false).ok(0, false), may, 500, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"a second status":                        {begun(true).ok(500, false).ok(200, true), may, 500, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"a body ahead of its answer":             {func() *peer { p := begun(true); return p.does(p.Data(1, 3, 0, true)) }(), may, 0, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"a body longer than said": {func() *peer {
-			p := begun(true)
-			p.Headers(1, 500, nil, 2, false, "")
-			return p.does(p.Data(1, 3, 0, true))
-		}(), may, 500, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"a body shorter than said": {func() *peer {
-			p := begun(true)
-			p.Headers(1, 500, nil, 4, false, "")
-			return p.does(p.Data(1, 3, 0, true))
-		}(), may, 500, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"no body, though one was said": {func() *peer { p := begun(true); return p.does(p.Headers(1, 500, nil, 4, true, "")) }(), may, 500, false, "RST_STREAM PROTOCOL_ERROR", false},
-		"padding is no body": {func() *peer {
-			p := begun(true)
-			p.Headers(1, 500, nil, 3, false, "")
-			return p.does(p.Data(1, 3, 200, true))
-		}(), may, 500, true, "", false},
-		"an answer without end":               {func() *peer { p := begun(true).ok(500, false); return p.does(p.Data(1, maxAnswer+1, 0, false)) }(), may, 500, false, "WINDOW_UPDATE 65537, RST_STREAM CANCEL", false},
-		"a stream's window too large (6.9.1)": {func() *peer { p := begun(true); return p.does(p.WindowUpdate(1, math.MaxInt32)) }(), may, 0, false, "RST_STREAM FLOW_CONTROL_ERROR", false},
-		"the connection's window too large":   {func() *peer { p := begun(true); return p.does(p.WindowUpdate(0, math.MaxInt32)) }(), may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true},
-		"a window made too large by SETTINGS": {func() *peer {
-			p := begun(true)
-			p.WindowUpdate(1, math.MaxInt32-defaultWindow)
-			return p.does(p.Settings([]Setting{{http2.SettingInitialWindowSize, math.MaxInt32}}))
-		}(), may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true},
-		"a frame on a stream never begun (5.1)": {func() *peer { p := begun(true); return p.does(p.Reset(3, http2.ErrCodeCancel)) }(), may, 0, false, "GOAWAY PROTOCOL_ERROR", true},
-		"a frame on a stream of the host's":     {func() *peer { p := begun(true); return p.does(p.Data(2, 1, 0, false)) }(), may, 0, false, "GOAWAY PROTOCOL_ERROR", true},
+		"200 (8.1)": {
+			begun(true).respond(200, true),
+			may, 200, true, "", false, "answered",
+		},
+		"500": {
+			begun(true).respond(500, true),
+			may, 500, true, "", false, "answered",
+		},
+		"200 with a body": {
+			begun(true).respond(200, false).data(3, 0, true),
+			may, 200, true, "", false, "answered",
+		},
+		"200, then a reset": {
+			begun(true).respond(200, false).reset(http2.ErrCodeInternal),
+			may, 200, false, "", false, "reset: INTERNAL_ERROR",
+		},
+		"200 early, before the request's end": {
+			halfSent().respond(200, true),
+			may, 200, true, "RST_STREAM CANCEL", false, "answered",
+		},
+		"503 early, before the request's end": {
+			halfSent().respond(503, true),
+			no, 503, true, "RST_STREAM CANCEL", false, "answered",
+		},
+		"503, then NO_ERROR before the request's end (8.1)": {
+			halfSent().respond(503, false).reset(http2.ErrCodeNo),
+			no, 503, false, "", false, "reset: NO_ERROR",
+		},
+		"REFUSED_STREAM after the request's end (8.7)": {
+			begun(true).reset(http2.ErrCodeRefusedStream),
+			no, 0, false, "", false, "refused",
+		},
+		"REFUSED_STREAM after a response": {
+			begun(true).respond(500, false).reset(http2.ErrCodeRefusedStream),
+			may, 500, false, "", false, "reset: REFUSED_STREAM",
+		},
+		"reset before the request's end": {
+			halfSent().reset(http2.ErrCodeInternal),
+			no, 0, false, "", false, "reset: INTERNAL_ERROR",
+		},
+		"reset before the kernel had the request's end": {
+			begun(false).reset(http2.ErrCodeInternal),
+			no, 0, false, "", false, "reset: INTERNAL_ERROR",
+		},
+		"reset after the request's end": {
+			begun(true).reset(http2.ErrCodeInternal),
+			may, 0, false, "", false, "reset: INTERNAL_ERROR",
+		},
+		"CANCEL by the endpoint after the request's end": {
+			begun(true).reset(http2.ErrCodeCancel),
+			may, 0, false, "", false, "reset: CANCEL",
+		},
+		"GOAWAY below it after a 200": {
+			begun(true).respond(200, false).goAway(0),
+			may, 200, false, "", true, "refused by GOAWAY: NO_ERROR",
+		},
+		"GOAWAY below it (6.8)": {
+			begun(true).goAway(0),
+			no, 0, false, "", true, "refused by GOAWAY: NO_ERROR",
+		},
+		"GOAWAY that covers it, then the connection is lost": {
+			begun(true).goAway(1).lost(),
+			may, 0, false, "", true, "closed",
+		},
+		"GOAWAY that covers it, then one below": {
+			begun(true).goAway(1).goAway(0),
+			no, 0, false, "", true, "refused by GOAWAY: NO_ERROR",
+		},
+		"GOAWAY that covers it, then its response": {
+			begun(true).goAway(1).respond(200, true),
+			may, 200, true, "", true, "answered",
+		},
+		"connection lost after the request's end": {
+			begun(true).lost(),
+			may, 0, false, "", true, "closed",
+		},
+		"connection lost before the request's end": {
+			halfSent().lost(),
+			no, 0, false, "", true, "closed",
+		},
+		"canceled after the request's end": {
+			begun(true).canceled(),
+			may, 0, false, "RST_STREAM CANCEL", false, "given up",
+		},
+		"canceled before the request's end": {
+			halfSent().canceled(),
+			no, 0, false, "RST_STREAM CANCEL", false, "given up",
+		},
+		"malformed (8.1.1)": {
+			begun(true).headers(HeaderBlock{ContentLength: unknownLength, EndStream: true, Malformed: "no status"}),
+			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "no status",
+		},
+		"interim, then 200": {
+			begun(true).respond(103, false).respond(200, true),
+			may, 200, true, "", false, "answered",
+		},
+		"interim that ends the stream": {
+			begun(true).respond(103, true),
+			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "an interim answer that ends the stream",
+		},
+		"trailers": {
+			begun(true).respond(500, false).respond(0, true),
+			may, 500, true, "", false, "answered",
+		},
+		"trailers that do not end the stream": {
+			begun(true).respond(500, false).respond(0, false),
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "trailers that do not end the answer",
+		},
+		"a second status": {
+			begun(true).respond(500, false).respond(200, true),
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a status in trailers",
+		},
+		"a body before the headers": {
+			begun(true).data(3, 0, true),
+			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "a body ahead of its answer",
+		},
+		"a body longer than its Content-Length": {
+			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 2}).data(3, 0, true),
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a body longer than its answer says",
+		},
+		"a body shorter than its Content-Length": {
+			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 4}).data(3, 0, true),
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a body shorter than its answer says",
+		},
+		"a Content-Length and no body": {
+			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 4, EndStream: true}),
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a body shorter than its answer says",
+		},
+		"padding is no body": {
+			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 3}).data(3, 200, true),
+			may, 500, true, "", false, "answered",
+		},
+		"an endless response": {
+			begun(true).respond(500, false).data(maxResponseBody+1, 0, false),
+			may, 500, false, "WINDOW_UPDATE 65537, RST_STREAM CANCEL", false, "an answer without end",
+		},
+		"a stream's window too large (6.9.1)": {
+			begun(true).windowUpdate(1, math.MaxInt32),
+			may, 0, false, "RST_STREAM FLOW_CONTROL_ERROR", false, "a window of 2147549172",
+		},
+		"the connection's window too large (6.9.1)": {
+			begun(true).windowUpdate(0, math.MaxInt32),
+			may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true, "a connection's window of 2147549172",
+		},
+		"a window made too large by SETTINGS (6.9.2)": {
+			begun(true).windowUpdate(1, math.MaxInt32-defaultWindow).settings(Setting{http2.SettingInitialWindowSize, math.MaxInt32}),
+			may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true, "a window of 4294901749",
+		},
+		"a frame on a stream that was never begun (5.1)": {
+			begun(true).resetOf(3, http2.ErrCodeCancel),
+			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "RST_STREAM on stream 3, which was never begun",
+		},
+		"a frame on a stream of the endpoint's": {
+			begun(true).dataOf(2, 1, 0, false),
+			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "DATA on stream 2, which was never begun",
+		},
 	} {
-		a := c.p.a
-		if len(a.Ended) != 1 {
-			t.Errorf("%s: ends %+v", name, a.Ended)
-			continue
-		}
-		e := a.Ended[0]
-		if e.Stream != 1 || e.Ran != c.ran || e.Status != c.status || e.Whole != c.whole || a.wrote() != c.wrote || a.Close != c.closed || e.Reason == "" {
-			t.Errorf("%s: %+v, wrote %q, close %v", name, e, a.wrote(), a.Close)
-		}
-		if c.p.Open() != 0 {
-			t.Errorf("%s: it is still out", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			a := tt.connection.last
+			if len(a.Ended) != 1 {
+				t.Fatalf("ends %+v", a.Ended)
+			}
+			e := a.Ended[0]
+			if e.Stream != 1 || e.MayHaveExecuted != tt.mayHaveExecuted || e.Status != tt.status || e.Complete != tt.complete {
+				t.Errorf("%+v", e)
+			}
+			if e.Reason != tt.reason {
+				t.Errorf("reason %q, want %q", e.Reason, tt.reason)
+			}
+			if a.wrote() != tt.wrote || a.Close != tt.closed {
+				t.Errorf("wrote %q, close %v", a.wrote(), a.Close)
+			}
+			if tt.connection.InFlight() != 0 {
+				t.Error("it is still in flight")
+			}
+		})
 	}
 }
 
-// What comes for a call that is over, or says nothing of any, changes nothing.
-func TestWhatChangesNothing(t *testing.T) {
-	p := begun(true).ok(200, true)
+// A frame for a stream that has ended, or for none, changes nothing.
+func TestStreams_IgnoresFramesAfterTheEnd(t *testing.T) {
+	c := begun(true).respond(200, true)
 	for name, a := range map[string]Actions{
-		"a late reset":       p.Reset(1, http2.ErrCodeNo),
-		"late data":          p.Data(1, 5, 0, true),
-		"late headers":       p.Headers(1, 500, nil, -1, true, ""),
-		"a late window":      p.WindowUpdate(1, 5),
-		"giving it up again": p.Cancel(1),
+		"a late reset":  c.Reset(1, http2.ErrCodeNo),
+		"late data":     c.Data(1, 5, 0, true),
+		"late headers":  c.Headers(1, HeaderBlock{Status: 500, ContentLength: unknownLength, EndStream: true}),
+		"a late window": c.WindowUpdate(1, 5),
+		"canceling it":  c.Cancel(1),
 	} {
 		if len(a.Write) > 0 || len(a.Ended) > 0 || a.Close {
 			t.Errorf("%s: %+v", name, a)
 		}
 	}
-	if a := p.Ping([8]byte{1}); a.wrote() != "PING ACK" || a.Write[0].Data[0] != 1 {
+	if a := c.Ping([8]byte{1}); a.wrote() != "PING ACK" || a.Write[0].Data[0] != 1 {
 		t.Errorf("ping: %+v", a)
 	}
 }
 
-// Bodies go as windows allow: in frames of the peer's size, also from a window below zero, and a stream without a window
-// holds up itself alone.
-func TestWindows(t *testing.T) {
-	p := &peer{Streams: NewStreams()}
-	p.Settings([]Setting{{http2.SettingInitialWindowSize, 10}, {http2.SettingMaxFrameSize, 16_384}, {http2.SettingMaxConcurrentStreams, 2}})
-	_, a := p.Begin(make([]byte, 25))
+// Bodies are sent as the windows allow: in frames of the peer's size, also from a window below zero, and a stream without
+// a window holds up no other.
+func TestStreams_FlowControl(t *testing.T) {
+	c := &connection{Streams: NewStreams()}
+	c.Settings([]Setting{{http2.SettingInitialWindowSize, 10}, {http2.SettingMaxFrameSize, 16_384}, {http2.SettingMaxConcurrentStreams, 2}})
+	_, a := c.Begin(make([]byte, 25))
 	if a.wrote() != "HEADERS, DATA 10" {
 		t.Errorf("wrote %q", a.wrote())
 	}
-	if _, a = p.Begin(nil); a.wrote() != "HEADERS END" || p.Room() != 0 {
-		t.Errorf("wrote %q, room %d", a.wrote(), p.Room())
+	if _, a = c.Begin(nil); a.wrote() != "HEADERS END" || c.Capacity() != 0 {
+		t.Errorf("wrote %q, capacity %d", a.wrote(), c.Capacity())
 	}
-	if a = p.Settings([]Setting{{http2.SettingInitialWindowSize, 4}}); a.wrote() != "SETTINGS ACK" { // now -6
+	if a = c.Settings([]Setting{{http2.SettingInitialWindowSize, 4}}); a.wrote() != "SETTINGS ACK" { // now -6
 		t.Errorf("wrote %q", a.wrote())
 	}
-	if a = p.WindowUpdate(1, 6); a.wrote() != "" {
+	if a = c.WindowUpdate(1, 6); a.wrote() != "" {
 		t.Errorf("at 0 it wrote %q", a.wrote())
 	}
-	if a = p.WindowUpdate(1, 7); a.wrote() != "DATA 7" {
+	if a = c.WindowUpdate(1, 7); a.wrote() != "DATA 7" {
 		t.Errorf("wrote %q", a.wrote())
 	}
-	if a = p.WindowUpdate(1, 100); a.wrote() != "DATA 8 END" {
+	if a = c.WindowUpdate(1, 100); a.wrote() != "DATA 8 END" {
 		t.Errorf("wrote %q", a.wrote())
 	}
-	p.ok(200, true)
-	p.Settings([]Setting{{http2.SettingMaxConcurrentStreams, 0}, {http2.SettingInitialWindowSize, 1 << 20}, {http2.SettingMaxFrameSize, 20_000}})
-	if p.Room() != 0 || p.Open() != 1 {
-		t.Errorf("room %d with a limit of 0, %d out", p.Room(), p.Open())
+	c.respond(200, true)
+	c.Settings([]Setting{{http2.SettingMaxConcurrentStreams, 0}, {http2.SettingInitialWindowSize, 1 << 20}, {http2.SettingMaxFrameSize, 20_000}})
+	if c.Capacity() != 0 || c.InFlight() != 1 {
+		t.Errorf("capacity %d with a limit of 0, %d in flight", c.Capacity(), c.InFlight())
 	}
-	p.Settings([]Setting{{http2.SettingMaxConcurrentStreams, 9}})
-	if _, a = p.Begin(make([]byte, 60_000)); a.wrote() != "HEADERS, DATA 20000, DATA 20000, DATA 20000 END" {
+	c.Settings([]Setting{{http2.SettingMaxConcurrentStreams, 9}})
+	if _, a = c.Begin(make([]byte, 60_000)); a.wrote() != "HEADERS, DATA 20000, DATA 20000, DATA 20000 END" {
 		t.Errorf("wrote %q", a.wrote())
 	}
-	if _, a = p.Begin(make([]byte, 60_000)); a.wrote() != fmt.Sprintf("HEADERS, DATA %d", defaultWindow-25-60_000) {
+	if _, a = c.Begin(make([]byte, 60_000)); a.wrote() != fmt.Sprintf("HEADERS, DATA %d", defaultWindow-25-60_000) {
 		t.Errorf("wrote %q", a.wrote())
 	}
-	if _, a = p.Begin(nil); a.wrote() != "HEADERS END" { // held up by no other
+	if _, a = c.Begin(nil); a.wrote() != "HEADERS END" { // held up by no other
 		t.Errorf("wrote %q", a.wrote())
 	}
 }
-
-// Whatever comes in whatever order: a call ends once, nothing is written for it afterwards, windows are kept to, and it is
-// told never to have run only where the host refused it or its last byte had not left.
-func TestStreamsKeepTheTruth(t *testing.T) {
-	ends := 0
-	rapid.Check(t, func(t *rapid.T) {
-		s := NewStreams()
-		type truth struct{ sent, refused, ok, over bool }
-		calls := map[uint32]*truth{}
-		window, room := int64(defaultWindow), map[uint32]int64{}
-		initial := int64(defaultWindow)
-		take := func(a Actions) {
-			for _, f := range a.Write {
-				c := calls[f.Stream]
-				if f.Type == http2.FrameData {
-					window -= int64(len(f.Data))
-					if room[f.Stream] -= int64(len(f.Data)); window < 0 || room[f.Stream] < 0 {
-						t.Fatalf("past a window: %d, %d", window, room[f.Stream])
-					}
-				}
-				if c != nil && c.over {
-					t.Fatalf("%v for a call that is over", f.Type)
-				}
-			}
-			for _, f := range a.Write { // the kernel takes them all
-				if f.End {
-					calls[f.Stream].sent = true
-					s.Sent(f.Stream)
-				}
-			}
-			for _, e := range a.Ended {
-				c := calls[e.Stream]
-				if c.over {
-					t.Fatalf("%d ends twice", e.Stream)
-				}
-				if c.over = true; !e.Ran && (c.ok || c.sent && !c.refused) {
-					t.Fatalf("%d is told never to have run: %+v", e.Stream, *c)
-				}
-				ends++
-			}
-		}
-		// Mostly one that was begun; 0 stands for the connection, and now and then there is one that never was.
-		id := func() uint32 {
-			if n := rapid.IntRange(0, 40).Draw(t, "stream"); n == 40 || len(calls) == 0 {
-				return 0
-			} else if n == 39 {
-				return uint32(2*len(calls) + 1)
-			} else {
-				return uint32(2*(n%len(calls)) + 1)
-			}
-		}
-		for range rapid.IntRange(1, 30).Draw(t, "events") {
-			n, event := id(), rapid.IntRange(0, 8).Draw(t, "event")
-			if event == 2 && rapid.Bool().Draw(t, "of the connection") {
-				n = 0
-			}
-			if n == 0 && event > 3 && event != 6 {
-				event = 0
-			}
-			switch event {
-			case 0, 1:
-				if s.Room() == 0 {
-					continue
-				}
-				next := uint32(2*len(calls) + 1)
-				calls[next], room[next] = &truth{}, initial
-				got, a := s.Begin(make([]byte, rapid.IntRange(0, 40_000).Draw(t, "body")))
-				if got != next {
-					t.Fatalf("stream %d, want %d", got, next)
-				}
-				take(a)
-			case 2:
-				by := uint32(rapid.IntRange(1, 50_000).Draw(t, "window"))
-				if n == 0 {
-					window += int64(by)
-				} else if calls[n] != nil {
-					room[n] += int64(by)
-				}
-				take(s.WindowUpdate(n, by))
-			case 3:
-				to := int64(rapid.IntRange(0, 70_000).Draw(t, "initial"))
-				for i := range room {
-					room[i] += to - initial
-				}
-				initial = to
-				take(s.Settings([]Setting{{http2.SettingInitialWindowSize, uint32(to)}}))
-			case 4:
-				status := rapid.SampledFrom([]int{100, 200, 500, 0}).Draw(t, "status")
-				if c := calls[n]; c != nil && !c.over && status == 200 && s.streams[n] != nil && s.streams[n].Status == 0 {
-					c.ok = true
-				}
-				take(s.Headers(n, status, nil, -1, rapid.Bool().Draw(t, "end"), ""))
-			case 5:
-				refused := rapid.Bool().Draw(t, "refused")
-				code := http2.ErrCodeInternal
-				if refused {
-					code = http2.ErrCodeRefusedStream
-				}
-				if c := calls[n]; c != nil {
-					c.refused = c.refused || refused
-				}
-				take(s.Reset(n, code))
-			case 6:
-				for i, c := range calls {
-					c.refused = c.refused || i > n
-				}
-				take(s.GoAway(n, http2.ErrCodeNo))
-			case 7:
-				take(s.Cancel(n))
-			case 8:
-				take(s.Data(n, rapid.IntRange(0, 100).Draw(t, "data"), 0, rapid.Bool().Draw(t, "end")))
-			}
-		}
-		take(s.Broken("the end"))
-		for i, c := range calls {
-			if !c.over {
-				t.Fatalf("%d has no end", i)
-			}
-		}
-	})
-	if ends < 200 {
-		t.Errorf("only %d ends were seen", ends)
-	}
-}
