--- /dev/null
+++ b/internal/frontend/http1/evict_test.go
@@ -0,0 +1,110 @@
+package http1
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"frostlink/internal/frontend"
+	"frostlink/internal/wait/waittest"
+)
+
+// Connections that are new, have sent half a request, or are idle are evicted for others; one that awaits a response is
+// not. Before, the server stopped accepting.
+func TestServer_EvictsForNewConnections(t *testing.T) {
+	const maxConns = 4
+	half := newRequest("half", "", "Content-Length: 5")
+	for name, before := range map[string]func(t *testing.T, c net.Conn){
+		"new": func(*testing.T, net.Conn) {},
+		"half a request": func(t *testing.T, c net.Conn) {
+			t.Helper()
+			write(t, c, half)
+		},
+		"idle": func(t *testing.T, c net.Conn) {
+			t.Helper()
+			write(t, c, healthRequest)
+			if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
+				t.Error(err)
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, addr, admitted := newTestServer(t, maxConns)
+			first := dial(t, addr)
+			write(t, first, newRequest("awaiting", "", "Content-Length: 0"))
+			awaiting := waittest.Receive(t, admitted)
+			for range 3 * maxConns {
+				before(t, dial(t, addr))
+			}
+			late := dial(t, addr)
+			write(t, late, newRequest("late", "", "Content-Length: 0"))
+			waittest.Receive(t, admitted).Response <- frontend.Response{Status: http.StatusAccepted}
+			awaiting.Response <- frontend.Response{Status: http.StatusAccepted}
+			for _, c := range []net.Conn{first, late} {
+				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+				if err != nil || resp.StatusCode != http.StatusAccepted {
+					t.Errorf("response %v, %v", resp, err)
+				}
+			}
+		})
+	}
+}
+
+// Clients that send one request and leave their connection idle have a bounded number of them, since each may have only so
+// many. Before, they had as many as there was room for, and none left for further requests.
+func TestServer_BoundsIdleConnections(t *testing.T) {
+	s, addr, _ := newTestServer(t, 100)
+	s.maxIdle = 3
+	closed := 0
+	for range 20 {
+		c := dial(t, addr)
+		write(t, c, healthRequest)
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil || resp.StatusCode != http.StatusOK {
+			t.Fatalf("response %v, %v", resp, err)
+		}
+		if resp.Close {
+			closed++
+		}
+		s.mu.Lock()
+		idle := s.counts[connIdle]
+		s.mu.Unlock()
+		if idle > s.maxIdle {
+			t.Fatalf("%d idle connections, want %d at most", idle, s.maxIdle)
+		}
+	}
+	if closed == 0 {
+		t.Error("no response closed its connection")
+	}
+}
+
+// A connection on which a request has come that was not read is not evicted: neither for a new one, nor at shutdown, nor
+// where too many are idle. Nor is a lingering one with bytes that were not read: they would reset it.
+func TestServer_DoesNotEvictWithUnreadRequest(t *testing.T) {
+	for _, state := range []connState{connLingering, connIdle, connNew} {
+		t.Run(fmt.Sprint(int(state)), func(t *testing.T) {
+			s := newIdleServer()
+			client, server := newConnPair(t)
+			busy := newConn(server, nil)
+			s.addConn(busy, state, time.Now().Add(-time.Hour))
+			sendHealthCheck(t, client, busy)
+			if s.evict(connLingering) || busy.isGone() {
+				t.Error("evicted")
+			}
+			if state == connIdle {
+				if !s.hasTooManyIdle() || busy.isGone() {
+					t.Error("closed since too many are idle")
+				}
+			}
+			_, server = newConnPair(t)
+			quiet := newConn(server, nil)
+			s.addConn(quiet, state, time.Now().Add(-time.Hour))
+			if !s.evict(connLingering) || !quiet.isGone() || busy.isGone() {
+				t.Error("one that is quiet is not evicted")
+			}
+		})
+	}
+}
--- a/internal/frontend/http1/golden_test.go
+++ b/internal/frontend/http1/golden_test.go
@@ -11,20 +11,21 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestGoldenAnswers: what clients are answered, to the byte.
-func TestGoldenAnswers(t *testing.T) {
+// The bytes that clients are answered.
+func TestGolden_ResponseBytes(t *testing.T) {
 	var all bytes.Buffer
-	exchange := func(name, request string, v frontend.Response) {
-		_, addr, taken := testServer(t, 10)
+	exchange := func(name, request string, decided frontend.Response) {
+		t.Helper()
+		_, addr, admitted := newTestServer(t, 10)
 		c := dial(t, addr)
 		write(t, c, request)
-		if v.Status != 0 {
-			a := <-taken
-			v.Close = true
-			a.Response <- v
+		if decided.Status != 0 {
+			submission := <-admitted
+			decided.Close = true
+			submission.Response <- decided
 		}
-		var answer strings.Builder
-		for in := bufio.NewReader(c); !strings.HasSuffix(answer.String(), "\r\n\r\n"); { // no answer has a body
+		var response strings.Builder
+		for in := bufio.NewReader(c); !strings.HasSuffix(response.String(), "\r\n\r\n"); { // no response has a body
 			line, err := in.ReadString('\n')
 			if err != nil {
 				t.Fatalf("%s: %v", name, err)
@@ -32,17 +33,17 @@
 			if strings.HasPrefix(line, "Date: ") {
 				line = "Date: any\r\n"
 			}
-			answer.WriteString(line)
+			response.WriteString(line)
 		}
-		all.WriteString("# " + name + "\n" + answer.String())
+		all.WriteString("# " + name + "\n" + response.String())
 	}
-	message := raw("m", "", "Content-Length: 0")
-	exchange("accepted", message, frontend.Response{Status: 202})
-	exchange("shed, come again", message, frontend.Response{Status: 429, RetryAfter: 1500 * time.Millisecond})
-	exchange("shed", message, frontend.Response{Status: 429})
-	exchange("failed", message, frontend.Response{Status: 502})
-	exchange("unavailable", message, frontend.Response{Status: 503})
-	exchange("malformed", raw("m", ""), frontend.Response{})
+	submission := newRequest("m", "", "Content-Length: 0")
+	exchange("accepted", submission, frontend.Response{Status: 202})
+	exchange("shed, come again", submission, frontend.Response{Status: 429, RetryAfter: 1500 * time.Millisecond})
+	exchange("shed", submission, frontend.Response{Status: 429})
+	exchange("failed", submission, frontend.Response{Status: 502})
+	exchange("unavailable", submission, frontend.Response{Status: 503})
+	exchange("malformed", newRequest("m", ""), frontend.Response{})
 	exchange("health", "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", frontend.Response{})
 	goldentest.Bytes(t, "answers.txt", all.Bytes())
 }
--- /dev/null
+++ b/internal/frontend/http1/serve_test.go
@@ -0,0 +1,44 @@
+package http1
+
+import (
+	"bufio"
+	"io"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"frostlink/internal/wait/waittest"
+)
+
+// timedOutReader is a connection whose first read finds its deadline passed, whatever has come: as in a process that was
+// not scheduled for long.
+type timedOutReader struct {
+	io.Reader
+	read atomic.Bool
+}
+
+func (r *timedOutReader) Read(b []byte) (int, error) {
+	if !r.read.Swap(true) {
+		return 0, os.ErrDeadlineExceeded
+	}
+	return r.Reader.Read(b)
+}
+
+// A request that has come when its connection has been idle for too long is answered, and the connection not closed.
+func TestServer_AnswersRequestInTheInstantOfTheTimeout(t *testing.T) {
+	client, server := newConnPair(t)
+	c := newConn(server, nil)
+	c.received.from = &timedOutReader{Reader: server}
+	sendHealthCheck(t, client, c)
+	s := newIdleServer()
+	s.mu.Lock()
+	s.start(c, connIdle)
+	s.mu.Unlock()
+	_ = client.SetDeadline(time.Now().Add(waittest.Long))
+	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
+	if err != nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("%v, %v", resp, err)
+	}
+}
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -1,4 +1,3 @@
-// Package http1 serves clients over HTTP/1.1.
 package http1
 
 import (
@@ -6,109 +5,169 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
+	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"frostlink/internal/frontend"
+	"frostlink/internal/logkey"
 	"frostlink/internal/servingmode"
+	"frostlink/internal/syserr"
 )
 
 const (
-	// bodyShare of the memory is for bodies of requests that are being read or decided on, and busyAfter is
-	// when a client for whose body there is no room may come again.
-	bodyShare = 1.0 / 16
-	busyAfter = time.Second
+	// bodyMemoryFraction of the relay's memory is for bodies of requests that are being read or decided on.
+	bodyMemoryFraction = 1.0 / 16
+	// minAcceptBackoff is the pause after a failed accept, and maxAcceptBackoff after several in a row.
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 50 * time.Millisecond
 )
 
-// Config is what a server is given.
+// Config configures a server.
 type Config struct {
 	Validator    *frontend.Validator
 	Mode         *servingmode.Mode
 	MemoryMB     float64 // of the relay
-	MaxConns     int     // connections at most
-	MaxIdleConns int     // idle ones at most
-	// OnClose, where set, hears why connections are closed. It is called with the server's lock held.
-	OnClose func(why string)
+	MaxConns     int
+	MaxIdleConns int
+	// OnClose, where set, is called with the CloseReason of each connection that is closed. The server's lock is held.
+	OnClose func(reason string)
 }
 
-// Server is the side that clients see: its connections are in conns.go.
+// Server serves clients' connections.
 type Server struct {
-	check   atomic.Pointer[frontend.Validator]
-	stance  *servingmode.Mode
-	admit   func(*frontend.Submission)
-	refused func(class string)
-	closed  func(why string)
-	memory  budget // for bodies
+	validator atomic.Pointer[frontend.Validator]
+	mode      *servingmode.Mode
+	admit     func(*frontend.Submission)
+	onShed    func(class string)
+	onClose   func(reason string)
+	bodies    memoryBudget
 
-	mu      sync.Mutex
-	left    sync.Cond // a connection has left, or may be made to
-	room    int       // connections at most
-	keep    int       // idle ones at most
-	clients map[*client]bool
-	count   [stages]int // of the connections in each stage
-	// seeingOff: connections without a request are looked for, since clients are sent away.
-	seeingOff bool
-	// frozen is closed at the end of a freeze; nil: there is none. listener is the one that is served.
-	frozen   chan struct{}
-	parked   []DetachedConn
+	mu       sync.Mutex // guards all below
+	changed  sync.Cond  // a connection has gone, or may be evicted now
+	maxConns int
+	maxIdle  int
+	conns    map[*conn]bool
+	counts   [connStates]int // of conns, by state
+	draining bool            // a goroutine is in CloseIdleConns
 	listener *net.TCPListener
-	waiting  bool // what accepts connections waits for the end of the freeze
+	handover handoverState
 }
 
-// New makes a server; admit gets each message that passes the check, and refused hears of those for which there is no
-// room to read them.
-func New(c Config, admit func(*frontend.Submission), refused func(class string)) *Server {
+// New returns a server. Its admit is called with each submission that passes validation, and onShed with the class of
+// each for whose body there is no memory.
+func New(c Config, admit func(*frontend.Submission), onShed func(class string)) *Server {
+	bodyMemory := int(bodyMemoryFraction * c.MemoryMB * (1 << 20))
 	s := &Server{
-		stance: c.Mode, admit: admit, refused: refused, closed: c.OnClose, memory: budget{left: max(frontend.MaxBodySize, int(bodyShare*c.MemoryMB*(1<<20)))},
-		room: c.MaxConns, keep: c.MaxIdleConns, clients: map[*client]bool{},
+		mode: c.Mode, admit: admit, onShed: onShed, onClose: c.OnClose,
+		bodies:   memoryBudget{left: max(frontend.MaxBodySize, bodyMemory)},
+		maxConns: c.MaxConns, maxIdle: c.MaxIdleConns, conns: map[*conn]bool{},
 	}
-	s.left.L = &s.mu
+	s.changed.L = &s.mu
 	s.SetValidator(c.Validator)
 	return s
 }
 
-// SetValidator has messages that come from now on checked by other settings.
-func (s *Server) SetValidator(c *frontend.Validator) { s.check.Store(c) }
+// SetValidator validates the submissions that come from now on by other settings.
+func (s *Server) SetValidator(v *frontend.Validator) { s.validator.Store(v) }
 
-// parse checks the head of a request: it gives a message that lacks its body yet, or the answer. What is
-// malformed takes nothing on and gets a plain 4xx.
-func (s *Server) parse(r *http.Request) (*frontend.Submission, frontend.Response) {
-	if status, err := checkFraming(r); err != nil {
-		slog.Debug("request rejected", "err", err)
-		return nil, frontend.RejectMalformed(status)
+// Unanswered returns how many requests were read and have no response yet.
+func (s *Server) Unanswered() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.counts[connAwaitingResponse]
+}
+
+// Serve accepts connections until the listener is closed.
+func (s *Server) Serve(l net.Listener) error {
+	s.mu.Lock()
+	s.listener, _ = l.(*net.TCPListener)
+	s.mu.Unlock()
+	backoff := syserr.Backoff{Min: minAcceptBackoff, Max: maxAcceptBackoff}
+	for {
+		s.makeNonblocking()
+		raw, err := l.Accept()
+		switch {
+		case err == nil:
+			backoff.Reset()
+			s.accept(raw.(*net.TCPConn))
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			s.awaitResume()
+		case errors.Is(err, net.ErrClosed):
+			return nil
+		case syserr.Classify(syserr.Accept, err) == syserr.Local:
+			// Guards against a process that ends for a shortage that passes.
+			slog.Warn("connection not accepted", logkey.Err, err)
+			if syserr.IsDescriptorShortage(err) {
+				s.evictForDescriptor()
+			}
+			time.Sleep(backoff.Next())
+		default:
+			return fmt.Errorf("accept connections: %w", err)
+		}
 	}
-	if r.Method == http.MethodGet && r.URL.Path == "/_health" && r.ContentLength == 0 {
-		if !s.stance.Healthy() {
-			return nil, frontend.Response{Status: http.StatusServiceUnavailable}
+}
+
+// accept serves a connection once there is room for it.
+func (s *Server) accept(raw *net.TCPConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.conns) >= s.maxConns && !s.evict(connLingering) {
+		s.changed.Wait()
+	}
+	s.start(newConn(raw, nil), connNew)
+}
+
+// start serves a connection in a goroutine of its own, which ends with the connection. s.mu is held.
+func (s *Server) start(c *conn, state connState) {
+	c.state = state
+	s.conns[c] = true
+	s.counts[state]++
+	go func() {
+		end := s.serveConn(c, state)
+		s.mu.Lock()
+		if end.detached {
+			s.detach(c)
+		} else {
+			s.close(c, end.reason)
 		}
-		// Answered 200: the relay listens only once its journal is replayed.
-		return nil, frontend.Response{Status: http.StatusOK}
+		s.mu.Unlock()
+		s.changed.Broadcast()
+	}()
+}
+
+// enter moves a connection to a state and reports true, unless it is gone.
+func (s *Server) enter(c *conn, to connState) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c.isGone() {
+		return false
 	}
-	a, status, err := s.check.Load().Parse(r)
-	if err != nil {
-		slog.Debug("request rejected", "err", err)
-		return nil, frontend.RejectMalformed(status)
+	s.counts[c.state]--
+	s.counts[to]++
+	c.state, c.since = to, time.Now()
+	if to <= connIdle {
+		s.changed.Broadcast() // it may be evicted now
 	}
-	return a, frontend.Response{}
+	return true
 }
 
-// checkFraming guards against requests of which it is unclear where they end: net/http drops the length of
-// one that has a Transfer-Encoding as well and reads on, so that what is hidden in its body would be passed
-// on, and HTTP/1.0 ignores that header. Clients send lengths.
-func checkFraming(r *http.Request) (int, error) {
-	switch {
-	case !r.ProtoAtLeast(1, 1) || r.ProtoMajor > 1:
-		return http.StatusBadRequest, fmt.Errorf("protocol %s", r.Proto)
-	case len(r.TransferEncoding) > 0:
-		return http.StatusBadRequest, fmt.Errorf("transfer encoding %v", r.TransferEncoding)
-	case r.Host == "":
-		return http.StatusBadRequest, errors.New("no host")
-	case r.ContentLength > frontend.MaxBodySize:
-		return http.StatusRequestEntityTooLarge, fmt.Errorf("%d bytes", r.ContentLength)
-	case r.Method == http.MethodPost && r.Header.Get("Content-Length") == "":
-		return http.StatusLengthRequired, errors.New("no length")
+// close closes a connection, also while its goroutine serves it. s.mu is held.
+func (s *Server) close(c *conn, reason CloseReason) {
+	if c.isGone() {
+		return
 	}
-	return 0, nil
+	_ = c.Close()
+	s.remove(c, connClosed)
+	if s.onClose != nil {
+		s.onClose(string(reason))
+	}
+}
+
+// remove takes a connection out of the server's. s.mu is held.
+func (s *Server) remove(c *conn, to connState) {
+	delete(s.conns, c)
+	s.counts[c.state]--
+	c.state = to
 }
