--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -6,6 +6,7 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenForms(t *testing.T) {
+// The form of the endpoint list as discovery sends it, and as the journal stores it.
+func TestGolden_ListForm(t *testing.T) {
 	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "list", Value: &EndpointList{}})
 }
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,67 @@
+package discovery
+
+import (
+	"slices"
+
+	"frostlink/internal/settings"
+	"frostlink/policy"
+)
+
+// EndpointList is the endpoint list, or a change of it, as discovery sends it.
+type EndpointList struct {
+	Seq       int64      `json:"seq"`
+	Full      bool       `json:"whole"` // the whole list; else the endpoints that have changed
+	Endpoints []Endpoint `json:"hosts"`
+}
+
+// Endpoint is one endpoint of the list.
+type Endpoint struct {
+	Host   string  `json:"host"`   // its id
+	Dial   string  `json:"dial"`   // its address
+	Site   string  `json:"site"`   // its zone
+	Class  string  `json:"class"`  // the kind of its machine
+	Block  int     `json:"block"`  // the number of its destination
+	Health string  `json:"health"` // Draining, Deleted or another, which means that it serves
+	Share  float64 `json:"share"`  // its weight
+}
+
+// The health of an endpoint that takes no new requests.
+const (
+	Draining = "DRAINING"
+	Deleted  = "DELETED"
+)
+
+// Event returns the list in the policy's terms.
+func (l EndpointList) Event(s *settings.Settings) policy.EndpointsChanged {
+	e := policy.EndpointsChanged{Full: l.Full}
+	for _, endpoint := range l.Endpoints {
+		e.Endpoints = append(e.Endpoints, policy.Endpoint{
+			ID: endpoint.Host, Destination: endpoint.Block,
+			Kind: slices.Index(s.Shapes, endpoint.Class), Zone: slices.Index(s.Localities, endpoint.Site),
+			Weight:   endpoint.Share,
+			Draining: endpoint.Health == Draining, Removed: endpoint.Health == Deleted,
+		})
+	}
+	return e
+}
+
+// Apply returns the whole list as it is after a change. The receiver may be nil: then the change is the first list.
+func (l *EndpointList) Apply(change EndpointList) *EndpointList {
+	if change.Full || l == nil {
+		change.Endpoints = slices.Clone(change.Endpoints)
+	} else {
+		change.Endpoints = append(l.without(change.Endpoints), change.Endpoints...)
+	}
+	change.Full = true
+	change.Endpoints = slices.DeleteFunc(change.Endpoints, func(e Endpoint) bool { return e.Health == Deleted })
+	return &change
+}
+
+// without returns the endpoints of the list other than those changed.
+func (l *EndpointList) without(changed []Endpoint) []Endpoint {
+	ids := map[string]bool{}
+	for _, e := range changed {
+		ids[e.Host] = true
+	}
+	return slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return ids[e.Host] })
+}
--- /dev/null
+++ b/internal/discovery/list_test.go
@@ -0,0 +1,36 @@
+package discovery
+
+import (
+	"slices"
+	"testing"
+)
+
+// A change replaces the endpoints that it names and removes deleted ones; a whole list replaces all.
+func TestEndpointList_Apply(t *testing.T) {
+	list := &EndpointList{Seq: 1, Full: true, Endpoints: []Endpoint{{Host: "a"}, {Host: "b"}, {Host: "c"}}}
+	for _, tt := range []struct {
+		name   string
+		list   *EndpointList
+		change EndpointList
+		want   []Endpoint
+	}{
+		{"first list", nil, EndpointList{Endpoints: []Endpoint{{Host: "a"}, {Host: "b", Health: Deleted}}}, []Endpoint{{Host: "a"}}},
+		{"whole list", list, EndpointList{Full: true, Endpoints: []Endpoint{{Host: "d"}}}, []Endpoint{{Host: "d"}}},
+		{
+			"change", list,
+			EndpointList{Endpoints: []Endpoint{{Host: "b", Health: Draining}, {Host: "a", Health: Deleted}, {Host: "d"}}},
+			[]Endpoint{{Host: "c"}, {Host: "b", Health: Draining}, {Host: "d"}},
+		},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			tt.change.Seq = 2
+			got := tt.list.Apply(tt.change)
+			if got.Seq != 2 || !got.Full || !slices.Equal(got.Endpoints, tt.want) {
+				t.Errorf("got %+v, want %+v", got, tt.want)
+			}
+		})
+	}
+	if len(list.Endpoints) != 3 || list.Endpoints[1].Health != "" {
+		t.Errorf("the list itself was changed: %+v", list)
+	}
+}
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -7,65 +7,69 @@
 )
 
 const (
-	// askAgainMost is the longest back-off of a few relays, since what discovery has to tell counts as told after 6 s, and
-	// askAgain the shortest.
-	askAgainMost = 2 * time.Second
-	askAgain     = 250 * time.Millisecond
-	// callPace is the time in which discovery is trusted to take one call, whoever makes it: relays spread their calls over
-	// as much for each relay of the fleet, and failed ones over up to mostPaces times that. Calls that it gives up on have
-	// cost it their work all the same: faster than it works, all of them fail from then on.
-	callPace, mostPaces = 100 * time.Millisecond, 4
-	// herd relays or more spread their first asks too, and all asks over herdSpan at least: what serves a small fleet is
-	// sized for it, and may take some seconds for a call of each.
-	herd, herdSpan = 10, 4 * time.Second
-	// allCalls is the longest first span, however many share discovery: it can take one call from every relay in 2 to 8 s at
-	// any scale (all_call_s of the site's ranges), and serves watches and changes beside. A relay that asks later than it
-	// must knows nothing of drains and new hosts meanwhile.
-	allCalls = 10 * time.Second
-	// silentSpan is what the first asks after watches that fell silent are spread over at most, beside the 2 s over which
-	// they are found silent: those who have not heard 6 s after that are held to what they could not know.
-	silentSpan = 1500 * time.Millisecond
-	// held is how long a watch must have stood to count as had: the first line may come before discovery has done its work,
-	// which it gives up on after 2 s.
-	held = 2500 * time.Millisecond
+	// minBackoff is the shortest span of the backoff, and smallFleetBackoff the longest of a few relays: what discovery has
+	// to tell is held against a relay after 6 s.
+	minBackoff        = 250 * time.Millisecond
+	smallFleetBackoff = 2 * time.Second
+	// requestInterval is the time in which discovery is trusted to work on one request, whoever makes it: relays spread
+	// their requests over as much for each relay of the fleet, and after failures over up to maxBackoffFactor times that.
+	// Requests that discovery gives up on have cost it their work all the same: sent faster than it works, all of them
+	// fail from then on.
+	requestInterval  = 100 * time.Millisecond
+	maxBackoffFactor = 4
+	// largeFleet relays or more spread their first requests too, and all requests over minLargeFleetSpread at least: what
+	// serves a small fleet is sized for it, and may take some seconds for a request of each relay.
+	largeFleet          = 10
+	minLargeFleetSpread = 4 * time.Second
+	// maxSpread is the longest first span, however many relays share discovery: it can work on one request of every relay
+	// in 2 to 8 s at any scale (all_call_s of the site's ranges), and serves watches and changes beside. A relay that asks
+	// later than it must knows nothing of drains and new endpoints meanwhile.
+	maxSpread = 10 * time.Second
+	// maxSilenceSpread is what the requests after watches that fell silent are spread over at most, beside the 2 s over
+	// which they are found silent: a relay that has no list 6 s after that is held to what it could not know.
+	maxSilenceSpread = 1500 * time.Millisecond
+	// minEstablished is how long a watch must have lasted for the backoff to begin anew: the first line may come before
+	// discovery has done its work, which it gives up on after 2 s.
+	minEstablished = 2500 * time.Millisecond
 )
 
-// Schedule says when one relay of a fleet asks discovery: none asks because all others do.
+// Schedule says when one relay of a fleet asks discovery for a watch, so that not all ask at once.
 type Schedule struct {
-	repeat, silent *backoff.Backoff
-	spread         bool
+	retry, silence *backoff.Backoff
+	spreadStart    bool
 }
 
-// NewSchedule is for one of so many relays that share a discovery; the seed is its own.
+// NewSchedule returns the schedule of one of so many relays that share discovery. The seed is that relay's own.
 func NewSchedule(relays int, seed int64) *Schedule {
-	span := time.Duration(max(1, relays)) * callPace
-	if relays >= herd {
-		span = min(max(span, herdSpan), allCalls)
+	span := time.Duration(max(1, relays)) * requestInterval
+	if relays >= largeFleet {
+		span = min(max(span, minLargeFleetSpread), maxSpread)
 	}
 	return &Schedule{
-		backoff.New(askAgain, span, max(askAgainMost, mostPaces*span), seed),
-		backoff.New(0, min(span, silentSpan), 0, seed), relays >= herd,
+		retry:       backoff.New(minBackoff, span, max(smallFleetBackoff, maxBackoffFactor*span), seed),
+		silence:     backoff.New(0, min(span, maxSilenceSpread), 0, seed),
+		spreadStart: relays >= largeFleet,
 	}
 }
 
-// Start is the delay of the first ask. Guards against a release that starts the whole fleet: each would ask at once for a
-// list that it has, all but the first few in vain, and those that ask again would keep discovery at work on calls that
-// nobody waits for any more.
+// Start returns the delay of the first request. It guards against a release that starts the whole fleet: each relay would
+// ask at once for a list that it has, all but the first few in vain, and their retries would have discovery work on
+// requests that nobody waits for any more.
 func (s *Schedule) Start() time.Duration {
-	if !s.spread {
+	if !s.spreadStart {
 		return 0
 	}
-	return s.repeat.Start()
+	return s.retry.Start()
 }
 
-// Retry is the delay of the next ask after one whose watch stood for so long.
-func (s *Schedule) Retry(stood time.Duration) time.Duration {
-	if stood >= held {
-		s.repeat.Reset()
+// Retry returns the delay of the next request after a watch that has lasted for a time.
+func (s *Schedule) Retry(lasted time.Duration) time.Duration {
+	if lasted >= minEstablished {
+		s.retry.Reset()
 	}
-	return s.repeat.Next()
+	return s.retry.Next()
 }
 
-// AfterSilence is the delay of the next ask after a watch that fell silent, or one that was not answered: a link may be cut, and
-// the clock of what is not told runs. It grows with no further one.
-func (s *Schedule) AfterSilence() time.Duration { return s.silent.Start() }
+// AfterSilence returns the delay of the next request after a watch that fell silent, or had no response: a link may be cut,
+// and the time runs after which the relay is held to what it misses. It does not grow.
+func (s *Schedule) AfterSilence() time.Duration { return s.silence.Start() }
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,209 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"frostlink/internal/wait/waittest"
+)
+
+// newTestWatcher returns a watcher of a handler, which does not run yet and reports nothing.
+func newTestWatcher(t *testing.T, maxSilence time.Duration, serve http.HandlerFunc) *Watcher {
+	t.Helper()
+	s := httptest.NewServer(serve)
+	w := NewWatcher(strings.TrimPrefix(s.URL, "http://"), func(EndpointList, string) {}, func(int) {})
+	w.maxSilence, w.Seq = maxSilence, 40
+	t.Cleanup(func() {
+		s.CloseClientConnections()
+		s.Close()
+	})
+	return w
+}
+
+// startWatcher follows a handler's watches, and returns the lists and the ends of watches that the watcher reports.
+func startWatcher(t *testing.T, maxSilence time.Duration, serve http.HandlerFunc) (w *Watcher, lists chan EndpointList, ends chan bool) {
+	t.Helper()
+	lists, ends = make(chan EndpointList, 10), make(chan bool, 10)
+	w = newTestWatcher(t, maxSilence, serve)
+	w.onList, w.onWatchEnd = func(list EndpointList, _ string) { lists <- list }, func(int) { ends <- true }
+	go w.Run(t.Context())
+	w.Subscribe()
+	return w, lists, ends
+}
+
+// A watch that falls silent is ended, and the next one asks for what follows the last list that came.
+func TestWatcher_EndsSilentWatch(t *testing.T) {
+	indexes := make(chan string, 10)
+	w, lists, ends := startWatcher(t, 300*time.Millisecond, func(rw http.ResponseWriter, r *http.Request) {
+		indexes <- r.URL.Query().Get("index")
+		_, _ = io.WriteString(rw, `{"seq":41,"whole":true,"hosts":[]}`+"\n")
+		rw.(http.Flusher).Flush()
+		<-r.Context().Done()
+	})
+	if got := waittest.Receive(t, indexes); got != "40" {
+		t.Errorf("first index %s", got)
+	}
+	if list := waittest.Receive(t, lists); list.Seq != 41 || !list.Full {
+		t.Errorf("reported %+v", list)
+	}
+	waittest.Receive(t, ends)
+	w.Subscribe()
+	if got := waittest.Receive(t, indexes); got != "41" {
+		t.Errorf("second index %s", got)
+	}
+}
+
+// A list that cannot be read is skipped, and since what it held is missing the whole list is asked for.
+func TestWatcher_AsksForWholeListAfterUnreadableOne(t *testing.T) {
+	indexes := make(chan string, 10)
+	w, lists, ends := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
+		index := r.URL.Query().Get("index")
+		indexes <- index
+		if index == "40" {
+			_, _ = io.WriteString(rw, "{\"seq\":41,\n{\"seq\":42,\"hosts\":[]}\n")
+			return
+		}
+		_, _ = io.WriteString(rw, `{"seq":43,"whole":true,"hosts":[]}`+"\n")
+	})
+	waittest.Receive(t, ends)
+	w.Subscribe()
+	if first, second := waittest.Receive(t, indexes), waittest.Receive(t, indexes); first != "40" || second != "0" {
+		t.Errorf("indexes %s, %s", first, second)
+	}
+	if list := waittest.Receive(t, lists); list.Seq != 43 {
+		t.Errorf("reported %+v", list)
+	}
+}
+
+// While discovery is down it is asked again, not at once and not too late.
+func TestWatcher_BacksOff(t *testing.T) {
+	asked := make(chan time.Time, 10)
+	w, _, ends := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, _ *http.Request) {
+		asked <- time.Now()
+		rw.WriteHeader(http.StatusServiceUnavailable)
+	})
+	var times []time.Time
+	for range 3 {
+		waittest.Receive(t, ends)
+		times = append(times, waittest.Receive(t, asked))
+		w.Subscribe()
+	}
+	if gap := times[1].Sub(times[0]); gap < minBackoff {
+		t.Errorf("asked again after %v", gap)
+	}
+	if gap := times[2].Sub(times[1]); gap < minBackoff {
+		t.Errorf("then after %v", gap)
+	}
+}
+
+// A list that is indented over several lines is read as one on a line. Before, it was unreadable, and its watch ended.
+func TestWatcher_ReadsIndentedList(t *testing.T) {
+	_, lists, _ := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(rw, "\n{\n  \"seq\": 41,\n  \"whole\": true,\n  \"hosts\": [\n    {\"host\": \"h\"}\n  ]\n}\n\n{\"seq\":42}\n")
+		rw.(http.Flusher).Flush()
+		<-r.Context().Done()
+	})
+	if list := waittest.Receive(t, lists); list.Seq != 41 || !list.Full || len(list.Endpoints) != 1 {
+		t.Errorf("reported %+v", list)
+	}
+	if list := waittest.Receive(t, lists); list.Seq != 42 {
+		t.Errorf("then %+v", list)
+	}
+}
+
+// A list that is truncated, stale or endless is not believed: the whole list is asked for, and accepted whatever its number.
+func TestWatcher_AsksForWholeListAfterBadOne(t *testing.T) {
+	for name, first := range map[string]string{
+		"cut in two": "{\"seq\":41,\"who\nle\":true}\n",
+		"stale":      "{\"seq\":39,\"whole\":true,\"hosts\":[]}\n",
+		"endless":    "{\"seq\":41,\"hosts\":[" + strings.Repeat(`{"host":"h"},`, maxListSize/10),
+	} {
+		t.Run(name, func(t *testing.T) {
+			indexes := make(chan string, 10)
+			w, lists, ends := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
+				index := r.URL.Query().Get("index")
+				indexes <- index
+				if index == "40" {
+					_, _ = io.WriteString(rw, first)
+					return
+				}
+				_, _ = io.WriteString(rw, `{"seq":39,"whole":true,"hosts":[]}`+"\n")
+			})
+			waittest.Receive(t, ends)
+			w.Subscribe()
+			if a, b := waittest.Receive(t, indexes), waittest.Receive(t, indexes); a != "40" || b != "0" {
+				t.Errorf("indexes %s, %s", a, b)
+			}
+			if list := waittest.Receive(t, lists); list.Seq != 39 {
+				t.Errorf("reported %+v", list)
+			}
+		})
+	}
+}
+
+// Each end of a watch has a type of its own, and a message that logs show.
+func TestWatch_Errors(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		serve   http.HandlerFunc
+		is      func(error) bool
+		message string // empty: not checked, as it has an address in it
+	}{
+		{
+			"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+			func(err error) bool { return errors.Is(err, ErrSilentWatch) }, "no byte came for too long",
+		},
+		{
+			"stale list", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, `{"seq":39}`) },
+			func(err error) bool { return errors.Is(err, ErrStaleList) }, "a list older than the one that is held",
+		},
+		{
+			"list too large",
+			func(rw http.ResponseWriter, _ *http.Request) {
+				_, _ = io.WriteString(rw, strings.Repeat(" ", maxListSize+1))
+			},
+			func(err error) bool {
+				return errors.Is(err, ErrListTooLarge) && errors.As(err, new(*UnreadableListError))
+			},
+			"unreadable list: a list of over 1048576 bytes",
+		},
+		{
+			"not JSON", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "what?") },
+			func(err error) bool { return errors.As(err, new(*UnreadableListError)) },
+			"unreadable list: invalid character 'w' looking for beginning of value",
+		},
+		{
+			"closed", func(http.ResponseWriter, *http.Request) {},
+			func(err error) bool { return errors.Is(err, ErrWatchClosed) }, "end of the answer",
+		},
+		{
+			"status", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) },
+			func(err error) bool { return errors.As(err, new(*StatusError)) }, "discovery answered 503 Service Unavailable",
+		},
+		{
+			"truncated", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, `{"seq":`) },
+			func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }, "",
+		},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			maxSilence := waittest.Long
+			if tt.name == "silent" {
+				maxSilence = 50 * time.Millisecond
+			}
+			w := newTestWatcher(t, maxSilence, tt.serve)
+			_, err := w.watch(t.Context())
+			if !tt.is(err) {
+				t.Errorf("got %v", err)
+			}
+			if tt.message != "" && fmt.Sprint(err) != tt.message {
+				t.Errorf("message %q, want %q", fmt.Sprint(err), tt.message)
+			}
+		})
+	}
+}
--- a/internal/notification/golden_test.go
+++ b/internal/notification/golden_test.go
@@ -6,6 +6,7 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenForms(t *testing.T) {
+// The form of a notice as it is posted, and stored in the journal.
+func TestGolden_NoticeForm(t *testing.T) {
 	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "notice", Value: &Notice{}})
 }
