--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -24,7 +24,8 @@
 
 func (e *StatusError) Error() string { return "discovery answered " + e.Status }
 
-// UnreadableListError is a list that cannot be read. What it held is lost to the changes that follow.
+// UnreadableListError is a list that cannot be read. What it held is lost to the changes that
+// follow.
 type UnreadableListError struct{ Err error }
 
 func (e *UnreadableListError) Error() string { return "unreadable list: " + e.Err.Error() }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -45,7 +45,8 @@
 	return e
 }
 
-// Apply returns the whole list as it is after a change. The receiver may be nil: then the change is the first list.
+// Apply returns the whole list as it is after a change. The receiver may be nil: then the change is
+// the first list.
 func (l *EndpointList) Apply(change EndpointList) *EndpointList {
 	if change.Full || l == nil {
 		change.Endpoints = slices.Clone(change.Endpoints)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A change replaces the endpoints that it names and removes deleted ones; a whole list replaces all.
+// A change replaces the endpoints that it names and removes deleted ones; a whole list replaces
+// all.
 func TestEndpointList_Apply(t *testing.T) {
 	list := &EndpointList{Seq: 1, Full: true, Endpoints: []Endpoint{{Host: "a"}, {Host: "b"}, {Host: "c"}}}
 	for _, tt := range []struct {
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,8 +8,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A few relays ask at once. Of ten or more the first requests are spread over the whole span, and later ones over windows
-// that double from it, until a watch is established.
+// A few relays ask at once. Of ten or more the first requests are spread over the whole span, and
+// later ones over windows that double from it, until a watch is established.
 func TestSchedule_SpreadsRelays(t *testing.T) {
 	for _, tt := range []struct {
 		relays      int
@@ -45,9 +45,9 @@
 	}
 }
 
-// Watches that fall silent at a whole fleet are opened anew within the 6 s after which a relay is held to what it misses.
-// The 6 s run from the silence, which is found up to 2 s after the last byte; the policy's pause before it asks again, and
-// 1 s for the response, are counted in.
+// Watches that fall silent at a whole fleet are opened anew within the 6 s after which a relay is
+// held to what it misses. The 6 s run from the silence, which is found up to 2 s after the last
+// byte; the policy's pause before it asks again, and 1 s for the response, are counted in.
 func TestSchedule_SilentFleetIsInTime(t *testing.T) {
 	const deadline, policyPause, response = 6 * time.Second, 500 * time.Millisecond, time.Second
 	for _, relays := range []int{1, 24, 300, 3000} {
@@ -63,7 +63,8 @@
 	}
 }
 
-// Each watch that falls silent is followed by a request without the backoff of failed ones, the first one of all as well.
+// Each watch that falls silent is followed by a request without the backoff of failed ones, the
+// first one of all as well.
 func TestWatcher_DoesNotBackOffAfterSilence(t *testing.T) {
 	const relays = 3000
 	seed := int64(0)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxSilence without a byte means that a watch is dead: an empty line comes every 2 s, and a response begins within the
-	// 2 s that discovery works on a request. What a relay misses is held against it 6 s after the watch fell silent,
-	// whether or not it came: that leaves time for a new watch, also where all relays want one at once (see
-	// maxSilenceSpread).
+	// maxSilence without a byte means that a watch is dead: an empty line comes every 2 s, and a
+	// response begins within the 2 s that discovery works on a request. What a relay misses is held
+	// against it 6 s after the watch fell silent, whether or not it came: that leaves time for a
+	// new watch, also where all relays want one at once (see maxSilenceSpread).
 	maxSilence = 3 * time.Second
 	// maxListSize bounds one list of a watch, in bytes.
 	maxListSize = 1 << 20
@@ -64,7 +64,8 @@
 	return resp, nil
 }
 
-// readLists reports the lists of a watch until one cannot be believed or the watch ends. It returns how many it reported.
+// readLists reports the lists of a watch until one cannot be believed or the watch ends. It returns
+// how many it reported.
 func (w *Watcher) readLists(in *boundedReader) (lists int, err error) {
 	for decoder := json.NewDecoder(in); ; lists++ { // a list may be indented, over several lines
 		in.left = maxListSize
@@ -76,8 +77,9 @@
 			return lists, err
 		}
 		if list.Seq < w.Seq {
-			// Guards against a list that was delayed: endpoints that drain would be served again. The whole list that is
-			// asked for next is what discovery has, also where its numbers have begun anew.
+			// Guards against a list that was delayed: endpoints that drain would be served again.
+			// The whole list that is asked for next is what discovery has, also where its numbers
+			// have begun anew.
 			w.Seq = 0
 			return lists, ErrStaleList
 		}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -26,7 +26,8 @@
 	return w
 }
 
-// startWatcher follows a handler's watches, and returns the lists and the ends of watches that the watcher reports.
+// startWatcher follows a handler's watches, and returns the lists and the ends of watches that the
+// watcher reports.
 func startWatcher(t *testing.T, maxSilence time.Duration, serve http.HandlerFunc) (w *Watcher, lists chan EndpointList, ends chan bool) {
 	t.Helper()
 	lists, ends = make(chan EndpointList, 10), make(chan bool, 10)
@@ -37,7 +38,8 @@
 	return w, lists, ends
 }
 
-// A watch that falls silent is ended, and the next one asks for what follows the last list that came.
+// A watch that falls silent is ended, and the next one asks for what follows the last list that
+// came.
 func TestWatcher_EndsSilentWatch(t *testing.T) {
 	indexes := make(chan string, 10)
 	w, lists, ends := startWatcher(t, 300*time.Millisecond, func(rw http.ResponseWriter, r *http.Request) {
@@ -59,7 +61,8 @@
 	}
 }
 
-// A list that cannot be read is skipped, and since what it held is missing the whole list is asked for.
+// A list that cannot be read is skipped, and since what it held is missing the whole list is asked
+// for.
 func TestWatcher_AsksForWholeListAfterUnreadableOne(t *testing.T) {
 	indexes := make(chan string, 10)
 	w, lists, ends := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
@@ -102,7 +105,8 @@
 	}
 }
 
-// A list that is indented over several lines is read as one on a line. Before, it was unreadable, and its watch ended.
+// A list that is indented over several lines is read as one on a line. Before, it was unreadable,
+// and its watch ended.
 func TestWatcher_ReadsIndentedList(t *testing.T) {
 	_, lists, _ := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(rw, "\n{\n  \"seq\": 41,\n  \"whole\": true,\n  \"hosts\": [\n    {\"host\": \"h\"}\n  ]\n}\n\n{\"seq\":42}\n")
@@ -117,7 +121,8 @@
 	}
 }
 
-// A list that is truncated, stale or endless is not believed: the whole list is asked for, and accepted whatever its number.
+// A list that is truncated, stale or endless is not believed: the whole list is asked for, and
+// accepted whatever its number.
 func TestWatcher_AsksForWholeListAfterBadOne(t *testing.T) {
 	for name, first := range map[string]string{
 		"cut in two": "{\"seq\":41,\"who\nle\":true}\n",
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,8 +13,9 @@
 	"frostlink/internal/wait"
 )
 
-// Watcher watches discovery's endpoint list. It starts a watch each time that it is asked to, and reports when it ends;
-// whether to ask again is the caller's decision, the backoff while discovery is down the watcher's.
+// Watcher watches discovery's endpoint list. It starts a watch each time that it is asked to, and
+// reports when it ends; whether to ask again is the caller's decision, the backoff while discovery
+// is down the watcher's.
 type Watcher struct {
 	address    string // discovery's
 	client     *http.Client
@@ -34,8 +35,9 @@
 	OnSubscribe func()
 }
 
-// NewWatcher returns a watcher of discovery at an address. Once it runs, onList gets each list or change of it, with the
-// address that it came from, and onWatchEnd is called as each watch ends, with how many lists it had brought.
+// NewWatcher returns a watcher of discovery at an address. Once it runs, onList gets each list or
+// change of it, with the address that it came from, and onWatchEnd is called as each watch ends,
+// with how many lists it had brought.
 func NewWatcher(address string, onList func(list EndpointList, address string), onWatchEnd func(lists int)) *Watcher {
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: new(socket.Dialer).DialContext}
 	return &Watcher{
@@ -45,8 +47,8 @@
 	}
 }
 
-// ShareWith sets how many relays share discovery, this one included, and the seed of what spreads their watches. It is
-// called before Run.
+// ShareWith sets how many relays share discovery, this one included, and the seed of what spreads
+// their watches. It is called before Run.
 func (w *Watcher) ShareWith(relays int, seed int64) { w.relays, w.seed = max(1, relays), seed }
 
 // Subscribe asks for a watch. It never blocks.
@@ -57,7 +59,8 @@
 	}
 }
 
-// SetAddress ends the watch and starts one at another address, at once and without a call of onWatchEnd.
+// SetAddress ends the watch and starts one at another address, at once and without a call of
+// onWatchEnd.
 func (w *Watcher) SetAddress(address string) {
 	select {
 	case w.addresses <- address:
@@ -85,8 +88,8 @@
 	case address := <-w.addresses:
 		stop()
 		follower.Wait()
-		// Sequence numbers of another discovery need not continue those of the last one: only its whole list tells what
-		// has changed.
+		// Sequence numbers of another discovery need not continue those of the last one: only its
+		// whole list tells what has changed.
 		w.address, w.Seq = address, 0
 		w.Subscribe()
 	}
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -19,14 +19,15 @@
 const (
 	// writeTimeout bounds the writing of a response: clients read at full speed.
 	writeTimeout = time.Second
-	// lingerTimeout and maxLingerBytes bound what is read after a last response, so that it arrives: a close with unread
-	// bytes is a reset, which may overtake the response (RFC 9112, section 9.6).
+	// lingerTimeout and maxLingerBytes bound what is read after a last response, so that it
+	// arrives: a close with unread bytes is a reset, which may overtake the response (RFC 9112,
+	// section 9.6).
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 1 << 20
 )
 
-// connState is where a client's connection stands. The first five are in the order in which connections are evicted. The
-// transitions, and what causes them:
+// connState is where a client's connection stands. The first five are in the order in which
+// connections are evicted. The transitions, and what causes them:
 //
 //	new              → reading          the first byte of a request came
 //	idle             → reading          the same
@@ -46,9 +47,11 @@
 	connNew
 	// connReading: a request has begun.
 	connReading
-	// connAwaitingResponse: a request was read and is to be answered. Such a connection is never evicted.
+	// connAwaitingResponse: a request was read and is to be answered. Such a connection is never
+	// evicted.
 	connAwaitingResponse
-	// connDetached: it belongs to a successor process or to Resume, and no longer to the server's connections.
+	// connDetached: it belongs to a successor process or to Resume, and no longer to the server's
+	// connections.
 	connDetached
 	// connClosed is the end.
 	connClosed
@@ -89,7 +92,8 @@
 	return err == nil && n > 0
 }
 
-// quiet reports whether the client waits and has sent nothing more, and whether it is still connected at all.
+// quiet reports whether the client waits and has sent nothing more, and whether it is still
+// connected at all.
 func (c *conn) quiet() (quiet, there bool) {
 	n, err := socket.Peek(c.TCPConn)
 	quiet = errors.Is(err, syscall.EAGAIN)
@@ -110,8 +114,8 @@
 	return frontend.RejectMalformed(http.StatusBadRequest)
 }
 
-// writeContinue writes the interim response that a client may await before it sends a body (RFC 9110, section 10.1.1). It
-// reports whether it was written.
+// writeContinue writes the interim response that a client may await before it sends a body (RFC
+// 9110, section 10.1.1). It reports whether it was written.
 func (c *conn) writeContinue() bool {
 	_, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	return err == nil
--- a/internal/frontend/http1/drain.go
+++ b/internal/frontend/http1/drain.go
@@ -11,8 +11,8 @@
 // drainPollInterval is between looks for connections to close while the relay is in standby.
 const drainPollInterval = 100 * time.Millisecond
 
-// CloseIdleConns closes connections without a request for as long as the relay is in standby. It returns at once if it is
-// running already.
+// CloseIdleConns closes connections without a request for as long as the relay is in standby. It
+// returns at once if it is running already.
 func (s *Server) CloseIdleConns() {
 	if !s.beginDrain() {
 		return
@@ -30,8 +30,8 @@
 	return !running
 }
 
-// drainOnce closes the connections that have been without a request for too long. It reports false where the relay is no
-// longer in standby.
+// drainOnce closes the connections that have been without a request for too long. It reports false
+// where the relay is no longer in standby.
 func (s *Server) drainOnce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,15 +65,17 @@
 	}
 }
 
-// closeIfQuiet closes a connection unless something has come that was not read: a request would be lost. s.mu is held.
+// closeIfQuiet closes a connection unless something has come that was not read: a request would be
+// lost. s.mu is held.
 func (s *Server) closeIfQuiet(c *conn) {
 	if quiet, _ := c.quiet(); quiet {
 		s.close(c, CloseDraining)
 	}
 }
 
-// Shutdown closes the connections without a request in flight, and waits for the others until ctx ends: also for those
-// whose last response is to arrive, which close by themselves. No connection is accepted any more.
+// Shutdown closes the connections without a request in flight, and waits for the others until ctx
+// ends: also for those whose last response is to arrive, which close by themselves. No connection
+// is accepted any more.
 func (s *Server) Shutdown(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
--- a/internal/frontend/http1/drain_test.go
+++ b/internal/frontend/http1/drain_test.go
@@ -8,8 +8,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A shutdown leaves a connection the time in which its last response arrives: it closes by itself. An idle one is closed at
-// once.
+// A shutdown leaves a connection the time in which its last response arrives: it closes by itself.
+// An idle one is closed at once.
 func TestServer_ShutdownLeavesLingeringConnections(t *testing.T) {
 	s := newIdleServer()
 	add := func(state connState) *conn {
--- a/internal/frontend/http1/evict_test.go
+++ b/internal/frontend/http1/evict_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// Connections that are new, have sent half a request, or are idle are evicted for others; one that awaits a response is
-// not. Before, the server stopped accepting.
+// Connections that are new, have sent half a request, or are idle are evicted for others; one that
+// awaits a response is not. Before, the server stopped accepting.
 func TestServer_EvictsForNewConnections(t *testing.T) {
 	const maxConns = 4
 	half := newRequest("half", "", "Content-Length: 5")
@@ -53,8 +53,9 @@
 	}
 }
 
-// Clients that send one request and leave their connection idle have a bounded number of them, since each may have only so
-// many. Before, idle ones took all of them, and none was left for further requests.
+// Clients that send one request and leave their connection idle have a bounded number of them,
+// since each may have only so many. Before, idle ones took all of them, and none was left for
+// further requests.
 func TestServer_BoundsIdleConnections(t *testing.T) {
 	s, addr, _ := newTestServer(t, 100)
 	s.maxIdle = 3
@@ -81,8 +82,9 @@
 	}
 }
 
-// A connection on which a request has come that was not read is not evicted: neither for a new one, nor at shutdown, nor
-// where too many are idle. Nor is a lingering one with bytes that were not read: they would reset it.
+// A connection on which a request has come that was not read is not evicted: neither for a new one,
+// nor at shutdown, nor where too many are idle. Nor is a lingering one with bytes that were not
+// read: they would reset it.
 func TestServer_DoesNotEvictWithUnreadRequest(t *testing.T) {
 	for _, state := range []connState{connLingering, connIdle, connNew} {
 		t.Run(fmt.Sprint(int(state)), func(t *testing.T) {
--- a/internal/frontend/http1/handover.go
+++ b/internal/frontend/http1/handover.go
@@ -38,7 +38,8 @@
 
 func (h *handoverState) isQuiesced() bool { return h.resumed != nil }
 
-// setReadTimeout bounds the reading of a connection. While the server is quiesced nothing more is read.
+// setReadTimeout bounds the reading of a connection. While the server is quiesced nothing more is
+// read.
 func (s *Server) setReadTimeout(c *conn, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,16 +56,16 @@
 	_ = c.SetReadDeadline(socket.Past)
 }
 
-// isInterrupted reports whether a connection could not be read only since the server is quiesced. It may be resumed by
-// then: that is no reason to take it for a client's timeout.
+// isInterrupted reports whether a connection could not be read only since the server is quiesced.
+// It may be resumed by then: that is no reason to take it for a client's timeout.
 func (s *Server) isInterrupted(c *conn, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.interrupted && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// detach takes a connection out of the server's for Quiesce to return, or goes on with it where the server was resumed
-// meanwhile. s.mu is held.
+// detach takes a connection out of the server's for Quiesce to return, or goes on with it where the
+// server was resumed meanwhile. s.mu is held.
 func (s *Server) detach(c *conn) {
 	if c.isGone() {
 		return
@@ -78,9 +79,9 @@
 	s.handover.detached = append(s.handover.detached, detached)
 }
 
-// Quiesce accepts no connection any more, detaches those without a request in flight, and returns them once the requests
-// in flight are answered or their clients have gone. Where some are left when ctx ends it returns an error, and Resume is
-// to follow.
+// Quiesce accepts no connection any more, detaches those without a request in flight, and returns
+// them once the requests in flight are answered or their clients have gone. Where some are left
+// when ctx ends it returns an error, and Resume is to follow.
 func (s *Server) Quiesce(ctx context.Context) ([]DetachedConn, error) {
 	s.beginQuiesce()
 	lastWake := time.Now()
@@ -115,8 +116,8 @@
 	}
 }
 
-// takeDetached returns the detached connections, once all are that do not linger and Serve waits: a connection that was
-// accepted as Quiesce began is still to be detached.
+// takeDetached returns the detached connections, once all are that do not linger and Serve waits: a
+// connection that was accepted as Quiesce began is still to be detached.
 func (s *Server) takeDetached() (detached []DetachedConn, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,8 @@
 	return detached, true
 }
 
-// Resume ends Quiesce: it goes on with the connections that were detached, and accepts others again.
+// Resume ends Quiesce: it goes on with the connections that were detached, and accepts others
+// again.
 func (s *Server) Resume(detached []DetachedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +149,8 @@
 	s.handover.detached = nil
 }
 
-// Adopt goes on with a connection of another process, within the bound on connections; beyond that it closes it.
+// Adopt goes on with a connection of another process, within the bound on connections; beyond that
+// it closes it.
 func (s *Server) Adopt(c DetachedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +178,9 @@
 	return s.listener
 }
 
-// makeNonblocking has accepting wait in the runtime, where a deadline ends it, and not in the kernel. Whoever starts a
-// process with the socket as one of its descriptors may make it a blocking one, for all processes that have it.
+// makeNonblocking has accepting wait in the runtime, where a deadline ends it, and not in the
+// kernel. Whoever starts a process with the socket as one of its descriptors may make it a blocking
+// one, for all processes that have it.
 func (s *Server) makeNonblocking() {
 	l := s.tcpListener()
 	if l == nil {
@@ -187,7 +191,8 @@
 	}
 }
 
-// wakeAccept connects to the server itself: an accept that waits in the kernel all the same returns with the connection.
+// wakeAccept connects to the server itself: an accept that waits in the kernel all the same returns
+// with the connection.
 func (s *Server) wakeAccept() {
 	if c, err := net.DialTimeout("tcp", s.tcpListener().Addr().String(), wakeAcceptInterval); err == nil {
 		_ = c.Close()
--- a/internal/frontend/http1/handover_test.go
+++ b/internal/frontend/http1/handover_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Quiesce detaches a new connection and one with half a request, once the request in flight is answered. Resume goes on
-// with both, and accepts others again.
+// Quiesce detaches a new connection and one with half a request, once the request in flight is
+// answered. Resume goes on with both, and accepts others again.
 func TestServer_QuiesceAndResume(t *testing.T) {
 	s, addr, admitted := newTestServer(t, 10)
 	unused, half, busy := dial(t, addr), dial(t, addr), dial(t, addr)
@@ -82,7 +82,8 @@
 	}
 }
 
-// Where a request is still in flight when its context ends, Quiesce fails, and Resume goes on with what was detached.
+// Where a request is still in flight when its context ends, Quiesce fails, and Resume goes on with
+// what was detached.
 func TestServer_QuiesceFailsWithRequestInFlight(t *testing.T) {
 	s, addr, admitted := newTestServer(t, 10)
 	unused, busy := dial(t, addr), dial(t, addr)
--- a/internal/frontend/http1/recorder.go
+++ b/internal/frontend/http1/recorder.go
@@ -2,11 +2,12 @@
 
 import "io"
 
-// maxRecorderCapacity bounds the buffer, in bytes, that is reused for the next request. That of a larger request is freed.
+// maxRecorderCapacity bounds the buffer, in bytes, that is reused for the next request. That of a
+// larger request is freed.
 const maxRecorderCapacity = 4 << 10
 
-// recorder records what was read of a request that has begun: the parser does not give it back, and a successor process
-// has to read it again.
+// recorder records what was read of a request that has begun: the parser does not give it back, and
+// a successor process has to read it again.
 type recorder struct {
 	from io.Reader
 	read []byte
--- a/internal/frontend/http1/request.go
+++ b/internal/frontend/http1/request.go
@@ -15,12 +15,13 @@
 const (
 	// healthPath answers whether clients may connect here.
 	healthPath = "/_health"
-	// shedRetryAfter is when a client may submit again a request for whose body there was no memory.
+	// shedRetryAfter is when a client may submit again a request for whose body there was no
+	// memory.
 	shedRetryAfter = time.Second
 )
 
-// handleRequest reads one request and has it decided on. A response without a status says that the client has gone. An
-// error says why the request could not be read; there is no response then.
+// handleRequest reads one request and has it decided on. A response without a status says that the
+// client has gone. An error says why the request could not be read; there is no response then.
 func (s *Server) handleRequest(c *conn) (frontend.Response, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
@@ -63,8 +64,8 @@
 	}
 	c.received.reset()
 	if c.in.Buffered() > 0 {
-		// Its Content-Length is too short, or the client sends a further request before its response, which is not
-		// supported (RFC 9112, section 9.3.2).
+		// Its Content-Length is too short, or the client sends a further request before its
+		// response, which is not supported (RFC 9112, section 9.3.2).
 		return frontend.RejectMalformed(http.StatusBadRequest)
 	}
 	s.validator.Load().ReadSubject(submission.Entry, r.Header)
@@ -75,7 +76,8 @@
 	return response
 }
 
-// parse validates the head of a request. It returns a submission that lacks its body, or the response.
+// parse validates the head of a request. It returns a submission that lacks its body, or the
+// response.
 func (s *Server) parse(r *http.Request) (*frontend.Submission, frontend.Response) {
 	if rejection := checkFraming(r); rejection != nil {
 		return nil, reject(rejection)
@@ -90,8 +92,8 @@
 	return submission, frontend.Response{}
 }
 
-// health returns the response to a health check. It is 200 as soon as the relay listens, since that is after its journal
-// was replayed, unless it is in standby.
+// health returns the response to a health check. It is 200 as soon as the relay listens, since that
+// is after its journal was replayed, unless it is in standby.
 func (s *Server) health() frontend.Response {
 	if !s.mode.Healthy() {
 		return frontend.Response{Status: http.StatusServiceUnavailable}
@@ -105,9 +107,10 @@
 	return frontend.RejectMalformed(rejection.Status)
 }
 
-// checkFraming guards against requests of which it is unclear where they end (RFC 9112, sections 6.3 and 11.2). net/http
-// drops the Content-Length of a request that has a Transfer-Encoding as well and reads on, so that a request hidden in its
-// body would be forwarded, and HTTP/1.0 ignores that header. Clients send a Content-Length.
+// checkFraming guards against requests of which it is unclear where they end (RFC 9112, sections
+// 6.3 and 11.2). net/http drops the Content-Length of a request that has a Transfer-Encoding as
+// well and reads on, so that a request hidden in its body would be forwarded, and HTTP/1.0 ignores
+// that header. Clients send a Content-Length.
 func checkFraming(r *http.Request) *frontend.RejectionError {
 	switch {
 	case !r.ProtoAtLeast(1, 1) || r.ProtoMajor > 1:
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -11,9 +11,10 @@
 	"testing"
 )
 
-// A request that cannot be read, or leaves unclear where it ends, gets a 4xx and a close (or a close), is not submitted,
-// and nothing behind it is looked at. Before, a request hidden in the body of one with both a Content-Length and a
-// Transfer-Encoding was forwarded, as was one behind a Content-Length that was too short.
+// A request that cannot be read, or leaves unclear where it ends, gets a 4xx and a close (or a
+// close), is not submitted, and nothing behind it is looked at. Before, a request hidden in the
+// body of one with both a Content-Length and a Transfer-Encoding was forwarded, as was one behind a
+// Content-Length that was too short.
 func TestServer_RejectsMalformedRequests(t *testing.T) {
 	hidden := newRequest("hidden", "", "Content-Length: 0")
 	tests := []struct {
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// newConnTimeout is how long a new connection may send nothing, and firstRequestTimeout how long its first request
-	// may take from its first byte on. A client that sends neither is owed an error or a close within 3 s of connecting.
+	// newConnTimeout is how long a new connection may send nothing, and firstRequestTimeout how
+	// long its first request may take from its first byte on. A client that sends neither is owed
+	// an error or a close within 3 s of connecting.
 	newConnTimeout      = 2 * time.Second
 	firstRequestTimeout = 600 * time.Millisecond
-	// idleTimeout is how long a connection may be idle, unless it is evicted, and requestTimeout how long a later request
-	// may take from its first byte on: clients send at once.
+	// idleTimeout is how long a connection may be idle, unless it is evicted, and requestTimeout
+	// how long a later request may take from its first byte on: clients send at once.
 	idleTimeout    = 8 * time.Second
 	requestTimeout = 2500 * time.Millisecond
 	// maxHeadSize bounds a request's head, in bytes.
@@ -28,8 +29,8 @@
 
 func closedFor(reason CloseReason) *connEnd { return &connEnd{reason: reason} }
 
-// serveConn serves the requests of a connection, one after another, until it is to be closed or detached. It starts in
-// connNew or connIdle.
+// serveConn serves the requests of a connection, one after another, until it is to be closed or
+// detached. It starts in connNew or connIdle.
 func (s *Server) serveConn(c *conn, start connState) connEnd {
 	idle, request := newConnTimeout, firstRequestTimeout
 	if start == connIdle {
@@ -47,7 +48,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. It returns the connection's end, or nil where a request has begun.
+// awaitRequest waits for the first byte of a request. It returns the connection's end, or nil where
+// a request has begun.
 func (s *Server) awaitRequest(c *conn, timeout time.Duration) *connEnd {
 	s.setReadTimeout(c, timeout)
 	c.limit.N = maxHeadSize
@@ -56,7 +58,8 @@
 	if err == nil {
 		return nil
 	}
-	// A read whose deadline has passed does not look at the socket: a request that came in that instant is served.
+	// A read whose deadline has passed does not look at the socket: a request that came in that
+	// instant is served.
 	if !s.isInterrupted(c, err) && c.hasUnread() {
 		return nil
 	}
@@ -66,7 +69,8 @@
 	return closedFor(CloseNoRequest)
 }
 
-// serveRequest reads a request and answers it. It returns the connection's end, or nil where it is idle again.
+// serveRequest reads a request and answers it. It returns the connection's end, or nil where it is
+// idle again.
 func (s *Server) serveRequest(c *conn, timeout time.Duration) *connEnd {
 	if !s.enter(c, connReading) {
 		return closedFor(CloseConcurrent)
--- a/internal/frontend/http1/serve_test.go
+++ b/internal/frontend/http1/serve_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// timedOutReader is a connection whose first read finds its deadline passed, whatever has come: as in a process that was
-// not scheduled for long.
+// timedOutReader is a connection whose first read finds its deadline passed, whatever has come: as
+// in a process that was not scheduled for long.
 type timedOutReader struct {
 	io.Reader
 	read atomic.Bool
@@ -26,7 +26,8 @@
 	return r.Reader.Read(b)
 }
 
-// A request that has come when its connection has been idle for too long is answered, and the connection not closed.
+// A request that has come when its connection has been idle for too long is answered, and the
+// connection not closed.
 func TestServer_AnswersRequestInTheInstantOfTheTimeout(t *testing.T) {
 	client, server := newConnPair(t)
 	c := newConn(server, nil)
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -17,9 +17,11 @@
 )
 
 const (
-	// bodyMemoryFraction of the relay's memory is for bodies of requests that are being read or decided on.
+	// bodyMemoryFraction of the relay's memory is for bodies of requests that are being read or
+	// decided on.
 	bodyMemoryFraction = 1.0 / 16
-	// minAcceptBackoff is the pause after a failed accept, and maxAcceptBackoff after several in a row.
+	// minAcceptBackoff is the pause after a failed accept, and maxAcceptBackoff after several in a
+	// row.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 )
@@ -31,7 +33,8 @@
 	MemoryMB     float64 // of the relay
 	MaxConns     int
 	MaxIdleConns int
-	// OnClose, where set, is called with the CloseReason of each connection that is closed. The server's lock is held.
+	// OnClose, where set, is called with the CloseReason of each connection that is closed. The
+	// server's lock is held.
 	OnClose func(reason string)
 }
 
@@ -55,8 +58,8 @@
 	handover handoverState
 }
 
-// New returns a server. Its admit is called with each submission that passes validation, and onShed with the class of
-// each for whose body there is no memory.
+// New returns a server. Its admit is called with each submission that passes validation, and onShed
+// with the class of each for whose body there is no memory.
 func New(c Config, admit func(*frontend.Submission), onShed func(class string)) *Server {
 	bodyMemory := int(bodyMemoryFraction * c.MemoryMB * (1 << 20))
 	s := &Server{
@@ -119,7 +122,8 @@
 	s.start(newConn(raw, nil), connNew)
 }
 
-// start serves a connection in a goroutine of its own, which ends with the connection. s.mu is held.
+// start serves a connection in a goroutine of its own, which ends with the connection. s.mu is
+// held.
 func (s *Server) start(c *conn, state connState) {
 	c.state = state
 	s.conns[c] = true
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -138,7 +138,8 @@
 func (l *fullListener) Close() error   { return nil }
 func (l *fullListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A connection that was just accepted is not closed to free a descriptor: its request may be on its way, and would be lost.
+// A connection that was just accepted is not closed to free a descriptor: its request may be on its
+// way, and would be lost.
 func TestServer_DescriptorShortageKeepsNewConnections(t *testing.T) {
 	client, server := newConnPair(t)
 	s := newIdleServer()
@@ -155,7 +156,8 @@
 	}
 }
 
-// A client that sends nothing or half a request gets a response or a close in the time in which it is owed one.
+// A client that sends nothing or half a request gets a response or a close in the time in which it
+// is owed one.
 func TestServer_ClosesUnresponsiveClients(t *testing.T) {
 	_, addr, _ := newTestServer(t, 10)
 	nothing, half := dial(t, addr), dial(t, addr)
--- a/internal/frontend/submission.go
+++ b/internal/frontend/submission.go
@@ -12,10 +12,11 @@
 	ReceivedAt time.Time      // when this process had read its head
 	TimeLeft   time.Duration  // from ReceivedAt until its deadline
 	Response   chan Response  // buffered, for one response
-	// Retry is what the client says of an earlier submission of the request; empty if it says nothing. It is for the
-	// trace alone.
+	// Retry is what the client says of an earlier submission of the request; empty if it says
+	// nothing. It is for the trace alone.
 	Retry string
-	// Quiet reports whether the client has sent nothing after the request, and whether it is still connected.
+	// Quiet reports whether the client has sent nothing after the request, and whether it is still
+	// connected.
 	Quiet func() (quiet, there bool)
 }
 
@@ -26,6 +27,6 @@
 	Close      bool          // the connection takes no further request
 }
 
-// RejectMalformed returns the response to a request that breaks the protocol. It is the last on its connection, since what
-// follows cannot be distinguished from a part of the malformed request.
+// RejectMalformed returns the response to a request that breaks the protocol. It is the last on its
+// connection, since what follows cannot be distinguished from a part of the malformed request.
 func RejectMalformed(status int) Response { return Response{Status: status, Close: true} }
--- a/internal/frontend/validator.go
+++ b/internal/frontend/validator.go
@@ -20,8 +20,8 @@
 	MaxBodySize = 64 << 10
 	// MaxNameLength bounds an id or a key that a client sends, in bytes.
 	MaxNameLength = 256
-	// maxTimeout is the longest timeout that is accepted: no class gives a request a day, and a client that asks for more
-	// has a fault.
+	// maxTimeout is the longest timeout that is accepted: no class gives a request a day, and a
+	// client that asks for more has a fault.
 	maxTimeout = 24 * time.Hour
 	// orderingCookie is the cookie with the ordering key of a request whose class is ordered.
 	orderingCookie = "subject"
@@ -41,7 +41,8 @@
 // submissionHeaders are the headers that describe a submission.
 type submissionHeaders struct{ tenant, id, idempotencyKey, envelope, timeout string }
 
-// Parse validates the head of a request and returns its submission, which lacks the body and what comes with it.
+// Parse validates the head of a request and returns its submission, which lacks the body and what
+// comes with it.
 func (v *Validator) Parse(r *http.Request) (*Submission, *RejectionError) {
 	receivedAt := time.Now()
 	if r.Method != http.MethodPost {
@@ -99,8 +100,9 @@
 	return headers, nil
 }
 
-// singleValue returns the only value of a header; empty if there is none. The value has to be printable ASCII, as ids and
-// keys are forwarded unchanged and go through the journal, whose JSON would change other characters.
+// singleValue returns the only value of a header; empty if there is none. The value has to be
+// printable ASCII, as ids and keys are forwarded unchanged and go through the journal, whose JSON
+// would change other characters.
 func singleValue(h http.Header, name string) (string, *RejectionError) {
 	reject := func(format string, args ...any) *RejectionError {
 		return Reject(http.StatusBadRequest, RejectHeader, name+": "+format, args...)
@@ -148,8 +150,8 @@
 	return number, nil
 }
 
-// parseTimeout returns the time that a client gives a request, from when it sent it, in the value of Request-Timeout. No
-// class gives a request more than its deadline.
+// parseTimeout returns the time that a client gives a request, from when it sent it, in the value
+// of Request-Timeout. No class gives a request more than its deadline.
 func parseTimeout(text string, class *policy.Class) (time.Duration, *RejectionError) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= maxTimeout.Seconds()) {
@@ -158,8 +160,8 @@
 	return settings.Seconds(min(seconds, class.Deadline.Seconds())), nil
 }
 
-// orderKeyOf returns the ordering key of a request whose class is ordered: requests with one key are delivered one after
-// another. Empty: the request is free of order.
+// orderKeyOf returns the ordering key of a request whose class is ordered: requests with one key
+// are delivered one after another. Empty: the request is free of order.
 func orderKeyOf(r *http.Request, class *policy.Class) (string, *RejectionError) {
 	if !class.Ordered {
 		return "", nil
@@ -179,8 +181,8 @@
 	}
 }
 
-// clientRetry returns what a client says of an earlier submission. It is for the trace alone, so that a malformed value
-// rejects nothing.
+// clientRetry returns what a client says of an earlier submission. It is for the trace alone, so
+// that a malformed value rejects nothing.
 func clientRetry(h http.Header) string {
 	retry, rejection := singleValue(h, "Client-Retry")
 	if rejection != nil {
@@ -189,8 +191,9 @@
 	return retry
 }
 
-// ReadSubject sets the subject of a request in its entry. A request whose subject cannot be read is served as any other.
-// While it may have been delivered, no older request of its class and destination is redelivered.
+// ReadSubject sets the subject of a request in its entry. A request whose subject cannot be read is
+// served as any other. While it may have been delivered, no older request of its class and
+// destination is redelivered.
 func (v *Validator) ReadSubject(e *journal.Entry, h http.Header) {
 	subject := v.Subjects[e.Class]
 	if subject == nil {
--- a/internal/frontend/validator_test.go
+++ b/internal/frontend/validator_test.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// No class gives a request more time than its deadline, and what is said of an earlier submission rejects nothing.
+// No class gives a request more time than its deadline, and what is said of an earlier submission
+// rejects nothing.
 func TestValidator_BoundsTimeAndIgnoresBadRetry(t *testing.T) {
 	s, rejection := newTestValidator().Parse(newRequest(t, "status", func(r *http.Request) {
 		r.Header.Set("Request-Timeout", "3600")
--- a/internal/notification/doc.go
+++ b/internal/notification/doc.go
@@ -1,12 +1,12 @@
 // Package notification posts terminal outcomes to the platform until it acknowledges them.
 //
-// A [Notice] is the terminal outcome of a request that was accepted and not delivered. The relay enqueues it once the
-// outcome is recorded in its journal; a [Notifier] posts it, in batches and over several connections, and retries until the
-// platform acknowledges it. What is not acknowledged when the process ends is enqueued again by its successor, from the
-// journal.
+// A [Notice] is the terminal outcome of a request that was accepted and not delivered. The relay
+// enqueues it once the outcome is recorded in its journal; a [Notifier] posts it, in batches and
+// over several connections, and retries until the platform acknowledges it. What is not
+// acknowledged when the process ends is enqueued again by its successor, from the journal.
 //
-// On the wire a post is one JSON value a line. The platform answers 204 once it has all of them, and 400 where it cannot
-// read one.
+// On the wire a post is one JSON value a line. The platform answers 204 once it has all of them,
+// and 400 where it cannot read one.
 //
 // Files:
 //
--- a/internal/notification/notifier.go
+++ b/internal/notification/notifier.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// postTimeout bounds one post, and retryDelay is between a post that failed and the next: a notice has to be
-	// acknowledged within 300 ms of its request's deadline, so that two posts may stall.
+	// postTimeout bounds one post, and retryDelay is between a post that failed and the next: a
+	// notice has to be acknowledged within 300 ms of its request's deadline, so that two posts may
+	// stall.
 	postTimeout = 120 * time.Millisecond
 	retryDelay  = 20 * time.Millisecond
-	// maxConcurrentPosts are made at once, so that one that stalls holds up no other. Their connections persist: a
-	// connection for each post would be a hundred a second where many requests fail, and establishing one may stall for a
-	// second.
+	// maxConcurrentPosts are made at once, so that one that stalls holds up no other. Their
+	// connections persist: a connection for each post would be a hundred a second where many
+	// requests fail, and establishing one may stall for a second.
 	maxConcurrentPosts = 4
 	idleConnTimeout    = 5 * time.Second
 	// maxBatchSize bounds the notices of one post.
@@ -36,8 +37,8 @@
 	changed chan struct{} // closed when url is replaced
 }
 
-// New returns a notifier that, once it runs, posts to the platform at an address. It calls onAcknowledged with the ids of
-// requests whose notices need no further post.
+// New returns a notifier that, once it runs, posts to the platform at an address. It calls
+// onAcknowledged with the ids of requests whose notices need no further post.
 func New(address string, onAcknowledged func(ids []string)) *Notifier {
 	transport := &http.Transport{
 		MaxConnsPerHost: maxConcurrentPosts, MaxIdleConnsPerHost: maxConcurrentPosts, IdleConnTimeout: idleConnTimeout,
@@ -85,8 +86,8 @@
 	}
 }
 
-// deliver posts a batch until it is acknowledged. A batch that the platform cannot read is split, so that a malformed
-// notice holds up no other, and a single one is dropped.
+// deliver posts a batch until it is acknowledged. A batch that the platform cannot read is split,
+// so that a malformed notice holds up no other, and a single one is dropped.
 func (n *Notifier) deliver(ctx context.Context, batch []Notice) {
 	for ctx.Err() == nil {
 		status, err := n.post(ctx, batch)
--- a/internal/notification/post.go
+++ b/internal/notification/post.go
@@ -15,7 +15,8 @@
 // outcomesURL returns where the platform at an address takes notices.
 func outcomesURL(address string) string { return "http://" + address + "/v1/outcomes" }
 
-// post posts a batch once and returns the response's status. It is canceled where the platform's address changes.
+// post posts a batch once and returns the response's status. It is canceled where the platform's
+// address changes.
 func (n *Notifier) post(ctx context.Context, batch []Notice) (status int, err error) {
 	body, err := encode(batch)
 	if err != nil {
@@ -42,7 +43,8 @@
 	return resp.StatusCode, nil
 }
 
-// cancelOn cancels a post where the platform's address changes. It ends with the post's context at the latest.
+// cancelOn cancels a post where the platform's address changes. It ends with the post's context at
+// the latest.
 func cancelOn(ctx context.Context, changed <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-changed:
--- a/internal/notification/queue.go
+++ b/internal/notification/queue.go
@@ -27,7 +27,8 @@
 	q.changed.Signal()
 }
 
-// nextBatch waits for notices and takes the first ones, up to a number. It returns none once the queue is closed.
+// nextBatch waits for notices and takes the first ones, up to a number. It returns none once the
+// queue is closed.
 func (q *queue) nextBatch(most int) []Notice {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,8 +1,9 @@
 // Package upstream has the terms in which attempts are made at endpoints, whatever their protocol.
 //
-// An attempt is one [Request] to one [Target]; its [Result] says how it ended. The distinction that matters
-// most to the caller is whether the endpoint can have executed the request: [Result.NotExecuted] is true only
-// where that is proved, so that another attempt cannot repeat an effect.
+// An attempt is one [Request] to one [Target]; its [Result] says how it ended. The distinction that
+// matters most to the caller is whether the endpoint can have executed the request:
+// [Result.NotExecuted] is true only where that is proved, so that another attempt cannot repeat an
+// effect.
 //
 // The protocols are in packages below:
 //
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -14,10 +14,11 @@
 	"frostlink/internal/upstream"
 )
 
-// Endpoints reject at once: within rejectionGraceFactor times what establishing the connection took, since the first
-// request on a new one may wait for a handshake of some round trips more. minRejectionGrace is for connections where
-// that shows in the first response alone: two and a half times the 100 ms for which the protocol lets attempts through
-// after an endpoint asked to wait. maxRejectionGrace is for connections that were established late.
+// Endpoints reject at once: within rejectionGraceFactor times what establishing the connection
+// took, since the first request on a new one may wait for a handshake of some round trips more.
+// minRejectionGrace is for connections where that shows in the first response alone: two and a half
+// times the 100 ms for which the protocol lets attempts through after an endpoint asked to wait.
+// maxRejectionGrace is for connections that were established late.
 const (
 	rejectionGraceFactor = 5
 	minRejectionGrace    = 250 * time.Millisecond
@@ -47,7 +48,8 @@
 	connWriting
 	// connAwaitingResponse: the request was written, and nothing of its response has come.
 	connAwaitingResponse
-	// connReadingResponse: the response has begun. The attempt's timeout does not interrupt its reading.
+	// connReadingResponse: the response has begun. The attempt's timeout does not interrupt its
+	// reading.
 	connReadingResponse
 	// connDetached: it belongs to whoever goes on with its attempt, and no longer to the pool.
 	connDetached
@@ -67,7 +69,8 @@
 
 	mu    sync.Mutex // guards all below
 	state connState
-	// awaitUntil is the earliest time at which the response is given up; zero until the request is written.
+	// awaitUntil is the earliest time at which the response is given up; zero until the request is
+	// written.
 	awaitUntil time.Time
 }
 
@@ -100,9 +103,10 @@
 	c.state, c.awaitUntil = state, time.Time{}
 }
 
-// extendAwait sets awaitUntil as the request is about to be written: the response is awaited for the rejection grace,
-// also past the request's deadline where OnDeadline reports that. Past the deadline it is awaited for no longer than
-// minRejectionGrace, since a delivery after that does not count.
+// extendAwait sets awaitUntil as the request is about to be written: the response is awaited for
+// the rejection grace, also past the request's deadline where OnDeadline reports that. Past the
+// deadline it is awaited for no longer than minRejectionGrace, since a delivery after that does not
+// count.
 func (c *conn) extendAwait(r *upstream.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,9 +130,10 @@
 	}
 }
 
-// interrupt ends the reading and writing of an attempt whose context is done, unless its response has begun. Within the
-// rejection grace it only bounds the reading. That guards against closing a connection while a rejection is on its way:
-// the wait that it asks for counts from when it was written, and would be missed.
+// interrupt ends the reading and writing of an attempt whose context is done, unless its response
+// has begun. Within the rejection grace it only bounds the reading. That guards against closing a
+// connection while a rejection is on its way: the wait that it asks for counts from when it was
+// written, and would be missed.
 func (c *conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +147,8 @@
 	}
 }
 
-// clearDeadlines removes the deadlines of an attempt and reports whether it could: if not, the connection is broken.
+// clearDeadlines removes the deadlines of an attempt and reports whether it could: if not, the
+// connection is broken.
 func (c *conn) clearDeadlines() bool { return c.SetDeadline(time.Time{}) == nil }
 
 // hasUnread reports whether something has come that was not read from the socket.
@@ -155,8 +161,9 @@
 	return err == nil && n > 0
 }
 
-// isQuiet reports whether the connection is open and has nothing to read. An endpoint may close an idle connection at any
-// time (RFC 9112, section 9.5), and a request written after that would end as a reset, with an unknown outcome.
+// isQuiet reports whether the connection is open and has nothing to read. An endpoint may close an
+// idle connection at any time (RFC 9112, section 9.5), and a request written after that would end
+// as a reset, with an unknown outcome.
 func (c *conn) isQuiet() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/http1/deadline_test.go
+++ b/internal/upstream/http1/deadline_test.go
@@ -17,8 +17,8 @@
 
 const rejectedResponse = "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 
-// lateReader is a connection that is read only once its deadline has been set, as where the process was not scheduled
-// between the response and the end of the attempt.
+// lateReader is a connection that is read only once its deadline has been set, as where the process
+// was not scheduled between the response and the end of the attempt.
 type lateReader struct {
 	*net.TCPConn
 	once sync.Once
@@ -59,8 +59,9 @@
 	}
 }
 
-// A response that has come when the attempt times out or is canceled counts: it says that the request was delivered, or
-// for how long to wait. Before, the attempt counted as one without a response, and the wait was missed.
+// A response that has come when the attempt times out or is canceled counts: it says that the
+// request was delivered, or for how long to wait. Before, the attempt counted as one without a
+// response, and the wait was missed.
 func TestCarry_ResponseInTheInstantOfTheEnd(t *testing.T) {
 	rejected := upstream.Result{Outcome: policy.Rejected, RetryAfter: 900 * time.Millisecond}
 	for _, tt := range []struct {
@@ -71,7 +72,8 @@
 		{"canceled, 200", okResponse, upstream.Result{Outcome: policy.Succeeded, Final: true}, false},
 		{"canceled, 429", rejectedResponse, rejected, false},
 		{"deadline, 429", rejectedResponse, rejected, true},
-		// It may have come in time or not: the outcome is notified, which does no harm to a request that was delivered.
+		// It may have come in time or not: the outcome is notified, which does no harm to a request
+		// that was delivered.
 		{"deadline, 200", okResponse, upstream.Result{Outcome: policy.TimedOut}, true},
 		{"deadline, truncated 200", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.TimedOut}, true},
 		{"canceled, truncated 200", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.Succeeded, Final: true}, false},
@@ -129,9 +131,10 @@
 	return err
 }
 
-// A rejection may be on its way when the attempt ends: the endpoint writes it once the attempt has ended, as over a slow
-// network. It is read all the same, within the rejection grace, and a deadline that passes meanwhile is reported. Before,
-// the connection was closed at once, and the next request was sent within a wait that had been asked for.
+// A rejection may be on its way when the attempt ends: the endpoint writes it once the attempt has
+// ended, as over a slow network. It is read all the same, within the rejection grace, and a
+// deadline that passes meanwhile is reported. Before, the connection was closed at once, and the
+// next request was sent within a wait that had been asked for.
 func TestCarry_RejectionAfterTheEnd(t *testing.T) {
 	rejected := upstream.Result{Outcome: policy.Rejected, RetryAfter: 900 * time.Millisecond}
 	timedOut := upstream.Result{Outcome: policy.TimedOut}
@@ -208,8 +211,8 @@
 	}
 }
 
-// A response is awaited for the rejection grace, but no longer than minRejectionGrace past the request's deadline, and not
-// past it at all where the deadline is not reported.
+// A response is awaited for the rejection grace, but no longer than minRejectionGrace past the
+// request's deadline, and not past it at all where the deadline is not reported.
 func TestConn_AwaitIsBoundedByDeadline(t *testing.T) {
 	for _, tt := range []struct {
 		name            string
--- a/internal/upstream/http1/endpoint_test.go
+++ b/internal/upstream/http1/endpoint_test.go
@@ -15,7 +15,8 @@
 // okResponse is the shortest response of an endpoint that was delivered to.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// serveEndpoint listens as an endpoint and serves each connection by a function. It returns its address.
+// serveEndpoint listens as an endpoint and serves each connection by a function. It returns its
+// address.
 func serveEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -27,8 +27,8 @@
 	return exchangeResult{Result: upstream.Result{Outcome: outcome}}
 }
 
-// Call makes one attempt. When it returns, the attempt is off the wire: its response was read, its connection is closed,
-// or the connection is detached.
+// Call makes one attempt. When it returns, the attempt is off the wire: its response was read, its
+// connection is closed, or the connection is detached.
 func (p *Pool) Call(ctx context.Context, r upstream.Request) upstream.Result {
 	requestCtx, attemptCtx, cancel := withDeadlines(ctx, &r)
 	defer cancel()
@@ -57,15 +57,16 @@
 	case p.isQuiesced() || r.SendCanceled():
 		return upstream.Result{Outcome: policy.NotSent, NewConn: fresh}
 	case syserr.ClassifyPersistent(err) == syserr.Local:
-		// This machine lacks something: that is no fault of the endpoint, and must not count as one.
+		// This machine lacks something: that is no fault of the endpoint, and must not count as
+		// one.
 		slog.Error("attempt not made", logkey.RequestID, r.ID, logkey.Endpoint, r.Endpoint, logkey.Err, err)
 		return upstream.Result{Outcome: policy.NotSent}
 	}
 	return upstream.Result{Outcome: policy.ConnectError, NewConn: fresh}
 }
 
-// withDeadlines returns the context of a request, which ends at its deadline, and within it that of the attempt. It sets
-// the request's deadline where it has none.
+// withDeadlines returns the context of a request, which ends at its deadline, and within it that of
+// the attempt. It sets the request's deadline where it has none.
 func withDeadlines(ctx context.Context, r *upstream.Request) (requestCtx, attemptCtx context.Context, cancel func()) {
 	if r.Deadline.IsZero() {
 		r.Deadline = time.Now().Add(r.Timeout)
@@ -75,8 +76,9 @@
 	return requestCtx, attemptCtx, func() { cancelAttempt(); cancelRequest() }
 }
 
-// carry carries an attempt on a connection, within its request's deadline and its own timeout, and then releases the
-// connection. The attempt starts in connWriting, or in connAwaitingResponse where the request was written before.
+// carry carries an attempt on a connection, within its request's deadline and its own timeout, and
+// then releases the connection. The attempt starts in connWriting, or in connAwaitingResponse where
+// the request was written before.
 func (p *Pool) carry(requestCtx, attemptCtx context.Context, c *conn, r upstream.Request, start connState) upstream.Result {
 	if !p.engage(c, start) {
 		p.release(r.Target, c, true)
@@ -87,7 +89,8 @@
 	stopReport := context.AfterFunc(requestCtx, func() { c.reportDeadline(requestCtx, &r) })
 	defer stopReport()
 	res := p.exchange(requestCtx, attemptCtx, c, r, start)
-	// An interrupt that has begun may still set deadlines: the next attempt would be cut off by them.
+	// An interrupt that has begun may still set deadlines: the next attempt would be cut off by
+	// them.
 	reusable := stopInterrupt() && res.reusable
 	detached := res.Detached != nil
 	p.disengage(c, detached)
@@ -108,11 +111,12 @@
 	return p.awaitResponse(requestCtx, attemptCtx, c)
 }
 
-// writeRequest writes a request and reports whether all of it was written. If not, the result is that of the attempt: the
-// last byte never left, so that the endpoint cannot have executed it.
+// writeRequest writes a request and reports whether all of it was written. If not, the result is
+// that of the attempt: the last byte never left, so that the endpoint cannot have executed it.
 func (p *Pool) writeRequest(ctx context.Context, c *conn, r upstream.Request) (res exchangeResult, written bool) {
-	// Guards against a connection that was established late, as when a cut link is repaired: written now, the request
-	// would be executed again at an endpoint that has forgotten its key, or come in a wait that was asked for meanwhile.
+	// Guards against a connection that was established late, as when a cut link is repaired:
+	// written now, the request would be executed again at an endpoint that has forgotten its key,
+	// or come in a wait that was asked for meanwhile.
 	if r.SendCanceled() {
 		return exchangeResult{upstream.Result{Outcome: policy.NotSent}, c.clearDeadlines()}, false
 	}
@@ -145,8 +149,9 @@
 		c.setState(connDetached)
 		return exchangeResult{Result: upstream.Result{Detached: raw}}
 	}
-	// A read whose deadline has passed does not look at the socket. That guards against a response that came in the instant
-	// of the timeout: the request would be sent again, or sent within a wait that was asked for.
+	// A read whose deadline has passed does not look at the socket. That guards against a response
+	// that came in the instant of the timeout: the request would be sent again, or sent within a
+	// wait that was asked for.
 	begun := err == nil || attemptCtx.Err() != nil && c.hasUnread()
 	if !begun {
 		return noResponse(attemptCtx)
@@ -155,7 +160,8 @@
 	resp, succeeded, err := c.readResponse(requestCtx)
 	switch {
 	case err == nil && resp.StatusCode == http.StatusOK && !succeeded:
-		// A 200 that was read after the deadline delivers nothing: the terminal outcome is still to be notified.
+		// A 200 that was read after the deadline delivers nothing: the terminal outcome is still to
+		// be notified.
 		return broken(policy.TimedOut)
 	case err == nil:
 		return c.finish(resp)
@@ -165,12 +171,14 @@
 	return noResponse(attemptCtx)
 }
 
-// isDetached reports whether the wait for a response ended with err only since the pool is quiesced.
+// isDetached reports whether the wait for a response ended with err only since the pool is
+// quiesced.
 func (p *Pool) isDetached(attemptCtx context.Context, err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) && attemptCtx.Err() == nil && p.isQuiesced()
 }
 
-// noResponse is the end of an exchange whose request was written, and which has no response that can be read.
+// noResponse is the end of an exchange whose request was written, and which has no response that
+// can be read.
 func noResponse(attemptCtx context.Context) exchangeResult {
 	err := attemptCtx.Err()
 	switch {
@@ -185,8 +193,8 @@
 // finish is the end of an exchange whose response was read to its end.
 func (c *conn) finish(resp *http.Response) exchangeResult {
 	res := classify(resp)
-	// What follows a response may be a part of it, where its Content-Length is wrong: then the response is malformed, and
-	// the request has executed.
+	// What follows a response may be a part of it, where its Content-Length is wrong: then the
+	// response is malformed, and the request has executed.
 	quiet := c.in.Buffered() == 0 && c.isQuiet()
 	res.OutcomeUnknown = !quiet && c.in.Buffered() > 0
 	return exchangeResult{res, quiet && !resp.Close && c.clearDeadlines()} // persistence: RFC 9112, section 9.3
--- a/internal/upstream/http1/exchange_test.go
+++ b/internal/upstream/http1/exchange_test.go
@@ -45,49 +45,49 @@
 	}
 }
 
-// An attempt that timed out or was canceled is off the wire when its end is reported: the endpoint's side of the
-// connection ends.
+// An attempt that timed out or was canceled is off the wire when its end is reported: the
+// endpoint's side of the connection ends.
 func TestCall_EndedAttemptIsOffTheWire(t *testing.T) {
-	for _, canceled := range []bool{false, true} {
-		began, ended := make(chan bool, 1), make(chan error, 1)
-		addr := serveEndpoint(t, func(c net.Conn) {
-			in := bufio.NewReader(c)
-			if err := readRequest(in); err != nil {
-				return
+	for name, want := range map[string]policy.Outcome{"timed out": policy.TimedOut, "canceled": policy.Canceled} {
+		t.Run(name, func(t *testing.T) {
+			began, ended := make(chan bool, 1), make(chan error, 1)
+			addr := serveEndpoint(t, func(c net.Conn) {
+				in := bufio.NewReader(c)
+				if err := readRequest(in); err != nil {
+					return
+				}
+				began <- true
+				_, err := in.ReadByte()
+				ended <- err
+			})
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			request := newTestRequest(addr)
+			if want == policy.Canceled {
+				go func() {
+					<-began
+					cancel()
+				}()
+			} else {
+				request.Timeout = 50 * time.Millisecond
 			}
-			began <- true
-			_, err := in.ReadByte()
-			ended <- err
-		})
-		ctx, cancel := context.WithCancel(t.Context())
-		request := newTestRequest(addr)
-		want := policy.TimedOut
-		if canceled {
-			want = policy.Canceled
-			go func() {
-				<-began
-				cancel()
-			}()
-		} else {
-			request.Timeout = 50 * time.Millisecond
-		}
-		if got := newTestPool().Call(ctx, request); got.Outcome != want {
-			t.Errorf("canceled %v: outcome %v, want %v", canceled, got.Outcome, want)
-		}
-		select {
-		case err := <-ended:
-			if err == nil {
-				t.Error("the endpoint read more")
+			if got := newTestPool().Call(ctx, request); got.Outcome != want {
+				t.Errorf("outcome %v, want %v", got.Outcome, want)
 			}
-		case <-time.After(waittest.Long):
-			t.Errorf("canceled %v: the connection is still open", canceled)
-		}
-		cancel()
+			select {
+			case err := <-ended:
+				if err == nil {
+					t.Error("the endpoint read more")
+				}
+			case <-time.After(waittest.Long):
+				t.Error("the connection is still open")
+			}
+		})
 	}
 }
 
-// A request whose WriteBy passes while its connection is established, or has passed, is not written, so that it is not
-// executed. The connection carries the next one.
+// A request whose WriteBy passes while its connection is established, or has passed, is not
+// written, so that it is not executed. The connection carries the next one.
 func TestCall_NotWrittenAfterWriteBy(t *testing.T) {
 	var requests atomic.Int32
 	addr := serveEndpoint(t, func(c net.Conn) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// A request that is canceled while its connection is established is not written, and the connection is cached. One that
-// was written goes on.
+// A request that is canceled while its connection is established is not written, and the connection
+// is cached. One that was written goes on.
 func TestCall_CancelBeforeSend(t *testing.T) {
 	var requests atomic.Int32
 	var canceled atomic.Bool
--- a/internal/upstream/http1/handover.go
+++ b/internal/upstream/http1/handover.go
@@ -43,8 +43,9 @@
 	return p.quiesced
 }
 
-// engage marks a connection as active and reports true, unless its attempt would write a request while the pool is
-// quiesced. An attempt whose request was written before is detached again at once.
+// engage marks a connection as active and reports true, unless its attempt would write a request
+// while the pool is quiesced. An attempt whose request was written before is detached again at
+// once.
 func (p *Pool) engage(c *conn, start connState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,9 +71,10 @@
 	}
 }
 
-// Quiesce starts no attempt any more and detaches those that await a response; one whose response has begun comes to its
-// end. Attempts that are still in flight when ctx ends lose their connections. It returns once no attempt is in flight,
-// with the idle connections, which no longer belong to the pool.
+// Quiesce starts no attempt any more and detaches those that await a response; one whose response
+// has begun comes to its end. Attempts that are still in flight when ctx ends lose their
+// connections. It returns once no attempt is in flight, with the idle connections, which no longer
+// belong to the pool.
 func (p *Pool) Quiesce(ctx context.Context) (idle []IdleConn) {
 	p.beginQuiesce()
 	p.awaitNoAttempts(ctx)
@@ -92,7 +94,8 @@
 	}
 }
 
-// awaitNoAttempts returns once no attempt is in flight. When ctx ends it closes the connections of those that are.
+// awaitNoAttempts returns once no attempt is in flight. When ctx ends it closes the connections of
+// those that are.
 func (p *Pool) awaitNoAttempts(ctx context.Context) {
 	for closed := false; p.inFlight() > 0; time.Sleep(quiescePollInterval) {
 		if ctx.Err() != nil && !closed {
@@ -138,7 +141,8 @@
 	return idle
 }
 
-// Resume ends Quiesce and takes the idle connections back. Detached attempts are gone on with by AwaitResponse.
+// Resume ends Quiesce and takes the idle connections back. Detached attempts are gone on with by
+// AwaitResponse.
 func (p *Pool) Resume(idle []IdleConn) {
 	p.mu.Lock()
 	p.quiesced = false
@@ -148,7 +152,8 @@
 	}
 }
 
-// Adopt caches an idle connection that another process had, within the pool's capacity; beyond that it is closed.
+// Adopt caches an idle connection that another process had, within the pool's capacity; beyond that
+// it is closed.
 func (p *Pool) Adopt(c IdleConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,8 +168,8 @@
 	p.size++
 }
 
-// AwaitResponse waits for the response to a request that was written, on the connection on which it was. While the pool
-// is quiesced it returns that connection detached.
+// AwaitResponse waits for the response to a request that was written, on the connection on which it
+// was. While the pool is quiesced it returns that connection detached.
 func (p *Pool) AwaitResponse(ctx context.Context, r upstream.Request, raw *net.TCPConn) upstream.Result {
 	requestCtx, attemptCtx, cancel := withDeadlines(ctx, &r)
 	defer cancel()
@@ -176,8 +181,8 @@
 	return p.carry(requestCtx, attemptCtx, newConn(raw, set), r, connAwaitingResponse)
 }
 
-// beginDetachedAttempt counts an attempt and its connection, also beyond the capacity, and returns the set to which the
-// connection belongs; nil if the pool is quiesced.
+// beginDetachedAttempt counts an attempt and its connection, also beyond the capacity, and returns
+// the set to which the connection belongs; nil if the pool is quiesced.
 func (p *Pool) beginDetachedAttempt(t upstream.Target) *idleSet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/http1/handover_test.go
+++ b/internal/upstream/http1/handover_test.go
@@ -15,8 +15,8 @@
 	"frostlink/policy"
 )
 
-// Quiesce detaches an attempt that awaits its response and returns the idle connections. Both are gone on with after
-// Resume, on the connections on which they were.
+// Quiesce detaches an attempt that awaits its response and returns the idle connections. Both are
+// gone on with after Resume, on the connections on which they were.
 func TestPool_QuiesceAndResume(t *testing.T) {
 	var conns atomic.Int32
 	written, respond := make(chan bool, 1), make(chan bool, 1)
@@ -83,7 +83,8 @@
 	}
 }
 
-// Where Quiesce's context ends first, an attempt whose response has begun and does not go on loses its connection.
+// Where Quiesce's context ends first, an attempt whose response has begun and does not go on loses
+// its connection.
 func TestPool_QuiesceClosesStalledAttempts(t *testing.T) {
 	begun := make(chan bool, 1)
 	addr := serveEndpoint(t, func(c net.Conn) {
--- a/internal/upstream/http1/pool.go
+++ b/internal/upstream/http1/pool.go
@@ -12,18 +12,20 @@
 	"frostlink/internal/upstream"
 )
 
-// idleFraction is the part of the endpoints' idle timeout for which an idle connection is cached here. A request that
-// crosses the endpoint's close ends as a reset. With 0.95 endpoints closed some connections first, and the score did
-// not gain.
+// idleFraction is the part of the endpoints' idle timeout for which an idle connection is cached
+// here. A request that crosses the endpoint's close ends as a reset. With 0.95 endpoints closed
+// some connections first, and the score did not gain.
 const idleFraction = 0.8
 
 // Pool makes attempts at endpoints over connections that carry one attempt at a time.
 type Pool struct {
 	dialer      socket.Dialer
 	maxIdleTime time.Duration
-	// capacity bounds the connections, idle or active. It is no less than the number of concurrent attempts.
+	// capacity bounds the connections, idle or active. It is no less than the number of concurrent
+	// attempts.
 	capacity int
-	// OnWritten, where set, is called for each request whose last byte was written. It is set before the first attempt.
+	// OnWritten, where set, is called for each request whose last byte was written. It is set
+	// before the first attempt.
 	OnWritten func()
 
 	mu       sync.Mutex // guards all below
@@ -35,12 +37,13 @@
 	quiesced bool                         // no attempt starts, and active connections are detached
 }
 
-// idleSet holds the idle connections to one target, the most recently used last. A target that is evicted and comes
-// back gets another set, so that connections which were active at the eviction are not returned to the new one.
+// idleSet holds the idle connections to one target, the most recently used last. A target that is
+// evicted and comes back gets another set, so that connections which were active at the eviction
+// are not returned to the new one.
 type idleSet struct{ conns []*conn }
 
-// New returns a pool with a capacity in connections and a timeout for establishing one. Idle connections are cached for
-// less than endpointIdleTimeout, after which the endpoints close them.
+// New returns a pool with a capacity in connections and a timeout for establishing one. Idle
+// connections are cached for less than endpointIdleTimeout, after which the endpoints close them.
 func New(connectTimeout, endpointIdleTimeout time.Duration, capacity int) *Pool {
 	return &Pool{
 		dialer:      socket.Dialer{Dialer: net.Dialer{KeepAlive: -1}, Timeout: connectTimeout},
@@ -52,7 +55,8 @@
 	}
 }
 
-// acquire returns an idle connection that is still usable, or dials one; fresh reports that it dialed.
+// acquire returns an idle connection that is still usable, or dials one; fresh reports that it
+// dialed.
 func (p *Pool) acquire(ctx context.Context, t upstream.Target) (c *conn, fresh bool, err error) {
 	c, set := p.takeIdleOrReserve(t)
 	if c != nil {
@@ -62,8 +66,9 @@
 	return c, true, err
 }
 
-// takeIdleOrReserve returns the idle connection of a target that was used last, of those that are usable. If there is
-// none it reserves capacity for a new one, which is to belong to the set returned.
+// takeIdleOrReserve returns the idle connection of a target that was used last, of those that are
+// usable. If there is none it reserves capacity for a new one, which is to belong to the set
+// returned.
 func (p *Pool) takeIdleOrReserve(t upstream.Target) (*conn, *idleSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +123,8 @@
 	delete(p.dialing, c)
 }
 
-// release takes a connection back after an attempt: it becomes idle where it is reusable, and is closed otherwise.
+// release takes a connection back after an attempt: it becomes idle where it is reusable, and is
+// closed otherwise.
 func (p *Pool) release(t upstream.Target, c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +146,8 @@
 	}
 }
 
-// Evict closes the idle connections to a target that is no longer listed. Active ones are closed after their attempt.
+// Evict closes the idle connections to a target that is no longer listed. Active ones are closed
+// after their attempt.
 func (p *Pool) Evict(t upstream.Target) {
 	p.CloseIdle(t)
 	p.mu.Lock()
--- a/internal/upstream/http1/pool_test.go
+++ b/internal/upstream/http1/pool_test.go
@@ -13,8 +13,8 @@
 	"frostlink/policy"
 )
 
-// A connection that was active when its endpoint was evicted is not cached, and one that is idle is not used for another
-// endpoint at the same address.
+// A connection that was active when its endpoint was evicted is not cached, and one that is idle is
+// not used for another endpoint at the same address.
 func TestPool_EvictedEndpointIsNotReused(t *testing.T) {
 	var conns atomic.Int32
 	release := make(chan bool)
@@ -49,8 +49,9 @@
 	}
 }
 
-// A cached connection carries the next request. One that the endpoint has closed carries none, and a request that is reset
-// on a cached connection is not sent again by the pool although it has an idempotency key.
+// A cached connection carries the next request. One that the endpoint has closed carries none, and
+// a request that is reset on a cached connection is not sent again by the pool although it has an
+// idempotency key.
 func TestPool_ReusesConnections(t *testing.T) {
 	var conns, requests atomic.Int32
 	var mode atomic.Value // what the endpoint does with a connection on which a request has come
@@ -102,8 +103,8 @@
 	}
 }
 
-// Idle and active connections together stay within the capacity: the one that was used longest ago is closed for a new
-// one. Those that have been idle for too long are closed by a sweep.
+// Idle and active connections together stay within the capacity: the one that was used longest ago
+// is closed for a new one. Those that have been idle for too long are closed by a sweep.
 func TestPool_StaysWithinCapacity(t *testing.T) {
 	p := New(time.Second, 10*time.Second, 2)
 	var addrs []string
--- a/internal/upstream/http1/request.go
+++ b/internal/upstream/http1/request.go
@@ -13,7 +13,8 @@
 // requestPath is where endpoints accept requests.
 const requestPath = "/inbox"
 
-// encodeRequest returns a request as it is written on the wire; timeLeft is sent as Request-Timeout.
+// encodeRequest returns a request as it is written on the wire; timeLeft is sent as
+// Request-Timeout.
 func encodeRequest(r upstream.Request, timeLeft time.Duration) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.Addr+requestPath, bytes.NewReader(r.Body))
 	if err != nil {
--- a/internal/upstream/http1/response_test.go
+++ b/internal/upstream/http1/response_test.go
@@ -38,7 +38,8 @@
 			"rejected with a wait", respond("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n"),
 			upstream.Result{Outcome: policy.Rejected, RetryAfter: 250 * time.Millisecond},
 		},
-		// Before, a wait was cut to the request's time left, and later requests were sent within it.
+		// Before, a wait was cut to the request's time left, and later requests were sent within
+		// it.
 		{
 			"rejected with a long wait", respond("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 3600000\r\nContent-Length: 0\r\n\r\n"),
 			upstream.Result{Outcome: policy.Rejected, RetryAfter: time.Hour},
@@ -74,8 +75,9 @@
 	}
 }
 
-// A request with a malformed response has executed, unless its status line says 200, and the connection carries no
-// further request. Before, a truncated 503 counted as proof that the request was not executed.
+// A request with a malformed response has executed, unless its status line says 200, and the
+// connection carries no further request. Before, a truncated 503 counted as proof that the request
+// was not executed.
 func TestCall_MalformedResponses(t *testing.T) {
 	ok, reset := upstream.Result{Outcome: policy.Succeeded, Final: true}, upstream.Result{Outcome: policy.ConnectionReset}
 	const rejected, wait = "HTTP/1.1 503 No\r\n", "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 1e18\r\n"
--- a/internal/upstream/http2/actions.go
+++ b/internal/upstream/http2/actions.go
@@ -35,15 +35,18 @@
 type StreamEnd struct {
 	Stream uint32
 	Response
-	// MayHaveExecuted is false only where it is proved that the endpoint did not begin to execute the request.
+	// MayHaveExecuted is false only where it is proved that the endpoint did not begin to execute
+	// the request.
 	MayHaveExecuted bool
 	Reason          EndReason
 }
 
-// EndReason is why a stream ended, for logs. Those that are followed by a colon or a blank here have a detail appended.
+// EndReason is why a stream ended, for logs. Those that are followed by a colon or a blank here
+// have a detail appended.
 type EndReason string
 
-// Why streams end. What is malformed about a response's headers (section 8.1.1) is a reason that the caller gives.
+// Why streams end. What is malformed about a response's headers (section 8.1.1) is a reason that
+// the caller gives.
 const (
 	EndResponded         EndReason = "responded"
 	EndCanceled          EndReason = "canceled"
@@ -64,7 +67,8 @@
 // with returns a reason with its detail.
 func (r EndReason) with(detail any) EndReason { return r + EndReason(fmt.Sprint(detail)) }
 
-// unknownStream is the reason where a frame came on a stream that was never begun (section 5.1: idle streams).
+// unknownStream is the reason where a frame came on a stream that was never begun (section 5.1:
+// idle streams).
 func unknownStream(frame http2.FrameType, id uint32) EndReason {
 	return EndReason(fmt.Sprintf("%v on stream %d, which was never begun", frame, id))
 }
--- a/internal/upstream/http2/flow.go
+++ b/internal/upstream/http2/flow.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// defaultWindow and defaultMaxFrameSize are what a peer grants until its SETTINGS say otherwise (sections 6.9.2 and
-	// 6.5.2).
+	// defaultWindow and defaultMaxFrameSize are what a peer grants until its SETTINGS say otherwise
+	// (sections 6.9.2 and 6.5.2).
 	defaultWindow       = 65_535
 	defaultMaxFrameSize = 16_384
 	// maxWindow is the largest flow-control window (section 6.9.1).
 	maxWindow = math.MaxInt32
-	// receiveWindowRefill is how many bytes of DATA are received before the connection's receive window is refilled, so
-	// that small responses cost few frames.
+	// receiveWindowRefill is how many bytes of DATA are received before the connection's receive
+	// window is refilled, so that small responses cost few frames.
 	receiveWindowRefill = defaultWindow / 2
 )
 
@@ -35,12 +35,14 @@
 	Val uint32
 }
 
-// Settings handles the peer's SETTINGS (section 6.5), whose values the framer has checked, and acknowledges them.
+// Settings handles the peer's SETTINGS (section 6.5), whose values the framer has checked, and
+// acknowledges them.
 func (s *Streams) Settings(list []Setting) (a Actions) {
 	for _, v := range list {
 		switch v.ID {
 		case http2.SettingMaxConcurrentStreams:
-			// Also below what is in flight, or 0: that goes on, and nothing new begins (section 5.1.2).
+			// Also below what is in flight, or 0: that goes on, and nothing new begins (section
+			// 5.1.2).
 			s.settings.maxConcurrentStreams = v.Val
 		case http2.SettingMaxFrameSize:
 			s.settings.maxFrameSize = int(v.Val)
@@ -56,8 +58,8 @@
 	return a
 }
 
-// setInitialWindow changes the windows of streams that have not ended by the difference, also below zero (section
-// 6.9.2). It reports false where one overflows, which ends the connection.
+// setInitialWindow changes the windows of streams that have not ended by the difference, also below
+// zero (section 6.9.2). It reports false where one overflows, which ends the connection.
 func (s *Streams) setInitialWindow(a *Actions, size int64) bool {
 	diff := size - s.settings.initialWindow
 	s.settings.initialWindow = size
@@ -70,7 +72,8 @@
 	return true
 }
 
-// WindowUpdate handles a WINDOW_UPDATE (section 6.9), which is for the connection where the stream is 0.
+// WindowUpdate handles a WINDOW_UPDATE (section 6.9), which is for the connection where the stream
+// is 0.
 func (s *Streams) WindowUpdate(id, increment uint32) (a Actions) {
 	st := s.streams[id]
 	switch {
@@ -92,8 +95,8 @@
 	return a
 }
 
-// sendBodies gives out as much of the bodies as the windows allow (section 6.9), in turn. A stream without a window holds
-// up no other.
+// sendBodies gives out as much of the bodies as the windows allow (section 6.9), in turn. A stream
+// without a window holds up no other.
 func (s *Streams) sendBodies(a *Actions) {
 	stillPending := s.pending[:0]
 	for _, id := range s.pending {
@@ -124,7 +127,8 @@
 	}
 }
 
-// refillReceiveWindow grants the peer what it has sent anew, once that is enough to be worth a frame.
+// refillReceiveWindow grants the peer what it has sent anew, once that is enough to be worth a
+// frame.
 func (s *Streams) refillReceiveWindow(a *Actions, received int) {
 	if s.unacknowledged += received; s.unacknowledged >= receiveWindowRefill {
 		a.Write = append(a.Write, Frame{Type: http2.FrameWindowUpdate, Window: uint32(s.unacknowledged)})
--- a/internal/upstream/http2/property_test.go
+++ b/internal/upstream/http2/property_test.go
@@ -24,7 +24,8 @@
 	t        *rapid.T
 	streams  *Streams
 	requests map[uint32]*requestTruth
-	// window is what the peer still accepts on the connection, windows on each stream, and initial on a new one.
+	// window is what the peer still accepts on the connection, windows on each stream, and initial
+	// on a new one.
 	window  int64
 	windows map[uint32]int64
 	initial int64
@@ -71,8 +72,8 @@
 	m.ended++
 }
 
-// drawID draws a stream, mostly one that was begun. 0 stands for the connection, and now and then there is a stream that
-// was never begun.
+// drawID draws a stream, mostly one that was begun. 0 stands for the connection, and now and then
+// there is a stream that was never begun.
 func (m *model) drawID() uint32 {
 	n := rapid.IntRange(0, 40).Draw(m.t, "stream")
 	switch {
@@ -186,8 +187,9 @@
 	m.apply(m.streams.Reset(id, code))
 }
 
-// Whatever comes in whatever order: a stream ends once, nothing is written for it afterwards, no window is exceeded, and
-// the request is reported as not executed only where the endpoint refused it or its last byte had not been written.
+// Whatever comes in whatever order: a stream ends once, nothing is written for it afterwards, no
+// window is exceeded, and the request is reported as not executed only where the endpoint refused
+// it or its last byte had not been written.
 func TestStreams_NotExecutedOnlyWhereProved(t *testing.T) {
 	ended := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/upstream/http2/receive.go
+++ b/internal/upstream/http2/receive.go
@@ -6,10 +6,12 @@
 	"golang.org/x/net/http2"
 )
 
-// maxResponseBody bounds a response's body, in bytes. It has no meaning, and must not fill the memory.
+// maxResponseBody bounds a response's body, in bytes. It has no meaning, and must not fill the
+// memory.
 const maxResponseBody = 64 << 10
 
-// HeaderBlock is a decoded header block: an interim response, a final one, or trailers (section 8.1).
+// HeaderBlock is a decoded header block: an interim response, a final one, or trailers (section
+// 8.1).
 type HeaderBlock struct {
 	Status        int // 0: trailers
 	Headers       map[string][]string
@@ -55,7 +57,8 @@
 	}
 }
 
-// Data handles DATA with n bytes of a response's body. Padding counts for the windows alone (section 6.1).
+// Data handles DATA with n bytes of a response's body. Padding counts for the windows alone
+// (section 6.1).
 func (s *Streams) Data(id uint32, n, padding int, endStream bool) (a Actions) {
 	s.refillReceiveWindow(&a, n+padding)
 	st := s.streams[id]
@@ -77,8 +80,8 @@
 	return a
 }
 
-// finish ends a stream whose response was received to its end. The rest of a request that was not sent to its end is
-// dropped: that is what an endpoint that responds early wants (section 8.1).
+// finish ends a stream whose response was received to its end. The rest of a request that was not
+// sent to its end is dropped: that is what an endpoint that responds early wants (section 8.1).
 func (s *Streams) finish(a *Actions, st *stream) {
 	if st.contentLength >= 0 && st.bodyReceived != st.contentLength { // section 8.1.1
 		s.resetStream(a, st, http2.ErrCodeProtocol, EndBodyTooShort)
@@ -101,14 +104,15 @@
 		// Section 8.7: the stream was closed before any processing.
 		s.end(&a, st, false, EndRefused)
 	default:
-		// A NO_ERROR that follows a complete response (section 8.1) is not for this stream: it has ended.
+		// A NO_ERROR that follows a complete response (section 8.1) is not for this stream: it has
+		// ended.
 		s.end(&a, st, st.mayHaveExecuted(), EndReset.with(code))
 	}
 	return a
 }
 
-// GoAway handles a GOAWAY (section 6.8): streams above the last were not processed and will not be. A second GOAWAY may
-// name a lower number.
+// GoAway handles a GOAWAY (section 6.8): streams above the last were not processed and will not be.
+// A second GOAWAY may name a lower number.
 func (s *Streams) GoAway(lastID uint32, code http2.ErrCode) (a Actions) {
 	if s.state == connOpen {
 		s.state = connDraining
--- a/internal/upstream/http2/streams.go
+++ b/internal/upstream/http2/streams.go
@@ -16,15 +16,16 @@
 const (
 	// connOpen takes new streams within the peer's limit.
 	connOpen connState = iota
-	// connDraining takes no new stream, as after a GOAWAY (section 6.8) or when stream numbers have run out (section
-	// 5.1.1). Those in flight come to their end.
+	// connDraining takes no new stream, as after a GOAWAY (section 6.8) or when stream numbers have
+	// run out (section 5.1.1). Those in flight come to their end.
 	connDraining
 	// connClosed is the end: the connection is lost, or was ended by an error.
 	connClosed
 )
 
-// sendState is how far a request was sent. The three states follow one another; all are sides of section 5.1's "open" and
-// "half-closed (local)", which do not say when the last byte has left the process.
+// sendState is how far a request was sent. The three states follow one another; all are sides of
+// section 5.1's "open" and "half-closed (local)", which do not say when the last byte has left the
+// process.
 type sendState int
 
 const (
@@ -32,7 +33,8 @@
 	sendPending sendState = iota
 	// sendQueued: the frame with END_STREAM was given out to be written.
 	sendQueued
-	// sendWritten: that frame was handed to the kernel whole. From then on the endpoint may execute the request.
+	// sendWritten: that frame was handed to the kernel whole. From then on the endpoint may execute
+	// the request.
 	sendWritten
 )
 
@@ -50,7 +52,8 @@
 // unknownLength is the content length of a response that does not say it.
 const unknownLength = -1
 
-// mayHaveExecuted reports whether the endpoint can have executed the request. One that has a 200 says so itself.
+// mayHaveExecuted reports whether the endpoint can have executed the request. One that has a 200
+// says so itself.
 func (st *stream) mayHaveExecuted() bool { return st.sent == sendWritten || st.Status == http.StatusOK }
 
 // Streams is the state of one connection. It is not safe for concurrent use.
@@ -107,7 +110,8 @@
 	return id, a
 }
 
-// Written notes that the last frame of a request was handed to the kernel whole: from now on the endpoint may execute it.
+// Written notes that the last frame of a request was handed to the kernel whole: from now on the
+// endpoint may execute it.
 func (s *Streams) Written(id uint32) {
 	if st := s.streams[id]; st != nil {
 		st.sent = sendWritten
@@ -156,8 +160,8 @@
 	a.Close = true
 }
 
-// requireBegun fails the connection where a frame came on a stream that was never begun (section 5.1: idle streams). One
-// that has ended is no error: the frame and the end crossed.
+// requireBegun fails the connection where a frame came on a stream that was never begun (section
+// 5.1: idle streams). One that has ended is no error: the frame and the end crossed.
 func (s *Streams) requireBegun(a *Actions, id uint32, frame http2.FrameType) {
 	if id%2 == 1 && id < s.nextID {
 		return
--- a/internal/upstream/http2/streams_test.go
+++ b/internal/upstream/http2/streams_test.go
@@ -15,7 +15,8 @@
 	last Actions // of the last event
 }
 
-// begun returns a connection whose request was given out whole; written says that the kernel has its last frame.
+// begun returns a connection whose request was given out whole; written says that the kernel has
+// its last frame.
 func begun(written bool) *connection {
 	c := &connection{Streams: NewStreams()}
 	_, c.last = c.Begin([]byte("0123456789"))
@@ -25,7 +26,8 @@
 	return c
 }
 
-// halfSent returns a connection of whose request the peer accepted half: the rest waits for a window.
+// halfSent returns a connection of whose request the peer accepted half: the rest waits for a
+// window.
 func halfSent() *connection {
 	c := &connection{Streams: NewStreams()}
 	c.Settings([]Setting{{http2.SettingInitialWindowSize, 5}})
@@ -110,8 +112,9 @@
 	return strings.Join(all, ", ")
 }
 
-// Every sequence by which a stream can end: whether the request can have been executed, what is written, whether the
-// connection goes on, and the reason that logs show. The sections are RFC 9113's.
+// Every sequence by which a stream can end: whether the request can have been executed, what is
+// written, whether the connection goes on, and the reason that logs show. The sections are RFC
+// 9113's.
 func TestStreams_Ends(t *testing.T) {
 	const no, may = false, true
 	for name, tt := range map[string]struct {
@@ -312,17 +315,19 @@
 		"a late window": c.WindowUpdate(1, 5),
 		"canceling it":  c.Cancel(1),
 	} {
-		if len(a.Write) > 0 || len(a.Ended) > 0 || a.Close {
-			t.Errorf("%s: %+v", name, a)
-		}
+		t.Run(name, func(t *testing.T) {
+			if len(a.Write) > 0 || len(a.Ended) > 0 || a.Close {
+				t.Errorf("%+v", a)
+			}
+		})
 	}
 	if a := c.Ping([8]byte{1}); a.wrote() != "PING ACK" || a.Write[0].Data[0] != 1 {
 		t.Errorf("ping: %+v", a)
 	}
 }
 
-// Bodies are sent as the windows allow: in frames of the peer's size, also from a window below zero, and a stream without
-// a window holds up no other.
+// Bodies are sent as the windows allow: in frames of the peer's size, also from a window below
+// zero, and a stream without a window holds up no other.
 func TestStreams_FlowControl(t *testing.T) {
 	c := &connection{Streams: NewStreams()}
 	c.Settings([]Setting{{http2.SettingInitialWindowSize, 10}, {http2.SettingMaxFrameSize, 16_384}, {http2.SettingMaxConcurrentStreams, 2}})
