--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -18,10 +18,10 @@
 	RejectHeader         RejectionReason = "header"
 	RejectUnknownTenant  RejectionReason = "unknown tenant"
 	RejectNoID           RejectionReason = "no id"
-	RejectNoKey          RejectionReason = "no key in a keyed class"
+	RejectNoKey          RejectionReason = "no idempotency key"
 	RejectNoDestination  RejectionReason = "no destination"
 	RejectDestination    RejectionReason = "destination"
-	RejectTimeout        RejectionReason = "time-out"
+	RejectTimeout        RejectionReason = "timeout"
 	RejectOrderingCookie RejectionReason = "ordering cookie"
 )
 
