--- /dev/null
+++ b/internal/journal/completed.go
@@ -0,0 +1,124 @@
+package journal
+
+import (
+	"encoding/binary"
+	"math"
+	"slices"
+
+	"frostlink/internal/clock"
+)
+
+const (
+	// maxCompleted is how many completed requests are remembered, the latest: more than are completed
+	// while any of them could be submitted again.
+	maxCompleted = 1 << 16
+	// maxMilliseconds is how far from 1970 a stored time can be, either way: an Instant counts nanoseconds
+	// in 64 bits.
+	maxMilliseconds = math.MaxInt64 / 1_000_000
+)
+
+// CompletedRequest is a request that was accepted and is completed.
+type CompletedRequest struct {
+	ID string
+	At clock.Instant
+}
+
+// completedRequests remembers the requests that were completed lately, against accepting one a second
+// time that is submitted again under its id, also after a restart. The zero value is empty.
+type completedRequests struct {
+	ids     map[string]bool
+	ordered []CompletedRequest // in order of completion
+}
+
+// add remembers a request, in place of the oldest where there are too many.
+func (r *completedRequests) add(c CompletedRequest) {
+	if r.ids[c.ID] {
+		return
+	}
+	if r.ids == nil {
+		r.ids = map[string]bool{}
+	}
+	r.ids[c.ID] = true
+	r.ordered = append(r.ordered, c)
+	if len(r.ordered) > maxCompleted {
+		r.dropOldest(1)
+	}
+}
+
+// expire drops the requests that were completed before a time.
+func (r *completedRequests) expire(before clock.Instant) {
+	n := 0
+	for n < len(r.ordered) && r.ordered[n].At < before {
+		n++
+	}
+	r.dropOldest(n)
+}
+
+func (r *completedRequests) dropOldest(n int) {
+	for _, c := range r.ordered[:n] {
+		delete(r.ids, c.ID)
+	}
+	r.ordered = r.ordered[n:]
+	if len(r.ordered) == 0 {
+		r.ordered = nil // frees the memory behind it
+	}
+}
+
+// latest returns the latest requests whose encoding fits into capacity bytes.
+func (r *completedRequests) latest(capacity int) []CompletedRequest {
+	first := len(r.ordered)
+	for first > 0 {
+		capacity -= len(appendCompleted(nil, r.ordered[first-1]))
+		if capacity < 0 {
+			break
+		}
+		first--
+	}
+	return r.ordered[first:]
+}
+
+// encodeCompleted encodes completed requests one after the other; of none it is empty.
+func encodeCompleted(requests []CompletedRequest) []byte {
+	var b []byte
+	for _, c := range requests {
+		b = appendCompleted(b, c)
+	}
+	return b
+}
+
+// appendCompleted appends the encoding of a completed request to b: the length of the id as a uvarint,
+// the id, and milliseconds since 1970 as a varint.
+func appendCompleted(b []byte, c CompletedRequest) []byte {
+	b = binary.AppendUvarint(b, uint64(len(c.ID)))
+	b = append(b, c.ID...)
+	return binary.AppendVarint(b, c.At.Milliseconds())
+}
+
+// readCompleted decodes what encodeCompleted returned. Of a malformed body it returns nothing.
+func readCompleted(raw []byte) ([]CompletedRequest, error) {
+	var requests []CompletedRequest
+	for len(raw) > 0 {
+		length, n := binary.Uvarint(raw)
+		if n <= 0 || length > uint64(len(raw)-n) {
+			return nil, errMalformedCompleted
+		}
+		raw = raw[n:]
+		id := string(raw[:length])
+		raw = raw[length:]
+
+		milliseconds, n := binary.Varint(raw)
+		if n <= 0 || milliseconds > maxMilliseconds || milliseconds < -maxMilliseconds {
+			return nil, errMalformedCompleted
+		}
+		raw = raw[n:]
+		requests = append(requests, CompletedRequest{ID: id, At: clock.FromMilliseconds(milliseconds)})
+	}
+	return requests, nil
+}
+
+// IsCompleted reports whether a request of this id was accepted and is completed, as far as that is
+// remembered.
+func (j *Journal) IsCompleted(id string) bool { return j.completed.ids[id] }
+
+// CompletedRequests returns the completed requests that are remembered, in order of completion.
+func (j *Journal) CompletedRequests() []CompletedRequest { return slices.Clone(j.completed.ordered) }
--- /dev/null
+++ b/internal/journal/completed_test.go
@@ -0,0 +1,129 @@
+package journal
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"frostlink/internal/clock"
+)
+
+// Completed requests are remembered through replay and compaction, in order, until they expire; one whose
+// time an earlier program did not write is not.
+func TestCompletedRequests_SurviveRestartUntilExpired(t *testing.T) {
+	dir, at := t.TempDir(), clock.FromMilliseconds(clock.New().Now().Milliseconds())
+	j := openJournal(t, dir, 3)
+	for i := range 5 {
+		e := &Entry{ID: fmt.Sprint("m", i)}
+		j.Accept(e)
+		j.Complete(e, at.Add(time.Duration(i)*time.Second))
+	}
+	old := &Entry{ID: "old"}
+	j.Accept(old)
+	j.note(record{Kind: kindCompleted, ID: "old"}) // as an earlier program, which wrote no time
+	commit(t, j)
+	for range 3 { // from the log, from its compaction, and from a compaction of that
+		j = openJournal(t, dir, 3)
+		completed := j.CompletedRequests()
+		if len(completed) != 5 || completed[0].ID != "m0" || completed[4].At != at.Add(4*time.Second) ||
+			!j.IsCompleted("m2") || j.IsCompleted("old") || j.IsCompleted("new") {
+			t.Fatalf("completed requests: %v", completed)
+		}
+	}
+	j.ExpireCompleted(at.Add(2 * time.Second))
+	if err := j.Compact(); err != nil {
+		t.Fatal(err)
+	}
+	if j = openJournal(t, dir, 3); j.IsCompleted("m1") || !j.IsCompleted("m2") || len(j.CompletedRequests()) != 3 {
+		t.Errorf("after expiry: %v", j.CompletedRequests())
+	}
+}
+
+// However many requests are completed, memory holds the latest maxCompleted and the file the latest for
+// which it has capacity, and requests are accepted as if there were none.
+func TestCompletedRequests_AreBounded(t *testing.T) {
+	const mb = 1
+	dir, at := t.TempDir(), clock.New().Now()
+	j := openJournal(t, dir, mb)
+	compactions, sizeBefore := 0, 0
+	for i := range maxCompleted + 100 {
+		e := &Entry{ID: fmt.Sprintf("%s%08d", strings.Repeat("i", 24), i)}
+		if !j.Reserve(e) {
+			t.Fatalf("request %d is rejected", i)
+		}
+		j.Accept(e)
+		j.Complete(e, at)
+		if i%64 == 0 {
+			commit(t, j)
+		}
+		if j.fileSize < sizeBefore {
+			compactions++
+		}
+		if sizeBefore = j.fileSize; j.fileSize+j.liveSize > mb*1e6 {
+			t.Fatalf("%d bytes on disk with %d live", j.fileSize, j.liveSize)
+		}
+	}
+	commit(t, j)
+	if len(j.CompletedRequests()) != maxCompleted || len(j.completed.ids) != maxCompleted {
+		t.Errorf("%d completed requests in memory, %d ids", len(j.CompletedRequests()), len(j.completed.ids))
+	}
+	if compactions > 60 {
+		t.Errorf("%d compactions", compactions)
+	}
+	if err := j.Compact(); err != nil {
+		t.Fatal(err)
+	}
+	last := j.CompletedRequests()[maxCompleted-1]
+	reopened := openJournal(t, dir, mb)
+	n := len(reopened.CompletedRequests())
+	capacity := completedFraction * usableFraction * mb * 1e6
+	if n < int(capacity)/50 || n > int(capacity)/32 || !reopened.IsCompleted(last.ID) {
+		t.Errorf("%d completed requests read from a capacity of %.0f bytes", n, capacity)
+	}
+}
+
+// A malformed record of completed requests loses these and nothing else.
+func TestReplay_SkipsMalformedCompletedRequests(t *testing.T) {
+	dir := t.TempDir()
+	raw := appendRecord(nil, record{Kind: kindCompletedRequests, Body: []byte{200, 'x'}})
+	raw = appendRecord(raw, record{Kind: kindAccepted, Entry: &Entry{ID: "a"}})
+	if err := os.WriteFile(filepath.Join(dir, Name), raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if j := openJournal(t, dir, 3); len(j.CompletedRequests()) != 0 || j.Get("a") == nil {
+		t.Errorf("completed requests %v, entry %v", j.CompletedRequests(), j.Get("a"))
+	}
+}
+
+// What readCompleted accepts it reads in the same way again when encoded, in no more bytes.
+func FuzzReadCompleted(f *testing.F) {
+	f.Add(encodeCompleted([]CompletedRequest{
+		{ID: "9b1f03aa5c7e2d41", At: clock.FromMilliseconds(1764625871000)},
+		{ID: "", At: clock.FromMilliseconds(-1)},
+	}))
+	f.Add([]byte{200, 'x'})
+	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		completed, err := readCompleted(raw)
+		if err != nil {
+			return
+		}
+		b := encodeCompleted(completed)
+		again, err := readCompleted(b)
+		if err != nil || len(again) != len(completed) {
+			t.Fatalf("%v read again as %v, %v", completed, again, err)
+		}
+		for i := range completed {
+			if again[i].ID != completed[i].ID || again[i].At != completed[i].At {
+				t.Fatalf("%v read again as %v", completed[i], again[i])
+			}
+		}
+		if len(b) > len(raw) || len(b) == len(raw) && !bytes.Equal(b, raw) {
+			t.Fatalf("%x written again as %x", raw, b)
+		}
+	})
+}
--- /dev/null
+++ b/internal/journal/dead_letter_test.go
@@ -0,0 +1,46 @@
+package journal
+
+import (
+	"testing"
+
+	"frostlink/internal/deadletter"
+)
+
+// The highest arrival, the store's name and the deliveries of which it is still to be notified survive
+// restarts, until a process runs without a store.
+func TestStore_SurvivesRestart(t *testing.T) {
+	dir := t.TempDir()
+	open := func(detailed bool) *Journal {
+		t.Helper()
+		j, err := Open(dir, 3, detailed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = j.Close() })
+		return j
+	}
+	j := open(true)
+	completed := &Entry{ID: "a", Class: "status", Subject: "k-1", Order: &deadletter.Order{Whole: 4, Arrival: 900}}
+	delivered := &Entry{ID: "b", Class: "status", Subject: "k-1", Order: &deadletter.Order{Whole: 5, Arrival: 800}}
+	j.SetStore("store")
+	j.Accept(completed)
+	j.Complete(completed, j.Timeline().Now())
+	j.Accept(delivered)
+	j.MarkDelivered(delivered)
+	if err := j.Commit(); err != nil {
+		t.Fatal(err)
+	}
+	for range 2 { // as written, and as compacted
+		j = open(true)
+		e := j.Get("b")
+		if j.lastArrival != 900 || j.store != "store" || e == nil || !e.Delivered || e.Subject != "k-1" || *e.Order != *delivered.Order {
+			t.Errorf("last arrival %d, store %q, %+v", j.lastArrival, j.store, e)
+		}
+	}
+	if j = open(false); j.store != "" {
+		t.Errorf("a process without a store leaves %q", j.store)
+	}
+	if j = open(true); j.store != "" || j.lastArrival != 900 {
+		t.Errorf("after it: store %q, last arrival %d", j.store, j.lastArrival)
+	}
+}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -29,42 +29,45 @@
 	}
 }
 
-// fill notes three messages: one over, one tried twice, one that owes a notice.
+// fill notes three requests: one completed, one with two attempts, one with a pending notice.
 func fill(t *testing.T, j *Journal, at clock.Instant) {
 	t.Helper()
-	for _, id := range []string{"over", "tried", "owing"} {
-		j.Accept(&Entry{ID: id, Class: "order", Destination: 7, IdempotencyKey: "k", Deadline: at.Add(time.Minute), Body: []byte("body\x00" + id)})
+	for _, id := range []string{"completed", "attempted", "pending"} {
+		j.Accept(&Entry{
+			ID: id, Class: "order", Destination: 7, IdempotencyKey: "k", Deadline: at.Add(time.Minute),
+			Body: []byte("body\x00" + id),
+		})
 	}
 	commit(t, j)
-	j.Complete(j.Get("over"), at)
-	e := j.Get("tried")
+	j.Complete(j.Get("completed"), at)
+	e := j.Get("attempted")
 	j.BeginAttempt(e, "h1", at)
 	j.EndAttempt(e, true, "", 0)
 	j.BeginAttempt(e, "h2", at.Add(time.Second))
-	j.DecideOutcome(j.Get("owing"), notification.Notice{ID: "owing", Status: notification.Deferred, RetryAfterMS: 30}, "", 0)
+	j.DecideOutcome(j.Get("pending"), notification.Notice{ID: "pending", Status: notification.Deferred, RetryAfterMS: 30}, "", 0)
 	j.SetHealth("h2", Health{Unhealthy: true, At: at})
 	commit(t, j)
 }
 
-func TestJournalReplay(t *testing.T) {
+func TestOpen_ReplaysLogAndCompaction(t *testing.T) {
 	dir, at := t.TempDir(), clock.New().Now()
 	fill(t, openJournal(t, dir, 3), at)
-	for range 2 { // from the log, and from its compaction
+	for range 2 { // from the log, and from the compaction of the first Open
 		j := openJournal(t, dir, 3)
 		list := j.Entries()
-		if len(list) != 2 || list[0].ID != "tried" || list[1].ID != "owing" {
+		if len(list) != 2 || list[0].ID != "attempted" || list[1].ID != "pending" {
 			t.Fatalf("entries: %v", list)
 		}
 		e := list[0]
 		if e.Class != "order" || e.Destination != 7 || e.IdempotencyKey != "k" || e.Deadline != at.Add(time.Minute) ||
-			!bytes.Equal(e.Body, []byte("body\x00tried")) {
+			!bytes.Equal(e.Body, []byte("body\x00attempted")) {
 			t.Errorf("entry: %+v", e)
 		}
 		if len(e.Attempts) != 2 || !e.Attempts[0].NotExecuted || e.Attempts[1].Ended || e.Attempts[1].Endpoint != "h2" ||
 			e.Attempts[1].StartedAt != at.Add(time.Second) {
 			t.Errorf("attempts: %+v", e.Attempts)
 		}
-		if n := list[1].PendingNotice; n == nil || *n != (notification.Notice{ID: "owing", Status: notification.Deferred, RetryAfterMS: 30}) {
+		if n := list[1].PendingNotice; n == nil || *n != (notification.Notice{ID: "pending", Status: notification.Deferred, RetryAfterMS: 30}) {
 			t.Errorf("notice: %v", n)
 		}
 		if h := j.Health()["h2"]; !h.Unhealthy || h.At != at {
@@ -73,20 +76,21 @@
 	}
 }
 
-// A file that ends anywhere, or in noise, gives all whole records before that.
-func TestJournalTornTail(t *testing.T) {
+// Of a file that is cut or damaged at any byte all complete records before that are read, and later
+// records are appended behind them.
+func TestOpen_SkipsCorruptTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "a", Body: []byte("1")})
 	commit(t, j)
-	whole := j.size
+	firstSize := j.fileSize
 	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
 	raw, err := os.ReadFile(filepath.Join(dir, Name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := whole; end <= len(raw); end++ {
+	for end := firstSize; end <= len(raw); end++ {
 		damaged := [][]byte{raw[:end]}
 		if end < len(raw) {
 			noise := bytes.Clone(raw)
@@ -106,56 +110,56 @@
 			if list := j.Entries(); len(list) != want || list[0].ID != "a" {
 				t.Fatalf("cut %d at byte %d: %d entries, want %d", i, end, len(list), want)
 			}
-			// What is noted after it is found again.
 			j.Accept(&Entry{ID: "c"})
 			commit(t, j)
-			if again := openJournal(t, other, 3); again.Get("c") == nil {
-				t.Fatalf("cut %d at byte %d: what came later is lost", i, end)
+			if reopened := openJournal(t, other, 3); reopened.Get("c") == nil {
+				t.Fatalf("cut %d at byte %d: a later record is lost", i, end)
 			}
 		}
 	}
 }
 
-// Bodies of the largest size never fill the folder beyond its limit, a compaction's new file counted in.
-func TestJournalStaysUnderDiskLimit(t *testing.T) {
+// Requests with the largest bodies never fill the folder beyond its limit, a compaction's new file
+// included.
+func TestCommit_StaysUnderDiskLimit(t *testing.T) {
 	const mb = 1
 	dir := t.TempDir()
 	j := openJournal(t, dir, mb)
-	refused := 0
+	rejected := 0
 	for i := range 100 {
 		e := &Entry{ID: fmt.Sprint("m", i), Body: make([]byte, 64<<10)}
 		if !j.Reserve(e) {
-			refused++
+			rejected++
 			j.Complete(j.Entries()[0], j.Timeline().Now())
 			commit(t, j)
 			continue
 		}
 		j.Accept(e)
 		for range 12 {
-			j.BeginAttempt(e, "a-host-with-a-rather-long-name", j.Timeline().Now())
+			j.BeginAttempt(e, "endpoint-with-a-rather-long-id", j.Timeline().Now())
 			j.EndAttempt(e, true, "", 0)
 		}
 		commit(t, j)
-		// At worst both the old file and a new one with all that is live.
-		if j.size+j.live > mb*1e6 {
-			t.Fatalf("%d bytes on disk with %d live", j.size, j.live)
+		// During a compaction the old file stands beside a new one with all that is live.
+		if j.fileSize+j.liveSize > mb*1e6 {
+			t.Fatalf("%d bytes on disk with %d live", j.fileSize, j.liveSize)
 		}
-		if st, err := os.Stat(j.path); err != nil || int(st.Size()) != j.size {
-			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.size)
+		if st, err := os.Stat(j.path); err != nil || int(st.Size()) != j.fileSize {
+			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.fileSize)
 		}
 	}
-	if refused == 0 {
-		t.Error("nothing was refused")
+	if rejected == 0 {
+		t.Error("nothing was rejected")
 	}
 }
 
-// Messages of one batch are counted before they are written.
-func TestJournalReserves(t *testing.T) {
+// Requests are counted against the limit before their records are committed.
+func TestReserve_CountsUncommittedRequests(t *testing.T) {
 	j := openJournal(t, t.TempDir(), 1)
 	n := 0
 	for j.Reserve(&Entry{ID: "m", Body: make([]byte, 64<<10)}) {
 		if n++; n > 100 {
-			t.Fatal("no end")
+			t.Fatal("no limit")
 		}
 	}
 	if n == 0 || 2*n*64<<10 > 1e6 {
@@ -163,8 +167,8 @@
 	}
 }
 
-// After a failed write nothing is taken on until a new file could be written, and that holds all.
-func TestJournalFailedWrite(t *testing.T) {
+// After a failed commit no request is accepted until a new file was written, which holds all.
+func TestCommit_RewritesFileAfterFailure(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	j.Accept(&Entry{ID: "a"})
@@ -172,17 +176,17 @@
 	_ = j.file.Close()
 	j.Accept(&Entry{ID: "b"})
 	if j.Commit() == nil || j.Reserve(&Entry{ID: "c"}) {
-		t.Error("a failed write went unnoticed")
+		t.Error("a failed write is not reported")
 	}
 	commit(t, j)
-	if again := openJournal(t, dir, 3); len(again.Entries()) != 2 {
-		t.Errorf("entries after the mend: %d", len(again.Entries()))
+	if reopened := openJournal(t, dir, 3); len(reopened.Entries()) != 2 {
+		t.Errorf("%d entries after the next commit", len(reopened.Entries()))
 	}
 }
 
-// The timeline of a journal goes on from process to process; a file of a program before there was one is read as it is, and says
-// that nothing is known of the time since.
-func TestTimelineOutlastsTheProcess(t *testing.T) {
+// The timeline of a journal continues from process to process. An unanchored file is read as it is, and
+// no time counts as passed since.
+func TestTimeline_ContinuesAcrossProcesses(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	if j.Timeline().SameBoot() {
@@ -198,9 +202,9 @@
 	}
 
 	ahead := clock.New().Now().Add(time.Hour) // the wall clock was an hour ahead when this was written
-	old := appendRecord(nil, record{Op: opTaken, Entry: &Entry{ID: "a", Deadline: ahead.Add(time.Minute)}}, nil)
-	old = appendRecord(old, record{Op: opBegun, ID: "a", Host: "h", At: ahead}, nil)
-	if err := os.WriteFile(filepath.Join(dir, Name), old, 0o600); err != nil {
+	unanchored := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "a", Deadline: ahead.Add(time.Minute)}})
+	unanchored = appendRecord(unanchored, record{Kind: kindAttemptStarted, ID: "a", Endpoint: "h", At: ahead})
+	if err := os.WriteFile(filepath.Join(dir, Name), unanchored, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j = openJournal(t, dir, 3)
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"hash/crc32"
 	"slices"
@@ -14,79 +13,92 @@
 	"frostlink/policy"
 )
 
-// This file is the form of the journal's file: records one behind the other, each a header, JSON and a body.
-
-// recordHead is the length of a record's header: lengths of its two parts and their checksum.
-const recordHead = 12
+// Layout of a record's header, see "File format" in the package's documentation.
+const (
+	lengthsSize = 8               // two lengths, which the checksum covers
+	headerSize  = lengthsSize + 4 // and the checksum
+)
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one line of the journal. Times in it are instants of the relay's timeline, which its first record anchors; programs
-// before that record wrote times of the wall clock in the same form.
-type record struct {
-	Op     string                  `json:"op"`
-	Entry  *Entry                  `json:"entry,omitempty"`
-	ID     string                  `json:"id,omitempty"`
-	Host   string                  `json:"host,omitempty"`
-	At     clock.Instant           `json:"at,omitzero"`
-	Unrun  bool                    `json:"unrun,omitempty"`
-	Why    string                  `json:"why,omitempty"` // an attempt's outcome, or the reason of a message's end
-	Notice *notification.Notice    `json:"notice,omitempty"`
-	Health *Health                 `json:"health,omitempty"`
-	List   *discovery.EndpointList `json:"list,omitempty"`
-	From   string                  `json:"from,omitempty"` // the discovery that told List, or the store's name
-	Count  int64                   `json:"count,omitempty"`
-	Terms  *policy.Class           `json:"terms,omitempty"` // number Count
-	Anchor *clock.Anchor           `json:"anchor,omitempty"`
-}
+// recordKind is the kind of a record as stored.
+type recordKind string
 
-// The kinds of record.
+// The kinds of record, as in the table of the package's documentation.
 const (
-	opTaken  = "taken"
-	opBegun  = "begun"
-	opEnded  = "ended"
-	opOwed   = "owed"
-	opOver   = "over"
-	opHealth = "health"
-	opList   = "list"
-	opDone   = "done"   // delivered, and the store is to know
-	opTerms  = "terms"  // of a class, as some messages were taken on
-	opPast   = "past"   // messages that are over, in the body
-	opAnchor = "anchor" // of the timeline that all instants are of
-	opStore  = "store"  // which store knows all that was delivered, and the count of arrivals
+	kindAnchor            recordKind = "anchor"
+	kindTerms             recordKind = "terms"
+	kindAccepted          recordKind = "taken"
+	kindAttemptStarted    recordKind = "begun"
+	kindAttemptEnded      recordKind = "ended"
+	kindDelivered         recordKind = "done"
+	kindOutcomeDecided    recordKind = "owed"
+	kindCompleted         recordKind = "over"
+	kindCompletedRequests recordKind = "past"
+	kindEndpoints         recordKind = "list"
+	kindStore             recordKind = "store"
+	kindHealth            recordKind = "health"
 )
 
-// appendRecord adds a record to b: header, JSON, body.
-func appendRecord(b []byte, r record, body []byte) []byte {
+// record is one change of state. Which fields are set depends on its kind.
+type record struct {
+	Kind        recordKind              `json:"op"`
+	Entry       *Entry                  `json:"entry,omitempty"`
+	ID          string                  `json:"id,omitempty"`
+	Endpoint    string                  `json:"host,omitempty"`
+	At          clock.Instant           `json:"at,omitzero"`
+	NotExecuted bool                    `json:"unrun,omitempty"`
+	Reason      string                  `json:"why,omitempty"` // an attempt's outcome, or the reason of a terminal one
+	Notice      *notification.Notice    `json:"notice,omitempty"`
+	Health      *Health                 `json:"health,omitempty"`
+	Endpoints   *discovery.EndpointList `json:"list,omitempty"`
+	Source      string                  `json:"from,omitempty"`  // the discovery of Endpoints, or the store's name
+	Count       int64                   `json:"count,omitempty"` // the number of Terms, or the highest arrival
+	Terms       *policy.Class           `json:"terms,omitempty"`
+	Anchor      *clock.Anchor           `json:"anchor,omitempty"`
+
+	// Body follows the JSON part.
+	Body []byte `json:"-"`
+}
+
+// appendRecord appends the encoding of a record to b.
+func appendRecord(b []byte, r record) []byte {
 	text, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // no record that we write can fail
+		panic(err) // its types encode without errors
 	}
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	b = append(b, 0, 0, 0, 0)
-	b = append(append(b, text...), body...)
-	sum := crc32.Update(crc32.Checksum(b[start:start+8], castagnoli), castagnoli, b[start+recordHead:])
-	binary.BigEndian.PutUint32(b[start+8:], sum)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(r.Body)))
+	b = append(b, 0, 0, 0, 0) // the checksum, once the rest stands
+	b = append(b, text...)
+	b = append(b, r.Body...)
+	binary.BigEndian.PutUint32(b[start+lengthsSize:], checksum(b[start:]))
 	return b
 }
 
-// readRecord reads the first record of raw and returns its length.
-func readRecord(raw []byte) (r record, body []byte, n int, err error) {
-	if len(raw) < recordHead {
-		return r, nil, 0, errors.New("torn header")
+// readRecord decodes the first record of raw, and returns its size there.
+func readRecord(raw []byte) (r record, size int, err error) {
+	if len(raw) < headerSize {
+		return record{}, 0, ErrTruncatedHeader
 	}
-	text, rest := int(binary.BigEndian.Uint32(raw)), int(binary.BigEndian.Uint32(raw[4:]))
-	if n = recordHead + text + rest; n > len(raw) {
-		return r, nil, 0, errors.New("torn record")
+	bodyStart := headerSize + int(binary.BigEndian.Uint32(raw))
+	size = bodyStart + int(binary.BigEndian.Uint32(raw[4:]))
+	if size > len(raw) {
+		return record{}, 0, ErrTruncatedRecord
 	}
-	sum := crc32.Update(crc32.Checksum(raw[:8], castagnoli), castagnoli, raw[recordHead:n])
-	if sum != binary.BigEndian.Uint32(raw[8:]) {
-		return r, nil, 0, errors.New("bad checksum")
+	if checksum(raw[:size]) != binary.BigEndian.Uint32(raw[lengthsSize:]) {
+		return record{}, 0, ErrChecksumMismatch
 	}
-	if err = json.Unmarshal(raw[recordHead:recordHead+text], &r); err != nil {
-		return r, nil, 0, fmt.Errorf("record: %w", err)
+	if err := json.Unmarshal(raw[headerSize:bodyStart], &r); err != nil {
+		return record{}, 0, fmt.Errorf("decode record: %w", err)
 	}
-	return r, slices.Clone(raw[recordHead+text : n]), n, nil
+	r.Body = slices.Clone(raw[bodyStart:size])
+	return r, size, nil
+}
+
+// checksum returns the checksum of an encoded record, of all its bytes but those of the checksum.
+func checksum(encoded []byte) uint32 {
+	sum := crc32.Checksum(encoded[:lengthsSize], castagnoli)
+	return crc32.Update(sum, castagnoli, encoded[headerSize:])
 }
