--- /dev/null
+++ b/internal/handover/acquire.go
@@ -0,0 +1,228 @@
+package handover
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"frostlink/internal/logkey"
+	"frostlink/internal/wait"
+)
+
+// askInterval is the pause before the folder's owner is asked again.
+const askInterval = 20 * time.Millisecond
+
+// Recipient is the relay of the successor.
+type Recipient interface {
+	// Start starts from the journal: no other process owned the folder.
+	Start() error
+	// Prepare reads the journal, which it must not change, and makes ready to serve with a state.
+	Prepare(state json.RawMessage) error
+	// Discard drops what was prepared: the predecessor did not hand over after all.
+	Discard()
+	// Acquire makes the journal ready to be written. It is called when this process has become the owner.
+	Acquire() error
+	// Serve begins, with the connections that were passed.
+	Serve(conns []Conn) error
+}
+
+// acquisition is a process's attempt to become the owner of a folder.
+type acquisition struct {
+	dir     string
+	relay   Recipient
+	machine successor
+	owner   *Owner
+	link    *link // nil while there is none
+
+	state json.RawMessage // as offered
+	batch []Conn          // received last
+	conns []Conn          // of all batches
+	err   error           // why this process can't go on
+
+	loggedWaiting bool   // that another process holds the folder
+	loggedError   string // why the folder could not be locked last
+}
+
+// Acquire locks a folder that no process owns, or takes over from its owner. It returns once the relay
+// serves, and tries until ctx ends.
+func Acquire(ctx context.Context, dir string, relay Recipient) (*Owner, error) {
+	a := &acquisition{dir: dir, relay: relay, owner: &Owner{dir: dir}}
+	actions := []action{actionAsk}
+	for {
+		next, serving, err := a.perform(ctx, actions)
+		if err != nil {
+			return nil, err
+		}
+		if serving {
+			return a.owner, nil
+		}
+		if ctx.Err() != nil && !a.machine.owns() {
+			a.closeLink()
+			return nil, fmt.Errorf("handover: %w", ctx.Err())
+		}
+		actions = a.machine.handle(next)
+		if a.err != nil && a.machine.owns() {
+			return nil, a.err
+		}
+	}
+}
+
+// perform carries out actions in order. It returns what came of the last step among them, or that the
+// relay serves.
+func (a *acquisition) perform(ctx context.Context, actions []action) (next event, serving bool, err error) {
+	for _, do := range actions {
+		switch do {
+		case actionFail:
+			return eventNone, false, a.err
+		case actionStart:
+			return eventNone, true, a.relay.Start()
+		case actionDiscard:
+			a.relay.Discard()
+			a.closeLink()
+		case actionServe:
+			go a.link.closeAtEnd() // open to the end of this process, so that the predecessor learns of it
+			return eventNone, true, a.relay.Serve(a.conns)
+		default:
+			next = a.step(ctx, do)
+		}
+	}
+	return next, false, nil
+}
+
+// step carries out an action that has a result.
+func (a *acquisition) step(ctx context.Context, do action) event {
+	switch do {
+	case actionAsk:
+		return a.ask(ctx)
+	case actionPrepare:
+		return a.prepare()
+	case actionReportReady:
+		return a.reportReady()
+	case actionAcquireJournal:
+		return a.acquireJournal()
+	case actionAcceptBatch:
+		a.conns = append(a.conns, a.batch...)
+		a.batch = nil
+		return a.receiveBatch()
+	default:
+		panic(fmt.Sprintf("handover: action %d is no step of the successor", do))
+	}
+}
+
+// ask locks the folder if it is free, or has its owner offer its state.
+func (a *acquisition) ask(ctx context.Context) event {
+	lock, err := lockFolder(a.dir)
+	if err == nil {
+		a.owner.lock = lock
+		a.err = a.owner.startListening()
+		return eventLockFree
+	}
+	a.logLockFailure(err)
+	if err := a.requestOffer(); err == nil {
+		return eventStateOffered
+	}
+	a.closeLink()
+	wait.For(ctx, askInterval)
+	return eventPeerGone
+}
+
+// logLockFailure logs each reason once, not with each attempt.
+func (a *acquisition) logLockFailure(err error) {
+	switch {
+	case !errors.Is(err, errFolderLocked):
+		if a.loggedError != err.Error() {
+			a.loggedError = err.Error()
+			slog.Error("folder can't be locked yet", logkey.Err, err)
+		}
+	case !a.loggedWaiting:
+		a.loggedWaiting = true
+		slog.Info("another process holds the folder: it is asked to hand over")
+	}
+}
+
+// requestOffer sends a hello to the folder's owner, and waits for its state.
+func (a *acquisition) requestOffer() error {
+	var err error
+	if a.link, err = dial(a.dir); err != nil {
+		return err
+	}
+	if err := a.link.send(frameHello, encode(hello{Version})); err != nil {
+		return err
+	}
+	state, last, err := a.link.receiveLong(frameState, time.Now().Add(offerTimeout))
+	if err != nil {
+		return err
+	}
+	if last.kind != frameOffer {
+		return &unexpectedFrameError{got: last.kind, want: frameOffer}
+	}
+	a.state = state
+	return nil
+}
+
+func (a *acquisition) prepare() event {
+	if a.err = a.relay.Prepare(a.state); a.err != nil {
+		a.closeLink() // the predecessor resumes
+		return eventPrepareFailed
+	}
+	return eventPrepared
+}
+
+// reportReady waits for the lock or the end of the link, however late.
+func (a *acquisition) reportReady() event {
+	if a.link.send(frameReady, nil) != nil {
+		return eventPeerGone
+	}
+	f, err := a.link.receive(time.Time{})
+	if err != nil || f.kind != frameLock || len(f.files) != 1 {
+		return eventPeerGone
+	}
+	a.owner.lock = &folderLock{f.files[0]}
+	return eventLockTransferred
+}
+
+func (a *acquisition) acquireJournal() event {
+	if a.err = errors.Join(a.owner.startListening(), a.relay.Acquire()); a.err != nil {
+		return eventPeerGone
+	}
+	return a.receiveBatch()
+}
+
+// receiveBatch acknowledges what has come so far and waits for the next batch.
+func (a *acquisition) receiveBatch() event {
+	batch, done, err := a.nextBatch()
+	switch {
+	case err != nil:
+		slog.Warn("connections lost in hand-over", logkey.Err, err, logkey.Connections, len(a.conns))
+		return eventPeerGone
+	case done:
+		return eventAllReceived
+	}
+	a.batch = batch
+	return eventBatchReceived
+}
+
+func (a *acquisition) nextBatch() (batch []Conn, done bool, err error) {
+	if err := a.link.send(frameAcknowledged, nil); err != nil {
+		return nil, false, err
+	}
+	body, last, err := a.link.receiveLong(frameConns, time.Now().Add(ackTimeout))
+	if err != nil {
+		return nil, false, err
+	}
+	if last.kind == frameDone {
+		return nil, true, nil
+	}
+	batch, err = decodeBatch(body, last.files)
+	return batch, false, err
+}
+
+func (a *acquisition) closeLink() {
+	if a.link != nil {
+		a.link.close()
+		a.link = nil
+	}
+}
--- /dev/null
+++ b/internal/handover/conn.go
@@ -0,0 +1,100 @@
+package handover
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+
+	"frostlink/internal/clock"
+	"frostlink/internal/logkey"
+)
+
+// ConnKind is what a passed connection is used for.
+type ConnKind string
+
+// The kinds of connection.
+const (
+	ClientConn       ConnKind = "client" // a client's: idle, or with a part of a request read
+	AttemptConn      ConnKind = "call"   // to an endpoint, with an attempt in flight
+	IdleEndpointConn ConnKind = "host"   // to an endpoint, idle
+)
+
+// Conn is a connection that is passed.
+type Conn struct {
+	Kind ConnKind `json:"kind"`
+	// Buffered is what was read of a request or a response that is not complete yet.
+	Buffered []byte `json:"read,omitempty"`
+	// Unused: nothing was ever read from a client's connection.
+	Unused bool `json:"fresh,omitempty"`
+	// Endpoint and Addr are set on idle connections to endpoints.
+	Endpoint string `json:"host,omitempty"`
+	Addr     string `json:"addr,omitempty"`
+	// ID is the id of the request of an attempt.
+	ID string `json:"id,omitempty"`
+	// Since is when the connection became idle, or the attempt began.
+	Since clock.Instant `json:"since,omitzero"`
+
+	// Conn travels as a descriptor.
+	Conn *net.TCPConn `json:"-"`
+}
+
+// decodeBatch joins a batch's list with its descriptors. A descriptor that is no TCP connection loses
+// its own entry alone.
+func decodeBatch(body []byte, files []*os.File) ([]Conn, error) {
+	var batch []Conn
+	err := json.Unmarshal(body, &batch)
+	if err == nil && len(batch) != len(files) {
+		err = errDescriptorCount
+	}
+	if err != nil {
+		for _, f := range files {
+			_ = f.Close()
+		}
+		return nil, fmt.Errorf("handover: %d connections with %d descriptors: %w", len(batch), len(files), err)
+	}
+	received := batch[:0]
+	for i, c := range batch {
+		c.Conn, err = tcpConn(files[i])
+		if err != nil {
+			slog.Warn("descriptor in hand-over is no connection", logkey.Err, err)
+			continue
+		}
+		received = append(received, c)
+	}
+	return received, nil
+}
+
+// tcpConn returns the connection of a descriptor, and closes the file.
+func tcpConn(f *os.File) (*net.TCPConn, error) {
+	defer func() { _ = f.Close() }() // FileConn has made a duplicate
+	conn, err := net.FileConn(f)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		_ = conn.Close()
+		return nil, errNotTCP
+	}
+	return tcp, nil
+}
+
+// duplicate returns another descriptor of a connection's socket, which the caller closes. The socket
+// stays open when the connection is closed.
+func duplicate(c syscall.Conn) (fd int, err error) {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return -1, fmt.Errorf("handover: %w", err)
+	}
+	controlErr := raw.Control(func(old uintptr) { fd, err = unix.FcntlInt(old, unix.F_DUPFD_CLOEXEC, 0) })
+	if err := errors.Join(controlErr, err); err != nil {
+		return -1, fmt.Errorf("handover: duplicate descriptor: %w", err)
+	}
+	return fd, nil
+}
--- /dev/null
+++ b/internal/handover/transfer.go
@@ -0,0 +1,224 @@
+package handover
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"frostlink/internal/logkey"
+)
+
+// Keys of log attributes that only hand-overs have.
+const (
+	logTook  = "took" // how long the relay stood still
+	logTotal = "of"   // connections that were to be passed
+)
+
+// Source is the relay of the predecessor.
+type Source interface {
+	// Quiesce brings the relay to a stop and makes its state durable. It returns the state that is not in
+	// the journal, which is sent as JSON, and the connections to pass.
+	Quiesce(ctx context.Context) (state any, conns []Conn, err error)
+	// Resume undoes Quiesce, also one that failed.
+	Resume()
+	// Released is called just before another process owns the relay. All that still runs has to end.
+	Released()
+}
+
+// transfer is one hand-ended to a successor, as the predecessor carries it out.
+type transfer struct {
+	owner *Owner
+	link  *link
+	relay Source
+
+	state  any
+	conns  []Conn
+	passed int   // how many of conns the successor has acknowledged
+	err    error // of the last step
+}
+
+// run carries out the actions of the state machine, and gives it their results, until ownership has
+// ended with an outcome, or this process owns the relay again (ended is false).
+func (t *transfer) run(stop <-chan struct{}) (outcome Outcome, ended bool) {
+	defer t.link.close()
+	started := time.Now()
+	machine := &t.owner.machine
+	actions := machine.handle(eventHelloReceived)
+	for {
+		next, outcome, ended := t.perform(actions, started)
+		if ended {
+			return outcome, true
+		}
+		if next == eventNone && machine.owns() {
+			return 0, false
+		}
+		select {
+		case <-stop:
+			stop = nil
+			if actions = machine.handle(eventStopRequested); len(actions) > 0 {
+				continue
+			}
+		default:
+		}
+		if next == eventNone {
+			slog.Info("handed over", logTook, time.Since(started),
+				logkey.Connections, t.passed, logTotal, len(t.conns), logkey.Err, t.err)
+			next = t.awaitEnd(stop)
+		}
+		actions = machine.handle(next)
+	}
+}
+
+// perform carries out actions in order. It returns what came of the last step among them, eventNone
+// where there is none; or, where an action ends ownership, its outcome.
+func (t *transfer) perform(actions []action, started time.Time) (next event, outcome Outcome, ended bool) {
+	for _, a := range actions {
+		switch a {
+		case actionExit:
+			return eventNone, HandedOver, true
+		case actionShutDown:
+			return eventNone, Ended, true
+		case actionReclaim:
+			slog.Warn("successor died")
+			return eventNone, SuccessorDied, true
+		case actionRejectPeer:
+			slog.Warn("not handed over", logkey.Err, t.err, logTook, time.Since(started))
+			t.link.close()
+		case actionResume:
+			t.relay.Resume()
+		default:
+			next = t.step(a)
+		}
+	}
+	return next, 0, false
+}
+
+// step carries out an action that has a result.
+func (t *transfer) step(a action) event {
+	switch a {
+	case actionQuiesce:
+		return t.quiesce()
+	case actionOfferState:
+		return t.offerState()
+	case actionTransferLock:
+		return t.transferLock()
+	case actionPassBatch:
+		return t.passBatch()
+	default:
+		panic(fmt.Sprintf("handover: action %d is no step of the predecessor", a))
+	}
+}
+
+func (t *transfer) quiesce() event {
+	ctx, cancel := context.WithTimeout(context.Background(), quiesceTimeout)
+	defer cancel()
+	if t.state, t.conns, t.err = t.relay.Quiesce(ctx); t.err != nil {
+		return eventQuiesceFailed
+	}
+	return eventQuiesced
+}
+
+func (t *transfer) offerState() event {
+	if t.err = t.link.sendLong(frameState, frameOffer, encode(t.state)); t.err != nil {
+		return eventPeerGone
+	}
+	return t.await(frameReady, prepareTimeout, eventPeerReady)
+}
+
+// transferLock passes ownership. The relay is released before: once the lock is sent the successor may
+// act at any moment.
+func (t *transfer) transferLock() event {
+	t.relay.Released()
+	if t.err = t.link.send(frameLock, nil, int(t.owner.lock.file.Fd())); t.err != nil {
+		return eventPeerGone
+	}
+	return t.await(frameAcknowledged, ackTimeout, eventBatchAcknowledged)
+}
+
+func (t *transfer) passBatch() event {
+	t.dropLock()
+	if t.passed == len(t.conns) {
+		t.err = t.link.send(frameDone, nil)
+		return eventAllPassed
+	}
+	batch := t.conns[t.passed:min(t.passed+maxFrameFiles, len(t.conns))]
+	if t.err = t.sendBatch(batch); t.err != nil {
+		return eventPeerGone
+	}
+	result := t.await(frameAcknowledged, ackTimeout, eventBatchAcknowledged)
+	if result == eventBatchAcknowledged {
+		t.passed += len(batch)
+		closeConns(batch)
+	}
+	return result
+}
+
+// dropLock closes this process's descriptor of the lock, which the successor has: if it dies the folder
+// is free.
+func (t *transfer) dropLock() {
+	t.owner.lock.close()
+	t.owner.lock = nil
+}
+
+// sendBatch sends connections with their descriptors.
+func (t *transfer) sendBatch(batch []Conn) error {
+	var fds []int
+	defer func() {
+		for _, fd := range fds {
+			_ = unix.Close(fd) // a duplicate: the successor has its own by now
+		}
+	}()
+	for _, c := range batch {
+		fd, err := duplicate(c.Conn)
+		if err != nil {
+			return err
+		}
+		fds = append(fds, fd)
+	}
+	return t.link.sendLong(frameConns, frameBatch, encode(batch), fds...)
+}
+
+// await waits for a frame, and returns success if it comes in time.
+func (t *transfer) await(want frameKind, timeout time.Duration, success event) event {
+	f, err := t.link.receive(time.Now().Add(timeout))
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		t.err = err
+		return eventTimedOut
+	case err != nil:
+		t.err = err
+		return eventPeerGone
+	case f.kind != want:
+		t.err = &unexpectedFrameError{got: f.kind, want: want}
+		return eventPeerGone
+	}
+	return success
+}
+
+// awaitEnd waits for what ends a process that has handed over. Connections that could not be passed are
+// closed.
+func (t *transfer) awaitEnd(stop <-chan struct{}) event {
+	closeConns(t.conns[t.passed:])
+	peerGone := make(chan struct{})
+	go func() {
+		defer close(peerGone)
+		t.link.closeAtEnd() // at the latest when run closes the link
+	}()
+	select {
+	case <-stop:
+		return eventStopRequested
+	case <-peerGone:
+		return eventPeerGone
+	}
+}
+
+func closeConns(conns []Conn) {
+	for _, c := range conns {
+		_ = c.Conn.Close() // the socket lives on where the successor has it
+	}
+}
