--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile names the boot of this machine: proc(5), /proc/sys/kernel/random/boot_id.
+// bootIDFile holds an id that is new with each boot (proc(5)).
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// SinceBoot is the time since the machine was started, including what it was suspended for (clock_gettime(2),
-// CLOCK_BOOTTIME). Nobody sets it, and all processes of the machine read the same.
+// SinceBoot returns the time since the machine was booted, suspends included (clock_gettime(2),
+// CLOCK_BOOTTIME). It can't be set, and all processes of the machine read the same.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -21,8 +21,8 @@
 	return time.Duration(t.Nano())
 }
 
-// bootID names this boot, or is empty where that can't be read.
-func bootID() string {
+// readBootID returns the id of this boot; empty where it can't be read.
+func readBootID() string {
 	raw, err := os.ReadFile(bootIDFile)
 	if err != nil {
 		return ""
--- a/internal/clock/lint_test.go
+++ b/internal/clock/lint_test.go
@@ -12,13 +12,15 @@
 	"testing"
 )
 
-// root is the module's.
-const root = "../.."
+// moduleRoot is the module's root folder.
+const moduleRoot = "../.."
 
-// wallOnly are the methods and functions of package time whose result or argument is wall time without a monotonic reading.
+// wallOnly are the methods and functions of package time whose result or argument is wall time without
+// a monotonic reading.
 var wallOnly = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
-// allowed are the uses of wall time outside this package, each by the file and what is used there, with its reason.
+// allowed are the uses of wall time outside of this package with their reasons. A use is a file, a
+// colon, and what is used there.
 var allowed = map[string]string{
 	"cmd/frostlinkctl/follow.go: UnixMilli":         "a date of a log, shown to people",
 	"cmd/frostlinkctl/lease.go: UnixMilli":          "a date of a record, shown to people",
@@ -30,49 +32,76 @@
 	"internal/deadletter/newest.go: time.Time json": "the same",
 }
 
-// findings gives the uses of wall time in a file, each as its path, a colon, and what is used.
-func findings(path string, file *ast.File) (found []string) {
-	add := func(what string) { found = append(found, filepath.ToSlash(path)+": "+what) }
-	called := map[ast.Node]bool{} // what stands as the function of a call
+// wallTimeUses returns the uses of wall time in a file.
+func wallTimeUses(path string, file *ast.File) (uses []string) {
+	add := func(what string) { uses = append(uses, filepath.ToSlash(path)+": "+what) }
+	calledFunctions := map[ast.Node]bool{}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.CallExpr:
-			called[n.Fun] = true
-			if s, ok := n.Fun.(*ast.SelectorExpr); ok && s.Sel.Name == "Round" && len(n.Args) == 1 {
-				if zero, ok := n.Args[0].(*ast.BasicLit); ok && zero.Value == "0" {
-					add("Round(0)")
-				}
+			calledFunctions[n.Fun] = true
+			if stripsMonotonicReading(n) {
+				add("Round(0)")
 			}
 		case *ast.SelectorExpr:
 			if slices.Contains(wallOnly, n.Sel.Name) {
 				add(n.Sel.Name)
 			}
-			if pkg, ok := n.X.(*ast.Ident); ok && pkg.Name == "time" && n.Sel.Name == "Now" && !called[n] {
-				add("time.Now") // as a value: whoever calls it may write the result down
+			if isTimeNow(n) && !calledFunctions[n] {
+				add("time.Now") // as a value: whoever calls it may store the result
 			}
 		case *ast.Field:
-			if s, ok := n.Type.(*ast.SelectorExpr); ok && s.Sel.Name == "Time" && n.Tag != nil && strings.Contains(n.Tag.Value, "json:") {
-				add("time.Time json") // it loses its monotonic reading on the way
+			if isJSONTime(n) {
+				add("time.Time json") // encoding strips its monotonic reading
 			}
 		}
 		return true
 	})
-	return found
+	return uses
 }
 
-// No package but this one reckons with the wall clock. The rehearsals' stand-ins are other machines, whose clocks are right.
-func TestWallClockIsReadHereOnly(t *testing.T) {
+// stripsMonotonicReading reports whether a call is t.Round(0).
+func stripsMonotonicReading(call *ast.CallExpr) bool {
+	function, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || function.Sel.Name != "Round" || len(call.Args) != 1 {
+		return false
+	}
+	argument, ok := call.Args[0].(*ast.BasicLit)
+	return ok && argument.Value == "0"
+}
+
+// isTimeNow reports whether an expression is time.Now.
+func isTimeNow(e *ast.SelectorExpr) bool {
+	pkg, ok := e.X.(*ast.Ident)
+	return ok && pkg.Name == "time" && e.Sel.Name == "Now"
+}
+
+// isJSONTime reports whether a struct's field is a time.Time that is encoded as JSON.
+func isJSONTime(f *ast.Field) bool {
+	s, ok := f.Type.(*ast.SelectorExpr)
+	return ok && s.Sel.Name == "Time" && f.Tag != nil && strings.Contains(f.Tag.Value, "json:")
+}
+
+// isExempt reports whether a folder is not checked: this package, and the stand-ins of the fault
+// injection, which are other machines, whose clocks are right.
+func isExempt(folder string) bool {
+	hidden := strings.HasPrefix(filepath.Base(folder), ".") && folder != "."
+	return hidden || folder == "internal/faultinjection" || folder == "internal/clock"
+}
+
+// No package but this one takes spans from the wall clock.
+func TestWallClock_IsReadOnlyHere(t *testing.T) {
 	used := map[string]bool{}
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel, err := filepath.Rel(root, path)
+		relative, err := filepath.Rel(moduleRoot, path)
 		if err != nil {
 			return err
 		}
 		switch {
-		case d.IsDir() && (strings.HasPrefix(d.Name(), ".") && rel != "." || rel == "internal/faultinjection" || rel == "internal/clock"):
+		case d.IsDir() && isExempt(relative):
 			return fs.SkipDir
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
@@ -81,9 +110,10 @@
 		if err != nil {
 			return err
 		}
-		for _, f := range findings(rel, file) {
-			if used[f] = true; allowed[f] == "" {
-				t.Errorf("%s: use an Instant or a span of internal/clock", f)
+		for _, use := range wallTimeUses(relative, file) {
+			used[use] = true
+			if allowed[use] == "" {
+				t.Errorf("%s: use an Instant or a span of internal/clock", use)
 			}
 		}
 		return nil
@@ -91,15 +121,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for f := range allowed {
-		if !used[f] {
-			t.Errorf("%s is allowed, and not there", f)
+	for use := range allowed {
+		if !used[use] {
+			t.Errorf("%s: allowed, but not used", use)
 		}
 	}
 }
 
-// Each use that the check is for is found where it is planted.
-func TestPlantedUsesAreFound(t *testing.T) {
+// Each use of wall time is found, and what resembles one is not.
+func TestWallTimeUses_FindsEachUse(t *testing.T) {
 	for source, want := range map[string]string{
 		`var at = time.Now().UnixNano()`:                                     "UnixNano",
 		`var at = time.UnixMilli(3)`:                                         "UnixMilli",
@@ -109,16 +139,18 @@
 		`func until(d time.Duration) time.Time { return time.Now().Add(d) }`: "",
 		`var since = time.Since(time.Now().Round(time.Second))`:              "",
 	} {
-		file, err := parser.ParseFile(token.NewFileSet(), "planted.go", "package planted\n"+source, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		wanted := []string{}
-		if want != "" {
-			wanted = []string{"planted.go: " + want}
-		}
-		if got := findings("planted.go", file); fmt.Sprint(got) != fmt.Sprint(wanted) {
-			t.Errorf("%s: found %v, want %v", source, got, wanted)
-		}
+		t.Run(source, func(t *testing.T) {
+			file, err := parser.ParseFile(token.NewFileSet(), "source.go", "package source\n"+source, 0)
+			if err != nil {
+				t.Fatal(err)
+			}
+			wanted := []string{}
+			if want != "" {
+				wanted = []string{"source.go: " + want}
+			}
+			if got := wallTimeUses("source.go", file); fmt.Sprint(got) != fmt.Sprint(wanted) {
+				t.Errorf("found %v, want %v", got, wanted)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/clock/step_detector_test.go
@@ -0,0 +1,22 @@
+package clock
+
+import (
+	"testing"
+	"time"
+)
+
+// A step is reported once, with its size.
+func TestStepDetector_ReportsEachStepOnce(t *testing.T) {
+	timeline := New()
+	detector := NewStepDetector(timeline)
+	if step, stepped := detector.Check(); stepped {
+		t.Errorf("step of %v detected, want none", step)
+	}
+	timeline.originInstant = timeline.originInstant.Add(time.Hour) // as if the wall clock had been stepped back
+	if step, stepped := detector.Check(); !stepped || (step+time.Hour).Abs() > time.Minute {
+		t.Errorf("a step back by an hour is detected as %v", step)
+	}
+	if step, stepped := detector.Check(); stepped {
+		t.Errorf("the same step is detected again: %v", step)
+	}
+}
--- /dev/null
+++ b/internal/clock/timeline_test.go
@@ -0,0 +1,88 @@
+package clock
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// machine has a machine's clocks: CLOCK_BOOTTIME, and a wall clock that is stepped.
+type machine struct {
+	bootID    string
+	sinceBoot time.Duration
+	wall      time.Duration
+}
+
+func (m *machine) sources() sources {
+	return sources{bootID: m.bootID, sinceBoot: m.sinceBoot, wall: time.Unix(0, int64(m.wall))}
+}
+
+// Spans between instants of any processes of one boot are those of CLOCK_BOOTTIME, whatever steps the
+// wall clock makes; across a reboot none is below zero.
+func TestTimeline_SpansSurviveStepsAndRestarts(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := machine{bootID: "first", sinceBoot: time.Hour, wall: time.Duration(1_800_000_000) * time.Second}
+		timeline := newTimeline(nil, 0, m.sources())
+		start, startInstant := m.sinceBoot, timeline.originInstant
+		for range rapid.IntRange(1, 20).Draw(t, "events") {
+			passed := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed"))
+			m.sinceBoot, m.wall = m.sinceBoot+passed, m.wall+passed
+			switch rapid.SampledFrom([]string{"step", "restart", "reboot"}).Draw(t, "event") {
+			case "step":
+				m.wall += time.Duration(rapid.Int64Range(int64(-2*time.Hour), int64(2*time.Hour)).Draw(t, "by"))
+			case "restart":
+				anchor := timeline.Anchor()
+				timeline = newTimeline(&anchor, startInstant, m.sources())
+				if got, want := timeline.originInstant.Sub(startInstant), m.sinceBoot-start; got != want {
+					t.Fatalf("%v passed by the timeline, want %v", got, want)
+				}
+				if !timeline.SameBoot() {
+					t.Fatal("a restart does not continue the timeline")
+				}
+			case "reboot":
+				anchor, latest := timeline.Anchor(), startInstant
+				m.bootID, m.sinceBoot = m.bootID+"'", time.Second
+				timeline = newTimeline(&anchor, latest, m.sources())
+				if timeline.originInstant.Sub(latest) < 0 || timeline.SameBoot() {
+					t.Fatalf("after a reboot the timeline is at %v, and was at %v", timeline.originInstant, latest)
+				}
+				start, startInstant = m.sinceBoot, timeline.originInstant
+			}
+		}
+	})
+}
+
+// A deadline that was stored and read is a time of this process: it has a monotonic reading.
+func TestTimeline_TimeOfHasMonotonicReading(t *testing.T) {
+	timeline := New()
+	raw, err := json.Marshal(timeline.Now().Add(time.Minute))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read Instant
+	if err := json.Unmarshal(raw, &read); err != nil {
+		t.Fatal(err)
+	}
+	if !hasMonotonicReading(timeline.TimeOf(read)) {
+		t.Error("no monotonic reading")
+	}
+	if left := read.Sub(timeline.Now()); left <= 0 || left > time.Minute {
+		t.Errorf("%v left of a minute", left)
+	}
+}
+
+// A time that lost its monotonic reading is counted where it is used as one of this process.
+func TestTimeline_CountsMixedReadings(t *testing.T) {
+	timeline := New()
+	timeline.InstantOf(time.Now())
+	timeline.InstantOf(timeline.TimeOf(timeline.Now()))
+	if n := timeline.MixedReadings(); n != 0 {
+		t.Errorf("%d mixed readings, want none", n)
+	}
+	timeline.InstantOf(timeline.Now().Time())
+	if n := timeline.MixedReadings(); n != 1 || timeline.MixedReadings() != 0 {
+		t.Errorf("%d mixed readings, want one", n)
+	}
+}
