--- a/internal/socket/dial.go
+++ b/internal/socket/dial.go
@@ -9,30 +9,26 @@
 	"frostlink/internal/wait"
 )
 
-// leastPause and mostPause bound the pause before a connection is tried again that this machine had no means for: ports, buffers and
-// routes come back in milliseconds, and a message has seconds.
-const leastPause, mostPause = 5 * time.Millisecond, 50 * time.Millisecond
-
-// Dialer makes TCP connections. What fails for want of something on this machine is tried again within the timeout: the other side has
-// not heard of it, and is not to be taken for out.
+// Dialer makes TCP connections. A connect that fails for a shortage on this machine is repeated within
+// the timeout: nothing was sent, and the other side is not at fault.
 type Dialer struct {
 	net.Dialer
-	// Timeout bounds all tries together; 0: the context does.
+	// Timeout bounds all attempts together; 0: only the context does.
 	Timeout time.Duration
 }
 
 // DialContext connects to an address.
-func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	if d.Timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, d.Timeout)
 		defer cancel()
 	}
-	pause := syserr.Backoff{Min: leastPause, Max: mostPause}
+	backoff := syserr.Backoff{Min: minBackoff, Max: maxBackoff}
 	for {
-		c, err := d.Dialer.DialContext(ctx, network, addr)
-		if err == nil || syserr.Classify(syserr.Connect, err) != syserr.Local || !wait.For(ctx, pause.Next()) {
-			return c, err
+		c, err := d.Dialer.DialContext(ctx, network, address)
+		if !isLocal(syserr.Connect, err) || !wait.For(ctx, backoff.Next()) {
+			return c, err //nolint:wrapcheck // as net.Dialer's: its *net.OpError names operation and address
 		}
 	}
 }
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -2,32 +2,38 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"net"
 	"time"
 
+	"frostlink/internal/logkey"
 	"frostlink/internal/syserr"
 	"frostlink/internal/wait"
 )
 
-// listenWithin bounds how long a start waits for an address that it can't listen on: a relay is to be ready within 10 s.
-const listenWithin = 8 * time.Second
+// listenTimeout bounds how long a start waits for an address on which it can't listen: a relay has to be
+// ready within 10 s.
+const listenTimeout = 8 * time.Second
 
-// Listen listens on a TCP address. What fails for want of something on this machine, or since another process still has the address, is
-// tried again for a while: a start is not to fail for what passes.
-func Listen(addr string) (net.Listener, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), listenWithin)
+// Listen listens on a TCP address. Where this machine is short of something, or another process still
+// has the address, it is repeated until listenTimeout: against a start that fails for a temporary error.
+func Listen(address string) (net.Listener, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
-	pause := syserr.Backoff{Min: leastPause, Max: mostPause}
-	said := false
+	backoff := syserr.Backoff{Min: minBackoff, Max: maxBackoff}
+	logged := false
 	for {
-		l, err := net.Listen("tcp", addr)
-		if err == nil || syserr.Classify(syserr.Bind, err) != syserr.Local || !wait.For(ctx, pause.Next()) {
-			return l, err
+		l, err := net.Listen("tcp", address)
+		if err == nil {
+			return l, nil
 		}
-		if !said {
-			said = true
-			slog.Warn("an address can't be listened on yet", "address", addr, "err", err)
+		if !isLocal(syserr.Bind, err) || !wait.For(ctx, backoff.Next()) {
+			return nil, fmt.Errorf("socket: %w", err)
+		}
+		if !logged {
+			logged = true
+			slog.Warn("an address can't be listened on yet", logkey.Address, address, logkey.Err, err)
 		}
 	}
 }
--- a/internal/socket/patient.go
+++ b/internal/socket/patient.go
@@ -8,41 +8,39 @@
 )
 
 const (
-	// patientTries is how often a read or write is made again that this machine had no means for, patientPause apart: 0.1 s in all, a
-	// quarter of what a client waits for its answer.
-	patientTries = 50
-	patientPause = 2 * time.Millisecond
+	// maxPatientAttempts is how often a read or write is attempted for which this machine is short of
+	// something, patientPause apart: 0.1 s in all, a quarter of what a client waits for its response.
+	maxPatientAttempts = 50
+	patientPause       = 2 * time.Millisecond
 )
 
-// Patient is a connection whose reads and writes go on where one fails for want of something on this machine, as with ENOMEM or ENOBUFS
-// (recv(2), send(2)): the connection is as good as before. Its deadlines hold.
+// Patient is a connection whose reads and writes are repeated where one fails for a shortage on this
+// machine, as with ENOMEM or ENOBUFS (recv(2), send(2)): the connection itself is intact. Its deadlines
+// hold.
 type Patient struct{ net.Conn }
 
 // Read reads what has come.
 func (p Patient) Read(b []byte) (n int, err error) {
-	for range patientTries {
-		if n, err = p.Conn.Read(b); n > 0 || !passes(syserr.Read, err) {
+	for range maxPatientAttempts {
+		n, err = p.Conn.Read(b)
+		if n > 0 || !isLocal(syserr.Read, err) {
 			break
 		}
 		time.Sleep(patientPause)
 	}
-	return n, err
+	return n, err //nolint:wrapcheck // io.Reader's contract: the end is io.EOF itself
 }
 
 // Write writes all of b.
 func (p Patient) Write(b []byte) (written int, err error) {
-	for range patientTries {
+	for range maxPatientAttempts {
 		var n int
 		n, err = p.Conn.Write(b[written:])
-		if written += n; !passes(syserr.Write, err) {
+		written += n
+		if !isLocal(syserr.Write, err) {
 			break
 		}
 		time.Sleep(patientPause)
 	}
-	return written, err
-}
-
-// passes tells whether a call failed for want of something here.
-func passes(call syserr.Operation, err error) bool {
-	return err != nil && syserr.Classify(call, err) == syserr.Local
+	return written, err //nolint:wrapcheck // net.Conn's contract: its errors are net.Errors
 }
