--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time that may be cut short.
+// Package wait pauses a goroutine, bounded by a context.
 package wait
 
 import (
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// For waits for d, and tells whether ctx is still alive after it.
+// For waits until d has passed or ctx has ended, and reports whether ctx has not. A d of zero or less
+// does not wait.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/wait/waittest/waittest.go
+++ b/internal/wait/waittest/waittest.go
@@ -1,4 +1,4 @@
-// Package waittest waits in tests: how long that takes decides nothing.
+// Package waittest waits in tests with a bound so long that no result depends on it.
 package waittest
 
 import (
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Long is longer than anything that a test waits for in vain.
+// Long is longer than anything that a test expects takes.
 const Long = 20 * time.Second
 
-// Receive waits for a value.
+// Receive returns the next value of a channel, or fails the test if none comes.
 func Receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(Long):
-		t.Fatal("waited in vain")
+		t.Fatalf("no value received within %v", Long)
 		panic("not reached")
 	}
 }
