--- /dev/null
+++ b/internal/boltfile/errors.go
@@ -0,0 +1,18 @@
+package boltfile
+
+import (
+	"errors"
+	"hash/crc32"
+)
+
+var (
+	// ErrDamaged says that a part of a file makes no sense or is missing.
+	ErrDamaged = errors.New("damaged")
+	// ErrInUse says that another process has the file open.
+	ErrInUse = errors.New("in use by another process")
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// Sum returns the checksum of a record's content: CRC-32C (Castagnoli).
+func Sum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
--- /dev/null
+++ b/internal/boltfile/meta.go
@@ -0,0 +1,88 @@
+package boltfile
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+	"os"
+)
+
+// The layout of a meta page of bbolt v1, all little endian. It stands behind the header that each page
+// has.
+//
+//	offset  size  field
+//	0       4     magic
+//	4       4     version
+//	8       4     page size
+//	12      4     flags
+//	16      16    root bucket
+//	32      8     page of the free list
+//	40      8     pages in the file
+//	48      8     number of the transaction
+//	56      8     checksum of all these: FNV-1a, 64 bits
+const (
+	pageHeaderSize  = 16
+	metaMagic       = 0xED0CDAED
+	metaPageSizeAt  = 8
+	metaPageCountAt = 40
+	metaChecksumAt  = 56
+	metaSize        = metaChecksumAt + 8
+
+	// metaPages are the first pages of a file. Transactions write them in turn.
+	metaPages = 2
+)
+
+// meta is a meta page without its header.
+type meta [metaSize]byte
+
+func (m *meta) pageSize() int64 { return int64(binary.LittleEndian.Uint32(m[metaPageSizeAt:])) }
+
+func (m *meta) pageCount() int64 { return int64(binary.LittleEndian.Uint64(m[metaPageCountAt:])) }
+
+// isValid reports whether the page is of a bbolt file, and its checksum is right.
+func (m *meta) isValid() bool {
+	sum := fnv.New64a()
+	_, _ = sum.Write(m[:metaChecksumAt]) // a hash's Write returns no error
+	return binary.LittleEndian.Uint32(m[:]) == metaMagic &&
+		binary.LittleEndian.Uint64(m[metaChecksumAt:]) == sum.Sum64()
+}
+
+// Whole checks that both meta pages can be read. bbolt uses the older one where the newer can't be: a
+// file that has lost its last transaction then looks like one that never had it, which matters where
+// that transaction was acknowledged. A page that was torn when the machine lost power can't be told from
+// one that was damaged later.
+func Whole(path string) error {
+	f, err := os.Open(path)
+	if err != nil {
+		return fmt.Errorf("check meta pages: %w", err)
+	}
+	defer func() { _ = f.Close() }() // it was only read
+	info, err := f.Stat()
+	if err != nil {
+		return fmt.Errorf("check meta pages: %w", err)
+	}
+	pageSize := int64(0)
+	for page := range int64(metaPages) {
+		m, err := readMeta(f, page*pageSize)
+		if err != nil {
+			return fmt.Errorf("meta page %d: %w", page, err)
+		}
+		pageSize = m.pageSize()
+		if pages := m.pageCount(); pages > info.Size()/max(pageSize, 1) {
+			return fmt.Errorf("%w: cut short: %d bytes, of %d pages of %d", ErrDamaged, info.Size(), pages, pageSize)
+		}
+	}
+	return nil
+}
+
+// readMeta reads the meta page at an offset of the file, and checks it.
+func readMeta(f *os.File, offset int64) (*meta, error) {
+	var m meta
+	if _, err := f.ReadAt(m[:], offset+pageHeaderSize); err != nil {
+		return nil, fmt.Errorf("read: %w", err)
+	}
+	if !m.isValid() {
+		return nil, ErrDamaged
+	}
+	return &m, nil
+}
