--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestWhole_DetectsDamagedMetaPages(t *testing.T) {
+func TestMetaPages_DetectsDamage(t *testing.T) {
 	pageSize := os.Getpagesize()
 	for name, damage := range map[string]func([]byte) []byte{
 		"first page": func(raw []byte) []byte {
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestWhole_ReportsMissingFile(t *testing.T) {
+func TestMetaPages_ReportsMissingFile(t *testing.T) {
 	if err := Whole(filepath.Join(t.TempDir(), "file")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("err %v, want %v", err, os.ErrNotExist)
 	}
--- a/internal/boltfile/doc.go
+++ b/internal/boltfile/doc.go
@@ -3,7 +3,7 @@
 // bbolt panics on a page that makes no sense, and reads a file that was cut short through memory that is
 // not there (SIGBUS). Here both are the error ErrDamaged, and never end the process.
 //
-// bbolt itself checks only its two meta pages. Callers store a Sum with each record, and check it when
+// bbolt itself checks only its two meta pages. Callers store a checksum with each record, and check it when
 // they read the record.
 //
 // # Files
--- a/internal/socket/doc.go
+++ b/internal/socket/doc.go
@@ -9,7 +9,7 @@
 //
 //   - dial.go: Dialer, for outgoing connections
 //   - listen.go: Listen
-//   - patient.go: Patient, for reads and writes
+//   - retry_conn.go: reads and writes that are repeated
 //   - peek.go: Peek, for what a connection has to read
 //   - socket.go: what they share
 package socket
--- a/internal/socket/patient_test.go
+++ b/internal/socket/retry_conn_test.go
@@ -43,7 +43,7 @@
 	return c.written.Write(b)
 }
 
-func TestPatient_RepeatsReadAfterShortage(t *testing.T) {
+func TestRetryConn_RepeatsReadAfterShortage(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		errs      []error
@@ -68,7 +68,7 @@
 }
 
 // What a write that fails has written is not written again.
-func TestPatient_ContinuesWriteAfterShortage(t *testing.T) {
+func TestRetryConn_ContinuesWriteAfterShortage(t *testing.T) {
 	c := &flakyConn{errs: []error{syscall.ENOBUFS, syscall.ENOBUFS}}
 	n, err := Patient{c}.Write([]byte("data"))
 	if n != 4 || err != nil || c.written.String() != "data" {
@@ -76,12 +76,12 @@
 	}
 }
 
-func TestPatient_GivesUpAfterLastAttempt(t *testing.T) {
+func TestRetryConn_GivesUpAfterLastAttempt(t *testing.T) {
 	c := &flakyConn{}
-	for range maxPatientAttempts + 1 {
+	for range maxIOAttempts + 1 {
 		c.errs = append(c.errs, syscall.ENOMEM)
 	}
-	if _, err := (Patient{c}).Read(nil); !errors.Is(err, syscall.ENOMEM) || c.calls != maxPatientAttempts {
+	if _, err := (Patient{c}).Read(nil); !errors.Is(err, syscall.ENOMEM) || c.calls != maxIOAttempts {
 		t.Errorf("err %v after %d calls", err, c.calls)
 	}
 }
