--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// perform carries out actions in order. It returns what came of the last step among them, eventNone
-// where there is none; or, where an action ends ownership, its outcome.
+// perform carries out actions in order. It returns the result of the last step among them, eventNone
+// where there is none; or, where an action ends ownership, its outcome. Results of earlier steps are
+// dropped: after actionTransferLock the first batch is sent whether or not the lock was acknowledged.
 func (t *transfer) perform(actions []action, started time.Time) (next event, outcome Outcome, ended bool) {
 	for _, a := range actions {
 		switch a {
