--- /dev/null
+++ b/internal/faultinjection/harness/loopback_test.go
@@ -0,0 +1,93 @@
+package harness
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"frostlink/internal/faultinjection/faults"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+const (
+	// concurrentRuns are opened at once. One round of them rarely shows an address that two runs are given, so that it takes several.
+	concurrentRuns, addressRounds = 20, 30
+)
+
+// manyRelays is a scenario whose runs need many addresses.
+const manyRelays = `version = 1
+name = "addresses"
+length_s = 1
+relays = 12
+
+[load]
+rate = 1
+
+[[class]]
+name = "status"
+aim_s = 1
+deadline_s = 3
+effect = "safe"
+service_ms = 20
+
+[[partner]]
+name = "other"
+share = 1
+`
+
+// Runs side by side, as another test or another user of the machine plays them, never get each other's addresses: each relay can
+// bind what its run told it to listen on.
+func TestRun_BindsItsAddressesBesideOtherRuns(t *testing.T) {
+	s, err := scenario.Parse("addresses.toml", []byte(manyRelays))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for round := range addressRounds {
+		t.Run(fmt.Sprint(round+1), func(t *testing.T) { openAtOnce(t, s) })
+	}
+}
+
+// openAtOnce opens runs at once, and has their relays' addresses bound when each run has chosen its own, the worst order of the two.
+func openAtOnce(t *testing.T, s *scenario.Script) {
+	t.Helper()
+	var opening, binding sync.WaitGroup
+	runs := make([]*rig, concurrentRuns)
+	for i := range runs {
+		runs[i] = &rig{
+			s: s, d: scenario.NewDraws(1), dir: t.TempDir(), ctx: t.Context(),
+			recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher(),
+		}
+		t.Cleanup(func() { runs[i].close(func() {}) })
+		opening.Go(func() {
+			if err := runs[i].open(); err != nil {
+				t.Errorf("run %d: %v", i+1, err)
+			}
+		})
+	}
+	opening.Wait()
+	for i, r := range runs {
+		for _, rel := range r.relays {
+			binding.Go(func() { bindRelay(t, fmt.Sprintf("run %d: %s", i+1, rel.name), rel) })
+		}
+	}
+	binding.Wait()
+}
+
+// bindRelay binds a relay's addresses as its process does, until the test ends.
+func bindRelay(t *testing.T, name string, rel *relay) {
+	t.Helper()
+	ln, err := net.Listen("tcp", rel.listen)
+	if err != nil {
+		t.Errorf("%s: clients' address: %v", name, err)
+		return
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	udp, err := net.ListenPacket("udp", rel.peer)
+	if err != nil {
+		t.Errorf("%s: peers' address: %v", name, err)
+		return
+	}
+	t.Cleanup(func() { _ = udp.Close() })
+}
