--- a/internal/faultinjection/faults/fleet.go
+++ b/internal/faultinjection/faults/fleet.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -36,6 +35,7 @@
 	o        Options
 	cluster  string
 	launcher *Launcher
+	loopback *Loopback // where all that listens in this run has its addresses; nil: not open
 	begun    time.Time
 	members  []*member
 	relays   []*relay
@@ -72,24 +72,6 @@
 	f.faults = append(f.faults, Fault{check, fmt.Sprintf(format, args...)})
 }
 
-// Ports that processes are told to listen on, tried one after the other: below those that the system gives to
-// connections, so that none is taken before it is used.
-const firstPort, lastPort = 10000, 32000
-
-var nextPort atomic.Int64
-
-// address gives a free port on loopback that no other process of the rig is given.
-func address() (string, error) {
-	for range lastPort - firstPort {
-		port := firstPort + (int64(os.Getpid())*101+nextPort.Add(1))%(lastPort-firstPort)
-		at := fmt.Sprintf("127.0.0.1:%d", port)
-		if ln, err := net.Listen("tcp", at); err == nil {
-			return at, ln.Close()
-		}
-	}
-	return "", fmt.Errorf("no free port from %d to %d", firstPort, lastPort)
-}
-
 var nextRun atomic.Int64
 
 // newFleet makes all folders and proxies, and starts nothing.
@@ -98,14 +80,17 @@
 	// A name of its own: what goes astray between two runs is refused.
 	f.cluster = fmt.Sprintf("rehearsed-%d-%d", os.Getpid(), nextRun.Add(1))
 	f.caller = api.NewCaller(f.cluster)
-	// An act takes a tenth of a lease at most, as the relays are told.
 	var err error
-	if f.resource, err = NewResource(o.Fenced, o.Seed, o.TTL/100, o.TTL/10, f.now); err != nil {
+	if f.loopback, err = NewLoopback(); err != nil {
+		return f, err
+	}
+	// An act takes a tenth of a lease at most, as the relays are told.
+	if f.resource, err = NewResource(f.loopback, o.Fenced, o.Seed, o.TTL/100, o.TTL/10, f.now); err != nil {
 		return f, err
 	}
 	var first []string
 	for i := range o.Members {
-		at, err := address()
+		at, err := f.loopback.Address()
 		if err != nil {
 			return f, err
 		}
@@ -146,7 +131,7 @@
 			m.links = append(m.links, nil)
 			continue
 		}
-		link, err := NewProxy(other.address)
+		link, err := NewProxy(f.loopback, other.address)
 		if err != nil {
 			return err
 		}
@@ -180,25 +165,25 @@
 	}
 	var members []string
 	for _, m := range f.members {
-		link, err := NewProxy(m.address)
+		link, err := NewProxy(f.loopback, m.address)
 		if err != nil {
 			return nil, err
 		}
 		r.links = append(r.links, link)
 		members = append(members, fmt.Sprintf("%q", fmt.Sprintf("%d=%s", m.id, link.Addr())))
 	}
-	out, err := NewProxy(f.resource.Addr())
+	out, err := NewProxy(f.loopback, f.resource.Addr())
 	if err != nil {
 		return nil, err
 	}
 	r.out = out
 	own := fmt.Sprintf("version = 1\n[coordination]\ncluster = %q\nmembers = [%s]\nttl_ms = %d\n[coordination.beat]\nurl = %q\nevery_s = 0.01\nwithin_ms = %d\n",
 		f.cluster, strings.Join(members, ", "), f.o.TTL.Milliseconds(), "http://"+out.Addr()+"/beat", (f.o.TTL / 5).Milliseconds())
-	listen, err := address()
+	listen, err := f.loopback.Address()
 	if err != nil {
 		return nil, err
 	}
-	register, err := address() // nobody listens there
+	register, err := f.loopback.Address() // nobody listens there
 	if err != nil {
 		return nil, err
 	}
@@ -262,6 +247,11 @@
 	if f.resource != nil {
 		f.resource.Close()
 	}
+	if f.loopback != nil {
+		if err := f.loopback.Close(); err != nil {
+			slog.Error("a loopback network stays reserved", "err", err)
+		}
+	}
 }
 
 // leader gives the member that says that it leads, or the first.
--- /dev/null
+++ b/internal/faultinjection/faults/loopback_test.go
@@ -0,0 +1,108 @@
+package faults
+
+import (
+	"net"
+	"sync"
+	"testing"
+)
+
+func openLoopback(t *testing.T) *Loopback {
+	t.Helper()
+	l, err := NewLoopback()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if l.lock == nil {
+			return
+		}
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return l
+}
+
+func TestNewLoopback_GivesEachRunANetworkOfItsOwn(t *testing.T) {
+	var work sync.WaitGroup
+	var mu sync.Mutex
+	owners := map[byte]int{}
+	for run := range 20 {
+		work.Go(func() {
+			l, err := NewLoopback()
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			t.Cleanup(func() { _ = l.Close() })
+			mu.Lock()
+			defer mu.Unlock()
+			if other, taken := owners[l.network]; taken {
+				t.Errorf("runs %d and %d both have network 127.%d", other, run, l.network)
+			}
+			owners[l.network] = run
+		})
+	}
+	work.Wait()
+}
+
+func TestLoopback_CloseReleasesTheNetwork(t *testing.T) {
+	l := openLoopback(t)
+	lock := l.lock.Addr().String()
+	if _, err := net.Listen("tcp", lock); err == nil {
+		t.Errorf("%s can be bound while its run goes on", lock)
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	l.lock = nil
+	again, err := net.Listen("tcp", lock)
+	if err != nil {
+		t.Fatalf("after Close: %v", err)
+	}
+	_ = again.Close()
+}
+
+func TestLoopback_GivesEveryAddressOnce(t *testing.T) {
+	l := openLoopback(t)
+	given := map[string]bool{l.lock.Addr().String(): true}
+	for range hostBlocks * hostsPerBlock {
+		at, err := l.Address()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if given[at] {
+			t.Fatalf("%s is given twice", at)
+		}
+		given[at] = true
+	}
+	if at, err := l.Address(); err == nil {
+		t.Errorf("gave %s when all addresses were used up", at)
+	}
+}
+
+// A relay is told where to listen before it runs, and restarts on the same address: a listener elsewhere that draws its port meanwhile
+// does not get it.
+func TestLoopback_AddressCanBeBoundAgain(t *testing.T) {
+	l := openLoopback(t)
+	first, err := l.Listen()
+	if err != nil {
+		t.Fatal(err)
+	}
+	at := first.Addr().String()
+	if err := first.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for range 50 {
+		other, err := l.Listen()
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = other.Close() })
+	}
+	again, err := net.Listen("tcp", at)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = again.Close()
+}
--- a/internal/faultinjection/faults/proxy.go
+++ b/internal/faultinjection/faults/proxy.go
@@ -40,9 +40,9 @@
 	down
 )
 
-// NewProxy listens on loopback, for a target.
-func NewProxy(target string) (*Proxy, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewProxy listens on an address of a run's own, for a target.
+func NewProxy(l *Loopback, target string) (*Proxy, error) {
+	ln, err := l.Listen()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faultinjection/faults/resource.go
+++ b/internal/faultinjection/faults/resource.go
@@ -37,9 +37,9 @@
 	last    string // the relay that acted last
 }
 
-// NewResource opens a resource on loopback.
-func NewResource(fenced bool, seed uint64, low, high time.Duration, now func() time.Duration) (*Resource, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewResource opens a resource on an address of a run's own.
+func NewResource(l *Loopback, fenced bool, seed uint64, low, high time.Duration, now func() time.Duration) (*Resource, error) {
+	ln, err := l.Listen()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faultinjection/harness/coordination.go
+++ b/internal/faultinjection/harness/coordination.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os/exec"
 	"path/filepath"
 	"slices"
@@ -31,13 +30,11 @@
 	program := filepath.Join(filepath.Dir(r.o.Command[0]), "frostlink-coord")
 	var list []string
 	for i := range r.s.Coordination.Members {
-		// Reserved for a moment to learn a free port, as for relays.
-		ln, err := net.Listen("tcp", net.JoinHostPort(net.IPv4(127, 9, byte(i), 1).String(), "0"))
+		at, err := r.loopback.Address()
 		if err != nil {
 			return err
 		}
-		list = append(list, fmt.Sprintf("%d=%s", i+1, ln.Addr()))
-		_ = ln.Close()
+		list = append(list, fmt.Sprintf("%d=%s", i+1, at))
 	}
 	r.coordination.text = fmt.Sprintf("cluster = %q\nmembers = [\"%s\"]", coordCluster, strings.Join(list, "\", \""))
 	for i := range list {
--- a/internal/faultinjection/harness/endpoint.go
+++ b/internal/faultinjection/harness/endpoint.go
@@ -90,10 +90,12 @@
 func (l *live) addHost(index int, at []string) (*host, error) {
 	h := &host{live: l, id: l.hostID(index), index: index, conns: map[*conn]bool{}, addrs: at}
 	if at == nil {
-		for relay := range l.r.s.Relays {
-			// The addresses say who calls: relay by the second number, host by the last two.
-			ip := net.IPv4(127, byte(16+relay), byte(l.number), byte(1+index%250))
-			h.addrs = append(h.addrs, net.JoinHostPort(ip.String(), "0"))
+		for range l.r.s.Relays {
+			addr, err := l.r.loopback.Address() // one for each relay: it says who calls
+			if err != nil {
+				return nil, err
+			}
+			h.addrs = append(h.addrs, addr)
 		}
 	}
 	if err := h.listen(); err != nil {
@@ -109,7 +111,6 @@
 		if err != nil {
 			return fmt.Errorf("endpoint %s: %w", h.id, err)
 		}
-		h.addrs[relay] = ln.Addr().String()
 		h.open = append(h.open, ln)
 		go h.accept(ln, relay)
 	}
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -82,8 +82,9 @@
 
 	*recorder
 	launcher     *faults.Launcher
-	clockLibrary string // steps relays' wall clocks; empty: no clock is stepped
-	callLibrary  string // has relays' system calls fail; empty: none is to
+	loopback     *faults.Loopback // where all that listens in this run has its addresses; nil: not open
+	clockLibrary string           // steps relays' wall clocks; empty: no clock is stepped
+	callLibrary  string           // has relays' system calls fail; empty: none is to
 	coordination
 	book     *book
 	partners []*live
@@ -210,14 +211,16 @@
 func (r *rig) open() error {
 	r.book = newBook()
 	r.front = newFront(r)
+	var err error
+	if r.loopback, err = faults.NewLoopback(); err != nil {
+		return err
+	}
 	if r.s.StepsClocks() {
-		var err error
 		if r.clockLibrary, err = faults.BuildWallClockLibrary(r.dir); err != nil {
 			return err
 		}
 	}
 	if r.s.FailsCalls() {
-		var err error
 		if r.callLibrary, err = faults.BuildSyscallLibrary(r.dir); err != nil {
 			return err
 		}
@@ -243,7 +246,6 @@
 	if err := r.openCoordination(); err != nil {
 		return err
 	}
-	var err error
 	if r.register, err = newRegister(r); err != nil {
 		return err
 	}
@@ -331,6 +333,11 @@
 		}
 	}
 	r.launcher.Close()
+	if r.loopback != nil {
+		if err := r.loopback.Close(); err != nil {
+			r.fault("%v", err)
+		}
+	}
 }
 
 // figures are what the auditor judges by.
--- a/internal/faultinjection/harness/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -41,8 +41,8 @@
 		paths: make([][]*net.UDPConn, len(r.relays)),
 	}
 	for a, rel := range r.relays {
-		for b := range r.relays {
-			c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, byte(120+a), byte(b), 1)})
+		for range r.relays {
+			c, err := r.loopback.ListenUDP()
 			if err != nil {
 				n.close()
 				return nil, err
@@ -50,7 +50,7 @@
 			n.paths[a] = append(n.paths[a], c)
 			rel.peers = append(rel.peers, c.LocalAddr().String())
 		}
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, byte(120+a), 255, 1)})
+		c, err := r.loopback.ListenUDP()
 		if err != nil {
 			n.close()
 			return nil, err
--- a/internal/faultinjection/harness/register.go
+++ b/internal/faultinjection/harness/register.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/json"
 	"errors"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -81,7 +80,7 @@
 
 // open gives a relay a register at a new address.
 func (g *register) open(relay int) error {
-	ln, err := net.Listen("tcp", net.JoinHostPort(net.IPv4(127, 8, byte(relay), 1).String(), "0"))
+	ln, err := g.r.loopback.Listen()
 	if err != nil {
 		return err
 	}
--- a/internal/faultinjection/harness/relays.go
+++ b/internal/faultinjection/harness/relays.go
@@ -99,25 +99,17 @@
 func newRelay(r *rig, number int) (*relay, error) {
 	rel := &relay{r: r, number: number, name: fmt.Sprintf("relay-%d", number+1), terms: r.s.Start()}
 	rel.usage.Name = rel.name
-	ip := net.IPv4(127, byte(100+number), 0, 1)
-	// Reserved for a moment to learn a free port: relays listen where they are told.
-	ln, err := net.Listen("tcp", net.JoinHostPort(ip.String(), "0"))
-	if err != nil {
-		return nil, err
+	var err error
+	for _, at := range []*string{&rel.listen, &rel.peer} {
+		if *at, err = r.loopback.Address(); err != nil {
+			return nil, err
+		}
 	}
-	rel.listen = ln.Addr().String()
 	if r.s.Upgrades() { // the processes inherit one socket
-		if rel.socket, err = ln.(*net.TCPListener).File(); err != nil {
+		if rel.socket, err = listenFile(rel.listen); err != nil {
 			return nil, err
 		}
 	}
-	_ = ln.Close()
-	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip})
-	if err != nil {
-		return nil, err
-	}
-	rel.peer = udp.LocalAddr().String()
-	_ = udp.Close()
 	for _, dir := range []string{rel.state(), rel.temp()} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return nil, err
@@ -137,6 +129,16 @@
 	return rel, nil
 }
 
+// listenFile returns a socket that listens on an address, for processes to inherit.
+func listenFile(addr string) (*os.File, error) {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("socket to inherit: %w", err)
+	}
+	defer ln.Close() // the file is a duplicate, and stays open
+	return ln.(*net.TCPListener).File()
+}
+
 func (rel *relay) dir() string        { return filepath.Join(rel.r.dir, rel.name) }
 func (rel *relay) state() string      { return filepath.Join(rel.dir(), "state") }
 func (rel *relay) temp() string       { return filepath.Join(rel.dir(), "tmp") }
@@ -202,13 +204,12 @@
 
 // launch starts a process, beside one that may be running.
 func (rel *relay) launch(beside bool) (*process, error) {
-	// Reserved for a moment to learn a free port, as for clients.
-	ln, err := net.Listen("tcp", net.JoinHostPort(net.IPv4(127, byte(100+rel.number), 0, 2).String(), "0"))
+	// One for each process: two of a relay run side by side in an upgrade.
+	door, err := rel.r.loopback.Address()
 	if err != nil {
 		return nil, err
 	}
-	p := &process{rel: rel, door: ln.Addr().String(), exited: make(chan struct{}), beside: beside}
-	_ = ln.Close()
+	p := &process{rel: rel, door: door, exited: make(chan struct{}), beside: beside}
 	log, err := os.OpenFile(rel.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
