--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -6,21 +6,21 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenFigures(t *testing.T) {
-	b := NewMetrics([]string{"fee-payment", "parcel-status"})
-	b.AddClass("extra")
+func TestGoldenMetrics(t *testing.T) {
+	m := NewMetrics([]string{"fee-payment", "parcel-status"})
+	m.AddClass("extra")
 	for range 7 {
-		b.Accepted()
+		m.Accepted()
 	}
-	b.Completed("fee-payment", Success, true)
-	b.Completed("fee-payment", Shed, false)
-	b.Completed("parcel-status", Failure, true)
-	b.Reconfigured(true)
-	b.Reconfigured(false)
-	b.Reconfigured(false)
-	b.AttemptsSent.Add(9)
-	b.Publish(Gauges{4, 1})
-	out, err := b.JSON()
+	m.Completed("fee-payment", Success, true)
+	m.Completed("fee-payment", Shed, false)
+	m.Completed("parcel-status", Failure, true)
+	m.Reconfigured(true)
+	m.Reconfigured(false)
+	m.Reconfigured(false)
+	m.AttemptsSent.Add(9)
+	m.Publish(Gauges{EndpointsListed: 4, EndpointsUnhealthy: 1})
+	out, err := m.JSON()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -1,137 +1,94 @@
 package admin
 
 import (
-	"encoding/json"
+	"slices"
 	"sync/atomic"
 )
 
-// Outcome is the kind of end that a message came to.
-type Outcome int
-
-// The ends of messages: each message stands under exactly one.
-const (
-	Success Outcome = iota // delivered
-	Shed                   // refused, or handed back: it may be handed in again
-	Failure                // failed
-	ends                   // their number
-)
-
-// Snapshot are what the operators' door shows. All counts start at 0 with the process.
-type Snapshot struct {
-	Classes            []string // the names that the counts stand under
-	Completed          [ends][]int64
-	InFlight           int // messages taken on and not ended
-	EndpointsListed    int
-	EndpointsUnhealthy int // listed hosts that the relay avoids
-	ReconfigOK         int
-	ReconfigFailed     int
-}
-
-// form writes the figures as the operators read them; calls are those written whole to hosts.
-func (f *Snapshot) form(calls int64) ([]byte, error) {
-	by := func(end Outcome) map[string]int64 {
-		counts := map[string]int64{}
-		for i, name := range f.Classes {
-			counts[name] = f.Completed[end][i]
-		}
-		return counts
-	}
-	return json.Marshal(struct {
-		Success        map[string]int64 `json:"success"`
-		Busy           map[string]int64 `json:"busy"`
-		Failure        map[string]int64 `json:"failure"`
-		BackendCalls   int64            `json:"backend_calls"`
-		Inflight       int              `json:"inflight"`
-		HostsListed    int              `json:"hosts_listed"`
-		HostsDown      int              `json:"hosts_down"`
-		ReconfigOK     int              `json:"reconfig_ok"`
-		ReconfigFailed int              `json:"reconfig_failed"`
-	}{by(Success), by(Shed), by(Failure), calls, f.InFlight, f.EndpointsListed, f.EndpointsUnhealthy, f.ReconfigOK, f.ReconfigFailed})
-}
-
-// Metrics keeps the counts. One goroutine writes it, the relay's loop; Show hands a whole snapshot to readers, so that the
-// figures of one read belong together and no reader waits for the loop.
+// Metrics holds the counters. Its methods are for one goroutine, the relay's event loop, but for Snapshot and JSON, which any
+// goroutine may call: they return what was published last.
 type Metrics struct {
-	// AttemptsSent counts messages written whole to hosts; the goroutines that make calls add to it.
+	// AttemptsSent counts attempts written completely to endpoints. The goroutines that send attempts add to it.
 	AttemptsSent atomic.Int64
 
-	now   Snapshot
-	index map[string]int
-	shown atomic.Pointer[Snapshot]
+	current    Snapshot
+	classIndex map[string]int // class name -> index in current.Classes
+	published  atomic.Pointer[Snapshot]
 }
 
-// NewMetrics makes a book for the classes that the relay starts with.
+// NewMetrics returns metrics, all 0, for the classes that the relay starts with.
 func NewMetrics(classes []string) *Metrics {
-	b := &Metrics{index: map[string]int{}}
+	m := &Metrics{classIndex: map[string]int{}}
 	for _, name := range classes {
-		b.class(name)
+		m.class(name)
 	}
-	b.Publish(Gauges{})
-	return b
+	m.Publish(Gauges{})
+	return m
 }
 
-// class gives the place of a class's counts. Classes are as many as settings ever named.
-func (b *Metrics) class(name string) int {
-	i, ok := b.index[name]
-	if !ok {
-		i = len(b.now.Classes)
-		b.index[name] = i
-		// The snapshots that readers hold keep the old lists.
-		b.now.Classes = append(b.now.Classes[:i:i], name)
-		for end := range b.now.Completed {
-			b.now.Completed[end] = append(b.now.Completed[end], 0)
-		}
+// class returns the index of a class, which it adds where it is new. Classes are never removed: there are as many as settings have
+// ever named.
+func (m *Metrics) class(name string) int {
+	if i, ok := m.classIndex[name]; ok {
+		return i
+	}
+	i := len(m.current.Classes)
+	m.classIndex[name] = i
+	// Clipped, so that the list of a published snapshot is not written to.
+	m.current.Classes = append(slices.Clip(m.current.Classes), name)
+	for outcome := range m.current.Completed {
+		m.current.Completed[outcome] = append(m.current.Completed[outcome], 0)
 	}
 	return i
 }
 
-// AddClass has a class shown from now on, also while nothing is counted under it.
-func (b *Metrics) AddClass(class string) { b.class(class) }
+// AddClass shows a class from the next Publish on, even while nothing is counted under it.
+func (m *Metrics) AddClass(class string) { m.class(class) }
 
-// Accepted counts a message as taken on, or as taken over from an earlier process.
-func (b *Metrics) Accepted() { b.now.InFlight++ }
+// Accepted counts a request as in flight: one accepted from a client, or taken over from an earlier process.
+func (m *Metrics) Accepted() { m.current.InFlight++ }
 
-// Completed counts the end of a message; taken says that Taken counted it before.
-func (b *Metrics) Completed(class string, end Outcome, taken bool) {
-	i := b.class(class)
-	b.now.Completed[end][i]++
-	if taken {
-		b.now.InFlight--
+// Completed counts the outcome of a request. accepted reports whether Accepted counted the request before.
+func (m *Metrics) Completed(class string, outcome Outcome, accepted bool) {
+	i := m.class(class)
+	m.current.Completed[outcome][i]++
+	if accepted {
+		m.current.InFlight--
 	}
 }
 
-// Withdrawn takes back Taken for a message that ended under no count, as one that its client has withdrawn.
-func (b *Metrics) Withdrawn() { b.now.InFlight-- }
+// Withdrawn undoes Accepted for a request that ended with no outcome, as one that its client has withdrawn.
+func (m *Metrics) Withdrawn() { m.current.InFlight-- }
 
-// HandedOver has the book hold nothing any more: another process counts what was under way. Readers go on seeing what there was
-// when that was handed over, for the moment that this process still lives, which is far shorter than figures may lag:
-// nothing in flight would be a lie about the relay until the other answers.
-func (b *Metrics) HandedOver() { b.now.InFlight = 0 }
+// HandedOver sets the requests in flight to 0: the successor counts them. It publishes nothing. Readers of this process, which ends
+// in a moment, go on seeing the figures of the hand-over, because "nothing in flight" would be wrong about the relay until the
+// successor answers.
+func (m *Metrics) HandedOver() { m.current.InFlight = 0 }
 
-// Reconfigured counts a file that was taken, or turned down.
-func (b *Metrics) Reconfigured(ok bool) {
+// Reconfigured counts a configuration that was applied (ok) or rejected.
+func (m *Metrics) Reconfigured(ok bool) {
 	if ok {
-		b.now.ReconfigOK++
+		m.current.ReconfigOK++
 	} else {
-		b.now.ReconfigFailed++
+		m.current.ReconfigFailed++
 	}
 }
 
-// Gauges are the figures that are not counted but read off.
+// Gauges are the metrics that are read off at each Publish, not counted.
 type Gauges struct{ EndpointsListed, EndpointsUnhealthy int }
 
-// Publish has readers see the counts as they stand.
-func (b *Metrics) Publish(g Gauges) {
-	shot := b.now
-	shot.EndpointsListed, shot.EndpointsUnhealthy = g.EndpointsListed, g.EndpointsUnhealthy
-	for end := range shot.Completed {
-		shot.Completed[end] = append([]int64(nil), b.now.Completed[end]...)
+// Publish makes the counters, as they are now, what readers see.
+func (m *Metrics) Publish(g Gauges) {
+	s := m.current
+	s.EndpointsListed, s.EndpointsUnhealthy = g.EndpointsListed, g.EndpointsUnhealthy
+	for outcome := range s.Completed {
+		s.Completed[outcome] = slices.Clone(m.current.Completed[outcome])
 	}
-	b.shown.Store(&shot)
+	m.published.Store(&s)
 }
 
-// Snapshot gives the latest snapshot.
-func (b *Metrics) Snapshot() *Snapshot { return b.shown.Load() }
+// Snapshot returns what was published last. It is not to be changed.
+func (m *Metrics) Snapshot() *Snapshot { return m.published.Load() }
 
-// JSON gives the latest snapshot in the form of the door.
-func (b *Metrics) JSON() ([]byte, error) { return b.Snapshot().form(b.AttemptsSent.Load()) }
+// JSON returns what was published last, in the form of GET /status/metrics.
+func (m *Metrics) JSON() ([]byte, error) { return m.Snapshot().json(m.AttemptsSent.Load()) }
--- /dev/null
+++ b/internal/admin/snapshot.go
@@ -0,0 +1,69 @@
+package admin
+
+import (
+	"encoding/json"
+	"fmt"
+)
+
+// Outcome is how a request ended, as the metrics group it.
+type Outcome int
+
+// The outcomes: each completed request is counted under exactly one.
+const (
+	Success      Outcome = iota // delivered
+	Shed                        // rejected at its arrival, or later without having been executed: the client may submit it again
+	Failure                     // failed
+	outcomeCount                // how many there are
+)
+
+// Snapshot is a copy of the metrics at one time. All counts start at 0 with the process.
+type Snapshot struct {
+	Classes            []string              // the index of a class here is its index in the lists of Completed
+	Completed          [outcomeCount][]int64 // by outcome and class
+	InFlight           int                   // requests accepted and not completed
+	EndpointsListed    int                   // as of the endpoint list
+	EndpointsUnhealthy int                   // listed endpoints that the relay avoids
+	ReconfigOK         int                   // configurations applied
+	ReconfigFailed     int                   // configurations rejected
+}
+
+// snapshotJSON is the form of GET /status/metrics. Its keys are the platform's.
+type snapshotJSON struct {
+	Success        map[string]int64 `json:"success"`
+	Busy           map[string]int64 `json:"busy"`
+	Failure        map[string]int64 `json:"failure"`
+	BackendCalls   int64            `json:"backend_calls"`
+	Inflight       int              `json:"inflight"`
+	HostsListed    int              `json:"hosts_listed"`
+	HostsDown      int              `json:"hosts_down"`
+	ReconfigOK     int              `json:"reconfig_ok"`
+	ReconfigFailed int              `json:"reconfig_failed"`
+}
+
+// json encodes the snapshot; attemptsSent is how many attempts were written completely to endpoints.
+func (s *Snapshot) json(attemptsSent int64) ([]byte, error) {
+	raw, err := json.Marshal(snapshotJSON{
+		Success:        s.byClass(Success),
+		Busy:           s.byClass(Shed),
+		Failure:        s.byClass(Failure),
+		BackendCalls:   attemptsSent,
+		Inflight:       s.InFlight,
+		HostsListed:    s.EndpointsListed,
+		HostsDown:      s.EndpointsUnhealthy,
+		ReconfigOK:     s.ReconfigOK,
+		ReconfigFailed: s.ReconfigFailed,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("metrics: %w", err)
+	}
+	return raw, nil
+}
+
+// byClass returns the counts of an outcome under the classes' names.
+func (s *Snapshot) byClass(outcome Outcome) map[string]int64 {
+	counts := make(map[string]int64, len(s.Classes))
+	for i, name := range s.Classes {
+		counts[name] = s.Completed[outcome][i]
+	}
+	return counts
+}
