--- a/internal/servingmode/servingmode.go
+++ b/internal/servingmode/servingmode.go
@@ -1,10 +1,3 @@
-// Package servingmode decides how a relay parts from its clients and takes them again, on the operators' word or at a planned
-// end. It has no clock and closes nothing: the front asks it with the time.
-//
-// The front layer asks for health every 0.1 s and goes on sending new connections for 0.2 s more; clients use connections
-// for as long as these are open. So health says no at once, what comes is served all the same, every answer is the last
-// on its connection, and connections without a request are closed: soon those that rested, all before closeAll. What
-// begins its request after that came on a connection of its own, and its answer ends it.
 package servingmode
 
 import (
@@ -12,109 +5,110 @@
 	"time"
 )
 
-// The stages of leaving, from the operators' call on.
+// The stages of a drain, from EnterStandby on.
 const (
-	// CloseIdleAfter is when connections that have rested for Rested are closed: until then the front may send new ones,
-	// and a client that has just been answered may be about to send.
+	// CloseIdleAfter is when connections that were idle for MinIdle are closed. Until then the front layer may send new ones, and
+	// a client that has just had a response may be about to send its next request.
 	CloseIdleAfter = 600 * time.Millisecond
-	// MinIdle without a request makes it unlikely that one is on its way.
+	// MinIdle is how long a connection is idle before it is unlikely that a request is on its way.
 	MinIdle = 400 * time.Millisecond
-	// CloseAllAfter is when all connections without a request are closed. At 4 s none may be held idle, nor carry a message
-	// that began in the last 2 s.
+	// CloseAllAfter is when all idle connections are closed. By the platform's rules none may be open idle at 4 s, nor carry a
+	// request that began in the last 2 s.
 	CloseAllAfter = 1500 * time.Millisecond
 )
 
-// State is where a relay stands.
+// State is the state of a relay towards its clients.
 type State int
 
-// The states of a relay.
+// The states; their transitions are in the package's comment.
 const (
 	Active State = iota
 	DrainingClients
 	Standby
-	ShuttingDown // the process is about to end: nothing undoes it
+	ShuttingDown // the process is about to exit
 )
 
+// String returns the state's name as GET /status of the admin endpoint shows it.
 func (s State) String() string {
 	return [...]string{"active", "leaving", "standing by", "ending"}[s]
 }
 
-// Mode is a relay's stance to its clients. Its zero value is active; it is safe for concurrent use.
+// Mode holds the state of one relay. Its zero value is Active. It is safe for concurrent use.
 type Mode struct {
-	mu     sync.Mutex
-	away   bool
-	ending bool
-	since  time.Time // of away
+	mu           sync.Mutex // guards all below
+	standby      bool       // EnterStandby was called, and Activate was not since
+	shuttingDown bool
+	drainStart   time.Time // when standby was set
 }
 
-// EnterStandby sends clients away from now on; said again it changes nothing.
-func (s *Mode) EnterStandby(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.away {
-		s.away, s.since = true, now
+// EnterStandby stops serving clients, as of now. In standby already it changes nothing.
+func (m *Mode) EnterStandby(now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.standby {
+		m.standby, m.drainStart = true, now
 	}
 }
 
-// Activate takes clients again, at any point of leaving.
-func (s *Mode) Activate() {
-	s.mu.Lock()
-	s.away = false
-	s.mu.Unlock()
+// Activate serves clients again.
+func (m *Mode) Activate() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.standby = false
 }
 
-// Shutdown begins the planned end of the process.
-func (s *Mode) Shutdown() {
-	s.mu.Lock()
-	s.ending = true
-	s.mu.Unlock()
+// Shutdown begins the graceful shutdown of the process. Nothing undoes it.
+func (m *Mode) Shutdown() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.shuttingDown = true
 }
 
-// State is where the relay stands at a time.
-func (s *Mode) State(now time.Time) State {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// State returns the state at a time.
+func (m *Mode) State(now time.Time) State {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
-	case s.ending:
+	case m.shuttingDown:
 		return ShuttingDown
-	case !s.away:
+	case !m.standby:
 		return Active
-	case now.Sub(s.since) < CloseAllAfter:
+	case now.Sub(m.drainStart) < CloseAllAfter:
 		return DrainingClients
 	}
 	return Standby
 }
 
-// InStandby tells whether clients are sent away by the operators, and since when; a planned end is not that.
-func (s *Mode) InStandby() (away bool, since time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.away, s.since
+// InStandby reports whether operators have stopped the serving of clients, and since when; a graceful shutdown is not that.
+func (m *Mode) InStandby() (standby bool, since time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.standby, m.drainStart
 }
 
-// Healthy tells whether clients may be sent here. At a planned end health says yes until the listener closes: the platform
-// knows, and stops sending by itself.
-func (s *Mode) Healthy() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return !s.away
+// Healthy reports whether the front layer may send clients here. At a graceful shutdown health stays yes until the listener closes:
+// the platform has asked for it, and stops sending by itself.
+func (m *Mode) Healthy() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.standby
 }
 
-// CloseAfterResponse tells whether an answer is the last on its connection.
-func (s *Mode) CloseAfterResponse() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.away || s.ending
+// CloseAfterResponse reports whether a response is the last on its connection.
+func (m *Mode) CloseAfterResponse() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.standby || m.shuttingDown
 }
 
-// IdleLimit is for how long a connection may go on without a request at a time, and whether that is bounded at all.
-func (s *Mode) IdleLimit(now time.Time) (rest time.Duration, bounded bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch after := now.Sub(s.since); {
-	case !s.away, after < CloseIdleAfter:
+// IdleLimit returns how long a connection may be idle at a time, and whether that is limited at all.
+func (m *Mode) IdleLimit(now time.Time) (limit time.Duration, limited bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	switch draining := now.Sub(m.drainStart); {
+	case !m.standby, draining < CloseIdleAfter:
 		return 0, false
-	case after < CloseAllAfter:
+	case draining < CloseAllAfter:
 		return MinIdle, true
 	}
 	return 0, true
