--- /dev/null
+++ b/internal/settings/validate.go
@@ -0,0 +1,96 @@
+package settings
+
+import (
+	"fmt"
+	"math"
+)
+
+// Bounds of the numbers: beyond them one is a mistake, and times would not fit a duration.
+const (
+	maxSeconds = 24 * 3600
+	maxCount   = 10_000_000
+)
+
+// FieldError is a value of the object that can't be used.
+type FieldError struct {
+	Key    string // as in "categories[2].deadline_s", elements counted from 0
+	Reason string
+}
+
+func (e *FieldError) Error() string { return "settings: " + e.Key + ": " + e.Reason }
+
+func invalid(key, format string, args ...any) error {
+	return &FieldError{Key: key, Reason: fmt.Sprintf(format, args...)}
+}
+
+// Validate returns a *FieldError for the first value that can't be used, or nil.
+func (s *Settings) Validate() error {
+	if _, ok := watchesEndpoints[s.Discovery]; !ok {
+		return invalid("discovery", "unknown mode %q", s.Discovery)
+	}
+	if _, ok := weightsByWord[s.Weights]; !ok {
+		return invalid("weights", "unknown meaning %q", s.Weights)
+	}
+	if err := s.validateCategories(); err != nil {
+		return err
+	}
+	if err := s.validateCounts(); err != nil {
+		return err
+	}
+	for i, c := range s.Categories {
+		if _, ok := idempotencyByWord[c.Idempotency]; !ok {
+			return invalid(fmt.Sprintf("categories[%d].idempotency", i), "unknown effect %q", c.Idempotency)
+		}
+	}
+	return nil
+}
+
+// validateCategories checks the names and numbers of all categories.
+func (s *Settings) validateCategories() error {
+	names := map[string]bool{}
+	for i := range s.Categories {
+		c, key := &s.Categories[i], fmt.Sprintf("categories[%d]", i)
+		if c.Name != "" && names[c.Name] {
+			return invalid(key+".name", "%q is there twice", c.Name)
+		}
+		names[c.Name] = true
+		if err := c.validateNumbers(key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// validateNumbers checks a category's numbers. The conditions are negated so that NaN fails them.
+func (c *Category) validateNumbers(key string) error {
+	switch {
+	case !(c.DeadlineS > 0 && c.DeadlineS <= maxSeconds):
+		return invalid(key+".deadline_s", "%v is not above 0 and up to a day", c.DeadlineS)
+	case !(c.AimS >= 0 && c.AimS <= maxSeconds):
+		return invalid(key+".aim_s", "%v is not from 0 to a day", c.AimS)
+	case !(c.MemorySpanS >= 0 && c.MemorySpanS <= maxSeconds):
+		return invalid(key+".memory_span_s", "%v is not from 0 to a day", c.MemorySpanS)
+	case !(c.Points >= 0) || math.IsInf(c.Points, 0):
+		return invalid(key+".points", "%v is negative or no number", c.Points)
+	case !(c.LateShare >= 0 && c.LateShare <= 1):
+		return invalid(key+".late_share", "%v is not from 0 to 1", c.LateShare)
+	}
+	return nil
+}
+
+// validateCounts checks the limits that are counts.
+func (s *Settings) validateCounts() error {
+	for _, count := range []struct {
+		key   string
+		value int
+	}{
+		{"limits.max_attempts", s.Limits.MaxAttempts},
+		{"limits.max_open", s.Limits.MaxOpen},
+		{"specifics.max_calls", s.Specifics.MaxCalls},
+	} {
+		if count.value < 1 || count.value > maxCount {
+			return invalid(count.key, "%d is not from 1 to %d", count.value, maxCount)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/settings/validate_test.go
@@ -0,0 +1,82 @@
+package settings
+
+import (
+	"errors"
+	"math"
+	"testing"
+)
+
+// valid returns settings that Validate passes.
+func valid() *Settings {
+	category := Category{Name: "A", DeadlineS: 5, AimS: 1, Idempotency: "retryable", Group: "all", LateShare: 0.5, Points: 1}
+	return &Settings{
+		Discovery: "subscribe", Weights: "nominal", Categories: []Category{category},
+		Limits: Limits{MaxAttempts: 3, MaxOpen: 100}, Specifics: Specifics{MaxCalls: 4},
+	}
+}
+
+// The texts are what the operators see of a bad configuration.
+func TestSettings_ValidateNamesTheFirstBadValue(t *testing.T) {
+	tests := []struct {
+		change func(s *Settings)
+		key    string
+		text   string
+	}{
+		{func(s *Settings) { s.Discovery = "x" }, "discovery", `settings: discovery: unknown mode "x"`},
+		{func(s *Settings) { s.Weights = "heavy" }, "weights", `settings: weights: unknown meaning "heavy"`},
+		{
+			func(s *Settings) { s.Categories = append(s.Categories, s.Categories[0]) }, "categories[1].name",
+			`settings: categories[1].name: "A" is there twice`,
+		},
+		{
+			func(s *Settings) { s.Categories[0].DeadlineS = 0 }, "categories[0].deadline_s",
+			"settings: categories[0].deadline_s: 0 is not above 0 and up to a day",
+		},
+		{
+			func(s *Settings) { s.Categories[0].AimS = math.NaN() }, "categories[0].aim_s",
+			"settings: categories[0].aim_s: NaN is not from 0 to a day",
+		},
+		{
+			func(s *Settings) { s.Categories[0].MemorySpanS = -1 }, "categories[0].memory_span_s",
+			"settings: categories[0].memory_span_s: -1 is not from 0 to a day",
+		},
+		{
+			func(s *Settings) { s.Categories[0].Points = math.Inf(1) }, "categories[0].points",
+			"settings: categories[0].points: +Inf is negative or no number",
+		},
+		{
+			func(s *Settings) { s.Categories[0].LateShare = 1.5 }, "categories[0].late_share",
+			"settings: categories[0].late_share: 1.5 is not from 0 to 1",
+		},
+		{func(s *Settings) { s.Limits.MaxAttempts = 0 }, "limits.max_attempts", "settings: limits.max_attempts: 0 is not from 1 to 10000000"},
+		{func(s *Settings) { s.Limits.MaxOpen = -1 }, "limits.max_open", "settings: limits.max_open: -1 is not from 1 to 10000000"},
+		{
+			func(s *Settings) { s.Specifics.MaxCalls = 1e8 }, "specifics.max_calls",
+			"settings: specifics.max_calls: 100000000 is not from 1 to 10000000",
+		},
+		{
+			func(s *Settings) { s.Categories[0].Idempotency = "perhaps" }, "categories[0].idempotency",
+			`settings: categories[0].idempotency: unknown effect "perhaps"`,
+		},
+		{
+			func(s *Settings) { s.Categories[0].Idempotency, s.Limits.MaxOpen = "perhaps", 0 }, "limits.max_open",
+			"settings: limits.max_open: 0 is not from 1 to 10000000",
+		},
+	}
+	for _, tt := range tests {
+		t.Run(tt.key, func(t *testing.T) {
+			s := valid()
+			tt.change(s)
+			var got *FieldError
+			if err := s.Validate(); !errors.As(err, &got) || got.Key != tt.key || err.Error() != tt.text {
+				t.Errorf("%v, want %s", err, tt.text)
+			}
+			if _, err := s.Policy(); err == nil || err.Error() != tt.text {
+				t.Errorf("Policy: %v, want %s", err, tt.text)
+			}
+		})
+	}
+	if err := valid().Validate(); err != nil {
+		t.Errorf("valid settings: %v", err)
+	}
+}
