--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"os"
+	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
@@ -37,7 +39,7 @@
 	} `toml:"item"`
 }
 
-func TestDecodeReportsAllAtOnce(t *testing.T) {
+func TestDecode_ReportsAllErrorsAtOnce(t *testing.T) {
 	text := `size = "big"
 sise = 3
 even = 3
@@ -76,7 +78,7 @@
 	}
 }
 
-func TestDecodeLaysOutValues(t *testing.T) {
+func TestDecode_AssignsValues(t *testing.T) {
 	var s sample
 	d := Decode("f", []byte("name='n'\nsize=2\neven=4\non=true\npart.count=3\n[[item]]\nrange=[1,2.5]\n"), &s)
 	if err := d.Err(); err != nil {
@@ -90,12 +92,50 @@
 	}
 }
 
-func TestSyntaxErrorNamesItsLine(t *testing.T) {
+func TestDecode_SyntaxErrorNamesItsLine(t *testing.T) {
 	for text, line := range map[string]int{"name = 'a'\nsize = = 2\n": 2, "name='a'\nname='b'\n": 2, "size = nan\nname='a'": 1} {
+		t.Run(text, func(t *testing.T) {
+			var s sample
+			var got FieldErrors
+			if !errors.As(Decode("f", []byte(text), &s).Err(), &got) || got[0].Line != line {
+				t.Errorf("got %v, want line %d", got, line)
+			}
+		})
+	}
+}
+
+func TestFieldErrors_UnwrapGivesEach(t *testing.T) {
+	var s sample
+	err := Decode("f", []byte("name = 1\nsise = 2\n"), &s).Err()
+	if want := (FieldError{File: "f", Line: 1, Key: "name", Reason: "is the whole number 1, has to be a text"}); !errors.Is(err, want) {
+		t.Errorf("%v, want among them %v", err, want)
+	}
+}
+
+func TestDocument_AddErrorCountsTheFirstOfAKey(t *testing.T) {
+	var s sample
+	d := Decode("f", []byte("name = 'n'\nsize = 2\n"), &s)
+	d.AddError("size", "is too large")
+	d.AddError("size", "is even")
+	if err, want := d.Err(), "f:2: size: is too large"; err == nil || err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
+
+func TestReadFile_SaysWhyItCannotRead(t *testing.T) {
+	dir := t.TempDir()
+	large := filepath.Join(dir, "large.toml")
+	if err := os.WriteFile(large, make([]byte, maxFileBytes+1), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for path, want := range map[string]string{
+		dir:                             dir + ": is a folder",
+		large:                           large + ": 4194305 bytes, 4194304 at most",
+		filepath.Join(dir, "none.toml"): "stat " + filepath.Join(dir, "none.toml") + ": no such file or directory",
+	} {
 		var s sample
-		var got FieldErrors
-		if !errors.As(Decode("f", []byte(text), &s).Err(), &got) || got[0].Line != line {
-			t.Errorf("%q: got %v, want line %d", text, got, line)
+		if _, err := ReadFile(path, &s); err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
 		}
 	}
 }
