--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,5 +1,5 @@
-// Package operatorconfig reads the operator's own file, deploy/frostlink.toml: one section a subsystem, each absent
-// unless the operator wants it, and absent means off. What the platform tells a relay is not in it.
+// Package operatorconfig reads the operator's own file, deploy/frostlink.toml. Each subsystem that an operator may turn on has a
+// section in it; an absent section means off. What the platform tells a relay is not in the file, but in package settings.
 package operatorconfig
 
 import (
@@ -9,30 +9,38 @@
 	"frostlink/internal/trace"
 )
 
-// Version is the form of the file that this program writes and reads.
+// Version is the version of the file's form that this program reads.
 const Version = 1
 
-// File is the operator's file. Each subsystem adds its section as a pointer: nil is off.
+// File is the operator's file. A section is a pointer, and nil is off.
 type File struct {
 	Version     int                 `toml:"version"`
-	Undelivered *deadletter.Section `toml:"undelivered"`
+	Undelivered *deadletter.Section `toml:"undelivered"` // the dead-letter store
 	Trace       *trace.Section      `toml:"trace"`
 
 	// Coordination names the service by which relays agree on who does the fleet's tasks.
 	Coordination *fleettask.Section `toml:"coordination"`
 }
 
-// Off is the file in which every section is absent.
+// Off returns the file in which every section is absent.
 func Off() *File { return &File{Version: Version} }
 
-// Read reads and checks a file. Its error is strict.Problems with all that is wrong in the file, or says why it
-// can't be read.
+// Read reads and checks a file. Its error is strictconfig.FieldErrors with all that is wrong in the file, or says why it can't be read.
 func Read(path string) (*File, error) {
 	f := Off()
 	doc, err := strictconfig.ReadFile(path, f)
 	if err != nil {
 		return nil, err
 	}
+	f.check(doc)
+	if err := doc.Err(); err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+// check adds to the document what is wrong with the values, each section's by the section's own Check.
+func (f *File) check(doc *strictconfig.Document) {
 	if f.Version != Version {
 		doc.AddError("version", "is %d; this program reads version %d", f.Version, Version)
 	}
@@ -42,8 +50,4 @@
 	if f.Coordination != nil {
 		f.Coordination.Check(doc, "coordination")
 	}
-	if err := doc.Err(); err != nil {
-		return nil, err
-	}
-	return f, nil
 }
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/strictconfig"
 )
 
-func TestShippedFileIsOff(t *testing.T) {
+func TestRead_ShippedFileTurnsNothingOn(t *testing.T) {
 	f, err := Read("../../deploy/frostlink.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -19,9 +19,9 @@
 	}
 }
 
-func TestReadReportsEveryFault(t *testing.T) {
+func TestRead_ReportsEveryError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.toml")
-	if err := os.WriteFile(path, []byte("version = 9\nversoin = 1\n\n[nothing]\na = 1\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte("version = 9\nversio = 1\n\n[nothing]\na = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Read(path)
@@ -29,6 +29,9 @@
 	if !errors.As(err, &got) || len(got) != 3 || got[0].Line != 1 || got[1].Line != 2 || got[2].Line != 4 {
 		t.Errorf("got %v", err)
 	}
+}
+
+func TestRead_MissingFile(t *testing.T) {
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a file that is not there: %v", err)
 	}
