--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,10 +1,3 @@
-// Package backoff says when a caller repeats an attempt, so that many callers of one server that fail together do not come
-// back together: capped exponential windows with full jitter, drawn from the caller's own seed. The windows are to grow
-// with the number of callers, which whoever makes a Backoff sees to.
-//
-// Of the forms in use (docs/design/fleet.md) this is the one whose callers spread over the whole window. The libraries at
-// hand draw around a fixed delay (cenkalti/backoff: half of it to either side) and from a source that all share, so that
-// no seed replays them.
 package backoff
 
 import (
@@ -12,32 +5,41 @@
 	"time"
 )
 
-// Backoff gives one caller's delays. It is not safe for concurrent use.
+// Backoff draws one caller's delays. It is not safe for concurrent use.
 type Backoff struct {
-	least, span, most time.Duration
-	window            time.Duration // the next one; 0: span
-	chance            *rand.Rand
+	minDelay      time.Duration
+	initialWindow time.Duration
+	maxWindow     time.Duration
+	window        time.Duration // of the next delay; 0: initialWindow
+	random        *rand.Rand
 }
 
-// New gives delays from least up to a window, which is span at first, and doubles with each attempt up to most.
-func New(least, span, most time.Duration, seed int64) *Backoff {
-	span = max(span, least)
-	return &Backoff{least: least, span: span, most: max(most, span), chance: rand.New(rand.NewPCG(uint64(seed), 1))}
+// New returns a Backoff whose delays are from minDelay up to a window, which is initialWindow at first and doubles with each attempt
+// up to maxWindow.
+func New(minDelay, initialWindow, maxWindow time.Duration, seed int64) *Backoff {
+	initialWindow = max(initialWindow, minDelay)
+	return &Backoff{
+		minDelay:      minDelay,
+		initialWindow: initialWindow,
+		maxWindow:     max(maxWindow, initialWindow),
+		random:        rand.New(rand.NewPCG(uint64(seed), 1)),
+	}
 }
 
-// Next gives the delay before the next attempt.
+// Next returns the delay before the next attempt.
 func (b *Backoff) Next() time.Duration {
-	window := max(b.window, b.span)
-	b.window = min(b.most, 2*window)
-	return b.within(b.least, window)
+	window := max(b.window, b.initialWindow)
+	b.window = min(b.maxWindow, 2*window)
+	return b.between(b.minDelay, window)
 }
 
-// Start gives the delay of a first attempt that many make because of one cause, such as a release.
-func (b *Backoff) Start() time.Duration { return b.within(0, b.span) }
+// Start returns the delay of a first attempt that many callers make for one cause, such as a release.
+func (b *Backoff) Start() time.Duration { return b.between(0, b.initialWindow) }
 
-// Reset notes a success: the next failure is the first one.
+// Reset notes a success: the next delay is drawn from the initial window again.
 func (b *Backoff) Reset() { b.window = 0 }
 
-func (b *Backoff) within(least, most time.Duration) time.Duration {
-	return least + time.Duration(b.chance.Float64()*float64(most-least))
+// between draws a delay.
+func (b *Backoff) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(b.random.Float64()*float64(high-low))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,24 +9,24 @@
 	"pgregory.net/rapid"
 )
 
-// Every delay lies in its window, windows double up to the most, and a success begins anew; the same seed draws the same.
-func TestWindows(t *testing.T) {
+// Every delay lies in its window, windows double up to the limit, and a success begins anew; the same seed draws the same delays.
+func TestBackoff_DelaysLieInDoublingWindows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ms := func(name string) time.Duration {
+		duration := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, 60_000).Draw(t, name)) * time.Millisecond
 		}
-		least, span, most, seed := ms("least"), ms("span"), ms("most"), rapid.Int64().Draw(t, "seed")
-		b, same := New(least, span, most, seed), New(least, span, most, seed)
-		if d := b.Start(); d < 0 || d > max(span, least) || d != same.Start() {
+		minDelay, initial, limit, seed := duration("min"), duration("initial"), duration("max"), rapid.Int64().Draw(t, "seed")
+		b, same := New(minDelay, initial, limit, seed), New(minDelay, initial, limit, seed)
+		if d := b.Start(); d < 0 || d > max(initial, minDelay) || d != same.Start() {
 			t.Fatalf("start %v", d)
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "rounds") {
-			window := max(span, least)
+			window := max(initial, minDelay)
 			for range 8 {
-				if d := b.Next(); d < least || d > window || d != same.Next() {
-					t.Fatalf("delay %v, want from %v to %v", d, least, window)
+				if d := b.Next(); d < minDelay || d > window || d != same.Next() {
+					t.Fatalf("delay %v, want from %v to %v", d, minDelay, window)
 				}
-				window = min(2*window, max(most, span, least))
+				window = min(2*window, max(limit, initial, minDelay))
 			}
 			b.Reset()
 			same.Reset()
@@ -34,132 +34,157 @@
 	})
 }
 
-// queue is a server that works through calls in turn, also through those whose caller has gone.
-type queue struct {
-	work    time.Duration // for one call
-	free    time.Duration // when it has done what it took
-	timeout time.Duration // a caller waits so long
-	most    time.Duration // it turns away what would take longer
+const (
+	// callers call one server for observed, from time 0 on, until each is served.
+	callers  = 80
+	observed = time.Minute
+)
+
+// server serves one request after the other, also those whose caller has given up.
+type server struct {
+	serviceTime time.Duration
+	idleAt      time.Duration // when all that it has accepted is done
+	timeout     time.Duration // a caller waits so long
+	maxWait     time.Duration // it rejects a request that would take longer
+}
+
+// newServer returns a server for a number of requests a second.
+func newServer(rate int) *server {
+	return &server{serviceTime: time.Second / time.Duration(rate), timeout: 2 * time.Second, maxWait: 6 * time.Second}
 }
 
-// call tells whether a call at a time is answered in time, and when its caller knows.
-func (q *queue) call(now time.Duration) (bool, time.Duration) {
-	q.free = max(q.free, now)
-	if q.free+q.work-now > q.most {
+// call reports whether a request at a time is served before its caller gives up, and when its caller knows.
+func (s *server) call(now time.Duration) (served bool, known time.Duration) {
+	s.idleAt = max(s.idleAt, now)
+	if s.idleAt+s.serviceTime-now > s.maxWait {
 		return false, now
 	}
-	q.free += q.work
-	if q.free-now > q.timeout {
-		return false, now + q.timeout
+	s.idleAt += s.serviceTime
+	if s.idleAt-now > s.timeout {
+		return false, now + s.timeout
 	}
-	return true, q.free
+	return true, s.idleAt
 }
 
-// herd has callers call at once at 0 and again until each was answered, and gives how many were in a minute, and their calls.
-func herd(callers int, q *queue, delay func(caller int) func() time.Duration) (answered, calls int) {
-	next := make([]time.Duration, callers)
-	again := make([]func() time.Duration, callers)
-	for i := range next {
-		again[i] = delay(i)
+// delays makes the delays of a caller.
+type delays func(caller int) (next func() time.Duration)
+
+// simulateHerd has all callers call at 0, and again after their delays until they are served. It returns how many were served, and in how
+// many calls.
+func simulateHerd(s *server, newDelays delays) (served, calls int) {
+	due := make([]time.Duration, callers) // -1: served
+	next := make([]func() time.Duration, callers)
+	for i := range due {
+		next[i] = newDelays(i)
 	}
 	for {
-		who := -1
-		for i, at := range next {
-			if at >= 0 && at < time.Minute && (who < 0 || at < next[who]) {
-				who = i
+		first := -1
+		for i, at := range due {
+			if at >= 0 && at < observed && (first < 0 || at < due[first]) {
+				first = i
 			}
 		}
-		if who < 0 {
-			return answered, calls
+		if first < 0 {
+			return served, calls
 		}
 		calls++
-		ok, known := q.call(next[who])
-		if next[who] = known + again[who](); ok {
-			next[who] = -1
-			answered++
+		ok, known := s.call(due[first])
+		if due[first] = known + next[first](); ok {
+			due[first] = -1
+			served++
 		}
 	}
 }
 
-// Eighty callers that come at once to a server for ten calls a second are all served; by the rule that relays had before,
-// without chance and without regard for their number, the server is at work for a minute on calls that were given up.
-func TestHerd(t *testing.T) {
-	server := func() *queue {
-		return &queue{work: 100 * time.Millisecond, timeout: 2 * time.Second, most: 6 * time.Second}
-	}
-	answered, calls := herd(80, server(), func(i int) func() time.Duration {
-		return New(250*time.Millisecond, 8*time.Second, 32*time.Second, int64(i)).Next
+// All callers that come at once to a server for ten requests a second are served. By the rule that relays had before, without jitter and
+// without regard for the number of callers, the server is busy for a minute with requests whose callers have given up.
+func TestBackoff_HerdIsServed(t *testing.T) {
+	served, calls := simulateHerd(newServer(10), func(caller int) func() time.Duration {
+		return New(250*time.Millisecond, 8*time.Second, 32*time.Second, int64(caller)).Next
 	})
-	if answered != 80 || calls > 3*80 {
-		t.Errorf("%d of 80 answered in %d calls", answered, calls)
+	if served != callers || calls > 3*callers {
+		t.Errorf("%d of %d served in %d calls", served, callers, calls)
 	}
-	answered, _ = herd(80, server(), func(int) func() time.Duration {
+	served, _ = simulateHerd(newServer(10), func(int) func() time.Duration {
 		last := time.Duration(0)
 		return func() time.Duration {
 			last = min(2*time.Second, 2*last+250*time.Millisecond)
 			return last
 		}
 	})
-	if answered > 40 {
-		t.Errorf("%d answered without chance: the test does not cause the failure it is about", answered)
+	if served > 40 {
+		t.Errorf("%d served without jitter: the test does not cause the failure that it is about", served)
 	}
 }
 
-// The usual forms against servers that take 5, 10 and 40 calls a second, eighty callers at once: what is in the table of
-// docs/design/fleet.md, by go test -run TestForms -v. Only forms that are scaled by the callers get them served where the server
-// is slow; among these the form matters little, but that none may be without chance.
-func TestForms(t *testing.T) {
-	const callers = 80
-	least, most, span := 250*time.Millisecond, 2*time.Second, callers*100*time.Millisecond
-	draw := func(i int) *rand.Rand { return rand.New(rand.NewPCG(uint64(i), 7)) }
-	doubled := func(base, top time.Duration, part func(r *rand.Rand, window time.Duration) time.Duration) func(int) func() time.Duration {
-		return func(i int) func() time.Duration {
-			r, window := draw(i), base/2
-			return func() time.Duration {
-				window = min(2*window, top)
-				return part(r, window)
-			}
+// The forms of backoff that are compared. Those of doubling windows draw a part of each window; decorrelated jitter draws from the last
+// delay.
+
+func randomOf(caller int) *rand.Rand { return rand.New(rand.NewPCG(uint64(caller), 7)) }
+
+func doubling(initial, limit time.Duration, draw func(r *rand.Rand, window time.Duration) time.Duration) delays {
+	return func(caller int) func() time.Duration {
+		r, window := randomOf(caller), initial/2
+		return func() time.Duration {
+			window = min(2*window, limit)
+			return draw(r, window)
 		}
 	}
-	fixed := func(_ *rand.Rand, w time.Duration) time.Duration { return w }
-	equal := func(r *rand.Rand, w time.Duration) time.Duration {
-		return w/2 + time.Duration(r.Float64()*float64(w/2))
-	}
-	full := func(r *rand.Rand, w time.Duration) time.Duration { return time.Duration(r.Float64() * float64(w)) }
-	decorrelated := func(base, top time.Duration) func(int) func() time.Duration {
-		return func(i int) func() time.Duration {
-			r, last := draw(i), base
-			return func() time.Duration {
-				last = min(top, base+time.Duration(r.Float64()*float64(3*last-base)))
-				return last
-			}
+}
+
+func noJitter(_ *rand.Rand, window time.Duration) time.Duration { return window }
+
+func equalJitter(r *rand.Rand, window time.Duration) time.Duration {
+	return window/2 + time.Duration(r.Float64()*float64(window/2))
+}
+
+func fullJitter(r *rand.Rand, window time.Duration) time.Duration {
+	return time.Duration(r.Float64() * float64(window))
+}
+
+func decorrelatedJitter(initial, limit time.Duration) delays {
+	return func(caller int) func() time.Duration {
+		r, last := randomOf(caller), initial
+		return func() time.Duration {
+			last = min(limit, initial+time.Duration(r.Float64()*float64(3*last-initial)))
+			return last
 		}
 	}
+}
+
+// The usual forms against servers for 5, 10 and 40 requests a second: what is in the table of docs/design/fleet.md, by
+// go test -run TestForms -v. Only forms that are scaled by the number of callers get them served where the server is slow; among these
+// the form matters little, but that none may be without jitter.
+func TestForms_OnlyScaledOnesAreServed(t *testing.T) {
+	const (
+		minDelay, limit = 250 * time.Millisecond, 2 * time.Second
+		scaled          = callers * 100 * time.Millisecond
+		ours            = "full jitter, scaled: ours"
+	)
 	served := map[string]int{}
 	for _, form := range []struct {
-		name  string
-		delay func(int) func() time.Duration
+		name   string
+		delays delays
 	}{
-		{"doubled, no chance", doubled(least, most, fixed)},
-		{"equal jitter", doubled(least, most, equal)},
-		{"full jitter", doubled(least, most, full)},
-		{"decorrelated jitter", decorrelated(least, most)},
-		{"doubled, no chance, scaled", doubled(span, 4*span, fixed)},
-		{"equal jitter, scaled", doubled(span, 4*span, equal)},
-		{"decorrelated jitter, scaled", decorrelated(span/2, 4*span)},
-		{"full jitter, scaled: ours", func(i int) func() time.Duration { return New(least, span, 4*span, int64(i)).Next }},
+		{"doubled, no jitter", doubling(minDelay, limit, noJitter)},
+		{"equal jitter", doubling(minDelay, limit, equalJitter)},
+		{"full jitter", doubling(minDelay, limit, fullJitter)},
+		{"decorrelated jitter", decorrelatedJitter(minDelay, limit)},
+		{"doubled, no jitter, scaled", doubling(scaled, 4*scaled, noJitter)},
+		{"equal jitter, scaled", doubling(scaled, 4*scaled, equalJitter)},
+		{"decorrelated jitter, scaled", decorrelatedJitter(scaled/2, 4*scaled)},
+		{ours, func(caller int) func() time.Duration { return New(minDelay, scaled, 4*scaled, int64(caller)).Next }},
 	} {
 		for _, rate := range []int{5, 10, 40} {
-			q := &queue{work: time.Second / time.Duration(rate), timeout: 2 * time.Second, most: 6 * time.Second}
-			answered, calls := herd(callers, q, form.delay)
-			served[fmt.Sprint(form.name, rate)] = answered
-			t.Logf("%-28s %2d a second: %2d of %d answered within a minute, %3d calls", form.name, rate, answered, callers, calls)
+			n, calls := simulateHerd(newServer(rate), form.delays)
+			served[fmt.Sprint(form.name, " at ", rate)] = n
+			t.Logf("%-28s %2d a second: %2d of %d served within a minute, %3d calls", form.name, rate, n, callers, calls)
 		}
 	}
-	if got := served["full jitter, scaled: ours5"]; got < 76 {
-		t.Errorf("ours: %d of %d answered at 5 a second", got, callers)
+	if got := served[ours+" at 5"]; got < 76 {
+		t.Errorf("ours: %d of %d served at 5 a second", got, callers)
 	}
-	if got := served["full jitter5"]; got > 60 {
-		t.Errorf("full jitter that is not scaled: %d answered, the need for scaling does not show", got)
+	if got := served["full jitter at 5"]; got > 60 {
+		t.Errorf("full jitter that is not scaled: %d served, the need for scaling does not show", got)
 	}
 }
