--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs the decisions of package policy on the simulator's wire: batches on standard
-// input, replies on standard output.
+// Command simadapter runs the decisions of package policy on the simulator's protocol: batches on standard input, replies on standard
+// output. The protocol is written down in package internal/simadapter.
 package main
 
 import (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,8 @@
 	Localities []string   `json:"localities"`       // the zones
 	NInstances int        `json:"n_instances"`      // relays in the fleet
 	Ordinal    int        `json:"ordinal"`          // this relay's number among them
-	OverShare  float64    `json:"over_share_worth"` // part of a request's priority weight left beyond its tenant's quota
-	QuantumS   float64    `json:"quantum_s"`        // between two batches of events
+	OverShare  float64    `json:"over_share_worth"` // fraction of the priority weight that a request beyond its tenant's quota has
+	QuantumS   float64    `json:"quantum_s"`        // the shortest time between two batches of events
 	Report     Report     `json:"report"`
 	Rules      Rules      `json:"rules"`
 	Shapes     []string   `json:"shapes"` // the kinds of destination
@@ -25,9 +25,9 @@
 	AimS        float64 `json:"aim_s"`         // latency objective
 	DeadlineS   float64 `json:"deadline_s"`    // after which a delivery is of no use
 	Idempotency string  `json:"idempotency"`   // "retryable": idempotent; "dedup": idempotent by key; "fragile": not
-	Group       string  `json:"group"`         // across which a destination knows a key: "all" zones, or else each zone for itself
+	Group       string  `json:"group"`         // for "dedup", the endpoints of a destination that share their keys: "all", or those of one zone
 	FifoByKey   bool    `json:"fifo_by_key"`   // requests with one order key are delivered one after the other
-	LateShare   float64 `json:"late_share"`    // fraction of the priority weight that a late delivery is worth
+	LateShare   float64 `json:"late_share"`    // fraction of the priority weight that is left at the deadline
 	MemorySpanS float64 `json:"memory_span_s"` // how long a destination remembers a key
 	Points      float64 `json:"points"`        // priority weight
 }
@@ -56,18 +56,18 @@
 type Rules struct {
 	AnswerSlackS   float64 `json:"answer_slack_s"`
 	AskWithinS     float64 `json:"ask_within_s"`
-	ColdShare      float64 `json:"cold_share"` // fraction of its capacity that an endpoint starts with
+	ColdShare      float64 `json:"cold_share"` // fraction of its capacity that a destination has at least after an outage
 	DrainGraceS    float64 `json:"drain_grace_s"`
 	OverloadFactor float64 `json:"overload_factor"`
 	OverloadForS   float64 `json:"overload_for_s"`
-	RampTimeS      float64 `json:"ramp_time_s"`   // of an endpoint's slow start
-	OrderPauseS    float64 `json:"order_pause_s"` // between requests with one order key
+	RampTimeS      float64 `json:"ramp_time_s"`   // after an outage, until a destination has its whole capacity at the latest
+	OrderPauseS    float64 `json:"order_pause_s"` // for which an order key rests after an attempt whose outcome is unknown
 }
 
 // Specifics are what belongs to this kind of service. The lists are by kind of destination, but RouteFee, which is by zone.
 type Specifics struct {
 	BundleMax      []int     `json:"bundle_max"`  // requests in a batch at most
-	LosesWorth     string    `json:"loses_worth"` // how the priority weight falls with age: "halving" or "linear"
+	LosesWorth     string    `json:"loses_worth"` // how the priority weight falls after the latency objective: "halving" or "linear"
 	MaxCalls       int       `json:"max_calls"`   // attempts in flight at most
 	RouteFee       []float64 `json:"route_fee"`   // cost of an attempt into each zone
 	SeparateRoutes []bool    `json:"separate_routes"`
--- /dev/null
+++ b/internal/simadapter/fields.go
@@ -0,0 +1,103 @@
+package simadapter
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"time"
+
+	"frostlink/internal/settings"
+	"frostlink/policy"
+)
+
+// fields reads the values of one line by position, and holds the first error. Values are read on after it, and are then of no use.
+type fields struct {
+	values []json.RawMessage
+	err    error
+}
+
+func (f *fields) fail(err error) {
+	if f.err == nil {
+		f.err = err
+	}
+}
+
+// decode reads value i into v; one that is absent or null leaves v as it is.
+func (f *fields) decode(i int, v any) {
+	if i >= len(f.values) {
+		return
+	}
+	if err := json.Unmarshal(f.values[i], v); err != nil {
+		f.fail(fmt.Errorf("value %d: %w", i, err))
+	}
+}
+
+func (f *fields) text(i int) (v string)    { f.decode(i, &v); return v }
+func (f *fields) number(i int) (v float64) { f.decode(i, &v); return v }
+func (f *fields) truth(i int) (v bool)     { f.decode(i, &v); return v }
+
+func (f *fields) seconds(i int) time.Duration { return settings.Seconds(f.number(i)) }
+
+// whole reads a whole number, also one that is written as 1e3 or 7.0. Seeds need all 64 bits, which a float64 does not hold.
+func (f *fields) whole(i int) int64 {
+	var n json.Number
+	f.decode(i, &n)
+	if v, err := n.Int64(); err == nil || n == "" {
+		return v
+	}
+	v, err := n.Float64()
+	if err != nil || v != math.Trunc(v) {
+		f.fail(fmt.Errorf("value %d: not a whole number", i))
+	}
+	return int64(v)
+}
+
+func (f *fields) outcome(i int) policy.Outcome {
+	name := f.text(i)
+	outcome, ok := outcomes[name]
+	if !ok {
+		f.fail(fmt.Errorf("unknown outcome %q", name))
+	}
+	return outcome
+}
+
+// loadReport reads a load report; one without both figures is none.
+func (f *fields) loadReport(i int) *policy.LoadReport {
+	var figures map[string]float64
+	f.decode(i, &figures)
+	remaining, hasRemaining := figures["x0"]
+	limit, hasLimit := figures["x1"]
+	if !hasRemaining || !hasLimit {
+		return nil
+	}
+	return &policy.LoadReport{Remaining: remaining, RateLimit: limit}
+}
+
+// endpoints reads the entries of a manifest.
+func (f *fields) endpoints(i int) []policy.Endpoint {
+	var entries [][]json.RawMessage
+	f.decode(i, &entries)
+	list := make([]policy.Endpoint, 0, len(entries))
+	for _, values := range entries {
+		entry := &fields{values: values}
+		list = append(list, entry.endpoint())
+		if entry.err != nil {
+			f.fail(entry.err)
+		}
+	}
+	return list
+}
+
+// endpoint reads one entry of a manifest.
+func (f *fields) endpoint() policy.Endpoint {
+	state := f.text(4)
+	return policy.Endpoint{
+		Kind:        int(f.whole(0)),
+		Destination: int(f.whole(1)),
+		ID:          f.text(2),
+		Weight:      f.number(3),
+		Draining:    state == stateDraining,
+		Removed:     state == stateRemoved,
+		Zone:        int(f.whole(5)),
+	}
+}
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/serve_test.go
@@ -9,14 +9,15 @@
 	`"discovery":"automatic","limits":{"max_attempts":4,"max_open":20},"n_instances":1,"quantum_s":0.005,"news":1,` +
 	`"shapes":["k"],"specifics":{"max_calls":3,"bundle_max":[1]},"weights":"off"}]`
 
-func run(t *testing.T, lines ...string) (string, error) {
+// serve runs a session on lines, and returns its replies.
+func serve(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
 	err := Serve(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out)
 	return out.String(), err
 }
 
-func TestServe(t *testing.T) {
+func TestServe_Replies(t *testing.T) {
 	list := `["manifest",0,[[0,5,"h1",1,"in_service",0,null]]]`
 	other := `["manifest",0,[[0,6,"h2",1,"in_service",0,null]]]`
 	call := func(id, dest string) string {
@@ -29,7 +30,7 @@
 		never []string
 	}{
 		{"an empty batch", []string{`["round",1]`, `["your_turn"]`}, []string{`["ready"]`}, nil},
-		{"a message is sent", []string{
+		{"a request is sent", []string{
 			`["round",1]`, begin, list, `["update",0,"SAVED",1,0]`, call("m", "5"),
 			`["your_turn"]`,
 		}, []string{`["relay",0,"m","h1",1.5]`}, nil},
@@ -61,35 +62,39 @@
 		}, []string{`["die",3,`, "weights"}, nil},
 	}
 	for _, tt := range tests {
-		out, err := run(t, tt.lines...)
-		if err != nil {
-			t.Errorf("%s: %v", tt.name, err)
-		}
-		for _, want := range tt.want {
-			if !strings.Contains(out, want) {
-				t.Errorf("%s: no %s in %s", tt.name, want, out)
+		t.Run(tt.name, func(t *testing.T) {
+			out, err := serve(t, tt.lines...)
+			if err != nil {
+				t.Error(err)
 			}
-		}
-		for _, never := range tt.never {
-			if strings.Contains(out, never) {
-				t.Errorf("%s: %s in %s", tt.name, never, out)
+			for _, want := range tt.want {
+				if !strings.Contains(out, want) {
+					t.Errorf("no %s in %s", want, out)
+				}
 			}
-		}
+			for _, never := range tt.never {
+				if strings.Contains(out, never) {
+					t.Errorf("%s in %s", never, out)
+				}
+			}
+		})
 	}
 }
 
-func TestMalformedLines(t *testing.T) {
+func TestServe_MalformedLineEndsTheSession(t *testing.T) {
 	for _, bad := range []string{
 		`nonsense`, `["round","x"]`, `["answer",0,"m","h",0,"Odd"]`, `["call",0,5]`,
 		`["update",0,"FULL",1,9]`, `["begin",0,1,[]]`,
 	} {
-		out, err := run(t, `["round",1]`, begin, bad, `["your_turn"]`)
-		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", bad, err)
-		}
-		if out != "" {
-			t.Errorf("%s: reply half written: %q", bad, out)
-		}
+		t.Run(bad, func(t *testing.T) {
+			out, err := serve(t, `["round",1]`, begin, bad, `["your_turn"]`)
+			if err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v", err)
+			}
+			if out != "" {
+				t.Errorf("part of a reply is written: %q", out)
+			}
+		})
 	}
 }
 
@@ -97,6 +102,6 @@
 	f.Add(begin)
 	f.Add(`["answer",0,"m","h",0,"Ok",null,0.1,true,{"x0":1}]`)
 	f.Fuzz(func(t *testing.T, line string) {
-		_, _ = run(t, `["round",1]`, line, `["your_turn"]`) // must not panic
+		_, _ = serve(t, `["round",1]`, line, `["your_turn"]`) // must not panic
 	})
 }
