--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -2,35 +2,62 @@
 
 import (
 	"bytes"
+	"errors"
 	"testing"
 	"time"
 )
 
-// What is written is read back, whatever a platform puts in front of a line, and what can't be read is named.
-func TestWrittenAndRead(t *testing.T) {
+func TestParse_ReadsWhatRecordWrote(t *testing.T) {
 	var log bytes.Buffer
 	r := New(&Section{Log: true}, &log)
 	want := Event{Kind: AttemptEnded, ID: "a", Destination: 3, Endpoint: "h", Outcome: Delivered, Count: 1, Ms: 41.5, Left: 0.4, Limit: 25, NewConn: true}
 	r.Record(1500*time.Millisecond, want)
 	want.Version, want.At = Version, 1500
-	got, ok, err := Parse(append([]byte("0.014 "), log.Bytes()...))
+	got, ok, err := Parse(append([]byte("0.014 "), log.Bytes()...)) // a platform puts its own time in front
 	if !ok || err != nil || got != want {
 		t.Errorf("got %+v, %v, %v; want %+v", got, ok, err, want)
 	}
+}
+
+func TestParse_SaysWhatCannotBeUsed(t *testing.T) {
 	for line, want := range map[string]struct{ ok, bad bool }{
 		"0.014 2026/12/01 WARN watch ended":           {false, false},
 		`{"trace":1,"at":15,"ev":"send","dest":`:      {true, true},
 		`{"trace":2,"at":15,"ev":"send","dest":1}`:    {true, true},
+		`{"trace":1,"at":-15,"ev":"send","dest":1}`:   {true, true},
+		`{"trace":1,"at":2e15,"ev":"send","dest":1}`:  {true, true},
 		`{"trace":1,"at":15,"ev":"send","dest":1}`:    {true, false},
 		`{"trace":1,"at":"15","ev":"send","dest":1}`:  {true, true},
 		`{"trace":1,"at":15,"ev":"send","dest":1} {}`: {true, true},
 	} {
-		if _, ok, err := Parse([]byte(line)); ok != want.ok || (err != nil) != want.bad {
-			t.Errorf("%s: got %v, %v", line, ok, err)
-		}
+		t.Run(line, func(t *testing.T) {
+			if _, ok, err := Parse([]byte(line)); ok != want.ok || (err != nil) != want.bad {
+				t.Errorf("got %v, %v", ok, err)
+			}
+		})
 	}
+	var version VersionError
+	if _, _, err := Parse([]byte(`{"trace":2,"at":15,"ev":"send","dest":1}`)); !errors.As(err, &version) || version != 2 {
+		t.Errorf("a line of version 2: %v", err)
+	}
+}
+
+func TestNew_RecordsNothingUnlessTheSectionAsksForIt(t *testing.T) {
+	var log bytes.Buffer
 	New(nil, &log).Record(0, Event{})
+	if log.Len() > 0 {
+		t.Errorf("no section, and it wrote %q", log.Bytes())
+	}
 	if New(&Section{}, &log) != nil {
-		t.Error("a section that does not want a trace gives one")
+		t.Error("a section that does not ask for a trace gives a recorder")
+	}
+}
+
+// The digests of one trace are compared with those that other relays, and other versions, wrote.
+func TestDigest_OfEqualKeysIsEqual(t *testing.T) {
+	for key, want := range map[string]string{"": "", "a": "ca978112ca1bbdca", "b": "3e23e8160039594a"} {
+		if got := Digest(key); got != want {
+			t.Errorf("digest of %q is %s, want %s", key, got, want)
+		}
 	}
 }
