--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the commands for people have in common: exit codes and where JSON goes.
+// Package cli is what the commands that people use have in common: exit codes, and where JSON is written.
 package cli
 
 import (
@@ -15,14 +15,17 @@
 // The exit codes of every command.
 const (
 	ExitFine  = 0
-	ExitFound = 1 // it found something
-	ExitFail  = 2 // it could not run
+	ExitFound = 1 // the command did its work and found something wrong
+	ExitFail  = 2 // the command could not do its work
 )
 
-// ErrFound says that a command did its work and found something wrong; it has been printed.
+// ErrFound is returned by a command that did its work, found something wrong and has printed it.
 var ErrFound = errors.New("found something")
 
-// Run runs a command and gives its exit code.
+// stdout is the path that stands for standard output.
+const stdout = "-"
+
+// Run runs a command, prints its error, and returns its exit code.
 func Run(ctx context.Context, root *cobra.Command, args []string, in io.Reader, out, errs io.Writer) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetArgs(args)
@@ -40,16 +43,18 @@
 	}
 }
 
-// WriteJSON writes a value to a file, or to standard output for -.
+// WriteJSON writes a value to a file, or to out where the path is "-".
 func WriteJSON(out io.Writer, path string, v any) error {
 	raw, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		return err
+		return fmt.Errorf("encode as JSON: %w", err)
 	}
 	raw = append(raw, '\n')
-	if path == "-" {
-		_, err = out.Write(raw)
-		return err
+	if path == stdout {
+		if _, err := out.Write(raw); err != nil {
+			return fmt.Errorf("write JSON: %w", err)
+		}
+		return nil
 	}
-	return os.WriteFile(path, raw, 0o644)
+	return os.WriteFile(path, raw, 0o644) //nolint:wrapcheck // it names the operation and the file
 }
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -5,18 +5,17 @@
 	"testing"
 )
 
-// failures is a test that only counts what it is told.
-type failures struct {
+// recorder is a testing.TB that records failures in place of failing.
+type recorder struct {
 	testing.TB
-	said []string
+	failures []string
 }
 
-func (f *failures) Helper()                   {}
-func (f *failures) Errorf(s string, _ ...any) { f.said = append(f.said, s) }
+func (r *recorder) Helper()                        {}
+func (r *recorder) Errorf(format string, _ ...any) { r.failures = append(r.failures, format) }
 
-// TestRenamedFieldIsSeen: a field that is renamed without a tag, or whose tag is changed, fails the comparison, and so does one
-// that is dropped.
-func TestRenamedFieldIsSeen(t *testing.T) {
+// A field that is renamed without a tag, whose tag is changed, or that is dropped fails the comparison.
+func TestJSON_SeesARenamedField(t *testing.T) {
 	type stored struct {
 		ID   string `json:"id"`
 		Left int
@@ -32,15 +31,22 @@
 	type dropped struct {
 		ID string `json:"id"`
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name  string
 		value any
 		fails bool
-	}{{"as it was", &stored{}, false}, {"renamed", &renamed{}, true}, {"another tag", &retagged{}, true}, {"dropped", &dropped{}, true}} {
-		f := &failures{TB: t}
-		JSON(f, "planted.txt", Form{Name: "stored", Value: c.value})
-		if failed := len(f.said) > 0; failed != c.fails {
-			t.Errorf("%s: said %s, want a failure: %v", c.name, strings.Join(f.said, "; "), c.fails)
-		}
+	}{
+		{"as it was", &stored{}, false},
+		{"renamed", &renamed{}, true},
+		{"another tag", &retagged{}, true},
+		{"dropped", &dropped{}, true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			r := &recorder{TB: t}
+			JSON(r, "planted.txt", Form{Name: "stored", Value: tt.value})
+			if failed := len(r.failures) > 0; failed != tt.fails {
+				t.Errorf("failures %s, want some: %v", strings.Join(r.failures, "; "), tt.fails)
+			}
+		})
 	}
 }
