--- a/cmd/frostlink/build_test.go
+++ b/cmd/frostlink/build_test.go
@@ -19,8 +19,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// deployed gives a key of deploy/balancer.toml.
-func deployed(t *testing.T, key string) string {
+// deployKey returns a key of deploy/balancer.toml.
+func deployKey(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -33,20 +33,35 @@
 	return string(m[1])
 }
 
-// The platform loads a library into the relay and watches one process: what `build` makes is linked against the C
-// library, and what `run` starts is one process, the relay itself, that starts no other.
-func TestBuildAndRun(t *testing.T) {
+// The platform loads a library into the relay and watches one process: what the deploy file's build makes is linked against the C
+// library, and what its run starts is one process, the relay itself, that starts no other.
+func TestDeployFile_BuildAndRun(t *testing.T) {
 	if _, err := exec.LookPath("gcc"); err != nil {
 		t.Skip("external linking needs a C compiler: ", err)
 	}
 	dir := t.TempDir()
-	build := strings.ReplaceAll(strings.ReplaceAll(deployed(t, "build"), "-o bin/", "-o "+dir+"/"), "./cmd/...", "./cmd/frostlink")
+	buildRelay(t, dir)
+	checkLinkedDynamically(t, filepath.Join(dir, "frostlink"))
+	address, env := writeConfig(t, dir)
+	relay := startRelay(t, dir, env)
+	awaitHealthy(t, address)
+	checkSingleProcess(t, relay.Pid)
+}
+
+// buildRelay builds the relay into a folder as the deploy file says.
+func buildRelay(t *testing.T, dir string) {
+	t.Helper()
+	build := strings.ReplaceAll(strings.ReplaceAll(deployKey(t, "build"), "-o bin/", "-o "+dir+"/"), "./cmd/...", "./cmd/frostlink")
 	cmd := exec.Command("sh", "-c", strings.Replace(build, "mkdir -p bin", "true", 1))
 	cmd.Dir = "../.."
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v\n%s", build, err, out)
 	}
-	f, err := elf.Open(filepath.Join(dir, "frostlink"))
+}
+
+func checkLinkedDynamically(t *testing.T, program string) {
+	t.Helper()
+	f, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,49 +73,62 @@
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
 		t.Error("it names no dynamic loader")
 	}
+}
 
-	run := deployed(t, "run")
+// startRelay starts the relay as the deploy file says, until the test ends.
+func startRelay(t *testing.T, dir string, env []string) *os.Process {
+	t.Helper()
+	run := deployKey(t, "run")
 	if !strings.HasPrefix(run, "exec ") {
 		t.Errorf("run = %q does not replace its shell", run)
 	}
-	at, env := configured(t, dir)
 	relay := exec.Command("sh", "-c", strings.Replace(run, "bin/", dir+"/", 1))
 	relay.Dir, relay.Env = "../..", append(os.Environ(), env...)
 	if err := relay.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() {
+	t.Cleanup(func() {
 		_ = relay.Process.Kill()
 		_ = relay.Wait()
-	}()
+	})
+	return relay.Process
+}
+
+func awaitHealthy(t *testing.T, address string) {
+	t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if resp, err := http.Get("http://" + at + "/_health"); err == nil {
+		if resp, err := http.Get("http://" + address + "/_health"); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				break
+				return
 			}
 		}
 		if time.Now().After(until) {
 			t.Fatal("not ready within 20 s")
 		}
 	}
-	proc := fmt.Sprintf("/proc/%d", relay.Process.Pid)
+}
+
+// checkSingleProcess checks that a process runs the relay, and that none of its threads has started another.
+func checkSingleProcess(t *testing.T, pid int) {
+	t.Helper()
+	proc := fmt.Sprintf("/proc/%d", pid)
 	if exe, err := os.Readlink(proc + "/exe"); err != nil || filepath.Base(exe) != "frostlink" {
 		t.Errorf("the process that was started runs %s, %v", exe, err)
 	}
-	tasks, err := filepath.Glob(proc + "/task/*/children")
-	if err != nil || len(tasks) == 0 {
+	threads, err := filepath.Glob(proc + "/task/*/children")
+	if err != nil || len(threads) == 0 {
 		t.Fatalf("no threads seen: %v", err)
 	}
-	for _, path := range tasks {
+	for _, path := range threads {
 		if children, err := os.ReadFile(path); err == nil && len(children) > 0 {
 			t.Errorf("it has started %s", children)
 		}
 	}
 }
 
-// configured writes a configuration with a discovery that turns all calls away, and gives the relay's address.
-func configured(t *testing.T, dir string) (at string, env []string) {
+// writeConfig writes a configuration whose discovery rejects all requests, and returns the relay's address and environment.
+func writeConfig(t *testing.T, dir string) (address string, env []string) {
 	t.Helper()
 	s, err := scenario.Read("../../scenarios/quiet.toml")
 	if err != nil {
@@ -112,10 +140,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = free.Addr().String()
+	address = free.Addr().String()
 	_ = free.Close()
 	config, err := json.Marshal(map[string]any{
-		"name": "n0", "listen": at, "discovery": strings.TrimPrefix(discovery.URL, "http://"),
+		"name": "n0", "listen": address, "discovery": strings.TrimPrefix(discovery.URL, "http://"),
 		"seed": "1f", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, "settings": s.Settings(0),
 	})
 	if err != nil {
@@ -125,5 +153,5 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return at, []string{"NODE_CONFIG=" + path, "NODE_STATE=" + t.TempDir()}
+	return address, []string{"NODE_CONFIG=" + path, "NODE_STATE=" + t.TempDir()}
 }
--- a/cmd/frostlink/golden_test.go
+++ b/cmd/frostlink/golden_test.go
@@ -14,21 +14,21 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestGoldenBadInput: what the relay says of input that it can't use, and its exit codes, to the byte.
+// What the relay says of input that it can't use, and its exit codes, to the byte.
 func TestGoldenBadInput(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "frostlink")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	_, env := configured(t, dir)
-	good, err := os.ReadFile(filepath.Join(dir, "config.json"))
+	_, env := writeConfig(t, dir)
+	valid, err := os.ReadFile(filepath.Join(dir, "config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := regexp.MustCompile(`"discovery":"127[^"]*"`).ReplaceAllString(string(good), `"discovery":"127.0.0.1:9"`)
-	var all bytes.Buffer
-	for _, c := range []struct{ name, config, operator string }{
+	text := regexp.MustCompile(`"discovery":"127[^"]*"`).ReplaceAllString(string(valid), `"discovery":"127.0.0.1:9"`)
+	var got bytes.Buffer
+	for _, tt := range []struct{ name, config, operator string }{
 		{"no JSON", "{", ""},
 		{"no address", strings.Replace(text, `"listen":`, `"elsewhere":`, 1), ""},
 		{"seed", strings.Replace(text, `"seed":"1f"`, `"seed":"xyz"`, 1), ""},
@@ -40,21 +40,21 @@
 		{"version", text, "version = 9\n"},
 	} {
 		config, operator := filepath.Join(dir, "bad.json"), filepath.Join(dir, "operator.toml")
-		if err := errors.Join(os.WriteFile(config, []byte(c.config), 0o600), os.WriteFile(operator, []byte(c.operator), 0o600)); err != nil {
+		if err := errors.Join(os.WriteFile(config, []byte(tt.config), 0o600), os.WriteFile(operator, []byte(tt.operator), 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		args := []string{"-config", config}
-		if c.operator != "" {
+		if tt.operator != "" {
 			args = append(args, "-operator", operator)
 		}
 		cmd := exec.Command(program, args...)
 		cmd.Env = append(os.Environ(), env...)
-		var errs bytes.Buffer
-		cmd.Stderr = &errs
+		var stderr bytes.Buffer
+		cmd.Stderr = &stderr
 		if err := cmd.Run(); err == nil {
-			t.Fatalf("%s: it runs", c.name)
+			t.Fatalf("%s: it runs", tt.name)
 		}
-		fmt.Fprintf(&all, "# %s: %d\n%s", c.name, cmd.ProcessState.ExitCode(), strings.ReplaceAll(errs.String(), dir, "DIR"))
+		fmt.Fprintf(&got, "# %s: %d\n%s", tt.name, cmd.ProcessState.ExitCode(), strings.ReplaceAll(stderr.String(), dir, "DIR"))
 	}
-	goldentest.Bytes(t, "bad-input.txt", all.Bytes())
+	goldentest.Bytes(t, "bad-input.txt", got.Bytes())
 }
