--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -11,8 +11,8 @@
 // Any other path is answered with 404, any other method with 405. A handler reads published snapshots and sets the serving mode: no
 // request waits for the relay's event loop, for its disk or for a client.
 //
-// Metrics has one writer, the event loop, which counts and publishes. Readers get a whole published Snapshot, so the figures of one
-// read belong together. AttemptsSent alone is added to by other goroutines.
+// Metrics has one writer, the event loop, which counts and publishes. Readers get one published Snapshot, so the values of one
+// read are of one time. AttemptsSent alone is added to by other goroutines.
 //
 // Files:
 //
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -61,7 +61,7 @@
 func (m *Metrics) Withdrawn() { m.current.InFlight-- }
 
 // HandedOver sets the requests in flight to 0: the successor counts them. It publishes nothing. Readers of this process, which ends
-// in a moment, go on seeing the figures of the hand-over, because "nothing in flight" would be wrong about the relay until the
+// in a moment, go on seeing the metrics as of the hand-over, because "nothing in flight" would be wrong about the relay until the
 // successor answers.
 func (m *Metrics) HandedOver() { m.current.InFlight = 0 }
 
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -15,15 +15,15 @@
 	}
 }
 
-// A process that has handed over shows the figures of the hand-over until it ends; if the relay comes back to it, it counts requests
+// A process that has handed over shows the metrics as of the hand-over until it ends; if the relay comes back to it, it counts requests
 // in flight from 0.
-func TestMetrics_HandedOverShowsLastFiguresAndCountsAnew(t *testing.T) {
+func TestMetrics_HandedOverStaysVisibleAndCountsAnew(t *testing.T) {
 	m := NewMetrics([]string{"C"})
 	m.Accepted()
 	m.Accepted()
 	m.Publish(Gauges{EndpointsListed: 3})
 	if m.HandedOver(); m.Snapshot().InFlight != 2 || m.Snapshot().EndpointsListed != 3 {
-		t.Errorf("handed over, it shows %+v", m.Snapshot())
+		t.Errorf("after the hand-over it shows %+v", m.Snapshot())
 	}
 	m.Accepted()
 	if m.Publish(Gauges{}); m.Snapshot().InFlight != 1 {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// The metrics of one read belong together, and have the form of docs/operators/on-call.md.
+// The metrics of one read are of one time, and have the form of docs/operators/on-call.md.
 func TestServer_MetricsShowThePublishedSnapshot(t *testing.T) {
 	r, addr := startServer(t)
 	m := r.metrics
--- a/internal/faultinjection/faults/loopback.go
+++ b/internal/faultinjection/faults/loopback.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// firstNetwork to lastNetwork are the values of N in the networks 127.N.0.0/16 that runs are given. The lower half of
+	// firstNetwork to lastNetwork are the values of N in the networks 127.N.0.0/16 that runs reserve. The lower half of
 	// 127.0.0.0/8 is left to other programs.
 	firstNetwork, lastNetwork = 128, 254
-	// loopbackPort is the port of every address that a run is given. It is below the ports that Linux draws for connections and for
+	// loopbackPort is the port of every address of a run. It is below the ports that Linux draws for connections and for
 	// listeners without a port (ip_local_port_range, from 32768), so that no other program gets it by chance.
 	loopbackPort = 20011
 	// hostsPerBlock are the addresses used in each 127.N.B.0/24: the last byte is never 0 or 255.
@@ -23,14 +23,15 @@
 	hostBlocks = 255
 )
 
-// Loopback is a network of loopback addresses that belongs to one run alone until it is closed. Every address of a run is given once,
-// so a process may be told to listen on one long before it does, and may stop listening and start again: no other run takes it.
+// Loopback is a network of loopback addresses that belongs to one run alone until it is closed. Every address of a run is assigned
+// once, so a process may bind the one in its configuration long after that was written, and bind it again after a restart: no other
+// run takes it.
 type Loopback struct {
 	lock    net.Listener // bound to a fixed address of the network: whoever holds it has the network
 	network byte
 
 	mu   sync.Mutex // guards used
-	used int        // addresses given so far
+	used int        // addresses assigned so far
 }
 
 // NewLoopback reserves a network that no other run on the machine has. The reservation is a bound socket: it has just the scope of the
@@ -53,7 +54,7 @@
 	return nil, fmt.Errorf("reserve a loopback network: all %d are in use", networks)
 }
 
-// Close gives the network back.
+// Close releases the network.
 func (l *Loopback) Close() error {
 	if err := l.lock.Close(); err != nil {
 		return fmt.Errorf("release the loopback network 127.%d: %w", l.network, err)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Address returns an address that this run was not given before, as HOST:PORT, for TCP or UDP.
+// Address returns a new address of the run, as HOST:PORT, for TCP or UDP.
 func (l *Loopback) Address() (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +74,7 @@
 	return l.address(block, host), nil
 }
 
-// Listen listens for TCP on an address that this run was not given before.
+// Listen listens for TCP on a new address of the run.
 func (l *Loopback) Listen() (net.Listener, error) {
 	at, err := l.Address()
 	if err != nil {
@@ -86,7 +87,7 @@
 	return ln, nil
 }
 
-// ListenUDP opens a UDP socket on an address that this run was not given before.
+// ListenUDP opens a UDP socket on a new address of the run.
 func (l *Loopback) ListenUDP() (*net.UDPConn, error) {
 	at, err := l.Address()
 	if err != nil {
--- a/internal/faultinjection/faults/loopback_test.go
+++ b/internal/faultinjection/faults/loopback_test.go
@@ -23,7 +23,7 @@
 	return l
 }
 
-func TestNewLoopback_GivesEachRunANetworkOfItsOwn(t *testing.T) {
+func TestNewLoopback_ReservesANetworkForEachRun(t *testing.T) {
 	var work sync.WaitGroup
 	var mu sync.Mutex
 	owners := map[byte]int{}
@@ -63,26 +63,26 @@
 	_ = again.Close()
 }
 
-func TestLoopback_GivesEveryAddressOnce(t *testing.T) {
+func TestLoopback_AssignsEveryAddressOnce(t *testing.T) {
 	l := openLoopback(t)
-	given := map[string]bool{l.lock.Addr().String(): true}
+	assigned := map[string]bool{l.lock.Addr().String(): true}
 	for range hostBlocks * hostsPerBlock {
 		at, err := l.Address()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if given[at] {
-			t.Fatalf("%s is given twice", at)
+		if assigned[at] {
+			t.Fatalf("%s is assigned twice", at)
 		}
-		given[at] = true
+		assigned[at] = true
 	}
 	if at, err := l.Address(); err == nil {
-		t.Errorf("gave %s when all addresses were used up", at)
+		t.Errorf("assigned %s when all addresses were used up", at)
 	}
 }
 
-// A relay is told where to listen before it runs, and restarts on the same address: a listener elsewhere that draws its port meanwhile
-// does not get it.
+// A relay is configured with its address before it runs, and binds it again at each restart: no listener of its own run or another takes
+// it meanwhile.
 func TestLoopback_AddressCanBeBoundAgain(t *testing.T) {
 	l := openLoopback(t)
 	first, err := l.Listen()
--- a/internal/faultinjection/harness/loopback_test.go
+++ b/internal/faultinjection/harness/loopback_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// concurrentRuns are opened at once. One round of them rarely shows an address that two runs are given, so that it takes several.
+	// concurrentRuns are opened at once. One round of them rarely shows an address that two runs share, so that it takes several.
 	concurrentRuns, addressRounds = 20, 30
 )
 
@@ -37,8 +37,8 @@
 share = 1
 `
 
-// Runs side by side, as another test or another user of the machine plays them, never get each other's addresses: each relay can
-// bind what its run told it to listen on.
+// Concurrent runs, as another test or another user of the machine plays them, never share an address: each relay can bind the addresses
+// in its configuration.
 func TestRun_BindsItsAddressesBesideOtherRuns(t *testing.T) {
 	s, err := scenario.Parse("addresses.toml", []byte(manyRelays))
 	if err != nil {
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,5 +1,5 @@
 // Package operatorconfig reads the operator's own file, deploy/frostlink.toml. Each subsystem that an operator may turn on has a
-// section in it; an absent section means off. What the platform tells a relay is not in the file, but in package settings.
+// section in it; an absent section means off. The platform's configuration of a relay is not in this file; see package settings.
 package operatorconfig
 
 import (
--- a/internal/servingmode/doc.go
+++ b/internal/servingmode/doc.go
@@ -16,10 +16,10 @@
 // What a relay does in each state:
 //
 //	                         healthy  closes after response  idle connections
-//	Active                   yes      no                     kept
-//	DrainingClients          no       yes                    kept; from CloseIdleAfter on closed after MinIdle
+//	Active                   yes      no                     left open
+//	DrainingClients          no       yes                    left open; from CloseIdleAfter on closed after MinIdle
 //	Standby                  no       yes                    closed at once
-//	ShuttingDown             yes      yes                    kept
+//	ShuttingDown             yes      yes                    left open
 //	ShuttingDown in standby  no       yes                    as in DrainingClients and Standby
 //
 // The reason for the stages: the front layer polls health every 0.1 s and sends new connections for another 0.2 s, and clients use a
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,7 +52,7 @@
 	Via     string   `json:"via"`
 }
 
-// Rules are the figures of the platform's rules.
+// Rules are the parameters of the platform's rules.
 type Rules struct {
 	AnswerSlackS   float64 `json:"answer_slack_s"`
 	AskWithinS     float64 `json:"ask_within_s"`
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -22,7 +22,7 @@
 	"Ignored":      policy.NotSent,
 }
 
-// The scopes of an update that are told apart, and the states of an endpoint.
+// The scopes of an update and the states of an endpoint that matter here; any other scope is the complete list, any other state in service.
 const (
 	scopeFailed      = "FAILED"
 	scopeIncremental = "INCREMENTAL"
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -61,12 +61,12 @@
 	return outcome
 }
 
-// loadReport reads a load report; one without both figures is none.
+// loadReport reads a load report; one that lacks either value is none.
 func (f *fields) loadReport(i int) *policy.LoadReport {
-	var figures map[string]float64
-	f.decode(i, &figures)
-	remaining, hasRemaining := figures["x0"]
-	limit, hasLimit := figures["x1"]
+	var values map[string]float64
+	f.decode(i, &values)
+	remaining, hasRemaining := values["x0"]
+	limit, hasLimit := values["x1"]
 	if !hasRemaining || !hasLimit {
 		return nil
 	}
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -8,8 +8,8 @@
 
 // TestGoldenSession: the replies to a session on the simulator's protocol, to the byte.
 func TestGoldenSession(t *testing.T) {
-	call := func(id, dest string) string {
-		return `["call",0,"` + id + `",false,0,false,false,null,4.5,null,0,` + dest + `]`
+	call := func(id, destination string) string {
+		return `["call",0,"` + id + `",false,0,false,false,null,4.5,null,0,` + destination + `]`
 	}
 	out, err := serve(t, `["round",1]`, begin, `["manifest",0,[[0,5,"h1",1,"in_service",0,null],[0,5,"h2",1,"in_service",0,null]]]`, `["update",0,"SAVED",1,0]`,
 		call("m", "5"), call("n", "5"), call("nowhere", "9"), `["your_turn"]`,
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -20,8 +20,8 @@
 func TestServe_Replies(t *testing.T) {
 	list := `["manifest",0,[[0,5,"h1",1,"in_service",0,null]]]`
 	other := `["manifest",0,[[0,6,"h2",1,"in_service",0,null]]]`
-	call := func(id, dest string) string {
-		return `["call",0,"` + id + `",false,0,false,false,null,4.5,null,0,` + dest + `]`
+	call := func(id, destination string) string {
+		return `["call",0,"` + id + `",false,0,false,false,null,4.5,null,0,` + destination + `]`
 	}
 	tests := []struct {
 		name  string
