--- a/internal/faultinjection/harness/relays.go
+++ b/internal/faultinjection/harness/relays.go
@@ -100,10 +100,11 @@
 	rel := &relay{r: r, number: number, name: fmt.Sprintf("relay-%d", number+1), terms: r.s.Start()}
 	rel.usage.Name = rel.name
 	var err error
-	for _, at := range []*string{&rel.listen, &rel.peer} {
-		if *at, err = r.loopback.Address(); err != nil {
-			return nil, err
-		}
+	if rel.listen, err = r.loopback.Address(); err != nil {
+		return nil, err
+	}
+	if rel.peer, err = r.loopback.Address(); err != nil {
+		return nil, err
 	}
 	if r.s.Upgrades() { // the processes inherit one socket
 		if rel.socket, err = listenFile(rel.listen); err != nil {
@@ -135,8 +136,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("socket to inherit: %w", err)
 	}
-	defer ln.Close() // the file is a duplicate, and stays open
-	return ln.(*net.TCPListener).File()
+	defer func() { _ = ln.Close() }() // the file is a duplicate, and stays open
+	file, err := ln.(*net.TCPListener).File()
+	if err != nil {
+		return nil, fmt.Errorf("socket to inherit: %w", err)
+	}
+	return file, nil
 }
 
 func (rel *relay) dir() string        { return filepath.Join(rel.r.dir, rel.name) }
