--- a/internal/relay/door.go
+++ b/internal/relay/admin.go
@@ -3,13 +3,9 @@
 import (
 	"fmt"
 	"log/slog"
-	"net"
-	"os"
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"frostlink/internal/admin"
 	front "frostlink/internal/frontend/http1"
 	"frostlink/internal/invariant"
@@ -17,34 +13,14 @@
 	"frostlink/internal/socket"
 )
 
-// openListener gives the clients' listening socket: the one that the platform holds and hands to every process, or one of our
-// own. Closing it ends this process's hold alone.
-func openListener(cfg *Config) (net.Listener, error) {
-	if cfg.ListenFD <= 0 {
-		return socket.Listen(cfg.Listen)
-	}
-	// The descriptor itself stays open: if a process that took over dies, this one listens again.
-	fd, err := unix.FcntlInt(uintptr(cfg.ListenFD), unix.F_DUPFD_CLOEXEC, 0)
-	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", cfg.ListenFD, err)
-	}
-	f := os.NewFile(uintptr(fd), "clients' socket")
-	defer f.Close() // what follows has a descriptor of its own
-	l, err := net.FileListener(f)
-	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", cfg.ListenFD, err)
-	}
-	return l, nil
-}
-
 // adminEndpoint is what operators reach of a relay.
 type adminEndpoint struct {
 	*admin.Server
-	mode   *servingmode.Mode
-	metrics     *admin.Metrics
+	mode       *servingmode.Mode
+	metrics    *admin.Metrics
 	violations *invariant.Counts
-	frontend    atomic.Pointer[front.Server]
-	serving   atomic.Bool // clients are taken, and no planned end has begun
+	frontend   atomic.Pointer[front.Server]
+	serving    atomic.Bool // clients are taken, and no planned end has begun
 }
 
 // openAdminEndpoint opens the operators' door, where the platform names an address for it. It answers from the start on, and says no
@@ -115,19 +91,3 @@
 
 // Violations gives how often invariants were violated, by kind.
 func (d *adminEndpoint) Violations() map[string]int64 { return d.violations.ByKind() }
-
-// countAccepted has the figures count a message as taken on; resends are none of the clients'.
-func (l *loop) countAccepted(m *request) {
-	if !m.Redelivery {
-		m.countedInFlight = true
-		l.metrics.Accepted()
-	}
-}
-
-// countCompleted has the figures count a message's end, once.
-func (l *loop) countCompleted(m *request, end admin.Outcome) {
-	if !m.Redelivery && !m.countedCompleted {
-		m.countedCompleted = true
-		l.metrics.Completed(m.Class, end, m.countedInFlight)
-	}
-}
--- a/internal/relay/calls.go
+++ b/internal/relay/attempt.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"frostlink/internal/admin"
 	"frostlink/internal/clock"
 	"frostlink/internal/discovery"
 	"frostlink/internal/invariant"
@@ -14,16 +15,14 @@
 	"frostlink/policy"
 )
 
-// This file is the loop's calls to hosts.
-
 // plannedAttempt is a call that the module wants made.
 type plannedAttempt struct {
-	request       *request
-	index int
-	endpoint    discovery.Endpoint
-	timeout time.Duration
-	writeBy time.Time // its last byte must have left; zero: at any time
-	record  uint64    // the number of its record
+	request  *request
+	index    int
+	endpoint discovery.Endpoint
+	timeout  time.Duration
+	writeBy  time.Time // its last byte must have left; zero: at any time
+	record   uint64    // the number of its record
 }
 
 // planAttempt notes an attempt and makes it ready to go.
@@ -96,3 +95,52 @@
 		l.send(answered{id: s.request.ID, attempt: s.index, host: s.endpoint.Host, took: time.Since(begun), made: true, Result: res})
 	}()
 }
+
+// outcomeNames are the names of outcomes in records.
+var outcomeNames = map[policy.Outcome]string{
+	policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
+	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.ConnectionReset: "reset", policy.Canceled: "given up",
+	policy.NotSent: "not sent",
+}
+
+// answered takes in the end of a call.
+func (l *loop) answered(e answered) {
+	m := l.requests[e.id] // stays as long as a call is out
+	if e.made {
+		l.attemptsInFlight--
+	}
+	if e.Detached != nil {
+		l.detached[e.id] = e.Detached
+		return
+	}
+	m.cancel, m.attemptInFlight = nil, false
+	l.traceAttemptEnded(m, e)
+	if l.journal.Get(m.ID) == m.Entry {
+		l.journal.EndAttempt(m.Entry, e.NotExecuted(), outcomeNames[e.Outcome], l.timeline.Now())
+	}
+	l.events = append(l.events, policy.AttemptEnded{
+		ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.took, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown, LoadReport: e.LoadReport,
+	})
+	switch {
+	case !e.Final || m.over:
+	case e.Outcome == policy.Succeeded:
+		l.traceCompleted(m, trace.Delivered)
+		l.countCompleted(m, admin.Success)
+	default: // withdrawn, or out of time
+		l.traceCompleted(m, trace.Withdrawn)
+		l.countCompleted(m, admin.Failure)
+	}
+	switch {
+	case e.Final && e.Outcome != policy.Succeeded && l.writer != nil && !m.over:
+		l.withdrawn(m)
+	case e.Final && m.Redelivery && !m.over:
+		l.decideRedelivery(m, redeliveryDelivered, "")
+	case e.Final && m.Order != nil && l.writer != nil && !m.over:
+		l.decideOutcome(m, redeliveryDelivered)
+		l.journal.MarkDelivered(m.Entry)
+		l.afterCommit(func() { l.publishDelivered(m) })
+	case e.Final && !m.Redelivery, m.over && m.PendingNotice == nil:
+		l.evict(m)
+	}
+}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -2,37 +2,14 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"time"
 
 	"frostlink/internal/admin"
-	"frostlink/internal/clock"
-	"frostlink/internal/frontend"
 	"frostlink/internal/journal"
 	"frostlink/internal/trace"
 	"frostlink/policy"
 )
 
-// This file commits a batch: records first, then the effects that a later process must know of. What needs no record is done
-// whatever becomes of the folder.
-
-// deferredEffect is something to be done once the records of its batch are written.
-type deferredEffect struct {
-	run func()
-	// runBy is when it is done all the same; 0: never without its record. The end of a message whose time is up may be told then: a
-	// later process that does not find its record can only end it once more.
-	runBy clock.Instant
-}
-
-// afterCommit has something done once the records of this batch are written.
-func (l *loop) afterCommit(do func()) { l.afterCommitEffects = append(l.afterCommitEffects, deferredEffect{run: do}) }
-
-// afterCommitOrBy has something done once the records of this batch are written, or at a time.
-func (l *loop) afterCommitOrBy(by clock.Instant, do func()) { l.afterCommitEffects = append(l.afterCommitEffects, deferredEffect{do, by}) }
-
-// immediately has something done at the end of this batch, whatever becomes of its records.
-func (l *loop) immediately(do func()) { l.immediateEffects = append(l.immediateEffects, do) }
-
 // commit writes the batch's records, and only then answers clients and makes calls: what was answered with 202 and what was sent must
 // be known to a later process.
 func (l *loop) commit() {
@@ -64,44 +41,6 @@
 	l.metrics.Publish(admin.Gauges{EndpointsListed: len(l.endpoints), EndpointsUnhealthy: l.dispatcher.UnhealthyEndpoints()})
 }
 
-// respond answers the requests that brought a message, where they are not answered yet.
-func (l *loop) respond(m *request, written bool) {
-	replies := m.responses
-	switch {
-	case replies == nil && (!m.Redelivery || m.over || written): // refused, or nobody waits for an answer
-	case !written:
-		// Where records may be in the file all the same a later process may deliver it: that is no promise of no effect.
-		v := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
-		if l.journal.MayHoldUncommitted() {
-			v = frontend.Response{Status: http.StatusBadGateway}
-		}
-		respondAll(replies, v)
-		l.traceRejected(m.Entry, m.retryInfo, rejectedUnrecorded, v.RetryAfter)
-		l.countCompleted(m, admin.Shed)
-		l.events = append(l.events, policy.Cancelled{ID: m.ID})
-		l.wakeAt = 0 // the module has an event to act on
-	default:
-		m.responses = nil
-		respondAll(replies, frontend.Response{Status: http.StatusAccepted})
-	}
-}
-
-// runAfterCommitEffects carries out the effects that are due.
-func (l *loop) runAfterCommitEffects(written bool) {
-	effects := l.afterCommitEffects
-	l.afterCommitEffects = nil
-	var later []deferredEffect
-	now := l.timeline.Now()
-	for _, e := range effects {
-		if written || e.runBy > 0 && now >= e.runBy {
-			e.run()
-		} else {
-			later = append(later, e)
-		}
-	}
-	l.afterCommitEffects = append(later, l.afterCommitEffects...)
-}
-
 // writeRecords writes the records that were noted, and follows the folder's state: while it is degraded nothing is sent, and it is tried
 // again after a pause.
 func (l *loop) writeRecords() (written bool) {
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -21,16 +21,14 @@
 	"frostlink/policy"
 )
 
-// This file is the relay's part in replacing the process: docs/design/handover.md.
-
 // handoverState is what one process hands another beside the journal.
 type handoverState struct {
-	Memory  *policy.Snapshot `json:"memory"`
-	Classes []policy.Class   `json:"classes"` // the table, with the numbers that Memory goes by
-	Completed    []completedRequest      `json:"past,omitempty"`
-	Attempts   []detachedAttempt     `json:"calls,omitempty"`
+	Memory    *policy.Snapshot   `json:"memory"`
+	Classes   []policy.Class     `json:"classes"` // the table, with the numbers that Memory goes by
+	Completed []completedRequest `json:"past,omitempty"`
+	Attempts  []detachedAttempt  `json:"calls,omitempty"`
 	// Standby: clients are sent away, since then.
-	Standby  bool          `json:"away,omitempty"`
+	Standby      bool          `json:"away,omitempty"`
 	StandbySince clock.Instant `json:"since,omitzero"`
 
 	conns map[string]*net.TCPConn // of the calls, by message
@@ -44,11 +42,11 @@
 
 // detachedAttempt is a call out.
 type detachedAttempt struct {
-	ID      string             `json:"id"`
-	Attempt int                `json:"attempt"`
-	Endpoint    discovery.Endpoint `json:"host"`
-	StartedAt   clock.Instant      `json:"begun"`
-	Timeout time.Duration      `json:"timeout"` // from Begun on
+	ID        string             `json:"id"`
+	Attempt   int                `json:"attempt"`
+	Endpoint  discovery.Endpoint `json:"host"`
+	StartedAt clock.Instant      `json:"begun"`
+	Timeout   time.Duration      `json:"timeout"` // from Begun on
 }
 
 // resumeAttempt goes on with a message's call, if its connection has come; else what the journal says is all that is known of it.
@@ -79,8 +77,8 @@
 // quiesceRequested asks the loop to write its state down and to do nothing until it is thawed, or ended. It does so once no call is
 // out that is not parked.
 type quiesceRequested struct {
-	state chan *handoverState // room for one; nil: it can't
-	resume   chan struct{}     // closed to go on
+	state  chan *handoverState // room for one; nil: it can't
+	resume chan struct{}       // closed to go on
 }
 
 // awaitResume answers a freeze and waits for its end; false: the loop is at its own.
@@ -152,9 +150,9 @@
 // quiescedNode is what a relay holds while it is frozen.
 type quiescedNode struct {
 	quiesceRequested
-	loopAsked   bool // the loop was
-	clients []front.DetachedConn
-	idleConns    []http1.IdleConn
+	loopAsked bool // the loop was
+	clients   []front.DetachedConn
+	idleConns []http1.IdleConn
 }
 
 // Resume goes on as before.
--- a/internal/relay/relay.go
+++ b/internal/relay/node.go
@@ -8,7 +8,8 @@
 	"net"
 	"os"
 	"sync"
-	"time"
+
+	"golang.org/x/sys/unix"
 
 	"frostlink/internal/admin"
 	"frostlink/internal/clock"
@@ -22,20 +23,31 @@
 	"frostlink/internal/notification"
 	"frostlink/internal/servingmode"
 	"frostlink/internal/settings"
+	"frostlink/internal/socket"
 	"frostlink/internal/trace"
 	"frostlink/internal/upstream/http1"
 	"frostlink/policy"
 )
 
-// The stages of a planned end, from the signal on. Connections go on coming for up to 0.4 s, and the process
-// may be killed after 3.7 s.
-const (
-	acceptConnsFor  = time.Second             // until then new connections are taken
-	startAttemptsFor    = 2700 * time.Millisecond // until then calls begin
-	finishAttemptsFor   = 3300 * time.Millisecond // until then calls come to their end
-	idlePollInterval   = 50 * time.Millisecond   // between looks whether all is done
-	finalResponsesTimeout = 250 * time.Millisecond  // for requests that are being read, and their answers
-)
+// openListener gives the clients' listening socket: the one that the platform holds and hands to every process, or one of our
+// own. Closing it ends this process's hold alone.
+func openListener(cfg *Config) (net.Listener, error) {
+	if cfg.ListenFD <= 0 {
+		return socket.Listen(cfg.Listen)
+	}
+	// The descriptor itself stays open: if a process that took over dies, this one listens again.
+	fd, err := unix.FcntlInt(uintptr(cfg.ListenFD), unix.F_DUPFD_CLOEXEC, 0)
+	if err != nil {
+		return nil, fmt.Errorf("descriptor %d: %w", cfg.ListenFD, err)
+	}
+	f := os.NewFile(uintptr(fd), "clients' socket")
+	defer f.Close() // what follows has a descriptor of its own
+	l, err := net.FileListener(f)
+	if err != nil {
+		return nil, fmt.Errorf("descriptor %d: %w", cfg.ListenFD, err)
+	}
+	return l, nil
+}
 
 // journalMemoryFraction of the memory is what the journal may take at most: files count as memory, and what the file
 // holds is held in memory as well.
@@ -47,26 +59,26 @@
 
 // node is one process's relay with all that it is wired of.
 type node struct {
-	cfg        *Config
-	dir        string
+	cfg               *Config
+	dir               string
 	configuredClasses []policy.Class // as the configuration has them
-	mode     *servingmode.Mode
-	metrics       *admin.Metrics
-	violations   *invariant.Counts
-	admin       *adminEndpoint
-	fleet      *fleettask.Fleet // its part of the fleet's tasks; nil: it has none
-	stopTasks   func()           // gives back what of them it holds; nil: it has none
-	shutdownRequested       context.Context  // until the platform has told the process to end
-	running       context.Context
-	stop       context.CancelFunc
-	goroutines       sync.WaitGroup
-	serveErr     chan error
+	mode              *servingmode.Mode
+	metrics           *admin.Metrics
+	violations        *invariant.Counts
+	admin             *adminEndpoint
+	fleet             *fleettask.Fleet // its part of the fleet's tasks; nil: it has none
+	stopTasks         func()           // gives back what of them it holds; nil: it has none
+	shutdownRequested context.Context  // until the platform has told the process to end
+	running           context.Context
+	stop              context.CancelFunc
+	goroutines        sync.WaitGroup
+	serveErr          chan error
 
-	predecessor     *handoverState // of the process before; nil: there was none
+	predecessor *handoverState // of the process before; nil: there was none
 	loop        *loop
-	frontend      *front.Server
-	listener net.Listener
-	quiesced   *quiescedNode // nil: it is not
+	frontend    *front.Server
+	listener    net.Listener
+	quiesced    *quiescedNode // nil: it is not
 }
 
 // Run runs a relay until ctx ends, and then brings it to an orderly end: it goes on serving for as long as
@@ -222,45 +234,3 @@
 	}
 	go func() { n.serveErr <- n.frontend.Serve(n.listener) }()
 }
-
-// drain brings the relay to its end. No request that was read goes unanswered: answers close their
-// connections, and those that stay unused are closed last.
-func (n *node) drain() {
-	l := n.loop
-	begun := time.Now()
-	if n.stopTasks != nil { // others need not wait for their leases to run out, nor the end of this relay for their giving back
-		n.stopTasks()
-	}
-	until := func(stage time.Duration) time.Duration { return time.Until(begun.Add(stage)) }
-	l.trace.Record(l.now(), trace.Event{Kind: trace.ShutdownRequested})
-	l.mode.Shutdown()
-	time.Sleep(until(acceptConnsFor))
-	_ = n.listener.Close()
-	for until(startAttemptsFor) > 0 && !l.idle() {
-		time.Sleep(idlePollInterval)
-	}
-	l.send(stopSending{})
-	for until(finishAttemptsFor) > 0 && !l.idle() {
-		time.Sleep(idlePollInterval)
-	}
-	n.flushResponses()
-}
-
-// flushResponses lets answers that are being written arrive, and closes all clients' connections.
-func (n *node) flushResponses() {
-	ctx, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
-	defer cancel()
-	if err := n.frontend.Shutdown(ctx); err != nil {
-		slog.Warn("connections left", "err", err)
-		for range n.frontend.Unanswered() {
-			n.violations.Record(invariant.ClosedUnanswered, "")
-		}
-	}
-}
-
-// idle tells whether nothing is held.
-func (l *loop) idle() bool {
-	q := question{make(chan bool, 1)}
-	l.send(q)
-	return <-q.idle
-}
--- a/internal/relay/resend.go
+++ b/internal/relay/redelivery.go
@@ -6,8 +6,6 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"log/slog"
 	"slices"
 
@@ -21,19 +19,6 @@
 // redeliveryDelivered and overtaken are ends of a resend that the store is told; the platform never hears of them.
 const redeliveryDelivered, redeliverySuperseded = "delivered", "overtaken"
 
-// The events of resends.
-type (
-	// resend is an undelivered message that is to be sent again, under a new id.
-	resend struct {
-		entry *journal.Entry
-	}
-	// holds asks whether a resend is held under an id.
-	holds struct {
-		id     string
-		answer chan bool // room for one
-	}
-)
-
 // ResendClasses are the settings' classes in the terms of the store of undelivered messages.
 func (cfg *Config) ResendClasses(own *deadletter.Section) (classes []deadletter.Class) {
 	effects := map[policy.Idempotency]deadletter.Effect{
@@ -53,20 +38,6 @@
 	return classes
 }
 
-// validateOperatorFile checks the operator's file against the platform's configuration.
-func (cfg *Config) validateOperatorFile() error {
-	if cfg.Own == nil || cfg.Own.Undelivered == nil {
-		return nil
-	}
-	var errs []error
-	for i, r := range cfg.Own.Undelivered.Rules {
-		for _, fault := range r.Against(cfg.ResendClasses(cfg.Own.Undelivered)) {
-			errs = append(errs, fmt.Errorf("the operator's file: undelivered.rule[%d]: %s", i+1, fault))
-		}
-	}
-	return errors.Join(errs...)
-}
-
 // newResender makes the core that decides what is resent.
 func newResender(cfg *Config, store *deadletter.Store) *deadletter.Resender {
 	r := deadletter.NewResender(store, cfg.Own.Undelivered.Rules, cfg.ResendClasses(cfg.Own.Undelivered), cfg.Name, newRedeliveryID)
@@ -182,17 +153,6 @@
 	l.acknowledged(m) // nobody but the store is told
 }
 
-// trackSubject notes what a message that was taken on is about, where the operator says where that stands.
-func (l *loop) trackSubject(m *request) {
-	switch {
-	case m.Order == nil || l.writer == nil:
-	case m.Redelivery:
-		l.inFlightRedeliveries.Taken(m.ID, m.topic(), *m.Order)
-	default:
-		l.inFlightSubmissions.Taken(m.ID, m.topic(), *m.Order)
-	}
-}
-
 // cancelSuperseded takes back resends of which a newer message came in this batch: those that would leave now do not, and those
 // that are out are given up.
 func (l *loop) cancelSuperseded() {
@@ -220,13 +180,3 @@
 		}
 	}
 }
-
-// publishDelivered has the store know of a message of a topic that was delivered; until it does the journal holds it.
-func (l *loop) publishDelivered(m *request) {
-	if l.writer == nil {
-		l.evict(m)
-		return
-	}
-	l.awaitingStore = append(l.awaitingStore, m)
-	l.writer.noteDelivered(deadletter.Note{ID: m.ID, Topic: m.topic(), Order: *m.Order})
-}
--- a/internal/relay/arrive.go
+++ b/internal/relay/submission.go
@@ -10,8 +10,6 @@
 	"frostlink/policy"
 )
 
-// This file takes in messages as they are handed in, and copies of those that are known.
-
 // submissionReceived takes in a message that is handed in.
 func (l *loop) submissionReceived(a *frontend.Submission) {
 	switch quiet, there := a.Quiet(); {
@@ -84,4 +82,29 @@
 }
 
 // expireCompleted drops the ids of messages whose copies can't come any more.
-func (l *loop) expireCompleted() { l.journal.ExpireCompleted(l.timeline.Now().Add(-l.cfg.longestDeadline())) }
+func (l *loop) expireCompleted() {
+	l.journal.ExpireCompleted(l.timeline.Now().Add(-l.cfg.longestDeadline()))
+}
+
+// reserveJournalSpace keeps room in the journal for a message. Where there is none, the oldest of those that only wait for the
+// store make room: keeping them is not to stop the relay's main job.
+func (l *loop) reserveJournalSpace(e *journal.Entry) bool {
+	for !l.journal.Reserve(e) {
+		if l.journal.Failed() {
+			return false // for want of no room
+		}
+		for len(l.awaitingStore) > 0 && l.awaitingStore[0].kept {
+			l.awaitingStore = l.awaitingStore[1:]
+		}
+		if len(l.awaitingStore) == 0 {
+			return false
+		}
+		m := l.awaitingStore[0]
+		l.awaitingStore = l.awaitingStore[1:]
+		l.dropped++
+		l.journal.SetStore("") // until the store knows that something is missing
+		l.writer.abandon(m)
+		l.evict(m)
+	}
+	return true
+}
--- a/internal/relay/timer.go
+++ b/internal/relay/timer.go
@@ -1,8 +1,20 @@
 package relay
 
-import "time"
+import (
+	"time"
+)
 
-// This file keeps the module's timer.
+// nextWake is when the loop goes on by itself: for the module, for a message whose outcome is due, or to try the folder again.
+func (l *loop) nextWake() time.Duration {
+	at := l.wakeAt
+	if due := l.deadlines.Next(); due > 0 {
+		at = min(at, time.Duration(due)+overdueMargin)
+	}
+	if retry, ok := l.retryAt(); ok {
+		at = min(at, retry)
+	}
+	return at
+}
 
 // setTimer has the module woken at a time.
 func (l *loop) setTimer(at time.Duration) {
--- a/internal/relay/trace.go
+++ b/internal/relay/tracing.go
@@ -8,8 +8,6 @@
 	"frostlink/policy"
 )
 
-// This file is what the loop notes in the relay's trace.
-
 // traceEvent notes an event of now, where a trace is wanted.
 func (l *loop) traceEvent(e trace.Event) {
 	if l.trace != nil {
@@ -58,11 +56,11 @@
 
 // Why messages are refused at their arrival, beside the reasons of package undelivered.
 const (
-	rejectedUnlisted   = "no list names its destination"
+	rejectedUnlisted    = "no list names its destination"
 	rejectedNoSpace     = "the journal has no room"
-	rejectedNoFolder   = "the folder can't be written"
-	rejectedByAdmission   = "admission"
-	rejectedUnrecorded = "its record could not be written"
+	rejectedNoFolder    = "the folder can't be written"
+	rejectedByAdmission = "admission"
+	rejectedUnrecorded  = "its record could not be written"
 )
 
 // milliseconds is a span as traces have it, to the microsecond.
