--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -9,85 +9,86 @@
 	"frostlink/internal/admin"
 	front "frostlink/internal/frontend/http1"
 	"frostlink/internal/invariant"
+	"frostlink/internal/logkey"
 	"frostlink/internal/servingmode"
 	"frostlink/internal/socket"
 )
 
 // adminEndpoint is what operators reach of a relay.
 type adminEndpoint struct {
-	*admin.Server
+	server     *admin.Server // nil: the platform names no address for it
 	mode       *servingmode.Mode
 	metrics    *admin.Metrics
 	violations *invariant.Counts
 	frontend   atomic.Pointer[front.Server]
-	serving    atomic.Bool // clients are taken, and no planned end has begun
+	serving    atomic.Bool // clients are served, and no graceful shutdown has begun
 }
 
-// openAdminEndpoint opens the operators' door, where the platform names an address for it. It answers from the start on, and says no
-// until clients are taken.
-func openAdminEndpoint(cfg *Config, stance *servingmode.Mode, book *admin.Metrics, violated *invariant.Counts) (*adminEndpoint, error) {
-	d := &adminEndpoint{mode: stance, metrics: book, violations: violated}
+// openAdminEndpoint opens the admin endpoint, where the platform names an address for it. It answers from the start on, and
+// reports that the relay does not serve until startServing.
+func openAdminEndpoint(cfg *Config, mode *servingmode.Mode, metrics *admin.Metrics, violations *invariant.Counts) (*adminEndpoint, error) {
+	a := &adminEndpoint{mode: mode, metrics: metrics, violations: violations}
 	if cfg.Management == "" {
-		return d, nil
+		return a, nil
 	}
 	listener, err := socket.Listen(cfg.Management)
 	if err != nil {
-		return nil, fmt.Errorf("the operators' door: %w", err)
+		return nil, fmt.Errorf("admin endpoint: %w", err)
 	}
-	d.Server = admin.New(d, cfg.maxAdminConns())
+	a.server = admin.New(a, cfg.maxAdminConns())
 	go func() {
-		if err := d.Serve(listener); err != nil {
-			slog.Error("operators are not answered any more", "err", err)
+		if err := a.server.Serve(listener); err != nil {
+			slog.Error("admin endpoint stopped serving", logkey.Err, err)
 		}
 	}()
-	return d, nil
+	return a, nil
 }
 
-// startServing says yes from now on: clients are taken.
-func (d *adminEndpoint) startServing(srv *front.Server) {
-	d.frontend.Store(srv)
-	d.serving.Store(true)
-	if away, _ := d.mode.InStandby(); away { // by the process before
-		go srv.CloseIdleConns()
+// startServing reports from now on that clients are served.
+func (a *adminEndpoint) startServing(frontend *front.Server) {
+	a.frontend.Store(frontend)
+	a.serving.Store(true)
+	if standby, _ := a.mode.InStandby(); standby { // of the predecessor
+		go frontend.CloseIdleConns()
 	}
 }
 
-func (d *adminEndpoint) close() {
-	if d.Server != nil {
-		d.Server.Close()
+func (a *adminEndpoint) close() {
+	if a.server != nil {
+		a.server.Close()
 	}
 }
 
-// Status tells whether this process takes clients, and where it stands.
-func (d *adminEndpoint) Status() (takes bool, state string) {
-	switch state := d.mode.State(time.Now()); {
-	case d.serving.Load():
+// Status reports whether this process serves clients, and its state.
+func (a *adminEndpoint) Status() (serving bool, state string) {
+	switch state := a.mode.State(time.Now()); {
+	case a.serving.Load():
 		return true, state.String()
 	case state == servingmode.ShuttingDown:
 		return false, state.String()
-	case d.frontend.Load() == nil:
+	case a.frontend.Load() == nil:
 		return false, "starting"
 	}
 	return false, "handed over"
 }
 
-// Standby sends clients away.
-func (d *adminEndpoint) Standby() {
-	slog.Info("standing by: clients are sent away")
-	d.mode.EnterStandby(time.Now())
-	if srv := d.frontend.Load(); srv != nil {
-		go srv.CloseIdleConns()
+// Standby drains clients.
+func (a *adminEndpoint) Standby() {
+	slog.Info("entering standby: clients are drained")
+	a.mode.EnterStandby(time.Now())
+	if frontend := a.frontend.Load(); frontend != nil {
+		go frontend.CloseIdleConns()
 	}
 }
 
-// Active takes clients again.
-func (d *adminEndpoint) Active() {
-	slog.Info("active: clients are taken again")
-	d.mode.Activate()
+// Active serves clients again.
+func (a *adminEndpoint) Active() {
+	slog.Info("active: clients are served again")
+	a.mode.Activate()
 }
 
-// Metrics gives the figures as JSON.
-func (d *adminEndpoint) Metrics() ([]byte, error) { return d.metrics.JSON() }
+// Metrics returns the metrics as JSON.
+func (a *adminEndpoint) Metrics() ([]byte, error) { return a.metrics.JSON() }
 
-// Violations gives how often invariants were violated, by kind.
-func (d *adminEndpoint) Violations() map[string]int64 { return d.violations.ByKind() }
+// Violations returns how often invariants were violated, by kind.
+func (a *adminEndpoint) Violations() map[string]int64 { return a.violations.ByKind() }
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -9,55 +9,78 @@
 	"frostlink/policy"
 )
 
-// respond answers the requests that brought a message, where they are not answered yet.
-func (l *loop) respond(m *request, written bool) {
-	replies := m.responses
-	switch {
-	case replies == nil && (!m.Redelivery || m.over || written): // refused, or nobody waits for an answer
-	case !written:
-		// Where records may be in the file all the same a later process may deliver it: that is no promise of no effect.
-		v := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
-		if l.journal.MayHoldUncommitted() {
-			v = frontend.Response{Status: http.StatusBadGateway}
+// acceptCandidates accepts the candidates of this batch that were not rejected.
+func (l *loop) acceptCandidates() {
+	for _, r := range l.candidates {
+		if !r.completed() {
+			l.accept(r)
 		}
-		respondAll(replies, v)
-		l.traceRejected(m.Entry, m.retryInfo, rejectedUnrecorded, v.RetryAfter)
-		l.countCompleted(m, admin.Shed)
-		l.events = append(l.events, policy.Cancelled{ID: m.ID})
-		l.wakeAt = 0 // the module has an event to act on
-	default:
-		m.responses = nil
-		respondAll(replies, frontend.Response{Status: http.StatusAccepted})
 	}
 }
 
-// countAccepted has the figures count a message as taken on; resends are none of the clients'.
-func (l *loop) countAccepted(m *request) {
-	if !m.Redelivery {
-		m.countedInFlight = true
+func (l *loop) accept(r *request) {
+	if class := l.class(r.Class); class >= 0 {
+		l.journal.SetTerms(r.Entry, l.cfg.policy.Classes[class])
+	}
+	l.journal.Accept(r.Entry)
+	r.transition(stateAccepted)
+	l.traceRequest(trace.Accepted, r.Entry, r.retryInfo, trace.Event{})
+	l.countAccepted(r)
+	for _, s := range l.subsystems {
+		s.accepted(r)
+	}
+	l.deadlines.Add(r.ID, r.Deadline)
+}
+
+// countAccepted has the metrics count an accepted request. Redeliveries are not the clients'.
+func (l *loop) countAccepted(r *request) {
+	if !r.Redelivery {
+		r.countedInFlight = true
 		l.metrics.Accepted()
 	}
 }
 
-// acceptCandidates takes on the arrivals of this batch that were not refused.
-func (l *loop) acceptCandidates() {
-	for _, m := range l.candidates {
-		if !m.over {
-			if class := l.class(m.Class); class >= 0 {
-				l.journal.SetTerms(m.Entry, l.cfg.policy.Classes[class])
-			}
-			l.journal.Accept(m.Entry)
-			l.traceRequest(trace.Accepted, m.Entry, m.retryInfo, trace.Event{})
-			l.countAccepted(m)
-			l.trackSubject(m)
-			l.deadlines.Add(m.ID, m.Deadline)
+// respondToCandidate answers the submissions that brought a candidate, where they are not answered yet; durable says
+// whether the records of its batch are.
+func (l *loop) respondToCandidate(r *request, durable bool) {
+	switch {
+	case durable && r.responses != nil:
+		responses := r.responses
+		r.responses = nil
+		respondAll(responses, frontend.Response{Status: http.StatusAccepted})
+	case !durable && (r.responses != nil || r.Redelivery && !r.completed()):
+		l.rejectUnrecorded(r)
+	}
+}
+
+// rejectUnrecorded rejects a candidate whose record was not written.
+func (l *loop) rejectUnrecorded(r *request) {
+	response := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
+	if l.journal.MayHoldUncommitted() {
+		// A later process may find the record and deliver the request: a 503 would promise that it has no effect.
+		response = frontend.Response{Status: http.StatusBadGateway}
+	}
+	respondAll(r.responses, response)
+	l.traceRejected(r.Entry, r.retryInfo, rejectedUnrecorded, response.RetryAfter)
+	l.countCompleted(r, admin.Shed)
+	l.wakeDispatcher(policy.Cancelled{ID: r.ID})
+}
+
+// dropUnrecorded drops a candidate whose record was not written.
+func (l *loop) dropUnrecorded(r *request) {
+	switch {
+	case r.responses != nil:
+		l.evict(r)
+	case !r.completed():
+		for _, s := range l.subsystems {
+			s.acceptanceNotWritten(r)
 		}
 	}
 }
 
-// respondAll answers all requests that brought a message.
-func respondAll(to []chan frontend.Response, v frontend.Response) {
+// respondAll answers all submissions that brought a request.
+func respondAll(to []chan frontend.Response, response frontend.Response) {
 	for _, c := range to {
-		c <- v
+		c <- response
 	}
 }
--- /dev/null
+++ b/internal/relay/assemble.go
@@ -0,0 +1,115 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"os"
+
+	"frostlink/internal/clock"
+	"frostlink/internal/discovery"
+	"frostlink/internal/fleettask"
+	"frostlink/internal/frontend"
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/settings"
+	"frostlink/internal/trace"
+	"frostlink/internal/upstream/http1"
+	"frostlink/policy"
+)
+
+// assemble makes all parts of a relay, and starts none.
+func (n *node) assemble(j *journal.Journal) error {
+	cfg := n.cfg
+	cfg.addRetiredClasses(j)
+	dispatcher, err := policy.New(cfg.policy, cfg.seed)
+	if err != nil {
+		return err
+	}
+	l := n.newLoop(dispatcher, j)
+	l.watch = newWatcher(l)
+	l.trace = trace.New(cfg.traceSection(), os.Stderr)
+	l.watch.OnSubscribe = func() { l.trace.Record(l.now(), trace.Event{Kind: trace.WatchRequested}) }
+	l.notifier = notification.New(cfg.Discovery, func(ids []string) { l.send(noticesAcknowledged{ids}) })
+	deadLetters := newDeadLetterLink(n.running, l)
+	l.subsystems = []subsystem{deadLetters}
+	if err := n.joinFleet(deadLetters); err != nil {
+		return err
+	}
+	n.loop = l
+	n.frontend = n.newFrontend(l)
+	l.setValidator = n.frontend.SetValidator
+	if n.listener, err = openListener(cfg); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	return nil
+}
+
+func (n *node) newLoop(dispatcher *policy.Dispatcher, j *journal.Journal) *loop {
+	l := &loop{
+		cfg: n.cfg, dispatcher: dispatcher, journal: j, inbox: make(chan event, inboxSize),
+		timeline: j.Timeline(), clockSteps: clock.NewStepDetector(j.Timeline()),
+		metrics: n.metrics, violations: n.violations, mode: n.mode, detached: map[string]*net.TCPConn{},
+		requests: map[string]*request{}, endpoints: map[string]discovery.Endpoint{}, destinations: map[int]bool{},
+		pool: http1.New(settings.Seconds(n.cfg.Settings.Limits.ConnTimeoutS), n.cfg.policy.IdleConnTimeout, n.cfg.maxEndpointConns()),
+	}
+	l.pool.OnWritten = func() { l.metrics.AttemptsSent.Add(1) }
+	return l
+}
+
+func newWatcher(l *loop) *discovery.Watcher {
+	watch := discovery.NewWatcher(l.cfg.Discovery,
+		func(list discovery.EndpointList, from string) { l.send(endpointsUpdated{list, from}) },
+		func(lists int) { l.send(watchEnded{lists}) })
+	relays := l.cfg.Settings.NInstances
+	if l.cfg.hasOwnEndpointList() {
+		relays = 1 // nobody else polls it
+	}
+	watch.ShareWith(relays, l.cfg.seed)
+	return watch
+}
+
+func (n *node) newFrontend(l *loop) *front.Server {
+	cfg := front.Config{
+		Validator: n.cfg.validator(), Mode: n.mode, MemoryMB: n.cfg.Limits.MemoryMB, MaxConns: n.cfg.maxClientConns(),
+		MaxIdleConns: n.cfg.maxIdleClientConns(),
+		OnClose:      func(why string) { l.traceEvent(trace.Event{Kind: trace.ConnClosed, Reason: why}) },
+	}
+	return front.New(cfg,
+		func(s *frontend.Submission) { l.send(submissionReceived{s}) },
+		func(class string) { l.send(submissionRejectedUnread{class}) })
+}
+
+// joinFleet gives the relay its part of the fleet's tasks, where the operator wants that.
+func (n *node) joinFleet(deadLetters *deadLetterLink) (err error) {
+	if n.cfg.Own == nil || n.cfg.Own.Coordination == nil {
+		return nil
+	}
+	n.fleet, err = fleettask.New(n.cfg.Own.Coordination, n.cfg.Name, deadLetters.openStore)
+	if err != nil {
+		return err
+	}
+	if gate := n.fleet.Resend(); gate != nil && deadLetters.writer != nil {
+		deadLetters.writer.gate = gate
+	}
+	return nil
+}
+
+// start starts all parts, with what the predecessor has handed over, if there was one.
+func (n *node) start(predecessor *handoverState) {
+	l := n.loop
+	l.restore(n.running, predecessor) // clients wait to be served until this is done
+	n.goroutines.Go(func() { l.run(n.running) })
+	n.goroutines.Go(func() { l.watch.Run(n.running) })
+	n.goroutines.Go(func() { l.notifier.Run(n.running) })
+	for _, s := range l.subsystems {
+		n.goroutines.Go(func() { s.run(n.running) })
+	}
+	if n.fleet != nil {
+		var ctx context.Context
+		ctx, n.stopTasks = context.WithCancel(n.running)
+		n.goroutines.Go(func() { n.fleet.Run(ctx) })
+	}
+	go func() { n.serveErr <- n.frontend.Serve(n.listener) }()
+}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -10,137 +10,142 @@
 	"frostlink/internal/clock"
 	"frostlink/internal/discovery"
 	"frostlink/internal/invariant"
+	"frostlink/internal/logkey"
 	"frostlink/internal/trace"
 	"frostlink/internal/upstream"
 	"frostlink/policy"
 )
 
-// plannedAttempt is a call that the module wants made.
+// outcomeNames are the names of attempts' outcomes in the journal, the dead-letter store and the trace.
+var outcomeNames = map[policy.Outcome]string{
+	policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
+	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.ConnectionReset: "reset", policy.Canceled: "given up",
+	policy.NotSent: "not sent",
+}
+
+// plannedAttempt is an attempt that the dispatcher has decided on.
 type plannedAttempt struct {
 	request  *request
-	index    int
+	index    int // among the attempts of its request
 	endpoint discovery.Endpoint
 	timeout  time.Duration
-	writeBy  time.Time // its last byte must have left; zero: at any time
+	writeBy  time.Time // its last byte must have left by then; zero: at any time
 	record   uint64    // the number of its record
 }
 
-// planAttempt notes an attempt and makes it ready to go.
+// planAttempt records an attempt and makes it ready to start at the end of the batch.
 func (l *loop) planAttempt(now time.Duration, a policy.Send) {
-	m := l.requests[a.ID]
-	if m == nil || m.over {
+	r := l.requests[a.ID]
+	if r == nil || r.completed() {
 		return
 	}
-	h, ok := l.endpoints[a.Endpoint]
-	left := m.Deadline.Sub(clock.Instant(now))
-	s := plannedAttempt{request: m, index: len(m.Attempts), endpoint: h, timeout: left}
+	endpoint, listed := l.endpoints[a.Endpoint]
+	timeLeft := r.Deadline.Sub(clock.Instant(now))
+	p := plannedAttempt{request: r, index: len(r.Attempts), endpoint: endpoint, timeout: timeLeft}
 	if a.Timeout > 0 {
-		s.timeout = min(left, a.Timeout)
+		p.timeout = min(timeLeft, a.Timeout)
 	}
 	if a.WriteWithin > 0 {
-		s.writeBy = l.timeline.TimeOf(clock.Instant(now + a.WriteWithin))
+		p.writeBy = l.timeline.TimeOf(clock.Instant(now + a.WriteWithin))
 	}
-	violated, allowed := invariant.CheckSend(l.invariantFacts(m), clock.Instant(now))
-	l.journal.BeginAttempt(m.Entry, a.Endpoint, clock.Instant(now))
-	s.record, m.attemptInFlight = l.journal.LastRecord(), true
+	violated, allowed := invariant.CheckSend(l.invariantFacts(r), clock.Instant(now))
+	l.journal.BeginAttempt(r.Entry, a.Endpoint, clock.Instant(now))
+	p.record, r.attemptInFlight = l.journal.LastRecord(), true
 	if !allowed {
-		l.violations.Record(violated, m.ID, "destination", m.Destination, "endpoint", a.Endpoint, "attempt", s.index+1, "left", left)
-		l.attemptNotSent(s)
+		l.violations.Record(violated, r.ID, "destination", r.Destination, "endpoint", a.Endpoint, "attempt", p.index+1, "left", timeLeft)
+		l.attemptNotSent(p)
 		return
 	}
-	if !ok || h.Block != m.Destination {
-		// Guards the protocol's rule that a message goes only to a listed host of its destination.
-		slog.Error("send to a host that is not of the destination", "host", a.Endpoint, "dest", m.Destination)
-		l.attemptNotSent(s)
+	if !listed || endpoint.Block != r.Destination {
+		// Guards the protocol's rule that a request goes only to a listed endpoint of its destination.
+		slog.Error("attempt planned to an endpoint of another destination", logkey.Endpoint, a.Endpoint, logkey.Destination, r.Destination)
+		l.attemptNotSent(p)
 		return
 	}
-	l.attempts = append(l.attempts, s)
+	l.attempts = append(l.attempts, p)
 }
 
-// attemptNotSent reports an attempt that was not made.
-func (l *loop) attemptNotSent(s plannedAttempt) {
-	l.answered(answered{id: s.request.ID, attempt: s.index, host: s.endpoint.Host, Result: upstream.Result{Outcome: policy.NotSent}})
-	l.wakeAt = 0 // the module has an event to act on
+// attemptNotSent ends an attempt that was not started.
+func (l *loop) attemptNotSent(p plannedAttempt) {
+	l.handleAttemptEnded(attemptEnded{
+		id: p.request.ID, index: p.index, endpoint: p.endpoint.Host, Result: upstream.Result{Outcome: policy.NotSent},
+	})
+	l.wakeDispatcher()
 }
 
-// startAttempt makes a call in a goroutine of its own.
-func (l *loop) startAttempt(s plannedAttempt) {
-	if !l.journal.Durable(s.record) {
-		l.violations.Record(invariant.SendUnrecorded, s.request.ID, "destination", s.request.Destination, "attempt", s.index+1)
-		l.attemptNotSent(s)
+// startAttempt starts an attempt in a goroutine of its own.
+func (l *loop) startAttempt(ctx context.Context, p plannedAttempt) {
+	r := p.request
+	if !l.journal.Durable(p.record) {
+		l.violations.Record(invariant.SendUnrecorded, r.ID, "destination", r.Destination, "attempt", p.index+1)
+		l.attemptNotSent(p)
 		return
 	}
-	s.request.attemptStarted = time.Now()
+	r.attemptStarted = time.Now()
 	l.traceEvent(trace.Event{
-		Kind: trace.AttemptStarted, ID: s.request.ID, Class: s.request.Class, Destination: s.request.Destination, Endpoint: s.endpoint.Host, Count: s.index + 1,
-		LeftMs: milliseconds(s.request.Deadline.Sub(l.timeline.Now())),
+		Kind: trace.AttemptStarted, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: p.endpoint.Host, Count: p.index + 1,
+		LeftMs: milliseconds(r.Deadline.Sub(l.timeline.Now())),
 	})
-	l.runAttempt(s, l.pool.Call)
+	l.runAttempt(ctx, p, l.pool.Call)
 }
 
-// runAttempt has a call made, or waited for; by says how.
-func (l *loop) runAttempt(s plannedAttempt, by func(context.Context, upstream.Request) upstream.Result) {
-	ctx, cancel := context.WithCancel(l.attemptContext)
-	begun := s.request.attemptStarted
-	s.request.attempt, s.request.cancel, s.request.cancelBeforeSend = s, cancel, new(atomic.Bool)
-	r := upstream.Request{
-		Target: upstream.Target{Endpoint: s.endpoint.Host, Addr: s.endpoint.Dial}, ID: s.request.ID, IdempotencyKey: s.request.IdempotencyKey, Body: s.request.Body,
-		Timeout: max(s.timeout-time.Since(begun), time.Millisecond), WriteBy: s.writeBy, CancelBeforeSend: s.request.cancelBeforeSend,
-		Deadline: l.timeline.TimeOf(s.request.Deadline), OnDeadline: func() { l.send(timeUp{s.request.ID}) },
+// runAttempt has a goroutine make an attempt, or await the response to one, as exchange does.
+func (l *loop) runAttempt(ctx context.Context, p plannedAttempt, exchange func(context.Context, upstream.Request) upstream.Result) {
+	ctx, cancel := context.WithCancel(ctx)
+	r := p.request
+	startedAt := r.attemptStarted
+	r.attempt, r.cancel, r.cancelBeforeSend = p, cancel, new(atomic.Bool)
+	call := upstream.Request{
+		Target: upstream.Target{Endpoint: p.endpoint.Host, Addr: p.endpoint.Dial}, ID: r.ID, IdempotencyKey: r.IdempotencyKey, Body: r.Body,
+		Timeout: max(p.timeout-time.Since(startedAt), time.Millisecond), WriteBy: p.writeBy, CancelBeforeSend: r.cancelBeforeSend,
+		Deadline: l.timeline.TimeOf(r.Deadline), OnDeadline: func() { l.send(deadlineReached{r.ID}) },
 	}
 	l.attemptsInFlight++
 	go func() {
 		defer cancel()
-		res := by(ctx, r)
-		l.send(answered{id: s.request.ID, attempt: s.index, host: s.endpoint.Host, took: time.Since(begun), made: true, Result: res})
+		result := exchange(ctx, call)
+		l.send(attemptEnded{
+			id: r.ID, index: p.index, endpoint: p.endpoint.Host, latency: time.Since(startedAt), started: true, Result: result,
+		})
 	}()
 }
 
-// outcomeNames are the names of outcomes in records.
-var outcomeNames = map[policy.Outcome]string{
-	policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
-	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.ConnectionReset: "reset", policy.Canceled: "given up",
-	policy.NotSent: "not sent",
-}
-
-// answered takes in the end of a call.
-func (l *loop) answered(e answered) {
-	m := l.requests[e.id] // stays as long as a call is out
-	if e.made {
+// handleAttemptEnded takes in the end of an attempt.
+func (l *loop) handleAttemptEnded(e attemptEnded) {
+	r := l.requests[e.id] // stays as long as an attempt is in flight
+	if e.started {
 		l.attemptsInFlight--
 	}
 	if e.Detached != nil {
 		l.detached[e.id] = e.Detached
 		return
 	}
-	m.cancel, m.attemptInFlight = nil, false
-	l.traceAttemptEnded(m, e)
-	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.EndAttempt(m.Entry, e.NotExecuted(), outcomeNames[e.Outcome], l.timeline.Now())
+	r.cancel, r.attemptInFlight = nil, false
+	l.traceAttemptEnded(r, e)
+	if l.journal.Get(r.ID) == r.Entry {
+		l.journal.EndAttempt(r.Entry, e.NotExecuted(), outcomeNames[e.Outcome], l.timeline.Now())
 	}
 	l.events = append(l.events, policy.AttemptEnded{
-		ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
-		RetryAfter: e.RetryAfter, Latency: e.took, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown, LoadReport: e.LoadReport,
+		ID: e.id, Endpoint: e.endpoint, Attempt: e.index, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.latency, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown,
+		LoadReport: e.LoadReport,
 	})
-	switch {
-	case !e.Final || m.over:
-	case e.Outcome == policy.Succeeded:
-		l.traceCompleted(m, trace.Delivered)
-		l.countCompleted(m, admin.Success)
-	default: // withdrawn, or out of time
-		l.traceCompleted(m, trace.Withdrawn)
-		l.countCompleted(m, admin.Failure)
+	claimed := e.Final && !r.completed() && l.handleFinalResponse(r, e.Outcome == policy.Succeeded)
+	endsRequest := e.Final && !r.Redelivery
+	nothingOwed := r.completed() && r.PendingNotice == nil // an evicted request that stayed for this attempt
+	if !claimed && (endsRequest || nothingOwed) {
+		l.evict(r)
 	}
-	switch {
-	case e.Final && e.Outcome != policy.Succeeded && l.writer != nil && !m.over:
-		l.withdrawn(m)
-	case e.Final && m.Redelivery && !m.over:
-		l.decideRedelivery(m, redeliveryDelivered, "")
-	case e.Final && m.Order != nil && l.writer != nil && !m.over:
-		l.decideOutcome(m, redeliveryDelivered)
-		l.journal.MarkDelivered(m.Entry)
-		l.afterCommit(func() { l.publishDelivered(m) })
-	case e.Final && !m.Redelivery, m.over && m.PendingNotice == nil:
-		l.evict(m)
+}
+
+// handleFinalResponse takes in a response after which its endpoint will do no more for a request, and reports whether a
+// subsystem takes charge of the outcome.
+func (l *loop) handleFinalResponse(r *request, delivered bool) (claimed bool) {
+	status, counted := trace.Withdrawn, admin.Failure // withdrawn by its client, or its deadline has passed
+	if delivered {
+		status, counted = trace.Delivered, admin.Success
 	}
+	l.traceCompleted(r, status)
+	l.countCompleted(r, counted)
+	return l.claimOutcome(r, status)
 }
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -43,12 +43,12 @@
 		l.requests[id] = &request{Entry: &journal.Entry{ID: id, Attempts: make([]journal.Attempt, 2)}, cancelBeforeSend: flag}
 	}
 	for _, a := range []policy.CancelBeforeSend{{ID: "m"}, {ID: "resting"}, {ID: "gone"}} {
-		l.act(0, a)
+		l.applyAction(0, a)
 	}
 	if flags["m"].Load() {
 		t.Error("an attempt that is over takes back the next one")
 	}
-	l.act(0, policy.CancelBeforeSend{ID: "m", Attempt: 1})
+	l.applyAction(0, policy.CancelBeforeSend{ID: "m", Attempt: 1})
 	if !flags["m"].Load() || flags["other"].Load() {
 		t.Errorf("taken back: %v, and of another message: %v", flags["m"].Load(), flags["other"].Load())
 	}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -1,49 +1,57 @@
 package relay
 
 import (
+	"context"
 	"log/slog"
 	"time"
 
 	"frostlink/internal/admin"
 	"frostlink/internal/journal"
+	"frostlink/internal/logkey"
 	"frostlink/internal/trace"
 	"frostlink/policy"
 )
 
-// commit writes the batch's records, and only then answers clients and makes calls: what was answered with 202 and what was sent must
-// be known to a later process.
-func (l *loop) commit() {
-	written := l.writeRecords()
-	fresh, sends, prompt := l.candidates, l.attempts, l.immediateEffects
-	l.candidates, l.attempts, l.immediateEffects = nil, nil, nil
-	for _, m := range fresh {
-		l.respond(m, written)
+// commit ends a batch. The rule: no effect that a later process must know of leaves before its record is durable. So the
+// records are written first, and a response 202, the start of an attempt and the publication of an outcome follow only
+// where that has succeeded.
+func (l *loop) commit(ctx context.Context) {
+	// 1. Records.
+	durable := l.writeRecords()
+
+	// 2. Effects that need the records of this batch. Where those are not durable the effects are taken back.
+	candidates, attempts, immediate := l.candidates, l.attempts, l.effects.immediate
+	l.candidates, l.attempts, l.effects.immediate = nil, nil, nil
+	for _, r := range candidates {
+		l.respondToCandidate(r, durable)
 	}
-	for _, s := range sends {
-		if !written {
-			l.attemptNotSent(s)
-			continue
+	for _, p := range attempts {
+		if durable {
+			l.startAttempt(ctx, p)
+		} else {
+			l.attemptNotSent(p)
 		}
-		l.startAttempt(s)
 	}
-	for _, m := range fresh {
-		switch { // not accepted after all
-		case m.responses != nil:
-			l.evict(m)
-		case m.Redelivery && !m.over && !written:
-			l.returnRedelivery(m, "")
+	if !durable {
+		for _, r := range candidates {
+			l.dropUnrecorded(r)
 		}
 	}
-	for _, do := range prompt {
-		do()
+
+	// 3. Effects that need no record.
+	for _, run := range immediate {
+		run()
 	}
-	l.runAfterCommitEffects(written)
+
+	// 4. Effects that wait for records of this batch or an earlier one, as long as that takes.
+	l.runAfterCommitEffects(durable)
+
 	l.metrics.Publish(admin.Gauges{EndpointsListed: len(l.endpoints), EndpointsUnhealthy: l.dispatcher.UnhealthyEndpoints()})
 }
 
-// writeRecords writes the records that were noted, and follows the folder's state: while it is degraded nothing is sent, and it is tried
-// again after a pause.
-func (l *loop) writeRecords() (written bool) {
+// writeRecords writes the records of the batch and reports whether they are durable. It follows the folder's state: while
+// that is degraded no attempt starts, and the folder is tried again after a pause.
+func (l *loop) writeRecords() (durable bool) {
 	now, before := l.now(), l.folder.State()
 	if !l.folder.MayWrite(now) {
 		return false
@@ -55,32 +63,34 @@
 		l.folder.WriteSucceeded(now)
 	}
 	if after := l.folder.State(); after != before {
-		slog.Warn("the folder's state has changed", "from", before.String(), "to", after.String(), "err", err)
+		slog.Warn("folder state changed", logkey.From, before.String(), logkey.To, after.String(), logkey.Err, err)
 		l.traceEvent(trace.Event{Kind: trace.FolderStateChanged, Outcome: after.String()})
 		l.folderDegraded(after == journal.Degraded)
 	}
 	return err == nil
 }
 
-// folderDegraded has the module send nothing while the folder is degraded: each attempt that can't be recorded would count as one made.
+// folderDegraded has the dispatcher start no attempt while the folder is degraded: each that can't be recorded would count
+// as one made.
 func (l *loop) folderDegraded(degraded bool) {
 	switch {
 	case degraded:
-		l.events = append(l.events, policy.Quiesced{})
+		l.wakeDispatcher(policy.Quiesced{})
 	case !l.stopping:
-		l.events = append(l.events, policy.Resumed{})
+		l.wakeDispatcher(policy.Resumed{})
+	default:
+		l.wakeDispatcher()
 	}
-	l.wakeAt = 0 // the module has an event to act on
 }
 
-// retryAt is when the folder is to be tried again, or an effect can't wait for it any more; ok is false while
-// neither is awaited.
-func (l *loop) retryAt() (at time.Duration, ok bool) {
+// folderRetryAt is when the folder is to be tried again, or an effect can't wait for it any more; ok is false while neither
+// is awaited.
+func (l *loop) folderRetryAt() (at time.Duration, ok bool) {
 	if l.folder.State() != journal.Degraded {
 		return 0, false
 	}
 	at = l.folder.RetryAt()
-	for _, e := range l.afterCommitEffects {
+	for _, e := range l.effects.afterCommit {
 		if e.runBy > 0 {
 			at = min(at, time.Duration(e.runBy))
 		}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"os"
 	"slices"
 	"time"
@@ -17,13 +16,13 @@
 	"frostlink/policy"
 )
 
-// Config is what the platform tells a relay in its configuration file.
+// Config is the platform's configuration file for one relay.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
 	Seed      string `json:"seed"` // hexadecimal
-	// Management is where the operators' door listens; empty: there is none.
+	// Management is where the admin endpoint listens; empty: there is none.
 	Management string                 `json:"management"`
 	Limits     Limits                 `json:"limits"`
 	Known      discovery.EndpointList `json:"known"`
@@ -48,35 +47,24 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// longestDeadline is the longest that a message of any class lives.
-func (c *Config) longestDeadline() time.Duration {
-	most := time.Duration(0)
-	for _, class := range c.policy.Classes {
-		most = max(most, class.Deadline)
+// ReadConfig reads and checks a configuration file. Its errors are *ConfigError.
+func ReadConfig(path string) (*Config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, &ConfigError{Reason: err}
 	}
-	return most
-}
-
-// classNames are the settings' classes.
-func (c *Config) classNames() (names []string) {
-	for _, class := range c.policy.Classes {
-		names = append(names, class.Name)
+	c := &Config{raw: raw}
+	if err := json.Unmarshal(raw, c); err != nil {
+		return nil, &ConfigError{File: path, Reason: err}
 	}
-	return names
-}
-
-// addRetiredClasses adds the classes that the settings no longer have, but that messages in the journal were taken on under.
-func (c *Config) addRetiredClasses(kept *journal.Journal) {
-	for _, e := range kept.Entries() {
-		if terms := kept.Terms(e); terms != nil && !slices.Contains(c.classNames(), e.Class) {
-			gone := *terms
-			gone.Retired = true
-			c.policy.Classes = append(c.policy.Classes, gone)
-		}
+	if err := c.validate(); err != nil {
+		err.File = path
+		return nil, err
 	}
+	return c, nil
 }
 
-// deadLetterSection is what the operator says of undelivered messages; nil: they are not kept.
+// deadLetterSection returns the operator's section on dead letters; nil: there is no store of them.
 func (c *Config) deadLetterSection() *deadletter.Section {
 	if c.Own == nil {
 		return nil
@@ -84,7 +72,7 @@
 	return c.Own.Undelivered
 }
 
-// traceSection is what the operator says of the trace; nil: there is none.
+// traceSection returns the operator's section on the trace; nil: there is no trace.
 func (c *Config) traceSection() *trace.Section {
 	if c.Own == nil {
 		return nil
@@ -92,41 +80,54 @@
 	return c.Own.Trace
 }
 
-// validator is the check of what clients hand in.
-func (c *Config) validator() *frontend.Validator {
-	check := &frontend.Validator{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*deadletter.Subject{}}
-	for i := range c.policy.Classes {
-		if class := &c.policy.Classes[i]; !class.Retired {
-			check.Classes[class.Name] = class
-		}
+// hasOwnEndpointList reports whether each relay polls a list of its own that its platform's agent keeps, and no discovery
+// that all relays share.
+func (c *Config) hasOwnEndpointList() bool { return c.Settings.Discovery == "automatic" }
+
+// classNames returns the names of the settings' classes.
+func (c *Config) classNames() (names []string) {
+	for _, class := range c.policy.Classes {
+		names = append(names, class.Name)
 	}
-	for _, t := range c.Settings.Tenants {
-		check.Tenants[t.Name] = true
+	return names
+}
+
+// longestDeadline returns the longest time that a request of any class may take.
+func (c *Config) longestDeadline() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range c.policy.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	if c.Own != nil && c.Own.Undelivered != nil {
-		for i := range c.Own.Undelivered.Subjects {
-			subject := &c.Own.Undelivered.Subjects[i]
-			check.Subjects[subject.Class] = subject
+	return longest
+}
+
+// addRetiredClasses adds the classes that the settings no longer have, but that requests in the journal were accepted under.
+func (c *Config) addRetiredClasses(j *journal.Journal) {
+	for _, e := range j.Entries() {
+		if terms := j.Terms(e); terms != nil && !slices.Contains(c.classNames(), e.Class) {
+			retired := *terms
+			retired.Retired = true
+			c.policy.Classes = append(c.policy.Classes, retired)
 		}
 	}
-	return check
 }
 
-// ReadConfig reads and checks a configuration file.
-func ReadConfig(path string) (*Config, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+// validator returns the check of clients' submissions.
+func (c *Config) validator() *frontend.Validator {
+	v := &frontend.Validator{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*deadletter.Subject{}}
+	for i := range c.policy.Classes {
+		if class := &c.policy.Classes[i]; !class.Retired {
+			v.Classes[class.Name] = class
+		}
 	}
-	c := &Config{raw: raw}
-	if err := json.Unmarshal(raw, c); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	for _, t := range c.Settings.Tenants {
+		v.Tenants[t.Name] = true
 	}
-	if err := c.validate(); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
+	if section := c.deadLetterSection(); section != nil {
+		for i := range section.Subjects {
+			subject := &section.Subjects[i]
+			v.Subjects[subject.Class] = subject
+		}
 	}
-	return c, nil
+	return v
 }
-
-// hasOwnEndpointList tells whether each relay has a list of its own to ask, that its platform's agent keeps, and no discovery that all share.
-func (c *Config) hasOwnEndpointList() bool { return c.Settings.Discovery == "automatic" }
--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -10,59 +10,76 @@
 	"frostlink/policy"
 )
 
-func (c *Config) validate() error {
-	switch {
-	case c.Listen == "":
-		return errors.New("listen: missing")
-	case !(c.Limits.Cores > 0):
-		return fmt.Errorf("limits.cores: %v is not above 0", c.Limits.Cores)
-	case !(c.Limits.MemoryMB > 0):
-		return fmt.Errorf("limits.memory_mb: %v is not above 0", c.Limits.MemoryMB)
-	case c.Limits.Sockets < 1:
-		return fmt.Errorf("limits.sockets: %d is not above 0", c.Limits.Sockets)
-	case !(c.Limits.DiskMB > 0):
-		return fmt.Errorf("limits.disk_mb: %v is not above 0", c.Limits.DiskMB)
+// validate checks the configuration and fills in what follows from it.
+func (c *Config) validate() *ConfigError {
+	if err := c.validateLimits(); err != nil {
+		return err
 	}
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
-		return fmt.Errorf("discovery: %w", err)
+		return &ConfigError{Key: "discovery", Reason: err}
 	}
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return &ConfigError{Key: "seed", Reason: err}
 	}
 	c.seed = int64(seed)
 	if c.policy, err = c.Settings.Policy(); err != nil {
-		return err
+		return &ConfigError{Reason: err}
 	}
 	for i, name := range c.classNames() {
 		if name == "" || strings.ContainsAny(name, "/?# \t\r\n") {
-			return fmt.Errorf("settings: categories[%d].name: %q can't be the first part of a path", i, name)
+			key := fmt.Sprintf("settings: categories[%d].name", i)
+			return &ConfigError{Key: key, Reason: fmt.Errorf("%q can't be the first part of a path", name)}
 		}
 	}
 	c.applySocketLimits()
-	_, err = policy.New(c.policy, c.seed) // its own check of the settings
-	return err
+	if _, err := policy.New(c.policy, c.seed); err != nil { // its own check of the settings
+		return &ConfigError{Reason: err}
+	}
+	return nil
+}
+
+// validateLimits checks the address and the limits.
+func (c *Config) validateLimits() *ConfigError {
+	switch {
+	case c.Listen == "":
+		return &ConfigError{Key: "listen", Reason: errMissing}
+	case !(c.Limits.Cores > 0):
+		return notPositive("limits.cores", c.Limits.Cores)
+	case !(c.Limits.MemoryMB > 0):
+		return notPositive("limits.memory_mb", c.Limits.MemoryMB)
+	case c.Limits.Sockets < 1:
+		return notPositive("limits.sockets", c.Limits.Sockets)
+	case !(c.Limits.DiskMB > 0):
+		return notPositive("limits.disk_mb", c.Limits.DiskMB)
+	}
+	return nil
+}
+
+func notPositive[N int | float64](key string, value N) *ConfigError {
+	return &ConfigError{Key: key, Reason: fmt.Errorf("%v is not above 0", value)}
 }
 
-// applySocketLimits has the module know what differs from the simulator's wire on sockets.
+// applySocketLimits sets what differs on sockets from the simulator's protocol.
 func (c *Config) applySocketLimits() {
-	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.maxEndpointConns()) // a call needs a connection
-	// A list that the platform pushes comes on a watch as well: what its agent has counts as told whether or not one is open.
+	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.maxEndpointConns()) // an attempt needs a connection
+	// A list that the platform pushes comes on a watch as well: what its agent has counts as received whether or not one is open.
 	c.policy.WatchEndpoints = true
-	c.policy.AwaitAcknowledgement = true // a notice is posted, and an answer written, after it is decided on
+	c.policy.AwaitAcknowledgement = true // a notice is posted, and a response written, after it is decided on
 	for i := range c.policy.Kinds {
-		c.policy.Kinds[i].MaxBatch = 1 // a call carries one message
+		c.policy.Kinds[i].MaxBatch = 1 // an attempt carries one request
 	}
 }
 
 // validateOperatorFile checks the operator's file against the platform's configuration.
-func (cfg *Config) validateOperatorFile() error {
-	if cfg.Own == nil || cfg.Own.Undelivered == nil {
+func (c *Config) validateOperatorFile() error {
+	section := c.deadLetterSection()
+	if section == nil {
 		return nil
 	}
 	var errs []error
-	for i, r := range cfg.Own.Undelivered.Rules {
-		for _, fault := range r.Against(cfg.ResendClasses(cfg.Own.Undelivered)) {
+	for i, rule := range section.Rules {
+		for _, fault := range rule.Against(c.ResendClasses(section)) {
 			errs = append(errs, fmt.Errorf("the operator's file: undelivered.rule[%d]: %s", i+1, fault))
 		}
 	}
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -1,126 +1,209 @@
 package relay
 
 import (
+	"context"
+
 	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
 	"frostlink/internal/notification"
-	"frostlink/policy"
+	"frostlink/internal/trace"
 )
 
-// deadLetterStore gives the store of undelivered messages, or nil while there is none.
-func (l *loop) deadLetterStore() *deadletter.Store {
-	if l.writer == nil {
+// deadLetterLink is the loop's side of the dead-letter store, a subsystem: it hands the writer what was not delivered, keeps
+// requests in the journal until the store has them, and takes redeliveries in. Where the operator has turned the store off
+// it has no writer; redeliveries that an earlier process left in the journal still end by it.
+type deadLetterLink struct {
+	loop   *loop
+	writer *deadLetterWriter // nil: the store is off
+
+	awaitingStore []*request // in the journal for the store alone, the oldest first
+	dropped       int        // so many of them lost their place in the journal to new requests
+	lastArrival   int64      // the last Order.Arrival
+
+	// Requests with a subject whose outcome the store does not know yet.
+	inFlightSubmissions  deadletter.Underway
+	inFlightRedeliveries deadletter.Underway
+}
+
+var _ subsystem = (*deadLetterLink)(nil)
+
+// newDeadLetterLink makes the loop's side of the store. Once ctx has ended the writer's events are dropped.
+func newDeadLetterLink(ctx context.Context, l *loop) *deadLetterLink {
+	d := &deadLetterLink{loop: l}
+	if l.cfg.deadLetterSection() == nil {
+		return d
+	}
+	d.lastArrival = l.journal.LastArrival()
+	d.writer = newDeadLetterWriter(l.cfg, l.journal.Store(), l.timeline, func(e deadLetterEvent) {
+		select {
+		case l.inbox <- fromDeadLetterWriter{d, e}:
+		case <-ctx.Done(): // nobody handles events any more
+		}
+	})
+	return d
+}
+
+// openStore returns the store, or nil while there is none.
+func (d *deadLetterLink) openStore() *deadletter.Store {
+	if d.writer == nil {
 		return nil
 	}
-	return l.writer.openStore.Load()
+	return d.writer.openStore.Load()
 }
 
-// deadLetterLife is what this relay knows of one time that a message was taken on.
-func (l *loop) deadLetterLife(m *request) deadletter.Life {
-	life := deadletter.Life{
-		ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(), Over: m.CompletedAt.Time(),
-		Reason: deadletter.Reason(m.Reason), Status: m.PendingNotice.Status,
+func (d *deadLetterLink) run(ctx context.Context) {
+	if d.writer != nil {
+		d.writer.run(ctx)
 	}
-	if life.Taken.IsZero() { // taken on by a process that kept no undelivered messages
-		life.Taken = life.Over
+}
+
+func (d *deadLetterLink) settingsChanged(cfg *Config) {
+	if d.writer != nil {
+		d.writer.queue.setClasses(cfg.ResendClasses(cfg.Own.Undelivered))
 	}
-	for _, a := range m.Attempts {
-		ran := deadletter.May // also of one that was out when a process ended
-		switch {
-		case a.Ended && a.NotExecuted:
-			ran = deadletter.Never
-		case a.Outcome == outcomeNames[policy.Succeeded]:
-			ran = deadletter.Did
-		}
-		life.Attempts = append(life.Attempts, deadletter.Attempt{Host: a.Endpoint, Begun: a.StartedAt.Time(), Ended: a.EndedAt.Time(), Outcome: a.Outcome, Ran: ran})
+}
+
+func (d *deadLetterLink) submitted(e *journal.Entry) {
+	if d.writer == nil {
+		e.Tenant, e.AcceptedAt = "", 0 // nobody will ask
+	}
+	if e.Order != nil {
+		d.lastArrival = max(d.lastArrival+1, int64(d.loop.timeline.Now()))
+		e.Order.Arrival = d.lastArrival
+	}
+}
+
+// rejected tells the store of a request that was never accepted: it owes the platform nothing, and was in no journal.
+func (d *deadLetterLink) rejected(r *request, status string) {
+	if d.writer != nil && !r.Redelivery {
+		d.writer.queue.addRejected(r.record(d.rejectedLife(r, status)))
 	}
-	return life
 }
 
-// deadLetterRecord makes the store's record of a message that is over.
-func (l *loop) deadLetterRecord(m *request, life deadletter.Life) deadletter.Kept {
-	return deadletter.Kept{
-		Record: deadletter.Record{
-			ID: m.ID, Class: m.Class, Tenant: m.Tenant, Partner: m.Destination, Key: m.IdempotencyKey, Item: m.OrderKey,
-			Subject: m.Subject, Order: m.Order, Lives: []deadletter.Life{life}, State: deadletter.Held, Since: life.Over, Due: life.Over,
-		},
-		Body: m.Body,
+// accepted notes what a request is about, where the operator says where its class tells that.
+func (d *deadLetterLink) accepted(r *request) {
+	switch {
+	case r.Order == nil || d.writer == nil:
+	case r.Redelivery:
+		d.inFlightRedeliveries.Taken(r.ID, r.topic(), *r.Order)
+	default:
+		d.inFlightSubmissions.Taken(r.ID, r.topic(), *r.Order)
 	}
 }
 
-// recordRejected tells the store of a message that is refused at its arrival: it owes the platform nothing, and was in no
-// journal.
-func (l *loop) recordRejected(m *request, status string) {
-	if l.writer == nil || m.Redelivery {
-		return
+func (d *deadLetterLink) acceptanceNotWritten(r *request) {
+	if r.Redelivery {
+		d.returnRedelivery(r, "")
 	}
-	l.writer.recordRejected(l.deadLetterRecord(m, deadletter.Life{
-		ID: m.ID, Relay: l.cfg.Name, Taken: m.AcceptedAt.Time(), Expires: m.Deadline.Time(),
-		Over:   l.timeline.Now().Time(),
-		Reason: deadletter.AtArrival, Status: status,
-	}))
 }
 
-// expiredAtEndpoint is the end of a message of which the platform says that its time is up: nothing more is owed for it, and the
-// store is told alone.
-const expiredAtEndpoint = "out-of-time"
+func (d *deadLetterLink) claimOutcome(r *request, status string) (claimed bool) {
+	final := status == trace.Delivered || status == trace.Withdrawn
+	switch {
+	case status == trace.Withdrawn && d.writer != nil:
+		d.decideWithdrawn(r)
+	case r.Redelivery && final:
+		d.decideRedelivery(r, redeliveryDelivered, "")
+	case r.Redelivery:
+		d.decideRedelivery(r, status, "")
+	case status == trace.Delivered && r.Order != nil && d.writer != nil:
+		d.decideDelivered(r)
+	default:
+		return false
+	}
+	return true
+}
 
-// withdrawn ends a message of which a host says that it is over, though it was not delivered.
-func (l *loop) withdrawn(m *request) {
+// decideWithdrawn ends a request of which an endpoint says that it needs no more attempts, though it was not delivered.
+func (d *deadLetterLink) decideWithdrawn(r *request) {
+	l := d.loop
 	now := l.timeline.Now()
 	switch {
-	case m.Redelivery:
-		l.decideRedelivery(m, expiredAtEndpoint, "")
-	case now > m.Deadline.Add(-deadlineMargin):
-		l.decideOutcome(m, expiredAtEndpoint)
-		l.journal.DecideOutcome(m.Entry, notification.Notice{ID: m.ID, Status: expiredAtEndpoint}, string(deadletter.OutOfTime), now)
-		m.outcomeRecord = l.journal.LastRecord()
-		l.afterCommitOrBy(m.Deadline, func() { l.publishOutcome(m) })
+	case r.Redelivery:
+		d.decideRedelivery(r, expiredAtEndpoint, "")
+	case now > r.Deadline.Add(-deadlineMargin):
+		l.decideOutcome(r, expiredAtEndpoint)
+		l.recordOutcome(r, notification.Notice{ID: r.ID, Status: expiredAtEndpoint}, deadletter.OutOfTime, now)
+		l.afterCommitOrBy(r.Deadline, func() { l.publishOutcome(r) })
 	default: // its client has withdrawn it
-		l.evict(m)
+		l.evict(r)
 	}
 }
 
-// noticed notes that the platform has a message's notice: it leaves the journal once the store has it too.
-func (l *loop) noticed(m *request) {
-	if l.writer == nil || m.kept {
-		l.evict(m)
-		return
+// decideDelivered ends a request with a subject that was delivered. It stays in the journal until the store knows that
+// nothing older of its topic may be delivered after it.
+func (d *deadLetterLink) decideDelivered(r *request) {
+	l := d.loop
+	l.decideOutcome(r, trace.Delivered)
+	l.journal.MarkDelivered(r.Entry)
+	l.afterCommit(func() { l.publishDelivered(r) })
+}
+
+func (d *deadLetterLink) publish(r *request) (awaited bool) {
+	switch {
+	case d.writer == nil:
+		return false
+	case r.PendingNotice == nil: // delivered
+		d.awaitingStore = append(d.awaitingStore, r)
+		d.writer.queue.addDelivered(deadletter.Note{ID: r.ID, Topic: r.topic(), Order: *r.Order})
+	case r.Redelivery:
+		d.writer.queue.addResult(d.result(r))
+	default:
+		if r.PendingNotice.Status == expiredAtEndpoint {
+			d.loop.notified(r) // the platform is owed no notice
+		}
+		d.writer.queue.addRecord(r.record(d.life(r)))
 	}
-	if !m.noticed {
-		m.noticed = true
-		l.awaitingStore = append(l.awaitingStore, m)
+	return true
+}
+
+func (d *deadLetterLink) notified(r *request) (awaited bool) {
+	if d.writer == nil || r.inDeadLetters {
+		return false
 	}
+	if r.state != stateNotified {
+		d.awaitingStore = append(d.awaitingStore, r)
+	}
+	return true
 }
 
-// deadLetterStored notes that the store has a message.
-func (l *loop) deadLetterStored(m *request) {
-	m.kept = true
-	l.inFlightSubmissions.Ended(m.ID, m.topic()) // the store says now what waits
-	if m.noticed || m.Redelivery || m.Delivered {
-		l.evict(m)
+// requestStored notes that the store has a request, or knows of its delivery.
+func (d *deadLetterLink) requestStored(r *request) {
+	r.inDeadLetters = true
+	d.inFlightSubmissions.Ended(r.ID, r.topic()) // from now on the store says what waits
+	if r.state == stateNotified || r.Redelivery || r.Delivered {
+		d.loop.evict(r)
 	}
-	for len(l.awaitingStore) > 0 && l.awaitingStore[0].kept {
-		l.awaitingStore = l.awaitingStore[1:]
+	d.trimAwaitingStore()
+}
+
+func (d *deadLetterLink) evicted(r *request) {
+	if r.Order != nil {
+		d.inFlightSubmissions.Ended(r.ID, r.topic())
+		d.inFlightRedeliveries.Ended(r.ID, r.topic())
 	}
 }
 
-// trackSubject notes what a message that was taken on is about, where the operator says where that stands.
-func (l *loop) trackSubject(m *request) {
-	switch {
-	case m.Order == nil || l.writer == nil:
-	case m.Redelivery:
-		l.inFlightRedeliveries.Taken(m.ID, m.topic(), *m.Order)
-	default:
-		l.inFlightSubmissions.Taken(m.ID, m.topic(), *m.Order)
+// trimAwaitingStore drops the requests at the head of the list that the store has.
+func (d *deadLetterLink) trimAwaitingStore() {
+	for len(d.awaitingStore) > 0 && d.awaitingStore[0].inDeadLetters {
+		d.awaitingStore = d.awaitingStore[1:]
 	}
 }
 
-// publishDelivered has the store know of a message of a topic that was delivered; until it does the journal holds it.
-func (l *loop) publishDelivered(m *request) {
-	if l.writer == nil {
-		l.evict(m)
-		return
+// freeJournalSpace evicts the oldest request that only waits for the store. Its record is lost; the store is told so.
+func (d *deadLetterLink) freeJournalSpace() (freed bool) {
+	d.trimAwaitingStore()
+	if len(d.awaitingStore) == 0 {
+		return false
 	}
-	l.awaitingStore = append(l.awaitingStore, m)
-	l.writer.noteDelivered(deadletter.Note{ID: m.ID, Topic: m.topic(), Order: *m.Order})
+	r := d.awaitingStore[0]
+	d.awaitingStore = d.awaitingStore[1:]
+	d.dropped++
+	d.loop.journal.SetStore("") // until the store knows that something is missing
+	d.writer.queue.addLost(r)
+	d.loop.evict(r)
+	return true
 }
+
+func (d *deadLetterLink) beforeCommit() { d.cancelSuperseded() }
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -4,43 +4,70 @@
 	"time"
 
 	"frostlink/internal/discovery"
+	"frostlink/internal/trace"
 	"frostlink/internal/upstream"
 	"frostlink/policy"
 )
 
-// updateEndpoints takes in a change of the list.
-func (l *loop) updateEndpoints(m discovery.EndpointList) {
-	named := map[string]bool{}
-	var recalled []policy.Event
-	for _, h := range m.Endpoints {
-		named[h.Host] = true
-		old, had := l.endpoints[h.Host]
-		if had && (old.Dial != h.Dial || h.Health == discovery.Deleted) {
-			l.pool.Evict(upstream.Target{Endpoint: h.Host, Addr: old.Dial})
-		}
-		if h.Health == discovery.Deleted {
-			l.removeEndpoint(h.Host)
-			continue
-		}
-		l.endpoints[h.Host] = h
-		l.destinations[h.Block] = true
-		if health, ok := l.journal.Health()[h.Host]; ok && !had {
-			// An earlier process saw it go out; the list that came with the configuration may lack it.
-			recalled = append(recalled, policy.HealthRecovered{Endpoint: h.Host, Unhealthy: health.Unhealthy, At: time.Duration(health.At)})
+// handleEndpointsUpdated takes in a list that discovery sent, or a change of it.
+func (l *loop) handleEndpointsUpdated(e endpointsUpdated) {
+	l.traceEvent(trace.Event{Kind: trace.EndpointsReceived, Full: e.list.Full, Count: len(e.list.Endpoints)})
+	l.updateEndpoints(e.list)
+	if e.list.Full {
+		for id := range l.journal.Health() {
+			if _, listed := l.endpoints[id]; !listed {
+				l.journal.DeleteHealth(id)
+			}
 		}
 	}
-	if m.Full {
-		for id, h := range l.endpoints {
-			if !named[id] {
-				l.pool.Evict(upstream.Target{Endpoint: id, Addr: h.Dial})
-				l.removeEndpoint(id)
-			}
+	l.journal.UpdateEndpoints(e.list, e.discovery)
+}
+
+// updateEndpoints takes over a list of endpoints, or a change of it.
+func (l *loop) updateEndpoints(list discovery.EndpointList) {
+	named := map[string]bool{}
+	var recovered []policy.Event
+	for _, endpoint := range list.Endpoints {
+		named[endpoint.Host] = true
+		recovered = append(recovered, l.updateEndpoint(endpoint)...)
+	}
+	if list.Full {
+		l.removeUnnamed(named)
+	}
+	l.events = append(append(l.events, list.Event(&l.cfg.Settings)), recovered...)
+}
+
+// updateEndpoint takes over one endpoint, and returns what an earlier process knew of its health where it is new here: the
+// list that came with the configuration may lack it.
+func (l *loop) updateEndpoint(endpoint discovery.Endpoint) (recovered []policy.Event) {
+	id := endpoint.Host
+	old, known := l.endpoints[id]
+	if known && (old.Dial != endpoint.Dial || endpoint.Health == discovery.Deleted) {
+		l.pool.Evict(upstream.Target{Endpoint: id, Addr: old.Dial})
+	}
+	if endpoint.Health == discovery.Deleted {
+		l.removeEndpoint(id)
+		return nil
+	}
+	l.endpoints[id] = endpoint
+	l.destinations[endpoint.Block] = true
+	if health, ok := l.journal.Health()[id]; ok && !known {
+		return []policy.Event{policy.HealthRecovered{Endpoint: id, Unhealthy: health.Unhealthy, At: time.Duration(health.At)}}
+	}
+	return nil
+}
+
+// removeUnnamed removes all endpoints that a full list does not name.
+func (l *loop) removeUnnamed(named map[string]bool) {
+	for id, endpoint := range l.endpoints {
+		if !named[id] {
+			l.pool.Evict(upstream.Target{Endpoint: id, Addr: endpoint.Dial})
+			l.removeEndpoint(id)
 		}
 	}
-	l.events = append(append(l.events, m.Event(&l.cfg.Settings)), recalled...)
 }
 
-func (l *loop) removeEndpoint(host string) {
-	delete(l.endpoints, host)
-	l.journal.DeleteHealth(host)
+func (l *loop) removeEndpoint(id string) {
+	delete(l.endpoints, id)
+	l.journal.DeleteHealth(id)
 }
--- a/internal/relay/guard_test.go
+++ b/internal/relay/guard_test.go
@@ -27,7 +27,7 @@
 		cfg: cfg, timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, metrics: admin.NewMetrics(nil),
 		notifier: notification.New("127.0.0.1:0", nil), endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{},
 	}
-	m := &request{Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
+	m := &request{state: stateAccepted, Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
 	j.SetTerms(m.Entry, class)
 	j.Accept(m.Entry)
 	l.requests[m.ID] = m
@@ -49,7 +49,7 @@
 		before  func(*loop, *request)
 		violate invariant.Kind
 	}{
-		"a send after the end":          {unsafe, time.Minute, func(_ *loop, m *request) { m.over = true }, -1}, // passed over: its end may cross the send
+		"a send after the end":          {unsafe, time.Minute, func(_ *loop, m *request) { m.state = stateOutcomeDecided }, -1}, // passed over: its end may cross the send
 		"a send after the deadline":     {unsafe, -time.Second, nil, invariant.SendAfterDeadline},
 		"a send while one is out":       {unsafe, time.Minute, func(_ *loop, m *request) { m.attemptInFlight = true }, invariant.SecondAttempt},
 		"an unsafe message twice":       {unsafe, time.Minute, doubtful, invariant.NonIdempotentRepeat},
@@ -75,7 +75,7 @@
 func TestGuardStopsUnrecordedSend(t *testing.T) {
 	l, m := guardedLoop(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
 	l.planAttempt(l.now(), policy.Send{ID: m.ID, Endpoint: "h"})
-	l.startAttempt(l.attempts[0]) // and no commit
+	l.startAttempt(t.Context(), l.attempts[0]) // and no commit
 	if l.attemptsInFlight != 0 || l.violations.ByKind()[invariant.SendUnrecorded.String()] != 1 {
 		t.Errorf("%d out, counted: %v", l.attemptsInFlight, l.violations.ByKind())
 	}
@@ -91,12 +91,12 @@
 	if err := l.journal.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	for _, do := range l.immediateEffects {
+	for _, do := range l.effects.immediate {
 		do()
 	}
 	l.runAfterCommitEffects(true)
-	if !m.over || m.PendingNotice == nil || ctx.Err() == nil || l.violations.ByKind()[invariant.CompletionOverdue.String()] != 1 {
-		t.Errorf("over %v, owed %v, call %v, counted: %v", m.over, m.PendingNotice, ctx.Err(), l.violations.ByKind())
+	if !m.completed() || m.PendingNotice == nil || ctx.Err() == nil || l.violations.ByKind()[invariant.CompletionOverdue.String()] != 1 {
+		t.Errorf("over %v, owed %v, call %v, counted: %v", m.completed(), m.PendingNotice, ctx.Err(), l.violations.ByKind())
 	}
 	l.decideOutcome(m, "once more")
 	if l.violations.ByKind()[invariant.CompletedTwice.String()] != 1 {
--- /dev/null
+++ b/internal/relay/handover_predecessor.go
@@ -0,0 +1,80 @@
+package relay
+
+import (
+	"context"
+	"errors"
+
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/handover"
+	"frostlink/internal/upstream/http1"
+)
+
+// quiescedNode is what a relay holds while it is quiesced.
+type quiescedNode struct {
+	quiesceRequested
+	loopAsked bool // the loop was sent the request
+	clients   []front.DetachedConn
+	idleConns []http1.IdleConn
+}
+
+// errStateNotWritten says that the journal could not be written for a successor.
+var errStateNotWritten = errors.New("the journal can't be written")
+
+// Quiesce brings the relay to a stop and returns what a successor needs to go on from there.
+func (n *node) Quiesce(ctx context.Context) (state any, conns []handover.Conn, err error) {
+	n.quiesced = &quiescedNode{quiesceRequested: quiesceRequested{make(chan *handoverState, 1), make(chan struct{})}}
+	n.loop.send(sendingStopped{})
+	if n.quiesced.clients, err = n.frontend.Quiesce(ctx); err != nil {
+		return nil, nil, err
+	}
+	n.quiesced.idleConns = n.loop.pool.Quiesce(ctx)
+	n.quiesced.loopAsked = true
+	n.loop.send(n.quiesced.quiesceRequested)
+	h := <-n.quiesced.state
+	if h == nil {
+		return nil, nil, errStateNotWritten
+	}
+	return h, n.quiescedConns(h), nil
+}
+
+// quiescedConns returns all connections that go to a successor.
+func (n *node) quiescedConns(h *handoverState) (conns []handover.Conn) {
+	timeline := n.loop.timeline
+	for id, conn := range h.conns {
+		conns = append(conns, handover.Conn{Kind: handover.AttemptConn, ID: id, Conn: conn})
+	}
+	for _, c := range n.quiesced.clients {
+		conns = append(conns, handover.Conn{
+			Kind: handover.ClientConn, Conn: c.Conn, Buffered: c.Buffered, Unused: c.Unused, Since: timeline.InstantOf(c.Since),
+		})
+	}
+	for _, c := range n.quiesced.idleConns {
+		conns = append(conns, handover.Conn{
+			Kind: handover.IdleEndpointConn, Conn: c.Conn, Endpoint: c.Endpoint, Addr: c.Addr, Since: timeline.InstantOf(c.Since),
+		})
+	}
+	return conns
+}
+
+// Resume goes on as before.
+func (n *node) Resume() {
+	q := n.quiesced
+	n.quiesced = nil
+	n.loop.pool.Resume(q.idleConns)
+	if q.loopAsked {
+		close(q.resume)
+	} else {
+		n.loop.send(sendingResumed{})
+	}
+	n.frontend.Resume(q.clients)
+}
+
+// Released ends all that this process does: a successor owns the relay from now on.
+func (n *node) Released() {
+	n.admin.serving.Store(false)
+	n.stop()
+	n.goroutines.Wait()
+	_ = n.loop.journal.Close() // the successor has taken its state over
+	n.metrics.HandedOver()
+	_ = n.listener.Close() // the successor listens
+}
--- a/internal/relay/invariants.go
+++ b/internal/relay/invariants.go
@@ -10,31 +10,38 @@
 	"frostlink/policy"
 )
 
-// invariantFacts are what the checks have to know of a message.
-func (l *loop) invariantFacts(m *request) invariant.Message {
-	if m.acceptedTerms == nil {
-		m.acceptedTerms = l.journal.Terms(m.Entry)
+// overdueMargin after a request's outcome is due the loop looks whether it was decided, so that one batch serves several.
+const overdueMargin = 20 * time.Millisecond
+
+// invariantFacts are what the checks of package invariant have to know of a request.
+func (l *loop) invariantFacts(r *request) invariant.Message {
+	if r.acceptedTerms == nil {
+		r.acceptedTerms = l.journal.Terms(r.Entry)
 	}
-	return invariant.Message{Entry: m.Entry, Terms: m.acceptedTerms, Completed: m.over, InFlight: m.attemptInFlight}
+	return invariant.Message{Entry: r.Entry, Terms: r.acceptedTerms, Completed: r.completed(), InFlight: r.attemptInFlight}
 }
 
-// failOverdue ends messages that the module should have ended.
+// failOverdue fails requests whose outcome the dispatcher should have decided.
 func (l *loop) failOverdue() {
-	open := func(id string) bool { m := l.requests[id]; return m != nil && !m.over }
+	open := func(id string) bool {
+		r := l.requests[id]
+		return r != nil && !r.completed()
+	}
 	for _, id := range l.deadlines.Overdue(l.timeline.Now(), open) {
-		m := l.requests[id]
-		l.violations.Record(invariant.CompletionOverdue, id, "destination", m.Destination, "attempts", len(m.Attempts), "late", l.timeline.Now().Sub(m.Deadline))
-		l.fail(m, frontend.Response{}, notification.Undeliverable)
-		l.events = append(l.events, policy.Cancelled{ID: id})
-		l.wakeAt = 0 // the module has an event to act on
-		if m.cancel != nil {
-			l.immediately(m.cancel)
-		}
+		r := l.requests[id]
+		l.violations.Record(invariant.CompletionOverdue, id, "destination", r.Destination, "attempts", len(r.Attempts), "late", l.timeline.Now().Sub(r.Deadline))
+		l.fail(r, frontend.Response{}, notification.Undeliverable)
+		l.cancelRequest(r)
 	}
 }
 
-// overdueMargin after a message's outcome is due the loop looks whether it was decided, so that one batch serves several.
-const overdueMargin = 20 * time.Millisecond
+// cancelRequest takes a request from the dispatcher, and cancels the attempt that is in flight for it.
+func (l *loop) cancelRequest(r *request) {
+	l.wakeDispatcher(policy.Cancelled{ID: r.ID})
+	if r.cancel != nil {
+		l.immediately(r.cancel)
+	}
+}
 
 // checkMixedClocks counts spans that were taken from two kinds of clock.
 func (l *loop) checkMixedClocks() {
--- a/internal/relay/keep_test.go
+++ b/internal/relay/keep_test.go
@@ -224,14 +224,14 @@
 	cfg := readOwn(t, p)
 	ctx, stop := context.WithCancel(t.Context())
 	knows := make(chan any, 10)
-	k := newDeadLetterWriter(cfg, "", clock.New(), func(e any) { knows <- e })
+	k := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { knows <- e })
 	done := make(chan struct{})
 	go func() { k.run(ctx); close(done) }()
 	waittest.Receive(t, knows) // the store is open
 	const n = 3*maxBatch + 7
 	for i := range n {
 		id := fmt.Sprint("m", i)
-		k.recordRejected(deadletter.Kept{Record: deadletter.Record{
+		k.queue.addRejected(deadletter.Kept{Record: deadletter.Record{
 			ID: id, Class: "order", Tenant: "acme", Partner: 7, State: deadletter.Held,
 			Lives: []deadletter.Life{{ID: id, Reason: deadletter.AtArrival}},
 		}, Body: []byte("body of " + id)})
--- a/internal/relay/lastwords_test.go
+++ b/internal/relay/lastwords_test.go
@@ -39,7 +39,7 @@
 			t.Fatal("the request was not read")
 		}
 	}
-	n.flushResponses()
+	n.flushResponses(t.Context())
 	if got := n.violations.ByKind()[invariant.ClosedUnanswered.String()]; got != 1 {
 		t.Errorf("counted %d times", got)
 	}
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -368,12 +368,23 @@
 		c.Env = append(c.Env, "NODE_MANAGEMENT="+p.door)
 		c.door = p.door
 	}
-	c.Stderr = &bytes.Buffer{}
+	log := &bytes.Buffer{}
+	c.Stderr = log
 	if err := c.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	go func() { c.exited <- c.Wait() }()
-	p.t.Cleanup(func() { _ = c.Process.Kill() })
+	ended := make(chan struct{})
+	go func() {
+		c.exited <- c.Wait()
+		close(ended)
+	}()
+	p.t.Cleanup(func() {
+		_ = c.Process.Kill()
+		<-ended
+		if strings.Contains(log.String(), unexpectedTransition) {
+			p.t.Errorf("a relay logged: %s", log)
+		}
+	})
 	return c
 }
 
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"time"
 
 	"frostlink/internal/discovery"
@@ -12,89 +13,110 @@
 	"frostlink/policy"
 )
 
-// latestEndpointList is the newest list that this relay, or its platform for it, is known to have had.
-func (l *loop) latestEndpointList() discovery.EndpointList {
-	list := l.cfg.Known
-	told, from := l.journal.Endpoints()
-	switch {
-	case told == nil:
-	case from != l.cfg.Discovery: // versions are one discovery's own: nothing tells which is newer
-		list = *told
-		list.Seq = 0
-	case told.Seq >= list.Seq:
-		// The configuration's list may be older than what an earlier process was told: a host that drains gets nothing new
-		// from this one either. It may be newer as well, since the platform goes on listening while no process runs.
-		list = *told
-	}
-	return list
-}
-
-// restore takes up what the journal holds, and the list that the configuration gives; from is what another process has
-// handed over beside the journal, or nil.
-func (l *loop) restore(from *handoverState) {
+// restore begins with what the journal holds, and the list that the configuration gives. predecessor is what another
+// process has handed over beside the journal, or nil.
+func (l *loop) restore(ctx context.Context, predecessor *handoverState) {
 	list := l.latestEndpointList()
 	list.Full = true
 	l.traceEvent(trace.Event{Kind: trace.RelayStarted, Relay: l.cfg.Name, Count: l.cfg.Settings.NInstances})
 	l.updateEndpoints(list)
-	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // what the watch tells from here on may be changes of it only
+	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // what the watch brings from here on may be changes of it only
 	l.watch.Seq = list.Seq
 	if l.journal.Failed() { // from its start on
 		l.folder.WriteFailed(l.now())
 		l.folderDegraded(true)
 	}
-	if from != nil {
-		l.events = append(l.events, policy.SnapshotRestored{Snapshot: from.Memory})
-		for _, e := range from.Completed {
+	if predecessor != nil {
+		l.events = append(l.events, policy.SnapshotRestored{Snapshot: predecessor.Snapshot})
+		for _, e := range predecessor.Completed {
 			l.journal.AddCompleted(journal.CompletedRequest{ID: e.ID, At: e.At})
 		}
 	}
 	for _, e := range l.journal.Entries() {
-		m := &request{Entry: e, recovered: true}
-		l.requests[e.ID] = m
-		if l.journal.IsCompleted(e.ID) {
-			l.violations.Record(invariant.RecoveredAfterCompletion, e.ID, "destination", e.Destination)
-		}
-		l.trackSubject(m)
-		l.traceRecovered(e)
-		switch {
-		case e.PendingNotice != nil:
-			m.over = true // by the process before
-			l.publishOutcome(m)
-			if class := l.class(e.Class); class >= 0 && e.OrderKey != "" {
-				// Guards against a call for the next of its key that overtakes its notice.
-				l.events = append(l.events, policy.Arrived{ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, OutcomeDecided: true})
-			}
-			continue
-		case e.Delivered:
-			m.over = true
-			l.publishDelivered(m)
-			continue
-		}
-		class := l.class(e.Class)
-		if class < 0 { // the settings have changed, and the module could not end it
-			l.fail(m, frontend.Response{}, notification.Undeliverable)
-			continue
-		}
-		l.countAccepted(m)
-		l.deadlines.Add(m.ID, m.Deadline)
-		a := policy.Arrived{
-			ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, Background: e.Redelivery, Terms: l.journal.Terms(e),
-			TimeLeft: e.Deadline.Sub(l.timeline.Now()),
-		}
-		for _, t := range e.Attempts {
-			// An attempt that was out when the process ended may have run.
-			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Endpoint, SentAt: l.attemptSentAt(t), NotExecuted: t.Ended && t.NotExecuted})
-		}
-		if from != nil && from.resumeAttempt(l, m) {
-			a.PriorAttempts[len(a.PriorAttempts)-1].InFlight = true
-		}
-		l.events = append(l.events, a)
+		l.recoverRequest(ctx, e, predecessor)
+	}
+	l.step(ctx)
+}
+
+// latestEndpointList returns the newest list that this relay, or its platform for it, is known to have had.
+func (l *loop) latestEndpointList() discovery.EndpointList {
+	configured := l.cfg.Known
+	journalled, from := l.journal.Endpoints()
+	switch {
+	case journalled == nil:
+		return configured
+	case from != l.cfg.Discovery: // versions are one discovery's own: nothing tells which list is newer
+		list := *journalled
+		list.Seq = 0
+		return list
+	case journalled.Seq >= configured.Seq:
+		// The configuration's list may be older than what an earlier process was sent: an endpoint that drains gets nothing new
+		// from this one either. It may be newer as well, since the platform goes on listening while no process runs.
+		return *journalled
+	}
+	return configured
+}
+
+// recoverRequest goes on with a request of an earlier process.
+func (l *loop) recoverRequest(ctx context.Context, e *journal.Entry, predecessor *handoverState) {
+	r := &request{Entry: e, state: stateAccepted, recovered: true}
+	l.requests[e.ID] = r
+	if l.journal.IsCompleted(e.ID) {
+		l.violations.Record(invariant.RecoveredAfterCompletion, e.ID, "destination", e.Destination)
+	}
+	for _, s := range l.subsystems {
+		s.accepted(r)
+	}
+	l.traceRecovered(e)
+	switch {
+	case e.PendingNotice != nil:
+		l.recoverOutcome(r)
+	case e.Delivered:
+		r.transition(stateOutcomeDecided)
+		l.publishDelivered(r)
+	case l.class(e.Class) < 0: // the settings have changed, and the dispatcher could not end it
+		l.fail(r, frontend.Response{}, notification.Undeliverable)
+	default:
+		l.recoverOpenRequest(ctx, r, predecessor)
+	}
+}
+
+// recoverOutcome goes on with a request whose terminal outcome an earlier process decided.
+func (l *loop) recoverOutcome(r *request) {
+	r.transition(stateOutcomeDecided)
+	l.publishOutcome(r)
+	if class := l.class(r.Class); class >= 0 && r.OrderKey != "" {
+		// Guards against an attempt of the next request of its order key that overtakes its notice.
+		l.events = append(l.events, policy.Arrived{
+			ID: r.ID, Class: class, Destination: r.Destination, OrderKey: r.OrderKey, Recovered: true, OutcomeDecided: true,
+		})
+	}
+}
+
+// recoverOpenRequest gives the dispatcher a request whose terminal outcome is open.
+func (l *loop) recoverOpenRequest(ctx context.Context, r *request, predecessor *handoverState) {
+	l.countAccepted(r)
+	l.deadlines.Add(r.ID, r.Deadline)
+	arrived := policy.Arrived{
+		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey,
+		Recovered: true, Background: r.Redelivery, Terms: l.journal.Terms(r.Entry),
+		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
+	}
+	for _, a := range r.Attempts {
+		// Of an attempt that was in flight when the process ended the outcome is unknown.
+		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{
+			Endpoint: a.Endpoint, SentAt: l.attemptSentAt(a), NotExecuted: a.Ended && a.NotExecuted,
+		})
+	}
+	if predecessor != nil && l.resumeHandedOverAttempt(ctx, r, predecessor) {
+		arrived.PriorAttempts[len(arrived.PriorAttempts)-1].InFlight = true
 	}
-	l.step()
+	l.events = append(l.events, arrived)
 }
 
-// attemptSentAt is when an attempt of an earlier process began, in the module's terms. Where that process did not run in this boot how
-// long ago it was is not known: it counts as longer ago than any destination keeps a key.
+// attemptSentAt returns when an attempt of an earlier process began, on the dispatcher's clock. Where that process did not
+// run in this boot of the machine it is not known how long ago that was: it counts as longer ago than any destination
+// remembers a key.
 func (l *loop) attemptSentAt(a journal.Attempt) time.Duration {
 	if !l.timeline.SameBoot() {
 		return 0
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -1,105 +1,179 @@
 package relay
 
 import (
+	"time"
+
 	"frostlink/internal/admin"
+	"frostlink/internal/clock"
 	"frostlink/internal/deadletter"
 	"frostlink/internal/frontend"
 	"frostlink/internal/invariant"
 	"frostlink/internal/notification"
+	"frostlink/internal/trace"
+	"frostlink/policy"
 )
 
-// countCompleted has the figures count a message's end, once.
-func (l *loop) countCompleted(m *request, end admin.Outcome) {
-	if !m.Redelivery && !m.countedCompleted {
-		m.countedCompleted = true
-		l.metrics.Completed(m.Class, end, m.countedInFlight)
+// expiredAtEndpoint is the outcome of a request of which an endpoint says that its deadline has passed: the platform is
+// owed no notice, and only the dead-letter store is told.
+const expiredAtEndpoint = "out-of-time"
+
+// deadlineMargin before its deadline a request that fails counts as expired: with less time left no further attempt would
+// come to its end.
+const deadlineMargin = time.Second
+
+// fail ends a request undelivered: by its response if that is still due, else by a notice.
+func (l *loop) fail(r *request, response frontend.Response, status string) {
+	if r == nil || r.completed() {
+		return
+	}
+	if l.claimOutcome(r, status) {
+		return
+	}
+	counted := admin.Failure
+	if status == notification.Deferred {
+		counted = admin.Shed
 	}
+	l.countCompleted(r, counted)
+	if r.responses != nil {
+		l.rejectCandidate(r, response, status)
+		return
+	}
+	l.traceCompleted(r, status)
+	l.decideOutcome(r, status)
+	notice := notification.Notice{ID: r.ID, Status: status, RetryAfterMS: response.RetryAfter.Milliseconds()}
+	l.recordOutcome(r, notice, l.failureReason(r, status), l.timeline.Now())
+	l.afterCommitOrBy(r.Deadline, func() { l.publishOutcome(r) })
 }
 
-// checkOutcomeRecorded checks that a terminal outcome which is about to be told would be found by a later process, or that its message's time
-// is up, so that a later process could only end it again.
-func (l *loop) checkOutcomeRecorded(m *request) bool {
-	if l.journal.Durable(m.outcomeRecord) || l.timeline.Now() >= m.Deadline {
-		return true
+// rejectCandidate ends a request by its response.
+func (l *loop) rejectCandidate(r *request, response frontend.Response, status string) {
+	responses := r.responses
+	l.traceRejected(r.Entry, r.retryInfo, rejectedByAdmission, response.RetryAfter)
+	for _, s := range l.subsystems {
+		s.rejected(r, status)
 	}
-	l.violations.Record(invariant.CompletionUnrecorded, m.ID, "destination", m.Destination, "left", m.Deadline.Sub(l.timeline.Now()))
-	return false
+	r.responses = nil
+	l.immediately(func() {
+		respondAll(responses, response)
+		l.acknowledged(r)
+	})
+	l.evict(r)
 }
 
-// reason says why a message ends undelivered.
-func (l *loop) reason(m *request, status string) deadletter.Reason {
-	now := l.timeline.Now()
-	switch {
-	case l.class(m.Class) < 0:
-		return deadletter.Settings
-	case now > m.Deadline:
-		if m.recovered {
-			return deadletter.ProcessEnded
-		}
-		return deadletter.OutOfTime
-	case len(m.Attempts) >= l.cfg.policy.MaxAttempts:
-		return deadletter.Spent
-	case status == notification.Undeliverable:
-		return deadletter.Doubtful
-	case now > m.Deadline.Add(-deadlineMargin):
-		return deadletter.OutOfTime
+// decideOutcome decides a request's terminal outcome; it has one only. Callers leave completed requests alone.
+func (l *loop) decideOutcome(r *request, status string) {
+	if r.completed() {
+		l.violations.Record(invariant.CompletedTwice, r.ID, "destination", r.Destination, "outcome", status)
+		return
 	}
-	return deadletter.RefusedLate
+	r.transition(stateOutcomeDecided)
 }
 
-// publishOutcome tells the end of a message that owes one: to the platform, and to the store where one is kept; that of a
-// resend to the store alone.
-func (l *loop) publishOutcome(m *request) {
-	l.checkOutcomeRecorded(m)
-	switch {
-	case (m.Redelivery || m.PendingNotice.Status == expiredAtEndpoint) && l.writer == nil: // the operator has turned the store off: nobody is left to tell
-		l.evict(m)
-	case m.Redelivery:
-		res := deadletter.Result{Life: l.deadLetterLife(m), Delivered: m.PendingNotice.Status == redeliveryDelivered}
-		if m.PendingNotice.Status == redeliverySuperseded {
-			res.Life.Reason, res.Overtaken = deadletter.Overtaken, m.Reason // which by
-		}
-		l.writer.addResult(res)
-	case m.PendingNotice.Status == expiredAtEndpoint:
-		l.noticed(m) // there is none
-		l.writer.store(l.deadLetterRecord(m, l.deadLetterLife(m)))
-	default:
-		l.notifier.Enqueue(*m.PendingNotice)
-		if l.writer != nil {
-			l.writer.store(l.deadLetterRecord(m, l.deadLetterLife(m)))
-		}
+// recordOutcome puts a terminal outcome on record.
+func (l *loop) recordOutcome(r *request, notice notification.Notice, reason deadletter.Reason, at clock.Instant) {
+	l.journal.DecideOutcome(r.Entry, notice, string(reason), at)
+	r.outcomeRecord = l.journal.LastRecord()
+}
+
+// publishOutcome tells all that are owed a terminal outcome: the platform, and the subsystems.
+func (l *loop) publishOutcome(r *request) {
+	l.checkOutcomeRecorded(r)
+	owesNotice := !r.Redelivery && r.PendingNotice.Status != expiredAtEndpoint
+	if owesNotice {
+		l.notifier.Enqueue(*r.PendingNotice)
+	}
+	if awaited := l.publishToSubsystems(r); !awaited && !owesNotice {
+		l.evict(r)
 	}
 }
 
-// fail ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) fail(m *request, v frontend.Response, status string) {
-	if m == nil || m.over {
-		return
+// publishDelivered tells the subsystems of a request that was delivered; the platform is owed nothing.
+func (l *loop) publishDelivered(r *request) {
+	if !l.publishToSubsystems(r) {
+		l.evict(r)
 	}
-	if m.Redelivery {
-		l.decideRedelivery(m, status, "")
+}
+
+// checkOutcomeRecorded checks that a terminal outcome which is about to be published would be found by a later process, or
+// that the request's deadline has passed, so that a later process could only fail it again.
+func (l *loop) checkOutcomeRecorded(r *request) {
+	if l.journal.Durable(r.outcomeRecord) || l.timeline.Now() >= r.Deadline {
 		return
 	}
-	if status == notification.Deferred {
-		l.countCompleted(m, admin.Shed)
-	} else {
-		l.countCompleted(m, admin.Failure)
-	}
-	if replies := m.responses; replies != nil {
-		l.traceRejected(m.Entry, m.retryInfo, rejectedByAdmission, v.RetryAfter)
-		l.recordRejected(m, status)
-		m.responses = nil
-		l.immediately(func() {
-			respondAll(replies, v)
-			l.acknowledged(m)
-		})
-		l.evict(m)
+	l.violations.Record(invariant.CompletionUnrecorded, r.ID, "destination", r.Destination, "left", r.Deadline.Sub(l.timeline.Now()))
+}
+
+// handleNoticesAcknowledged takes in that the platform has notices.
+func (l *loop) handleNoticesAcknowledged(ids []string) {
+	for _, id := range ids {
+		if r := l.requests[id]; r != nil {
+			l.traceEvent(trace.Event{Kind: trace.Notified, ID: id, Class: r.Class, Destination: r.Destination})
+			l.acknowledged(r)
+			l.notified(r)
+		}
+	}
+}
+
+// notified notes that the platform is owed nothing more for a request: it is evicted, unless a subsystem still needs it.
+func (l *loop) notified(r *request) {
+	awaited := false
+	for _, s := range l.subsystems {
+		awaited = s.notified(r) || awaited
+	}
+	if !awaited {
+		l.evict(r)
 		return
 	}
-	l.traceCompleted(m, status)
-	l.decideOutcome(m, status)
-	n := notification.Notice{ID: m.ID, Status: status, RetryAfterMS: v.RetryAfter.Milliseconds()}
-	l.journal.DecideOutcome(m.Entry, n, string(l.reason(m, status)), l.timeline.Now())
-	m.outcomeRecord = l.journal.LastRecord()
-	l.afterCommitOrBy(m.Deadline, func() { l.publishOutcome(m) })
+	r.transition(stateNotified)
+}
+
+// acknowledged tells the dispatcher that the terminal outcome of a request with an order key is known where it is owed:
+// only then the next one of its key may be sent. An attempt that overtakes the notice of the request before is out of order.
+func (l *loop) acknowledged(r *request) {
+	if r.OrderKey != "" {
+		l.wakeDispatcher(policy.Acknowledged{ID: r.ID})
+	}
+}
+
+// evict notes that nothing more is owed for a request.
+func (l *loop) evict(r *request) {
+	r.transition(stateEvicted)
+	for _, s := range l.subsystems {
+		s.evicted(r)
+	}
+	if l.journal.Get(r.ID) == r.Entry {
+		l.journal.Complete(r.Entry, l.timeline.Now())
+	}
+	r.PendingNotice = nil
+	if r.cancel == nil {
+		delete(l.requests, r.ID)
+	}
+}
+
+// countCompleted has the metrics count a request's outcome, once.
+func (l *loop) countCompleted(r *request, outcome admin.Outcome) {
+	if !r.Redelivery && !r.countedCompleted {
+		r.countedCompleted = true
+		l.metrics.Completed(r.Class, outcome, r.countedInFlight)
+	}
+}
+
+// failureReason says why a request is not delivered.
+func (l *loop) failureReason(r *request, status string) deadletter.Reason {
+	now := l.timeline.Now()
+	switch {
+	case l.class(r.Class) < 0:
+		return deadletter.Settings
+	case now > r.Deadline && r.recovered:
+		return deadletter.ProcessEnded
+	case now > r.Deadline:
+		return deadletter.OutOfTime
+	case len(r.Attempts) >= l.cfg.policy.MaxAttempts:
+		return deadletter.Spent
+	case status == notification.Undeliverable:
+		return deadletter.Doubtful
+	case now > r.Deadline.Add(-deadlineMargin):
+		return deadletter.OutOfTime
+	}
+	return deadletter.RefusedLate
 }
--- a/internal/relay/tracing.go
+++ b/internal/relay/tracing.go
@@ -8,21 +8,22 @@
 	"frostlink/policy"
 )
 
-// traceEvent notes an event of now, where a trace is wanted.
+// traceEvent records an event of now, where a trace is configured.
 func (l *loop) traceEvent(e trace.Event) {
 	if l.trace != nil {
 		l.trace.Record(l.now(), e)
 	}
 }
 
-// traceAttemptEnded notes the end of a call.
-func (l *loop) traceAttemptEnded(m *request, e answered) {
+// traceAttemptEnded records the end of an attempt.
+func (l *loop) traceAttemptEnded(r *request, e attemptEnded) {
 	if l.trace == nil {
 		return
 	}
 	t := trace.Event{
-		Kind: trace.AttemptEnded, ID: m.ID, Class: m.Class, Destination: m.Destination, Endpoint: e.host, Outcome: outcomeNames[e.Outcome], Count: e.attempt + 1,
-		Ms: float64(e.took.Microseconds()) / 1000, NewConn: e.NewConn, WaitMs: float64(e.RetryAfter.Microseconds()) / 1000,
+		Kind: trace.AttemptEnded, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: e.endpoint,
+		Outcome: outcomeNames[e.Outcome], Count: e.index + 1,
+		Ms: milliseconds(e.latency), NewConn: e.NewConn, WaitMs: milliseconds(e.RetryAfter),
 	}
 	if e.LoadReport != nil {
 		t.Left, t.Limit = e.LoadReport.Remaining, e.LoadReport.RateLimit
@@ -30,31 +31,33 @@
 	l.traceEvent(t)
 }
 
-// idempotencyNames are those of classes, as the trace names them.
-var idempotencyNames = map[policy.Idempotency]string{policy.Idempotent: trace.Idempotent, policy.IdempotentByKey: trace.IdempotentByKey, policy.NotIdempotent: trace.NotIdempotent}
+// idempotencyNames are the trace's names for the idempotency of classes.
+var idempotencyNames = map[policy.Idempotency]string{
+	policy.Idempotent: trace.Idempotent, policy.IdempotentByKey: trace.IdempotentByKey, policy.NotIdempotent: trace.NotIdempotent,
+}
 
-// traceRequest notes what becomes of a message as it comes, with its terms.
-func (l *loop) traceRequest(kind trace.Kind, m *journal.Entry, retry string, t trace.Event) {
+// traceRequest records what becomes of a request as it comes, with the terms of its class.
+func (l *loop) traceRequest(kind trace.Kind, entry *journal.Entry, retryInfo string, t trace.Event) {
 	if l.trace == nil {
 		return
 	}
-	t.Kind, t.ID, t.Class, t.Destination = kind, m.ID, m.Class, m.Destination
-	t.LeftMs = milliseconds(m.Deadline.Sub(l.timeline.Now()))
-	t.Key, t.Retry, t.Deadline = trace.Digest(m.IdempotencyKey), retry, float64(m.Deadline)/float64(time.Millisecond)
-	terms := l.journal.Terms(m)
-	if class := l.class(m.Class); terms == nil && class >= 0 {
+	t.Kind, t.ID, t.Class, t.Destination = kind, entry.ID, entry.Class, entry.Destination
+	t.LeftMs = milliseconds(entry.Deadline.Sub(l.timeline.Now()))
+	t.Key, t.Retry, t.Deadline = trace.Digest(entry.IdempotencyKey), retryInfo, float64(entry.Deadline)/float64(time.Millisecond)
+	terms := l.journal.Terms(entry)
+	if class := l.class(entry.Class); terms == nil && class >= 0 {
 		terms = &l.cfg.policy.Classes[class]
 	}
 	if terms != nil {
 		t.Idempotency = idempotencyNames[terms.Idempotency]
 		if terms.Idempotency == policy.IdempotentByKey {
-			t.KeyTTLMs = float64(terms.KeyTTL.Microseconds()) / 1000
+			t.KeyTTLMs = milliseconds(terms.KeyTTL)
 		}
 	}
 	l.traceEvent(t)
 }
 
-// Why messages are refused at their arrival, beside the reasons of package undelivered.
+// Why requests are rejected before they are accepted, as the trace says it.
 const (
 	rejectedUnlisted    = "no list names its destination"
 	rejectedNoSpace     = "the journal has no room"
@@ -63,38 +66,38 @@
 	rejectedUnrecorded  = "its record could not be written"
 )
 
-// milliseconds is a span as traces have it, to the microsecond.
+// milliseconds returns a span as traces have it, to the microsecond.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// traceRejected notes a message that is refused at its arrival, why, and how long its client is to stay away.
-func (l *loop) traceRejected(m *journal.Entry, retry, why string, away time.Duration) {
-	l.traceRequest(trace.Rejected, m, retry, trace.Event{Ms: float64(away.Milliseconds()), Reason: why})
+// traceRejected records a request that is rejected before it is accepted, why, and after how long its client may retry.
+func (l *loop) traceRejected(entry *journal.Entry, retryInfo, reason string, retryAfter time.Duration) {
+	l.traceRequest(trace.Rejected, entry, retryInfo, trace.Event{Ms: float64(retryAfter.Milliseconds()), Reason: reason})
 }
 
-// traceRecovered notes a message that was taken up from the journal.
-func (l *loop) traceRecovered(e *journal.Entry) {
-	t := trace.Event{Count: len(e.Attempts)}
+// traceRecovered records a request that was recovered from the journal.
+func (l *loop) traceRecovered(entry *journal.Entry) {
+	t := trace.Event{Count: len(entry.Attempts)}
 	switch {
-	case e.PendingNotice != nil:
-		t.Outcome = e.PendingNotice.Status
-	case e.Delivered:
+	case entry.PendingNotice != nil:
+		t.Outcome = entry.PendingNotice.Status
+	case entry.Delivered:
 		t.Outcome = trace.Delivered
 	}
-	l.traceRequest(trace.Recovered, e, "", t)
+	l.traceRequest(trace.Recovered, entry, "", t)
 }
 
-// traceCompleted notes the end of a message that was accepted, and why it was not delivered.
-func (l *loop) traceCompleted(m *request, how string) {
+// traceCompleted records the terminal outcome of an accepted request, and why it was not delivered.
+func (l *loop) traceCompleted(r *request, outcome string) {
 	if l.trace == nil {
 		return
 	}
-	t := trace.Event{Kind: trace.Completed, ID: m.ID, Class: m.Class, Destination: m.Destination, Outcome: how}
-	if how != trace.Delivered && how != trace.Withdrawn {
-		t.Reason = string(l.reason(m, how))
+	t := trace.Event{Kind: trace.Completed, ID: r.ID, Class: r.Class, Destination: r.Destination, Outcome: outcome}
+	if outcome != trace.Delivered && outcome != trace.Withdrawn {
+		t.Reason = string(l.failureReason(r, outcome))
 	}
-	if class := l.class(m.Class); class >= 0 {
+	if class := l.class(r.Class); class >= 0 {
 		terms := &l.cfg.policy.Classes[class]
-		age := l.timeline.Now().Sub(m.Deadline) + terms.Deadline
+		age := l.timeline.Now().Sub(r.Deadline) + terms.Deadline
 		t.Ms, t.Late = float64(age.Milliseconds()), age > terms.LatencyObjective
 	}
 	l.traceEvent(t)
