--- a/internal/relay/calls_test.go
+++ b/internal/relay/attempt_test.go
@@ -14,7 +14,7 @@
 )
 
 // A call that may leave within a time only is given that as a moment of the batch's clock.
-func TestLastMomentOfACall(t *testing.T) {
+func TestPlanAttempt_SetsWriteByOnBatchClock(t *testing.T) {
 	j, err := journal.Open(t.TempDir(), 1, false)
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 }
 
 // The module takes back the call that is out, and no later one of the message, nor one of another.
-func TestCallIsTakenBack(t *testing.T) {
+func TestCancelBeforeSend_CancelsOnlyTheNamedAttempt(t *testing.T) {
 	flags := map[string]*atomic.Bool{"m": {}, "other": {}}
 	l := &loop{requests: map[string]*request{"resting": {Entry: &journal.Entry{ID: "resting"}}}}
 	for id, flag := range flags {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -1,14 +1,20 @@
 package relay
 
 import (
+	"bytes"
 	"encoding/json"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
+
+	"frostlink/internal/journal"
+	"frostlink/internal/wait/waittest"
 )
 
-func TestConfig(t *testing.T) {
+func TestReadConfig(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","limits":
 	 {"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"settings":` + testSettings(15) + `}`
 	tests := []struct{ name, old, new, want string }{
@@ -47,7 +53,7 @@
 
 // The shares of the descriptors fit into the limit, clients get the third that they may hold for requests, and
 // calls out fit into the hosts' share.
-func TestDescriptors(t *testing.T) {
+func TestConfig_SharesDescriptors(t *testing.T) {
 	for _, limits := range []Limits{
 		{Sockets: 256, MemoryMB: 32},
 		{Sockets: 384, MemoryMB: 64},
@@ -78,3 +84,61 @@
 		}
 	}
 }
+
+// A customer of whom nothing is known but what its settings say is served: other classes, tenants, zones, kinds, limits and figures.
+// Settings that can't be served end the process before it is ready, in one line that names file, key and reason, and what was
+// taken on before outlasts that.
+func TestConfig_ServesUnfamiliarSettings(t *testing.T) {
+	const made = `{"az":1,"categories":[
+	 {"name":"ferry","aim_s":0.7,"deadline_s":21,"idempotency":"fragile","group":"all","points":7.5,"late_share":0.05},
+	 {"name":"kelp","aim_s":3,"deadline_s":23,"idempotency":"dedup","group":"zone","memory_span_s":2.5,"points":0.3,"fifo_by_key":true},
+	 {"name":"buoy-7","aim_s":1,"deadline_s":20,"idempotency":"retryable","group":"all","points":1,"late_share":1},
+	 {"name":"x","aim_s":0,"deadline_s":22,"idempotency":"retryable","group":"all","points":0}],
+	 "discovery":"automatic","limits":{"cancel":false,"conn_idle_s":3.5,"connect_timeout_s":0.4,"max_attempts":3,
+	 "max_open":9,"max_retry_after_s":0,"retry_after":false,"peers":false,"probing":false},"localities":["reef","shoal"],
+	 "n_instances":17,"quantum_s":0.004,"order_pause_s":0.2,"over_share_worth":0.7,
+	 "rules":{"cold_share":0.4,"overload_factor":1.5,"overload_for_s":0.8,"ramp_time_s":4,"drain_grace_s":0.1,"ask_within_s":30,
+	 "order_pause_s":0.3},"shapes":["atoll","m2"],"specifics":{"bundle_max":[4,1],"loses_worth":"halving","max_calls":2,
+	 "separate_routes":[true,false],"route_fee":[0.01,0.02]},"tenants":[{"name":"gull"},{"name":"tern"}],"weights":"off"}`
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.changeSettings = func(string) string { return made }
+	of := func(tenant string) func(*http.Request) {
+		return func(r *http.Request) { r.Header.Set("Tenant", tenant) }
+	}
+	c := p.start()
+	for i, class := range []string{"ferry", "kelp", "buoy-7", "x"} {
+		id := "m-" + class
+		if resp := p.submit(class, id, "20", of([]string{"gull", "tern"}[i%2]), orderKey("tide")); resp.StatusCode != http.StatusAccepted {
+			t.Fatalf("%s: %s", class, resp.Status)
+		}
+		if got := p.nextAttempt(); got != id {
+			t.Errorf("call for %s, want %s", got, id)
+		}
+	}
+	p.waitFor("all are delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // another customer's
+		if resp := p.submit(class, "no", "20", of(tenant)); resp.StatusCode/100 != 4 {
+			t.Errorf("%s of %s: %s", class, tenant, resp.Status)
+		}
+	}
+	p.kill(c)
+	j := openEarlierJournal(t, p.dir)
+	j.Accept(&journal.Entry{ID: "held", Class: "ferry", Destination: 7, Deadline: j.Timeline().Now().Add(time.Minute)})
+	mustCommit(t, j)
+	p.changeSettings = func(string) string { return strings.Replace(made, `"deadline_s":23`, `"deadline_s":0`, 1) }
+	bad := p.spawn()
+	if err := waittest.Receive(t, bad.exited); err == nil {
+		t.Error("settings that can't be served: exit code 0")
+	}
+	said := strings.TrimSpace(bad.Stderr.(*bytes.Buffer).String())
+	if strings.Contains(said, "\n") || !strings.Contains(said, p.configPath) || !strings.Contains(said, "categories[1].deadline_s") {
+		t.Errorf("said %q", said)
+	}
+	p.changeSettings = func(string) string { return made }
+	p.start()
+	p.waitFor("what was taken on before is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	if n := p.receivedNotices(); len(n) != 0 {
+		t.Errorf("given up: %v", n)
+	}
+}
--- /dev/null
+++ b/internal/relay/deadletter_helpers_test.go
@@ -0,0 +1,160 @@
+package relay
+
+import (
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"frostlink/internal/deadletter"
+	"frostlink/internal/journal"
+	"frostlink/internal/operatorconfig"
+)
+
+// enableDeadLetters has relays keep undelivered messages, and gives the store's folder.
+func (p *platform) enableDeadLetters(lines string) string {
+	p.t.Helper()
+	folder := filepath.Join(p.t.TempDir(), "kept")
+	p.operatorPath = filepath.Join(p.t.TempDir(), "frostlink.toml")
+	text := "version = 1\n[undelivered]\nfolder = \"" + folder + "\"\n" + lines
+	if err := os.WriteFile(p.operatorPath, []byte(text), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+	return folder
+}
+
+// deadLetter gives a message from the store of a relay that has ended.
+func (p *platform) deadLetter(folder, id string) (*deadletter.Record, *deadletter.Totals) {
+	p.t.Helper()
+	s, err := deadletter.OpenToRead(folder)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	defer s.Close()
+	r, err := s.Get(id)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	body, err := s.Body(id)
+	if err != nil || string(body) != "body of "+id {
+		p.t.Errorf("%s: body %q, %v", id, body, err)
+	}
+	t, _, err := s.Totals()
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return r, t
+}
+
+// journalSize counts what the journal of a running relay holds, in a copy.
+func (p *platform) journalSize() int {
+	p.t.Helper()
+	j, err := journal.Inspect(p.dir)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return len(j.Entries())
+}
+
+const redeliveryRule = `clients_return = false
+[[undelivered.rule]]
+action = "resend"
+after_s = 0.2
+most = 50
+rate = 100
+`
+
+// redeliveries gives the calls under ids that the relay made up.
+func (p *platform) redeliveries() (ids []string) {
+	for _, id := range p.attempts() {
+		if strings.HasPrefix(id, "again-") {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// parcelSubjects has messages of class status tell their parcel in a header and their place in the body, and what was given up
+// resent as soon as it may.
+const parcelSubjects = "subjects_stick = true\n" + redeliveryRule + `[[undelivered.subject]]
+class = "status"
+header = "Parcel"
+order = "number"
+order_header = "Seq"
+`
+
+// parcelSection is the same, in the store's terms.
+var parcelSection = deadletter.Section{
+	SubjectsMost: 200_000, SubjectsStick: true, SubjectsSettle: 600,
+	Subjects: []deadletter.Subject{{Class: "status", Header: "Parcel", Order: "number", OrderHeader: "Seq"}},
+}
+
+// parcelStatus makes a message one of a parcel.
+func parcelStatus(parcel, seq string) func(*http.Request) {
+	return func(r *http.Request) {
+		r.Header.Set("Parcel", parcel)
+		r.Header.Set("Seq", seq)
+	}
+}
+
+// seedKnownTopics has a store and a journal as if the relay had run with both for an hour.
+func (p *platform) seedKnownTopics(folder string) {
+	p.t.Helper()
+	s, err := deadletter.Open(folder, 0, 0)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	defer s.Close()
+	if err := s.Topics(&parcelSection, false, time.Now().Add(-time.Hour)); err != nil {
+		p.t.Fatal(err)
+	}
+	id, err := s.ID()
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	j, err := journal.Open(p.dir, 3, true)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	j.SetStore(id)
+	if err := j.Commit(); err != nil {
+		p.t.Fatal(err)
+	}
+	if err := j.Close(); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// mustAcceptStatus hands a status of a parcel in.
+func (p *platform) mustAcceptStatus(id, timeout, parcel, seq string) {
+	p.t.Helper()
+	if resp := p.submit("status", id, timeout, parcelStatus(parcel, seq)); resp.StatusCode != http.StatusAccepted {
+		p.t.Fatalf("%s: %s", id, resp.Status)
+	}
+}
+
+// readDeadLetters looks into the store of a relay that has ended.
+func (p *platform) readDeadLetters(folder string, look func(s *deadletter.Store)) {
+	p.t.Helper()
+	s, err := deadletter.OpenToRead(folder)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	defer s.Close()
+	look(s)
+}
+
+// readConfigs reads the configuration and the operator's file as a process would.
+func readConfigs(t *testing.T, p *platform) *Config {
+	t.Helper()
+	cfg, err := ReadConfig(p.writeConfig())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if cfg.Own, err = operatorconfig.Read(p.operatorPath); err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
--- a/internal/relay/killed_test.go
+++ b/internal/relay/deadletter_kill_test.go
@@ -14,33 +14,36 @@
 	"frostlink/internal/deadletter"
 )
 
-// killings is how often the real program is killed, and gaps how long it lives until then at least and at most.
-const killings = 50
+// killCount is how often the real program is killed, and gaps how long it lives until then at least and at most.
+const killCount = 50
 
-var gaps = [2]time.Duration{20 * time.Millisecond, 450 * time.Millisecond}
+var lifetimes = [2]time.Duration{20 * time.Millisecond, 450 * time.Millisecond}
+
+// testKeyTTL is how long the hosts drop a repeat, as the settings say.
+const testKeyTTL = 15 * time.Second
 
 // ledger is what the hosts and the clients saw.
 type ledger struct {
-	mu        sync.Mutex
-	taken     map[string]bool // ids that were answered 202
-	delivered map[string]bool // keys that a host answered 200
-	effects   map[string]int  // by key: of calls that had their effect, but for repeats that a keyed host drops
-	ran       map[string]time.Time
+	mu         sync.Mutex
+	accepted   map[string]bool // ids that were answered 202
+	delivered  map[string]bool // keys that a host answered 200
+	effects    map[string]int  // by key: of calls that had their effect, but for repeats that a keyed host drops
+	executedAt map[string]time.Time
 }
 
-// serve is a host's answer, drawn: it delivers, turns away, fails after its effect, or hangs.
-func (l *ledger) serve(r *http.Request, draw float64) int {
+// respond is a host's answer, drawn: it delivers, turns away, fails after its effect, or hangs.
+func (l *ledger) respond(r *http.Request, draw float64) int {
 	key := r.Header.Get("Idempotency-Key")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if draw < 0.25 {
 		return http.StatusServiceUnavailable
 	}
-	if last, ok := l.ran[key]; !ok || !strings.HasPrefix(key, "key-payment") || time.Since(last) > keyMemory {
+	if last, ok := l.executedAt[key]; !ok || !strings.HasPrefix(key, "key-payment") || time.Since(last) > testKeyTTL {
 		l.effects[key]++
 	}
-	if _, ok := l.ran[key]; !ok {
-		l.ran[key] = time.Now()
+	if _, ok := l.executedAt[key]; !ok {
+		l.executedAt[key] = time.Now()
 	}
 	switch {
 	case draw < 0.28:
@@ -52,34 +55,31 @@
 	return http.StatusOK
 }
 
-// keyMemory is how long the hosts drop a repeat, as the settings say.
-const keyMemory = 15 * time.Second
-
 // The real program is killed at 50 drawn moments, while it takes on, delivers, gives up, hands over and resends: nothing
 // is lost, nothing is in the store twice, and nothing that may not be repeated has its effect twice.
-func TestKilledAtFiftyDrawnMoments(t *testing.T) {
+func TestDeadLetters_KilledAtFiftyRandomMoments(t *testing.T) {
 	p := newPlatform(t)
 	p.program = filepath.Join(t.TempDir(), "frostlink")
 	if out, err := exec.Command("go", "build", "-o", p.program, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	p.memory = keyMemory.Seconds()
-	folder := p.keeping(strings.Replace(resendRule, "after_s = 0.2", "after_s = 0.05", 1))
-	p.addHost("h1", 7)
-	p.addHost("h2", 7)
+	p.keyTTL = testKeyTTL.Seconds()
+	folder := p.enableDeadLetters(strings.Replace(redeliveryRule, "after_s = 0.2", "after_s = 0.05", 1))
+	p.addEndpoint("h1", 7)
+	p.addEndpoint("h2", 7)
 	draw := rand.New(rand.NewPCG(20261201, 8))
-	l := &ledger{taken: map[string]bool{}, delivered: map[string]bool{}, effects: map[string]int{}, ran: map[string]time.Time{}}
+	l := &ledger{accepted: map[string]bool{}, delivered: map[string]bool{}, effects: map[string]int{}, executedAt: map[string]time.Time{}}
 	var drawing sync.Mutex
 	next := func() float64 {
 		drawing.Lock()
 		defer drawing.Unlock()
 		return draw.Float64()
 	}
-	p.answer = func(r *http.Request) int { return l.serve(r, next()) }
+	p.respond = func(r *http.Request) int { return l.respond(r, next()) }
 	go func() { // nobody waits for single calls
 		for {
 			select {
-			case <-p.began:
+			case <-p.begunAttempts:
 			case <-p.released:
 				return
 			}
@@ -96,15 +96,15 @@
 					return
 				case <-time.After(6 * time.Millisecond):
 				}
-				if id := fmt.Sprint(class, i); p.offer(class, id, fmt.Sprint(0.1+next())) == http.StatusAccepted {
+				if id := fmt.Sprint(class, i); p.trySubmit(class, id, fmt.Sprint(0.1+next())) == http.StatusAccepted {
 					l.mu.Lock()
-					l.taken[id] = true
+					l.accepted[id] = true
 					l.mu.Unlock()
 				}
 			}
 		})
 	}
-	for i := range killings {
+	for i := range killCount {
 		var other *deadletter.Store
 		if i%2 == 1 {
 			// Another process has the store for this life: the notices go, and what is kept waits in the journal.
@@ -114,7 +114,7 @@
 			}
 		}
 		c := p.start()
-		time.Sleep(gaps[0] + time.Duration(next()*float64(gaps[1]-gaps[0])))
+		time.Sleep(lifetimes[0] + time.Duration(next()*float64(lifetimes[1]-lifetimes[0])))
 		p.kill(c)
 		if other != nil {
 			_ = other.Close()
@@ -122,40 +122,20 @@
 	}
 	close(stop)
 	clients.Wait()
-	p.set(func() { p.answer = func(r *http.Request) int { return l.serve(r, 1) } })
+	p.update(func() { p.respond = func(r *http.Request) int { return l.respond(r, 1) } })
 	c := p.start()
-	p.until("a few resends came", func() bool { return len(p.again()) >= 20 })
-	p.until("the journal lets go of all", func() bool { return p.journalled() == 0 })
+	p.waitFor("a few resends came", func() bool { return len(p.redeliveries()) >= 20 })
+	p.waitFor("the journal lets go of all", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
-	p.readStore(folder, func(s *deadletter.Store) { l.audit(t, p, s) })
-}
-
-// offer hands a message in, also where nobody listens, and gives the status of its answer; 0 for none.
-func (p *platform) offer(class, id, timeout string) int {
-	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
-	if err != nil {
-		return 0
-	}
-	for name, v := range map[string]string{
-		"Request-Id": id, "Tenant": "acme", "Request-Timeout": timeout, "X-Envelope": "dest=7",
-		"Idempotency-Key": "key-" + id,
-	} {
-		r.Header.Set(name, v)
-	}
-	resp, err := http.DefaultClient.Do(r)
-	if err != nil {
-		return 0
-	}
-	_ = resp.Body.Close()
-	return resp.StatusCode
+	p.readDeadLetters(folder, func(s *deadletter.Store) { l.check(t, p, s) })
 }
 
-// audit holds the store against what hosts and clients saw.
-func (l *ledger) audit(t *testing.T, p *platform, s *deadletter.Store) {
+// check holds the store against what hosts and clients saw.
+func (l *ledger) check(t *testing.T, p *platform, s *deadletter.Store) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	told := map[string]bool{}
-	for _, n := range p.told() {
+	for _, n := range p.receivedNotices() {
 		told[n.ID] = true
 	}
 	kept, resent, delivered := map[string]*deadletter.Record{}, 0, 0
@@ -176,7 +156,7 @@
 		}
 		from = following
 	}
-	for id := range l.taken {
+	for id := range l.accepted {
 		r := kept[id]
 		switch {
 		case r == nil && !l.delivered["key-"+id]:
@@ -197,7 +177,7 @@
 			t.Errorf("%s had its effect %d times: %+v", key, n, kept[strings.TrimPrefix(key, "key-")])
 		}
 	}
-	t.Logf("%d taken on, %d of them delivered and not kept, %d kept, %d resends", len(l.taken), delivered, len(kept), resent)
+	t.Logf("%d taken on, %d of them delivered and not kept, %d kept, %d resends", len(l.accepted), delivered, len(kept), resent)
 	if len(kept) < 50 || resent < 20 || delivered < 50 {
 		t.Errorf("%d kept, %d resends, %d delivered: the test sees too little", len(kept), resent, delivered)
 	}
--- /dev/null
+++ b/internal/relay/deadletter_test.go
@@ -0,0 +1,200 @@
+package relay
+
+import (
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"frostlink/internal/deadletter"
+	"frostlink/internal/notification"
+)
+
+// What is taken on and not delivered is in the store, with its whole history and the reason, once, also where the
+// process is killed as soon as the platform has the notice.
+func TestDeadLetters_StoredWithHistory(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters("")
+	p.addEndpoint("h1", 7)
+	p.respond = func(r *http.Request) int {
+		if strings.HasPrefix(r.Header.Get("Request-Id"), "ran") {
+			return http.StatusInternalServerError
+		}
+		return http.StatusServiceUnavailable
+	}
+	c := p.start()
+	p.mustAccept("order", "ran", "20")
+	p.mustAccept("status", "turned", "1.2")
+	p.waitFor("both have their notices", func() bool { return len(p.receivedNotices()) == 2 })
+	p.kill(c)
+	// A later process hands over what the store may lack, and finds nothing more to do.
+	c = p.start()
+	p.waitFor("the journal lets go of both", func() bool { return p.journalSize() == 0 })
+	p.kill(c)
+	r, totals := p.deadLetter(folder, "ran")
+	if totals.Messages != 2 || totals.States[deadletter.Held] != 2 {
+		t.Errorf("totals %+v", totals)
+	}
+	l := r.Last()
+	if r.Class != "order" || r.Tenant != "acme" || r.Partner != 7 || r.Key != "key-ran" || l.Reason != deadletter.Doubtful ||
+		l.Status != notification.Undeliverable || l.Relay != "n1" || len(l.Attempts) != 1 || l.Taken.IsZero() || !l.Over.After(l.Taken) {
+		t.Errorf("record %+v", r)
+	}
+	if a := l.Attempts[0]; a.Host != "h1" || a.Ran != deadletter.May || a.Outcome != "error" || a.Ended.Before(a.Begun) {
+		t.Errorf("attempt %+v", a)
+	}
+	r, _ = p.deadLetter(folder, "turned")
+	l = r.Last()
+	if l.Reason != deadletter.OutOfTime || l.Status != notification.Deferred || r.MayHaveRun() != nil || len(l.Attempts) == 0 {
+		t.Errorf("record %+v", r)
+	}
+}
+
+// An attempt that was out when the process was killed may have run, and the record says so.
+func TestDeadLetters_AttemptInFlightAtKillHasUnknownOutcome(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters("")
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return 0 }
+	c := p.start()
+	p.mustAccept("order", "a", "20")
+	p.nextAttempt()
+	p.kill(c)
+	c = p.start()
+	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("it is kept", func() bool { return p.journalSize() == 0 })
+	p.kill(c)
+	r, _ := p.deadLetter(folder, "a")
+	if len(r.Last().Attempts) != 1 || r.MayHaveRun() == nil || r.Last().Reason != deadletter.Doubtful {
+		t.Errorf("record %+v", r)
+	}
+}
+
+// A host that says that a message's time is up has not delivered it: it is kept, and no notice is owed; a resend that is
+// told so comes back.
+func TestDeadLetters_ExpiredAtEndpoint(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters(redeliveryRule)
+	p.addEndpoint("h1", 7)
+	var late atomic.Bool
+	p.respond = func(r *http.Request) int {
+		if !late.Load() && r.Header.Get("Request-Id") != "a" {
+			return http.StatusServiceUnavailable
+		}
+		return http.StatusGone
+	}
+	c := p.start()
+	p.mustAccept("status", "a", "0.9") // within the last second of its time
+	p.waitFor("it is called", func() bool { return len(p.attempts()) > 0 })
+	p.mustAccept("status", "b", "1.2")
+	p.waitFor("the other one is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	late.Store(true)
+	p.waitFor("resends are told so too", func() bool { return len(p.redeliveries()) >= 2 })
+	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.kill(c)
+	for _, id := range []string{"a", "b"} {
+		r, _ := p.deadLetter(folder, id)
+		if r.State != deadletter.Held || r.Lives[0].Reason != deadletter.OutOfTime || r.MayHaveRun() != nil {
+			t.Errorf("%s: %+v", id, r)
+		}
+	}
+	if told := p.receivedNotices(); len(told) != 1 || told[0].ID != "b" {
+		t.Errorf("notices %+v", told)
+	}
+}
+
+// What is refused at its arrival is counted, and kept with its body where the operator wants that.
+func TestDeadLetters_RejectedAreCounted(t *testing.T) {
+	for _, keep := range []bool{false, true} {
+		p := newPlatform(t)
+		folder := p.enableDeadLetters("refused = " + map[bool]string{true: "true", false: "false"}[keep] + "\n")
+		p.addEndpoint("h1", 7)
+		p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
+		c := p.start()
+		if resp := p.submit("order", "a", "0.000001"); resp.StatusCode != http.StatusTooManyRequests {
+			t.Fatal(resp.Status)
+		}
+		p.mustAccept("order", "b", "1")
+		p.waitFor("another is given up", func() bool { return len(p.receivedNotices()) == 1 })
+		p.waitFor("that is kept", func() bool { return p.journalSize() == 0 })
+		p.kill(c)
+		p.readDeadLetters(folder, func(s *deadletter.Store) {
+			totals, _, err := s.Totals()
+			if err != nil || totals.Refused["order of acme"] != 1 {
+				t.Errorf("%+v, %v", totals, err)
+			}
+			r, err := s.Get("a")
+			if keep != (err == nil) || keep && (r.Last().Reason != deadletter.AtArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
+				t.Errorf("kept %v: %+v, %v", keep, r, err)
+			}
+		})
+	}
+}
+
+// A message that was refused, and is taken on when it comes again under its id, is kept as what was taken on: the refused
+// copy lets nothing go. Before, the store's receipt for the one stood for the other.
+func TestDeadLetters_RejectedThenAccepted(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters("refused = true\n")
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
+	other, err := deadletter.Open(folder, 0, 0) // so that both wait for the store together
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := p.start()
+	if resp := p.submit("order", "a", "0.000001"); resp.StatusCode != http.StatusTooManyRequests {
+		t.Fatal(resp.Status)
+	}
+	p.mustAccept("order", "a", "1")
+	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	_ = other.Close()
+	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.kill(c)
+	r, totals := p.deadLetter(folder, "a")
+	if totals.Messages != 1 || r.Last().Reason == deadletter.AtArrival || len(r.Last().Attempts) == 0 {
+		t.Errorf("%+v, %+v", totals, r)
+	}
+}
+
+// A process that ran without the store may have delivered anything: the next one with it does not rely on it.
+func TestDeadLetters_ProcessWithoutStoreInBetween(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters(parcelSubjects)
+	p.seedKnownTopics(folder)
+	p.addEndpoint("h1", 7)
+	known := func() (known bool) {
+		s, err := deadletter.Open(folder, 0, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer s.Close()
+		now := time.Now()
+		if err := s.Topics(&parcelSection, false, now); err != nil {
+			t.Fatal(err)
+		}
+		_, known = s.Newer(&deadletter.Record{
+			Class: "status", Partner: 7, Subject: "k-9", Order: &deadletter.Order{Arrival: now.UnixNano()},
+			Lives: []deadletter.Life{{Taken: now}},
+		})
+		return known
+	}
+	run := func(own string) {
+		p.operatorPath = own
+		c := p.start()
+		p.mustAcceptStatus("m"+own, "20", "k-1", "1")
+		p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+		p.kill(c)
+	}
+	with := p.operatorPath
+	run(with)
+	if !known() {
+		t.Error("a restart makes it forget")
+	}
+	run("")
+	run(with)
+	if known() {
+		t.Error("it is relied on, though a process told it nothing")
+	}
+}
--- /dev/null
+++ b/internal/relay/deadletter_writer_test.go
@@ -0,0 +1,98 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"testing"
+
+	"frostlink/internal/clock"
+	"frostlink/internal/deadletter"
+	"frostlink/internal/wait/waittest"
+)
+
+// What was refused at its arrival is in no journal: a process that ends, or hands over, writes it to the store first.
+func TestDeadLetterWriter_WritesRejectedBeforeItEnds(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters("refused = true\n")
+	p.addEndpoint("h1", 7)
+	cfg := readConfigs(t, p)
+	ctx, stop := context.WithCancel(t.Context())
+	knows := make(chan any, 10)
+	k := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { knows <- e })
+	done := make(chan struct{})
+	go func() { k.run(ctx); close(done) }()
+	waittest.Receive(t, knows) // the store is open
+	const n = 3*maxBatch + 7
+	for i := range n {
+		id := fmt.Sprint("m", i)
+		k.queue.addRejected(deadletter.Kept{Record: deadletter.Record{
+			ID: id, Class: "order", Tenant: "acme", Partner: 7, State: deadletter.Held,
+			Lives: []deadletter.Life{{ID: id, Reason: deadletter.AtArrival}},
+		}, Body: []byte("body of " + id)})
+	}
+	stop() // at once: hardly a batch can have gone
+	waittest.Receive(t, done)
+	_, totals := p.deadLetter(folder, "m0")
+	if totals.Refused["order of acme"] != n || totals.Messages != n {
+		t.Errorf("%d counted and %d kept of %d", totals.Refused["order of acme"], totals.Messages, n)
+	}
+}
+
+// A store that can't be opened, since another process has it, stops nothing: what it does not take waits in the
+// journal, and is in the store once that is free.
+func TestDeadLetters_StoreInUseStopsNothing(t *testing.T) {
+	p := newPlatform(t)
+	folder := p.enableDeadLetters("")
+	p.addEndpoint("h1", 7)
+	s, err := deadletter.Open(folder, 0, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
+	c := p.start()
+	p.mustAccept("status", "a", "1")
+	p.waitFor("its notice came all the same", func() bool { return len(p.receivedNotices()) == 1 })
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	p.waitFor("others are delivered", func() bool { return p.submit("status", "b", "9").StatusCode == http.StatusAccepted })
+	if _, err := s.Get("a"); !errors.Is(err, deadletter.ErrUnknown) {
+		t.Errorf("it is in a store that another process has: %v", err)
+	}
+	_ = s.Close()
+	p.waitFor("it is kept", func() bool { return p.journalSize() == 0 })
+	p.kill(c)
+	p.deadLetter(folder, "a")
+}
+
+// Where the store takes nothing and the journal is full of what waits for it, the oldest leave, listed by id, and the
+// relay goes on taking messages.
+func TestDeadLetters_UnavailableStoreDoesNotFillJournal(t *testing.T) {
+	p := newPlatform(t)
+	p.diskMB = 0.06
+	folder := p.enableDeadLetters("")
+	p.addEndpoint("h1", 7)
+	s, err := deadletter.Open(folder, 0, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.respond = func(*http.Request) int { return http.StatusInternalServerError }
+	c := p.start()
+	const n = 30
+	for i := range n {
+		id := fmt.Sprint("m", i)
+		p.mustAccept("order", id, "20")
+		p.waitFor("its notice came", func() bool { return len(p.receivedNotices()) == i+1 })
+	}
+	_ = s.Close()
+	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.kill(c)
+	s, err = deadletter.OpenToRead(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	if totals, _, err := s.Totals(); err != nil || totals.Unkept == 0 || totals.Messages == 0 || totals.Unkept+totals.Messages != n {
+		t.Errorf("%d kept and %d listed as not kept of %d, %v", totals.Messages, totals.Unkept, n, err)
+	}
+}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -2,13 +2,10 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
-	"strings"
-	"sync"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
@@ -16,25 +13,19 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// rawRequestHead is a message of class status on a connection of its own.
-func rawRequestHead(id string) string {
-	return "POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nTenant: acme\r\nRequest-Timeout: 25\r\n" +
-		"X-Envelope: dest=7\r\nContent-Length: 4\r\n\r\nbody"
-}
-
 // A process is replaced with calls out, messages held, a wait told, clients idle and a request half read: nothing is sent
 // twice or lost, no client sees a close, and the figures of the new process go on from what it took over. Then that one is
 // replaced as well.
-func TestReplaced(t *testing.T) {
+func TestHandover_KeepsAttemptsAndConnections(t *testing.T) {
 	p := newPlatform(t)
-	p.addDoor()
-	p.holdSocket()
-	p.addHost("h1", 7)
+	p.addAdminEndpoint()
+	p.shareListener()
+	p.addEndpoint("h1", 7)
 	answer := make(chan int, 1)
-	p.handle = func(w http.ResponseWriter, r *http.Request) {
+	p.serveAttempt = func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Request-Id")
-		p.set(func() { p.calls = append(p.calls, id) })
-		p.began <- id
+		p.update(func() { p.attemptIDs = append(p.attemptIDs, id) })
+		p.begunAttempts <- id
 		if id != "out" {
 			return
 		}
@@ -45,7 +36,7 @@
 		}
 	}
 	old := p.start()
-	idle, err := p.dialClient()
+	idle, err := p.dialUsedConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,20 +45,20 @@
 		t.Fatal(err)
 	}
 	_ = half.SetDeadline(time.Now().Add(waittest.Long))
-	text := rawRequestHead("half")
+	text := rawStatusRequest("half")
 	if _, err := io.WriteString(half, text[:len(text)-2]); err != nil {
 		t.Fatal(err)
 	}
-	p.take("order", "out", "25") // unsafe: a second attempt would be a second effect
-	p.called()
-	p.until("the half request is being read", func() bool { return p.health() == http.StatusOK })
+	p.mustAccept("order", "out", "25") // unsafe: a second attempt would be a second effect
+	p.nextAttempt()
+	p.waitFor("the half request is being read", func() bool { return p.health() == http.StatusOK })
 
 	for i := range 2 {
-		next := p.replace()
-		if old.takes() {
+		next := p.startSuccessor()
+		if old.isServing() {
 			t.Error("the old process says that it takes clients")
 		}
-		if f := p.figures(); f.Inflight != 1 || f.HostsListed != 1 {
+		if f := p.metrics(); f.Inflight != 1 || f.HostsListed != 1 {
 			t.Errorf("figures of process %d: %+v", i+2, f)
 		}
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
@@ -84,7 +75,7 @@
 	}
 	for name, c := range map[string]net.Conn{"half a request": half, "idle": idle} {
 		if name == "idle" {
-			if _, err := io.WriteString(c, rawRequestHead("idle")); err != nil {
+			if _, err := io.WriteString(c, rawStatusRequest("idle")); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -92,226 +83,112 @@
 		if err != nil || resp.StatusCode != http.StatusAccepted {
 			t.Fatalf("%s: %v, %v", name, resp, err)
 		}
-		p.called()
+		p.nextAttempt()
 	}
 	answer <- http.StatusOK
-	p.until("all are delivered", func() bool {
-		f := p.figures()
+	p.waitFor("all are delivered", func() bool {
+		f := p.metrics()
 		return f.Inflight == 0 && f.Success["status"] == 2 && f.Success["order"] == 1
 	})
-	if got := p.sent(); len(got) != 3 {
+	if got := p.attempts(); len(got) != 3 {
 		t.Errorf("calls %v", got)
 	}
-	if n := p.told(); len(n) != 0 {
+	if n := p.receivedNotices(); len(n) != 0 {
 		t.Errorf("notices %v", n)
 	}
 }
 
 // What a partner told the old process to wait for, and an outage that it saw, bind the new one; standby goes on.
-func TestReplacedKeepsWaits(t *testing.T) {
+func TestHandover_KeepsWaitsAndStandby(t *testing.T) {
 	p := newPlatform(t)
-	p.addDoor()
-	p.holdSocket()
-	p.addHost("h1", 7)
-	p.header = map[string]string{"X-Retry-In-Ms": "20000"}
-	p.answer = func(*http.Request) int { return http.StatusTooManyRequests }
+	p.addAdminEndpoint()
+	p.shareListener()
+	p.addEndpoint("h1", 7)
+	p.responseHeader = map[string]string{"X-Retry-In-Ms": "20000"}
+	p.respond = func(*http.Request) int { return http.StatusTooManyRequests }
 	p.start()
-	p.take("status", "a", "25")
-	p.called()
-	p.until("the attempt has ended", func() bool {
+	p.mustAccept("status", "a", "25")
+	p.nextAttempt()
+	p.waitFor("the attempt has ended", func() bool {
 		e := readEntries(t, p.dir)
 		return len(e) == 1 && len(e[0].Attempts) == 1 && e[0].Attempts[0].Ended
 	})
-	p.say("/standby", http.StatusOK)
-	p.replace()
+	p.postAdmin("/standby", http.StatusOK)
+	p.startSuccessor()
 	if got := p.health(); got != http.StatusServiceUnavailable {
 		t.Errorf("health of a relay that stands by, replaced: %d", got)
 	}
-	p.say("/active", http.StatusOK)
+	p.postAdmin("/active", http.StatusOK)
 	// A new process that knew of no wait would take it on and send it at once; with 20 s to wait it is late.
-	if resp := p.handIn("status", "b", "5"); resp.StatusCode != http.StatusTooManyRequests {
+	if resp := p.submit("status", "b", "5"); resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("in a wait: %s", resp.Status)
 	}
-	if got := p.sent(); len(got) != 1 {
+	if got := p.attempts(); len(got) != 1 {
 		t.Errorf("calls in a wait: %v", got)
 	}
 }
 
 // A process that took over dies before the old one is told to end: the old one takes the folder back, and the message that
 // it had handed over comes to its end.
-func TestTakenBack(t *testing.T) {
+func TestHandover_PredecessorGoesOnWhenSuccessorDies(t *testing.T) {
 	p := newPlatform(t)
-	p.addDoor()
-	p.holdSocket()
-	p.addHost("h1", 7)
-	p.answer = func(*http.Request) int { return 0 }
+	p.addAdminEndpoint()
+	p.shareListener()
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return 0 }
 	old := p.start()
-	first := p.door
-	p.take("status", "m", "25")
-	p.called()
-	next := p.replace()
-	p.set(func() { p.answer = func(*http.Request) int { return http.StatusOK } })
+	first := p.adminAddr
+	p.mustAccept("status", "m", "25")
+	p.nextAttempt()
+	next := p.startSuccessor()
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.kill(next)
-	p.until("the old process takes clients again", old.takes)
-	p.door = first
-	p.called()
-	p.until("it is delivered", func() bool { return p.figures().Success["status"] == 1 })
+	p.waitFor("the old process takes clients again", old.isServing)
+	p.adminAddr = first
+	p.nextAttempt()
+	p.waitFor("it is delivered", func() bool { return p.metrics().Success["status"] == 1 })
 	if got := p.health(); got != http.StatusOK {
 		t.Errorf("health %d", got)
 	}
 }
 
-// load hands messages in from several clients until it is stopped, and notes which were taken on.
-type load struct {
-	mu     sync.Mutex
-	taken  map[string]bool
-	faults []string
-}
-
-func (l *load) run(p *platform, name string, stop <-chan struct{}) {
-	client := &http.Client{Timeout: waittest.Long, Transport: &http.Transport{}}
-	for i := 0; ; i++ {
-		select {
-		case <-stop:
-			return
-		case <-time.After(2 * time.Millisecond):
-		}
-		id := fmt.Sprintf("%s-%d", name, i)
-		class := []string{"status", "payment", "order"}[i%3]
-		r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
-		if err != nil {
-			panic(err)
-		}
-		r.Header = http.Header{
-			"Request-Id": {id}, "Tenant": {"acme"}, "Request-Timeout": {"3"}, "X-Envelope": {"dest=7"},
-			"Idempotency-Key": {"key-" + id},
-		}
-		resp, err := client.Do(r)
-		if err != nil {
-			if strings.Contains(err.Error(), "refused") {
-				l.fault("a connection was refused: " + err.Error())
-			}
-			continue // its process was killed
-		}
-		_ = resp.Body.Close()
-		if resp.StatusCode == http.StatusAccepted {
-			l.mu.Lock()
-			l.taken[id] = true
-			l.mu.Unlock()
-		}
-	}
-}
-
-func (l *load) fault(text string) {
-	l.mu.Lock()
-	l.faults = append(l.faults, text)
-	l.mu.Unlock()
-}
-
-// Processes replace each other under load, and either is killed at drawn moments: no message has two attempts out at once,
-// none of an unsafe class is sent again, none that was taken on is left without its end, and no connection is refused.
-func TestReplacedAtFiftyDrawnMoments(t *testing.T) {
-	const rounds = 50
+// A process that keeps undelivered messages is replaced while one is out, one waits for its partner and one is in the store:
+// each is kept once, or delivered, and the new process has the store.
+func TestHandover_WithDeadLetterStore(t *testing.T) {
 	p := newPlatform(t)
-	p.addDoor()
-	p.holdSocket()
-	p.addHost("h1", 7)
-	p.hosts[0].Share = 2000
-	chance := rand.New(rand.NewPCG(20261201, 18))
-	l := &load{taken: map[string]bool{}}
-	out, ran, answered, twice := map[string]int{}, map[string]int{}, map[string]int{}, map[string]bool{}
-	p.began = make(chan string, 1<<20)
-	p.handle = func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get("Request-Id")
-		l.mu.Lock()
-		out[id]++
-		twice[id] = twice[id] || out[id] > 1
-		ran[id]++
-		pause := time.Duration(chance.IntN(30)) * time.Millisecond
-		l.mu.Unlock()
-		select {
-		case <-time.After(pause):
-		case <-r.Context().Done(): // its process was killed
-		}
-		l.mu.Lock()
-		if twice[id] { // whichever process was killed is seen to be by then
-			l.mu.Unlock()
-			select {
-			case <-time.After(time.Second):
-			case <-r.Context().Done():
-			}
-			l.mu.Lock()
-		}
-		if r.Context().Err() == nil {
-			answered[id]++
+	folder := p.enableDeadLetters("")
+	p.addAdminEndpoint()
+	p.shareListener()
+	p.addEndpoint("h1", 7)
+	answer := make(chan int)
+	p.respond = func(r *http.Request) int {
+		if r.Header.Get("Request-Id") == "out" {
+			return <-answer
 		}
-		out[id]--
-		l.mu.Unlock()
+		return http.StatusServiceUnavailable
 	}
-	running := p.start()
-	stop := make(chan struct{})
-	var clients sync.WaitGroup
-	for i := range 6 {
-		clients.Go(func() { l.run(p, fmt.Sprint("c", i), stop) })
-	}
-	kinds := map[string]int{}
-	for range rounds {
-		l.mu.Lock()
-		kind, after := chance.IntN(3), time.Duration(chance.IntN(60_000))*time.Microsecond
-		l.mu.Unlock()
-		p.addDoor()
-		next := p.begin()
-		switch kind {
-		case 0: // nobody dies
-			kinds["both live"]++
-			p.until("the new process takes clients", next.takes)
-			_ = running.Process.Signal(syscall.SIGTERM)
-			<-running.exited
-			running = next
-		case 1: // the old one dies, wherever the hand-over stands
-			kinds["the old one dies"]++
-			time.Sleep(after)
-			p.kill(running)
-			p.until("the new process takes clients", next.takes)
-			running = next
-		case 2: // the new one does
-			kinds["the new one dies"]++
-			time.Sleep(after)
-			p.kill(next)
-			p.until("the old process takes clients", running.takes)
-		}
+	old := p.start()
+	p.mustAccept("status", "stored", "1")
+	p.waitFor("one is in the store", func() bool { return len(p.receivedNotices()) == 1 && p.journalSize() == 0 })
+	p.mustAccept("order", "out", "25")
+	p.waitFor("it is out", func() bool { return slices.Contains(p.attempts(), "out") })
+	p.mustAccept("status", "waits", "4")
+	next := p.startSuccessor()
+	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
 	}
-	close(stop)
-	clients.Wait()
-	p.until("all have their end", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ended := map[string]int{}
-	for _, n := range p.told() {
-		ended[n.ID] = 1
+	if err := waittest.Receive(t, old.exited); err != nil {
+		t.Errorf("the old process ended with %v: %s", err, old.Stderr)
 	}
-	lost, again := 0, 0
-	for id := range l.taken {
-		var i int
-		_, _ = fmt.Sscanf(id[strings.Index(id, "-"):], "-%d", &i)
-		if ran[id]+ended[id] == 0 {
-			lost++
-		}
-		if i%3 == 2 && ran[id] > 1 {
-			again++
-		}
+	answer <- http.StatusOK
+	p.waitFor("all are over", func() bool { return len(p.receivedNotices()) == 2 && p.journalSize() == 0 })
+	if f := p.metrics(); f.Success["order"] != 1 || f.Busy["status"] != 1 {
+		t.Errorf("figures %+v", f)
 	}
-	for id := range twice {
-		// One whose process was killed may look out here for a moment longer than it was, but is not answered.
-		if twice[id] && answered[id] > 1 {
-			l.faults = append(l.faults, "two attempts out: "+id)
+	p.kill(next)
+	for _, id := range []string{"stored", "waits"} {
+		if r, totals := p.deadLetter(folder, id); totals.Messages != 2 || len(r.Lives) != 1 || r.MayHaveRun() != nil {
+			t.Errorf("%s: %+v of %+v", id, r, totals)
 		}
 	}
-	for _, f := range l.faults {
-		t.Error(f)
-	}
-	if lost > 0 || again > 0 || len(l.taken) < rounds {
-		t.Errorf("of %d taken on %d were lost, %d unsafe ones sent again", len(l.taken), lost, again)
-	}
-	t.Logf("%v; %d taken on, %d given up", kinds, len(l.taken), len(ended))
 }
--- /dev/null
+++ b/internal/relay/helpers_test.go
@@ -0,0 +1,357 @@
+package relay
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"frostlink/internal/admin"
+	"frostlink/internal/discovery"
+	"frostlink/internal/invariant"
+	"frostlink/internal/journal"
+	"frostlink/internal/notification"
+	"frostlink/internal/wait/waittest"
+	"frostlink/policy"
+)
+
+// postAdmin makes a call at the operators' door.
+func (p *platform) postAdmin(path string, want int) {
+	p.t.Helper()
+	resp, err := http.Post("http://"+p.adminAddr+path, "", nil)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	_ = resp.Body.Close()
+	if resp.StatusCode != want {
+		p.t.Errorf("%s: %s", path, resp.Status)
+	}
+}
+
+// health is what clients' front is told; 0 for nothing.
+func (p *platform) health() int {
+	resp, err := http.Get("http://" + p.addr + "/_health")
+	if err != nil {
+		return 0
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode
+}
+
+// dialUsedConn opens a client's connection, on which one request was answered.
+func (p *platform) dialUsedConn() (net.Conn, error) {
+	c, err := net.Dial("tcp", p.addr)
+	if err != nil {
+		return nil, err
+	}
+	_ = c.SetDeadline(time.Now().Add(waittest.Long))
+	if _, err = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err == nil {
+		_, err = http.ReadResponse(bufio.NewReader(c), nil)
+	}
+	return c, err
+}
+
+// openConn opens a client's connection.
+func (p *platform) openConn() net.Conn {
+	p.t.Helper()
+	c, err := net.Dial("tcp", p.addr)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	p.t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(waittest.Long))
+	return c
+}
+
+// openUsedConn opens a client's connection on which one request was answered: what comes later on it may take 2.5 s.
+func (p *platform) openUsedConn() net.Conn {
+	p.t.Helper()
+	c, err := p.dialUsedConn()
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	p.t.Cleanup(func() { _ = c.Close() })
+	return c
+}
+
+// rawOrderHead is the head of a message of five bytes.
+func rawOrderHead(id string) string {
+	return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nTenant: acme\r\nRequest-Timeout: 25\r\n"+
+		"X-Envelope: dest=7\r\nContent-Length: 5\r\n\r\n", id)
+}
+
+// rawStatusRequest is a message of class status on a connection of its own.
+func rawStatusRequest(id string) string {
+	return "POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nTenant: acme\r\nRequest-Timeout: 25\r\n" +
+		"X-Envelope: dest=7\r\nContent-Length: 4\r\n\r\nbody"
+}
+
+func (p *platform) write(c net.Conn, text string) {
+	p.t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// expectFinalAccepted reads an answer that has to say that a message is taken on, and that its connection carries no other.
+func (p *platform) expectFinalAccepted(what string, c net.Conn) {
+	p.t.Helper()
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		p.t.Errorf("%s: %v", what, err)
+		return
+	}
+	if resp.StatusCode != http.StatusAccepted || !resp.Close {
+		p.t.Errorf("%s: %s, close %v", what, resp.Status, resp.Close)
+	}
+}
+
+// nextAttempt waits for a call at a host and returns its id.
+func (p *platform) nextAttempt() string {
+	p.t.Helper()
+	select {
+	case id := <-p.begunAttempts:
+		return id
+	case <-time.After(waittest.Long):
+		p.t.Fatal("no call came")
+		return ""
+	}
+}
+
+func (p *platform) attempts() []string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]string(nil), p.attemptIDs...)
+}
+
+func (p *platform) receivedNotices() []notification.Notice {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]notification.Notice(nil), p.notices...)
+}
+
+// submit hands a message in and returns the answer.
+func (p *platform) submit(class, id, timeout string, change ...func(*http.Request)) *http.Response {
+	p.t.Helper()
+	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	r.Header.Set("Request-Id", id)
+	r.Header.Set("Tenant", "acme")
+	r.Header.Set("Request-Timeout", timeout)
+	r.Header.Set("X-Envelope", "dest=7")
+	r.Header.Set("Idempotency-Key", "key-"+id)
+	for _, c := range change {
+		c(r)
+	}
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		p.t.Fatalf("%s: %v", id, err)
+	}
+	_ = resp.Body.Close()
+	return resp
+}
+
+// mustAccept hands a message in that has to be taken on.
+func (p *platform) mustAccept(class, id, timeout string) {
+	p.t.Helper()
+	if resp := p.submit(class, id, timeout); resp.StatusCode != http.StatusAccepted {
+		p.t.Fatalf("%s: %s", id, resp.Status)
+	}
+}
+
+// trySubmit hands a message in, also where nobody listens, and gives the status of its answer; 0 for none.
+func (p *platform) trySubmit(class, id, timeout string) int {
+	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
+	if err != nil {
+		return 0
+	}
+	for name, v := range map[string]string{
+		"Request-Id": id, "Tenant": "acme", "Request-Timeout": timeout, "X-Envelope": "dest=7",
+		"Idempotency-Key": "key-" + id,
+	} {
+		r.Header.Set(name, v)
+	}
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		return 0
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode
+}
+
+// orderKey has a message be about something, in the way of classes in order.
+func orderKey(name string) func(*http.Request) {
+	return func(r *http.Request) { r.Header.Set("Cookie", "other=1; subject="+name) }
+}
+
+// firstAttempts are the messages that hosts were sent, in the order of their first calls: one that is not answered is sent again.
+func (p *platform) firstAttempts() (ids []string) {
+	for _, id := range p.attempts() {
+		if !slices.Contains(ids, id) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// blockAttempts has calls of one message wait until it is opened.
+func (p *platform) blockAttempts(id string) (open func()) {
+	free := make(chan bool)
+	open = sync.OnceFunc(func() { close(free) })
+	p.t.Cleanup(open)
+	p.respond = func(r *http.Request) int {
+		if r.Header.Get("Request-Id") == id {
+			<-free
+		}
+		return http.StatusOK
+	}
+	return open
+}
+
+// orderClass has a class keep its order.
+func (p *platform) orderClass(class string) {
+	p.changeSettings = func(s string) string {
+		return strings.Replace(s, `{"name":"`+class+`",`, `{"name":"`+class+`","fifo_by_key":true,`, 1)
+	}
+}
+
+// watchLine is a change of one host, as a watch tells it.
+func watchLine(t *testing.T, seq int64, hosts ...discovery.Endpoint) string {
+	t.Helper()
+	line, err := json.Marshal(discovery.EndpointList{Seq: seq, Endpoints: hosts})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(line)
+}
+
+// readJournal reads a journal that a relay may be writing.
+func readJournal(t *testing.T, dir string) *journal.Journal {
+	t.Helper()
+	j, err := journal.Inspect(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return j
+}
+
+// openEarlierJournal is the journal of an earlier process.
+func openEarlierJournal(t *testing.T, dir string) *journal.Journal {
+	t.Helper()
+	j, err := journal.Open(dir, 3, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = j.Close() })
+	return j
+}
+
+func mustCommit(t *testing.T, j *journal.Journal) {
+	t.Helper()
+	if err := j.Commit(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readEntries(t *testing.T, dir string) []*journal.Entry {
+	t.Helper()
+	return readJournal(t, dir).Entries()
+}
+
+func readHealth(t *testing.T, dir string) map[string]journal.Health {
+	t.Helper()
+	return readJournal(t, dir).Health()
+}
+
+// refusingAddress is an address at which connections are refused.
+func refusingAddress(t *testing.T) string {
+	t.Helper()
+	p := newPlatform(t)
+	return p.addr
+}
+
+// shownMetrics are what the door of a relay under test shows.
+type shownMetrics struct {
+	Success, Busy, Failure map[string]int
+	BackendCalls           int `json:"backend_calls"`
+	Inflight               int
+	HostsListed            int `json:"hosts_listed"`
+	HostsDown              int `json:"hosts_down"`
+	ReconfigOK             int `json:"reconfig_ok"`
+	ReconfigFailed         int `json:"reconfig_failed"`
+}
+
+// metrics reads the door.
+func (p *platform) metrics() (f shownMetrics) {
+	p.t.Helper()
+	resp, err := http.Get("http://" + p.adminAddr + "/status/metrics")
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	if err := json.NewDecoder(resp.Body).Decode(&f); err != nil {
+		p.t.Fatal(err)
+	}
+	return f
+}
+
+// reloadConfig writes a configuration and has the relay read it, until the figures say that it did.
+func (p *platform) reloadConfig(c *child, text string, good bool) {
+	p.t.Helper()
+	before := p.metrics()
+	if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
+		p.t.Fatal(err)
+	}
+	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
+		p.t.Fatal(err)
+	}
+	p.waitFor("the file is read", func() bool {
+		f := p.metrics()
+		if good {
+			return f.ReconfigOK == before.ReconfigOK+1
+		}
+		return f.ReconfigFailed == before.ReconfigFailed+1
+	})
+}
+
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
+// loopWithAcceptedRequest is a loop with an accepted message of a class, and without anything that would act by itself.
+func loopWithAcceptedRequest(t *testing.T, class policy.Class, left time.Duration) (*loop, *request) {
+	t.Helper()
+	j, err := journal.Open(t.TempDir(), 1, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = j.Close() })
+	cfg := &Config{}
+	cfg.policy.Classes = []policy.Class{class}
+	l := &loop{
+		cfg: cfg, timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, metrics: admin.NewMetrics(nil),
+		notifier: notification.New("127.0.0.1:0", nil), endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{},
+	}
+	m := &request{state: stateAccepted, Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
+	j.SetTerms(m.Entry, class)
+	j.Accept(m.Entry)
+	l.requests[m.ID] = m
+	l.deadlines.Add(m.ID, m.Deadline)
+	return l, m
+}
--- a/internal/relay/guard_test.go
+++ b/internal/relay/invariants_test.go
@@ -5,38 +5,12 @@
 	"testing"
 	"time"
 
-	"frostlink/internal/admin"
-	"frostlink/internal/discovery"
 	"frostlink/internal/invariant"
-	"frostlink/internal/journal"
-	"frostlink/internal/notification"
 	"frostlink/policy"
 )
 
-// guardedLoop is a loop with an accepted message of a class, and without anything that would act by itself.
-func guardedLoop(t *testing.T, class policy.Class, left time.Duration) (*loop, *request) {
-	t.Helper()
-	j, err := journal.Open(t.TempDir(), 1, false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = j.Close() })
-	cfg := &Config{}
-	cfg.policy.Classes = []policy.Class{class}
-	l := &loop{
-		cfg: cfg, timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, metrics: admin.NewMetrics(nil),
-		notifier: notification.New("127.0.0.1:0", nil), endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{},
-	}
-	m := &request{state: stateAccepted, Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
-	j.SetTerms(m.Entry, class)
-	j.Accept(m.Entry)
-	l.requests[m.ID] = m
-	l.deadlines.Add(m.ID, m.Deadline)
-	return l, m
-}
-
 // Whatever the module asks for against the invariants is counted and not done.
-func TestGuardStopsWhatTheModuleMayNotDo(t *testing.T) {
+func TestInvariants_StopForbiddenAttempts(t *testing.T) {
 	unsafe := policy.Class{Name: "order", Idempotency: policy.NotIdempotent}
 	keyed := policy.Class{Name: "payment", Idempotency: policy.IdempotentByKey, KeyTTL: time.Millisecond}
 	doubtful := func(l *loop, m *request) {
@@ -56,7 +30,7 @@
 		"a keyed message out of memory": {keyed, time.Minute, doubtful, invariant.ExpiredKeyRepeat},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, m := guardedLoop(t, c.class, c.left)
+			l, m := loopWithAcceptedRequest(t, c.class, c.left)
 			if c.before != nil {
 				c.before(l, m)
 			}
@@ -72,8 +46,8 @@
 }
 
 // An attempt whose record was not written is not made.
-func TestGuardStopsUnrecordedSend(t *testing.T) {
-	l, m := guardedLoop(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
+func TestInvariants_StopUnrecordedAttempt(t *testing.T) {
+	l, m := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
 	l.planAttempt(l.now(), policy.Send{ID: m.ID, Endpoint: "h"})
 	l.startAttempt(t.Context(), l.attempts[0]) // and no commit
 	if l.attemptsInFlight != 0 || l.violations.ByKind()[invariant.SendUnrecorded.String()] != 1 {
@@ -82,8 +56,8 @@
 }
 
 // A message that the module forgets is ended all the same, and its call given up.
-func TestGuardEndsOverdueMessages(t *testing.T) {
-	l, m := guardedLoop(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms past what is allowed
+func TestInvariants_FailOverdueRequests(t *testing.T) {
+	l, m := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms past what is allowed
 	ctx, cancel := context.WithCancel(t.Context())
 	m.cancel = cancel
 	l.failOverdue()
--- /dev/null
+++ b/internal/relay/node_test.go
@@ -0,0 +1,51 @@
+package relay
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"frostlink/internal/journal"
+	"frostlink/internal/operatorconfig"
+)
+
+// A relay that cannot listen ends with an error before it has called anyone.
+func TestRun_FailsWhenItCannotListen(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	j := openEarlierJournal(t, p.dir)
+	j.Accept(&journal.Entry{ID: "m", Class: "status", Destination: 7, Deadline: j.Timeline().Now().Add(time.Minute)})
+	mustCommit(t, j)
+	taken, err := net.Listen("tcp", p.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	cfg, err := ReadConfig(p.writeConfig())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := Run(t.Context(), cfg, p.dir, nil); err == nil || !strings.Contains(err.Error(), "listen") {
+		t.Errorf("error %v", err)
+	}
+	if e := readEntries(t, p.dir); len(e) != 1 || len(e[0].Attempts) != 0 {
+		t.Errorf("the journal was worked on: %v", e)
+	}
+}
+
+// A rule that its class can never allow stops the relay before it listens.
+func TestRun_RejectsRulesThatClassesForbid(t *testing.T) {
+	p := newPlatform(t)
+	p.enableDeadLetters("[[undelivered.rule]]\nclass = \"order\"\nmay_have_run = true\naction = \"resend\"\nmost = 2\nrate = 1\n")
+	cfg, err := ReadConfig(p.writeConfig())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if cfg.Own, err = operatorconfig.Read(p.operatorPath); err != nil {
+		t.Fatal(err)
+	}
+	if err := Run(t.Context(), cfg, p.dir, nil); err == nil || !strings.Contains(err.Error(), "undelivered.rule[1]: resends order messages that may have run") {
+		t.Errorf("error %v", err)
+	}
+}
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -28,7 +28,7 @@
 )
 
 // childConfig, childState and childOwn make the test program a relay, so that tests can kill one.
-const childConfig, childState, childOwn = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_OPERATOR"
+const childConfig, childState, childOperator = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_OPERATOR"
 
 func TestMain(m *testing.M) {
 	path := os.Getenv(childConfig)
@@ -38,7 +38,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := ReadConfig(path)
-	if own := os.Getenv(childOwn); err == nil && own != "" {
+	if own := os.Getenv(childOperator); err == nil && own != "" {
 		cfg.Own, err = operatorconfig.Read(own)
 	}
 	if fd := os.Getenv("NODE_LISTEN_FD"); err == nil && fd != "" {
@@ -73,46 +73,46 @@
 
 // platform stands for what a relay has round it: discovery, the hosts of destination 7, and its disk.
 type platform struct {
-	t         *testing.T
-	discovery *httptest.Server    // the one that the configuration names
-	path      string              // of the configuration
-	own       string              // of the operator's file; empty: none
-	program   string              // the real program; empty: this one as a relay
-	addr      string              // the relay's
-	door      string              // its operators' door; empty: none
-	socket    *os.File            // the clients' socket, where the platform holds it
-	settings  func(string) string // changes the settings that the configuration has
-	dir       string
-	memory    float64
-	disk      float64 // MB of the folder that lasts
-	unknown   bool    // the configuration lists no host
-	changes   bool    // watches begin with no list
-	down      bool    // watches fail
-
-	mu      sync.Mutex
-	hosts   []discovery.Endpoint
-	answer  func(*http.Request) int                  // a host's status; 0 for no answer while the call lasts
-	header  map[string]string                        // of hosts' answers
-	handle  func(http.ResponseWriter, *http.Request) // answers in place of all that
-	calls   []string                                 // ids that hosts were sent
-	began   chan string                              // the same, as they come
-	watches []string                                 // address and query of each watch
-	left    []string                                 // addresses whose watch has ended
-	notices []notification.Notice
-	posted  []string // the address to which each notice came
-	deaf    int      // so many posts of notices fail
-
-	lines    chan string // further lines of the watch
-	released chan bool   // closed at the end
+	t                *testing.T
+	discovery        *httptest.Server    // the one that the configuration names
+	configPath       string              // of the configuration
+	operatorPath     string              // of the operator's file; empty: none
+	program          string              // the real program; empty: this one as a relay
+	addr             string              // the relay's
+	adminAddr        string              // its operators' door; empty: none
+	listenerFile     *os.File            // the clients' socket, where the platform holds it
+	changeSettings   func(string) string // changes the settings that the configuration has
+	dir              string
+	keyTTL           float64
+	diskMB           float64 // MB of the folder that lasts
+	noKnownEndpoints bool    // the configuration lists no host
+	changesOnly      bool    // watches begin with no list
+	discoveryDown    bool    // watches fail
+
+	mu             sync.Mutex
+	endpoints      []discovery.Endpoint
+	respond        func(*http.Request) int                  // a host's status; 0 for no answer while the call lasts
+	responseHeader map[string]string                        // of hosts' answers
+	serveAttempt   func(http.ResponseWriter, *http.Request) // answers in place of all that
+	attemptIDs     []string                                 // ids that hosts were sent
+	begunAttempts  chan string                              // the same, as they come
+	watches        []string                                 // address and query of each watch
+	endedWatches   []string                                 // addresses whose watch has ended
+	notices        []notification.Notice
+	noticeAddrs    []string // the address to which each notice came
+	failingPosts   int      // so many posts of notices fail
+
+	watchLines chan string // further lines of the watch
+	released   chan bool   // closed at the end
 }
 
 func newPlatform(t *testing.T) *platform {
 	t.Helper()
 	p := &platform{
-		t: t, dir: t.TempDir(), memory: 15, disk: 3, began: make(chan string, 1000), lines: make(chan string, 10),
-		released: make(chan bool), answer: func(*http.Request) int { return http.StatusOK },
+		t: t, dir: t.TempDir(), keyTTL: 15, diskMB: 3, begunAttempts: make(chan string, 1000), watchLines: make(chan string, 10),
+		released: make(chan bool), respond: func(*http.Request) int { return http.StatusOK },
 	}
-	p.path = filepath.Join(t.TempDir(), "config.json")
+	p.configPath = filepath.Join(t.TempDir(), "config.json")
 	t.Cleanup(func() { close(p.released) })
 	p.addDiscovery()
 	p.addr = freeAddress(t)
@@ -130,76 +130,18 @@
 	return l.Addr().String()
 }
 
-// holdSocket has the platform hold the clients' socket.
-func (p *platform) holdSocket() {
+// shareListener has the platform hold the clients' socket.
+func (p *platform) shareListener() {
 	p.t.Helper()
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer l.Close()
-	if p.socket, err = l.(*net.TCPListener).File(); err != nil {
-		p.t.Fatal(err)
-	}
-	p.t.Cleanup(func() { _ = p.socket.Close() })
-}
-
-// takes tells whether a process says that it takes clients.
-func (c *child) takes() bool {
-	resp, err := http.Get("http://" + c.door + "/status")
-	if err != nil {
-		return false
-	}
-	_ = resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
-}
-
-// replace starts a process beside the one that runs, and waits until it takes clients.
-func (p *platform) replace() *child {
-	p.t.Helper()
-	p.addDoor()
-	c := p.begin()
-	p.until("the new process takes clients", c.takes)
-	return c
-}
-
-// addDoor has the configuration name an address for operators.
-func (p *platform) addDoor() { p.door = freeAddress(p.t) }
-
-// say makes a call at the operators' door.
-func (p *platform) say(path string, want int) {
-	p.t.Helper()
-	resp, err := http.Post("http://"+p.door+path, "", nil)
-	if err != nil {
+	if p.listenerFile, err = l.(*net.TCPListener).File(); err != nil {
 		p.t.Fatal(err)
 	}
-	_ = resp.Body.Close()
-	if resp.StatusCode != want {
-		p.t.Errorf("%s: %s", path, resp.Status)
-	}
-}
-
-// health is what clients' front is told; 0 for nothing.
-func (p *platform) health() int {
-	resp, err := http.Get("http://" + p.addr + "/_health")
-	if err != nil {
-		return 0
-	}
-	_ = resp.Body.Close()
-	return resp.StatusCode
-}
-
-// dialClient opens a client's connection, on which one request was answered.
-func (p *platform) dialClient() (net.Conn, error) {
-	c, err := net.Dial("tcp", p.addr)
-	if err != nil {
-		return nil, err
-	}
-	_ = c.SetDeadline(time.Now().Add(waittest.Long))
-	if _, err = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"); err == nil {
-		_, err = http.ReadResponse(bufio.NewReader(c), nil)
-	}
-	return c, err
+	p.t.Cleanup(func() { _ = p.listenerFile.Close() })
 }
 
 // addDiscovery starts a discovery, which the next configuration names.
@@ -213,9 +155,9 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// addHost starts a host of a destination.
-func (p *platform) addHost(id string, dest int) discovery.Endpoint {
-	s := httptest.NewServer(http.HandlerFunc(p.serveHost))
+// addEndpoint starts a host of a destination.
+func (p *platform) addEndpoint(id string, dest int) discovery.Endpoint {
+	s := httptest.NewServer(http.HandlerFunc(p.serveEndpoint))
 	p.t.Cleanup(func() {
 		s.CloseClientConnections()
 		s.Close()
@@ -226,23 +168,23 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hosts = append(p.hosts, m)
+	p.endpoints = append(p.endpoints, m)
 	return m
 }
 
-func (p *platform) serveHost(w http.ResponseWriter, r *http.Request) {
+func (p *platform) serveEndpoint(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	if p.handle != nil {
-		p.handle(w, r)
+	if p.serveAttempt != nil {
+		p.serveAttempt(w, r)
 		return
 	}
 	id := r.Header.Get("Request-Id")
 	p.mu.Lock()
-	p.calls = append(p.calls, id)
-	answer := p.answer
+	p.attemptIDs = append(p.attemptIDs, id)
+	answer := p.respond
 	p.mu.Unlock()
 	status := answer(r)
-	p.began <- id
+	p.begunAttempts <- id
 	if status == 0 {
 		select {
 		case <-r.Context().Done():
@@ -250,7 +192,7 @@
 		}
 		return
 	}
-	for name, value := range p.header {
+	for name, value := range p.responseHeader {
 		w.Header().Set(name, value)
 	}
 	w.WriteHeader(status)
@@ -260,8 +202,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.URL.Path == "/v1/outcomes" {
-		if p.deaf > 0 {
-			p.deaf--
+		if p.failingPosts > 0 {
+			p.failingPosts--
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -271,19 +213,19 @@
 				w.WriteHeader(http.StatusBadRequest)
 				return
 			}
-			p.notices, p.posted = append(p.notices, n), append(p.posted, r.Host)
+			p.notices, p.noticeAddrs = append(p.notices, n), append(p.noticeAddrs, r.Host)
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if p.down {
+	if p.discoveryDown {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	p.watches = append(p.watches, r.Host+"?"+r.URL.RawQuery)
-	defer func() { p.left = append(p.left, r.Host) }()
-	line, _ := json.Marshal(discovery.EndpointList{Seq: 41, Full: true, Endpoints: p.hosts})
-	if p.changes {
+	defer func() { p.endedWatches = append(p.endedWatches, r.Host) }()
+	line, _ := json.Marshal(discovery.EndpointList{Seq: 41, Full: true, Endpoints: p.endpoints})
+	if p.changesOnly {
 		line = nil
 	}
 	_, _ = w.Write(append(line, '\n'))
@@ -296,7 +238,7 @@
 			return
 		case <-p.released:
 			return
-		case line := <-p.lines:
+		case line := <-p.watchLines:
 			_, _ = io.WriteString(w, line+"\n")
 		case <-time.After(time.Second):
 			_, _ = io.WriteString(w, "\n")
@@ -304,69 +246,69 @@
 	}
 }
 
-// set changes what the platform does.
-func (p *platform) set(change func()) {
+// update changes what the platform does.
+func (p *platform) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// config writes the relay's configuration and returns the file's name.
-func (p *platform) config() string {
+// writeConfig writes the relay's configuration and returns the file's name.
+func (p *platform) writeConfig() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := discovery.EndpointList{Seq: 40, Full: true, Endpoints: p.hosts}
-	if p.unknown {
+	list := discovery.EndpointList{Seq: 40, Full: true, Endpoints: p.endpoints}
+	if p.noKnownEndpoints {
 		list.Endpoints = nil
 	}
 	known, err := json.Marshal(list)
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	settings := testSettings(p.memory)
-	if p.settings != nil {
-		settings = p.settings(settings)
+	settings := testSettings(p.keyTTL)
+	if p.changeSettings != nil {
+		settings = p.changeSettings(settings)
 	}
 	text := fmt.Sprintf(`{"name":"n1","management":%q,"listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":%v},"known":%s,"settings":%s}`,
-		p.door, p.addr, strings.TrimPrefix(p.discovery.URL, "http://"), p.disk, known, settings)
-	if err := os.WriteFile(p.path, []byte(text), 0o600); err != nil {
+		p.adminAddr, p.addr, strings.TrimPrefix(p.discovery.URL, "http://"), p.diskMB, known, settings)
+	if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
-	return p.path
+	return p.configPath
 }
 
 // child is a relay in a process of its own.
 type child struct {
 	*exec.Cmd
-	door   string
-	exited chan error
+	adminAddr string
+	exited    chan error
 }
 
 // start starts a relay and waits until it is ready.
 func (p *platform) start() *child {
 	p.t.Helper()
-	c := p.begin()
-	p.until("the relay is ready", func() bool { return p.health() == http.StatusOK })
+	c := p.spawn()
+	p.waitFor("the relay is ready", func() bool { return p.health() == http.StatusOK })
 	return c
 }
 
-// begin starts a relay.
-func (p *platform) begin() *child {
+// spawn starts a relay.
+func (p *platform) spawn() *child {
 	p.t.Helper()
 	c := &child{Cmd: exec.Command(os.Args[0]), exited: make(chan error, 1)}
 	if p.program != "" {
-		c.Cmd = exec.Command(p.program, "-config", p.config(), "-state", p.dir, "-operator", p.own)
+		c.Cmd = exec.Command(p.program, "-config", p.writeConfig(), "-state", p.dir, "-operator", p.operatorPath)
 	}
-	c.Env = append(os.Environ(), childConfig+"="+p.config(), childState+"="+p.dir, childOwn+"="+p.own)
-	if p.socket != nil {
+	c.Env = append(os.Environ(), childConfig+"="+p.writeConfig(), childState+"="+p.dir, childOperator+"="+p.operatorPath)
+	if p.listenerFile != nil {
 		// Descriptor 3 is the first of these.
-		c.ExtraFiles = []*os.File{os.Stdin, p.socket}
+		c.ExtraFiles = []*os.File{os.Stdin, p.listenerFile}
 		c.Env = append(c.Env, "NODE_LISTEN_FD=4")
 	}
-	if p.door != "" {
-		c.Env = append(c.Env, "NODE_MANAGEMENT="+p.door)
-		c.door = p.door
+	if p.adminAddr != "" {
+		c.Env = append(c.Env, "NODE_MANAGEMENT="+p.adminAddr)
+		c.adminAddr = p.adminAddr
 	}
 	log := &bytes.Buffer{}
 	c.Stderr = log
@@ -388,6 +330,18 @@
 	return c
 }
 
+// startSuccessor starts a process beside the one that runs, and waits until it takes clients.
+func (p *platform) startSuccessor() *child {
+	p.t.Helper()
+	p.addAdminEndpoint()
+	c := p.spawn()
+	p.waitFor("the new process takes clients", c.isServing)
+	return c
+}
+
+// addAdminEndpoint has the configuration name an address for operators.
+func (p *platform) addAdminEndpoint() { p.adminAddr = freeAddress(p.t) }
+
 // kill ends a relay as an outright kill does.
 func (p *platform) kill(c *child) {
 	p.t.Helper()
@@ -397,8 +351,8 @@
 	<-c.exited
 }
 
-// until waits for something to come true; how long that takes decides nothing.
-func (p *platform) until(what string, true func() bool) {
+// waitFor waits for something to come true; how long that takes decides nothing.
+func (p *platform) waitFor(what string, true func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(waittest.Long); !true(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -407,57 +361,12 @@
 	}
 }
 
-// called waits for a call at a host and returns its id.
-func (p *platform) called() string {
-	p.t.Helper()
-	select {
-	case id := <-p.began:
-		return id
-	case <-time.After(waittest.Long):
-		p.t.Fatal("no call came")
-		return ""
-	}
-}
-
-func (p *platform) sent() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]string(nil), p.calls...)
-}
-
-func (p *platform) told() []notification.Notice {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]notification.Notice(nil), p.notices...)
-}
-
-// handIn hands a message in and returns the answer.
-func (p *platform) handIn(class, id, timeout string, change ...func(*http.Request)) *http.Response {
-	p.t.Helper()
-	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
+// isServing tells whether a process says that it takes clients.
+func (c *child) isServing() bool {
+	resp, err := http.Get("http://" + c.adminAddr + "/status")
 	if err != nil {
-		p.t.Fatal(err)
-	}
-	r.Header.Set("Request-Id", id)
-	r.Header.Set("Tenant", "acme")
-	r.Header.Set("Request-Timeout", timeout)
-	r.Header.Set("X-Envelope", "dest=7")
-	r.Header.Set("Idempotency-Key", "key-"+id)
-	for _, c := range change {
-		c(r)
-	}
-	resp, err := http.DefaultClient.Do(r)
-	if err != nil {
-		p.t.Fatalf("%s: %v", id, err)
+		return false
 	}
 	_ = resp.Body.Close()
-	return resp
-}
-
-// take hands a message in that has to be taken on.
-func (p *platform) take(class, id, timeout string) {
-	p.t.Helper()
-	if resp := p.handIn(class, id, timeout); resp.StatusCode != http.StatusAccepted {
-		p.t.Fatalf("%s: %s", id, resp.Status)
-	}
+	return resp.StatusCode == http.StatusOK
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -7,21 +7,81 @@
 	"strings"
 	"syscall"
 	"testing"
-
-	"frostlink/internal/discovery"
 )
 
+// New settings under way: a class added is served, one that is gone is unknown to clients while its message keeps its
+// terms, also through a kill, and broken files change nothing and are counted.
+func TestReload_AppliesNewSettings(t *testing.T) {
+	p := newPlatform(t)
+	p.addAdminEndpoint()
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return 0 }
+	c := p.start()
+	good := readFile(t, p.configPath)
+	p.mustAccept("order", "old", "25")   // unsafe, and out
+	p.mustAccept("status", "safe", "25") // may be sent again by its terms, which the journal keeps
+	p.nextAttempt()
+	p.nextAttempt()
+
+	broken := map[string]string{
+		"empty":                "",
+		"cut off":              good[:len(good)/2],
+		"no deadline":          strings.Replace(good, `"deadline_s":30`, `"deadline_s":0`, 1),
+		"negative":             strings.Replace(good, `"deadline_s":30`, `"deadline_s":-5`, 1),
+		"no number":            strings.Replace(good, `"deadline_s":30`, `"deadline_s":"soon"`, 1),
+		"absurd":               strings.Replace(good, `"deadline_s":30`, `"deadline_s":1e300`, 1),
+		"no attempts":          strings.Replace(good, `"max_attempts":12`, `"max_attempts":0`, 1),
+		"a key is missing":     strings.Replace(good, `"ramp_time_s":10`, `"ramp":10`, 1),
+		"of a class":           strings.Replace(good, `"aim_s":2,`, ``, 1),
+		"a class twice":        strings.Replace(good, `"name":"order"`, `"name":"status"`, 1),
+		"an unknown effect":    strings.Replace(good, "fragile", "fragrant", 1),
+		"a class without name": strings.Replace(good, `"name":"order"`, `"name":""`, 1),
+	}
+	for name, text := range broken {
+		if text == good {
+			t.Fatalf("%s: nothing is broken", name)
+		}
+		// What a broken file says of the classes must not count in part either.
+		p.reloadConfig(c, strings.Replace(text, `"name":"payment"`, `"name":"payment-x"`, 1), false)
+		if resp := p.submit("payment-x", name, "25"); resp.StatusCode != http.StatusNotFound {
+			t.Errorf("%s: a class of a broken file: %s", name, resp.Status)
+		}
+	}
+
+	renamed := func(text string) string {
+		return strings.NewReplacer(`"name":"order"`, `"name":"order-ii"`, `"name":"status"`, `"name":"status-ii"`).Replace(text)
+	}
+	p.reloadConfig(c, renamed(good), true)
+	if resp := p.submit("order", "late", "25"); resp.StatusCode != http.StatusNotFound {
+		t.Errorf("a class that is gone: %s", resp.Status)
+	}
+	p.mustAccept("order-ii", "new", "25")
+	p.nextAttempt()
+	p.kill(c)
+	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
+	p.changeSettings = renamed
+	p.start()
+	// All were out. Those of unsafe classes may have run, and fail; the safe one is sent again, though its class is gone.
+	p.waitFor("all have their end", func() bool { return len(p.receivedNotices()) == 2 && len(readEntries(t, p.dir)) == 0 })
+	if got := p.attempts(); len(got) != 4 {
+		t.Errorf("calls %v, want one for each and one more for the safe one", got)
+	}
+	if f := p.metrics(); f.Failure["order"] != 1 || f.Failure["order-ii"] != 1 || f.Success["status"] != 1 || f.Inflight != 0 {
+		t.Errorf("figures %+v", f)
+	}
+}
+
 // A hang-up moves the watch, which asks for the whole list, and the notices to the discovery that the
 // configuration names now; one with a configuration that can't be used changes nothing. Before, it ended the
 // process.
-func TestReload(t *testing.T) {
+func TestReload_MovesToAnotherDiscovery(t *testing.T) {
 	p := newPlatform(t)
-	p.addHost("h1", 7)
+	p.addEndpoint("h1", 7)
 	old := strings.TrimPrefix(p.discovery.URL, "http://")
-	p.answer = func(*http.Request) int { return 0 }
-	p.deaf = 1 << 30
+	p.respond = func(*http.Request) int { return 0 }
+	p.failingPosts = 1 << 30
 	c := p.start()
-	p.until("the watch is on", func() bool {
+	p.waitFor("the watch is on", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(p.watches) == 1
@@ -32,12 +92,12 @@
 			t.Fatal(err)
 		}
 	}
-	if err := os.WriteFile(p.path, []byte(`{"discovery":`), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, []byte(`{"discovery":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hangUp()
-	p.take("order", "m", "0.4") // its notice can't be posted before the move
-	p.until("the notice is owed", func() bool {
+	p.mustAccept("order", "m", "0.4") // its notice can't be posted before the move
+	p.waitFor("the notice is owed", func() bool {
 		e := readEntries(t, p.dir)
 		return len(e) == 1 && e[0].PendingNotice != nil
 	})
@@ -45,15 +105,15 @@
 		t.Fatalf("watches after an unreadable configuration: %v", w)
 	}
 	addr := p.addDiscovery()
-	p.config()
+	p.writeConfig()
 	hangUp()
-	p.until("the watch and the notices have moved", func() bool {
+	p.waitFor("the watch and the notices have moved", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if !slices.Contains(p.left, old) {
+		if !slices.Contains(p.endedWatches, old) {
 			return false
 		}
-		p.deaf = 0 // not before: the old one is not to hear what is posted until the move
+		p.failingPosts = 0 // not before: the old one is not to hear what is posted until the move
 		return len(p.notices) > 0
 	})
 	p.mu.Lock()
@@ -61,8 +121,8 @@
 	if w := p.watches; len(w) != 2 || !strings.HasPrefix(w[1], addr) || !strings.Contains(w[1], "index=0") {
 		t.Errorf("watches: %v, want a second one at %s for the whole list", w, addr)
 	}
-	if !slices.Equal(p.posted, []string{addr}) {
-		t.Errorf("notices came to %v, want %s", p.posted, addr)
+	if !slices.Equal(p.noticeAddrs, []string{addr}) {
+		t.Errorf("notices came to %v, want %s", p.noticeAddrs, addr)
 	}
 	select {
 	case err := <-c.exited:
@@ -70,41 +130,3 @@
 	default:
 	}
 }
-
-// A list of a discovery that told an earlier process is kept through a restart, but its version is not asked
-// for at another one.
-func TestListOfAnotherDiscovery(t *testing.T) {
-	p := newPlatform(t)
-	h := p.addHost("h1", 7)
-	j := earlier(t, p.dir)
-	h.Health = discovery.Draining
-	j.UpdateEndpoints(discovery.EndpointList{Seq: 70, Full: true, Endpoints: []discovery.Endpoint{h}}, "127.0.0.1:1")
-	commit(t, j)
-	p.start()
-	p.until("the watch is on", func() bool {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		return len(p.watches) == 1
-	})
-	if w := p.watches[0]; !strings.Contains(w, "index=0") {
-		t.Errorf("watch %s, want the whole list", w)
-	}
-}
-
-// The list that the configuration gave outlasts the process too, where discovery has told changes of it only.
-func TestListOfConfigurationOutlastsProcess(t *testing.T) {
-	p := newPlatform(t)
-	p.addHost("h1", 7)
-	p.changes = true
-	c := p.start()
-	p.lines <- hostLine(t, 41, discovery.Endpoint{Host: "h9", Dial: "127.0.0.1:1", Site: "a", Class: "m2", Block: 9, Health: "SERVING"})
-	p.until("the change is noted", func() bool {
-		list, _ := readJournal(t, p.dir).Endpoints()
-		return list != nil && list.Seq == 41
-	})
-	p.kill(c)
-	p.set(func() { p.unknown = true })
-	p.start()
-	p.take("status", "m", "20")
-	p.called()
-}
--- /dev/null
+++ b/internal/relay/submission_test.go
@@ -0,0 +1,201 @@
+package relay
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+
+	"frostlink/internal/frontend"
+	"frostlink/internal/notification"
+)
+
+// Malformed requests get a plain 4xx other than 429, nothing is taken on, and the relay goes on.
+func TestSubmission_RejectsMalformed(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.start()
+	header := func(name, value string) func(*http.Request) {
+		return func(r *http.Request) { r.Header.Set(name, value) }
+	}
+	body := func(n int) func(*http.Request) {
+		return func(r *http.Request) {
+			text := strings.Repeat("x", n)
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(text)), int64(n)
+		}
+	}
+	tests := []struct {
+		name, class string
+		change      func(*http.Request)
+		want        int
+	}{
+		{"unknown class", "parcel", header("A", "b"), 404},
+		{"no class", "", header("A", "b"), 404},
+		{"other method", "status", func(r *http.Request) { r.Method = http.MethodPut }, 405},
+		{"unknown tenant", "status", header("Tenant", "nobody"), 400},
+		{"no tenant", "status", header("Tenant", ""), 400},
+		{"no destination", "status", header("X-Envelope", ""), 400},
+		{"odd destination", "status", header("X-Envelope", "dest=seven"), 400},
+		{"negative destination", "status", header("X-Envelope", "dest=-7"), 400},
+		{"huge destination", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
+		{"no id", "status", header("Request-Id", ""), 400},
+		{"long id", "status", header("Request-Id", strings.Repeat("i", frontend.MaxNameLength+1)), 400},
+		{"no key in a keyed class", "payment", header("Idempotency-Key", ""), 400},
+		{"no time-out", "status", header("Request-Timeout", ""), 400},
+		{"time-out of zero", "status", header("Request-Timeout", "0"), 400},
+		{"negative time-out", "status", header("Request-Timeout", "-1"), 400},
+		{"time-out is no number", "status", header("Request-Timeout", "soon"), 400},
+		{"time-out NaN", "status", header("Request-Timeout", "NaN"), 400},
+		{"endless time-out", "status", header("Request-Timeout", "+Inf"), 400},
+		{"absurd time-out", "status", header("Request-Timeout", "99999999999999999999999"), 400},
+		{"body too large", "status", body(frontend.MaxBodySize + 1), 413},
+	}
+	for _, tt := range tests {
+		if resp := p.submit(tt.class, "bad", "5", tt.change); resp.StatusCode != tt.want {
+			t.Errorf("%s: %s, want %d", tt.name, resp.Status, tt.want)
+		}
+	}
+	for _, change := range []func(*http.Request){
+		body(frontend.MaxBodySize), header("Request-Timeout", "3600"),
+		header("X-Envelope", "a=1, dest=7"),
+	} {
+		id := "good" + string(rune('0'+len(p.attempts())))
+		if resp := p.submit("status", id, "5", change); resp.StatusCode != http.StatusAccepted {
+			t.Errorf("%s: %s", id, resp.Status)
+		}
+		p.nextAttempt()
+	}
+	if slices.Contains(p.attempts(), "bad") {
+		t.Error("a malformed message was sent on")
+	}
+}
+
+// A destination that no list has named is refused: the list may lag, and the module keeps state for each.
+func TestSubmission_RejectsUnknownDestination(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.start()
+	resp := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
+	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+		t.Errorf("%s, %v", resp.Status, resp.Header)
+	}
+	p.addEndpoint("h8", 8)
+	p.watchLines <- watchLine(t, 43, p.endpoints[1])
+	p.waitFor("it is listed and taken", func() bool {
+		r := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
+		return r.StatusCode == http.StatusAccepted
+	})
+	p.nextAttempt()
+}
+
+// The same message handed in twice, as after a connection that broke, is taken on once.
+func TestSubmission_AcceptsDuplicateOnce(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return 0 }
+	p.start()
+	p.mustAccept("order", "m", "20")
+	p.nextAttempt()
+	p.mustAccept("order", "m", "20")
+	if e := readEntries(t, p.dir); len(e) != 1 {
+		t.Errorf("entries: %d", len(e))
+	}
+	if c := p.attempts(); len(c) != 1 {
+		t.Errorf("calls: %v", c)
+	}
+}
+
+// A copy of a message that is over is not taken on as a new one.
+func TestSubmission_DuplicateOfDeliveredIsNotSent(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.start()
+	p.mustAccept("order", "m", "20")
+	p.nextAttempt()
+	p.waitFor("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.mustAccept("order", "m", "20")
+	p.mustAccept("order", "n", "20")
+	p.nextAttempt()
+	if c := p.attempts(); !slices.Equal(c, []string{"m", "n"}) {
+		t.Errorf("calls: %v", c)
+	}
+}
+
+// A copy of a message whose end only waits for the platform to hear of it is no new one, and no refused one either: a refusal
+// would say that it never ran.
+func TestSubmission_DuplicateOfUndeliverableIsNotRejected(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return http.StatusInternalServerError }
+	p.failingPosts = 1 << 30
+	p.start()
+	p.mustAccept("order", "m", "20")
+	p.nextAttempt()
+	p.waitFor("its end is decided", func() bool {
+		e := readEntries(t, p.dir)
+		return len(e) == 1 && e[0].PendingNotice != nil && e[0].PendingNotice.Status == notification.Undeliverable
+	})
+	if resp := p.submit("order", "m", "20"); resp.StatusCode != http.StatusAccepted {
+		t.Errorf("a copy: %s", resp.Status)
+	}
+	p.update(func() { p.failingPosts = 0 })
+	p.waitFor("the platform has its end", func() bool { return len(p.receivedNotices()) == 1 })
+	if sent := p.attempts(); len(sent) != 1 {
+		t.Errorf("sent %v", sent)
+	}
+}
+
+// A client that leaves, or whose id another uses for a copy, withdraws no other's message: what counts is the
+// request that brought it.
+func TestSubmission_LeavingClientWithdrawsNoOtherRequest(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	p.respond = func(*http.Request) int { return 0 }
+	p.start()
+	p.mustAccept("order", "m", "20")
+	p.nextAttempt()
+	for range 20 {
+		c, err := net.Dial("tcp", p.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, err = io.WriteString(c, "POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: m\r\nTenant: acme\r\nRequest-Timeout: 5\r\n"+
+			"X-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n")
+		if err = errors.Join(err, c.Close()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	p.mustAccept("order", "m", "20") // all the copies have been looked at before this one
+	if e := readEntries(t, p.dir); len(e) != 1 || len(e[0].Attempts) != 1 || e[0].Attempts[0].Ended {
+		t.Errorf("entries %v", e)
+	}
+}
+
+// A message that a host has, and that comes again under its id after its relay was killed, is answered as taken on and sent to
+// nobody: as a new one it would have its effect twice.
+func TestSubmission_DuplicateAfterKillIsNotSent(t *testing.T) {
+	p := newPlatform(t)
+	p.addEndpoint("h1", 7)
+	c := p.start()
+	for range 2 { // through a replay of the log, and of its compaction
+		for _, class := range []string{"order", "payment", "status"} {
+			if status := p.trySubmit(class, class, "20"); status != http.StatusAccepted {
+				t.Fatalf("%s answered %d", class, status)
+			}
+		}
+		p.waitFor("all are delivered and over", func() bool { return len(p.attempts()) >= 3 && p.journalSize() == 0 })
+		p.kill(c)
+		c = p.start()
+	}
+	if status := p.trySubmit("order", "after", "20"); status != http.StatusAccepted {
+		t.Fatalf("a new message answered %d", status)
+	}
+	p.waitFor("the new one is delivered", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "after") })
+	if sent := p.attempts(); len(sent) != 4 {
+		t.Errorf("hosts were sent %v", sent)
+	}
+	p.kill(c)
+}
--- a/internal/relay/loop_test.go
+++ b/internal/relay/timer_test.go
@@ -6,7 +6,7 @@
 )
 
 // What the module asked for last comes, whatever wakes it before: it asks only once.
-func TestNoTimerIsLost(t *testing.T) {
+func TestTimer_NoneIsLost(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		ask  func(l *loop)
--- a/internal/relay/trace_test.go
+++ b/internal/relay/tracing_test.go
@@ -14,19 +14,19 @@
 
 // A relay that is to trace notes each thing once: its start, asks and lists, messages taken and turned away, calls with
 // their connections and reports, and ends. One that is not to notes nothing.
-func TestTrace(t *testing.T) {
+func TestTrace_RecordsEachEventOnce(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		p := newPlatform(t)
 		if on {
-			p.own = filepath.Join(t.TempDir(), "own.toml")
-			if err := os.WriteFile(p.own, []byte("version = 1\n[trace]\nlog = true\n"), 0o600); err != nil {
+			p.operatorPath = filepath.Join(t.TempDir(), "own.toml")
+			if err := os.WriteFile(p.operatorPath, []byte("version = 1\n[trace]\nlog = true\n"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		p.addHost("h1", 7)
+		p.addEndpoint("h1", 7)
 		tries := 0
-		p.header = map[string]string{"Server-Load": "x0=0.5,x1=25"}
-		p.answer = func(*http.Request) int {
+		p.responseHeader = map[string]string{"Server-Load": "x0=0.5,x1=25"}
+		p.respond = func(*http.Request) int {
 			if tries++; tries == 1 {
 				return http.StatusServiceUnavailable
 			}
@@ -34,14 +34,14 @@
 		}
 		c := p.start()
 		// With 10 of its 30 s left a message is past its aim, however fast it goes.
-		p.take("status", "a", "10")
-		p.called()
-		p.called()
-		if resp := p.handIn("status", "b", "10", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") }); resp.StatusCode != http.StatusServiceUnavailable {
+		p.mustAccept("status", "a", "10")
+		p.nextAttempt()
+		p.nextAttempt()
+		if resp := p.submit("status", "b", "10", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") }); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("a message for a destination that no list names: %s", resp.Status)
 		}
-		p.take("status", "c", "10")
-		p.called()
+		p.mustAccept("status", "c", "10")
+		p.nextAttempt()
 		// A planned end leaves time for all ends to come in.
 		if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
