--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -13,7 +13,7 @@
 	"frostlink/policy"
 )
 
-// A call that may leave within a time only is given that as a moment of the batch's clock.
+// An attempt that must be written within a time gets that as an instant of the batch's clock.
 func TestPlanAttempt_SetsWriteByOnBatchClock(t *testing.T) {
 	j, err := journal.Open(t.TempDir(), 1, false)
 	if err != nil {
@@ -23,7 +23,7 @@
 	l := &loop{timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{}}
 	now := l.now() + time.Second
 	for i, within := range []time.Duration{0, 300 * time.Millisecond} {
-		id := strconv.Itoa(i) // each has one call out at most
+		id := strconv.Itoa(i) // each has one attempt in flight at most
 		e := &journal.Entry{ID: id, Destination: 3, Deadline: l.timeline.Now().Add(time.Minute)}
 		j.Accept(e)
 		l.requests[id] = &request{Entry: e}
@@ -35,7 +35,7 @@
 	}
 }
 
-// The module takes back the call that is out, and no later one of the message, nor one of another.
+// The dispatcher cancels the attempt that is in flight, and no later one of the request, nor one of another.
 func TestCancelBeforeSend_CancelsOnlyTheNamedAttempt(t *testing.T) {
 	flags := map[string]*atomic.Bool{"m": {}, "other": {}}
 	l := &loop{requests: map[string]*request{"resting": {Entry: &journal.Entry{ID: "resting"}}}}
@@ -46,10 +46,10 @@
 		l.applyAction(0, a)
 	}
 	if flags["m"].Load() {
-		t.Error("an attempt that is over takes back the next one")
+		t.Error("the cancellation of an ended attempt cancels the next one")
 	}
 	l.applyAction(0, policy.CancelBeforeSend{ID: "m", Attempt: 1})
 	if !flags["m"].Load() || flags["other"].Load() {
-		t.Errorf("taken back: %v, and of another message: %v", flags["m"].Load(), flags["other"].Load())
+		t.Errorf("cancelled: %v, and of another request: %v", flags["m"].Load(), flags["other"].Load())
 	}
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// The shares of the descriptors fit into the limit, clients get the third that they may hold for requests, and
-// calls out fit into the hosts' share.
+// The shares of the descriptors fit into the limit, clients get the third that they may hold for requests, and attempts
+// in flight fit into the endpoints' share.
 func TestConfig_SharesDescriptors(t *testing.T) {
 	for _, limits := range []Limits{
 		{Sockets: 256, MemoryMB: 32},
@@ -69,15 +69,15 @@
 		if err := c.validate(); err != nil {
 			t.Fatal(err)
 		}
-		clients, hosts := c.maxClientConns(), c.maxEndpointConns()
-		if clients+hosts+reservedDescriptors > limits.Sockets {
-			t.Errorf("%+v: %d for clients and %d for hosts", limits, clients, hosts)
+		clients, endpoints := c.maxClientConns(), c.maxEndpointConns()
+		if clients+endpoints+reservedDescriptors > limits.Sockets {
+			t.Errorf("%+v: %d for clients and %d for endpoints", limits, clients, endpoints)
 		}
 		if limits.Sockets >= 256 && clients < limits.Sockets/3 {
 			t.Errorf("%+v: %d for clients", limits, clients)
 		}
-		if c.policy.MaxInFlight > hosts {
-			t.Errorf("%+v: %d calls out on %d connections", limits, c.policy.MaxInFlight, hosts)
+		if c.policy.MaxInFlight > endpoints {
+			t.Errorf("%+v: %d attempts in flight on %d connections", limits, c.policy.MaxInFlight, endpoints)
 		}
 		if c.maxIdleClientConns() >= limits.Sockets/3 {
 			t.Errorf("%+v: %d idle ones leave none for requests", limits, c.maxIdleClientConns())
@@ -85,11 +85,11 @@
 	}
 }
 
-// A customer of whom nothing is known but what its settings say is served: other classes, tenants, zones, kinds, limits and figures.
-// Settings that can't be served end the process before it is ready, in one line that names file, key and reason, and what was
-// taken on before outlasts that.
+// Settings of which nothing is known beforehand are served: other classes, tenants, zones, kinds, limits and numbers. Settings
+// that can't be served end the process before it is ready, in one line that names file, key and reason, and what was
+// accepted before outlasts that.
 func TestConfig_ServesUnfamiliarSettings(t *testing.T) {
-	const made = `{"az":1,"categories":[
+	const unfamiliar = `{"az":1,"categories":[
 	 {"name":"ferry","aim_s":0.7,"deadline_s":21,"idempotency":"fragile","group":"all","points":7.5,"late_share":0.05},
 	 {"name":"kelp","aim_s":3,"deadline_s":23,"idempotency":"dedup","group":"zone","memory_span_s":2.5,"points":0.3,"fifo_by_key":true},
 	 {"name":"buoy-7","aim_s":1,"deadline_s":20,"idempotency":"retryable","group":"all","points":1,"late_share":1},
@@ -102,7 +102,7 @@
 	 "separate_routes":[true,false],"route_fee":[0.01,0.02]},"tenants":[{"name":"gull"},{"name":"tern"}],"weights":"off"}`
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
-	p.changeSettings = func(string) string { return made }
+	p.changeSettings = func(string) string { return unfamiliar }
 	of := func(tenant string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set("Tenant", tenant) }
 	}
@@ -113,11 +113,11 @@
 			t.Fatalf("%s: %s", class, resp.Status)
 		}
 		if got := p.nextAttempt(); got != id {
-			t.Errorf("call for %s, want %s", got, id)
+			t.Errorf("attempt for %s, want %s", got, id)
 		}
 	}
 	p.waitFor("all are delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // another customer's
+	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // of other settings
 		if resp := p.submit(class, "no", "20", of(tenant)); resp.StatusCode/100 != 4 {
 			t.Errorf("%s of %s: %s", class, tenant, resp.Status)
 		}
@@ -126,19 +126,19 @@
 	j := openEarlierJournal(t, p.dir)
 	j.Accept(&journal.Entry{ID: "held", Class: "ferry", Destination: 7, Deadline: j.Timeline().Now().Add(time.Minute)})
 	mustCommit(t, j)
-	p.changeSettings = func(string) string { return strings.Replace(made, `"deadline_s":23`, `"deadline_s":0`, 1) }
+	p.changeSettings = func(string) string { return strings.Replace(unfamiliar, `"deadline_s":23`, `"deadline_s":0`, 1) }
 	bad := p.spawn()
 	if err := waittest.Receive(t, bad.exited); err == nil {
 		t.Error("settings that can't be served: exit code 0")
 	}
-	said := strings.TrimSpace(bad.Stderr.(*bytes.Buffer).String())
-	if strings.Contains(said, "\n") || !strings.Contains(said, p.configPath) || !strings.Contains(said, "categories[1].deadline_s") {
-		t.Errorf("said %q", said)
+	logged := strings.TrimSpace(bad.Stderr.(*bytes.Buffer).String())
+	if strings.Contains(logged, "\n") || !strings.Contains(logged, p.configPath) || !strings.Contains(logged, "categories[1].deadline_s") {
+		t.Errorf("logged %q", logged)
 	}
-	p.changeSettings = func(string) string { return made }
+	p.changeSettings = func(string) string { return unfamiliar }
 	p.start()
-	p.waitFor("what was taken on before is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("what was accepted before is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 0 {
-		t.Errorf("given up: %v", n)
+		t.Errorf("failed: %v", n)
 	}
 }
--- a/internal/relay/deadletter_events.go
+++ b/internal/relay/deadletter_events.go
@@ -5,7 +5,7 @@
 	"frostlink/internal/trace"
 )
 
-// deadLetterEvent is what the dead-letter writer tells the loop's side of the store.
+// deadLetterEvent is what the dead-letter writer reports to the loop's side of the store.
 type deadLetterEvent interface {
 	// applyTo takes the event in. The loop's goroutine calls it.
 	applyTo(d *deadLetterLink)
@@ -58,7 +58,7 @@
 	e.held <- r != nil && r.Redelivery
 }
 
-// The terminal outcomes of redeliveries, of which the store is told. The platform is told of none.
+// The terminal outcomes of redeliveries, which the store records. The platform is notified of none.
 const (
 	redeliveryDelivered  = trace.Delivered
 	redeliverySuperseded = "overtaken"
--- a/internal/relay/deadletter_helpers_test.go
+++ b/internal/relay/deadletter_helpers_test.go
@@ -13,10 +13,10 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// enableDeadLetters has relays keep undelivered messages, and gives the store's folder.
+// enableDeadLetters has relays keep dead letters, and returns the store's folder.
 func (p *platform) enableDeadLetters(lines string) string {
 	p.t.Helper()
-	folder := filepath.Join(p.t.TempDir(), "kept")
+	folder := filepath.Join(p.t.TempDir(), "deadletters")
 	p.operatorPath = filepath.Join(p.t.TempDir(), "frostlink.toml")
 	text := "version = 1\n[undelivered]\nfolder = \"" + folder + "\"\n" + lines
 	if err := os.WriteFile(p.operatorPath, []byte(text), 0o600); err != nil {
@@ -25,7 +25,7 @@
 	return folder
 }
 
-// deadLetter gives a message from the store of a relay that has ended.
+// deadLetter returns a request from the store of a relay that has ended.
 func (p *platform) deadLetter(folder, id string) (*deadletter.Record, *deadletter.Totals) {
 	p.t.Helper()
 	s, err := deadletter.OpenToRead(folder)
@@ -48,7 +48,7 @@
 	return r, t
 }
 
-// journalSize counts what the journal of a running relay holds, in a copy.
+// journalSize returns how many requests the journal of a running relay holds.
 func (p *platform) journalSize() int {
 	p.t.Helper()
 	j, err := journal.Inspect(p.dir)
@@ -66,7 +66,7 @@
 rate = 100
 `
 
-// redeliveries gives the calls under ids that the relay made up.
+// redeliveries returns the ids of the attempts under ids that the relay made up.
 func (p *platform) redeliveries() (ids []string) {
 	for _, id := range p.attempts() {
 		if strings.HasPrefix(id, "again-") {
@@ -76,8 +76,8 @@
 	return ids
 }
 
-// parcelSubjects has messages of class status tell their parcel in a header and their place in the body, and what was given up
-// resent as soon as it may.
+// parcelSubjects has requests of class status name their parcel and their order in headers, and dead letters redelivered as
+// soon as they may.
 const parcelSubjects = "subjects_stick = true\n" + redeliveryRule + `[[undelivered.subject]]
 class = "status"
 header = "Parcel"
@@ -91,7 +91,7 @@
 	Subjects: []deadletter.Subject{{Class: "status", Header: "Parcel", Order: "number", OrderHeader: "Seq"}},
 }
 
-// parcelStatus makes a message one of a parcel.
+// parcelStatus makes a request one about a parcel.
 func parcelStatus(parcel, seq string) func(*http.Request) {
 	return func(r *http.Request) {
 		r.Header.Set("Parcel", parcel)
@@ -99,7 +99,7 @@
 	}
 }
 
-// seedKnownTopics has a store and a journal as if the relay had run with both for an hour.
+// seedKnownTopics makes a store and a journal as if the relay had run with both for an hour.
 func (p *platform) seedKnownTopics(folder string) {
 	p.t.Helper()
 	s, err := deadletter.Open(folder, 0, 0)
@@ -127,7 +127,7 @@
 	}
 }
 
-// mustAcceptStatus hands a status of a parcel in.
+// mustAcceptStatus submits a status of a parcel, which has to be accepted.
 func (p *platform) mustAcceptStatus(id, timeout, parcel, seq string) {
 	p.t.Helper()
 	if resp := p.submit("status", id, timeout, parcelStatus(parcel, seq)); resp.StatusCode != http.StatusAccepted {
@@ -135,7 +135,7 @@
 	}
 }
 
-// readDeadLetters looks into the store of a relay that has ended.
+// readDeadLetters reads the store of a relay that has ended.
 func (p *platform) readDeadLetters(folder string, look func(s *deadletter.Store)) {
 	p.t.Helper()
 	s, err := deadletter.OpenToRead(folder)
--- a/internal/relay/deadletter_kill_test.go
+++ b/internal/relay/deadletter_kill_test.go
@@ -14,24 +14,24 @@
 	"frostlink/internal/deadletter"
 )
 
-// killCount is how often the real program is killed, and gaps how long it lives until then at least and at most.
+// killCount is how often the real program is killed, and lifetimes how long it lives until then at least and at most.
 const killCount = 50
 
 var lifetimes = [2]time.Duration{20 * time.Millisecond, 450 * time.Millisecond}
 
-// testKeyTTL is how long the hosts drop a repeat, as the settings say.
+// testKeyTTL is how long the endpoints drop a repeat, as the settings say.
 const testKeyTTL = 15 * time.Second
 
-// ledger is what the hosts and the clients saw.
+// ledger is what the endpoints and the clients saw.
 type ledger struct {
 	mu         sync.Mutex
 	accepted   map[string]bool // ids that were answered 202
-	delivered  map[string]bool // keys that a host answered 200
-	effects    map[string]int  // by key: of calls that had their effect, but for repeats that a keyed host drops
+	delivered  map[string]bool // keys that an endpoint answered 200
+	effects    map[string]int  // by key: of attempts that were executed, but for repeats that an endpoint drops by their key
 	executedAt map[string]time.Time
 }
 
-// respond is a host's answer, drawn: it delivers, turns away, fails after its effect, or hangs.
+// respond returns an endpoint's status, by a random number: it delivers, rejects, fails after the execution, or hangs.
 func (l *ledger) respond(r *http.Request, draw float64) int {
 	key := r.Header.Get("Idempotency-Key")
 	l.mu.Lock()
@@ -55,8 +55,8 @@
 	return http.StatusOK
 }
 
-// The real program is killed at 50 drawn moments, while it takes on, delivers, gives up, hands over and resends: nothing
-// is lost, nothing is in the store twice, and nothing that may not be repeated has its effect twice.
+// The real program is killed at 50 random moments, while it accepts, delivers, fails, stores and redelivers: nothing is
+// lost, nothing is in the store twice, and nothing that may not be repeated is executed twice.
 func TestDeadLetters_KilledAtFiftyRandomMoments(t *testing.T) {
 	p := newPlatform(t)
 	p.program = filepath.Join(t.TempDir(), "frostlink")
@@ -76,7 +76,7 @@
 		return draw.Float64()
 	}
 	p.respond = func(r *http.Request) int { return l.respond(r, next()) }
-	go func() { // nobody waits for single calls
+	go func() { // nobody waits for single attempts
 		for {
 			select {
 			case <-p.begunAttempts:
@@ -107,7 +107,7 @@
 	for i := range killCount {
 		var other *deadletter.Store
 		if i%2 == 1 {
-			// Another process has the store for this life: the notices go, and what is kept waits in the journal.
+			// Another process has the store for this lifetime: notices are posted, and what is to be stored waits in the journal.
 			var err error
 			if other, err = deadletter.Open(folder, 0, 0); err != nil {
 				t.Fatal(err)
@@ -124,32 +124,33 @@
 	clients.Wait()
 	p.update(func() { p.respond = func(r *http.Request) int { return l.respond(r, 1) } })
 	c := p.start()
-	p.waitFor("a few resends came", func() bool { return len(p.redeliveries()) >= 20 })
-	p.waitFor("the journal lets go of all", func() bool { return p.journalSize() == 0 })
+	p.waitFor("a few redeliveries came", func() bool { return len(p.redeliveries()) >= 20 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.readDeadLetters(folder, func(s *deadletter.Store) { l.check(t, p, s) })
 }
 
-// check holds the store against what hosts and clients saw.
+// check compares the store with what endpoints and clients saw.
 func (l *ledger) check(t *testing.T, p *platform, s *deadletter.Store) {
+	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	told := map[string]bool{}
+	notified := map[string]bool{}
 	for _, n := range p.receivedNotices() {
-		told[n.ID] = true
+		notified[n.ID] = true
 	}
-	kept, resent, delivered := map[string]*deadletter.Record{}, 0, 0
+	stored, redelivered, delivered := map[string]*deadletter.Record{}, 0, 0
 	for from, first := uint64(0), true; first || from > 0; first = false {
 		page, following, damaged, err := s.Page(from, 1000, 1000, nil)
 		if err != nil || damaged > 0 {
 			t.Fatalf("%d damaged, %v", damaged, err)
 		}
 		for _, r := range page {
-			if kept[r.ID] != nil {
-				t.Errorf("%s is kept twice", r.ID)
+			if stored[r.ID] != nil {
+				t.Errorf("%s is stored twice", r.ID)
 			}
-			kept[r.ID] = r
-			resent += len(r.Lives) - 1
+			stored[r.ID] = r
+			redelivered += len(r.Lives) - 1
 			if body, err := s.Body(r.ID); err != nil || string(body) != "body of "+r.ID {
 				t.Errorf("%s: body %q, %v", r.ID, body, err)
 			}
@@ -157,28 +158,28 @@
 		from = following
 	}
 	for id := range l.accepted {
-		r := kept[id]
+		r := stored[id]
 		switch {
 		case r == nil && !l.delivered["key-"+id]:
-			t.Errorf("%s was taken on, and is neither delivered nor kept", id)
+			t.Errorf("%s was accepted, and is neither delivered nor stored", id)
 		case r == nil:
 			delivered++
 		case r.State == deadletter.Delivered && !l.delivered["key-"+id]:
-			t.Errorf("%s is kept as delivered, and no host had it: %+v", id, r)
-		case !told[id]:
-			t.Errorf("%s is kept, and the platform was not told", id)
+			t.Errorf("%s is stored as delivered, and no endpoint had it: %+v", id, r)
+		case !notified[id]:
+			t.Errorf("%s is stored, and the platform was not notified", id)
 		}
-		if told[id] && r == nil {
-			t.Errorf("%s was given up, and is not kept", id)
+		if notified[id] && r == nil {
+			t.Errorf("%s has failed, and is not stored", id)
 		}
 	}
 	for key, n := range l.effects {
 		if n > 1 && !strings.HasPrefix(key, "key-status") {
-			t.Errorf("%s had its effect %d times: %+v", key, n, kept[strings.TrimPrefix(key, "key-")])
+			t.Errorf("%s was executed %d times: %+v", key, n, stored[strings.TrimPrefix(key, "key-")])
 		}
 	}
-	t.Logf("%d taken on, %d of them delivered and not kept, %d kept, %d resends", len(l.accepted), delivered, len(kept), resent)
-	if len(kept) < 50 || resent < 20 || delivered < 50 {
-		t.Errorf("%d kept, %d resends, %d delivered: the test sees too little", len(kept), resent, delivered)
+	t.Logf("%d accepted, %d of them delivered and not stored, %d stored, %d redeliveries", len(l.accepted), delivered, len(stored), redelivered)
+	if len(stored) < 50 || redelivered < 20 || delivered < 50 {
+		t.Errorf("%d stored, %d redeliveries, %d delivered: the test sees too little", len(stored), redelivered, delivered)
 	}
 }
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// rejected tells the store of a request that was never accepted: it owes the platform nothing, and was in no journal.
+// rejected records a request that was never accepted: the platform is owed nothing for it, and it was in no journal.
 func (d *deadLetterLink) rejected(r *request, status string) {
 	if d.writer != nil && !r.Redelivery {
 		d.writer.queue.addRejected(r.record(d.rejectedLife(r, status)))
@@ -191,7 +191,7 @@
 	}
 }
 
-// freeJournalSpace evicts the oldest request that only waits for the store. Its record is lost; the store is told so.
+// freeJournalSpace evicts the oldest request that only waits for the store. Its record is lost; the store lists it.
 func (d *deadLetterLink) freeJournalSpace() (freed bool) {
 	d.trimAwaitingStore()
 	if len(d.awaitingStore) == 0 {
--- a/internal/relay/deadletter_queue.go
+++ b/internal/relay/deadletter_queue.go
@@ -24,7 +24,7 @@
 	lost            []string            // ids, to be listed as lost
 	delivered       []deadletter.Note   // of topics
 	rejectedCounts  map[string]int      // requests that were never accepted, by class and tenant
-	rejectedRecords []deadletter.Kept   // the same, where they are kept: in no journal, so that the loop is not told
+	rejectedRecords []deadletter.Kept   // the same, where they are kept: in no journal, so that the loop needs no acknowledgement
 }
 
 // deadLetterQueue holds what waits for the writer. The loop adds to it and is never held up; the writer removes what the
--- a/internal/relay/deadletter_record.go
+++ b/internal/relay/deadletter_record.go
@@ -29,7 +29,7 @@
 	return life
 }
 
-// rejectedLife returns what the store is told of a request that was never accepted.
+// rejectedLife returns what the store records of a request that was never accepted.
 func (d *deadLetterLink) rejectedLife(r *request, status string) deadletter.Life {
 	return deadletter.Life{
 		ID: r.ID, Relay: d.loop.cfg.Name, Taken: r.AcceptedAt.Time(), Expires: r.Deadline.Time(), Over: d.loop.timeline.Now().Time(),
@@ -48,7 +48,7 @@
 	}
 }
 
-// result returns what the store is told of a redelivery whose outcome is decided.
+// result returns what the store records of a redelivery whose outcome is decided.
 func (d *deadLetterLink) result(r *request) deadletter.Result {
 	result := deadletter.Result{Life: d.life(r), Delivered: r.PendingNotice.Status == redeliveryDelivered}
 	if r.PendingNotice.Status == redeliverySuperseded {
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -11,47 +11,47 @@
 	"frostlink/internal/notification"
 )
 
-// What is taken on and not delivered is in the store, with its whole history and the reason, once, also where the
-// process is killed as soon as the platform has the notice.
+// What is accepted and not delivered is in the store, with its whole history and the reason, once, also where the process
+// is killed as soon as the platform has the notice.
 func TestDeadLetters_StoredWithHistory(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
 	p.addEndpoint("h1", 7)
 	p.respond = func(r *http.Request) int {
-		if strings.HasPrefix(r.Header.Get("Request-Id"), "ran") {
+		if strings.HasPrefix(r.Header.Get("Request-Id"), "executed") {
 			return http.StatusInternalServerError
 		}
 		return http.StatusServiceUnavailable
 	}
 	c := p.start()
-	p.mustAccept("order", "ran", "20")
-	p.mustAccept("status", "turned", "1.2")
+	p.mustAccept("order", "executed", "20")
+	p.mustAccept("status", "rejected", "1.2")
 	p.waitFor("both have their notices", func() bool { return len(p.receivedNotices()) == 2 })
 	p.kill(c)
-	// A later process hands over what the store may lack, and finds nothing more to do.
+	// A later process writes what the store may lack, and finds nothing more to do.
 	c = p.start()
-	p.waitFor("the journal lets go of both", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
-	r, totals := p.deadLetter(folder, "ran")
+	r, totals := p.deadLetter(folder, "executed")
 	if totals.Messages != 2 || totals.States[deadletter.Held] != 2 {
 		t.Errorf("totals %+v", totals)
 	}
 	l := r.Last()
-	if r.Class != "order" || r.Tenant != "acme" || r.Partner != 7 || r.Key != "key-ran" || l.Reason != deadletter.Doubtful ||
+	if r.Class != "order" || r.Tenant != "acme" || r.Partner != 7 || r.Key != "key-executed" || l.Reason != deadletter.Doubtful ||
 		l.Status != notification.Undeliverable || l.Relay != "n1" || len(l.Attempts) != 1 || l.Taken.IsZero() || !l.Over.After(l.Taken) {
 		t.Errorf("record %+v", r)
 	}
 	if a := l.Attempts[0]; a.Host != "h1" || a.Ran != deadletter.May || a.Outcome != "error" || a.Ended.Before(a.Begun) {
 		t.Errorf("attempt %+v", a)
 	}
-	r, _ = p.deadLetter(folder, "turned")
+	r, _ = p.deadLetter(folder, "rejected")
 	l = r.Last()
 	if l.Reason != deadletter.OutOfTime || l.Status != notification.Deferred || r.MayHaveRun() != nil || len(l.Attempts) == 0 {
 		t.Errorf("record %+v", r)
 	}
 }
 
-// An attempt that was out when the process was killed may have run, and the record says so.
+// Of an attempt that was in flight when the process was killed the outcome is unknown, and the record says so.
 func TestDeadLetters_AttemptInFlightAtKillHasUnknownOutcome(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -62,8 +62,8 @@
 	p.nextAttempt()
 	p.kill(c)
 	c = p.start()
-	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
-	p.waitFor("it is kept", func() bool { return p.journalSize() == 0 })
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, _ := p.deadLetter(folder, "a")
 	if len(r.Last().Attempts) != 1 || r.MayHaveRun() == nil || r.Last().Reason != deadletter.Doubtful {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A host that says that a message's time is up has not delivered it: it is kept, and no notice is owed; a resend that is
-// told so comes back.
+// An endpoint that says that a request's deadline has passed has not executed it: it is stored, and no notice is owed; a
+// redelivery with that response goes back to the store.
 func TestDeadLetters_ExpiredAtEndpoint(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
@@ -85,13 +85,13 @@
 		return http.StatusGone
 	}
 	c := p.start()
-	p.mustAccept("status", "a", "0.9") // within the last second of its time
-	p.waitFor("it is called", func() bool { return len(p.attempts()) > 0 })
+	p.mustAccept("status", "a", "0.9") // within the last second before its deadline
+	p.waitFor("it is attempted", func() bool { return len(p.attempts()) > 0 })
 	p.mustAccept("status", "b", "1.2")
-	p.waitFor("the other one is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the other one has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	late.Store(true)
-	p.waitFor("resends are told so too", func() bool { return len(p.redeliveries()) >= 2 })
-	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.waitFor("redeliveries get that response too", func() bool { return len(p.redeliveries()) >= 2 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	for _, id := range []string{"a", "b"} {
 		r, _ := p.deadLetter(folder, id)
@@ -99,12 +99,12 @@
 			t.Errorf("%s: %+v", id, r)
 		}
 	}
-	if told := p.receivedNotices(); len(told) != 1 || told[0].ID != "b" {
-		t.Errorf("notices %+v", told)
+	if notices := p.receivedNotices(); len(notices) != 1 || notices[0].ID != "b" {
+		t.Errorf("notices %+v", notices)
 	}
 }
 
-// What is refused at its arrival is counted, and kept with its body where the operator wants that.
+// What is rejected is counted, and stored with its body where the operator wants that.
 func TestDeadLetters_RejectedAreCounted(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		p := newPlatform(t)
@@ -116,8 +116,8 @@
 			t.Fatal(resp.Status)
 		}
 		p.mustAccept("order", "b", "1")
-		p.waitFor("another is given up", func() bool { return len(p.receivedNotices()) == 1 })
-		p.waitFor("that is kept", func() bool { return p.journalSize() == 0 })
+		p.waitFor("another has failed", func() bool { return len(p.receivedNotices()) == 1 })
+		p.waitFor("that is stored", func() bool { return p.journalSize() == 0 })
 		p.kill(c)
 		p.readDeadLetters(folder, func(s *deadletter.Store) {
 			totals, _, err := s.Totals()
@@ -126,14 +126,14 @@
 			}
 			r, err := s.Get("a")
 			if keep != (err == nil) || keep && (r.Last().Reason != deadletter.AtArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
-				t.Errorf("kept %v: %+v, %v", keep, r, err)
+				t.Errorf("stored %v: %+v, %v", keep, r, err)
 			}
 		})
 	}
 }
 
-// A message that was refused, and is taken on when it comes again under its id, is kept as what was taken on: the refused
-// copy lets nothing go. Before, the store's receipt for the one stood for the other.
+// A request that was rejected, and is accepted when it comes again under its id, is stored as the accepted one: to store the
+// rejected copy evicts nothing. Guards against the store's acknowledgement of the one counting for the other.
 func TestDeadLetters_RejectedThenAccepted(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("refused = true\n")
@@ -148,9 +148,9 @@
 		t.Fatal(resp.Status)
 	}
 	p.mustAccept("order", "a", "1")
-	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	_ = other.Close()
-	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
 	if totals.Messages != 1 || r.Last().Reason == deadletter.AtArrival || len(r.Last().Attempts) == 0 {
@@ -158,7 +158,7 @@
 	}
 }
 
-// A process that ran without the store may have delivered anything: the next one with it does not rely on it.
+// A process that ran without the store may have delivered anything: the next one with it does not rely on what it knows.
 func TestDeadLetters_ProcessWithoutStoreInBetween(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(parcelSubjects)
@@ -184,7 +184,7 @@
 		p.operatorPath = own
 		c := p.start()
 		p.mustAcceptStatus("m"+own, "20", "k-1", "1")
-		p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+		p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 		p.kill(c)
 	}
 	with := p.operatorPath
@@ -195,6 +195,6 @@
 	run("")
 	run(with)
 	if known() {
-		t.Error("it is relied on, though a process told it nothing")
+		t.Error("it is relied on, though a process recorded nothing in it")
 	}
 }
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -38,7 +38,7 @@
 
 	// Of the goroutine alone.
 	classes          []deadletter.Class
-	journalledStore  string            // the store that the journal says was told of all that was delivered
+	journalledStore  string            // the store that, by the journal, has recorded all that was delivered
 	deadLetters      *deadletter.Store // nil until it could be opened
 	bounds           *deadletter.Bounds
 	resender         *deadletter.Resender
@@ -48,7 +48,7 @@
 	helpers          sync.WaitGroup // goroutines beside it: the ticker, and the server of the operator's tool
 }
 
-// newDeadLetterWriter returns a writer; journalledStore is the store that the journal says was told of all that was
+// newDeadLetterWriter returns a writer; journalledStore is the store that, by the journal, has recorded all that was
 // delivered.
 func newDeadLetterWriter(cfg *Config, journalledStore string, timeline *clock.Timeline, send func(deadLetterEvent)) *deadLetterWriter {
 	section := cfg.Own.Undelivered
@@ -170,7 +170,7 @@
 }
 
 // syncTopics has the store know the newest request of each topic. It begins anew where the journal names another store, or
-// none: then a process ran that told this one nothing, or the folder or the journal is not the one of before.
+// none: then a process ran that recorded nothing in this one, or the folder or the journal is not the one of before.
 func (w *deadLetterWriter) syncTopics() error {
 	id, err := w.deadLetters.ID()
 	if err != nil {
--- a/internal/relay/deadletter_writer_test.go
+++ b/internal/relay/deadletter_writer_test.go
@@ -12,18 +12,18 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// What was refused at its arrival is in no journal: a process that ends, or hands over, writes it to the store first.
+// What was rejected is in no journal: a process that ends, or hands over, writes it to the store first.
 func TestDeadLetterWriter_WritesRejectedBeforeItEnds(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("refused = true\n")
 	p.addEndpoint("h1", 7)
 	cfg := readConfigs(t, p)
 	ctx, stop := context.WithCancel(t.Context())
-	knows := make(chan any, 10)
-	k := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { knows <- e })
+	opened := make(chan any, 10)
+	k := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { opened <- e })
 	done := make(chan struct{})
 	go func() { k.run(ctx); close(done) }()
-	waittest.Receive(t, knows) // the store is open
+	waittest.Receive(t, opened) // the store is open
 	const n = 3*maxBatch + 7
 	for i := range n {
 		id := fmt.Sprint("m", i)
@@ -32,16 +32,16 @@
 			Lives: []deadletter.Life{{ID: id, Reason: deadletter.AtArrival}},
 		}, Body: []byte("body of " + id)})
 	}
-	stop() // at once: hardly a batch can have gone
+	stop() // at once: hardly a batch can have been written
 	waittest.Receive(t, done)
 	_, totals := p.deadLetter(folder, "m0")
 	if totals.Refused["order of acme"] != n || totals.Messages != n {
-		t.Errorf("%d counted and %d kept of %d", totals.Refused["order of acme"], totals.Messages, n)
+		t.Errorf("%d counted and %d stored of %d", totals.Refused["order of acme"], totals.Messages, n)
 	}
 }
 
-// A store that can't be opened, since another process has it, stops nothing: what it does not take waits in the
-// journal, and is in the store once that is free.
+// A store that can't be opened, since another process has it, stops nothing: what it does not accept waits in the journal,
+// and is in the store once that is free.
 func TestDeadLetters_StoreInUseStopsNothing(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -60,13 +60,13 @@
 		t.Errorf("it is in a store that another process has: %v", err)
 	}
 	_ = s.Close()
-	p.waitFor("it is kept", func() bool { return p.journalSize() == 0 })
+	p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.deadLetter(folder, "a")
 }
 
-// Where the store takes nothing and the journal is full of what waits for it, the oldest leave, listed by id, and the
-// relay goes on taking messages.
+// Where the store accepts nothing and the journal is full of what waits for it, the oldest are evicted, listed by id, and
+// the relay goes on accepting requests.
 func TestDeadLetters_UnavailableStoreDoesNotFillJournal(t *testing.T) {
 	p := newPlatform(t)
 	p.diskMB = 0.06
@@ -85,7 +85,7 @@
 		p.waitFor("its notice came", func() bool { return len(p.receivedNotices()) == i+1 })
 	}
 	_ = s.Close()
-	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	s, err = deadletter.OpenToRead(folder)
 	if err != nil {
@@ -93,6 +93,6 @@
 	}
 	defer s.Close()
 	if totals, _, err := s.Totals(); err != nil || totals.Unkept == 0 || totals.Messages == 0 || totals.Unkept+totals.Messages != n {
-		t.Errorf("%d kept and %d listed as not kept of %d, %v", totals.Messages, totals.Unkept, n, err)
+		t.Errorf("%d stored and %d listed as lost of %d, %v", totals.Messages, totals.Unkept, n, err)
 	}
 }
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -19,7 +19,7 @@
 //
 //	candidate       -> accepted         admitted by the dispatcher; its record is part of the batch
 //	candidate       -> evicted          rejected, or a redelivery that was returned to the store
-//	accepted        -> outcome decided  failed, or delivered or withdrawn where the dead-letter store is told of that
+//	accepted        -> outcome decided  failed, or delivered or withdrawn where the dead-letter store records that
 //	accepted        -> evicted          delivered or withdrawn and nobody is owed anything, or its record was not written
 //	outcome decided -> notified         the platform has its notice, the dead-letter store does not have the request yet
 //	outcome decided -> evicted          all that are owed its outcome have it
@@ -50,7 +50,7 @@
 //	submission.go           requests as clients submit them
 //	admission.go            what becomes of the candidates of a batch
 //	attempt.go              attempts at endpoints
-//	terminal_outcome.go     how requests end, and who is told
+//	terminal_outcome.go     how requests end, and to whom that is published
 //	commit.go               records, then effects; the state of the folder
 //	effects.go              the effects of a batch
 //	endpoints.go            the list of endpoints
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -9,29 +9,29 @@
 	"frostlink/internal/discovery"
 )
 
-// The newest list that is known of counts at a start: an earlier process's, or the configuration's where the platform has
-// heard more since; of another discovery's versions nothing can be told.
+// A process starts from the newest list that is known of: an earlier process's, or the configuration's where that is newer;
+// versions of another discovery can't be compared.
 func TestLatestEndpointList(t *testing.T) {
 	const here, elsewhere = "127.0.0.1:1", "127.0.0.1:2"
 	for _, tt := range []struct {
-		name         string
-		known, told  int64
-		from         string
-		want, wantAt int64 // whose list, and from which version the watch asks
+		name                   string
+		configured, journalled int64
+		from                   string
+		want, wantAt           int64 // whose list, and from which version the watch asks
 	}{
-		{"none was told", 7, 0, "", 7, 7},
-		{"told since", 7, 9, here, 9, 9},
+		{"none in the journal", 7, 0, "", 7, 7},
+		{"a newer one in the journal", 7, 9, here, 9, 9},
 		{"the same", 9, 9, here, 9, 9},
-		{"heard since", 12, 9, here, 12, 12},
+		{"a newer one in the configuration", 12, 9, here, 12, 12},
 		{"another discovery's", 12, 9, elsewhere, 9, 0},
 	} {
 		j := openEarlierJournal(t, t.TempDir())
-		if tt.told > 0 {
-			j.UpdateEndpoints(discovery.EndpointList{Seq: tt.told, Full: true, Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.told)}}}, tt.from)
+		if tt.journalled > 0 {
+			j.UpdateEndpoints(discovery.EndpointList{Seq: tt.journalled, Full: true, Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.journalled)}}}, tt.from)
 		}
 		l := &loop{journal: j, cfg: &Config{Discovery: here, Known: discovery.EndpointList{
-			Seq:       tt.known,
-			Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.known)}},
+			Seq:       tt.configured,
+			Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.configured)}},
 		}}}
 		if got := l.latestEndpointList(); got.Seq != tt.wantAt || int64(got.Endpoints[0].Block) != tt.want {
 			t.Errorf("%s: %+v", tt.name, got)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Where the platform pushes lists, the relay has a watch as well, and it asks for one at once however many relays there are:
-// what its agent has counts as told. Before, it never asked and knew the configuration's list alone.
+// Where the platform pushes lists, the relay has a watch as well, and it opens one at once however many relays there are.
+// Guards against a relay that knows the configuration's list alone.
 func TestEndpoints_WatchesPushedLists(t *testing.T) {
 	p := newPlatform(t)
 	p.changeSettings = func(s string) string {
@@ -65,7 +65,7 @@
 	p.waitFor("it is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 }
 
-// A host that drains gets nothing new, and one that is not of a destination nothing at all.
+// A draining endpoint gets no new requests, and one that is not of a destination none at all.
 func TestEndpoints_DrainingGetsNoNewRequests(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addEndpoint("h1", 7)
@@ -84,7 +84,7 @@
 	p.watchLines <- watchLine(t, 42, old)
 	p.watchLines <- watchLine(t, 43, fresh)
 	n := 0
-	p.waitFor("the new host is used", func() bool {
+	p.waitFor("the new endpoint is used", func() bool {
 		n++
 		p.mustAccept("status", "b"+strings.Repeat("b", n), "20")
 		p.nextAttempt()
@@ -94,20 +94,20 @@
 		n++
 		p.mustAccept("status", "b"+strings.Repeat("b", n), "20")
 		if p.nextAttempt(); hit != fresh.Dial {
-			t.Fatal("a draining host got new work")
+			t.Fatal("a draining endpoint got a new request")
 		}
 	}
 }
 
-// A host that was told to drain gets nothing from the next process either, though the configuration's list is
-// older than that and discovery is down.
+// An endpoint that is known to drain gets nothing from the next process either, though the configuration's list is older than
+// that and discovery is down.
 func TestEndpoints_DrainingIsKnownAfterRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addEndpoint("h1", 7)
 	c := p.start()
 	old.Health = discovery.Draining
 	p.watchLines <- watchLine(t, 42, old)
-	p.waitFor("the change is noted", func() bool {
+	p.waitFor("the change is in the journal", func() bool {
 		list, _ := readJournal(t, p.dir).Endpoints()
 		return list != nil && list.Seq == 42
 	})
@@ -115,14 +115,14 @@
 	p.update(func() { p.discoveryDown = true })
 	p.start()
 	p.mustAccept("status", "m", "0.5")
-	p.waitFor("it has its end", func() bool { return len(p.receivedNotices()) == 1 })
-	if calls := p.attempts(); len(calls) != 0 {
-		t.Errorf("calls at a draining host: %v", calls)
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	if attempts := p.attempts(); len(attempts) != 0 {
+		t.Errorf("attempts at a draining endpoint: %v", attempts)
 	}
 }
 
-// A list of a discovery that told an earlier process is kept through a restart, but its version is not asked
-// for at another one.
+// The list of a discovery that an earlier process watched is used after a restart, but another discovery is not asked for
+// changes since its version.
 func TestEndpoints_ListOfAnotherDiscoveryHasNoVersion(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
@@ -131,7 +131,7 @@
 	j.UpdateEndpoints(discovery.EndpointList{Seq: 70, Full: true, Endpoints: []discovery.Endpoint{h}}, "127.0.0.1:1")
 	mustCommit(t, j)
 	p.start()
-	p.waitFor("the watch is on", func() bool {
+	p.waitFor("the watch is open", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(p.watches) == 1
@@ -141,14 +141,14 @@
 	}
 }
 
-// The list that the configuration gave outlasts the process too, where discovery has told changes of it only.
+// The list of the configuration outlasts the process too, where discovery has sent changes of it only.
 func TestEndpoints_ConfiguredListOutlastsProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
 	p.changesOnly = true
 	c := p.start()
 	p.watchLines <- watchLine(t, 41, discovery.Endpoint{Host: "h9", Dial: "127.0.0.1:1", Site: "a", Class: "m2", Block: 9, Health: "SERVING"})
-	p.waitFor("the change is noted", func() bool {
+	p.waitFor("the change is in the journal", func() bool {
 		list, _ := readJournal(t, p.dir).Endpoints()
 		return list != nil && list.Seq == 41
 	})
@@ -159,17 +159,17 @@
 	p.nextAttempt()
 }
 
-// An outage that was seen outlasts the process, for a host that the configuration's list lacks as well.
+// An outage that was seen outlasts the process, for an endpoint that the configuration's list lacks as well.
 func TestEndpoints_OutageIsKnownAfterRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		p := newPlatform(t)
 		p.addEndpoint("h1", 7)
-		p.endpoints[0].Share = 0.05 // a budget of one knock in many seconds
+		p.endpoints[0].Share = 0.05 // a budget of one trial request in many seconds
 		up := p.endpoints[0]
 		p.endpoints[0].Dial = refusingAddress(t)
 		c := p.start()
 		p.mustAccept("status", "a", "25")
-		p.waitFor("the outage is noted", func() bool { return readHealth(t, p.dir)["h1"].Unhealthy })
+		p.waitFor("the outage is in the journal", func() bool { return readHealth(t, p.dir)["h1"].Unhealthy })
 		p.kill(c)
 		p.update(func() { p.endpoints[0] = up })
 		if !known {
@@ -180,12 +180,12 @@
 		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
 			time.Sleep(10 * time.Millisecond) // not listed yet
 		}
-		// A fresh relay would take it on and send at once; in an outage the next knock is too far off.
+		// A new relay would accept it and send it at once; in an outage the next trial request is too far off.
 		if resp.StatusCode != http.StatusTooManyRequests {
 			t.Errorf("known %v: %s", known, resp.Status)
 		}
 		if got := p.attempts(); len(got) > 1 {
-			t.Errorf("known %v: %v sent at once to a destination that was out", known, got)
+			t.Errorf("known %v: %v sent at once to an unhealthy destination", known, got)
 		}
 	}
 }
--- a/internal/relay/handover_kill_test.go
+++ b/internal/relay/handover_kill_test.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// load hands messages in from several clients until it is stopped, and notes which were taken on.
+// load submits requests from several clients until it is stopped, and notes which were accepted.
 type load struct {
 	mu       sync.Mutex
 	accepted map[string]bool
@@ -60,8 +60,9 @@
 	l.mu.Unlock()
 }
 
-// Processes replace each other under load, and either is killed at drawn moments: no message has two attempts out at once,
-// none of an unsafe class is sent again, none that was taken on is left without its end, and no connection is refused.
+// Processes replace each other under load, and either is killed at random moments: no request has two attempts in flight at
+// once, none that is not idempotent is sent again, none that was accepted is left without its outcome, and no connection is
+// refused.
 func TestHandover_KilledAtFiftyRandomMoments(t *testing.T) {
 	const rounds = 50
 	p := newPlatform(t)
@@ -69,17 +70,17 @@
 	p.shareListener()
 	p.addEndpoint("h1", 7)
 	p.endpoints[0].Share = 2000
-	chance := rand.New(rand.NewPCG(20261201, 18))
+	random := rand.New(rand.NewPCG(20261201, 18))
 	l := &load{accepted: map[string]bool{}}
-	out, ran, answered, twice := map[string]int{}, map[string]int{}, map[string]int{}, map[string]bool{}
+	inFlight, executed, answered, twice := map[string]int{}, map[string]int{}, map[string]int{}, map[string]bool{}
 	p.begunAttempts = make(chan string, 1<<20)
-	p.serveAttempt = func(w http.ResponseWriter, r *http.Request) {
+	p.serveAttempt = func(_ http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Request-Id")
 		l.mu.Lock()
-		out[id]++
-		twice[id] = twice[id] || out[id] > 1
-		ran[id]++
-		pause := time.Duration(chance.IntN(30)) * time.Millisecond
+		inFlight[id]++
+		twice[id] = twice[id] || inFlight[id] > 1
+		executed[id]++
+		pause := time.Duration(random.IntN(30)) * time.Millisecond
 		l.mu.Unlock()
 		select {
 		case <-time.After(pause):
@@ -97,7 +98,7 @@
 		if r.Context().Err() == nil {
 			answered[id]++
 		}
-		out[id]--
+		inFlight[id]--
 		l.mu.Unlock()
 	}
 	running := p.start()
@@ -109,14 +110,14 @@
 	kinds := map[string]int{}
 	for range rounds {
 		l.mu.Lock()
-		kind, after := chance.IntN(3), time.Duration(chance.IntN(60_000))*time.Microsecond
+		kind, after := random.IntN(3), time.Duration(random.IntN(60_000))*time.Microsecond
 		l.mu.Unlock()
 		p.addAdminEndpoint()
 		next := p.spawn()
 		switch kind {
 		case 0: // nobody dies
 			kinds["both live"]++
-			p.waitFor("the new process takes clients", next.isServing)
+			p.waitFor("the new process serves", next.isServing)
 			_ = running.Process.Signal(syscall.SIGTERM)
 			<-running.exited
 			running = next
@@ -124,18 +125,18 @@
 			kinds["the old one dies"]++
 			time.Sleep(after)
 			p.kill(running)
-			p.waitFor("the new process takes clients", next.isServing)
+			p.waitFor("the new process serves", next.isServing)
 			running = next
 		case 2: // the new one does
 			kinds["the new one dies"]++
 			time.Sleep(after)
 			p.kill(next)
-			p.waitFor("the old process takes clients", running.isServing)
+			p.waitFor("the old process serves", running.isServing)
 		}
 	}
 	close(stop)
 	clients.Wait()
-	p.waitFor("all have their end", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("all have their outcome", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ended := map[string]int{}
@@ -146,24 +147,24 @@
 	for id := range l.accepted {
 		var i int
 		_, _ = fmt.Sscanf(id[strings.Index(id, "-"):], "-%d", &i)
-		if ran[id]+ended[id] == 0 {
+		if executed[id]+ended[id] == 0 {
 			lost++
 		}
-		if i%3 == 2 && ran[id] > 1 {
+		if i%3 == 2 && executed[id] > 1 {
 			again++
 		}
 	}
 	for id := range twice {
-		// One whose process was killed may look out here for a moment longer than it was, but is not answered.
+		// One whose process was killed may look in flight here for a moment longer than it was, but is not answered.
 		if twice[id] && answered[id] > 1 {
-			l.faults = append(l.faults, "two attempts out: "+id)
+			l.faults = append(l.faults, "two attempts in flight: "+id)
 		}
 	}
 	for _, f := range l.faults {
 		t.Error(f)
 	}
 	if lost > 0 || again > 0 || len(l.accepted) < rounds {
-		t.Errorf("of %d taken on %d were lost, %d unsafe ones sent again", len(l.accepted), lost, again)
+		t.Errorf("of %d accepted %d were lost, %d not idempotent ones sent again", len(l.accepted), lost, again)
 	}
-	t.Logf("%v; %d taken on, %d given up", kinds, len(l.accepted), len(ended))
+	t.Logf("%v; %d accepted, %d failed", kinds, len(l.accepted), len(ended))
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -13,9 +13,9 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A process is replaced with calls out, messages held, a wait told, clients idle and a request half read: nothing is sent
-// twice or lost, no client sees a close, and the figures of the new process go on from what it took over. Then that one is
-// replaced as well.
+// A process is replaced with an attempt in flight, requests held, clients idle and a request half read: nothing is sent twice
+// or lost, no client sees a close, and the metrics of the successor go on from what it took over. Then that one is replaced
+// as well.
 func TestHandover_KeepsAttemptsAndConnections(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -49,17 +49,17 @@
 	if _, err := io.WriteString(half, text[:len(text)-2]); err != nil {
 		t.Fatal(err)
 	}
-	p.mustAccept("order", "out", "25") // unsafe: a second attempt would be a second effect
+	p.mustAccept("order", "out", "25") // not idempotent: a second attempt would have a second effect
 	p.nextAttempt()
 	p.waitFor("the half request is being read", func() bool { return p.health() == http.StatusOK })
 
 	for i := range 2 {
 		next := p.startSuccessor()
 		if old.isServing() {
-			t.Error("the old process says that it takes clients")
+			t.Error("the old process says that it serves")
 		}
 		if f := p.metrics(); f.Inflight != 1 || f.HostsListed != 1 {
-			t.Errorf("figures of process %d: %+v", i+2, f)
+			t.Errorf("metrics of process %d: %+v", i+2, f)
 		}
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -91,14 +91,14 @@
 		return f.Inflight == 0 && f.Success["status"] == 2 && f.Success["order"] == 1
 	})
 	if got := p.attempts(); len(got) != 3 {
-		t.Errorf("calls %v", got)
+		t.Errorf("attempts %v", got)
 	}
 	if n := p.receivedNotices(); len(n) != 0 {
 		t.Errorf("notices %v", n)
 	}
 }
 
-// What a partner told the old process to wait for, and an outage that it saw, bind the new one; standby goes on.
+// A Retry-After that the old process got, and an outage that it saw, bind the successor; standby goes on.
 func TestHandover_KeepsWaitsAndStandby(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -113,23 +113,23 @@
 		e := readEntries(t, p.dir)
 		return len(e) == 1 && len(e[0].Attempts) == 1 && e[0].Attempts[0].Ended
 	})
-	p.postAdmin("/standby", http.StatusOK)
+	p.postAdmin("/standby")
 	p.startSuccessor()
 	if got := p.health(); got != http.StatusServiceUnavailable {
-		t.Errorf("health of a relay that stands by, replaced: %d", got)
+		t.Errorf("health of a successor in standby: %d", got)
 	}
-	p.postAdmin("/active", http.StatusOK)
-	// A new process that knew of no wait would take it on and send it at once; with 20 s to wait it is late.
+	p.postAdmin("/active")
+	// A process that knew of no Retry-After would accept it and send it at once; with 20 s to wait it is late.
 	if resp := p.submit("status", "b", "5"); resp.StatusCode != http.StatusTooManyRequests {
-		t.Errorf("in a wait: %s", resp.Status)
+		t.Errorf("during the wait: %s", resp.Status)
 	}
 	if got := p.attempts(); len(got) != 1 {
-		t.Errorf("calls in a wait: %v", got)
+		t.Errorf("attempts during the wait: %v", got)
 	}
 }
 
-// A process that took over dies before the old one is told to end: the old one takes the folder back, and the message that
-// it had handed over comes to its end.
+// A successor dies before the old process is told to end: the old one owns the folder again, and the request that it had
+// handed over is delivered.
 func TestHandover_PredecessorGoesOnWhenSuccessorDies(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -143,7 +143,7 @@
 	next := p.startSuccessor()
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.kill(next)
-	p.waitFor("the old process takes clients again", old.isServing)
+	p.waitFor("the old process serves again", old.isServing)
 	p.adminAddr = first
 	p.nextAttempt()
 	p.waitFor("it is delivered", func() bool { return p.metrics().Success["status"] == 1 })
@@ -152,8 +152,8 @@
 	}
 }
 
-// A process that keeps undelivered messages is replaced while one is out, one waits for its partner and one is in the store:
-// each is kept once, or delivered, and the new process has the store.
+// A process with a dead-letter store is replaced while one request is in flight, one waits for its destination and one is in
+// the store: each is stored once, or delivered, and the successor has the store.
 func TestHandover_WithDeadLetterStore(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -171,7 +171,7 @@
 	p.mustAccept("status", "stored", "1")
 	p.waitFor("one is in the store", func() bool { return len(p.receivedNotices()) == 1 && p.journalSize() == 0 })
 	p.mustAccept("order", "out", "25")
-	p.waitFor("it is out", func() bool { return slices.Contains(p.attempts(), "out") })
+	p.waitFor("it is in flight", func() bool { return slices.Contains(p.attempts(), "out") })
 	p.mustAccept("status", "waits", "4")
 	next := p.startSuccessor()
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
@@ -181,9 +181,9 @@
 		t.Errorf("the old process ended with %v: %s", err, old.Stderr)
 	}
 	answer <- http.StatusOK
-	p.waitFor("all are over", func() bool { return len(p.receivedNotices()) == 2 && p.journalSize() == 0 })
+	p.waitFor("all are completed", func() bool { return len(p.receivedNotices()) == 2 && p.journalSize() == 0 })
 	if f := p.metrics(); f.Success["order"] != 1 || f.Busy["status"] != 1 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("metrics %+v", f)
 	}
 	p.kill(next)
 	for _, id := range []string{"stored", "waits"} {
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -24,20 +24,20 @@
 	"frostlink/policy"
 )
 
-// postAdmin makes a call at the operators' door.
-func (p *platform) postAdmin(path string, want int) {
+// postAdmin makes a call at the admin endpoint, which has to succeed.
+func (p *platform) postAdmin(path string) {
 	p.t.Helper()
 	resp, err := http.Post("http://"+p.adminAddr+path, "", nil)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	if resp.StatusCode != want {
+	if resp.StatusCode != http.StatusOK {
 		p.t.Errorf("%s: %s", path, resp.Status)
 	}
 }
 
-// health is what clients' front is told; 0 for nothing.
+// health returns the status of the health check; 0 for none.
 func (p *platform) health() int {
 	resp, err := http.Get("http://" + p.addr + "/_health")
 	if err != nil {
@@ -83,13 +83,13 @@
 	return c
 }
 
-// rawOrderHead is the head of a message of five bytes.
+// rawOrderHead returns the head of a request with a body of five bytes.
 func rawOrderHead(id string) string {
 	return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nTenant: acme\r\nRequest-Timeout: 25\r\n"+
 		"X-Envelope: dest=7\r\nContent-Length: 5\r\n\r\n", id)
 }
 
-// rawStatusRequest is a message of class status on a connection of its own.
+// rawStatusRequest returns a request of class status.
 func rawStatusRequest(id string) string {
 	return "POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nTenant: acme\r\nRequest-Timeout: 25\r\n" +
 		"X-Envelope: dest=7\r\nContent-Length: 4\r\n\r\nbody"
@@ -102,7 +102,7 @@
 	}
 }
 
-// expectFinalAccepted reads an answer that has to say that a message is taken on, and that its connection carries no other.
+// expectFinalAccepted reads a response that has to say that a request is accepted, and that its connection carries no other.
 func (p *platform) expectFinalAccepted(what string, c net.Conn) {
 	p.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -115,14 +115,14 @@
 	}
 }
 
-// nextAttempt waits for a call at a host and returns its id.
+// nextAttempt waits for an attempt at an endpoint and returns its request's id.
 func (p *platform) nextAttempt() string {
 	p.t.Helper()
 	select {
 	case id := <-p.begunAttempts:
 		return id
 	case <-time.After(waittest.Long):
-		p.t.Fatal("no call came")
+		p.t.Fatal("no attempt came")
 		return ""
 	}
 }
@@ -139,7 +139,7 @@
 	return append([]notification.Notice(nil), p.notices...)
 }
 
-// submit hands a message in and returns the answer.
+// submit submits a request and returns the response.
 func (p *platform) submit(class, id, timeout string, change ...func(*http.Request)) *http.Response {
 	p.t.Helper()
 	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
@@ -162,7 +162,7 @@
 	return resp
 }
 
-// mustAccept hands a message in that has to be taken on.
+// mustAccept submits a request that has to be accepted.
 func (p *platform) mustAccept(class, id, timeout string) {
 	p.t.Helper()
 	if resp := p.submit(class, id, timeout); resp.StatusCode != http.StatusAccepted {
@@ -170,7 +170,7 @@
 	}
 }
 
-// trySubmit hands a message in, also where nobody listens, and gives the status of its answer; 0 for none.
+// trySubmit submits a request, also where nobody listens, and returns the status of its response; 0 for none.
 func (p *platform) trySubmit(class, id, timeout string) int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
 	if err != nil {
@@ -190,12 +190,12 @@
 	return resp.StatusCode
 }
 
-// orderKey has a message be about something, in the way of classes in order.
+// orderKey gives a request a key, in the way of classes that keep their order.
 func orderKey(name string) func(*http.Request) {
 	return func(r *http.Request) { r.Header.Set("Cookie", "other=1; subject="+name) }
 }
 
-// firstAttempts are the messages that hosts were sent, in the order of their first calls: one that is not answered is sent again.
+// firstAttempts returns the ids of the requests that endpoints were sent, in the order of their first attempts.
 func (p *platform) firstAttempts() (ids []string) {
 	for _, id := range p.attempts() {
 		if !slices.Contains(ids, id) {
@@ -205,18 +205,18 @@
 	return ids
 }
 
-// blockAttempts has calls of one message wait until it is opened.
-func (p *platform) blockAttempts(id string) (open func()) {
-	free := make(chan bool)
-	open = sync.OnceFunc(func() { close(free) })
-	p.t.Cleanup(open)
+// blockAttempts has attempts of one request wait until unblock is called.
+func (p *platform) blockAttempts(id string) (unblock func()) {
+	released := make(chan bool)
+	unblock = sync.OnceFunc(func() { close(released) })
+	p.t.Cleanup(unblock)
 	p.respond = func(r *http.Request) int {
 		if r.Header.Get("Request-Id") == id {
-			<-free
+			<-released
 		}
 		return http.StatusOK
 	}
-	return open
+	return unblock
 }
 
 // orderClass has a class keep its order.
@@ -226,10 +226,10 @@
 	}
 }
 
-// watchLine is a change of one host, as a watch tells it.
-func watchLine(t *testing.T, seq int64, hosts ...discovery.Endpoint) string {
+// watchLine returns a change of the list, as a watch brings it.
+func watchLine(t *testing.T, seq int64, endpoints ...discovery.Endpoint) string {
 	t.Helper()
-	line, err := json.Marshal(discovery.EndpointList{Seq: seq, Endpoints: hosts})
+	line, err := json.Marshal(discovery.EndpointList{Seq: seq, Endpoints: endpoints})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,7 +246,7 @@
 	return j
 }
 
-// openEarlierJournal is the journal of an earlier process.
+// openEarlierJournal opens the journal of an earlier process.
 func openEarlierJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, err := journal.Open(dir, 3, false)
@@ -274,14 +274,14 @@
 	return readJournal(t, dir).Health()
 }
 
-// refusingAddress is an address at which connections are refused.
+// refusingAddress returns an address at which connections are refused.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	p := newPlatform(t)
 	return p.addr
 }
 
-// shownMetrics are what the door of a relay under test shows.
+// shownMetrics are what the admin endpoint of a relay under test shows.
 type shownMetrics struct {
 	Success, Busy, Failure map[string]int
 	BackendCalls           int `json:"backend_calls"`
@@ -292,7 +292,7 @@
 	ReconfigFailed         int `json:"reconfig_failed"`
 }
 
-// metrics reads the door.
+// metrics reads the metrics.
 func (p *platform) metrics() (f shownMetrics) {
 	p.t.Helper()
 	resp, err := http.Get("http://" + p.adminAddr + "/status/metrics")
@@ -306,7 +306,7 @@
 	return f
 }
 
-// reloadConfig writes a configuration and has the relay read it, until the figures say that it did.
+// reloadConfig writes a configuration and has the relay read it, until the metrics say that it did.
 func (p *platform) reloadConfig(c *child, text string, good bool) {
 	p.t.Helper()
 	before := p.metrics()
@@ -316,7 +316,7 @@
 	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 		p.t.Fatal(err)
 	}
-	p.waitFor("the file is read", func() bool {
+	p.waitFor("the configuration is read", func() bool {
 		f := p.metrics()
 		if good {
 			return f.ReconfigOK == before.ReconfigOK+1
@@ -334,7 +334,7 @@
 	return string(raw)
 }
 
-// loopWithAcceptedRequest is a loop with an accepted message of a class, and without anything that would act by itself.
+// loopWithAcceptedRequest returns a loop with an accepted request of a class, and without anything that would act by itself.
 func loopWithAcceptedRequest(t *testing.T, class policy.Class, left time.Duration) (*loop, *request) {
 	t.Helper()
 	j, err := journal.Open(t.TempDir(), 1, false)
@@ -348,10 +348,10 @@
 		cfg: cfg, timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, metrics: admin.NewMetrics(nil),
 		notifier: notification.New("127.0.0.1:0", nil), endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{},
 	}
-	m := &request{state: stateAccepted, Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
-	j.SetTerms(m.Entry, class)
-	j.Accept(m.Entry)
-	l.requests[m.ID] = m
-	l.deadlines.Add(m.ID, m.Deadline)
-	return l, m
+	r := &request{state: stateAccepted, Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
+	j.SetTerms(r.Entry, class)
+	j.Accept(r.Entry)
+	l.requests[r.ID] = r
+	l.deadlines.Add(r.ID, r.Deadline)
+	return l, r
 }
--- a/internal/relay/invariants_test.go
+++ b/internal/relay/invariants_test.go
@@ -9,13 +9,13 @@
 	"frostlink/policy"
 )
 
-// Whatever the module asks for against the invariants is counted and not done.
+// Whatever the dispatcher asks for against the invariants is counted and not done.
 func TestInvariants_StopForbiddenAttempts(t *testing.T) {
-	unsafe := policy.Class{Name: "order", Idempotency: policy.NotIdempotent}
-	keyed := policy.Class{Name: "payment", Idempotency: policy.IdempotentByKey, KeyTTL: time.Millisecond}
-	doubtful := func(l *loop, m *request) {
-		l.journal.BeginAttempt(m.Entry, "h", l.timeline.Now().Add(-time.Second))
-		l.journal.EndAttempt(m.Entry, false, "reset", l.timeline.Now())
+	notIdempotent := policy.Class{Name: "order", Idempotency: policy.NotIdempotent}
+	idempotentByKey := policy.Class{Name: "payment", Idempotency: policy.IdempotentByKey, KeyTTL: time.Millisecond}
+	withUnknownOutcome := func(l *loop, r *request) {
+		l.journal.BeginAttempt(r.Entry, "h", l.timeline.Now().Add(-time.Second))
+		l.journal.EndAttempt(r.Entry, false, "reset", l.timeline.Now())
 	}
 	for name, c := range map[string]struct {
 		class   policy.Class
@@ -23,18 +23,18 @@
 		before  func(*loop, *request)
 		violate invariant.Kind
 	}{
-		"a send after the end":          {unsafe, time.Minute, func(_ *loop, m *request) { m.state = stateOutcomeDecided }, -1}, // passed over: its end may cross the send
-		"a send after the deadline":     {unsafe, -time.Second, nil, invariant.SendAfterDeadline},
-		"a send while one is out":       {unsafe, time.Minute, func(_ *loop, m *request) { m.attemptInFlight = true }, invariant.SecondAttempt},
-		"an unsafe message twice":       {unsafe, time.Minute, doubtful, invariant.NonIdempotentRepeat},
-		"a keyed message out of memory": {keyed, time.Minute, doubtful, invariant.ExpiredKeyRepeat},
+		"after the outcome":      {notIdempotent, time.Minute, func(_ *loop, r *request) { r.state = stateOutcomeDecided }, -1}, // ignored: the outcome may cross the send
+		"after the deadline":     {notIdempotent, -time.Second, nil, invariant.SendAfterDeadline},
+		"while one is in flight": {notIdempotent, time.Minute, func(_ *loop, r *request) { r.attemptInFlight = true }, invariant.SecondAttempt},
+		"not idempotent, twice":  {notIdempotent, time.Minute, withUnknownOutcome, invariant.NonIdempotentRepeat},
+		"key expired":            {idempotentByKey, time.Minute, withUnknownOutcome, invariant.ExpiredKeyRepeat},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, m := loopWithAcceptedRequest(t, c.class, c.left)
+			l, r := loopWithAcceptedRequest(t, c.class, c.left)
 			if c.before != nil {
-				c.before(l, m)
+				c.before(l, r)
 			}
-			l.planAttempt(l.now(), policy.Send{ID: m.ID, Endpoint: "h"})
+			l.planAttempt(l.now(), policy.Send{ID: r.ID, Endpoint: "h"})
 			if len(l.attempts) != 0 {
 				t.Error("it is sent")
 			}
@@ -45,35 +45,35 @@
 	}
 }
 
-// An attempt whose record was not written is not made.
+// An attempt whose record was not written is not started.
 func TestInvariants_StopUnrecordedAttempt(t *testing.T) {
-	l, m := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
-	l.planAttempt(l.now(), policy.Send{ID: m.ID, Endpoint: "h"})
+	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
+	l.planAttempt(l.now(), policy.Send{ID: r.ID, Endpoint: "h"})
 	l.startAttempt(t.Context(), l.attempts[0]) // and no commit
 	if l.attemptsInFlight != 0 || l.violations.ByKind()[invariant.SendUnrecorded.String()] != 1 {
-		t.Errorf("%d out, counted: %v", l.attemptsInFlight, l.violations.ByKind())
+		t.Errorf("%d in flight, counted: %v", l.attemptsInFlight, l.violations.ByKind())
 	}
 }
 
-// A message that the module forgets is ended all the same, and its call given up.
+// A request that the dispatcher forgets is failed all the same, and its attempt cancelled.
 func TestInvariants_FailOverdueRequests(t *testing.T) {
-	l, m := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms past what is allowed
+	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms past what is allowed
 	ctx, cancel := context.WithCancel(t.Context())
-	m.cancel = cancel
+	r.cancel = cancel
 	l.failOverdue()
 	l.failOverdue()
 	if err := l.journal.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	for _, do := range l.effects.immediate {
-		do()
+	for _, run := range l.effects.immediate {
+		run()
 	}
 	l.runAfterCommitEffects(true)
-	if !m.completed() || m.PendingNotice == nil || ctx.Err() == nil || l.violations.ByKind()[invariant.CompletionOverdue.String()] != 1 {
-		t.Errorf("over %v, owed %v, call %v, counted: %v", m.completed(), m.PendingNotice, ctx.Err(), l.violations.ByKind())
+	if !r.completed() || r.PendingNotice == nil || ctx.Err() == nil || l.violations.ByKind()[invariant.CompletionOverdue.String()] != 1 {
+		t.Errorf("completed %v, owed %v, attempt %v, counted: %v", r.completed(), r.PendingNotice, ctx.Err(), l.violations.ByKind())
 	}
-	l.decideOutcome(m, "once more")
+	l.decideOutcome(r, "once more")
 	if l.violations.ByKind()[invariant.CompletedTwice.String()] != 1 {
-		t.Errorf("a second end is not counted: %v", l.violations.ByKind())
+		t.Errorf("a second outcome is not counted: %v", l.violations.ByKind())
 	}
 }
--- a/internal/relay/node_test.go
+++ b/internal/relay/node_test.go
@@ -10,18 +10,18 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// A relay that cannot listen ends with an error before it has called anyone.
+// A relay that cannot listen ends with an error before it has made an attempt.
 func TestRun_FailsWhenItCannotListen(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
 	j := openEarlierJournal(t, p.dir)
 	j.Accept(&journal.Entry{ID: "m", Class: "status", Destination: 7, Deadline: j.Timeline().Now().Add(time.Minute)})
 	mustCommit(t, j)
-	taken, err := net.Listen("tcp", p.addr)
+	occupied, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	cfg, err := ReadConfig(p.writeConfig())
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 		t.Errorf("error %v", err)
 	}
 	if e := readEntries(t, p.dir); len(e) != 1 || len(e[0].Attempts) != 0 {
-		t.Errorf("the journal was worked on: %v", e)
+		t.Errorf("the journal was changed: %v", e)
 	}
 }
 
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -27,7 +27,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// childConfig, childState and childOwn make the test program a relay, so that tests can kill one.
+// childConfig, childState and childOperator make the test program a relay, so that tests can kill one.
 const childConfig, childState, childOperator = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_OPERATOR"
 
 func TestMain(m *testing.M) {
@@ -38,8 +38,8 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := ReadConfig(path)
-	if own := os.Getenv(childOperator); err == nil && own != "" {
-		cfg.Own, err = operatorconfig.Read(own)
+	if operatorPath := os.Getenv(childOperator); err == nil && operatorPath != "" {
+		cfg.Own, err = operatorconfig.Read(operatorPath)
 	}
 	if fd := os.Getenv("NODE_LISTEN_FD"); err == nil && fd != "" {
 		cfg.ListenFD, err = strconv.Atoi(fd)
@@ -58,8 +58,8 @@
 	}
 }
 
-// testSettings has a class of each effect; memory is that of the keyed one, in seconds.
-func testSettings(memory float64) string {
+// testSettings has a class of each idempotency; keyTTL is how long keys are remembered, in seconds.
+func testSettings(keyTTL float64) string {
 	return fmt.Sprintf(`{"az":0,"categories":[
 	 {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
 	 {"name":"payment","aim_s":2,"deadline_s":30,"idempotency":"dedup","group":"all","memory_span_s":%v,"points":2},
@@ -68,10 +68,10 @@
 	 "max_open":50,"max_retry_after_s":3,"retry_after":true},"localities":["a"],"n_instances":1,"quantum_s":0.002,
 	 "rules":{"cold_share":0.2,"overload_factor":2.5,"overload_for_s":1.5,"ramp_time_s":10},"shapes":["m2"],
 	 "specifics":{"bundle_max":[1],"loses_worth":"linear","max_calls":8,"separate_routes":[false]},
-	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, memory)
+	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, keyTTL)
 }
 
-// platform stands for what a relay has round it: discovery, the hosts of destination 7, and its disk.
+// platform stands in for what a relay has around it: discovery, the endpoints of destination 7, and its disk.
 type platform struct {
 	t                *testing.T
 	discovery        *httptest.Server    // the one that the configuration names
@@ -79,22 +79,22 @@
 	operatorPath     string              // of the operator's file; empty: none
 	program          string              // the real program; empty: this one as a relay
 	addr             string              // the relay's
-	adminAddr        string              // its operators' door; empty: none
+	adminAddr        string              // of its admin endpoint; empty: none
 	listenerFile     *os.File            // the clients' socket, where the platform holds it
 	changeSettings   func(string) string // changes the settings that the configuration has
 	dir              string
 	keyTTL           float64
 	diskMB           float64 // MB of the folder that lasts
-	noKnownEndpoints bool    // the configuration lists no host
+	noKnownEndpoints bool    // the configuration lists no endpoint
 	changesOnly      bool    // watches begin with no list
 	discoveryDown    bool    // watches fail
 
 	mu             sync.Mutex
 	endpoints      []discovery.Endpoint
-	respond        func(*http.Request) int                  // a host's status; 0 for no answer while the call lasts
-	responseHeader map[string]string                        // of hosts' answers
-	serveAttempt   func(http.ResponseWriter, *http.Request) // answers in place of all that
-	attemptIDs     []string                                 // ids that hosts were sent
+	respond        func(*http.Request) int                  // an endpoint's status; 0 for no response while the attempt lasts
+	responseHeader map[string]string                        // of endpoints' responses
+	serveAttempt   func(http.ResponseWriter, *http.Request) // serves attempts in place of all that
+	attemptIDs     []string                                 // ids that endpoints were sent
 	begunAttempts  chan string                              // the same, as they come
 	watches        []string                                 // address and query of each watch
 	endedWatches   []string                                 // addresses whose watch has ended
@@ -155,7 +155,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// addEndpoint starts a host of a destination.
+// addEndpoint starts an endpoint of a destination.
 func (p *platform) addEndpoint(id string, dest int) discovery.Endpoint {
 	s := httptest.NewServer(http.HandlerFunc(p.serveEndpoint))
 	p.t.Cleanup(func() {
@@ -330,19 +330,19 @@
 	return c
 }
 
-// startSuccessor starts a process beside the one that runs, and waits until it takes clients.
+// startSuccessor starts a process beside the one that runs, and waits until it serves.
 func (p *platform) startSuccessor() *child {
 	p.t.Helper()
 	p.addAdminEndpoint()
 	c := p.spawn()
-	p.waitFor("the new process takes clients", c.isServing)
+	p.waitFor("the new process serves", c.isServing)
 	return c
 }
 
-// addAdminEndpoint has the configuration name an address for operators.
+// addAdminEndpoint has the configuration name an address for the admin endpoint.
 func (p *platform) addAdminEndpoint() { p.adminAddr = freeAddress(p.t) }
 
-// kill ends a relay as an outright kill does.
+// kill ends a relay by SIGKILL.
 func (p *platform) kill(c *child) {
 	p.t.Helper()
 	if err := c.Process.Kill(); err != nil {
@@ -351,17 +351,17 @@
 	<-c.exited
 }
 
-// waitFor waits for something to come true; how long that takes decides nothing.
+// waitFor waits for a condition; how long that takes decides nothing.
 func (p *platform) waitFor(what string, true func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(waittest.Long); !true(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("waited in vain: %s", what)
+			p.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// isServing tells whether a process says that it takes clients.
+// isServing reports whether a process says that it serves.
 func (c *child) isServing() bool {
 	resp, err := http.Get("http://" + c.adminAddr + "/status")
 	if err != nil {
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -9,30 +9,30 @@
 	"frostlink/internal/notification"
 )
 
-// A process is killed with a call out. The next one may make it again only as its class allows, and ends
-// each message exactly once.
+// A process is killed with an attempt in flight. The next one may repeat it only as its class allows, and decides one outcome
+// for each request.
 func TestRecovery_AttemptInFlightAtKill(t *testing.T) {
 	tests := []struct {
 		name, class string
-		memory      float64
-		again       bool
+		keyTTL      float64
+		repeated    bool
 	}{
-		{"safe", "status", 15, true},
-		{"keyed, remembered", "payment", 15, true},
-		{"keyed, forgotten", "payment", 0.05, false},
-		{"unsafe", "order", 15, false},
+		{"idempotent", "status", 15, true},
+		{"key remembered", "payment", 15, true},
+		{"key expired", "payment", 0.05, false},
+		{"not idempotent", "order", 15, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPlatform(t)
-			p.keyTTL = tt.memory
+			p.keyTTL = tt.keyTTL
 			p.addEndpoint("h1", 7)
 			p.respond = func(*http.Request) int { return 0 }
 			c := p.start()
 			p.mustAccept(tt.class, "m", "25")
 			p.nextAttempt()
 			p.kill(c)
-			time.Sleep(100 * time.Millisecond) // past the short memory
+			time.Sleep(100 * time.Millisecond) // past the short key TTL
 			var key string
 			p.update(func() {
 				p.respond = func(r *http.Request) int {
@@ -41,36 +41,36 @@
 				}
 			})
 			p.start()
-			if tt.again {
+			if tt.repeated {
 				p.nextAttempt()
 				if key != "key-m" {
 					t.Errorf("key %q", key)
 				}
 			}
-			p.waitFor("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
-			want := map[bool]int{true: 2, false: 1}[tt.again]
+			p.waitFor("it is completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			want := map[bool]int{true: 2, false: 1}[tt.repeated]
 			if got := p.attempts(); len(got) != want {
-				t.Errorf("calls %v, want %d", got, want)
+				t.Errorf("attempts %v, want %d", got, want)
 			}
-			if n := p.receivedNotices(); len(n) != map[bool]int{true: 0, false: 1}[tt.again] {
+			if n := p.receivedNotices(); len(n) != map[bool]int{true: 0, false: 1}[tt.repeated] {
 				t.Errorf("notices %v", n)
 			} else if tt.class == "order" && n[0].Status != notification.Undeliverable {
-				t.Errorf("an unsafe message that may have run was handed back: %v", n)
+				t.Errorf("a request that is not idempotent, with unknown outcome, was deferred: %v", n)
 			}
 		})
 	}
 }
 
-// Attempts that never ran do not bind the next process, and a message keeps its time: one whose time ran
-// out between two processes still gets its end.
+// Attempts that were not executed do not bind the next process, and a request keeps its deadline: one whose deadline passed
+// between two processes is still failed.
 func TestRecovery_NotExecutedAttemptsAllowRetry(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
 	p.endpoints[0].Dial, p.endpoints[0].Share = refusingAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
 	p.mustAccept("order", "late", "0.6")
-	p.mustAccept("order", "kept", "25")
-	p.waitFor("an attempt is noted", func() bool {
+	p.mustAccept("order", "open", "25")
+	p.waitFor("an attempt is in the journal", func() bool {
 		e := readEntries(t, p.dir)
 		return len(e) > 0 && len(e[0].Attempts) > 0 && e[0].Attempts[0].NotExecuted
 	})
@@ -78,16 +78,16 @@
 	time.Sleep(600 * time.Millisecond)
 	p.update(func() { p.endpoints[0] = h })
 	p.start()
-	if id := p.nextAttempt(); id != "kept" {
-		t.Errorf("call for %s", id)
+	if id := p.nextAttempt(); id != "open" {
+		t.Errorf("attempt for %s", id)
 	}
-	p.waitFor("both are over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("both are completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 1 || n[0].ID != "late" {
 		t.Errorf("notices %v", n)
 	}
 }
 
-// A message whose class the settings no longer have is ended all the same.
+// A request whose class the settings no longer have is failed all the same.
 func TestRecovery_FailsRequestOfRemovedClass(t *testing.T) {
 	dir := t.TempDir()
 	j := openEarlierJournal(t, dir)
--- a/internal/relay/redelivery.go
+++ b/internal/relay/redelivery.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// returnRedelivery tells the store that no attempt of a redelivery was made; newer is the id of the request that has
+// returnRedelivery returns a redelivery to the store, of which no attempt was made; newer is the id of the request that has
 // superseded it, if one has.
 func (d *deadLetterLink) returnRedelivery(r *request, newer string) {
 	r.transition(stateEvicted)
@@ -50,7 +50,7 @@
 	d.loop.acknowledged(r)
 }
 
-// decideRedelivery decides a redelivery's terminal outcome: the store is told, and only then the journal drops it. newer is
+// decideRedelivery decides a redelivery's terminal outcome: the store records it, and only then the journal drops it. newer is
 // the id of the request that has superseded it, for that outcome.
 func (d *deadLetterLink) decideRedelivery(r *request, status, newer string) {
 	l := d.loop
@@ -68,7 +68,7 @@
 	}
 	l.recordOutcome(r, notification.Notice{ID: r.ID, Status: status}, reason, l.timeline.Now())
 	l.afterCommit(func() { l.publishOutcome(r) })
-	l.acknowledged(r) // nobody but the store is told
+	l.acknowledged(r) // the platform is owed nothing
 }
 
 // cancelSuperseded cancels the redeliveries of which a newer request came in this batch: those that would start now do not,
--- a/internal/relay/redelivery_test.go
+++ b/internal/relay/redelivery_test.go
@@ -11,17 +11,17 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A message that was given up is resent by a rule, under a new id with its key and body, once it can be delivered;
-// the platform hears of no end but the first.
+// A dead letter is redelivered by a rule, under a new id with its key and body, once it can be delivered; the platform is
+// notified of the first outcome only.
 func TestRedelivery_DeliversUnderNewID(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
 	p.addEndpoint("h1", 7)
-	type call struct{ id, key, length string }
-	calls := make(chan call, 100)
+	type attempt struct{ id, key, length string }
+	attempts := make(chan attempt, 100)
 	var up atomic.Bool
 	p.respond = func(r *http.Request) int {
-		calls <- call{r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), r.Header.Get("Content-Length")}
+		attempts <- attempt{r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), r.Header.Get("Content-Length")}
 		if up.Load() {
 			return http.StatusOK
 		}
@@ -29,64 +29,64 @@
 	}
 	c := p.start()
 	p.mustAccept("order", "a", "1")
-	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	up.Store(true)
-	p.waitFor("it is resent", func() bool { return len(p.redeliveries()) == 1 })
-	p.waitFor("the journal lets go of both", func() bool { return p.journalSize() == 0 })
+	p.waitFor("it is redelivered", func() bool { return len(p.redeliveries()) == 1 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
 	if totals.States[deadletter.Delivered] != 1 || len(r.Lives) != 2 || r.Last().ID != p.redeliveries()[0] || r.Last().Attempts[0].Ran != deadletter.Did {
 		t.Errorf("%+v, %+v", totals, r)
 	}
-	close(calls)
-	first, last := call{}, call{}
-	for k := range calls {
+	close(attempts)
+	first, last := attempt{}, attempt{}
+	for k := range attempts {
 		if first.id == "" {
 			first = k
 		}
 		last = k
 	}
 	if first.id != "a" || last.id != r.Last().ID || first.key != last.key {
-		t.Errorf("first call %+v, last %+v", first, last)
+		t.Errorf("first attempt %+v, last %+v", first, last)
 	}
 	if len(p.receivedNotices()) != 1 {
 		t.Errorf("notices %+v", p.receivedNotices())
 	}
 }
 
-// What may have run is not resent, whatever the rule says; and while a partner is down only a few resends go.
+// What has an unknown outcome is not redelivered, whatever the rule says; what was rejected is.
 func TestRedelivery_UnknownOutcomeIsHeld(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
 	p.addEndpoint("h1", 7)
 	p.addEndpoint("h2", 8)
 	p.respond = func(r *http.Request) int {
-		if strings.HasPrefix(r.Header.Get("Request-Id"), "ran") {
+		if strings.HasPrefix(r.Header.Get("Request-Id"), "executed") {
 			return http.StatusInternalServerError
 		}
 		return http.StatusServiceUnavailable
 	}
 	c := p.start()
-	p.mustAccept("order", "ran", "20")
-	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.mustAccept("order", "executed", "20")
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	if resp := p.submit("order", "full", "1", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") }); resp.StatusCode != 202 {
 		t.Fatal(resp.Status)
 	}
 	p.waitFor("the other one too", func() bool { return len(p.receivedNotices()) == 2 })
-	p.waitFor("the other one is resent", func() bool { return len(p.redeliveries()) > 0 })
+	p.waitFor("the other one is redelivered", func() bool { return len(p.redeliveries()) > 0 })
 	p.kill(c)
-	if r, _ := p.deadLetter(folder, "ran"); len(r.Lives) != 1 || r.State != deadletter.Held || !strings.Contains(r.Why, "may have run") {
+	if r, _ := p.deadLetter(folder, "executed"); len(r.Lives) != 1 || r.State != deadletter.Held || !strings.Contains(r.Why, "may have run") {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A relay that is killed while a resend is out counts that as one that may have run, also where the next process ends it.
+// Of a redelivery that is in flight when its relay is killed the outcome is unknown, also where the next process ends it.
 func TestRedelivery_KilledInFlightHasUnknownOutcome(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
 	p.addEndpoint("h1", 7)
 	var stuck atomic.Bool
-	p.respond = func(r *http.Request) int {
+	p.respond = func(*http.Request) int {
 		if stuck.Load() {
 			return 0
 		}
@@ -94,21 +94,21 @@
 	}
 	c := p.start()
 	p.mustAccept("order", "a", "1")
-	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	stuck.Store(true)
-	p.waitFor("a resend is out", func() bool { return len(p.redeliveries()) > 0 })
+	p.waitFor("a redelivery is in flight", func() bool { return len(p.redeliveries()) > 0 })
 	p.kill(c)
 	before := len(p.redeliveries())
 	c = p.start()
-	p.waitFor("the journal lets go", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
 	if totals.Messages != 1 || r.State != deadletter.Held || r.MayHaveRun() == nil || len(p.redeliveries()) != before {
-		t.Errorf("%+v, %d calls more", r, len(p.redeliveries())-before)
+		t.Errorf("%+v, %d more attempts", r, len(p.redeliveries())-before)
 	}
 }
 
-// A status that a newer one of its parcel has overtaken is not resent, and says by which; those of other parcels are,
+// A status that a newer one of its parcel has superseded is not redelivered, and says by which; those of other parcels are,
 // and an older one does not stand in the way. A killed process changes nothing of that.
 func TestRedelivery_SupersededIsNotSent(t *testing.T) {
 	p := newPlatform(t)
@@ -127,7 +127,7 @@
 	p.mustAcceptStatus("other", "1", "k-2", "5")
 	p.mustAcceptStatus("waits", "1", "k-3", "5")
 	p.mustAcceptStatus("newer", "1", "k-3", "6.5")
-	p.waitFor("all are given up", func() bool { return len(p.receivedNotices()) == 4 })
+	p.waitFor("all have failed", func() bool { return len(p.receivedNotices()) == 4 })
 	up.Store(true)
 	p.waitFor("a newer one is delivered", func() bool {
 		return p.submit("status", "new", "9", parcelStatus("k-1", "6")).StatusCode == http.StatusAccepted
@@ -140,8 +140,8 @@
 	}
 	p.kill(c)
 	c = p.start()
-	p.waitFor("two are resent", func() bool { return len(p.redeliveries()) == 2 })
-	p.waitFor("the journal lets go of all", func() bool { return p.journalSize() == 0 })
+	p.waitFor("two are redelivered", func() bool { return len(p.redeliveries()) == 2 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.readDeadLetters(folder, func(s *deadletter.Store) {
 		for id, want := range map[string]struct {
@@ -159,14 +159,14 @@
 	})
 }
 
-// A newer status that comes while an older one is being resent has that given up at once.
+// A newer status that comes while an older one is being redelivered has that cancelled at once.
 func TestRedelivery_CancelledWhenSuperseded(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(parcelSubjects)
 	p.seedKnownTopics(folder)
 	p.addEndpoint("h1", 7)
 	var stuck atomic.Bool
-	gone := make(chan bool, 1)
+	cancelled := make(chan bool, 1)
 	p.respond = func(r *http.Request) int {
 		switch {
 		case !stuck.Load():
@@ -174,7 +174,7 @@
 		case strings.HasPrefix(r.Header.Get("Request-Id"), "again-"):
 			go func() {
 				<-r.Context().Done()
-				gone <- true
+				cancelled <- true
 			}()
 			return 0
 		}
@@ -182,19 +182,19 @@
 	}
 	c := p.start()
 	p.mustAcceptStatus("old", "1", "k-1", "5")
-	p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	stuck.Store(true)
-	p.waitFor("a resend is out", func() bool { return len(p.redeliveries()) > 0 })
-	p.waitFor("a newer one is taken on", func() bool {
+	p.waitFor("a redelivery is in flight", func() bool { return len(p.redeliveries()) > 0 })
+	p.waitFor("a newer one is accepted", func() bool {
 		return p.submit("status", "new", "20", parcelStatus("k-1", "6")).StatusCode == http.StatusAccepted
 	})
 	select {
-	case <-gone:
+	case <-cancelled:
 	case <-time.After(waittest.Long):
-		t.Error("the resend's call goes on")
+		t.Error("the attempt of the redelivery goes on")
 	}
 	p.waitFor("the newer one has come", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "new") })
-	p.waitFor("the journal lets go of all", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.readDeadLetters(folder, func(s *deadletter.Store) {
 		r, err := s.Get("old")
@@ -204,7 +204,8 @@
 	})
 }
 
-// What can't be told is held: a parcel that nobody can read, and all of a store that has not been told for long.
+// Where it is not known what is newer, a request is held: one whose parcel can't be read, and all of a store that does not
+// know all that was delivered for long enough.
 func TestRedelivery_UnknownOrderIsHeld(t *testing.T) {
 	for name, c := range map[string]struct {
 		known  bool
@@ -226,12 +227,12 @@
 		if resp := p.submit("status", "a", "1", c.change); resp.StatusCode != http.StatusAccepted {
 			t.Fatal(resp.Status)
 		}
-		p.waitFor("it is given up", func() bool { return len(p.receivedNotices()) == 1 })
-		p.waitFor("it is kept", func() bool { return p.journalSize() == 0 })
-		time.Sleep(500 * time.Millisecond) // some rounds of the resender: one that did resend would show
+		p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+		p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
+		time.Sleep(500 * time.Millisecond) // some rounds of the resender: a redelivery would show
 		p.kill(child)
 		if len(p.redeliveries()) > 0 {
-			t.Errorf("%s: it was resent", name)
+			t.Errorf("%s: it was redelivered", name)
 		}
 		p.readDeadLetters(folder, func(s *deadletter.Store) {
 			if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Why, c.why) {
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// New settings under way: a class added is served, one that is gone is unknown to clients while its message keeps its
-// terms, also through a kill, and broken files change nothing and are counted.
+// New settings while the relay runs: a class added is served, one that is gone is unknown to clients while its requests keep
+// their terms, also through a kill, and broken files change nothing and are counted.
 func TestReload_AppliesNewSettings(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -18,8 +18,8 @@
 	p.respond = func(*http.Request) int { return 0 }
 	c := p.start()
 	good := readFile(t, p.configPath)
-	p.mustAccept("order", "old", "25")   // unsafe, and out
-	p.mustAccept("status", "safe", "25") // may be sent again by its terms, which the journal keeps
+	p.mustAccept("order", "old", "25")      // not idempotent, and in flight
+	p.mustAccept("status", "retried", "25") // may be retried by its terms, which the journal keeps
 	p.nextAttempt()
 	p.nextAttempt()
 
@@ -34,14 +34,14 @@
 		"a key is missing":     strings.Replace(good, `"ramp_time_s":10`, `"ramp":10`, 1),
 		"of a class":           strings.Replace(good, `"aim_s":2,`, ``, 1),
 		"a class twice":        strings.Replace(good, `"name":"order"`, `"name":"status"`, 1),
-		"an unknown effect":    strings.Replace(good, "fragile", "fragrant", 1),
+		"unknown idempotency":  strings.Replace(good, "fragile", "fragrant", 1),
 		"a class without name": strings.Replace(good, `"name":"order"`, `"name":""`, 1),
 	}
 	for name, text := range broken {
 		if text == good {
 			t.Fatalf("%s: nothing is broken", name)
 		}
-		// What a broken file says of the classes must not count in part either.
+		// What a broken file says of the classes must not be applied in part either.
 		p.reloadConfig(c, strings.Replace(text, `"name":"payment"`, `"name":"payment-x"`, 1), false)
 		if resp := p.submit("payment-x", name, "25"); resp.StatusCode != http.StatusNotFound {
 			t.Errorf("%s: a class of a broken file: %s", name, resp.Status)
@@ -61,19 +61,18 @@
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.changeSettings = renamed
 	p.start()
-	// All were out. Those of unsafe classes may have run, and fail; the safe one is sent again, though its class is gone.
-	p.waitFor("all have their end", func() bool { return len(p.receivedNotices()) == 2 && len(readEntries(t, p.dir)) == 0 })
+	// All were in flight. Those that are not idempotent fail; the idempotent one is retried, though its class is gone.
+	p.waitFor("all have their outcome", func() bool { return len(p.receivedNotices()) == 2 && len(readEntries(t, p.dir)) == 0 })
 	if got := p.attempts(); len(got) != 4 {
-		t.Errorf("calls %v, want one for each and one more for the safe one", got)
+		t.Errorf("attempts %v, want one for each and one more for the idempotent one", got)
 	}
 	if f := p.metrics(); f.Failure["order"] != 1 || f.Failure["order-ii"] != 1 || f.Success["status"] != 1 || f.Inflight != 0 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("metrics %+v", f)
 	}
 }
 
-// A hang-up moves the watch, which asks for the whole list, and the notices to the discovery that the
-// configuration names now; one with a configuration that can't be used changes nothing. Before, it ended the
-// process.
+// SIGHUP moves the watch, which asks for the full list, and the notices to the discovery that the configuration names now;
+// with a configuration that can't be used it changes nothing.
 func TestReload_MovesToAnotherDiscovery(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -81,12 +80,12 @@
 	p.respond = func(*http.Request) int { return 0 }
 	p.failingPosts = 1 << 30
 	c := p.start()
-	p.waitFor("the watch is on", func() bool {
+	p.waitFor("the watch is open", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(p.watches) == 1
 	})
-	hangUp := func() {
+	sendHangup := func() {
 		t.Helper()
 		if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
@@ -95,7 +94,7 @@
 	if err := os.WriteFile(p.configPath, []byte(`{"discovery":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	hangUp()
+	sendHangup()
 	p.mustAccept("order", "m", "0.4") // its notice can't be posted before the move
 	p.waitFor("the notice is owed", func() bool {
 		e := readEntries(t, p.dir)
@@ -106,20 +105,20 @@
 	}
 	addr := p.addDiscovery()
 	p.writeConfig()
-	hangUp()
+	sendHangup()
 	p.waitFor("the watch and the notices have moved", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !slices.Contains(p.endedWatches, old) {
 			return false
 		}
-		p.failingPosts = 0 // not before: the old one is not to hear what is posted until the move
+		p.failingPosts = 0 // not before: the old discovery must not receive what is posted until the move
 		return len(p.notices) > 0
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w := p.watches; len(w) != 2 || !strings.HasPrefix(w[1], addr) || !strings.Contains(w[1], "index=0") {
-		t.Errorf("watches: %v, want a second one at %s for the whole list", w, addr)
+		t.Errorf("watches: %v, want a second one at %s for the full list", w, addr)
 	}
 	if !slices.Equal(p.noticeAddrs, []string{addr}) {
 		t.Errorf("notices came to %v, want %s", p.noticeAddrs, addr)
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -20,13 +20,13 @@
 	"frostlink/policy"
 )
 
-// A planned end answers every request that is handed in until the connections close: one half read when the signal came, one on
-// a connection that had never carried any, one on a connection that was idle. A second signal changes nothing, nor does a
-// hang-up. What was taken on and not tried is tried by the next process, each once.
+// A graceful shutdown answers every request that is submitted until the connections close: one half read when the signal
+// came, one on a connection that had never carried any, one on a connection that was idle. A second signal changes nothing,
+// nor does SIGHUP. What was accepted and not delivered is attempted by the next process.
 func TestShutdown_AnswersEveryRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
-	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable } // nothing is over before the end
+	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable } // nothing is delivered before the end
 	c := p.start()
 	half, idle := p.openUsedConn(), p.openUsedConn()
 	fresh := p.openConn()
@@ -40,7 +40,7 @@
 		}
 	}
 	signal(syscall.SIGTERM)
-	p.waitFor("the end has begun", func() bool { // answers are the last on their connections
+	p.waitFor("the shutdown has begun", func() bool { // responses are the last on their connections
 		resp := p.submit("status", "before", "25")
 		return resp.StatusCode == http.StatusAccepted && resp.Close
 	})
@@ -64,16 +64,16 @@
 	}
 	for _, id := range []string{"before", "half", "fresh", "idle"} {
 		if !delivered[id] {
-			t.Errorf("%s was not tried", id)
+			t.Errorf("%s was not attempted", id)
 		}
 	}
 	if n := p.receivedNotices(); len(n) != 0 {
-		t.Errorf("given up: %v", n)
+		t.Errorf("failed: %v", n)
 	}
 }
 
-// A planned end: answers close their connections, nothing that was read goes unanswered, calls out come to
-// their end, and the rest is for the next process.
+// In a graceful shutdown responses close their connections, nothing that was read goes unanswered, attempts in flight come
+// to their end, and the rest is for the next process.
 func TestShutdown_LeavesTheRestToTheNextProcess(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
@@ -85,12 +85,12 @@
 		t.Fatal(err)
 	}
 	n := 0
-	p.waitFor("answers close connections", func() bool {
+	p.waitFor("responses close connections", func() bool {
 		n++
 		resp := p.submit("status", "after"+string(rune('a'+n%26))+string(rune('a'+n/26%26)), "25",
 			func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		if resp.StatusCode != http.StatusAccepted {
-			t.Fatalf("while it ends: %s", resp.Status)
+			t.Fatalf("during the shutdown: %s", resp.Status)
 		}
 		return resp.Close
 	})
@@ -113,39 +113,39 @@
 	p.waitFor("the rest is delivered", func() bool { return slices.Contains(p.attempts(), "before") })
 }
 
-// A signal during the start, at any moment of it, loses nothing of what an earlier process had taken on: no process of those that were
-// told to end leaves without it, and the next one that lives delivers it. The moments are drawn; none changes the verdict.
+// A signal during the start, at any delay of it, loses nothing of what an earlier process had accepted: no process that is
+// told to end drops it, and the next one that lives delivers it.
 func TestShutdown_SignalDuringStartLosesNothing(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
-	p.respond = func(*http.Request) int { return 0 } // a host that hangs: nothing is over before the end
+	p.respond = func(*http.Request) int { return 0 } // an endpoint that hangs: nothing is delivered before the end
 	j := openEarlierJournal(t, p.dir)
-	j.Accept(&journal.Entry{ID: "kept", Class: "status", Destination: 7, Deadline: j.Timeline().Now().Add(10 * time.Minute)})
+	j.Accept(&journal.Entry{ID: "open", Class: "status", Destination: 7, Deadline: j.Timeline().Now().Add(10 * time.Minute)})
 	mustCommit(t, j)
-	for moment := time.Duration(0); moment < 64*time.Millisecond; moment = 2*moment + 4*time.Millisecond {
+	for delay := time.Duration(0); delay < 64*time.Millisecond; delay = 2*delay + 4*time.Millisecond {
 		c := p.spawn()
-		time.Sleep(moment)
+		time.Sleep(delay)
 		if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		err := waittest.Receive(t, c.exited)
 		var how *exec.ExitError
 		if errors.As(err, &how) && how.ExitCode() >= 0 { // else it had no time to catch the signal
-			t.Errorf("signalled after %v: %v\n%s", moment, err, c.Stderr)
+			t.Errorf("signalled after %v: %v\n%s", delay, err, c.Stderr)
 		}
-		if left := readEntries(t, p.dir); len(left) != 1 || left[0].ID != "kept" {
-			t.Fatalf("signalled after %v: the journal holds %d messages", moment, len(left))
+		if left := readEntries(t, p.dir); len(left) != 1 || left[0].ID != "open" {
+			t.Fatalf("signalled after %v: the journal holds %d requests", delay, len(left))
 		}
 	}
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
 	p.waitFor("it is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 0 {
-		t.Errorf("given up: %v", n)
+		t.Errorf("failed: %v", n)
 	}
 }
 
-// A request that was read and has no answer when the process ends is counted.
+// A request that was read and has no response when the process ends is counted.
 func TestShutdown_CountsUnansweredRequests(t *testing.T) {
 	check := &frontend.Validator{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
 	n := &node{violations: &invariant.Counts{}}
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/notification"
 )
 
-// Malformed requests get a plain 4xx other than 429, nothing is taken on, and the relay goes on.
+// Malformed requests get a plain 4xx other than 429, none is accepted, and the relay goes on.
 func TestSubmission_RejectsMalformed(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -43,7 +43,7 @@
 		{"huge destination", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
 		{"no id", "status", header("Request-Id", ""), 400},
 		{"long id", "status", header("Request-Id", strings.Repeat("i", frontend.MaxNameLength+1)), 400},
-		{"no key in a keyed class", "payment", header("Idempotency-Key", ""), 400},
+		{"no key in a class that needs one", "payment", header("Idempotency-Key", ""), 400},
 		{"no time-out", "status", header("Request-Timeout", ""), 400},
 		{"time-out of zero", "status", header("Request-Timeout", "0"), 400},
 		{"negative time-out", "status", header("Request-Timeout", "-1"), 400},
@@ -69,11 +69,11 @@
 		p.nextAttempt()
 	}
 	if slices.Contains(p.attempts(), "bad") {
-		t.Error("a malformed message was sent on")
+		t.Error("a malformed request was forwarded")
 	}
 }
 
-// A destination that no list has named is refused: the list may lag, and the module keeps state for each.
+// A destination that no list has named is rejected: the list may lag, and the dispatcher keeps state for each.
 func TestSubmission_RejectsUnknownDestination(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -84,14 +84,14 @@
 	}
 	p.addEndpoint("h8", 8)
 	p.watchLines <- watchLine(t, 43, p.endpoints[1])
-	p.waitFor("it is listed and taken", func() bool {
+	p.waitFor("it is listed and accepted", func() bool {
 		r := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		return r.StatusCode == http.StatusAccepted
 	})
 	p.nextAttempt()
 }
 
-// The same message handed in twice, as after a connection that broke, is taken on once.
+// A request that is submitted twice, as after a connection that broke, is accepted once.
 func TestSubmission_AcceptsDuplicateOnce(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -104,28 +104,28 @@
 		t.Errorf("entries: %d", len(e))
 	}
 	if c := p.attempts(); len(c) != 1 {
-		t.Errorf("calls: %v", c)
+		t.Errorf("attempts: %v", c)
 	}
 }
 
-// A copy of a message that is over is not taken on as a new one.
+// A duplicate of a completed request is not accepted as a new one.
 func TestSubmission_DuplicateOfDeliveredIsNotSent(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
 	p.start()
 	p.mustAccept("order", "m", "20")
 	p.nextAttempt()
-	p.waitFor("it is over", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("it is completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.mustAccept("order", "m", "20")
 	p.mustAccept("order", "n", "20")
 	p.nextAttempt()
 	if c := p.attempts(); !slices.Equal(c, []string{"m", "n"}) {
-		t.Errorf("calls: %v", c)
+		t.Errorf("attempts: %v", c)
 	}
 }
 
-// A copy of a message whose end only waits for the platform to hear of it is no new one, and no refused one either: a refusal
-// would say that it never ran.
+// A duplicate of a request whose notice is pending is no new request, and is not rejected either: a rejection would say that
+// it was never executed.
 func TestSubmission_DuplicateOfUndeliverableIsNotRejected(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -134,22 +134,21 @@
 	p.start()
 	p.mustAccept("order", "m", "20")
 	p.nextAttempt()
-	p.waitFor("its end is decided", func() bool {
+	p.waitFor("its outcome is decided", func() bool {
 		e := readEntries(t, p.dir)
 		return len(e) == 1 && e[0].PendingNotice != nil && e[0].PendingNotice.Status == notification.Undeliverable
 	})
 	if resp := p.submit("order", "m", "20"); resp.StatusCode != http.StatusAccepted {
-		t.Errorf("a copy: %s", resp.Status)
+		t.Errorf("a duplicate: %s", resp.Status)
 	}
 	p.update(func() { p.failingPosts = 0 })
-	p.waitFor("the platform has its end", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the platform has its notice", func() bool { return len(p.receivedNotices()) == 1 })
 	if sent := p.attempts(); len(sent) != 1 {
 		t.Errorf("sent %v", sent)
 	}
 }
 
-// A client that leaves, or whose id another uses for a copy, withdraws no other's message: what counts is the
-// request that brought it.
+// A client that leaves, or that uses another's id, withdraws no other client's request.
 func TestSubmission_LeavingClientWithdrawsNoOtherRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -168,14 +167,14 @@
 			t.Fatal(err)
 		}
 	}
-	p.mustAccept("order", "m", "20") // all the copies have been looked at before this one
+	p.mustAccept("order", "m", "20") // all the duplicates were handled before this one
 	if e := readEntries(t, p.dir); len(e) != 1 || len(e[0].Attempts) != 1 || e[0].Attempts[0].Ended {
 		t.Errorf("entries %v", e)
 	}
 }
 
-// A message that a host has, and that comes again under its id after its relay was killed, is answered as taken on and sent to
-// nobody: as a new one it would have its effect twice.
+// A request that an endpoint has executed, and that comes again under its id after its relay was killed, is accepted and not
+// sent: as a new one it would have its effect twice.
 func TestSubmission_DuplicateAfterKillIsNotSent(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -186,16 +185,16 @@
 				t.Fatalf("%s answered %d", class, status)
 			}
 		}
-		p.waitFor("all are delivered and over", func() bool { return len(p.attempts()) >= 3 && p.journalSize() == 0 })
+		p.waitFor("all are delivered and evicted", func() bool { return len(p.attempts()) >= 3 && p.journalSize() == 0 })
 		p.kill(c)
 		c = p.start()
 	}
 	if status := p.trySubmit("order", "after", "20"); status != http.StatusAccepted {
-		t.Fatalf("a new message answered %d", status)
+		t.Fatalf("a new request answered %d", status)
 	}
 	p.waitFor("the new one is delivered", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "after") })
 	if sent := p.attempts(); len(sent) != 4 {
-		t.Errorf("hosts were sent %v", sent)
+		t.Errorf("endpoints were sent %v", sent)
 	}
 	p.kill(c)
 }
--- a/internal/relay/subsystem.go
+++ b/internal/relay/subsystem.go
@@ -17,21 +17,21 @@
 
 	// submitted completes the journal entry of a submission before the dispatcher sees it.
 	submitted(e *journal.Entry)
-	// rejected is told of a candidate that the dispatcher rejects with a status. No record of it is owed to anybody.
+	// rejected is called for a candidate that the dispatcher rejects with a status. No record of it is owed to anybody.
 	rejected(r *request, status string)
-	// accepted is told of a request that the journal holds from now on, or that was recovered from it.
+	// accepted is called for a request that the journal holds from now on, or that was recovered from it.
 	accepted(r *request)
-	// acceptanceNotWritten is told of an accepted request whose record could not be written in its batch.
+	// acceptanceNotWritten is called for an accepted request whose record could not be written in its batch.
 	acceptanceNotWritten(r *request)
 	// claimOutcome reports whether the subsystem takes charge of recording and publishing a terminal outcome. status is one
 	// of trace.Delivered, trace.Withdrawn, notification.Deferred and notification.Undeliverable.
 	claimOutcome(r *request, status string) (claimed bool)
-	// publish is told of a terminal outcome whose record is durable. awaited reports that the request must stay in the
+	// publish is called for a request whose terminal outcome is recorded and may be published. awaited reports that the request must stay in the
 	// journal until the subsystem evicts it.
 	publish(r *request) (awaited bool)
-	// notified is told that the platform is owed nothing more for a request. awaited is as for publish.
+	// notified is called when the platform is owed nothing more for a request. awaited is as for publish.
 	notified(r *request) (awaited bool)
-	// evicted is told of a request for which nothing more is owed.
+	// evicted is called for a request for which nothing more is owed.
 	evicted(r *request)
 
 	// beforeCommit is called when a batch's actions are carried out and before its records are written.
@@ -50,7 +50,7 @@
 	return false
 }
 
-// publishToSubsystems tells all subsystems of a terminal outcome, and reports whether any needs the request for longer.
+// publishToSubsystems publishes a terminal outcome to all subsystems, and reports whether any needs the request for longer.
 func (l *loop) publishToSubsystems(r *request) (awaited bool) {
 	for _, s := range l.subsystems {
 		awaited = s.publish(r) || awaited
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -14,7 +14,7 @@
 )
 
 // expiredAtEndpoint is the outcome of a request of which an endpoint says that its deadline has passed: the platform is
-// owed no notice, and only the dead-letter store is told.
+// owed no notice, and only the dead-letter store records it.
 const expiredAtEndpoint = "out-of-time"
 
 // deadlineMargin before its deadline a request that fails counts as expired: with less time left no further attempt would
@@ -75,7 +75,7 @@
 	r.outcomeRecord = l.journal.LastRecord()
 }
 
-// publishOutcome tells all that are owed a terminal outcome: the platform, and the subsystems.
+// publishOutcome publishes a terminal outcome to all that are owed it: the platform, and the subsystems.
 func (l *loop) publishOutcome(r *request) {
 	l.checkOutcomeRecorded(r)
 	owesNotice := !r.Redelivery && r.PendingNotice.Status != expiredAtEndpoint
@@ -87,7 +87,7 @@
 	}
 }
 
-// publishDelivered tells the subsystems of a request that was delivered; the platform is owed nothing.
+// publishDelivered publishes a delivery to the subsystems; the platform is owed nothing.
 func (l *loop) publishDelivered(r *request) {
 	if !l.publishToSubsystems(r) {
 		l.evict(r)
@@ -127,7 +127,7 @@
 	r.transition(stateNotified)
 }
 
-// acknowledged tells the dispatcher that the terminal outcome of a request with an order key is known where it is owed:
+// acknowledged notifies the dispatcher that the terminal outcome of a request with an order key is known where it is owed:
 // only then the next one of its key may be sent. An attempt that overtakes the notice of the request before is out of order.
 func (l *loop) acknowledged(r *request) {
 	if r.OrderKey != "" {
--- a/internal/relay/terminal_outcome_test.go
+++ b/internal/relay/terminal_outcome_test.go
@@ -14,16 +14,16 @@
 	for _, id := range []string{"a", "b", "c"} {
 		p.mustAccept("payment", id, "20")
 		if got := p.nextAttempt(); got != id {
-			t.Errorf("call for %s, want %s", got, id)
+			t.Errorf("attempt for %s, want %s", got, id)
 		}
 	}
 	p.waitFor("nothing is left in the journal", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 0 {
-		t.Errorf("notices for delivered messages: %v", n)
+		t.Errorf("notices for delivered requests: %v", n)
 	}
 }
 
-// What could not be delivered ends by one notice, which is posted until it is received.
+// What could not be delivered is notified once, and the notice is posted until it is received.
 func TestNotice_IsPostedUntilReceived(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -38,7 +38,7 @@
 	if p.failingPosts != 0 {
 		t.Errorf("%d failures left", p.failingPosts)
 	}
-	p.waitFor("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("it is evicted", func() bool { return len(readEntries(t, p.dir)) == 0 })
 }
 
 // A notice that the platform has not received is owed by the next process too.
@@ -57,13 +57,13 @@
 	p.update(func() { p.failingPosts = 0 })
 	p.start()
 	p.waitFor("the notice is received", func() bool { return len(p.receivedNotices()) == 1 })
-	p.waitFor("the journal forgets it", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("it is evicted", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.attempts(); len(n) != 1 {
-		t.Errorf("calls: %v", n)
+		t.Errorf("attempts: %v", n)
 	}
 }
 
-// The ends that answers tell: 410 leaves nothing owed, 504 a notice, and there are no further calls.
+// Final responses: 410 leaves nothing owed, 504 a notice, and there are no further attempts.
 func TestFinalResponse_EndsRequest(t *testing.T) {
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
 		p := newPlatform(t)
@@ -71,12 +71,12 @@
 		p.respond = func(*http.Request) int { return status }
 		p.start()
 		p.mustAccept("status", "m", "20")
-		p.waitFor("it is over", func() bool { return len(p.attempts()) > 0 && len(readEntries(t, p.dir)) == 0 })
+		p.waitFor("it is completed", func() bool { return len(p.attempts()) > 0 && len(readEntries(t, p.dir)) == 0 })
 		if n := p.receivedNotices(); len(n) != want || want > 0 && n[0].Status != notification.Deferred {
 			t.Errorf("%d: notices %v", status, n)
 		}
-		if c := p.attempts(); len(c) != 1 {
-			t.Errorf("%d: calls %v", status, c)
+		if a := p.attempts(); len(a) != 1 {
+			t.Errorf("%d: attempts %v", status, a)
 		}
 	}
 }
--- a/internal/relay/timer_test.go
+++ b/internal/relay/timer_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What the module asked for last comes, whatever wakes it before: it asks only once.
+// The timer that the dispatcher set last fires, whatever wakes it before: it sets it only once.
 func TestTimer_NoneIsLost(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
--- a/internal/relay/tracing_test.go
+++ b/internal/relay/tracing_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A relay that is to trace notes each thing once: its start, asks and lists, messages taken and turned away, calls with
-// their connections and reports, and ends. One that is not to notes nothing.
+// A relay with a trace records each event once: its start, polls and lists, requests accepted and rejected, attempts with
+// their connections and load reports, and outcomes. One without records nothing.
 func TestTrace_RecordsEachEventOnce(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		p := newPlatform(t)
@@ -24,25 +24,25 @@
 			}
 		}
 		p.addEndpoint("h1", 7)
-		tries := 0
+		attempts := 0
 		p.responseHeader = map[string]string{"Server-Load": "x0=0.5,x1=25"}
 		p.respond = func(*http.Request) int {
-			if tries++; tries == 1 {
+			if attempts++; attempts == 1 {
 				return http.StatusServiceUnavailable
 			}
 			return http.StatusOK
 		}
 		c := p.start()
-		// With 10 of its 30 s left a message is past its aim, however fast it goes.
+		// With 10 of its 30 s left a request is past its latency objective, however fast it is delivered.
 		p.mustAccept("status", "a", "10")
 		p.nextAttempt()
 		p.nextAttempt()
 		if resp := p.submit("status", "b", "10", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") }); resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("a message for a destination that no list names: %s", resp.Status)
+			t.Errorf("a request for a destination that no list names: %s", resp.Status)
 		}
 		p.mustAccept("status", "c", "10")
 		p.nextAttempt()
-		// A planned end leaves time for all ends to come in.
+		// A graceful shutdown leaves time for all outcomes to come in.
 		if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +55,7 @@
 		}
 		if !on {
 			if len(logs.Events) > 0 {
-				t.Errorf("%d events noted, none wanted", len(logs.Events))
+				t.Errorf("%d events recorded, none wanted", len(logs.Events))
 			}
 			continue
 		}
@@ -67,11 +67,11 @@
 			sum.Told += s.Told
 		}
 		if table.Told < 1 || sum.Starts != 1 || sum.Asks < 1 || sum.Told < 1 {
-			t.Errorf("start, asks or lists are missing: %d in the fleet, %+v", table.Told, sum)
+			t.Errorf("start, polls or lists are missing: %d in the fleet, %+v", table.Told, sum)
 		}
 		got := table.Total
 		if got.Fresh < 1 || got.Fresh > 3 {
-			t.Errorf("%d connections made for 3 calls", got.Fresh)
+			t.Errorf("%d connections made for 3 attempts", got.Fresh)
 		}
 		if got.Fresh = 0; got != (fleet.Counts{Taken: 2, First: 2, Again: 1, Limit: 1, Delivered: 2, Refused: 1, Late: 2}) {
 			t.Errorf("counted %+v", got)
