--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -31,20 +32,26 @@
 		{"no instances", `"n_instances":1`, `"n_instances":0`, "Instances"},
 	}
 	for _, tt := range tests {
-		path := filepath.Join(t.TempDir(), "c.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(good, tt.old, tt.new, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := ReadConfig(path)
-		if tt.want == "" {
-			if err != nil {
-				t.Errorf("%s: %v", tt.name, err)
+		t.Run(tt.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "c.json")
+			if err := os.WriteFile(path, []byte(strings.Replace(good, tt.old, tt.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
 			}
-			continue
-		}
-		if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", tt.name, err, tt.want)
-		}
+			_, err := ReadConfig(path)
+			if tt.want == "" {
+				if err != nil {
+					t.Errorf("%s: %v", tt.name, err)
+				}
+				return
+			}
+			if err == nil || !strings.Contains(err.Error(), tt.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: error %v, want one line with %q", tt.name, err, tt.want)
+			}
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) || configErr.File != path {
+				t.Errorf("%s: error %#v, want a *ConfigError of %s", tt.name, err, path)
+			}
+		})
 	}
 	if _, err := ReadConfig(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("no file: no error")
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"fmt"
 	"net/http"
 	"strings"
 	"sync/atomic"
@@ -107,27 +108,29 @@
 // What is rejected is counted, and stored with its body where the operator wants that.
 func TestDeadLetters_RejectedAreCounted(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		p := newPlatform(t)
-		folder := p.enableDeadLetters("refused = " + map[bool]string{true: "true", false: "false"}[keep] + "\n")
-		p.addEndpoint("h1", 7)
-		p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
-		c := p.start()
-		if resp := p.submit("order", "a", "0.000001"); resp.StatusCode != http.StatusTooManyRequests {
-			t.Fatal(resp.Status)
-		}
-		p.mustAccept("order", "b", "1")
-		p.waitFor("another has failed", func() bool { return len(p.receivedNotices()) == 1 })
-		p.waitFor("that is stored", func() bool { return p.journalSize() == 0 })
-		p.kill(c)
-		p.readDeadLetters(folder, func(s *deadletter.Store) {
-			totals, _, err := s.Totals()
-			if err != nil || totals.Refused["order of acme"] != 1 {
-				t.Errorf("%+v, %v", totals, err)
-			}
-			r, err := s.Get("a")
-			if keep != (err == nil) || keep && (r.Last().Reason != deadletter.AtArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
-				t.Errorf("stored %v: %+v, %v", keep, r, err)
+		t.Run(fmt.Sprint("keep ", keep), func(t *testing.T) {
+			p := newPlatform(t)
+			folder := p.enableDeadLetters("refused = " + map[bool]string{true: "true", false: "false"}[keep] + "\n")
+			p.addEndpoint("h1", 7)
+			p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
+			c := p.start()
+			if resp := p.submit("order", "a", "0.000001"); resp.StatusCode != http.StatusTooManyRequests {
+				t.Fatal(resp.Status)
 			}
+			p.mustAccept("order", "b", "1")
+			p.waitFor("another has failed", func() bool { return len(p.receivedNotices()) == 1 })
+			p.waitFor("that is stored", func() bool { return p.journalSize() == 0 })
+			p.kill(c)
+			p.readDeadLetters(folder, func(s *deadletter.Store) {
+				totals, _, err := s.Totals()
+				if err != nil || totals.Refused["order of acme"] != 1 {
+					t.Errorf("%+v, %v", totals, err)
+				}
+				r, err := s.Get("a")
+				if keep != (err == nil) || keep && (r.Last().Reason != deadletter.AtArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
+					t.Errorf("stored %v: %+v, %v", keep, r, err)
+				}
+			})
 		})
 	}
 }
--- a/internal/relay/deadletter_writer_test.go
+++ b/internal/relay/deadletter_writer_test.go
@@ -19,7 +19,7 @@
 	p.addEndpoint("h1", 7)
 	cfg := readConfigs(t, p)
 	ctx, stop := context.WithCancel(t.Context())
-	opened := make(chan any, 10)
+	opened := make(chan deadLetterEvent, 10)
 	k := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { opened <- e })
 	done := make(chan struct{})
 	go func() { k.run(ctx); close(done) }()
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"fmt"
 	"net/http"
 	"strings"
 	"testing"
@@ -25,17 +26,19 @@
 		{"a newer one in the configuration", 12, 9, here, 12, 12},
 		{"another discovery's", 12, 9, elsewhere, 9, 0},
 	} {
-		j := openEarlierJournal(t, t.TempDir())
-		if tt.journalled > 0 {
-			j.UpdateEndpoints(discovery.EndpointList{Seq: tt.journalled, Full: true, Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.journalled)}}}, tt.from)
-		}
-		l := &loop{journal: j, cfg: &Config{Discovery: here, Known: discovery.EndpointList{
-			Seq:       tt.configured,
-			Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.configured)}},
-		}}}
-		if got := l.latestEndpointList(); got.Seq != tt.wantAt || int64(got.Endpoints[0].Block) != tt.want {
-			t.Errorf("%s: %+v", tt.name, got)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			j := openEarlierJournal(t, t.TempDir())
+			if tt.journalled > 0 {
+				j.UpdateEndpoints(discovery.EndpointList{Seq: tt.journalled, Full: true, Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.journalled)}}}, tt.from)
+			}
+			l := &loop{journal: j, cfg: &Config{Discovery: here, Known: discovery.EndpointList{
+				Seq:       tt.configured,
+				Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.configured)}},
+			}}}
+			if got := l.latestEndpointList(); got.Seq != tt.wantAt || int64(got.Endpoints[0].Block) != tt.want {
+				t.Errorf("%s: %+v", tt.name, got)
+			}
+		})
 	}
 }
 
@@ -162,30 +165,32 @@
 // An outage that was seen outlasts the process, for an endpoint that the configuration's list lacks as well.
 func TestEndpoints_OutageIsKnownAfterRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
-		p := newPlatform(t)
-		p.addEndpoint("h1", 7)
-		p.endpoints[0].Share = 0.05 // a budget of one trial request in many seconds
-		up := p.endpoints[0]
-		p.endpoints[0].Dial = refusingAddress(t)
-		c := p.start()
-		p.mustAccept("status", "a", "25")
-		p.waitFor("the outage is in the journal", func() bool { return readHealth(t, p.dir)["h1"].Unhealthy })
-		p.kill(c)
-		p.update(func() { p.endpoints[0] = up })
-		if !known {
-			p.update(func() { p.noKnownEndpoints = true })
-		}
-		p.start()
-		resp := p.submit("status", "b", "25")
-		for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
-			time.Sleep(10 * time.Millisecond) // not listed yet
-		}
-		// A new relay would accept it and send it at once; in an outage the next trial request is too far off.
-		if resp.StatusCode != http.StatusTooManyRequests {
-			t.Errorf("known %v: %s", known, resp.Status)
-		}
-		if got := p.attempts(); len(got) > 1 {
-			t.Errorf("known %v: %v sent at once to an unhealthy destination", known, got)
-		}
+		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
+			p := newPlatform(t)
+			p.addEndpoint("h1", 7)
+			p.endpoints[0].Share = 0.05 // a budget of one trial request in many seconds
+			up := p.endpoints[0]
+			p.endpoints[0].Dial = refusingAddress(t)
+			c := p.start()
+			p.mustAccept("status", "a", "25")
+			p.waitFor("the outage is in the journal", func() bool { return readHealth(t, p.dir)["h1"].Unhealthy })
+			p.kill(c)
+			p.update(func() { p.endpoints[0] = up })
+			if !known {
+				p.update(func() { p.noKnownEndpoints = true })
+			}
+			p.start()
+			resp := p.submit("status", "b", "25")
+			for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
+				time.Sleep(10 * time.Millisecond) // not listed yet
+			}
+			// A new relay would accept it and send it at once; in an outage the next trial request is too far off.
+			if resp.StatusCode != http.StatusTooManyRequests {
+				t.Errorf("known %v: %s", known, resp.Status)
+			}
+			if got := p.attempts(); len(got) > 1 {
+				t.Errorf("known %v: %v sent at once to an unhealthy destination", known, got)
+			}
+		})
 	}
 }
--- a/internal/relay/redelivery_test.go
+++ b/internal/relay/redelivery_test.go
@@ -216,28 +216,30 @@
 		"no place":         {true, parcelStatus("k-1", "soon"), "its subject can't be read"},
 		"a store of today": {false, parcelStatus("k-1", "5"), `whether a newer message of "k-1" was delivered can't be told`},
 	} {
-		p := newPlatform(t)
-		folder := p.enableDeadLetters(parcelSubjects)
-		if c.known {
-			p.seedKnownTopics(folder)
-		}
-		p.addEndpoint("h1", 7)
-		p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
-		child := p.start()
-		if resp := p.submit("status", "a", "1", c.change); resp.StatusCode != http.StatusAccepted {
-			t.Fatal(resp.Status)
-		}
-		p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
-		p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
-		time.Sleep(500 * time.Millisecond) // some rounds of the resender: a redelivery would show
-		p.kill(child)
-		if len(p.redeliveries()) > 0 {
-			t.Errorf("%s: it was redelivered", name)
-		}
-		p.readDeadLetters(folder, func(s *deadletter.Store) {
-			if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Why, c.why) {
-				t.Errorf("%s: %+v, %v", name, r, err)
+		t.Run(name, func(t *testing.T) {
+			p := newPlatform(t)
+			folder := p.enableDeadLetters(parcelSubjects)
+			if c.known {
+				p.seedKnownTopics(folder)
+			}
+			p.addEndpoint("h1", 7)
+			p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
+			child := p.start()
+			if resp := p.submit("status", "a", "1", c.change); resp.StatusCode != http.StatusAccepted {
+				t.Fatal(resp.Status)
+			}
+			p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+			p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
+			time.Sleep(500 * time.Millisecond) // some rounds of the resender: a redelivery would show
+			p.kill(child)
+			if len(p.redeliveries()) > 0 {
+				t.Errorf("%s: it was redelivered", name)
 			}
+			p.readDeadLetters(folder, func(s *deadletter.Store) {
+				if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Why, c.why) {
+					t.Errorf("%s: %+v, %v", name, r, err)
+				}
+			})
 		})
 	}
 }
--- a/internal/relay/terminal_outcome_test.go
+++ b/internal/relay/terminal_outcome_test.go
@@ -66,17 +66,19 @@
 // Final responses: 410 leaves nothing owed, 504 a notice, and there are no further attempts.
 func TestFinalResponse_EndsRequest(t *testing.T) {
 	for status, want := range map[int]int{http.StatusGone: 0, http.StatusGatewayTimeout: 1} {
-		p := newPlatform(t)
-		p.addEndpoint("h1", 7)
-		p.respond = func(*http.Request) int { return status }
-		p.start()
-		p.mustAccept("status", "m", "20")
-		p.waitFor("it is completed", func() bool { return len(p.attempts()) > 0 && len(readEntries(t, p.dir)) == 0 })
-		if n := p.receivedNotices(); len(n) != want || want > 0 && n[0].Status != notification.Deferred {
-			t.Errorf("%d: notices %v", status, n)
-		}
-		if a := p.attempts(); len(a) != 1 {
-			t.Errorf("%d: attempts %v", status, a)
-		}
+		t.Run(http.StatusText(status), func(t *testing.T) {
+			p := newPlatform(t)
+			p.addEndpoint("h1", 7)
+			p.respond = func(*http.Request) int { return status }
+			p.start()
+			p.mustAccept("status", "m", "20")
+			p.waitFor("it is completed", func() bool { return len(p.attempts()) > 0 && len(readEntries(t, p.dir)) == 0 })
+			if n := p.receivedNotices(); len(n) != want || want > 0 && n[0].Status != notification.Deferred {
+				t.Errorf("%d: notices %v", status, n)
+			}
+			if a := p.attempts(); len(a) != 1 {
+				t.Errorf("%d: attempts %v", status, a)
+			}
+		})
 	}
 }
--- a/internal/relay/timer_test.go
+++ b/internal/relay/timer_test.go
@@ -17,22 +17,24 @@
 		"an earlier one after it":    {func(l *loop) { l.setTimer(time.Second); l.setTimer(3 * ms) }, []time.Duration{3 * ms}},
 		"the loop has its own cause": {func(l *loop) { l.setTimer(time.Second); l.wakeAt = 0 }, []time.Duration{ms, time.Second}},
 	} {
-		l := &loop{wakeAt: time.Hour}
-		c.ask(l)
-		var got []time.Duration
-		for now := ms; now <= time.Minute; now += ms {
-			if l.timerFired(now) {
-				got = append(got, now)
+		t.Run(name, func(t *testing.T) {
+			l := &loop{wakeAt: time.Hour}
+			c.ask(l)
+			var got []time.Duration
+			for now := ms; now <= time.Minute; now += ms {
+				if l.timerFired(now) {
+					got = append(got, now)
+				}
 			}
-		}
-		if len(got) != len(c.wake) {
-			t.Errorf("%s: woken at %v, want %v", name, got, c.wake)
-			continue
-		}
-		for i := range got {
-			if got[i] != c.wake[i] {
+			if len(got) != len(c.wake) {
 				t.Errorf("%s: woken at %v, want %v", name, got, c.wake)
+				return
 			}
-		}
+			for i := range got {
+				if got[i] != c.wake[i] {
+					t.Errorf("%s: woken at %v, want %v", name, got, c.wake)
+				}
+			}
+		})
 	}
 }
--- a/internal/relay/tracing_test.go
+++ b/internal/relay/tracing_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -16,70 +17,72 @@
 // their connections and load reports, and outcomes. One without records nothing.
 func TestTrace_RecordsEachEventOnce(t *testing.T) {
 	for _, on := range []bool{true, false} {
-		p := newPlatform(t)
-		if on {
-			p.operatorPath = filepath.Join(t.TempDir(), "own.toml")
-			if err := os.WriteFile(p.operatorPath, []byte("version = 1\n[trace]\nlog = true\n"), 0o600); err != nil {
+		t.Run(fmt.Sprint("on ", on), func(t *testing.T) {
+			p := newPlatform(t)
+			if on {
+				p.operatorPath = filepath.Join(t.TempDir(), "own.toml")
+				if err := os.WriteFile(p.operatorPath, []byte("version = 1\n[trace]\nlog = true\n"), 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			p.addEndpoint("h1", 7)
+			attempts := 0
+			p.responseHeader = map[string]string{"Server-Load": "x0=0.5,x1=25"}
+			p.respond = func(*http.Request) int {
+				if attempts++; attempts == 1 {
+					return http.StatusServiceUnavailable
+				}
+				return http.StatusOK
+			}
+			c := p.start()
+			// With 10 of its 30 s left a request is past its latency objective, however fast it is delivered.
+			p.mustAccept("status", "a", "10")
+			p.nextAttempt()
+			p.nextAttempt()
+			if resp := p.submit("status", "b", "10", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") }); resp.StatusCode != http.StatusServiceUnavailable {
+				t.Errorf("a request for a destination that no list names: %s", resp.Status)
+			}
+			p.mustAccept("status", "c", "10")
+			p.nextAttempt()
+			// A graceful shutdown leaves time for all outcomes to come in.
+			if err := c.Process.Signal(syscall.SIGTERM); err != nil {
+				t.Fatal(err)
+			}
+			if err := waittest.Receive(t, c.exited); err != nil {
 				t.Fatal(err)
 			}
-		}
-		p.addEndpoint("h1", 7)
-		attempts := 0
-		p.responseHeader = map[string]string{"Server-Load": "x0=0.5,x1=25"}
-		p.respond = func(*http.Request) int {
-			if attempts++; attempts == 1 {
-				return http.StatusServiceUnavailable
+			logs := &fleet.Logs{}
+			if err := logs.Read("n1.log", c.Stderr.(*bytes.Buffer)); err != nil || len(logs.Bad) > 0 {
+				t.Fatal(err, logs.Bad)
+			}
+			if !on {
+				if len(logs.Events) > 0 {
+					t.Errorf("%d events recorded, none wanted", len(logs.Events))
+				}
+				return
+			}
+			table := fleet.Count(logs.Events)
+			var sum fleet.Second
+			for _, s := range table.Seconds {
+				sum.Starts += s.Starts
+				sum.Asks += s.Asks
+				sum.Told += s.Told
+			}
+			if table.Told < 1 || sum.Starts != 1 || sum.Asks < 1 || sum.Told < 1 {
+				t.Errorf("start, polls or lists are missing: %d in the fleet, %+v", table.Told, sum)
+			}
+			got := table.Total
+			if got.Fresh < 1 || got.Fresh > 3 {
+				t.Errorf("%d connections made for 3 attempts", got.Fresh)
 			}
-			return http.StatusOK
-		}
-		c := p.start()
-		// With 10 of its 30 s left a request is past its latency objective, however fast it is delivered.
-		p.mustAccept("status", "a", "10")
-		p.nextAttempt()
-		p.nextAttempt()
-		if resp := p.submit("status", "b", "10", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") }); resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("a request for a destination that no list names: %s", resp.Status)
-		}
-		p.mustAccept("status", "c", "10")
-		p.nextAttempt()
-		// A graceful shutdown leaves time for all outcomes to come in.
-		if err := c.Process.Signal(syscall.SIGTERM); err != nil {
-			t.Fatal(err)
-		}
-		if err := waittest.Receive(t, c.exited); err != nil {
-			t.Fatal(err)
-		}
-		logs := &fleet.Logs{}
-		if err := logs.Read("n1.log", c.Stderr.(*bytes.Buffer)); err != nil || len(logs.Bad) > 0 {
-			t.Fatal(err, logs.Bad)
-		}
-		if !on {
-			if len(logs.Events) > 0 {
-				t.Errorf("%d events recorded, none wanted", len(logs.Events))
+			if got.Fresh = 0; got != (fleet.Counts{Taken: 2, First: 2, Again: 1, Limit: 1, Delivered: 2, Refused: 1, Late: 2}) {
+				t.Errorf("counted %+v", got)
 			}
-			continue
-		}
-		table := fleet.Count(logs.Events)
-		var sum fleet.Second
-		for _, s := range table.Seconds {
-			sum.Starts += s.Starts
-			sum.Asks += s.Asks
-			sum.Told += s.Told
-		}
-		if table.Told < 1 || sum.Starts != 1 || sum.Asks < 1 || sum.Told < 1 {
-			t.Errorf("start, polls or lists are missing: %d in the fleet, %+v", table.Told, sum)
-		}
-		got := table.Total
-		if got.Fresh < 1 || got.Fresh > 3 {
-			t.Errorf("%d connections made for 3 attempts", got.Fresh)
-		}
-		if got.Fresh = 0; got != (fleet.Counts{Taken: 2, First: 2, Again: 1, Limit: 1, Delivered: 2, Refused: 1, Late: 2}) {
-			t.Errorf("counted %+v", got)
-		}
-		for _, d := range table.Destinations {
-			if d.Dest == 7 && (d.Limit != 25 || d.Left != 0.5 || d.Hosts != 1) {
-				t.Errorf("destination 7: %+v", d)
+			for _, d := range table.Destinations {
+				if d.Dest == 7 && (d.Limit != 25 || d.Left != 0.5 || d.Hosts != 1) {
+					t.Errorf("destination 7: %+v", d)
+				}
 			}
-		}
+		})
 	}
 }
