--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -9,6 +9,16 @@
 	"frostlink/policy"
 )
 
+// addCandidate has the dispatcher decide on a request in this batch. Redeliveries come behind all submissions.
+func (l *loop) addCandidate(r *request) {
+	l.requests[r.ID] = r
+	l.candidates = append(l.candidates, r)
+	l.events = append(l.events, policy.Arrived{
+		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey, Background: r.Redelivery,
+		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
+	})
+}
+
 // acceptCandidates accepts the candidates of this batch that were not rejected.
 func (l *loop) acceptCandidates() {
 	for _, r := range l.candidates {
--- a/internal/relay/redelivery.go
+++ b/internal/relay/redelivery.go
@@ -6,10 +6,9 @@
 	"frostlink/internal/deadletter"
 	"frostlink/internal/journal"
 	"frostlink/internal/notification"
-	"frostlink/policy"
 )
 
-// admitRedelivery has the dispatcher decide on a request that the store offers for redelivery, behind all submissions.
+// admitRedelivery has the dispatcher decide on a request that the store offers for redelivery.
 func (d *deadLetterLink) admitRedelivery(e *journal.Entry) {
 	l := d.loop
 	r := &request{Entry: e}
@@ -28,12 +27,7 @@
 		d.returnRedelivery(r, "")
 		return
 	}
-	l.requests[r.ID] = r
-	l.candidates = append(l.candidates, r)
-	l.events = append(l.events, policy.Arrived{
-		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey, Background: true,
-		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
-	})
+	l.addCandidate(r)
 }
 
 // returnRedelivery returns a redelivery to the store, of which no attempt was made; newer is the id of the request that has
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -7,7 +7,6 @@
 	"frostlink/internal/frontend"
 	"frostlink/internal/journal"
 	"frostlink/internal/trace"
-	"frostlink/policy"
 )
 
 // handleSubmission takes in a request that a client submits.
@@ -38,7 +37,7 @@
 		l.rejectSubmission(s)
 		return
 	}
-	l.addCandidate(s)
+	l.admitSubmission(s)
 }
 
 // handleDuplicate takes in a submission of a request that is held, as a client repeats it when its connection broke.
@@ -78,18 +77,12 @@
 	return rejectedNoSpace
 }
 
-// addCandidate has the dispatcher decide on a submission.
-func (l *loop) addCandidate(s *frontend.Submission) {
+// admitSubmission has the dispatcher decide on a submission.
+func (l *loop) admitSubmission(s *frontend.Submission) {
 	for _, sub := range l.subsystems {
 		sub.submitted(s.Entry)
 	}
-	r := &request{Entry: s.Entry, responses: []chan frontend.Response{s.Response}, retryInfo: s.Retry}
-	l.requests[r.ID] = r
-	l.candidates = append(l.candidates, r)
-	l.events = append(l.events, policy.Arrived{
-		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey,
-		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
-	})
+	l.addCandidate(&request{Entry: s.Entry, responses: []chan frontend.Response{s.Response}, retryInfo: s.Retry})
 }
 
 // reserveJournalSpace reserves room in the journal for a request. Where there is none, requests that only a subsystem
