--- /dev/null
+++ b/internal/relay/admin.go
@@ -0,0 +1,94 @@
+package relay
+
+import (
+	"fmt"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"frostlink/internal/admin"
+	front "frostlink/internal/frontend/http1"
+	"frostlink/internal/invariant"
+	"frostlink/internal/logkey"
+	"frostlink/internal/servingmode"
+	"frostlink/internal/socket"
+)
+
+// adminEndpoint is what operators reach of a relay.
+type adminEndpoint struct {
+	server     *admin.Server // nil: the platform names no address for it
+	mode       *servingmode.Mode
+	metrics    *admin.Metrics
+	violations *invariant.Counts
+	frontend   atomic.Pointer[front.Server]
+	serving    atomic.Bool // clients are served, and no graceful shutdown has begun
+}
+
+// openAdminEndpoint opens the admin endpoint, where the platform names an address for it. It answers from the start on, and
+// reports that the relay does not serve until startServing.
+func openAdminEndpoint(cfg *Config, mode *servingmode.Mode, metrics *admin.Metrics, violations *invariant.Counts) (*adminEndpoint, error) {
+	a := &adminEndpoint{mode: mode, metrics: metrics, violations: violations}
+	if cfg.Management == "" {
+		return a, nil
+	}
+	listener, err := socket.Listen(cfg.Management)
+	if err != nil {
+		return nil, fmt.Errorf("admin endpoint: %w", err)
+	}
+	a.server = admin.New(a, cfg.maxAdminConns())
+	go func() {
+		if err := a.server.Serve(listener); err != nil {
+			slog.Error("admin endpoint stopped serving", logkey.Err, err)
+		}
+	}()
+	return a, nil
+}
+
+// startServing reports from now on that clients are served.
+func (a *adminEndpoint) startServing(frontend *front.Server) {
+	a.frontend.Store(frontend)
+	a.serving.Store(true)
+	if standby, _ := a.mode.InStandby(); standby { // of the predecessor
+		go frontend.CloseIdleConns()
+	}
+}
+
+func (a *adminEndpoint) close() {
+	if a.server != nil {
+		a.server.Close()
+	}
+}
+
+// Status reports whether this process serves clients, and its state.
+func (a *adminEndpoint) Status() (serving bool, state string) {
+	switch state := a.mode.State(time.Now()); {
+	case a.serving.Load():
+		return true, state.String()
+	case state == servingmode.ShuttingDown:
+		return false, state.String()
+	case a.frontend.Load() == nil:
+		return false, "starting"
+	}
+	return false, "handed over"
+}
+
+// Standby drains clients.
+func (a *adminEndpoint) Standby() {
+	slog.Info("entering standby: clients are drained")
+	a.mode.EnterStandby(time.Now())
+	if frontend := a.frontend.Load(); frontend != nil {
+		go frontend.CloseIdleConns()
+	}
+}
+
+// Active serves clients again.
+func (a *adminEndpoint) Active() {
+	slog.Info("active: clients are served again")
+	a.mode.Activate()
+}
+
+// Metrics returns the metrics as JSON.
+func (a *adminEndpoint) Metrics() ([]byte, error) { return a.metrics.JSON() }
+
+// Violations returns how often invariants were violated, by kind.
+func (a *adminEndpoint) Violations() map[string]int64 { return a.violations.ByKind() }
--- /dev/null
+++ b/internal/relay/admission.go
@@ -0,0 +1,96 @@
+package relay
+
+import (
+	"net/http"
+
+	"frostlink/internal/admin"
+	"frostlink/internal/frontend"
+	"frostlink/internal/trace"
+	"frostlink/policy"
+)
+
+// addCandidate has the dispatcher decide on a request in this batch. Redeliveries come behind all submissions.
+func (l *loop) addCandidate(r *request) {
+	l.requests[r.ID] = r
+	l.candidates = append(l.candidates, r)
+	l.events = append(l.events, policy.Arrived{
+		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey, Background: r.Redelivery,
+		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
+	})
+}
+
+// acceptCandidates accepts the candidates of this batch that were not rejected.
+func (l *loop) acceptCandidates() {
+	for _, r := range l.candidates {
+		if !r.completed() {
+			l.accept(r)
+		}
+	}
+}
+
+func (l *loop) accept(r *request) {
+	if class := l.class(r.Class); class >= 0 {
+		l.journal.SetTerms(r.Entry, l.cfg.policy.Classes[class])
+	}
+	l.journal.Accept(r.Entry)
+	r.transition(stateAccepted)
+	l.traceRequest(trace.Accepted, r.Entry, r.retryInfo, trace.Event{})
+	l.countAccepted(r)
+	for _, s := range l.subsystems {
+		s.accepted(r)
+	}
+	l.deadlines.Add(r.ID, r.Deadline)
+}
+
+// countAccepted has the metrics count an accepted request. Redeliveries are not the clients'.
+func (l *loop) countAccepted(r *request) {
+	if !r.Redelivery {
+		r.countedInFlight = true
+		l.metrics.Accepted()
+	}
+}
+
+// respondToCandidate answers the submissions that brought a candidate, where they are not answered yet; durable says
+// whether the records of its batch are.
+func (l *loop) respondToCandidate(r *request, durable bool) {
+	switch {
+	case durable && r.responses != nil:
+		responses := r.responses
+		r.responses = nil
+		respondAll(responses, frontend.Response{Status: http.StatusAccepted})
+	case !durable && (r.responses != nil || r.Redelivery && !r.completed()):
+		l.rejectUnrecorded(r)
+	}
+}
+
+// rejectUnrecorded rejects a candidate whose record was not written.
+func (l *loop) rejectUnrecorded(r *request) {
+	response := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
+	if l.journal.MayHoldUncommitted() {
+		// A later process may find the record and deliver the request: a 503 would promise that it has no effect.
+		response = frontend.Response{Status: http.StatusBadGateway}
+	}
+	respondAll(r.responses, response)
+	l.traceRejected(r.Entry, r.retryInfo, rejectedUnrecorded, response.RetryAfter)
+	l.countCompleted(r, admin.Shed)
+	l.wakeDispatcher(policy.Cancelled{ID: r.ID})
+}
+
+// dropUnrecorded drops a candidate whose record was not written.
+func (l *loop) dropUnrecorded(r *request) {
+	switch {
+	case r.responses != nil:
+		l.evict(r)
+	case !r.completed():
+		for _, s := range l.subsystems {
+			s.acceptanceNotWritten(r)
+		}
+	}
+}
+
+// respondAll answers all submissions that brought a request.
+func respondAll(to []chan frontend.Response, response frontend.Response) {
+	for _, c := range to {
+		c <- response
+	}
+}
--- /dev/null
+++ b/internal/relay/attempt.go
@@ -0,0 +1,151 @@
+package relay
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"frostlink/internal/admin"
+	"frostlink/internal/clock"
+	"frostlink/internal/discovery"
+	"frostlink/internal/invariant"
+	"frostlink/internal/logkey"
+	"frostlink/internal/trace"
+	"frostlink/internal/upstream"
+	"frostlink/policy"
+)
+
+// outcomeNames are the names of attempts' outcomes in the journal, the dead-letter store and the trace.
+var outcomeNames = map[policy.Outcome]string{
+	policy.Succeeded: "delivered", policy.Failed: "error", policy.Rejected: "turned away",
+	policy.TimedOut: "timed out", policy.ConnectError: "no connection", policy.ConnectionReset: "reset", policy.Canceled: "given up",
+	policy.NotSent: "not sent",
+}
+
+// plannedAttempt is an attempt that the dispatcher has decided on.
+type plannedAttempt struct {
+	request  *request
+	index    int // among the attempts of its request
+	endpoint discovery.Endpoint
+	timeout  time.Duration
+	writeBy  time.Time // its last byte must have left by then; zero: at any time
+	record   uint64    // the number of its record
+}
+
+// planAttempt records an attempt and makes it ready to start at the end of the batch.
+func (l *loop) planAttempt(now time.Duration, a policy.Send) {
+	r := l.requests[a.ID]
+	if r == nil || r.completed() {
+		return
+	}
+	endpoint, listed := l.endpoints[a.Endpoint]
+	timeLeft := r.Deadline.Sub(clock.Instant(now))
+	p := plannedAttempt{request: r, index: len(r.Attempts), endpoint: endpoint, timeout: timeLeft}
+	if a.Timeout > 0 {
+		p.timeout = min(timeLeft, a.Timeout)
+	}
+	if a.WriteWithin > 0 {
+		p.writeBy = l.timeline.TimeOf(clock.Instant(now + a.WriteWithin))
+	}
+	violated, allowed := invariant.CheckSend(l.invariantFacts(r), clock.Instant(now))
+	l.journal.BeginAttempt(r.Entry, a.Endpoint, clock.Instant(now))
+	p.record, r.attemptInFlight = l.journal.LastRecord(), true
+	if !allowed {
+		l.violations.Record(violated, r.ID, "destination", r.Destination, "endpoint", a.Endpoint, "attempt", p.index+1, "left", timeLeft)
+		l.attemptNotSent(p)
+		return
+	}
+	if !listed || endpoint.Block != r.Destination {
+		// Guards the protocol's rule that a request goes only to a listed endpoint of its destination.
+		slog.Error("attempt planned to an endpoint of another destination", logkey.Endpoint, a.Endpoint, logkey.Destination, r.Destination)
+		l.attemptNotSent(p)
+		return
+	}
+	l.attempts = append(l.attempts, p)
+}
+
+// attemptNotSent ends an attempt that was not started.
+func (l *loop) attemptNotSent(p plannedAttempt) {
+	l.handleAttemptEnded(attemptEnded{
+		id: p.request.ID, index: p.index, endpoint: p.endpoint.Host, Result: upstream.Result{Outcome: policy.NotSent},
+	})
+	l.wakeDispatcher()
+}
+
+// startAttempt starts an attempt in a goroutine of its own.
+func (l *loop) startAttempt(ctx context.Context, p plannedAttempt) {
+	r := p.request
+	if !l.journal.Durable(p.record) {
+		l.violations.Record(invariant.SendUnrecorded, r.ID, "destination", r.Destination, "attempt", p.index+1)
+		l.attemptNotSent(p)
+		return
+	}
+	r.attemptStarted = time.Now()
+	l.traceEvent(trace.Event{
+		Kind: trace.AttemptStarted, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: p.endpoint.Host, Count: p.index + 1,
+		LeftMs: milliseconds(r.Deadline.Sub(l.timeline.Now())),
+	})
+	l.runAttempt(ctx, p, l.pool.Call)
+}
+
+// runAttempt has a goroutine make an attempt, or await the response to one, as exchange does.
+func (l *loop) runAttempt(ctx context.Context, p plannedAttempt, exchange func(context.Context, upstream.Request) upstream.Result) {
+	ctx, cancel := context.WithCancel(ctx)
+	r := p.request
+	startedAt := r.attemptStarted
+	r.attempt, r.cancel, r.cancelBeforeSend = p, cancel, new(atomic.Bool)
+	call := upstream.Request{
+		Target: upstream.Target{Endpoint: p.endpoint.Host, Addr: p.endpoint.Dial}, ID: r.ID, IdempotencyKey: r.IdempotencyKey, Body: r.Body,
+		Timeout: max(p.timeout-time.Since(startedAt), time.Millisecond), WriteBy: p.writeBy, CancelBeforeSend: r.cancelBeforeSend,
+		Deadline: l.timeline.TimeOf(r.Deadline), OnDeadline: func() { l.send(deadlineReached{r.ID}) },
+	}
+	l.attemptsInFlight++
+	go func() {
+		defer cancel()
+		result := exchange(ctx, call)
+		l.send(attemptEnded{
+			id: r.ID, index: p.index, endpoint: p.endpoint.Host, latency: time.Since(startedAt), started: true, Result: result,
+		})
+	}()
+}
+
+// handleAttemptEnded takes in the end of an attempt.
+func (l *loop) handleAttemptEnded(e attemptEnded) {
+	r := l.requests[e.id] // stays as long as an attempt is in flight
+	if e.started {
+		l.attemptsInFlight--
+	}
+	if e.Detached != nil {
+		l.detached[e.id] = e.Detached
+		return
+	}
+	r.cancel, r.attemptInFlight = nil, false
+	l.traceAttemptEnded(r, e)
+	if l.journal.Get(r.ID) == r.Entry {
+		l.journal.EndAttempt(r.Entry, e.NotExecuted(), outcomeNames[e.Outcome], l.timeline.Now())
+	}
+	l.events = append(l.events, policy.AttemptEnded{
+		ID: e.id, Endpoint: e.endpoint, Attempt: e.index, Outcome: e.Outcome,
+		RetryAfter: e.RetryAfter, Latency: e.latency, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown,
+		LoadReport: e.LoadReport,
+	})
+	claimed := e.Final && !r.completed() && l.handleFinalResponse(r, e.Outcome == policy.Succeeded)
+	endsRequest := e.Final && !r.Redelivery
+	nothingOwed := r.completed() && r.PendingNotice == nil // an evicted request that stayed for this attempt
+	if !claimed && (endsRequest || nothingOwed) {
+		l.evict(r)
+	}
+}
+
+// handleFinalResponse takes in a response after which its endpoint will do no more for a request, and reports whether a
+// subsystem takes charge of the outcome.
+func (l *loop) handleFinalResponse(r *request, delivered bool) (claimed bool) {
+	status, counted := trace.Withdrawn, admin.Failure // withdrawn by its client, or its deadline has passed
+	if delivered {
+		status, counted = trace.Delivered, admin.Success
+	}
+	l.traceCompleted(r, status)
+	l.countCompleted(r, counted)
+	return l.claimOutcome(r, status)
+}
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -1,110 +1,57 @@
 package relay
 
 import (
+	"context"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"frostlink/internal/admin"
-	"frostlink/internal/clock"
-	"frostlink/internal/frontend"
 	"frostlink/internal/journal"
+	"frostlink/internal/logkey"
 	"frostlink/internal/trace"
 	"frostlink/policy"
 )
 
-// This file commits a batch: records first, then the effects that a later process must know of. What needs no record is done
-// whatever becomes of the folder.
+// commit ends a batch. The rule: no effect that a later process must know of leaves before its record is durable. So the
+// records are written first, and a response 202, the start of an attempt and the publication of an outcome follow only
+// where that has succeeded.
+func (l *loop) commit(ctx context.Context) {
+	// 1. Records.
+	durable := l.writeRecords()
 
-// effect is something to be done once the records of its batch are written.
-type effect struct {
-	do func()
-	// by is when it is done all the same; 0: never without its record. The end of a message whose time is up may be told then: a
-	// later process that does not find its record can only end it once more.
-	by clock.Instant
-}
-
-// after has something done once the records of this batch are written.
-func (l *loop) after(do func()) { l.effects = append(l.effects, effect{do: do}) }
-
-// afterOrBy has something done once the records of this batch are written, or at a time.
-func (l *loop) afterOrBy(by clock.Instant, do func()) { l.effects = append(l.effects, effect{do, by}) }
-
-// promptly has something done at the end of this batch, whatever becomes of its records.
-func (l *loop) promptly(do func()) { l.prompt = append(l.prompt, do) }
-
-// commit writes the batch's records, and only then answers clients and makes calls: what was answered with 202 and what was sent must
-// be known to a later process.
-func (l *loop) commit() {
-	written := l.write()
-	fresh, sends, prompt := l.fresh, l.sends, l.prompt
-	l.fresh, l.sends, l.prompt = nil, nil, nil
-	for _, m := range fresh {
-		l.answer(m, written)
+	// 2. Effects that need the records of this batch. Where those are not durable the effects are taken back.
+	candidates, attempts, immediate := l.candidates, l.attempts, l.effects.immediate
+	l.candidates, l.attempts, l.effects.immediate = nil, nil, nil
+	for _, r := range candidates {
+		l.respondToCandidate(r, durable)
 	}
-	for _, s := range sends {
-		if !written {
-			l.unsent(s)
-			continue
+	for _, p := range attempts {
+		if durable {
+			l.startAttempt(ctx, p)
+		} else {
+			l.attemptNotSent(p)
 		}
-		l.call(s)
 	}
-	for _, m := range fresh {
-		switch { // not accepted after all
-		case m.verdicts != nil:
-			l.end(m)
-		case m.Redelivery && !m.over && !written:
-			l.giveBack(m, "")
+	if !durable {
+		for _, r := range candidates {
+			l.dropUnrecorded(r)
 		}
 	}
-	for _, do := range prompt {
-		do()
-	}
-	l.carryOut(written)
-	l.book.Publish(admin.Gauges{EndpointsListed: len(l.hosts), EndpointsUnhealthy: l.d.UnhealthyEndpoints()})
-}
 
-// answer answers the requests that brought a message, where they are not answered yet.
-func (l *loop) answer(m *message, written bool) {
-	replies := m.verdicts
-	switch {
-	case replies == nil && (!m.Redelivery || m.over || written): // refused, or nobody waits for an answer
-	case !written:
-		// Where records may be in the file all the same a later process may deliver it: that is no promise of no effect.
-		v := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
-		if l.journal.MayHoldUncommitted() {
-			v = frontend.Response{Status: http.StatusBadGateway}
-		}
-		reply(replies, v)
-		l.traceTurn(m.Entry, m.retry, refusedUnrecorded, v.RetryAfter)
-		l.count(m, admin.Shed)
-		l.events = append(l.events, policy.Cancelled{ID: m.ID})
-		l.wakeAt = 0 // the module has an event to act on
-	default:
-		m.verdicts = nil
-		reply(replies, frontend.Response{Status: http.StatusAccepted})
+	// 3. Effects that need no record.
+	for _, run := range immediate {
+		run()
 	}
-}
 
-// carryOut carries out the effects that are due.
-func (l *loop) carryOut(written bool) {
-	effects := l.effects
-	l.effects = nil
-	var later []effect
-	now := l.timeline.Now()
-	for _, e := range effects {
-		if written || e.by > 0 && now >= e.by {
-			e.do()
-		} else {
-			later = append(later, e)
-		}
-	}
-	l.effects = append(later, l.effects...)
+	// 4. Effects that wait for records of this batch or an earlier one, as long as that takes.
+	l.runAfterCommitEffects(durable)
+
+	l.metrics.Publish(admin.Gauges{EndpointsListed: len(l.endpoints), EndpointsUnhealthy: l.dispatcher.UnhealthyEndpoints()})
 }
 
-// write writes the records that were noted, and follows the folder's state: while it is degraded nothing is sent, and it is tried
-// again after a pause.
-func (l *loop) write() (written bool) {
+// writeRecords writes the records of the batch and reports whether they are durable. It follows the folder's state: while
+// that is degraded no attempt starts, and the folder is tried again after a pause.
+func (l *loop) writeRecords() (durable bool) {
 	now, before := l.now(), l.folder.State()
 	if !l.folder.MayWrite(now) {
 		return false
@@ -116,34 +63,36 @@
 		l.folder.WriteSucceeded(now)
 	}
 	if after := l.folder.State(); after != before {
-		slog.Warn("the folder's state has changed", "from", before.String(), "to", after.String(), "err", err)
-		l.note(trace.Event{Kind: trace.FolderStateChanged, Outcome: after.String()})
-		l.holdBack(after == journal.Degraded)
+		slog.Warn("folder state changed", logkey.From, before.String(), logkey.To, after.String(), logkey.Err, err)
+		l.traceEvent(trace.Event{Kind: trace.FolderStateChanged, Outcome: after.String()})
+		l.folderDegraded(after == journal.Degraded)
 	}
 	return err == nil
 }
 
-// holdBack has the module send nothing while the folder is degraded: each attempt that can't be recorded would count as one made.
-func (l *loop) holdBack(degraded bool) {
+// folderDegraded has the dispatcher start no attempt while the folder is degraded: each that can't be recorded would count
+// as one made.
+func (l *loop) folderDegraded(degraded bool) {
 	switch {
 	case degraded:
-		l.events = append(l.events, policy.Quiesced{})
+		l.wakeDispatcher(policy.Quiesced{})
 	case !l.stopping:
-		l.events = append(l.events, policy.Resumed{})
+		l.wakeDispatcher(policy.Resumed{})
+	default:
+		l.wakeDispatcher()
 	}
-	l.wakeAt = 0 // the module has an event to act on
 }
 
-// retryAt is when the folder is to be tried again, or an effect can't wait for it any more; ok is false while
-// neither is awaited.
-func (l *loop) retryAt() (at time.Duration, ok bool) {
+// folderRetryAt is when the folder is to be tried again, or an effect can't wait for it any more; ok is false while neither
+// is awaited.
+func (l *loop) folderRetryAt() (at time.Duration, ok bool) {
 	if l.folder.State() != journal.Degraded {
 		return 0, false
 	}
 	at = l.folder.RetryAt()
-	for _, e := range l.effects {
-		if e.by > 0 {
-			at = min(at, time.Duration(e.by))
+	for _, e := range l.effects.afterCommit {
+		if e.runBy > 0 {
+			at = min(at, time.Duration(e.runBy))
 		}
 	}
 	return at, true
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -4,12 +4,10 @@
 	"context"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"frostlink/internal/admin"
 	"frostlink/internal/clock"
-	"frostlink/internal/deadletter"
 	"frostlink/internal/discovery"
 	"frostlink/internal/frontend"
 	"frostlink/internal/invariant"
@@ -22,208 +20,63 @@
 	"frostlink/policy"
 )
 
-// inboxSize events wait for the loop without holding up the goroutines that bring them.
-const inboxSize = 1024
-
-// The events that goroutines send the loop.
-type (
-	// answered is the end of a call, or says that it is parked.
-	answered struct {
-		id      string
-		attempt int
-		host    string
-		took    time.Duration
-		made    bool // it was given to the pool
-		upstream.Result
-	}
-	// timeUp says that a message's time is up while the answer to its call is still listened to.
-	timeUp struct{ id string }
-	// told is a list, or a change of it.
-	told struct {
-		discovery.EndpointList
-		from string // the discovery that told it
-	}
-	// watchEnded says that the watch on discovery ended or could not be had.
-	watchEnded struct{ lines int }
-	// received says that the platform has notices.
-	received struct{ ids []string }
-	// stopSending says that the process is about to end, and serveOn that it is not.
-	stopSending struct{}
-	serveOn     struct{}
-	// question asks whether anything is still to be done.
-	question struct{ idle chan bool }
-	// refusedUnread says that a message was refused for want of room to read it.
-	refusedUnread struct{ class string }
-	// reconfigured says that a configuration was read again, or could not be used (nil).
-	reconfigured struct{ cfg *Config }
+const (
+	// inboxSize events wait for the loop without blocking the goroutines that send them.
+	inboxSize = 1024
+	// housekeepingInterval is between rounds of work that is not due at any exact time.
+	housekeepingInterval = time.Second
 )
 
-// message is what the loop holds of a message taken on.
-type message struct {
-	*journal.Entry
-	verdicts []chan frontend.Response // of the requests that brought it, until they are answered
-	cancel   context.CancelFunc       // of the call out; nil while there is none
-	call     send                     // that call
-	unsend   *atomic.Bool             // takes it back, where nothing of it has left
-	begun    time.Time                // when it did
-	retry    string                   // what its client says of an earlier hand-in
-	over     bool                     // ended, but a call is still out
-	sending  bool                     // an attempt was decided on whose end the loop has not heard
-	terms    *policy.Class            // of its class as it was accepted, once they were asked for
-	outcome  uint64                   // the number of the record of its terminal outcome
-	resumed  bool                     // taken on by an earlier process
-	noticed  bool                     // the platform has its notice, and it waits for the store
-	kept     bool                     // the store of undelivered messages has it
-	inflight bool                     // the figures count it as taken on
-	counted  bool                     // the figures have its end
-}
-
-// topic is what a message is about.
-func (m *message) topic() deadletter.Topic {
-	return deadletter.Topic{Class: m.Class, Partner: m.Destination, Subject: m.Subject}
-}
-
-// loop owns the dispatcher and the journal: nothing else touches their state. It batches events by tick,
-// hands them to the module, and carries out what that decides. It never waits for a socket.
+// loop owns the dispatcher and the journal: nothing else touches their state. It collects events into batches, hands them
+// to the dispatcher, and carries out what that decides. It never waits for a socket.
 type loop struct {
-	cfg      *Config
-	d        *policy.Dispatcher
-	journal  *journal.Journal
-	inbox    chan any
-	pool     *http1.Pool
-	watch    *discovery.Watcher
-	notices  *notification.Notifier
-	trace    *trace.Recorder
-	book     *admin.Metrics
-	stance   *servingmode.Mode
-	recheck  func(*frontend.Validator) // has clients' messages checked by other settings
-	keeper   *keeper                   // nil: undelivered messages are not kept
-	unkept   []*message                // noticed or delivered, and the store does not know yet
-	misses   int                       // so many of them were dropped, since the journal had no room
-	underway deadletter.Underway       // messages taken on that are about something, until the store knows of their end
-	again    deadletter.Underway       // resends that are
-	timeline *clock.Timeline           // its instants are the module's clock
-	steps    *clock.StepDetector
-	violated *invariant.Counts
-	due      invariant.Deadlines // of messages that were accepted
-	messages map[string]*message
-	hosts    map[string]discovery.Endpoint
-	dests    map[int]bool  // named by some list
-	arrivals int64         // the last Order.Arrival
-	wakeAt   time.Duration // when the loop goes on by itself
-	armed    time.Duration // what the module asked for last: it counts on that, and asks for no more until then
-	stepped  time.Duration // when the last batch was handled
-	calls    context.Context
-	out      int                     // calls out whose end the loop has not heard
-	parked   map[string]*net.TCPConn // of calls that wait in a freeze, by message
-	freeze   *freeze                 // wanted, until nothing is out
-	events   []policy.Event
-	fresh    []*message // arrivals of this batch
-	sends    []send     // of this batch
-	effects  []effect   // once their records are written
-	prompt   []func()   // of this batch, whatever becomes of its records
-	folder   journal.FolderMonitor
-	stopping bool // the process is about to end: the module sends nothing
-}
-
-// now is the module's clock: the relay's timeline, so that the module's times, the journal's and those of messages are of one
-// kind, whatever the wall clock does.
+	cfg          *Config
+	dispatcher   *policy.Dispatcher
+	journal      *journal.Journal
+	inbox        chan event
+	subsystems   []subsystem
+	pool         *http1.Pool
+	watch        *discovery.Watcher
+	notifier     *notification.Notifier
+	trace        *trace.Recorder
+	metrics      *admin.Metrics
+	mode         *servingmode.Mode
+	setValidator func(*frontend.Validator) // has submissions checked by other settings from then on
+	timeline     *clock.Timeline           // its instants are the dispatcher's clock
+	clockSteps   *clock.StepDetector
+
+	requests   map[string]*request // by id
+	violations *invariant.Counts
+	deadlines  invariant.Deadlines // of accepted requests
+
+	endpoints    map[string]discovery.Endpoint // by id
+	destinations map[int]bool                  // named by some list
+
+	wakeAt      time.Duration // when the loop goes on without an event
+	timerAt     time.Duration // what the dispatcher asked for last: it relies on that, and asks for no more until then
+	lastBatchAt time.Duration // when the last batch was handled
+
+	attemptsInFlight int                     // that were given to the pool and whose end the loop does not know
+	detached         map[string]*net.TCPConn // of attempts whose response is awaited after a quiesce, by request
+	quiescing        *quiesceRequested       // wanted, until no attempt is in flight
+	stopping         bool                    // the process is about to end: the dispatcher starts no attempt
+	folder           journal.FolderMonitor
+
+	// Of the batch that is being collected.
+	events     []policy.Event
+	candidates []*request
+	attempts   []plannedAttempt
+	effects    effectQueue
+}
+
+// now is the dispatcher's clock: the relay's timeline, so that the dispatcher's times, the journal's and those of requests
+// are of one kind, whatever the wall clock does.
 func (l *loop) now() time.Duration { return time.Duration(l.timeline.Now()) }
 
-// put hands the loop an event.
-func (l *loop) put(e any) { l.inbox <- e }
-
-// lastList is the newest list that this relay, or its platform for it, is known to have had.
-func (l *loop) lastList() discovery.EndpointList {
-	list := l.cfg.Known
-	told, from := l.journal.Endpoints()
-	switch {
-	case told == nil:
-	case from != l.cfg.Discovery: // versions are one discovery's own: nothing tells which is newer
-		list = *told
-		list.Seq = 0
-	case told.Seq >= list.Seq:
-		// The configuration's list may be older than what an earlier process was told: a host that drains gets nothing new
-		// from this one either. It may be newer as well, since the platform goes on listening while no process runs.
-		list = *told
-	}
-	return list
-}
-
-// restore takes up what the journal holds, and the list that the configuration gives; from is what another process has
-// handed over beside the journal, or nil.
-func (l *loop) restore(from *inheritance) {
-	list := l.lastList()
-	list.Full = true
-	l.note(trace.Event{Kind: trace.RelayStarted, Relay: l.cfg.Name, Count: l.cfg.Settings.NInstances})
-	l.told(list)
-	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // what the watch tells from here on may be changes of it only
-	l.watch.Seq = list.Seq
-	if l.journal.Failed() { // from its start on
-		l.folder.WriteFailed(l.now())
-		l.holdBack(true)
-	}
-	if from != nil {
-		l.events = append(l.events, policy.SnapshotRestored{Snapshot: from.Memory})
-		for _, e := range from.Past {
-			l.journal.AddCompleted(journal.CompletedRequest{ID: e.ID, At: e.At})
-		}
-	}
-	for _, e := range l.journal.Entries() {
-		m := &message{Entry: e, resumed: true}
-		l.messages[e.ID] = m
-		if l.journal.IsCompleted(e.ID) {
-			l.violated.Record(invariant.RecoveredAfterCompletion, e.ID, "destination", e.Destination)
-		}
-		l.begun(m)
-		l.traceResume(e)
-		switch {
-		case e.PendingNotice != nil:
-			m.over = true // by the process before
-			l.tellEnd(m)
-			if class := l.class(e.Class); class >= 0 && e.OrderKey != "" {
-				// Guards against a call for the next of its key that overtakes its notice.
-				l.events = append(l.events, policy.Arrived{ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, OutcomeDecided: true})
-			}
-			continue
-		case e.Delivered:
-			m.over = true
-			l.tellDelivered(m)
-			continue
-		}
-		class := l.class(e.Class)
-		if class < 0 { // the settings have changed, and the module could not end it
-			l.refuse(m, frontend.Response{}, notification.Undeliverable)
-			continue
-		}
-		l.taken(m)
-		l.due.Add(m.ID, m.Deadline)
-		a := policy.Arrived{
-			ID: e.ID, Class: class, Destination: e.Destination, OrderKey: e.OrderKey, Recovered: true, Background: e.Redelivery, Terms: l.journal.Terms(e),
-			TimeLeft: e.Deadline.Sub(l.timeline.Now()),
-		}
-		for _, t := range e.Attempts {
-			// An attempt that was out when the process ended may have run.
-			a.PriorAttempts = append(a.PriorAttempts, policy.PriorAttempt{Endpoint: t.Endpoint, SentAt: l.sent(t), NotExecuted: t.Ended && t.NotExecuted})
-		}
-		if from != nil && from.resume(l, m) {
-			a.PriorAttempts[len(a.PriorAttempts)-1].InFlight = true
-		}
-		l.events = append(l.events, a)
-	}
-	l.step()
-}
-
-// sent is when an attempt of an earlier process began, in the module's terms. Where that process did not run in this boot how
-// long ago it was is not known: it counts as longer ago than any destination keeps a key.
-func (l *loop) sent(a journal.Attempt) time.Duration {
-	if !l.timeline.SameBoot() {
-		return 0
-	}
-	return time.Duration(a.StartedAt)
-}
+// send hands the loop an event.
+func (l *loop) send(e event) { l.inbox <- e }
 
-// class gives the number of a class, or -1.
+// class returns the number of a class, or -1.
 func (l *loop) class(name string) int {
 	for i := range l.cfg.policy.Classes {
 		if l.cfg.policy.Classes[i].Name == name {
@@ -233,329 +86,113 @@
 	return -1
 }
 
-// run serves until ctx ends.
+// run handles events until ctx ends.
 func (l *loop) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	sweep := time.NewTicker(time.Second)
-	defer sweep.Stop()
+	housekeeping := time.NewTicker(housekeepingInterval)
+	defer housekeeping.Stop()
 	for {
 		timer.Reset(max(0, l.nextWake()-l.now()))
 		select {
 		case <-ctx.Done():
 			return
-		case <-sweep.C:
-			l.pool.Sweep()
-			if step, stepped := l.steps.Check(); stepped {
-				l.note(trace.Event{Kind: trace.ClockStepped, Ms: milliseconds(step)})
-			}
-			l.checkClocks()
-			l.forgetEnds()
+		case <-housekeeping.C:
+			l.housekeep()
 			continue
 		case e := <-l.inbox:
-			l.accept(e)
+			e.apply(l)
 		case <-timer.C:
 		}
-		// What comes within a tick of the last batch is one batch.
-		tick := time.NewTimer(l.stepped + l.cfg.policy.BatchInterval - l.now())
-		for more := true; more; {
-			select {
-			case e := <-l.inbox:
-				l.accept(e)
-			case <-tick.C:
-				more = false
-			}
-		}
-		l.step()
-		if l.freeze != nil && l.out == 0 && !l.frozen(ctx) {
+		l.collectBatch()
+		l.step(ctx)
+		if l.quiescing != nil && l.attemptsInFlight == 0 && !l.awaitResume(ctx) {
 			return
 		}
 	}
 }
 
-// accept turns one event into the module's terms.
-func (l *loop) accept(e any) {
-	switch e := e.(type) {
-	case *frontend.Submission:
-		l.arrive(e)
-	case answered:
-		l.answered(e)
-	case timeUp:
-		l.events = append(l.events, policy.DeadlineExceeded{ID: e.id})
-	case told:
-		l.note(trace.Event{Kind: trace.EndpointsReceived, Full: e.Full, Count: len(e.Endpoints)})
-		l.told(e.EndpointList)
-		if e.Full {
-			for host := range l.journal.Health() {
-				if _, ok := l.hosts[host]; !ok {
-					l.journal.DeleteHealth(host)
-				}
-			}
-		}
-		l.journal.UpdateEndpoints(e.EndpointList, e.from)
-	case watchEnded:
-		l.note(trace.Event{Kind: trace.WatchEnded, Count: e.lines})
-		l.events = append(l.events, policy.WatchFailed{})
-	case received:
-		for _, id := range e.ids {
-			if m := l.messages[id]; m != nil {
-				l.note(trace.Event{Kind: trace.Notified, ID: id, Class: m.Class, Destination: m.Destination})
-				l.settled(m)
-				l.noticed(m)
-			}
-		}
-	case resend:
-		l.resend(e)
-	case holds:
-		m := l.messages[e.id]
-		e.answer <- m != nil && m.Redelivery
-	case kept:
-		for _, id := range e.ids {
-			if m := l.messages[id]; m != nil && (m.PendingNotice != nil || m.Delivered) {
-				l.inStore(m)
-			}
-		}
-	case storeKnows:
-		if e.misses == l.misses {
-			l.journal.SetStore(e.name)
-		}
-	case stopSending:
-		l.stopping = true
-		l.events = append(l.events, policy.Quiesced{})
-	case serveOn:
-		l.serveOn()
-	case question:
-		e.idle <- len(l.messages) == 0
-	case refusedUnread:
-		l.book.Completed(e.class, admin.Shed, false)
-	case freeze:
-		l.freeze = &e
-	case reconfigured:
-		l.book.Reconfigured(e.cfg != nil)
-		if e.cfg != nil {
-			l.retune(e.cfg)
-		}
-	}
-}
-
-// serveOn goes on sending after a stop, unless the folder keeps that back.
-func (l *loop) serveOn() {
-	l.stopping = false
-	if l.folder.State() != journal.Degraded {
-		l.events = append(l.events, policy.Resumed{})
-	}
-}
-
-// answered takes in the end of a call.
-func (l *loop) answered(e answered) {
-	m := l.messages[e.id] // stays as long as a call is out
-	if e.made {
-		l.out--
-	}
-	if e.Detached != nil {
-		l.parked[e.id] = e.Detached
-		return
-	}
-	m.cancel, m.sending = nil, false
-	l.traceAnswer(m, e)
-	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.EndAttempt(m.Entry, e.NotExecuted(), outcomes[e.Outcome], l.timeline.Now())
-	}
-	l.events = append(l.events, policy.AttemptEnded{
-		ID: e.id, Endpoint: e.host, Attempt: e.attempt, Outcome: e.Outcome,
-		RetryAfter: e.RetryAfter, Latency: e.took, Final: e.Final, AttemptsExhausted: e.AttemptsExhausted, OutcomeUnknown: e.OutcomeUnknown, LoadReport: e.LoadReport,
-	})
-	switch {
-	case !e.Final || m.over:
-	case e.Outcome == policy.Succeeded:
-		l.traceEnd(m, trace.Delivered)
-		l.count(m, admin.Success)
-	default: // withdrawn, or out of time
-		l.traceEnd(m, trace.Withdrawn)
-		l.count(m, admin.Failure)
-	}
-	switch {
-	case e.Final && e.Outcome != policy.Succeeded && l.keeper != nil && !m.over:
-		l.gone(m)
-	case e.Final && m.Redelivery && !m.over:
-		l.endResend(m, delivered, "")
-	case e.Final && m.Order != nil && l.keeper != nil && !m.over:
-		l.decide(m, delivered)
-		l.journal.MarkDelivered(m.Entry)
-		l.after(func() { l.tellDelivered(m) })
-	case e.Final && !m.Redelivery, m.over && m.PendingNotice == nil:
-		l.end(m)
+// housekeep does what is not due at any exact time.
+func (l *loop) housekeep() {
+	l.pool.Sweep()
+	if step, stepped := l.clockSteps.Check(); stepped {
+		l.traceEvent(trace.Event{Kind: trace.ClockStepped, Ms: milliseconds(step)})
 	}
+	l.checkMixedClocks()
+	l.expireCompleted()
 }
 
-// told takes in a change of the list.
-func (l *loop) told(m discovery.EndpointList) {
-	named := map[string]bool{}
-	var recalled []policy.Event
-	for _, h := range m.Endpoints {
-		named[h.Host] = true
-		old, had := l.hosts[h.Host]
-		if had && (old.Dial != h.Dial || h.Health == discovery.Deleted) {
-			l.pool.Evict(upstream.Target{Endpoint: h.Host, Addr: old.Dial})
-		}
-		if h.Health == discovery.Deleted {
-			l.forget(h.Host)
-			continue
-		}
-		l.hosts[h.Host] = h
-		l.dests[h.Block] = true
-		if health, ok := l.journal.Health()[h.Host]; ok && !had {
-			// An earlier process saw it go out; the list that came with the configuration may lack it.
-			recalled = append(recalled, policy.HealthRecovered{Endpoint: h.Host, Unhealthy: health.Unhealthy, At: time.Duration(health.At)})
-		}
-	}
-	if m.Full {
-		for id, h := range l.hosts {
-			if !named[id] {
-				l.pool.Evict(upstream.Target{Endpoint: id, Addr: h.Dial})
-				l.forget(id)
-			}
+// collectBatch takes in the events that come within the batch interval of the last batch.
+func (l *loop) collectBatch() {
+	end := time.NewTimer(l.lastBatchAt + l.cfg.policy.BatchInterval - l.now())
+	for {
+		select {
+		case e := <-l.inbox:
+			e.apply(l)
+		case <-end.C:
+			return
 		}
 	}
-	l.events = append(append(l.events, m.Event(&l.cfg.Settings)), recalled...)
-}
-
-func (l *loop) forget(host string) {
-	delete(l.hosts, host)
-	l.journal.DeleteHealth(host)
-}
-
-// end notes that nothing more is owed for a message.
-func (l *loop) end(m *message) {
-	m.over = true
-	if m.Order != nil {
-		l.underway.Ended(m.ID, m.topic())
-		l.again.Ended(m.ID, m.topic())
-	}
-	if l.journal.Get(m.ID) == m.Entry {
-		l.journal.Complete(m.Entry, l.timeline.Now())
-	}
-	m.PendingNotice = nil
-	if m.cancel == nil {
-		delete(l.messages, m.ID)
-	}
 }
 
-// step lets the module act on a batch, and carries its actions out once what they need is in the journal.
-func (l *loop) step() {
+// step has the dispatcher decide on a batch, carries its actions out and commits them.
+func (l *loop) step(ctx context.Context) {
 	now := l.now()
-	l.stepped = now
-	if l.woken(now) {
+	l.lastBatchAt = now
+	if l.timerFired(now) {
 		l.events = append(l.events, policy.TimerFired{})
 	}
 	events := l.events
 	l.events = nil
-	actions := l.d.Handle(now, events)
+	actions := l.dispatcher.Handle(now, events)
 	for _, a := range actions {
-		switch a := a.(type) {
-		case policy.Reject:
-			l.refuse(l.messages[a.ID], frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}, notification.Deferred)
-		case policy.Fail:
-			l.refuse(l.messages[a.ID], frontend.Response{Status: http.StatusBadGateway}, notification.Undeliverable)
-		}
+		l.applyOutcome(a)
 	}
-	l.admitted()
+	l.acceptCandidates()
 	for _, a := range actions {
-		l.act(now, a)
+		l.applyAction(now, a)
 	}
-	l.overtake()
-	l.endOverdue()
-	l.commit()
-}
-
-// admitted takes on the arrivals of this batch that were not refused.
-func (l *loop) admitted() {
-	for _, m := range l.fresh {
-		if !m.over {
-			if class := l.class(m.Class); class >= 0 {
-				l.journal.SetTerms(m.Entry, l.cfg.policy.Classes[class])
-			}
-			l.journal.Accept(m.Entry)
-			l.traceMessage(trace.Accepted, m.Entry, m.retry, trace.Event{})
-			l.taken(m)
-			l.begun(m)
-			l.due.Add(m.ID, m.Deadline)
-		}
+	for _, s := range l.subsystems {
+		s.beforeCommit()
 	}
+	l.failOverdue()
+	l.commit(ctx)
 }
 
-// refuse ends a message undelivered: by its answer if that is still due, else by a notice.
-func (l *loop) refuse(m *message, v frontend.Response, status string) {
-	if m == nil || m.over {
-		return
-	}
-	if m.Redelivery {
-		l.endResend(m, status, "")
-		return
-	}
-	if status == notification.Deferred {
-		l.count(m, admin.Shed)
-	} else {
-		l.count(m, admin.Failure)
-	}
-	if replies := m.verdicts; replies != nil {
-		l.traceTurn(m.Entry, m.retry, refusedByModule, v.RetryAfter)
-		l.refusedAt(m, status)
-		m.verdicts = nil
-		l.promptly(func() {
-			reply(replies, v)
-			l.settled(m)
-		})
-		l.end(m)
-		return
-	}
-	l.traceEnd(m, status)
-	l.decide(m, status)
-	n := notification.Notice{ID: m.ID, Status: status, RetryAfterMS: v.RetryAfter.Milliseconds()}
-	l.journal.DecideOutcome(m.Entry, n, string(l.reason(m, status)), l.timeline.Now())
-	m.outcome = l.journal.LastRecord()
-	l.afterOrBy(m.Deadline, func() { l.tellEnd(m) })
-}
-
-// settled tells the module that the end which it gave a message of a class in order is known where it is owed: only then
-// the next one of its item may go. A call that overtakes the notice of the message before it is a call out of turn.
-func (l *loop) settled(m *message) {
-	if m.OrderKey != "" {
-		l.events = append(l.events, policy.Acknowledged{ID: m.ID})
-		l.wakeAt = 0 // the module has an event to act on
-	}
-}
-
-// reply answers all requests that brought a message.
-func reply(to []chan frontend.Response, v frontend.Response) {
-	for _, c := range to {
-		c <- v
+// applyOutcome carries out an action that ends a request. Those come before all others: a candidate that is rejected is
+// not accepted.
+func (l *loop) applyOutcome(a policy.Action) {
+	switch a := a.(type) {
+	case policy.Reject:
+		l.fail(l.requests[a.ID], frontend.Response{Status: http.StatusTooManyRequests, RetryAfter: a.RetryAfter}, notification.Deferred)
+	case policy.Fail:
+		l.fail(l.requests[a.ID], frontend.Response{Status: http.StatusBadGateway}, notification.Undeliverable)
 	}
 }
 
-// act carries out one action other than an end.
-func (l *loop) act(now time.Duration, a policy.Action) {
+// applyAction carries out an action that ends no request.
+func (l *loop) applyAction(now time.Duration, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		l.send(now, a)
+		l.planAttempt(now, a)
 	case policy.CancelAttempt:
-		if m := l.messages[a.ID]; m != nil && m.cancel != nil && a.Attempt == len(m.Attempts)-1 {
-			l.promptly(m.cancel)
+		if r := l.requests[a.ID]; r != nil && r.cancel != nil && a.Attempt == len(r.Attempts)-1 {
+			l.immediately(r.cancel)
 		}
 	case policy.CancelBeforeSend:
-		if m := l.messages[a.ID]; m != nil && m.unsend != nil && a.Attempt == len(m.Attempts)-1 {
-			m.unsend.Store(true) // of a call of an earlier batch: that one's record is written
+		if r := l.requests[a.ID]; r != nil && r.cancelBeforeSend != nil && a.Attempt == len(r.Attempts)-1 {
+			r.cancelBeforeSend.Store(true) // of an attempt of an earlier batch: that one's record is written
 		}
 	case policy.CloseIdleConns:
-		if h, ok := l.hosts[a.Endpoint]; ok {
-			l.promptly(func() { l.pool.CloseIdle(upstream.Target{Endpoint: h.Host, Addr: h.Dial}) })
+		if e, ok := l.endpoints[a.Endpoint]; ok {
+			l.immediately(func() { l.pool.CloseIdle(upstream.Target{Endpoint: e.Host, Addr: e.Dial}) })
 		}
 	case policy.SetTimer:
-		l.arm(now + a.After)
+		l.setTimer(now + a.After)
 	case policy.WatchEndpoints:
 		l.watch.Subscribe()
 	case policy.PersistHealth:
-		if _, ok := l.hosts[a.Endpoint]; ok {
+		if _, ok := l.endpoints[a.Endpoint]; ok {
 			l.journal.SetHealth(a.Endpoint, journal.Health{Unhealthy: a.Unhealthy, At: clock.Instant(a.At)})
 		}
 	}
--- /dev/null
+++ b/internal/relay/reload.go
@@ -0,0 +1,90 @@
+package relay
+
+import (
+	"context"
+	"log/slog"
+	"os"
+
+	"frostlink/internal/logkey"
+	"frostlink/policy"
+)
+
+// Reading is the result of reading the configuration again.
+type Reading struct {
+	Config *Config // nil: it can't be used
+	Err    error
+}
+
+// Reread reads the configuration again at each hang-up, until ctx ends. One that can't be used changes nothing.
+func Reread(ctx context.Context, path string, running *Config, hangups <-chan os.Signal) <-chan Reading {
+	readings := make(chan Reading)
+	go func() {
+		inForce := running.raw
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case <-hangups:
+			}
+			cfg, err := rereadConfig(path, inForce)
+			if err != nil {
+				slog.Error("configuration reload failed: the old one stays in force", logkey.Err, err)
+			} else {
+				inForce = cfg.raw
+			}
+			select {
+			case readings <- Reading{cfg, err}:
+			case <-ctx.Done():
+			}
+		}
+	}()
+	return readings
+}
+
+// rereadConfig reads a configuration file that is to replace a running one.
+func rereadConfig(path string, running []byte) (*Config, error) {
+	cfg, err := ReadConfig(path)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkNoKeyMissing(running, cfg.raw); err != nil {
+		err.File = path
+		return nil, err
+	}
+	return cfg, nil
+}
+
+// reload hands a configuration that was read again to the loop, and moves to another discovery.
+func (n *node) reload(r Reading) {
+	if n.running.Err() != nil {
+		return // it is for the successor
+	}
+	n.loop.send(settingsReloaded{r.Config})
+	if r.Err != nil {
+		return
+	}
+	slog.Info("configuration reloaded", logkey.Discovery, r.Config.Discovery, logkey.Classes, r.Config.classNames())
+	if r.Config.Discovery != n.discovery {
+		n.discovery = r.Config.Discovery
+		n.loop.notifier.SetAddress(n.discovery) // first: who sees the watch move may rely on it
+		n.loop.watch.SetAddress(n.discovery)
+	}
+}
+
+// applySettings replaces the settings in one step: what is decided from here on, in this batch already, is decided under
+// the new ones. All else of the configuration is for the next start.
+func (l *loop) applySettings(read *Config) {
+	next := *l.cfg
+	next.Settings, next.Discovery = read.Settings, read.Discovery
+	next.policy = read.policy
+	next.policy.Classes = policy.MergeClasses(l.cfg.policy.Classes, read.policy.Classes)
+	l.cfg = &next
+	for _, name := range next.classNames() {
+		l.metrics.AddClass(name)
+	}
+	l.events = append(l.events, policy.SettingsChanged{Settings: next.policy})
+	l.setValidator(next.validator())
+	for _, s := range l.subsystems {
+		s.settingsChanged(&next)
+	}
+}
