--- a/cmd/frostlink/main.go
+++ b/cmd/frostlink/main.go
@@ -87,7 +87,7 @@
 	limitRuntime(config)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return relay.Run(ctx, config, state, relay.Reread(ctx, configPath, config, hangups))
+	return relay.Run(ctx, config, state, relay.WatchReloads(ctx, configPath, config, hangups))
 }
 
 // limitRuntime holds the Go runtime to the platform's limits on cores and memory.
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	config.Own = operatorFile
+	config.OperatorFile = operatorFile
 	if fd := os.Getenv(envListenFD); fd != "" {
 		if config.ListenFD, err = strconv.Atoi(fd); err != nil || config.ListenFD < firstInherited {
 			return nil, fmt.Errorf("NODE_LISTEN_FD: %q is no descriptor that can be inherited", fd)
--- a/cmd/frostlinkctl/repeat.go
+++ b/cmd/frostlinkctl/repeat.go
@@ -110,7 +110,7 @@
 		{"taken on", func(r *harness.Result) float64 { return float64(r.Counts.Taken) }},
 		{"calls", func(r *harness.Result) float64 { return float64(r.Counts.Calls) }},
 	}
-	for _, outcome := range []string{checker.OK, checker.Error, checker.Full, checker.Wait, checker.Reset, checker.Cut, checker.Left} {
+	for _, outcome := range []string{checker.OK, checker.Error, checker.Rejected, checker.RetryAfter, checker.Reset, checker.Interrupted, checker.Abandoned} {
 		figures = append(figures, struct {
 			name string
 			of   func(r *harness.Result) float64
--- a/cmd/frostlinkctl/undelivered.go
+++ b/cmd/frostlinkctl/undelivered.go
@@ -331,7 +331,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return cfg.ResendClasses(own), nil
+	return cfg.RedeliveryClasses(own), nil
 }
 
 // printChecks says in plain words what each rule would do.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -16,13 +16,13 @@
 
 // Endpoint is one endpoint of the list.
 type Endpoint struct {
-	Host   string  `json:"host"`   // its id
-	Dial   string  `json:"dial"`   // its address
-	Site   string  `json:"site"`   // its zone
-	Class  string  `json:"class"`  // the kind of its machine
-	Block  int     `json:"block"`  // the number of its destination
-	Health string  `json:"health"` // Draining, Deleted or another, which means that it serves
-	Share  float64 `json:"share"`  // its weight
+	ID          string  `json:"host"`   // its id
+	Address     string  `json:"dial"`   // its address
+	Zone        string  `json:"site"`   // its zone
+	Kind        string  `json:"class"`  // the kind of its machine
+	Destination int     `json:"block"`  // the number of its destination
+	Health      string  `json:"health"` // Draining, Deleted or another, which means that it serves
+	Weight      float64 `json:"share"`  // its weight
 }
 
 // The health of an endpoint that takes no new requests.
@@ -36,9 +36,9 @@
 	e := policy.EndpointsChanged{Full: l.Full}
 	for _, endpoint := range l.Endpoints {
 		e.Endpoints = append(e.Endpoints, policy.Endpoint{
-			ID: endpoint.Host, Destination: endpoint.Block,
-			Kind: slices.Index(s.Shapes, endpoint.Class), Zone: slices.Index(s.Localities, endpoint.Site),
-			Weight:   endpoint.Share,
+			ID: endpoint.ID, Destination: endpoint.Destination,
+			Kind: slices.Index(s.Shapes, endpoint.Kind), Zone: slices.Index(s.Localities, endpoint.Zone),
+			Weight:   endpoint.Weight,
 			Draining: endpoint.Health == Draining, Removed: endpoint.Health == Deleted,
 		})
 	}
@@ -62,7 +62,7 @@
 func (l *EndpointList) without(changed []Endpoint) []Endpoint {
 	ids := map[string]bool{}
 	for _, e := range changed {
-		ids[e.Host] = true
+		ids[e.ID] = true
 	}
-	return slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return ids[e.Host] })
+	return slices.DeleteFunc(slices.Clone(l.Endpoints), func(e Endpoint) bool { return ids[e.ID] })
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -8,19 +8,19 @@
 // A change replaces the endpoints that it names and removes deleted ones; a whole list replaces
 // all.
 func TestEndpointList_Apply(t *testing.T) {
-	list := &EndpointList{Seq: 1, Full: true, Endpoints: []Endpoint{{Host: "a"}, {Host: "b"}, {Host: "c"}}}
+	list := &EndpointList{Seq: 1, Full: true, Endpoints: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	for _, tt := range []struct {
 		name   string
 		list   *EndpointList
 		change EndpointList
 		want   []Endpoint
 	}{
-		{"first list", nil, EndpointList{Endpoints: []Endpoint{{Host: "a"}, {Host: "b", Health: Deleted}}}, []Endpoint{{Host: "a"}}},
-		{"whole list", list, EndpointList{Full: true, Endpoints: []Endpoint{{Host: "d"}}}, []Endpoint{{Host: "d"}}},
+		{"first list", nil, EndpointList{Endpoints: []Endpoint{{ID: "a"}, {ID: "b", Health: Deleted}}}, []Endpoint{{ID: "a"}}},
+		{"whole list", list, EndpointList{Full: true, Endpoints: []Endpoint{{ID: "d"}}}, []Endpoint{{ID: "d"}}},
 		{
 			"change", list,
-			EndpointList{Endpoints: []Endpoint{{Host: "b", Health: Draining}, {Host: "a", Health: Deleted}, {Host: "d"}}},
-			[]Endpoint{{Host: "c"}, {Host: "b", Health: Draining}, {Host: "d"}},
+			EndpointList{Endpoints: []Endpoint{{ID: "b", Health: Draining}, {ID: "a", Health: Deleted}, {ID: "d"}}},
+			[]Endpoint{{ID: "c"}, {ID: "b", Health: Draining}, {ID: "d"}},
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -63,7 +63,7 @@
 }
 
 // Judge checks a run that ended at a time against all rules, and counts what came of it.
-func Judge(f Figures, log []Event, end time.Duration) *Report {
+func Judge(f Terms, log []Event, end time.Duration) *Report {
 	log = byTime(log)
 	h := readHistory(f, log, end)
 	for _, check := range rules {
--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -55,69 +55,69 @@
 func (h *history) attributed(e Event) (Event, bool) {
 	request := h.requestsByID[e.ID]
 	switch e.Kind {
-	case HandedIn, Called, Probed, Connected, Effect:
+	case Submitted, AttemptSent, Probed, Connected, Executed:
 		return e, true
-	case Ended:
-		a := h.attemptsByNumber[e.Call]
+	case AttemptEnded:
+		a := h.attemptsByNumber[e.Attempt]
 		if a == nil || a.probe {
 			return e, false
 		}
-		e.Relay, e.Dest = a.relay, a.destination
+		e.Relay, e.Destination = a.relay, a.destination
 		return e, true
 	case Answered:
 		if request == nil || !request.accepted || request.answeredAt != e.At {
 			return e, false
 		}
-	case Noticed:
+	case Notified:
 		if request == nil || request.notices[0].At != e.At {
 			return e, false
 		}
-	case Unheard:
+	case AnswerMissed:
 		if request == nil {
 			return e, false
 		}
 	default:
 		return e, false
 	}
-	e.Dest = request.destination
+	e.Destination = request.destination
 	return e, true
 }
 
 // add counts an event. An effect is of no relay: nothing tells which one's attempt it was.
 func (r *Report) add(e Event) {
 	r.Counts.add(e)
-	if e.Kind != Effect && e.Relay < len(r.Relays) {
+	if e.Kind != Executed && e.Relay < len(r.Relays) {
 		r.Relays[e.Relay].add(e)
 	}
-	if e.Dest < len(r.Partners) {
-		r.Partners[e.Dest].add(e)
+	if e.Destination < len(r.Partners) {
+		r.Partners[e.Destination].add(e)
 	}
 }
 
 // add counts an event that was attributed.
 func (c *Counts) add(e Event) {
 	switch e.Kind {
-	case HandedIn:
+	case Submitted:
 		c.HandIns++
 	case Answered:
 		c.Taken++
-	case Unheard:
+	case AnswerMissed:
 		c.Unheard++
-	case Noticed:
+	case Notified:
 		if e.State == Deferred {
 			c.Deferred++
 		} else {
 			c.GivenUp++
 		}
-	case Called:
+	case AttemptSent:
 		c.Calls++
 	case Probed:
 		c.Probes++
 	case Connected:
 		c.Connections++
-	case Ended:
+	case AttemptEnded:
 		c.Outcomes[e.Outcome]++
-	case Effect:
+	case Executed:
 		c.Effects++
 	default:
 	}
--- a/internal/faultinjection/checker/figures_test.go
+++ b/internal/faultinjection/checker/figures_test.go
@@ -15,9 +15,9 @@
 	log := []Event{
 		{At: at(0), Kind: Started, Process: 1},
 		{At: at(0.1), Kind: Ready, Process: 1},
-		{At: at(8), Kind: HandedIn, ID: "m", For: at(25)},
+		{At: at(8), Kind: Submitted, ID: "m", Duration: at(25)},
 		{At: at(8.01), Kind: Answered, ID: "m", Status: 202},
-		{At: at(9), Kind: Called, ID: "m", Host: "h", Call: 1, First: at(9)},
+		{At: at(9), Kind: AttemptSent, ID: "m", Endpoint: "h", Attempt: 1, FirstByte: at(9)},
 		{At: at(9.9), Kind: Started, Process: 2},
 		{At: at(10), Kind: Ready, Process: 2},
 	}
@@ -27,9 +27,9 @@
 // Two processes of which one takes the other's place are one relay: what one has out, or was told, binds the other.
 func TestTwoProcessesAreOneRelay(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	ok := Event{At: at(13), Kind: Ended, ID: "m", Call: 1, Outcome: OK, Ran: true}
+	ok := Event{At: at(13), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: OK, Ran: true}
 	shows := func(p int, success, calls, inflight int) Event {
-		return Event{At: at(14), Kind: Scraped, Process: p, Figures: &Scrape{
+		return Event{At: at(14), Kind: MetricsRead, Process: p, Metrics: &Scrape{
 			Success:      map[string]int{"status": success},
 			BackendCalls: calls, Inflight: inflight,
 		}}
@@ -37,9 +37,9 @@
 	many := func(n int) (log []Event) { // messages that come and go while the second process serves
 		for i := range n {
 			id := "n" + strings.Repeat("x", i)
-			log = append(log, Event{At: at(11), Kind: HandedIn, ID: id, For: at(9)}, Event{At: at(11.01), Kind: Answered, ID: id, Status: 202},
-				Event{At: at(11.1), Kind: Called, ID: id, Host: "h", Call: 100 + i, First: at(11.1)},
-				Event{At: at(11.2), Kind: Ended, ID: id, Call: 100 + i, Outcome: OK, Ran: true})
+			log = append(log, Event{At: at(11), Kind: Submitted, ID: id, Duration: at(9)}, Event{At: at(11.01), Kind: Answered, ID: id, Status: 202},
+				Event{At: at(11.1), Kind: AttemptSent, ID: id, Endpoint: "h", Attempt: 100 + i, FirstByte: at(11.1)},
+				Event{At: at(11.2), Kind: AttemptEnded, ID: id, Attempt: 100 + i, Outcome: OK, Ran: true})
 		}
 		return log
 	}
@@ -49,29 +49,29 @@
 		want Rule // empty: none
 	}{
 		{"the call goes on", replaced(ok, shows(2, 1, 0, 0)), ""},
-		{"the old one sends again", replaced(Event{At: at(11), Kind: Called, ID: "m", Host: "h", Call: 2, First: at(11)},
-			Event{At: at(11.5), Kind: Ended, ID: "m", Call: 2, Outcome: Full}, ok), SecondCopy},
+		{"the old one sends again", replaced(Event{At: at(11), Kind: AttemptSent, ID: "m", Endpoint: "h", Attempt: 2, FirstByte: at(11)},
+			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: Rejected}, ok), ConcurrentAttempts},
 		{"the new one forgets a wait", replaced(
-			Event{At: at(9.5), Kind: Ended, ID: "m", Call: 1, Outcome: Wait, For: at(5)},
-			Event{At: at(11), Kind: Called, ID: "m", Host: "h", Call: 2, First: at(11)},
-			Event{At: at(11.5), Kind: Ended, ID: "m", Call: 2, Outcome: OK, Ran: true}), WaitIgnored},
+			Event{At: at(9.5), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: RetryAfter, Duration: at(5)},
+			Event{At: at(11), Kind: AttemptSent, ID: "m", Endpoint: "h", Attempt: 2, FirstByte: at(11)},
+			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: OK, Ran: true}), RetryAfterIgnored},
 		{"the wait is heeded", replaced(
-			Event{At: at(9.5), Kind: Ended, ID: "m", Call: 1, Outcome: Wait, For: at(1)},
-			Event{At: at(11), Kind: Called, ID: "m", Host: "h", Call: 2, First: at(11)},
-			Event{At: at(11.5), Kind: Ended, ID: "m", Call: 2, Outcome: OK, Ran: true}), ""},
-		{"no end, and no restart that excuses it", replaced(), NoEnd},
+			Event{At: at(9.5), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: RetryAfter, Duration: at(1)},
+			Event{At: at(11), Kind: AttemptSent, ID: "m", Endpoint: "h", Attempt: 2, FirstByte: at(11)},
+			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: OK, Ran: true}), ""},
+		{"no end, and no restart that excuses it", replaced(), OutcomeMissing},
 		{"figures agree", append(replaced(ok), append(many(40), shows(2, 41, 40, 0))...), ""},
 		{"figures off by three", append(replaced(ok), append(many(40), shows(2, 44, 43, 3))...), ""},
-		{"repeats count twice", append(replaced(ok), append(many(40), shows(2, 50, 40, 0))...), FiguresWrong},
-		{"ends are not counted", append(replaced(ok), append(many(40), shows(2, 30, 40, 0))...), FiguresWrong},
-		{"calls are not counted", append(replaced(ok), append(many(40), shows(2, 41, 30, 0))...), FiguresWrong},
-		{"what is over stays in flight", append(replaced(ok), append(many(40), shows(2, 41, 40, 12))...), FiguresWrong},
+		{"repeats count twice", append(replaced(ok), append(many(40), shows(2, 50, 40, 0))...), MetricsWrong},
+		{"ends are not counted", append(replaced(ok), append(many(40), shows(2, 30, 40, 0))...), MetricsWrong},
+		{"calls are not counted", append(replaced(ok), append(many(40), shows(2, 41, 30, 0))...), MetricsWrong},
+		{"what is over stays in flight", append(replaced(ok), append(many(40), shows(2, 41, 40, 12))...), MetricsWrong},
 		{"the new one goes on with the old one's counts", append(many(40), append(replaced(ok),
 			Event{At: at(30), Kind: Started, Process: 3}, Event{At: at(31), Kind: Ready, Process: 3},
-			Event{At: at(33), Kind: Scraped, Process: 3, Figures: &Scrape{Success: map[string]int{"status": 41}}})...), FiguresWrong},
+			Event{At: at(33), Kind: MetricsRead, Process: 3, Metrics: &Scrape{Success: map[string]int{"status": 41}}})...), MetricsWrong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := Figures{Settings: settings.Settings{
+			f := Terms{Settings: settings.Settings{
 				NInstances: 1, Categories: []settings.Category{{Name: "status", Idempotency: "retryable"}},
 				Rules: settings.Rules{AnswerSlackS: 0.3, AskWithinS: 10},
 			}, Destinations: []Destination{{Name: "p", Capacity: 100, ColdShare: 1}}}
--- a/internal/faultinjection/checker/history.go
+++ b/internal/faultinjection/checker/history.go
@@ -21,11 +21,11 @@
 
 // mayHaveExecuted reports what the relay could know: only a rejection proves that an attempt was not executed.
 func (a *attempt) mayHaveExecuted() bool {
-	return a.outcome != Full && a.outcome != Wait && a.outcome != Unsent
+	return a.outcome != Rejected && a.outcome != RetryAfter && a.outcome != NotSent
 }
 
 // failed reports whether the relay saw the destination fail or reject.
-func (a *attempt) failed() bool { return a.outcome != OK && a.outcome != Unsent }
+func (a *attempt) failed() bool { return a.outcome != OK && a.outcome != NotSent }
 
 // overlaps reports whether an attempt was still in flight when a later one was sent whole.
 func (a *attempt) overlaps(later *attempt) bool {
@@ -57,8 +57,8 @@
 // newRequest returns a request to which nothing has happened.
 func newRequest(e Event) *request {
 	return &request{
-		id: e.ID, message: e.Msg, relay: e.Relay, destination: e.Dest, class: e.Class, orderKey: e.Item, subject: e.Subject,
-		submittedAt: e.At, deadline: e.At + e.For,
+		id: e.ID, message: e.Message, relay: e.Relay, destination: e.Destination, class: e.Class, orderKey: e.OrderKey, subject: e.Subject,
+		submittedAt: e.At, deadline: e.At + e.Duration,
 		answeredAt: unset, deliveredAt: unset, expiredAt: unset, machineLostAt: unset,
 	}
 }
@@ -77,7 +77,7 @@
 
 // history is a run, put together by request, attempt and relay.
 type history struct {
-	Figures
+	Terms
 	end              time.Duration // of the run
 	requestsByID     map[string]*request
 	requests         []*request // in order of submission
@@ -94,9 +94,9 @@
 
 // readHistory puts a log together, whose events are in order of time. Attempts that belong to no request, or to one of another
 // destination, are breaches.
-func readHistory(f Figures, log []Event, end time.Duration) *history {
+func readHistory(f Terms, log []Event, end time.Duration) *history {
 	h := &history{
-		Figures: f, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
+		Terms: f, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
 		processEnds: map[int][]time.Duration{}, machineLosses: map[int][]time.Duration{},
 		folderFailures: newRelayIntervals(), socketFailures: newRelayIntervals(), halts: newRelayIntervals(),
 	}
@@ -124,16 +124,16 @@
 // readRequestEvent reads an event that tells of a request or an attempt.
 func (h *history) readRequestEvent(e Event) {
 	switch e.Kind {
-	case HandedIn:
+	case Submitted:
 		h.addRequest(newRequest(e))
-	case Resent, Before:
+	case Redelivered, StoredBefore:
 		r := newRequest(e)
 		r.orderKey, r.deadline = "", never
-		r.redelivery, r.fromStore = e.Kind == Resent, e.Kind == Before
+		r.redelivery, r.fromStore = e.Kind == Redelivered, e.Kind == StoredBefore
 		h.addRequest(r)
-	case Called, Probed:
+	case AttemptSent, Probed:
 		h.addAttempt(e)
-	case Ended:
+	case AttemptEnded:
 		h.endAttempt(e)
 	default:
 		if r := h.requestsByID[e.ID]; r != nil {
@@ -150,11 +150,11 @@
 			r.answeredAt, r.status = e.At, e.Status
 			r.accepted = isAcceptance(e.Status)
 		}
-	case Effect:
+	case Executed:
 		r.effects++
-	case Noticed:
+	case Notified:
 		r.notices = append(r.notices, e)
-	case Unheard:
+	case AnswerMissed:
 		if e.OK {
 			r.closedAt = append(r.closedAt, e.At)
 		}
@@ -165,38 +165,38 @@
 // addAttempt reads the last byte of an attempt or a probe.
 func (h *history) addAttempt(e Event) {
 	a := &attempt{
-		relay: e.Relay, destination: e.Dest, endpoint: e.Host, firstByte: e.First, lastByte: e.At, endedAt: unset,
+		relay: e.Relay, destination: e.Destination, endpoint: e.Endpoint, firstByte: e.FirstByte, lastByte: e.At, endedAt: unset,
 		probe: e.Kind == Probed,
 	}
-	h.attemptsByNumber[e.Call] = a
+	h.attemptsByNumber[e.Attempt] = a
 	h.attempts = append(h.attempts, a)
 	if a.probe {
 		return
 	}
 	r := h.requestsByID[e.ID]
 	if r == nil {
-		h.report(Unknown, e.At, e.ID, e.Relay, e.Dest, "call to %s for an id that no client handed in", e.Host)
+		h.report(UnknownRequest, e.At, e.ID, e.Relay, e.Destination, "call to %s for an id that no client handed in", e.Endpoint)
 		return
 	}
-	if r.destination != e.Dest {
-		h.report(WrongHost, e.At, e.ID, e.Relay, r.destination, "call to %s, which is %s's", e.Host, h.Destinations[e.Dest].Name)
+	if r.destination != e.Destination {
+		h.report(WrongDestination, e.At, e.ID, e.Relay, r.destination, "call to %s, which is %s's", e.Endpoint, h.Destinations[e.Destination].Name)
 	}
 	r.attempts = append(r.attempts, a)
 }
 
 // endAttempt reads the outcome of an attempt.
 func (h *history) endAttempt(e Event) {
-	a := h.attemptsByNumber[e.Call]
+	a := h.attemptsByNumber[e.Attempt]
 	if a == nil || a.endedAt >= 0 {
 		return
 	}
-	a.endedAt, a.outcome, a.retryAfter = e.At, e.Outcome, e.For
+	a.endedAt, a.outcome, a.retryAfter = e.At, e.Outcome, e.Duration
 	r := h.requestsByID[e.ID]
 	switch {
 	case r == nil:
 	case e.Outcome == OK && r.deliveredAt < 0:
 		r.deliveredAt = e.At
-	case e.Outcome == Unsent && a.lastByte > r.deadline && r.expiredAt < 0:
+	case e.Outcome == NotSent && a.lastByte > r.deadline && r.expiredAt < 0:
 		r.expiredAt = e.At // the platform has told the relay that the deadline has passed: no outcome is owed any more
 	}
 }
@@ -212,7 +212,7 @@
 	case Killed, Crashed:
 		h.absences.begin(e.Relay, e.At)
 		h.processEnds[e.Relay] = append(h.processEnds[e.Relay], e.At)
-	case Lost:
+	case MachineLost:
 		h.absences.begin(e.Relay, e.At)
 		h.processEnds[e.Relay] = append(h.processEnds[e.Relay], e.At)
 		h.machineLosses[e.Relay] = append(h.machineLosses[e.Relay], e.At)
--- a/internal/faultinjection/checker/notes_test.go
+++ b/internal/faultinjection/checker/notes_test.go
@@ -19,7 +19,7 @@
 	lined          // safe, in order
 )
 
-func figures() Figures {
+func figures() Terms {
 	class := func(name, effect string) settings.Category {
 		return settings.Category{Name: name, Idempotency: effect, AimS: 2, DeadlineS: 10, LateShare: 0.5, Points: 1, MemorySpanS: 5}
 	}
@@ -33,7 +33,7 @@
 		OverloadForS: 1.5, RampTimeS: 10, OrderPauseS: 0.5,
 	}
 	s.Limits.ConnTimeoutS = 1
-	return Figures{Settings: s, TellWithin: 6 * time.Second, Destinations: []Destination{
+	return Terms{Settings: s, TellWithin: 6 * time.Second, Destinations: []Destination{
 		{Name: "bank", Capacity: 20, ColdShare: 0.2, Warm: 10 * time.Second}, {Name: "dealer", Capacity: 20, ColdShare: 0.2},
 	}}
 }
@@ -48,15 +48,15 @@
 
 // take has relay 0 take a message for destination 0 on.
 func (n *notes) take(at time.Duration, id string, class int) {
-	n.add(Event{At: at, Kind: HandedIn, ID: id, Class: class, For: 10 * time.Second, Item: "k"})
+	n.add(Event{At: at, Kind: Submitted, ID: id, Class: class, Duration: 10 * time.Second, OrderKey: "k"})
 	n.add(Event{At: at + 5*ms, Kind: Answered, ID: id, Status: 202})
 }
 
 // call makes a call that ends some time later, and gives its number.
 func (n *notes) call(at time.Duration, id, host, outcome string, took time.Duration, change ...func(called, ended *Event)) {
 	n.calls++
-	a := Event{At: at, First: at - ms, Kind: Called, ID: id, Host: host, Call: n.calls}
-	b := Event{At: at + took, Kind: Ended, ID: id, Call: n.calls, Outcome: outcome}
+	a := Event{At: at, FirstByte: at - ms, Kind: AttemptSent, ID: id, Endpoint: host, Attempt: n.calls}
+	b := Event{At: at + took, Kind: AttemptEnded, ID: id, Attempt: n.calls, Outcome: outcome}
 	for _, c := range change {
 		c(&a, &b)
 	}
@@ -67,16 +67,16 @@
 }
 
 func (n *notes) notice(at time.Duration, id, state string) {
-	n.add(Event{At: at, Kind: Noticed, ID: id, State: state})
+	n.add(Event{At: at, Kind: Notified, ID: id, State: state})
 }
 
-func dest(d int) func(called, ended *Event) { return func(a, _ *Event) { a.Dest = d } }
+func dest(d int) func(called, ended *Event) { return func(a, _ *Event) { a.Destination = d } }
 func wait(d time.Duration) func(called, ended *Event) {
-	return func(_, b *Event) { b.For = d }
+	return func(_, b *Event) { b.Duration = d }
 }
 
 func (n *notes) take2(at time.Duration, id string, dest int) {
-	n.add(Event{At: at, Kind: HandedIn, ID: id, Dest: dest, For: 10 * sec})
+	n.add(Event{At: at, Kind: Submitted, ID: id, Destination: dest, Duration: 10 * sec})
 	n.add(Event{At: at + 5*ms, Kind: Answered, ID: id, Status: 202})
 }
 
@@ -88,9 +88,9 @@
 
 // silence has relay 0's watch fall silent after 1 s; from 3 s on the register shows that h drains.
 func (n *notes) silence() {
-	n.add(Event{At: 100 * ms, Kind: Asked, OK: true})
-	n.add(Event{At: sec, Kind: Silent})
-	n.add(Event{At: 3 * sec, Kind: Shown, Host: "h", State: Draining})
+	n.add(Event{At: 100 * ms, Kind: WatchRequested, OK: true})
+	n.add(Event{At: sec, Kind: WatchSilent})
+	n.add(Event{At: 3 * sec, Kind: EndpointShown, Endpoint: "h", State: Draining})
 }
 
 func (n *notes) crash(at time.Duration) {
@@ -100,42 +100,42 @@
 
 func (n *notes) effect(times int, id string) {
 	for i := range times {
-		n.add(Event{At: 9*sec + time.Duration(i), Kind: Effect, ID: id})
+		n.add(Event{At: 9*sec + time.Duration(i), Kind: Executed, ID: id})
 	}
 }
 
 // told has the first relay told of the endpoint's state, a second into the run.
 func (n *notes) told(state string) {
-	n.add(Event{At: sec, Kind: Told, Host: "h", State: state})
+	n.add(Event{At: sec, Kind: EndpointNotified, Endpoint: "h", State: state})
 }
 
 func (n *notes) up() {
 	for relay := range 2 {
 		n.add(Event{Kind: Ready, Relay: relay})
-		n.add(Event{Kind: Asked, Relay: relay, OK: true})
+		n.add(Event{Kind: WatchRequested, Relay: relay, OK: true})
 	}
 }
 
-func (n *notes) regDown(at time.Duration) { n.add(Event{At: at, Kind: RegDown}) }
+func (n *notes) regDown(at time.Duration) { n.add(Event{At: at, Kind: DiscoveryDown}) }
 
 // draining has discovery show that the endpoint drains, a second into the run.
 func (n *notes) draining() {
-	n.add(Event{At: sec, Kind: Shown, Host: "h", State: Draining})
+	n.add(Event{At: sec, Kind: EndpointShown, Endpoint: "h", State: Draining})
 }
 
 // out has the destination go out a second into the run, and come back cold two seconds later.
 func (n *notes) out(how string) {
-	n.add(Event{At: sec, Kind: Out, State: how})
-	n.add(Event{At: 3 * sec, Kind: Back, OK: true})
+	n.add(Event{At: sec, Kind: OutageBegan, State: how})
+	n.add(Event{At: 3 * sec, Kind: OutageEnded, OK: true})
 }
 
 // burst has a relay send so many messages of their own, each rejected as one too many by the destination and then ended.
 func (n *notes) burst(at time.Duration, count, relay int) {
 	for i := range count {
 		id := fmt.Sprintf("%v-%d-%d", at, relay, i)
-		n.add(Event{At: at - 50*ms, Kind: HandedIn, ID: id, Relay: relay, For: 10 * sec})
+		n.add(Event{At: at - 50*ms, Kind: Submitted, ID: id, Relay: relay, Duration: 10 * sec})
 		n.add(Event{At: at - 40*ms, Kind: Answered, ID: id, Relay: relay, Status: 202})
-		n.call(at+time.Duration(i)*ms, id, "h", Full, ms, func(a, _ *Event) { a.Relay = relay })
+		n.call(at+time.Duration(i)*ms, id, "h", Rejected, ms, func(a, _ *Event) { a.Relay = relay })
 		n.notice(at+200*ms, id, Deferred)
 	}
 }
--- a/internal/faultinjection/checker/resends_test.go
+++ b/internal/faultinjection/checker/resends_test.go
@@ -8,7 +8,7 @@
 
 // resend notes a resend of the message that an id stands for, and its call.
 func (n *notes) resend(at time.Duration, id string, class int, outcome string) {
-	n.add(Event{At: at - ms, Kind: Resent, ID: id, Class: class})
+	n.add(Event{At: at - ms, Kind: Redelivered, ID: id, Class: class})
 	n.call(at, id, "h", outcome, ms)
 }
 
@@ -25,17 +25,17 @@
 		run  func(n *notes)
 	}{
 		"status that may have run":    {"", func(n *notes) { n.givenUp("a", status, Reset); n.resend(20*sec, "r", status, OK) }},
-		"a payment that never ran":    {"", func(n *notes) { n.givenUp("a", payment, Full); n.resend(20*sec, "r", payment, OK) }},
+		"a payment that never ran":    {"", func(n *notes) { n.givenUp("a", payment, Rejected); n.resend(20*sec, "r", payment, OK) }},
 		"a payment within its memory": {"", func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7*sec, "r", payment, OK) }},
-		"a payment past its memory":   {Twice, func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7100*ms, "r", payment, OK) }},
-		"over two resends": {Twice, func(n *notes) {
-			n.givenUp("a", payment, Full)
-			n.resend(20*sec, "r", payment, Left)
+		"a payment past its memory":   {ExecutedTwice, func(n *notes) { n.givenUp("a", payment, Reset); n.resend(7100*ms, "r", payment, OK) }},
+		"over two resends": {ExecutedTwice, func(n *notes) {
+			n.givenUp("a", payment, Rejected)
+			n.resend(20*sec, "r", payment, Abandoned)
 			n.resend(30*sec, "s", payment, OK)
 		}},
-		"unsafe that may have run": {Twice, func(n *notes) { n.givenUp("a", order, Error); n.resend(4*sec, "r", order, OK) }},
-		"unsafe that never ran":    {"", func(n *notes) { n.givenUp("a", order, Full); n.resend(20*sec, "r", order, OK) }},
-		"a payment that was delivered": {Twice, func(n *notes) {
+		"unsafe that may have run": {ExecutedTwice, func(n *notes) { n.givenUp("a", order, Error); n.resend(4*sec, "r", order, OK) }},
+		"unsafe that never ran":    {"", func(n *notes) { n.givenUp("a", order, Rejected); n.resend(20*sec, "r", order, OK) }},
+		"a payment that was delivered": {ExecutedTwice, func(n *notes) {
 			n.take(sec, "a", payment)
 			n.call(2*sec, "a", "h", OK, ms)
 			n.resend(3*sec, "r", payment, OK)
@@ -45,14 +45,14 @@
 			n.call(2*sec, "a", "h", OK, ms)
 			n.resend(3*sec, "r", status, OK)
 		}},
-		"while its first is out": {SecondCopy, func(n *notes) {
+		"while its first is out": {ConcurrentAttempts, func(n *notes) {
 			n.take(sec, "a", status)
 			n.call(2*sec, "a", "h", OK, 2*sec)
 			n.resend(3*sec, "r", status, OK)
 		}},
-		"into a wait": {WaitIgnored, func(n *notes) {
+		"into a wait": {RetryAfterIgnored, func(n *notes) {
 			n.take(sec, "a", status)
-			n.call(2*sec, "a", "h", Wait, ms, wait(sec))
+			n.call(2*sec, "a", "h", RetryAfter, ms, wait(sec))
 			n.notice(2100*ms, "a", Deferred)
 			n.resend(2900*ms, "r", status, OK)
 		}},
@@ -75,19 +75,19 @@
 
 // parcel notes a status of a parcel: the number is the message's, and of two the higher one is the newer.
 func (n *notes) parcel(kind Kind, at time.Duration, id string, number int) {
-	n.add(Event{At: at, Kind: kind, ID: id, Msg: number, Class: status, Subject: "parcel-1", For: 30 * sec})
-	if kind == HandedIn {
+	n.add(Event{At: at, Kind: kind, ID: id, Message: number, Class: status, Subject: "parcel-1", Duration: 30 * sec})
+	if kind == Submitted {
 		n.add(Event{At: at + ms, Kind: Answered, ID: id, Status: 202})
 	}
 }
 
 func TestNewerStatusesAreNotOverwritten(t *testing.T) {
 	newer := func(n *notes, number int) {
-		n.parcel(HandedIn, 4*sec, "new", number)
+		n.parcel(Submitted, 4*sec, "new", number)
 		n.call(5*sec, "new", "h", OK, ms)
 	}
 	resent := func(n *notes, outcome string) {
-		n.parcel(Resent, 6*sec, "r", 3)
+		n.parcel(Redelivered, 6*sec, "r", 3)
 		n.call(6*sec+ms, "r", "h", outcome, ms)
 	}
 	for name, c := range map[string]struct {
@@ -95,18 +95,18 @@
 		run  func(n *notes)
 	}{
 		"a newer one was delivered":        {Overwritten, func(n *notes) { newer(n, 7); resent(n, OK) }},
-		"and its answer did not come back": {Overwritten, func(n *notes) { newer(n, 7); resent(n, Left) }},
-		"it was turned away":               {"", func(n *notes) { newer(n, 7); resent(n, Full) }},
+		"and its answer did not come back": {Overwritten, func(n *notes) { newer(n, 7); resent(n, Abandoned) }},
+		"it was turned away":               {"", func(n *notes) { newer(n, 7); resent(n, Rejected) }},
 		"an older one was delivered":       {"", func(n *notes) { newer(n, 2); resent(n, OK) }},
 		"a newer one came while it was out": {"", func(n *notes) {
-			n.parcel(Resent, 3*sec, "r", 3)
+			n.parcel(Redelivered, 3*sec, "r", 3)
 			n.call(3*sec+ms, "r", "h", OK, 3*sec)
 			newer(n, 7)
 		}},
 	} {
 		n := &notes{}
 		n.add(Event{Kind: Ready})
-		n.parcel(Before, 0, "old", 3)
+		n.parcel(StoredBefore, 0, "old", 3)
 		c.run(n)
 		r := Judge(figures(), n.log, 60*sec)
 		if c.rule == "" && len(r.Breaches) > 0 || c.rule != "" && (len(r.Breaches) != 1 || r.Breaches[0].Rule != c.rule) {
@@ -119,39 +119,43 @@
 	base := func() *notes {
 		n := &notes{}
 		n.add(Event{Kind: Ready})
-		n.givenUp("a", payment, Full)
+		n.givenUp("a", payment, Rejected)
 		n.givenUp("b", payment, Reset)
-		n.add(Event{At: 2 * sec, Kind: Effect, ID: "b"})
+		n.add(Event{At: 2 * sec, Kind: Executed, ID: "b"})
 		n.resend(20*sec, "r", payment, OK)
 		for i := range n.log {
 			if n.log[i].ID == "b" {
-				n.log[i].Msg = 1
+				n.log[i].Message = 1
 			}
 		}
 		return n
 	}
-	whole := func() []Kept {
-		return []Kept{
+	whole := func() []DeadLetter {
+		return []DeadLetter{
 			{IDs: []string{"a", "r"}, State: "delivered", Why: "delivered", NeverRan: []string{"a"}},
 			{IDs: []string{"b"}, State: "held", Why: "may have run"},
 		}
 	}
 	for name, c := range map[string]struct {
 		rule   Rule
-		change func(k []Kept) []Kept
+		change func(k []DeadLetter) []DeadLetter
 		unkept []string
 		states map[string]int
 	}{
-		"all is there":             {"", func(k []Kept) []Kept { return k }, nil, map[string]int{"delivered": 1, "held": 1}},
-		"one is listed as lost":    {"", func(k []Kept) []Kept { return k[:1] }, []string{"b"}, map[string]int{"delivered": 1, "not kept": 1}},
-		"one is missing":           {NotKept, func(k []Kept) []Kept { return k[:1] }, nil, map[string]int{"delivered": 1}},
-		"one is there twice":       {KeptWrong, func(k []Kept) []Kept { return append(k, k[1]) }, nil, map[string]int{"delivered": 1, "held": 2}},
-		"never run, but it did":    {KeptWrong, func(k []Kept) []Kept { k[1].NeverRan = []string{"b"}; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
-		"delivered, but it wasn't": {KeptWrong, func(k []Kept) []Kept { k[1].State = "delivered"; return k }, nil, map[string]int{"delivered": 2}},
-		"it was not given up":      {KeptWrong, func(k []Kept) []Kept { return append(k, Kept{IDs: []string{"on"}, State: "held", Why: "y"}) }, nil, map[string]int{"delivered": 1, "held": 2}},
-		"one of before is gone":    {NotKept, func(k []Kept) []Kept { return k }, nil, map[string]int{"delivered": 1, "held": 1}},
-		"without a reason":         {KeptWrong, func(k []Kept) []Kept { k[1].Why = ""; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
-		"made up":                  {KeptWrong, func(k []Kept) []Kept { return append(k, Kept{IDs: []string{"x"}, State: "held", Why: "y"}) }, nil, map[string]int{"delivered": 1, "held": 2}},
+		"all is there":             {"", func(k []DeadLetter) []DeadLetter { return k }, nil, map[string]int{"delivered": 1, "held": 1}},
+		"one is listed as lost":    {"", func(k []DeadLetter) []DeadLetter { return k[:1] }, []string{"b"}, map[string]int{"delivered": 1, "not kept": 1}},
+		"one is missing":           {DeadLetterMissing, func(k []DeadLetter) []DeadLetter { return k[:1] }, nil, map[string]int{"delivered": 1}},
+		"one is there twice":       {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { return append(k, k[1]) }, nil, map[string]int{"delivered": 1, "held": 2}},
+		"never run, but it did":    {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].NeverRan = []string{"b"}; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
+		"delivered, but it wasn't": {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].State = "delivered"; return k }, nil, map[string]int{"delivered": 2}},
+		"it was not given up": {DeadLetterWrong, func(k []DeadLetter) []DeadLetter {
+			return append(k, DeadLetter{IDs: []string{"on"}, State: "held", Why: "y"})
+		}, nil, map[string]int{"delivered": 1, "held": 2}},
+		"one of before is gone": {DeadLetterMissing, func(k []DeadLetter) []DeadLetter { return k }, nil, map[string]int{"delivered": 1, "held": 1}},
+		"without a reason":      {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].Why = ""; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
+		"made up": {DeadLetterWrong, func(k []DeadLetter) []DeadLetter {
+			return append(k, DeadLetter{IDs: []string{"x"}, State: "held", Why: "y"})
+		}, nil, map[string]int{"delivered": 1, "held": 2}},
 	} {
 		n := base()
 		switch name {
@@ -159,7 +163,7 @@
 			n.take(30*sec, "on", status)
 			n.call(31*sec, "on", "h", OK, ms)
 		case "one of before is gone":
-			n.add(Event{Kind: Before, ID: "early", Msg: 9})
+			n.add(Event{Kind: StoredBefore, ID: "early", Message: 9})
 		}
 		r := Judge(figures(), n.log, 60*sec)
 		if len(r.Breaches) > 0 {
--- a/internal/faultinjection/checker/rule_accepted_late.go
+++ b/internal/faultinjection/checker/rule_accepted_late.go
@@ -14,7 +14,7 @@
 		}
 	}
 	if float64(late) > half*float64(accepted) {
-		h.reportRequest(TakenLate, last.answeredAt, last,
+		h.reportRequest(AcceptedLate, last.answeredAt, last,
 			"%d of %d messages were answered only after their delivery, this one the last", late, accepted)
 	}
 }
--- a/internal/faultinjection/checker/rule_dead_letters.go
+++ b/internal/faultinjection/checker/rule_dead_letters.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Kept is a message as a relay's dead-letter store has it at the end of a run.
-type Kept struct {
+// DeadLetter is a message as a relay's dead-letter store has it at the end of a run.
+type DeadLetter struct {
 	Relay    int
 	IDs      []string // of all its incarnations
 	State    string   // held, due, out, delivered, superseded or discarded
@@ -17,7 +17,7 @@
 // Stores checks the dead-letter stores against the log: each request that was accepted and given up is in the store of its relay,
 // once; what is stored as never executed was not; what is stored as delivered was. unkept are ids that a store lists as not
 // kept. It returns the count of each state.
-func (r *Report) Stores(f Figures, log []Event, kept []Kept, unkept []string, end time.Duration) map[string]int {
+func (r *Report) Stores(f Terms, log []Event, kept []DeadLetter, unkept []string, end time.Duration) map[string]int {
 	h := readHistory(f, byTime(log), end)
 	h.breaches = nil // those of reading are Judge's
 	states, stored := map[string]int{}, map[string]int{}
@@ -40,7 +40,7 @@
 }
 
 // checkKept checks what a store says of one message.
-func (h *history) checkKept(k Kept) {
+func (h *history) checkKept(k DeadLetter) {
 	delivered := false
 	for _, id := range k.IDs {
 		r := h.requestsByID[id]
@@ -49,16 +49,16 @@
 		}
 		delivered = delivered || r.deliveredAt >= 0
 		if slices.Contains(k.NeverRan, id) && r.effects > 0 {
-			h.report(KeptWrong, h.end, id, k.Relay, r.destination, "kept as never run, and it had its effect")
+			h.report(DeadLetterWrong, h.end, id, k.Relay, r.destination, "kept as never run, and it had its effect")
 		}
 	}
 	first := h.requestsByID[k.IDs[0]]
 	if first == nil {
-		h.report(KeptWrong, h.end, k.IDs[0], k.Relay, -1, "kept, and nobody handed it in")
+		h.report(DeadLetterWrong, h.end, k.IDs[0], k.Relay, -1, "kept, and nobody handed it in")
 		return
 	}
 	wrong := func(format string, args ...any) {
-		h.report(KeptWrong, h.end, k.IDs[0], k.Relay, first.destination, format, args...)
+		h.report(DeadLetterWrong, h.end, k.IDs[0], k.Relay, first.destination, format, args...)
 	}
 	switch {
 	case k.State == "delivered" && !delivered:
@@ -75,10 +75,10 @@
 	givenUp := r.accepted && len(r.notices) > 0 && r.machineLostAt < 0
 	switch {
 	case r.fromStore && times == 0:
-		h.reportRequest(NotKept, h.end, r, "it was in the store before the run, and is no more")
+		h.reportRequest(DeadLetterMissing, h.end, r, "it was in the store before the run, and is no more")
 	case givenUp && times == 0:
-		h.reportRequest(NotKept, r.notices[0].At, r, "given up as %s, and in no store", r.notices[0].State)
+		h.reportRequest(DeadLetterMissing, r.notices[0].At, r, "given up as %s, and in no store", r.notices[0].State)
 	case times > 1:
-		h.reportRequest(KeptWrong, h.end, r, "kept %d times", times)
+		h.reportRequest(DeadLetterWrong, h.end, r, "kept %d times", times)
 	}
 }
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -12,8 +12,8 @@
 
 // discoveryEvents say what a relay could know of the endpoint list.
 var discoveryEvents = map[Kind]bool{
-	Shown: true, RegDown: true, RegUp: true, Asked: true, Unwatched: true, Silent: true, Ready: true, Resumed: true,
-	Moved: true, Killed: true, Lost: true, Crashed: true, Halted: true,
+	EndpointShown: true, DiscoveryDown: true, DiscoveryUp: true, WatchRequested: true, WatchEnded: true, WatchSilent: true, Ready: true, Resumed: true,
+	DiscoveryMoved: true, Killed: true, MachineLost: true, Crashed: true, Halted: true,
 }
 
 // relayEndpoint is an endpoint as one relay sees it.
@@ -48,17 +48,17 @@
 		}
 	}
 	for _, e := range log {
-		if e.Kind == Told && e.State != Serving {
-			note(relayEndpoint{e.Relay, e.Host}, e.At)
+		if e.Kind == EndpointNotified && e.State != Serving {
+			note(relayEndpoint{e.Relay, e.Endpoint}, e.At)
 		}
 	}
 	changes := slices.DeleteFunc(slices.Clone(log), func(e Event) bool { return !discoveryEvents[e.Kind] })
 	for _, e := range changes {
-		if e.Kind != Shown || e.State == Serving {
+		if e.Kind != EndpointShown || e.State == Serving {
 			continue
 		}
 		for relay := range h.Settings.NInstances {
-			note(relayEndpoint{relay, e.Host}, h.countsAsNotified(changes, relay, e.At))
+			note(relayEndpoint{relay, e.Endpoint}, h.countsAsNotified(changes, relay, e.At))
 		}
 	}
 	return notified
@@ -104,26 +104,26 @@
 // read takes in an event of discovery, or one of this relay.
 func (w *watchState) read(e Event) {
 	switch e.Kind {
-	case RegDown:
+	case DiscoveryDown:
 		w.up = false
-	case RegUp:
+	case DiscoveryUp:
 		w.up, w.upSince = true, max(e.At, w.shown)
-	case Silent:
+	case WatchSilent:
 		w.silentSince = e.At
-	case Asked:
+	case WatchRequested:
 		w.since, w.watching, w.patience = e.At, e.OK, w.askWithin
 		if e.OK {
 			w.silentSince = never
 		} else {
 			w.patience = failedWatchFactor * w.askWithin
 		}
-	case Unwatched:
+	case WatchEnded:
 		w.since, w.watching, w.patience = e.At, false, w.askWithin
 	case Ready, Resumed:
 		w.alive, w.since, w.upSince = true, e.At, max(w.upSince, e.At)
-	case Moved:
+	case DiscoveryMoved:
 		w.upSince, w.silentSince = max(w.upSince, e.At), never
-	case Killed, Lost, Crashed, Halted:
+	case Killed, MachineLost, Crashed, Halted:
 		w.alive, w.watching, w.silentSince = false, false, never
 	default:
 	}
@@ -143,7 +143,7 @@
 				return at
 			}
 		}
-		if e.Kind == RegDown || e.Kind == RegUp || e.Relay == relay {
+		if e.Kind == DiscoveryDown || e.Kind == DiscoveryUp || e.Relay == relay {
 			w.read(e)
 		}
 	}
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -20,7 +20,7 @@
 	reported := false
 	for i, a := range r.attempts {
 		if earlier := h.concurrent(r.attempts[:i], a); earlier != nil {
-			h.reportRequest(SecondCopy, a.lastByte, r, "call to %s while one to %s was out", a.endpoint, earlier.endpoint)
+			h.reportRequest(ConcurrentAttempts, a.lastByte, r, "call to %s while one to %s was out", a.endpoint, earlier.endpoint)
 			return
 		}
 		if first != nil && !reported {
@@ -35,7 +35,7 @@
 	}
 	if r.effects > 1 && class.Idempotency != retryable && !reported {
 		last := r.attempts[len(r.attempts)-1]
-		h.reportRequest(Twice, last.lastByte, r, "%s had its effect %d times", class.Name, r.effects)
+		h.reportRequest(ExecutedTwice, last.lastByte, r, "%s had its effect %d times", class.Name, r.effects)
 	}
 }
 
@@ -58,14 +58,14 @@
 	class := &h.Settings.Categories[r.class]
 	switch class.Idempotency {
 	case fragile:
-		h.report(Twice, a.lastByte, r.id, a.relay, r.destination, "%s sent to %s again, though the call to %s at %s (%s) may have run",
+		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s sent to %s again, though the call to %s at %s (%s) may have run",
 			class.Name, a.endpoint, first.endpoint, formatTime(first.lastByte), first.outcome)
 		return true
 	case dedup:
 		if a.lastByte <= keyRememberedUntil(first, class) {
 			return false
 		}
-		h.report(Twice, a.lastByte, r.id, a.relay, r.destination,
+		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination,
 			"%s sent to %s again %s after the call at %s (%s) that may have run; its key is kept for %v s", class.Name,
 			a.endpoint, formatTime(a.lastByte-first.lastByte), formatTime(first.lastByte), first.outcome, class.MemorySpanS)
 		return true
@@ -83,7 +83,7 @@
 func (h *history) checkReturned(r *request, first *attempt) bool {
 	for _, n := range r.notices {
 		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
-			h.reportRequest(Twice, n.At, r, "%s handed back as safe to repeat, though the call at %s (%s) may have run",
+			h.reportRequest(ExecutedTwice, n.At, r, "%s handed back as safe to repeat, though the call at %s (%s) may have run",
 				h.Settings.Categories[r.class].Name, formatTime(first.lastByte), first.outcome)
 			return true
 		}
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -79,7 +79,7 @@
 			if p := c.processes[e.Relay][e.Process]; p != nil {
 				p.ready = e.At
 			}
-		case Scraped:
+		case MetricsRead:
 			c.check(e)
 		default:
 		}
@@ -105,9 +105,9 @@
 	if p == nil || c.breaches[e.Relay] >= maxMetricBreaches {
 		return
 	}
-	for _, text := range a.differences(e.At, p, e.Figures) {
+	for _, text := range a.differences(e.At, p, e.Metrics) {
 		c.breaches[e.Relay]++
-		c.history.report(FiguresWrong, e.At, "", e.Relay, -1, "%s", text)
+		c.history.report(MetricsWrong, e.At, "", e.Relay, -1, "%s", text)
 	}
 }
 
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, at := range h.attempts {
-		if at.relay == relay && !at.probe && at.outcome != Unsent {
+		if at.relay == relay && !at.probe && at.outcome != NotSent {
 			a.attempts = append(a.attempts, at.lastByte)
 		}
 	}
--- a/internal/faultinjection/checker/rule_order.go
+++ b/internal/faultinjection/checker/rule_order.go
@@ -60,7 +60,7 @@
 		if a.endedAt < 0 || a.endedAt > sent {
 			return true
 		}
-		unknown := a.outcome == Reset || a.outcome == Left || a.outcome == Cut
+		unknown := a.outcome == Reset || a.outcome == Abandoned || a.outcome == Interrupted
 		if unknown && sent < a.endedAt+cooldown-socketSlack {
 			return true
 		}
--- a/internal/faultinjection/checker/rule_outcome.go
+++ b/internal/faultinjection/checker/rule_outcome.go
@@ -36,12 +36,12 @@
 	case r.machineLostAt >= 0 && (end < 0 || end >= r.machineLostAt):
 		return false // the relay's machine was lost, and the request with it
 	case end < 0 && due < h.end:
-		h.reportRequest(NoEnd, due, r, "taken on at %s, no end by %s", formatTime(r.answeredAt), formatTime(due))
+		h.reportRequest(OutcomeMissing, due, r, "taken on at %s, no end by %s", formatTime(r.answeredAt), formatTime(due))
 		return false
 	case end > max(due, r.deadline+lostAfter+socketSlack):
-		h.reportRequest(NoEnd, end, r, "ended at %s, %s after its time was up: that is no end", formatTime(end), formatTime(end-r.deadline))
+		h.reportRequest(OutcomeMissing, end, r, "ended at %s, %s after its time was up: that is no end", formatTime(end), formatTime(end-r.deadline))
 	case end > due:
-		h.reportRequest(LateEnd, end, r, "ended at %s, due by %s", formatTime(end), formatTime(due))
+		h.reportRequest(OutcomeLate, end, r, "ended at %s, due by %s", formatTime(end), formatTime(due))
 	}
 	return true
 }
@@ -51,7 +51,7 @@
 	first := r.notices[0]
 	for _, n := range r.notices {
 		if n.State != first.State {
-			h.reportRequest(TwoEnds, n.At, r, "notices of %s and of %s", first.State, n.State)
+			h.reportRequest(OutcomeTwice, n.At, r, "notices of %s and of %s", first.State, n.State)
 			return false
 		}
 	}
@@ -63,7 +63,7 @@
 	if _, absent := h.excused(r.relay, r.deliveredAt+crossingTime); absent || h.couldNotRecord(r.relay, r.deliveredAt) {
 		return true
 	}
-	h.reportRequest(TwoEnds, max(first.At, r.deliveredAt), r, "delivered at %s, and noticed as %s at %s",
+	h.reportRequest(OutcomeTwice, max(first.At, r.deliveredAt), r, "delivered at %s, and noticed as %s at %s",
 		formatTime(r.deliveredAt), first.State, formatTime(first.At))
 	return false
 }
@@ -73,7 +73,7 @@
 	noticedAt := r.notices[0].At
 	for _, a := range r.attempts {
 		if a.firstByte > noticedAt+crossingTime && a.outcome != OK {
-			h.reportRequest(TwoEnds, a.firstByte, r, "sent to %s at %s, after its end at %s", a.endpoint,
+			h.reportRequest(OutcomeTwice, a.firstByte, r, "sent to %s at %s, after its end at %s", a.endpoint,
 				formatTime(a.firstByte), formatTime(noticedAt))
 			return
 		}
--- a/internal/faultinjection/checker/rule_redelivery.go
+++ b/internal/faultinjection/checker/rule_redelivery.go
@@ -61,17 +61,17 @@
 	class := &h.Settings.Categories[r.class]
 	switch {
 	case delivered != nil && class.Idempotency != retryable:
-		h.report(Twice, a.lastByte, r.id, a.relay, r.destination, "%s resent, though it was delivered at %s", class.Name, formatTime(delivered.endedAt))
+		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s resent, though it was delivered at %s", class.Name, formatTime(delivered.endedAt))
 		return true
 	case mayHaveExecuted != nil && class.Idempotency == fragile,
 		mayHaveExecuted != nil && class.Idempotency == dedup && a.lastByte > keyRememberedUntil(mayHaveExecuted, class):
-		h.report(Twice, a.lastByte, r.id, a.relay, r.destination, "%s resent %s after a call (%s) that may have run", class.Name,
+		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s resent %s after a call (%s) that may have run", class.Name,
 			formatTime(a.lastByte-mayHaveExecuted.lastByte), mayHaveExecuted.outcome)
 		return true
 	}
 	for _, b := range l.attempts {
 		if b != a && b.lastByte < a.lastByte && b.overlaps(a) && !h.Settings.Limits.SecondCopies {
-			h.report(SecondCopy, a.lastByte, r.id, a.relay, r.destination, "resent to %s while a call to %s was out", a.endpoint, b.endpoint)
+			h.report(ConcurrentAttempts, a.lastByte, r.id, a.relay, r.destination, "resent to %s while a call to %s was out", a.endpoint, b.endpoint)
 			return true
 		}
 	}
--- a/internal/faultinjection/checker/rule_restart.go
+++ b/internal/faultinjection/checker/rule_restart.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if found > fewUntried && float64(failed) > half*float64(found) {
-		h.reportRequest(GivenUntried, last.notices[0].At, last,
+		h.reportRequest(FailedUntried, last.notices[0].At, last,
 			"%d of %d messages that restarts found untried were given up with no call, this one the last", failed, found)
 	}
 }
--- a/internal/faultinjection/checker/rule_retry_after.go
+++ b/internal/faultinjection/checker/rule_retry_after.go
@@ -24,7 +24,7 @@
 			if a.lastByte <= w.from+waitGrace {
 				return false
 			}
-			h.report(WaitIgnored, a.lastByte, h.idOf(a), a.relay, a.destination, "call to %s %s before the end of a wait told at %s", a.endpoint,
+			h.report(RetryAfterIgnored, a.lastByte, h.idOf(a), a.relay, a.destination, "call to %s %s before the end of a wait told at %s", a.endpoint,
 				formatTime(w.until-a.lastByte), formatTime(w.from))
 			return true // one report a hold
 		})
@@ -35,7 +35,7 @@
 func (h *history) holds() map[route][]hold {
 	holds := map[route][]hold{}
 	for _, a := range h.attempts {
-		if a.outcome != Wait {
+		if a.outcome != RetryAfter {
 			continue
 		}
 		until := a.endedAt + a.retryAfter
--- a/internal/faultinjection/checker/rule_slow_start.go
+++ b/internal/faultinjection/checker/rule_slow_start.go
@@ -20,17 +20,17 @@
 	open := map[int]int{} // destination to its place in all
 	for _, e := range log {
 		switch {
-		case e.Host != "":
-		case e.Kind == Out:
-			if i, ok := open[e.Dest]; ok {
+		case e.Endpoint != "":
+		case e.Kind == OutageBegan:
+			if i, ok := open[e.Destination]; ok {
 				all[i].to = e.At
 			}
-			open[e.Dest] = len(all)
-			all = append(all, outage{destination: e.Dest, how: e.State, from: e.At, to: never})
-		case e.Kind == Back:
-			if i, ok := open[e.Dest]; ok {
+			open[e.Destination] = len(all)
+			all = append(all, outage{destination: e.Destination, how: e.State, from: e.At, to: never})
+		case e.Kind == OutageEnded:
+			if i, ok := open[e.Destination]; ok {
 				all[i].to, all[i].cold = e.At, e.OK
-				delete(open, e.Dest)
+				delete(open, e.Destination)
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 		}
 		guilty, worst := countGuilty(recent, observed)
 		if float64(guilty) >= overloadShare*float64(len(recent)) {
-			h.report(PushedOver, a.lastByte, "", worst, o.destination, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
+			h.report(DestinationOverloaded, a.lastByte, "", worst, o.destination, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
 				len(recent), h.Settings.Rules.OverloadForS, formatTime(a.lastByte-o.to), budget, guilty)
 		}
 		return
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -10,8 +10,8 @@
 // worstSpan is the width of the worst stretch, and worstStep by how much it is moved.
 const worstSpan, worstStep = 10 * time.Second, time.Second
 
-// Want is a message as the script drew it.
-type Want struct {
+// Request is a message as the script drew it.
+type Request struct {
 	At        time.Duration
 	Dest      int
 	Class     int
@@ -31,7 +31,7 @@
 }
 
 // Weigh adds what was asked for, and how much of its worth was delivered.
-func (r *Report) Weigh(f Figures, asked []Want, log []Event) {
+func (r *Report) Weigh(f Terms, asked []Request, log []Event) {
 	served := readServed(log)
 	w := newWeighing(f, asked)
 	r.Waits = map[string]Quantile{}
@@ -71,11 +71,11 @@
 
 func (s *served) read(e Event) {
 	switch e.Kind {
-	case HandedIn:
-		s.message[e.ID] = e.Msg
+	case Submitted:
+		s.message[e.ID] = e.Message
 	case Answered:
 		s.answered(e)
-	case Ended:
+	case AttemptEnded:
 		if e.Outcome != OK {
 			return
 		}
@@ -84,11 +84,11 @@
 		} else {
 			s.early[e.ID] = true
 		}
-	case Noticed:
+	case Notified:
 		if m, ok := s.accepted[e.ID]; ok {
 			s.lastStatus[m] = e.State
 		}
-	case Effect:
+	case Executed:
 		if m, ok := s.message[e.ID]; ok {
 			s.effects[m]++
 		}
@@ -121,7 +121,7 @@
 }
 
 // countWant counts what came of a message, in all and by destination.
-func (r *Report) countWant(s *served, n int, want Want, class *settings.Category) {
+func (r *Report) countWant(s *served, n int, want Request, class *settings.Category) {
 	for _, c := range []*Counts{&r.Counts, &r.Partners[want.Dest]} {
 		if c != &r.Counts {
 			c.Asked++
@@ -155,7 +155,7 @@
 	times            [][]float64 // to delivery in seconds, by class
 }
 
-func newWeighing(f Figures, asked []Want) *weighing {
+func newWeighing(f Terms, asked []Request) *weighing {
 	var last time.Duration
 	for _, want := range asked {
 		last = max(last, want.At)
@@ -170,7 +170,7 @@
 }
 
 // add adds a message.
-func (w *weighing) add(s *served, n int, want Want) {
+func (w *weighing) add(s *served, n int, want Request) {
 	class := &w.settings.Categories[want.Class]
 	full, got := class.Points, 0.0
 	if want.OverShare {
--- a/internal/faultinjection/harness/clients.go
+++ b/internal/faultinjection/harness/clients.go
@@ -149,7 +149,7 @@
 	case errors.Is(err, errNotHanded):
 		c.later(m, m.Again, try+1, refusals, "again")
 	case err != nil:
-		c.r.note(checker.Event{Kind: checker.Unheard, ID: k.id, Relay: relay, State: err.Error(), OK: errors.Is(err, errEmpty)})
+		c.r.note(checker.Event{Kind: checker.AnswerMissed, ID: k.id, Relay: relay, State: err.Error(), OK: errors.Is(err, errEmpty)})
 		c.r.book.withdraw(k)
 		if c.mayComeAgain(k, m.Again) {
 			c.later(m, m.Again, try+1, refusals, "again")
@@ -158,7 +158,7 @@
 		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status})
 		c.r.book.taken(k)
 	default:
-		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status, For: after})
+		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status, Duration: after})
 		if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 			c.comeAgain(k, after)
 		}
@@ -253,8 +253,8 @@
 	}
 	c.r.book.handedIn(k)
 	k.handed = c.r.note(checker.Event{
-		Kind: checker.HandedIn, ID: k.id, Msg: k.m.No, Relay: k.relay, Dest: k.m.Partner,
-		Class: k.m.Class, Item: k.m.Item, Subject: k.m.Subject, For: left,
+		Kind: checker.Submitted, ID: k.id, Message: k.m.No, Relay: k.relay, Destination: k.m.Partner,
+		Class: k.m.Class, OrderKey: k.m.Item, Subject: k.m.Subject, Duration: left,
 	})
 }
 
--- a/internal/faultinjection/harness/coordination.go
+++ b/internal/faultinjection/harness/coordination.go
@@ -72,10 +72,10 @@
 	by := make([][]checker.Event, len(s.Partners))
 	for _, e := range log {
 		switch {
-		case e.Kind == checker.Resent:
+		case e.Kind == checker.Redelivered:
 			resent[e.ID] = true
-		case e.Kind == checker.Called && e.Dest < len(by):
-			by[e.Dest] = append(by[e.Dest], e)
+		case e.Kind == checker.AttemptSent && e.Destination < len(by):
+			by[e.Destination] = append(by[e.Destination], e)
 		}
 	}
 	for dest, calls := range by {
@@ -83,12 +83,12 @@
 		if len(calls) == 0 {
 			continue
 		}
-		slices.SortFunc(calls, func(a, b checker.Event) int { return int(a.First - b.First) })
-		r := Resends{Partner: s.Partners[dest].Name, Calls: len(calls), From: calls[0].First, To: calls[len(calls)-1].First}
+		slices.SortFunc(calls, func(a, b checker.Event) int { return int(a.FirstByte - b.FirstByte) })
+		r := Resends{Partner: s.Partners[dest].Name, Calls: len(calls), From: calls[0].FirstByte, To: calls[len(calls)-1].FirstByte}
 		relays := map[int]bool{}
 		first := 0
 		for i, e := range calls {
-			for e.First-calls[first].First >= time.Second {
+			for e.FirstByte-calls[first].FirstByte >= time.Second {
 				first++
 			}
 			r.Most = max(r.Most, i-first+1)
--- a/internal/faultinjection/harness/duty.go
+++ b/internal/faultinjection/harness/duty.go
@@ -86,7 +86,7 @@
 			rel.mu.Unlock()
 			switch {
 			case err == nil:
-				rel.r.note(checker.Event{Kind: checker.Scraped, Relay: rel.number, Process: p.number, Figures: f})
+				rel.r.note(checker.Event{Kind: checker.MetricsRead, Relay: rel.number, Process: p.number, Metrics: f})
 			case rel.serving() == p && ctx.Err() == nil: // it did not end meanwhile
 				rel.r.fault("%s: the door, after %v: %v", rel.name, time.Since(begun), err)
 			}
--- a/internal/faultinjection/harness/endpoint.go
+++ b/internal/faultinjection/harness/endpoint.go
@@ -137,7 +137,7 @@
 		c.overfull = h.p.Connect(h.index)
 		h.conns[c] = true
 		h.mu.Unlock()
-		h.r.note(checker.Event{Kind: checker.Connected, Relay: relay, Dest: h.number, Host: h.id})
+		h.r.note(checker.Event{Kind: checker.Connected, Relay: relay, Destination: h.number, Endpoint: h.id})
 		go c.serve()
 	}
 }
@@ -181,7 +181,7 @@
 		return
 	}
 	if k := c.call; k != nil {
-		k.end(checker.Event{Outcome: checker.Left})
+		k.end(checker.Event{Outcome: checker.Abandoned})
 		h.act(h.p.Leave(h.clock(), k.model))
 	}
 	c.drop()
@@ -228,11 +228,11 @@
 		h.resent(id, c.relay, body)
 	}
 	number, charge, before := h.r.book.called(id)
-	kind := checker.Called
+	kind := checker.AttemptSent
 	if probe {
 		kind = checker.Probed
 	}
-	at := h.r.note(checker.Event{Kind: kind, ID: id, Relay: c.relay, Dest: h.number, Host: h.id, Call: number, First: first})
+	at := h.r.note(checker.Event{Kind: kind, ID: id, Relay: c.relay, Destination: h.number, Endpoint: h.id, Attempt: number, FirstByte: first})
 	k := &call{number: number, c: c, charge: charge, began: at, model: &destination.Call{
 		ID: id, Relay: c.relay, New: c.fresh,
 		Overfull: c.overfull, Probe: probe,
@@ -244,7 +244,7 @@
 	c.call, c.fresh = k, false
 	if !probe {
 		if status, note := h.unsent(charge, at, req, body); status != 0 {
-			k.end(checker.Event{Outcome: checker.Unsent})
+			k.end(checker.Event{Outcome: checker.NotSent})
 			return c.write(status, note)
 		}
 		m, class := charge.m, &h.r.s.Classes[charge.m.Class]
@@ -265,7 +265,7 @@
 	}
 	m := h.r.clients.messages[no]
 	if h.r.book.adopt(&charge{m: m, id: id, relay: relay, expires: resendTime}) {
-		h.r.note(checker.Event{Kind: checker.Resent, ID: id, Msg: no, Relay: relay, Dest: m.Partner, Class: m.Class, Subject: m.Subject})
+		h.r.note(checker.Event{Kind: checker.Redelivered, ID: id, Message: no, Relay: relay, Destination: m.Partner, Class: m.Class, Subject: m.Subject})
 	}
 }
 
@@ -311,10 +311,10 @@
 	k.c.call = nil
 	k.c.release()
 	delete(h.pending, k.model)
-	e.Kind, e.ID, e.Call, e.Relay, e.Dest = checker.Ended, k.model.ID, k.number, k.c.relay, h.number
+	e.Kind, e.ID, e.Attempt, e.Relay, e.Destination = checker.AttemptEnded, k.model.ID, k.number, k.c.relay, h.number
 	at := h.r.note(e)
 	if k.charge != nil && !k.model.Probe {
-		refused := e.Outcome == checker.Full || e.Outcome == checker.Wait || e.Outcome == checker.Unsent
+		refused := e.Outcome == checker.Rejected || e.Outcome == checker.RetryAfter || e.Outcome == checker.NotSent
 		h.r.book.answered(k.charge, k.began, at, refused, e.Outcome == checker.OK)
 	}
 	return at
@@ -383,7 +383,7 @@
 	}
 	k := l.pending[d.Call]
 	if d.Ran {
-		l.r.note(checker.Event{Kind: checker.Effect, ID: d.Call.ID, Dest: l.number})
+		l.r.note(checker.Event{Kind: checker.Executed, ID: d.Call.ID, Destination: l.number})
 	}
 	if k == nil {
 		return // nobody waits for it any more
@@ -397,11 +397,11 @@
 	case destination.Errored:
 		status, e.Outcome = http.StatusInternalServerError, checker.Error
 	case destination.Full:
-		status, e.Outcome = http.StatusServiceUnavailable, checker.Full
+		status, e.Outcome = http.StatusServiceUnavailable, checker.Rejected
 	case destination.Wait:
 		// Rounded up: a wait that ends before there is room would not be honest.
 		ms := (d.Wait + time.Millisecond - 1) / time.Millisecond
-		status, e.Outcome, e.For = http.StatusTooManyRequests, checker.Wait, ms*time.Millisecond
+		status, e.Outcome, e.Duration = http.StatusTooManyRequests, checker.RetryAfter, ms*time.Millisecond
 		headers += "X-Retry-In-Ms: " + strconv.Itoa(int(ms)) + "\r\n"
 	case destination.Dropped:
 		e.Outcome = checker.Reset
@@ -421,9 +421,9 @@
 	if !*told {
 		*told = true
 		if c.Mode == destination.Refusing {
-			l.r.note(checker.Event{Kind: checker.Out, Dest: l.number, State: "fell"})
+			l.r.note(checker.Event{Kind: checker.OutageBegan, Destination: l.number, State: "fell"})
 		} else {
-			l.r.note(checker.Event{Kind: checker.Back, Dest: l.number, OK: true})
+			l.r.note(checker.Event{Kind: checker.OutageEnded, Destination: l.number, OK: true})
 		}
 	}
 	for _, h := range l.hosts {
@@ -483,7 +483,7 @@
 func (h *host) cut() {
 	for c := range h.conns {
 		if c.call != nil {
-			c.call.end(checker.Event{Outcome: checker.Cut})
+			c.call.end(checker.Event{Outcome: checker.Interrupted})
 		}
 		_ = c.SetLinger(0)
 		c.drop()
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -263,7 +263,7 @@
 	for _, block := range r.log {
 		for i := range block {
 			block[i].At -= shift
-			block[i].First -= shift
+			block[i].FirstByte -= shift
 		}
 	}
 	r.mu.Unlock()
@@ -341,8 +341,8 @@
 }
 
 // figures are what the auditor judges by.
-func (r *rig) figures() checker.Figures {
-	f := checker.Figures{Settings: r.s.Settings(0), TellWithin: scenario.Seconds(r.s.Register.TellWithin)}
+func (r *rig) figures() checker.Terms {
+	f := checker.Terms{Settings: r.s.Settings(0), TellWithin: scenario.Seconds(r.s.Register.TellWithin)}
 	for i := range r.s.Partners {
 		p := &r.s.Partners[i]
 		f.Destinations = append(f.Destinations, checker.Destination{
@@ -353,10 +353,10 @@
 	return f
 }
 
-func wants(s *scenario.Script, messages []*scenario.Message) []checker.Want {
-	out := make([]checker.Want, len(messages))
+func wants(s *scenario.Script, messages []*scenario.Message) []checker.Request {
+	out := make([]checker.Request, len(messages))
 	for i, m := range messages {
-		out[i] = checker.Want{At: m.At, Dest: m.Partner, Class: m.Class, Tenant: m.Tenant, OverShare: m.OverShare}
+		out[i] = checker.Request{At: m.At, Dest: m.Partner, Class: m.Class, Tenant: m.Tenant, OverShare: m.OverShare}
 	}
 	return out
 }
--- a/internal/faultinjection/harness/harness_test.go
+++ b/internal/faultinjection/harness/harness_test.go
@@ -147,19 +147,19 @@
 // Each rule is broken by a stand-in relay on real sockets, and the run has to report that rule and no other.
 func TestPlantedBreaches(t *testing.T) {
 	for kind, rule := range map[string]checker.Rule{
-		"loses":          checker.NoEnd,
-		"ends late":      checker.NoEnd, // so late that it is none
-		"ends twice":     checker.TwoEnds,
-		"doubles":        checker.Twice,
-		"two copies":     checker.SecondCopy,
+		"loses":          checker.OutcomeMissing,
+		"ends late":      checker.OutcomeMissing, // so late that it is none
+		"ends twice":     checker.OutcomeTwice,
+		"doubles":        checker.ExecutedTwice,
+		"two copies":     checker.ConcurrentAttempts,
 		"ignores drains": checker.DrainBroken,
-		"pushes over":    checker.PushedOver,
+		"pushes over":    checker.DestinationOverloaded,
 		"out of order":   checker.OrderBroken,
-		"ignores waits":  checker.WaitIgnored,
-		"wrong host":     checker.WrongHost,
-		"resends":        checker.Twice,
+		"ignores waits":  checker.RetryAfterIgnored,
+		"wrong host":     checker.WrongDestination,
+		"resends":        checker.ExecutedTwice,
 		"overwrites":     checker.Overwritten,
-		"makes up ids":   checker.Unknown,
+		"makes up ids":   checker.UnknownRequest,
 		"keeps":          "",
 		"edges":          "",
 	} {
--- a/internal/faultinjection/harness/register.go
+++ b/internal/faultinjection/harness/register.go
@@ -135,7 +135,7 @@
 	}
 	g.entries[at].state = state
 	g.changes = append(g.changes, at)
-	g.r.note(checker.Event{Kind: checker.Shown, Host: h.id, Dest: h.number, State: state})
+	g.r.note(checker.Event{Kind: checker.EndpointShown, Endpoint: h.id, Destination: h.number, State: state})
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
@@ -145,9 +145,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if how == "" {
-		g.r.note(checker.Event{Kind: checker.RegUp})
+		g.r.note(checker.Event{Kind: checker.DiscoveryUp})
 	} else {
-		g.r.note(checker.Event{Kind: checker.RegDown})
+		g.r.note(checker.Event{Kind: checker.DiscoveryDown})
 	}
 	g.down = how
 	close(g.changed)
@@ -196,7 +196,7 @@
 // tell notes what has been written to a relay.
 func (g *register) tell(relay int, told []entry) {
 	for _, e := range told {
-		g.r.note(checker.Event{Kind: checker.Told, Relay: relay, Host: e.host.id, Dest: e.host.number, State: e.state})
+		g.r.note(checker.Event{Kind: checker.EndpointNotified, Relay: relay, Endpoint: e.host.id, Destination: e.host.number, State: e.state})
 	}
 }
 
@@ -218,7 +218,7 @@
 	down := g.down
 	g.mu.Unlock()
 	if down != "" {
-		g.r.note(checker.Event{Kind: checker.Asked, Relay: relay})
+		g.r.note(checker.Event{Kind: checker.WatchRequested, Relay: relay})
 		g.refuse(down, w, q)
 		return
 	}
@@ -228,14 +228,14 @@
 		g.mu.Unlock()
 		if json.NewEncoder(w).Encode(m) == nil {
 			g.tell(relay, told)
-			g.r.note(checker.Event{Kind: checker.Asked, Relay: relay, OK: true})
-			g.r.note(checker.Event{Kind: checker.Unwatched, Relay: relay})
+			g.r.note(checker.Event{Kind: checker.WatchRequested, Relay: relay, OK: true})
+			g.r.note(checker.Event{Kind: checker.WatchEnded, Relay: relay})
 		}
 		return
 	}
 	after, _ := strconv.Atoi(q.URL.Query().Get("index"))
-	g.r.note(checker.Event{Kind: checker.Asked, Relay: relay, OK: true})
-	defer g.r.note(checker.Event{Kind: checker.Unwatched, Relay: relay})
+	g.r.note(checker.Event{Kind: checker.WatchRequested, Relay: relay, OK: true})
+	defer g.r.note(checker.Event{Kind: checker.WatchEnded, Relay: relay})
 	g.watch(relay, after, w, q)
 }
 
@@ -321,8 +321,8 @@
 	}
 	for _, n := range all {
 		g.r.note(checker.Event{
-			Kind: checker.Noticed, ID: n.ID, Relay: relay, State: n.Status,
-			For: time.Duration(n.AgainMS) * time.Millisecond,
+			Kind: checker.Notified, ID: n.ID, Relay: relay, State: n.Status,
+			Duration: time.Duration(n.AgainMS) * time.Millisecond,
 		})
 		if c := g.r.book.noticed(n.ID); c != nil && n.Status == checker.Deferred {
 			g.r.clients.comeAgain(c, time.Duration(n.AgainMS)*time.Millisecond)
--- a/internal/faultinjection/harness/relays.go
+++ b/internal/faultinjection/harness/relays.go
@@ -428,7 +428,7 @@
 	rel.kill()
 	rel.r.front.leaves(rel.number, rel.frontNotices())
 	if lose {
-		rel.r.note(checker.Event{Kind: checker.Lost, Relay: rel.number})
+		rel.r.note(checker.Event{Kind: checker.MachineLost, Relay: rel.number})
 		if err := rel.empty(); err != nil {
 			rel.r.fault("%s: %v", rel.name, err)
 		}
@@ -489,7 +489,7 @@
 	if err := rel.configure(); err != nil {
 		return err
 	}
-	rel.r.note(checker.Event{Kind: checker.Moved, Relay: rel.number})
+	rel.r.note(checker.Event{Kind: checker.DiscoveryMoved, Relay: rel.number})
 	rel.signal(syscall.SIGHUP, false)
 	return nil
 }
--- a/internal/faultinjection/harness/stand_test.go
+++ b/internal/faultinjection/harness/stand_test.go
@@ -125,7 +125,7 @@
 	outage("silent", func() {
 		silent = dial(t, addr)
 		callOn(t, silent, r.handed(3))
-		until(t, "the call was read", func() bool { return r.count(checker.Called) == 6 })
+		until(t, "the call was read", func() bool { return r.count(checker.AttemptSent) == 6 })
 		_ = silent.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		if _, err := silent.Read(make([]byte, 1)); !isTimeout(err) {
 			t.Errorf("silent: %v", err)
@@ -143,7 +143,7 @@
 		t.Errorf("reset: %v", err)
 	}
 	over()
-	if n := r.count(checker.Effect); n < 6 {
+	if n := r.count(checker.Executed); n < 6 {
 		t.Errorf("%d effects", n)
 	}
 }
@@ -168,10 +168,10 @@
 	r := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 200))
 	c := dial(t, r.partners[0].hosts[0].addrs[0])
 	callOn(t, c, r.handed(0))
-	until(t, "the call was read", func() bool { return r.count(checker.Called) == 1 })
+	until(t, "the call was read", func() bool { return r.count(checker.AttemptSent) == 1 })
 	_ = c.Close()
-	until(t, "its end was noted", func() bool { return r.count(checker.Ended) == 1 })
-	until(t, "it ran on", func() bool { return r.count(checker.Effect) == 1 })
+	until(t, "its end was noted", func() bool { return r.count(checker.AttemptEnded) == 1 })
+	until(t, "it ran on", func() bool { return r.count(checker.Executed) == 1 })
 }
 
 // An endpoint takes so many connections, idle ones counted; on one more it turns the call away and closes.
@@ -346,7 +346,7 @@
 	}
 	k := r.handed(0)
 	resp, err := http.Post(url+"/v1/outcomes", "", strings.NewReader(`{"id":"`+k.id+`","status":"undeliverable"}`+"\n"))
-	if err != nil || resp.StatusCode != http.StatusNoContent || r.count(checker.Noticed) != 1 {
+	if err != nil || resp.StatusCode != http.StatusNoContent || r.count(checker.Notified) != 1 {
 		t.Errorf("a notice while it is away: %v, %v", resp, err)
 	}
 	if resp, err := http.Post(url+"/v1/outcomes", "", strings.NewReader("{}\n")); err != nil || resp.StatusCode != http.StatusBadRequest {
@@ -354,7 +354,7 @@
 	}
 	told := 0
 	for _, e := range r.written() {
-		if e.Kind == checker.Told && e.Host == h.id && e.State != checker.Serving {
+		if e.Kind == checker.EndpointNotified && e.Endpoint == h.id && e.State != checker.Serving {
 			told++
 		}
 	}
@@ -372,7 +372,7 @@
 	l.fail(-1, &scenario.Event{What: "shut"})
 	l.recover(-1, true)
 	addr := l.hosts[0].addrs[0]
-	for n := 0; r.count(checker.Out) < 2; n++ {
+	for n := 0; r.count(checker.OutageBegan) < 2; n++ {
 		if n > 100 {
 			t.Fatal("a hundred calls at once did not push it over")
 		}
--- a/internal/faultinjection/harness/stores.go
+++ b/internal/faultinjection/harness/stores.go
@@ -70,7 +70,7 @@
 				k.Subject, k.Order = m.Subject, &deadletter.Order{Whole: int64(m.No)}
 			}
 			all = append(all, k)
-			rel.r.note(checker.Event{Kind: checker.Before, ID: id, Msg: m.No, Relay: rel.number, Dest: m.Partner, Class: m.Class, Subject: m.Subject})
+			rel.r.note(checker.Event{Kind: checker.StoredBefore, ID: id, Message: m.No, Relay: rel.number, Destination: m.Partner, Class: m.Class, Subject: m.Subject})
 		}
 		if err := s.Put(all); err != nil {
 			return err
@@ -80,7 +80,7 @@
 }
 
 // stores reads what the relays' stores of undelivered messages hold, once the relays have ended.
-func (r *rig) stores() (kept []checker.Kept, unkept []string, err error) {
+func (r *rig) stores() (kept []checker.DeadLetter, unkept []string, err error) {
 	for _, rel := range r.relays {
 		own, err := operatorconfig.Read(rel.operatorPath())
 		if errors.Is(err, os.ErrNotExist) {
@@ -129,7 +129,7 @@
 }
 
 // stored adds all records of a store.
-func (rel *relay) stored(s *deadletter.Store, kept []checker.Kept) ([]checker.Kept, error) {
+func (rel *relay) stored(s *deadletter.Store, kept []checker.DeadLetter) ([]checker.DeadLetter, error) {
 	const page = 1000
 	for from, first := uint64(0), true; first || from > 0; first = false {
 		list, next, damaged, err := s.Page(from, page, page, nil)
@@ -140,7 +140,7 @@
 			rel.r.fault("%s: %d records of its store can't be read", rel.name, damaged)
 		}
 		for _, rec := range list {
-			k := checker.Kept{Relay: rel.number, State: string(rec.State), Why: rec.Why + string(rec.Last().Reason)}
+			k := checker.DeadLetter{Relay: rel.number, State: string(rec.State), Why: rec.Why + string(rec.Last().Reason)}
 			for i, l := range rec.Lives {
 				k.IDs = append(k.IDs, l.ID)
 				// Of a resend that is out the store knows nothing yet: what came of it is in the relay's journal.
--- a/internal/faultinjection/harness/table.go
+++ b/internal/faultinjection/harness/table.go
@@ -23,8 +23,8 @@
 	fmt.Fprintf(t, "\npartner\tasked\tdelivered\tin time\trefused\tfailed\tcalls\tfull\terrors\tcut off\tconnections\tpushed over\t\n")
 	for i, p := range r.Partners {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.PartnerNames[i], p.Asked, p.Delivered, p.InTime,
-			p.Refused, p.Failed+p.Unserved, p.Calls, p.Outcomes[checker.Full]+p.Outcomes[checker.Wait],
-			p.Outcomes[checker.Error]+p.Outcomes[checker.Reset], p.Outcomes[checker.Left]+p.Outcomes[checker.Cut], p.Connections,
+			p.Refused, p.Failed+p.Unserved, p.Calls, p.Outcomes[checker.Rejected]+p.Outcomes[checker.RetryAfter],
+			p.Outcomes[checker.Error]+p.Outcomes[checker.Reset], p.Outcomes[checker.Abandoned]+p.Outcomes[checker.Interrupted], p.Connections,
 			r.Falls[r.PartnerNames[i]])
 	}
 	fmt.Fprintf(t, "\nrelay\thanded in\ttaken on\tgiven back\tgiven up\tcalls\tstarts\tMB by quarter\tdescriptors by quarter\tCPU s\tfolder kB\t\n")
@@ -44,7 +44,7 @@
 	}
 	c := &r.Counts
 	fmt.Fprintf(out, "counts %d messages, %d hand-ins, %d taken on, %d calls, %d turned away above a limit, %d effects for nothing\n",
-		c.Asked, c.HandIns, c.Taken, c.Calls, c.Outcomes[checker.Full]+c.Outcomes[checker.Wait], c.Wasted)
+		c.Asked, c.HandIns, c.Taken, c.Calls, c.Outcomes[checker.Rejected]+c.Outcomes[checker.RetryAfter], c.Wasted)
 	for _, u := range r.Processes {
 		if u.Reads > 0 {
 			fmt.Fprintf(out, "door   %s: figures read %d times, in %.1f ms (half), %.1f ms (99 of 100), %.1f ms at most\n", u.Name, u.Reads,
@@ -75,7 +75,7 @@
 			fmt.Fprintf(out, "  and %d more\n", len(r.Breaches)-i)
 			break
 		}
-		fmt.Fprintf(out, "BREACH %s: at %.3f s, relay %d, partner %s, message %s: %s\n", b.Rule, b.At.Seconds(), b.Relay, or(b.Dest, "-"),
+		fmt.Fprintf(out, "BREACH %s: at %.3f s, relay %d, partner %s, message %s: %s\n", b.Rule, b.At.Seconds(), b.Relay, or(b.Destination, "-"),
 			or(b.ID, "-"), b.Text)
 	}
 	for _, f := range r.Faults {
--- a/internal/faultinjection/harness/timeline.go
+++ b/internal/faultinjection/harness/timeline.go
@@ -146,7 +146,7 @@
 			host = h.id
 		}
 	}
-	l.r.note(checker.Event{Kind: checker.Out, Dest: l.number, Host: host, State: e.What})
+	l.r.note(checker.Event{Kind: checker.OutageBegan, Destination: l.number, Endpoint: host, State: e.What})
 	if at < 0 {
 		l.outage = &mode
 	}
@@ -176,7 +176,7 @@
 	if at < 0 {
 		l.outage = nil
 	}
-	l.r.note(checker.Event{Kind: checker.Back, Dest: l.number, Host: host, OK: cold})
+	l.r.note(checker.Event{Kind: checker.OutageEnded, Destination: l.number, Endpoint: host, OK: cold})
 	l.act(actions)
 }
 
--- a/internal/faultinjection/simulation/drawn_test.go
+++ b/internal/faultinjection/simulation/drawn_test.go
@@ -108,9 +108,9 @@
 				return nil
 			}
 			return []policy.Action{a}
-		})}, nil, checker.NoEnd},
-		"ends are made late":                          {Join, Plant{Actions: heldBack()}, nil, checker.LateEnd},
-		"what was sent is given up, delivered or not": {Calm, Plant{Actions: givenUp()}, nil, checker.TwoEnds},
+		})}, nil, checker.OutcomeMissing},
+		"ends are made late":                          {Join, Plant{Actions: heldBack()}, nil, checker.OutcomeLate},
+		"what was sent is given up, delivered or not": {Calm, Plant{Actions: givenUp()}, nil, checker.OutcomeTwice},
 		"what was out at a kill is taken for never run": {Rolling, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
 				for i := range a.PriorAttempts {
@@ -118,27 +118,27 @@
 				}
 			}
 			return e
-		})}, nil, checker.Twice},
+		})}, nil, checker.ExecutedTwice},
 		"a reset is taken for never run": {Split, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if end, ok := e.(policy.AttemptEnded); ok && end.Outcome == policy.ConnectionReset {
 				end.Outcome = policy.ConnectError
 				return end
 			}
 			return e
-		})}, nil, checker.Twice},
+		})}, nil, checker.ExecutedTwice},
 		"two attempts at once": {Calm, Plant{Actions: each(func(a policy.Action) []policy.Action {
 			if _, ok := a.(policy.Send); ok {
 				return []policy.Action{a, a}
 			}
 			return []policy.Action{a}
-		})}, nil, checker.SecondCopy},
+		})}, nil, checker.ConcurrentAttempts},
 		"news of the list are not heeded": {Rolling, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if l, ok := e.(policy.EndpointsChanged); ok && !l.Full {
 				return nil
 			}
 			return e
 		})}, nil, checker.DrainBroken},
-		"word of a return is leave to send": {Zone, Plant{Opens: true}, nil, checker.PushedOver},
+		"word of a return is leave to send": {Zone, Plant{Opens: true}, nil, checker.DestinationOverloaded},
 		"a wait is not heeded": {Join, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if end, ok := e.(policy.AttemptEnded); ok {
 				end.RetryAfter = 0
@@ -151,14 +151,14 @@
 				p := &d.Script.Partners[i]
 				p.Tells, p.Limit.Span, p.Limit.Count = "wait", 5*p.Limit.Span, 5*p.Limit.Count
 			}
-		}, checker.WaitIgnored},
+		}, checker.RetryAfterIgnored},
 		"another partner's host": {Calm, Plant{Actions: each(func(a policy.Action) []policy.Action {
 			if s, ok := a.(policy.Send); ok && s.Endpoint == "p0-0" {
 				s.Endpoint = "p1-0"
 				return []policy.Action{s}
 			}
 			return []policy.Action{a}
-		})}, nil, checker.WrongHost},
+		})}, nil, checker.WrongDestination},
 		"order is not kept": {Calm, Plant{Events: bent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
 				a.OrderKey = ""
--- a/internal/faultinjection/simulation/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -229,11 +229,11 @@
 	case Lower:
 		f.carryOut(s, s.Lower(f.now, e.Share))
 	case Out:
-		f.write(checker.Event{Kind: checker.Out, Dest: s.no, State: "refuse"})
+		f.write(checker.Event{Kind: checker.OutageBegan, Destination: s.no, State: "refuse"})
 		f.carryOut(s, s.Fail(f.now, -1, destination.Refusing, 0))
 		f.reset(s)
 	case Back:
-		f.write(checker.Event{Kind: checker.Back, Dest: s.no, OK: true})
+		f.write(checker.Event{Kind: checker.OutageEnded, Destination: s.no, OK: true})
 		f.carryOut(s, s.Recover(f.now, -1, true))
 		for _, r := range f.relays {
 			if r.alive && f.Plant.Opens {
@@ -241,7 +241,7 @@
 			}
 		}
 	case Vanish:
-		f.write(checker.Event{Kind: checker.Out, Dest: s.no, State: "gone"})
+		f.write(checker.Event{Kind: checker.OutageBegan, Destination: s.no, State: "gone"})
 		f.carryOut(s, s.Fail(f.now, -1, destination.Gone, 0))
 		f.after(e.For, func() { f.happen(Event{What: Back, Partner: e.Partner}) })
 	case Kill:
@@ -331,7 +331,7 @@
 			f.fell(s, a.Change)
 		case a.Done != nil:
 			if a.Done.Ran {
-				f.write(checker.Event{Kind: checker.Effect, ID: a.Done.Call.ID, Dest: s.no})
+				f.write(checker.Event{Kind: checker.Executed, ID: a.Done.Call.ID, Destination: s.no})
 			}
 			// Also of a call whose relay waits no more: its effect counts.
 			if m := f.asked[a.Done.Call.ID]; m != nil && a.Done.Ran && f.Script.Classes[m.Class].Effect != "safe" {
@@ -357,7 +357,7 @@
 	p := f.res.Partners[s.no]
 	how := outcomes[done.Outcome]
 	if fl.mute || f.cut(fl.r, fl.host) {
-		fl.closed(checker.Event{Outcome: checker.Cut, Ran: done.Ran})
+		fl.closed(checker.Event{Outcome: checker.Interrupted, Ran: done.Ran})
 		return
 	}
 	end := policy.AttemptEnded{Outcome: how.heard, Final: how.heard == policy.Succeeded, RetryAfter: done.Wait}
@@ -373,7 +373,7 @@
 	}
 	written := f.now
 	f.after(f.trip(), func() {
-		fl.closedAt(written, checker.Event{Outcome: how.named, For: done.Wait, Ran: done.Ran})
+		fl.closedAt(written, checker.Event{Outcome: how.named, Duration: done.Wait, Ran: done.Ran})
 		fl.end(end, end.Outcome != policy.ConnectionReset)
 	})
 }
@@ -384,7 +384,7 @@
 		if s.Mode(fl.host.endpoint) >= destination.Refusing {
 			delete(s.flights, call)
 			fl.broken = true
-			fl.closed(checker.Event{Outcome: checker.Cut})
+			fl.closed(checker.Event{Outcome: checker.Interrupted})
 		}
 	}
 	// In an order that does not hang on the map's.
--- a/internal/faultinjection/simulation/log.go
+++ b/internal/faultinjection/simulation/log.go
@@ -22,8 +22,8 @@
 // handed writes down that a client hands a message in.
 func (r *relay) handed(h *held) {
 	r.f.write(checker.Event{
-		Kind: checker.HandedIn, ID: h.id, Msg: h.m.No, Relay: r.no, Dest: h.m.Partner, Class: h.m.Class,
-		Item: h.m.Item, Subject: h.m.Subject, For: h.expires - r.f.now,
+		Kind: checker.Submitted, ID: h.id, Message: h.m.No, Relay: r.no, Destination: h.m.Partner, Class: h.m.Class,
+		OrderKey: h.m.Item, Subject: h.m.Subject, Duration: h.expires - r.f.now,
 	})
 }
 
@@ -31,7 +31,7 @@
 func (r *relay) heard(h *held, status int) {
 	h.taken = status == statusTaken
 	if h.unheard {
-		r.f.write(checker.Event{Kind: checker.Unheard, ID: h.id, Relay: r.no, State: "its client has gone"})
+		r.f.write(checker.Event{Kind: checker.AnswerMissed, ID: h.id, Relay: r.no, State: "its client has gone"})
 		return
 	}
 	r.f.write(checker.Event{Kind: checker.Answered, ID: h.id, Relay: r.no, Status: status})
@@ -50,7 +50,7 @@
 		r.heard(h, status)
 		return
 	}
-	r.f.write(checker.Event{Kind: checker.Noticed, ID: h.id, Relay: r.no, State: state})
+	r.f.write(checker.Event{Kind: checker.Notified, ID: h.id, Relay: r.no, State: state})
 }
 
 // came writes down that a call has come to its host whole.
@@ -58,7 +58,7 @@
 	f := fl.r.f
 	f.calls++
 	fl.no = f.calls
-	f.write(checker.Event{Kind: checker.Called, ID: fl.held.id, Relay: fl.r.no, Dest: fl.host.partner.no, Host: fl.host.id, Call: fl.no, First: f.now})
+	f.write(checker.Event{Kind: checker.AttemptSent, ID: fl.held.id, Relay: fl.r.no, Destination: fl.host.partner.no, Endpoint: fl.host.id, Attempt: fl.no, FirstByte: f.now})
 }
 
 // closed writes down how a call ended now, once.
@@ -69,7 +69,7 @@
 	if fl.no == 0 {
 		return
 	}
-	e.At, e.Kind, e.ID, e.Call, e.Relay, e.Dest = at, checker.Ended, fl.held.id, fl.no, fl.r.no, fl.host.partner.no
+	e.At, e.Kind, e.ID, e.Attempt, e.Relay, e.Destination = at, checker.AttemptEnded, fl.held.id, fl.no, fl.r.no, fl.host.partner.no
 	fl.no = 0
 	fl.r.f.log = append(fl.r.f.log, e)
 }
@@ -81,24 +81,24 @@
 }{
 	destination.Delivered: {checker.OK, policy.Succeeded},
 	destination.Errored:   {checker.Error, policy.Failed},
-	destination.Full:      {checker.Full, policy.Rejected},
-	destination.Wait:      {checker.Wait, policy.Rejected},
+	destination.Full:      {checker.Rejected, policy.Rejected},
+	destination.Wait:      {checker.RetryAfter, policy.Rejected},
 	destination.Dropped:   {checker.Reset, policy.ConnectionReset},
 }
 
 // fell follows a partner that was pushed over, or is back from that.
 func (f *fleet) fell(s *site, c *destination.Change) {
 	if c.Mode == destination.Refusing {
-		f.write(checker.Event{Kind: checker.Out, Dest: s.no, State: "fell"})
+		f.write(checker.Event{Kind: checker.OutageBegan, Destination: s.no, State: "fell"})
 		f.reset(s)
 		return
 	}
-	f.write(checker.Event{Kind: checker.Back, Dest: s.no, OK: true})
+	f.write(checker.Event{Kind: checker.OutageEnded, Destination: s.no, OK: true})
 }
 
 // judge has the auditor judge the day, and adds what it finds to the result.
 func (f *fleet) judge() {
-	figures := checker.Figures{Settings: f.Script.Settings(0), TellWithin: scenario.Seconds(f.Script.Register.TellWithin)}
+	figures := checker.Terms{Settings: f.Script.Settings(0), TellWithin: scenario.Seconds(f.Script.Register.TellWithin)}
 	for i := range f.Script.Partners {
 		p := &f.Script.Partners[i]
 		figures.Destinations = append(figures.Destinations, checker.Destination{
@@ -109,6 +109,6 @@
 	f.res.Breaches = map[checker.Rule]int{}
 	for _, b := range checker.Judge(figures, f.log, f.now).Breaches {
 		f.res.Breaches[b.Rule]++
-		f.res.fault("%v", fmt.Sprintf("%s at %.3f s, relay %d, %s: %s %s", b.Rule, b.At.Seconds(), b.Relay, b.Dest, b.ID, b.Text))
+		f.res.fault("%v", fmt.Sprintf("%s at %.3f s, relay %d, %s: %s %s", b.Rule, b.At.Seconds(), b.Relay, b.Destination, b.ID, b.Text))
 	}
 }
--- a/internal/faultinjection/simulation/register.go
+++ b/internal/faultinjection/simulation/register.go
@@ -49,7 +49,7 @@
 	}
 	version := len(g.changes)
 	g.f.after(g.Lag, func() {
-		g.f.write(checker.Event{Kind: checker.Shown, Host: h.id, Dest: h.partner.no, State: shownAs[state]})
+		g.f.write(checker.Event{Kind: checker.EndpointShown, Endpoint: h.id, Destination: h.partner.no, State: shownAs[state]})
 		for _, r := range g.f.relays { // in their order
 			if life, ok := g.watchers[r]; ok {
 				g.tell(r, life, version)
@@ -66,7 +66,7 @@
 			return
 		}
 		for _, c := range g.changes[min(r.seen, version):version] {
-			g.f.log = append(g.f.log, checker.Event{At: written, Kind: checker.Told, Relay: r.no, Host: c.host.id, Dest: c.host.partner.no, State: shownAs[c.state]})
+			g.f.log = append(g.f.log, checker.Event{At: written, Kind: checker.EndpointNotified, Relay: r.no, Endpoint: c.host.id, Destination: c.host.partner.no, State: shownAs[c.state]})
 		}
 		r.told(g.changes[:version])
 	})
@@ -79,7 +79,7 @@
 	lose := func() {
 		if r.life == life && r.alive {
 			f.res.Turned++
-			f.write(checker.Event{Kind: checker.Asked, Relay: r.no})
+			f.write(checker.Event{Kind: checker.WatchRequested, Relay: r.no})
 			r.unwatched(f.now - begun)
 		}
 	}
@@ -101,7 +101,7 @@
 			lose()
 		default:
 			g.watchers[r] = life
-			f.write(checker.Event{Kind: checker.Asked, Relay: r.no, OK: true})
+			f.write(checker.Event{Kind: checker.WatchRequested, Relay: r.no, OK: true})
 			g.tell(r, life, len(g.changes))
 		}
 	})
@@ -110,12 +110,12 @@
 // fail takes the register away for a while: all watches end.
 func (g *register) fail(d time.Duration) {
 	g.away, g.free = g.f.now+d, g.f.now+d
-	g.f.write(checker.Event{Kind: checker.RegDown})
-	g.f.after(d, func() { g.f.write(checker.Event{Kind: checker.RegUp}) })
+	g.f.write(checker.Event{Kind: checker.DiscoveryDown})
+	g.f.after(d, func() { g.f.write(checker.Event{Kind: checker.DiscoveryUp}) })
 	for _, r := range g.f.relays {
 		if life, ok := g.watchers[r]; ok {
 			delete(g.watchers, r)
-			g.f.write(checker.Event{Kind: checker.Unwatched, Relay: r.no})
+			g.f.write(checker.Event{Kind: checker.WatchEnded, Relay: r.no})
 			g.f.after(g.f.trip(), func() {
 				if r.life == life && r.alive {
 					r.unwatched(time.Minute)
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -345,7 +345,7 @@
 	f, h := r.f, r.held[id]
 	if h == nil {
 		f.res.fault("%s was ended twice", id)
-		f.write(checker.Event{Kind: checker.Noticed, ID: id, Relay: r.no, State: checker.Undeliverable}) // what the module wants is done
+		f.write(checker.Event{Kind: checker.Notified, ID: id, Relay: r.no, State: checker.Undeliverable}) // what the module wants is done
 		return
 	}
 	r.ended(h, again)
@@ -426,7 +426,7 @@
 		f.res.Partners[p.no].now(f.now).Calls++
 		fl.came()
 		f.carryOut(p, p.Arrive(f.now, fl.host.endpoint, &destination.Call{ID: fl.call.ID, Overfull: true}))
-		fl.closed(checker.Event{Outcome: checker.Full})
+		fl.closed(checker.Event{Outcome: checker.Rejected})
 		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.Rejected}, false) })
 	default:
 		fl.conn = true
@@ -477,14 +477,14 @@
 		return // its answer is on its way
 	}
 	delete(p.flights, fl.call)
-	fl.closed(checker.Event{Outcome: checker.Cut})
+	fl.closed(checker.Event{Outcome: checker.Interrupted})
 	f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 }
 
 // drop takes a call off the wire.
 func (fl *flight) drop() {
 	fl.over = true
-	fl.closed(checker.Event{Outcome: checker.Left})
+	fl.closed(checker.Event{Outcome: checker.Abandoned})
 	p := fl.host.partner
 	if _, there := p.flights[fl.call]; there {
 		delete(p.flights, fl.call)
--- a/internal/frontend/submission.go
+++ b/internal/frontend/submission.go
@@ -12,9 +12,9 @@
 	ReceivedAt time.Time      // when this process had read its head
 	TimeLeft   time.Duration  // from ReceivedAt until its deadline
 	Response   chan Response  // buffered, for one response
-	// Retry is what the client says of an earlier submission of the request; empty if it says
+	// ClientRetry is what the client says of an earlier submission of the request; empty if it says
 	// nothing. It is for the trace alone.
-	Retry string
+	ClientRetry string
 	// Quiet reports whether the client has sent nothing after the request, and whether it is still
 	// connected.
 	Quiet func() (quiet, there bool)
--- a/internal/frontend/validator.go
+++ b/internal/frontend/validator.go
@@ -73,7 +73,7 @@
 		return nil, rejection
 	}
 	return &Submission{
-		ReceivedAt: receivedAt, TimeLeft: timeLeft, Response: make(chan Response, 1), Retry: clientRetry(r.Header),
+		ReceivedAt: receivedAt, TimeLeft: timeLeft, Response: make(chan Response, 1), ClientRetry: clientRetry(r.Header),
 		Entry: &journal.Entry{
 			ID: headers.id, Class: className, Destination: destination, IdempotencyKey: headers.idempotencyKey,
 			OrderKey: orderKey, Tenant: headers.tenant,
--- a/internal/frontend/validator_test.go
+++ b/internal/frontend/validator_test.go
@@ -95,7 +95,7 @@
 	if e.ID != "m" || e.Class != "ordered" || e.Destination != 12 || e.IdempotencyKey != "k" || e.OrderKey != "parcel-1" || e.Tenant != "acme" {
 		t.Errorf("entry %+v", e)
 	}
-	if s.TimeLeft != 5*time.Second || s.Retry != "2" || s.ReceivedAt.IsZero() || cap(s.Response) != 1 {
+	if s.TimeLeft != 5*time.Second || s.ClientRetry != "2" || s.ReceivedAt.IsZero() || cap(s.Response) != 1 {
 		t.Errorf("submission %+v", s)
 	}
 }
@@ -111,7 +111,7 @@
 	if rejection != nil {
 		t.Fatal(rejection)
 	}
-	if s.TimeLeft != 30*time.Second || s.Retry != "" || s.Entry.OrderKey != "" {
-		t.Errorf("%v left, retry %q, ordering key %q", s.TimeLeft, s.Retry, s.Entry.OrderKey)
+	if s.TimeLeft != 30*time.Second || s.ClientRetry != "" || s.Entry.OrderKey != "" {
+		t.Errorf("%v left, retry %q, ordering key %q", s.TimeLeft, s.ClientRetry, s.Entry.OrderKey)
 	}
 }
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -51,8 +51,8 @@
 		{ID: "old-1", At: at(-20)}, {ID: "old-2", At: at(-10)},
 	})})
 	b = appendRecord(b, record{Kind: kindEndpoints, Endpoints: &discovery.EndpointList{Seq: 7, Full: true, Endpoints: []discovery.Endpoint{{
-		Host: "h1", Dial: "127.0.0.1:9", Site: "z",
-		Class: "k", Block: 3, Health: "SERVING", Share: 12.5,
+		ID: "h1", Address: "127.0.0.1:9", Zone: "z",
+		Kind: "k", Destination: 3, Health: "SERVING", Weight: 12.5,
 	}}}, Source: "127.0.0.1:8"})
 	b = appendRecord(b, record{Kind: kindStore, Source: "store-1", Count: 42})
 	return appendRecord(b, record{Kind: kindHealth, Endpoint: "h1", Health: &Health{Unhealthy: true, At: at(7)}})
@@ -112,7 +112,7 @@
 		t.Errorf("terms: %+v", terms)
 	}
 	list, source := j.Endpoints()
-	if list == nil || list.Seq != 7 || len(list.Endpoints) != 1 || list.Endpoints[0].Share != 12.5 || source != "127.0.0.1:8" {
+	if list == nil || list.Seq != 7 || len(list.Endpoints) != 1 || list.Endpoints[0].Weight != 12.5 || source != "127.0.0.1:8" {
 		t.Errorf("endpoint list: %+v from %s", list, source)
 	}
 	if j.Store() != "store-1" || j.LastArrival() != 42 || !j.Health()["h1"].Unhealthy {
--- a/internal/relay/assemble.go
+++ b/internal/relay/assemble.go
@@ -83,10 +83,10 @@
 
 // joinFleet gives the relay its part of the fleet's tasks, where the operator wants that.
 func (n *node) joinFleet(deadLetters *deadLetterLink) (err error) {
-	if n.cfg.Own == nil || n.cfg.Own.Coordination == nil {
+	if n.cfg.OperatorFile == nil || n.cfg.OperatorFile.Coordination == nil {
 		return nil
 	}
-	n.fleet, err = fleettask.New(n.cfg.Own.Coordination, n.cfg.Name, deadLetters.openStore)
+	n.fleet, err = fleettask.New(n.cfg.OperatorFile.Coordination, n.cfg.Name, deadLetters.openStore)
 	if err != nil {
 		return err
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -56,7 +56,7 @@
 		l.attemptNotSent(p)
 		return
 	}
-	if !listed || endpoint.Block != r.Destination {
+	if !listed || endpoint.Destination != r.Destination {
 		// Guards the protocol's rule that a request goes only to a listed endpoint of its destination.
 		slog.Error("attempt planned to an endpoint of another destination", logkey.Endpoint, a.Endpoint, logkey.Destination, r.Destination)
 		l.attemptNotSent(p)
@@ -68,7 +68,7 @@
 // attemptNotSent ends an attempt that was not started.
 func (l *loop) attemptNotSent(p plannedAttempt) {
 	l.handleAttemptEnded(attemptEnded{
-		id: p.request.ID, index: p.index, endpoint: p.endpoint.Host, Result: upstream.Result{Outcome: policy.NotSent},
+		id: p.request.ID, index: p.index, endpoint: p.endpoint.ID, Result: upstream.Result{Outcome: policy.NotSent},
 	})
 	l.wakeDispatcher()
 }
@@ -83,7 +83,7 @@
 	}
 	r.attemptStarted = time.Now()
 	l.traceEvent(trace.Event{
-		Kind: trace.AttemptStarted, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: p.endpoint.Host, Count: p.index + 1,
+		Kind: trace.AttemptStarted, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: p.endpoint.ID, Count: p.index + 1,
 		LeftMs: milliseconds(r.Deadline.Sub(l.timeline.Now())),
 	})
 	l.runAttempt(ctx, p, l.pool.Call)
@@ -96,7 +96,7 @@
 	startedAt := r.attemptStarted
 	r.attempt, r.cancel, r.cancelBeforeSend = p, cancel, new(atomic.Bool)
 	call := upstream.Request{
-		Target: upstream.Target{Endpoint: p.endpoint.Host, Addr: p.endpoint.Dial}, ID: r.ID, IdempotencyKey: r.IdempotencyKey, Body: r.Body,
+		Target: upstream.Target{Endpoint: p.endpoint.ID, Addr: p.endpoint.Address}, ID: r.ID, IdempotencyKey: r.IdempotencyKey, Body: r.Body,
 		Timeout: max(p.timeout-time.Since(startedAt), time.Millisecond), WriteBy: p.writeBy, CancelBeforeSend: r.cancelBeforeSend,
 		Deadline: l.timeline.TimeOf(r.Deadline), OnDeadline: func() { l.send(deadlineReached{r.ID}) },
 	}
@@ -105,7 +105,7 @@
 		defer cancel()
 		result := exchange(ctx, call)
 		l.send(attemptEnded{
-			id: r.ID, index: p.index, endpoint: p.endpoint.Host, latency: time.Since(startedAt), started: true, Result: result,
+			id: r.ID, index: p.index, endpoint: p.endpoint.ID, latency: time.Since(startedAt), started: true, Result: result,
 		})
 	}()
 }
--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	l := &loop{timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{}}
+	l := &loop{timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, endpoints: map[string]discovery.Endpoint{"h": {ID: "h", Destination: 3}}, requests: map[string]*request{}}
 	now := l.now() + time.Second
 	for i, within := range []time.Duration{0, 300 * time.Millisecond} {
 		id := strconv.Itoa(i) // each has one attempt in flight at most
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -23,16 +23,16 @@
 	Discovery string `json:"discovery"`
 	Seed      string `json:"seed"` // hexadecimal
 	// Management is where the admin endpoint listens; empty: there is none.
-	Management string                 `json:"management"`
-	Limits     Limits                 `json:"limits"`
-	Known      discovery.EndpointList `json:"known"`
-	Settings   settings.Settings      `json:"settings"`
+	Management     string                 `json:"management"`
+	Limits         Limits                 `json:"limits"`
+	KnownEndpoints discovery.EndpointList `json:"known"`
+	Settings       settings.Settings      `json:"settings"`
 
 	// ListenFD is the descriptor of a clients' socket that the platform holds and every process inherits; 0: none.
 	ListenFD int `json:"-"`
 
-	// Own is the operator's own file; nil stands for one in which every section is off.
-	Own *operatorconfig.File `json:"-"`
+	// OperatorFile is the operator's own file; nil stands for one in which every section is off.
+	OperatorFile *operatorconfig.File `json:"-"`
 
 	policy policy.Settings
 	seed   int64
@@ -66,18 +66,18 @@
 
 // deadLetterSection returns the operator's section on dead letters; nil: there is no store of them.
 func (c *Config) deadLetterSection() *deadletter.Section {
-	if c.Own == nil {
+	if c.OperatorFile == nil {
 		return nil
 	}
-	return c.Own.Undelivered
+	return c.OperatorFile.Undelivered
 }
 
 // traceSection returns the operator's section on the trace; nil: there is no trace.
 func (c *Config) traceSection() *trace.Section {
-	if c.Own == nil {
+	if c.OperatorFile == nil {
 		return nil
 	}
-	return c.Own.Trace
+	return c.OperatorFile.Trace
 }
 
 // hasOwnEndpointList reports whether each relay polls a list of its own that its platform's agent keeps, and no discovery
--- a/internal/relay/deadletter_helpers_test.go
+++ b/internal/relay/deadletter_helpers_test.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Own, err = operatorconfig.Read(p.operatorPath); err != nil {
+	if cfg.OperatorFile, err = operatorconfig.Read(p.operatorPath); err != nil {
 		t.Fatal(err)
 	}
 	return cfg
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -59,7 +59,7 @@
 
 func (d *deadLetterLink) settingsChanged(cfg *Config) {
 	if d.writer != nil {
-		d.writer.queue.setClasses(cfg.ResendClasses(cfg.Own.Undelivered))
+		d.writer.queue.setClasses(cfg.RedeliveryClasses(cfg.OperatorFile.Undelivered))
 	}
 }
 
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -51,11 +51,11 @@
 // newDeadLetterWriter returns a writer; journalledStore is the store that, by the journal, has recorded all that was
 // delivered.
 func newDeadLetterWriter(cfg *Config, journalledStore string, timeline *clock.Timeline, send func(deadLetterEvent)) *deadLetterWriter {
-	section := cfg.Own.Undelivered
+	section := cfg.OperatorFile.Undelivered
 	return &deadLetterWriter{
 		section: section, queue: newDeadLetterQueue(section.Refused), send: send, timeline: timeline,
 		newResender: func(store *deadletter.Store) *deadletter.Resender { return newResender(cfg, store) },
-		classes:     cfg.ResendClasses(section), journalledStore: journalledStore,
+		classes:     cfg.RedeliveryClasses(section), journalledStore: journalledStore,
 	}
 }
 
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -28,7 +28,7 @@
 	named := map[string]bool{}
 	var recovered []policy.Event
 	for _, endpoint := range list.Endpoints {
-		named[endpoint.Host] = true
+		named[endpoint.ID] = true
 		recovered = append(recovered, l.updateEndpoint(endpoint)...)
 	}
 	if list.Full {
@@ -40,17 +40,17 @@
 // updateEndpoint takes over one endpoint, and returns what an earlier process knew of its health where it is new here: the
 // list that came with the configuration may lack it.
 func (l *loop) updateEndpoint(endpoint discovery.Endpoint) (recovered []policy.Event) {
-	id := endpoint.Host
+	id := endpoint.ID
 	old, known := l.endpoints[id]
-	if known && (old.Dial != endpoint.Dial || endpoint.Health == discovery.Deleted) {
-		l.pool.Evict(upstream.Target{Endpoint: id, Addr: old.Dial})
+	if known && (old.Address != endpoint.Address || endpoint.Health == discovery.Deleted) {
+		l.pool.Evict(upstream.Target{Endpoint: id, Addr: old.Address})
 	}
 	if endpoint.Health == discovery.Deleted {
 		l.removeEndpoint(id)
 		return nil
 	}
 	l.endpoints[id] = endpoint
-	l.destinations[endpoint.Block] = true
+	l.destinations[endpoint.Destination] = true
 	if health, ok := l.journal.Health()[id]; ok && !known {
 		return []policy.Event{policy.HealthRecovered{Endpoint: id, Unhealthy: health.Unhealthy, At: time.Duration(health.At)}}
 	}
@@ -61,7 +61,7 @@
 func (l *loop) removeUnnamed(named map[string]bool) {
 	for id, endpoint := range l.endpoints {
 		if !named[id] {
-			l.pool.Evict(upstream.Target{Endpoint: id, Addr: endpoint.Dial})
+			l.pool.Evict(upstream.Target{Endpoint: id, Addr: endpoint.Address})
 			l.removeEndpoint(id)
 		}
 	}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -29,13 +29,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			j := openEarlierJournal(t, t.TempDir())
 			if tt.journalled > 0 {
-				j.UpdateEndpoints(discovery.EndpointList{Seq: tt.journalled, Full: true, Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.journalled)}}}, tt.from)
+				j.UpdateEndpoints(discovery.EndpointList{Seq: tt.journalled, Full: true, Endpoints: []discovery.Endpoint{{ID: "h", Destination: int(tt.journalled)}}}, tt.from)
 			}
-			l := &loop{journal: j, cfg: &Config{Discovery: here, Known: discovery.EndpointList{
+			l := &loop{journal: j, cfg: &Config{Discovery: here, KnownEndpoints: discovery.EndpointList{
 				Seq:       tt.configured,
-				Endpoints: []discovery.Endpoint{{Host: "h", Block: int(tt.configured)}},
+				Endpoints: []discovery.Endpoint{{ID: "h", Destination: int(tt.configured)}},
 			}}}
-			if got := l.latestEndpointList(); got.Seq != tt.wantAt || int64(got.Endpoints[0].Block) != tt.want {
+			if got := l.latestEndpointList(); got.Seq != tt.wantAt || int64(got.Endpoints[0].Destination) != tt.want {
 				t.Errorf("%s: %+v", tt.name, got)
 			}
 		})
@@ -91,12 +91,12 @@
 		n++
 		p.mustAccept("status", "b"+strings.Repeat("b", n), "20")
 		p.nextAttempt()
-		return hit == fresh.Dial
+		return hit == fresh.Address
 	})
 	for range 5 {
 		n++
 		p.mustAccept("status", "b"+strings.Repeat("b", n), "20")
-		if p.nextAttempt(); hit != fresh.Dial {
+		if p.nextAttempt(); hit != fresh.Address {
 			t.Fatal("a draining endpoint got a new request")
 		}
 	}
@@ -150,7 +150,7 @@
 	p.addEndpoint("h1", 7)
 	p.changesOnly = true
 	c := p.start()
-	p.watchLines <- watchLine(t, 41, discovery.Endpoint{Host: "h9", Dial: "127.0.0.1:1", Site: "a", Class: "m2", Block: 9, Health: "SERVING"})
+	p.watchLines <- watchLine(t, 41, discovery.Endpoint{ID: "h9", Address: "127.0.0.1:1", Zone: "a", Kind: "m2", Destination: 9, Health: "SERVING"})
 	p.waitFor("the change is in the journal", func() bool {
 		list, _ := readJournal(t, p.dir).Endpoints()
 		return list != nil && list.Seq == 41
@@ -168,9 +168,9 @@
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addEndpoint("h1", 7)
-			p.endpoints[0].Share = 0.05 // a budget of one trial request in many seconds
+			p.endpoints[0].Weight = 0.05 // a budget of one trial request in many seconds
 			up := p.endpoints[0]
-			p.endpoints[0].Dial = refusingAddress(t)
+			p.endpoints[0].Address = refusingAddress(t)
 			c := p.start()
 			p.mustAccept("status", "a", "25")
 			p.waitFor("the outage is in the journal", func() bool { return readHealth(t, p.dir)["h1"].Unhealthy })
--- a/internal/relay/handover_kill_test.go
+++ b/internal/relay/handover_kill_test.go
@@ -69,7 +69,7 @@
 	p.addAdminEndpoint()
 	p.shareListener()
 	p.addEndpoint("h1", 7)
-	p.endpoints[0].Share = 2000
+	p.endpoints[0].Weight = 2000
 	random := rand.New(rand.NewPCG(20261201, 18))
 	l := &load{accepted: map[string]bool{}}
 	inFlight, executed, answered, twice := map[string]int{}, map[string]int{}, map[string]int{}, map[string]bool{}
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -346,7 +346,7 @@
 	cfg.policy.Classes = []policy.Class{class}
 	l := &loop{
 		cfg: cfg, timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, metrics: admin.NewMetrics(nil),
-		notifier: notification.New("127.0.0.1:0", nil), endpoints: map[string]discovery.Endpoint{"h": {Host: "h", Block: 3}}, requests: map[string]*request{},
+		notifier: notification.New("127.0.0.1:0", nil), endpoints: map[string]discovery.Endpoint{"h": {ID: "h", Destination: 3}}, requests: map[string]*request{},
 	}
 	r := &request{state: stateAccepted, Entry: &journal.Entry{ID: "m", Class: class.Name, Destination: 3, Deadline: l.timeline.Now().Add(left)}}
 	j.SetTerms(r.Entry, class)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -185,7 +185,7 @@
 		}
 	case policy.CloseIdleConns:
 		if e, ok := l.endpoints[a.Endpoint]; ok {
-			l.immediately(func() { l.pool.CloseIdle(upstream.Target{Endpoint: e.Host, Addr: e.Dial}) })
+			l.immediately(func() { l.pool.CloseIdle(upstream.Target{Endpoint: e.ID, Addr: e.Address}) })
 		}
 	case policy.SetTimer:
 		l.setTimer(now + a.After)
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -49,7 +49,7 @@
 // come, and leaves what is not delivered by then to the journal in dir. Where another process runs on that folder, it takes
 // over from that one, and it hands over to one that comes later. Configurations that come from reread change its settings
 // and move it to another discovery; all else in them is for the next start.
-func Run(ctx context.Context, cfg *Config, dir string, reread <-chan Reading) error {
+func Run(ctx context.Context, cfg *Config, dir string, reread <-chan Reload) error {
 	if err := cfg.validateOperatorFile(); err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 }
 
 // run runs a relay to its end, or until it was handed over.
-func (n *node) run(ctx context.Context, reread <-chan Reading) error {
+func (n *node) run(ctx context.Context, reread <-chan Reload) error {
 	n.shutdownRequested = ctx
 	n.running, n.stop = context.WithCancel(context.WithoutCancel(ctx)) // a shutdown goes on for a while after ctx has ended
 	defer n.stop()
--- a/internal/relay/node_test.go
+++ b/internal/relay/node_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Own, err = operatorconfig.Read(p.operatorPath); err != nil {
+	if cfg.OperatorFile, err = operatorconfig.Read(p.operatorPath); err != nil {
 		t.Fatal(err)
 	}
 	if err := Run(t.Context(), cfg, p.dir, nil); err == nil || !strings.Contains(err.Error(), "undelivered.rule[1]: resends order messages that may have run") {
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -39,7 +39,7 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := ReadConfig(path)
 	if operatorPath := os.Getenv(childOperator); err == nil && operatorPath != "" {
-		cfg.Own, err = operatorconfig.Read(operatorPath)
+		cfg.OperatorFile, err = operatorconfig.Read(operatorPath)
 	}
 	if fd := os.Getenv("NODE_LISTEN_FD"); err == nil && fd != "" {
 		cfg.ListenFD, err = strconv.Atoi(fd)
@@ -50,7 +50,7 @@
 	if err == nil {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
-		err = Run(ctx, cfg, os.Getenv(childState), Reread(ctx, path, cfg, hangups))
+		err = Run(ctx, cfg, os.Getenv(childState), WatchReloads(ctx, path, cfg, hangups))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -163,8 +163,8 @@
 		s.Close()
 	})
 	m := discovery.Endpoint{
-		Host: id, Dial: strings.TrimPrefix(s.URL, "http://"), Site: "a", Class: "m2", Block: dest,
-		Health: "SERVING", Share: 100,
+		ID: id, Address: strings.TrimPrefix(s.URL, "http://"), Zone: "a", Kind: "m2", Destination: dest,
+		Health: "SERVING", Weight: 100,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -40,7 +40,7 @@
 
 // latestEndpointList returns the newest list that this relay, or its platform for it, is known to have had.
 func (l *loop) latestEndpointList() discovery.EndpointList {
-	configured := l.cfg.Known
+	configured := l.cfg.KnownEndpoints
 	journalled, from := l.journal.Endpoints()
 	switch {
 	case journalled == nil:
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -66,7 +66,7 @@
 func TestRecovery_NotExecutedAttemptsAllowRetry(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
-	p.endpoints[0].Dial, p.endpoints[0].Share = refusingAddress(t), 1 // tried rarely, so that attempts remain
+	p.endpoints[0].Address, p.endpoints[0].Weight = refusingAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
 	p.mustAccept("order", "late", "0.6")
 	p.mustAccept("order", "open", "25")
--- a/internal/relay/redelivery_rules.go
+++ b/internal/relay/redelivery_rules.go
@@ -16,8 +16,8 @@
 	"frostlink/policy"
 )
 
-// ResendClasses returns the settings' classes in the terms of the dead-letter store.
-func (c *Config) ResendClasses(section *deadletter.Section) (classes []deadletter.Class) {
+// RedeliveryClasses returns the settings' classes in the terms of the dead-letter store.
+func (c *Config) RedeliveryClasses(section *deadletter.Section) (classes []deadletter.Class) {
 	effects := map[policy.Idempotency]deadletter.Effect{
 		policy.Idempotent: deadletter.Safe, policy.IdempotentByKey: deadletter.Keyed,
 		policy.NotIdempotent: deadletter.Unsafe,
@@ -38,8 +38,8 @@
 // newResender returns the core that decides what is redelivered. Where the rules differ from those that the store was used
 // with last, it looks at all requests again.
 func newResender(cfg *Config, store *deadletter.Store) *deadletter.Resender {
-	section := cfg.Own.Undelivered
-	classes := cfg.ResendClasses(section)
+	section := cfg.OperatorFile.Undelivered
+	classes := cfg.RedeliveryClasses(section)
 	r := deadletter.NewResender(store, section.Rules, classes, cfg.Name, newRedeliveryID)
 	rules, err := json.Marshal([]any{section.Rules, section.Subjects, section.SubjectsStick, section.SubjectsSettle, classes})
 	if err != nil {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -9,15 +9,15 @@
 	"frostlink/policy"
 )
 
-// Reading is the result of reading the configuration again.
-type Reading struct {
+// Reload is the result of reading the configuration again.
+type Reload struct {
 	Config *Config // nil: it can't be used
 	Err    error
 }
 
-// Reread reads the configuration again at each hang-up, until ctx ends. One that can't be used changes nothing.
-func Reread(ctx context.Context, path string, running *Config, hangups <-chan os.Signal) <-chan Reading {
-	readings := make(chan Reading)
+// WatchReloads reads the configuration again at each hang-up, until ctx ends. One that can't be used changes nothing.
+func WatchReloads(ctx context.Context, path string, running *Config, hangups <-chan os.Signal) <-chan Reload {
+	readings := make(chan Reload)
 	go func() {
 		inForce := running.raw
 		for {
@@ -33,7 +33,7 @@
 				inForce = cfg.raw
 			}
 			select {
-			case readings <- Reading{cfg, err}:
+			case readings <- Reload{cfg, err}:
 			case <-ctx.Done():
 			}
 		}
@@ -55,7 +55,7 @@
 }
 
 // reload hands a configuration that was read again to the loop, and moves to another discovery.
-func (n *node) reload(r Reading) {
+func (n *node) reload(r Reload) {
 	if n.running.Err() != nil {
 		return // it is for the successor
 	}
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -78,7 +78,7 @@
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
 	p.addEndpoint("h8", 8)
-	p.endpoints[0].Dial, p.endpoints[0].Share = refusingAddress(t), 1 // tried rarely, so that attempts remain
+	p.endpoints[0].Address, p.endpoints[0].Weight = refusingAddress(t), 1 // tried rarely, so that attempts remain
 	c := p.start()
 	p.mustAccept("order", "before", "25")
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -54,7 +54,7 @@
 // respondToDuplicate answers a request that is submitted under an id that is known.
 func (l *loop) respondToDuplicate(s *frontend.Submission, status int) {
 	l.traceEvent(trace.Event{
-		Kind: trace.Resubmitted, ID: s.Entry.ID, Class: s.Entry.Class, Destination: s.Entry.Destination, Count: status, Retry: s.Retry,
+		Kind: trace.Resubmitted, ID: s.Entry.ID, Class: s.Entry.Class, Destination: s.Entry.Destination, Count: status, Retry: s.ClientRetry,
 	})
 	s.Response <- frontend.Response{Status: status}
 }
@@ -62,7 +62,7 @@
 // rejectSubmission rejects a submission before the dispatcher sees it.
 func (l *loop) rejectSubmission(s *frontend.Submission) {
 	l.metrics.Completed(s.Entry.Class, admin.Shed, false)
-	l.traceRejected(s.Entry, s.Retry, l.rejectionReason(s.Entry), l.cfg.policy.MaxRetryAfter)
+	l.traceRejected(s.Entry, s.ClientRetry, l.rejectionReason(s.Entry), l.cfg.policy.MaxRetryAfter)
 	s.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
 }
 
@@ -82,7 +82,7 @@
 	for _, sub := range l.subsystems {
 		sub.submitted(s.Entry)
 	}
-	l.addCandidate(&request{Entry: s.Entry, responses: []chan frontend.Response{s.Response}, retryInfo: s.Retry})
+	l.addCandidate(&request{Entry: s.Entry, responses: []chan frontend.Response{s.Response}, retryInfo: s.ClientRetry})
 }
 
 // reserveJournalSpace reserves room in the journal for a request. Where there is none, requests that only a subsystem
