--- a/policy/memory.go
+++ b/policy/snapshot.go
@@ -5,9 +5,6 @@
 	"time"
 )
 
-// This file carries what a dispatcher has learned from one process of a relay to the next that takes its place. It decides
-// nothing: what is carried is the state that policy.go keeps.
-
 // Snapshot is what a dispatcher has learned of its destinations. Times are its clock's, which the two processes share.
 type Snapshot struct {
 	Queues       []QueueSnapshot         `json:"queues"`
@@ -81,18 +78,6 @@
 	ConnLimit      float64       `json:"conn_cap,omitempty"`
 }
 
-func (l *latencies) memory() LatencySnapshot {
-	return LatencySnapshot{l.n, l.mean, slices.Clone(l.class)}
-}
-
-// recall takes latencies over; classes are matched by number, which both processes share.
-func (l *latencies) recall(m LatencySnapshot) {
-	l.n, l.mean = m.N, m.Mean
-	copy(l.class, m.Class)
-}
-
-func (a *aged) memory() CounterSnapshot { return CounterSnapshot{a.n, a.at, a.since} }
-
 // Snapshot gives what this dispatcher has learned.
 func (d *Dispatcher) Snapshot() *Snapshot {
 	mem := &Snapshot{Kinds: map[int]LatencySnapshot{}, Unanswered: d.unanswered}
@@ -177,6 +162,18 @@
 	}
 }
 
+func (l *latencies) memory() LatencySnapshot {
+	return LatencySnapshot{l.n, l.mean, slices.Clone(l.class)}
+}
+
+// recall takes latencies over; classes are matched by number, which both processes share.
+func (l *latencies) recall(m LatencySnapshot) {
+	l.n, l.mean = m.N, m.Mean
+	copy(l.class, m.Class)
+}
+
+func (a *aged) memory() CounterSnapshot { return CounterSnapshot{a.n, a.at, a.since} }
+
 func (m CounterSnapshot) aged() aged { return aged{m.N, m.At, m.Since} }
 
 // sortedKeys are a map's keys in order: what is carried over is the same each time.
