--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -56,7 +56,7 @@
 
 // fail has a fresh message fail at destination 0, and be withdrawn.
 func fail(d *Dispatcher, e AttemptEnded) {
-	e.ID, e.Endpoint = fmt.Sprint("x", d.seq), "a"
+	e.ID, e.Endpoint = fmt.Sprint("x", d.lastSeq), "a"
 	d.Handle(d.now+ms, []Event{Arrived{ID: e.ID, TimeLeft: 10 * time.Second}})
 	d.Handle(d.now+2*ms, []Event{e, Cancelled{ID: e.ID}})
 }
@@ -72,7 +72,7 @@
 			expect(t, "it goes", d.Handle(time.Second, []Event{background("m", class)}), "m>a")
 			expect(t, fmt.Sprint("class ", class, ", outcome ", outcome), d.Handle(2*time.Second,
 				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: outcome, Final: outcome == Succeeded}}), want)
-			if len(d.messages) > 0 && len(d.resting) == 0 {
+			if len(d.messages) > 0 && len(d.coolingDown) == 0 {
 				t.Errorf("class %d, outcome %d: still held", class, outcome)
 			}
 		}
@@ -100,8 +100,8 @@
 		with.Handle(at+10*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true, Latency: 10 * ms}})
 		without.Handle(at, nil)
 	}
-	a, b := with.dests[0].queues[0], without.dests[0].queues[0]
-	if x, y := a.arrivals.rate(with.now), b.arrivals.rate(without.now); x != y || a.misses != b.misses || a.copyWork != b.copyWork {
+	a, b := with.destinations[0].queues[0], without.destinations[0].queues[0]
+	if x, y := a.arrivals.rate(with.now), b.arrivals.rate(without.now); x != y || a.shadowRejections != b.shadowRejections || a.shadowBacklog != b.shadowBacklog {
 		t.Errorf("λ %v with background messages, %v without", x, y)
 	}
 }
--- a/policy/class.go
+++ b/policy/class.go
@@ -32,8 +32,8 @@
 	Retired bool `json:"Retired"`
 }
 
-// worthAt is the share of its worth that a message has at an age.
-func (c *Class) worthAt(age time.Duration) float64 {
+// valueAt is the share of its worth that a message has at an age.
+func (c *Class) valueAt(age time.Duration) float64 {
 	switch {
 	case age <= c.LatencyObjective:
 		return 1
@@ -45,8 +45,8 @@
 	return 1 - (1-c.LateFraction)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
 
-// ageAt is the age at which a message has only a share of its worth left.
-func (c *Class) ageAt(share float64) time.Duration {
+// ageAtValue is the age at which a message has only a share of its worth left.
+func (c *Class) ageAtValue(share float64) time.Duration {
 	switch {
 	case share <= c.LateFraction:
 		return c.Deadline
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -14,109 +14,109 @@
 
 // Dispatcher decides for one relay. It is not safe for concurrent use.
 type Dispatcher struct {
-	s         Settings
-	now       time.Duration
-	endpoints map[string]*endpoint
-	dests     map[int]*destination
-	active    []*queue // those with messages held or calls out
-	queues    []*queue // in the order in which they were first seen
-	messages  map[string]*message
-	live      []*message // unfinished, in the order of arrival
-	resting   []*message // over, but their keys rest
-	keys      map[string][]*message
-	out       int // calls out
-	down      int // listed endpoints that are sick
-	// unanswered is the share of calls out for stuckAfter mean latencies that had no success.
-	unanswered float64
-	seq        int
-	turn       int
-	meanWorth  float64
-	resub      time.Duration // when to subscribe
-	wakeAt     time.Duration // when the next timer is due; 0 for none
-	stopping   bool          // send nothing more
-	done       []*endpoint   // at which calls ended in this batch
-	actions    []Action
-	chance     *rand.Rand
-	pools      map[int]*latencies // by kind of destination
+	settings       Settings
+	now            time.Duration
+	endpoints      map[string]*endpoint
+	destinations   map[int]*destination
+	activeQueues   []*queue // those with messages held or calls out
+	queues         []*queue // in the order in which they were first seen
+	messages       map[string]*message
+	unfinished     []*message // unfinished, in the order of arrival
+	coolingDown    []*message // over, but their keys rest
+	orderKeys      map[string][]*message
+	inFlight       int // calls out
+	unhealthyCount int // listed endpoints that are sick
+	// unansweredShare is the share of calls out for stuckAfter mean latencies that had no success.
+	unansweredShare    float64
+	lastSeq            int
+	turn               int
+	meanPriorityWeight float64
+	watchAt            time.Duration // when to subscribe
+	timerAt            time.Duration // when the next timer is due; 0 for none
+	quiesced           bool          // send nothing more
+	idleCandidates     []*endpoint   // at which calls ended in this batch
+	actions            []Action
+	random             *rand.Rand
+	kindLatency        map[int]*latencyStats // by kind of destination
 }
 
 // New returns a dispatcher that knows nothing yet. Settings that make no sense give an error.
 func New(s Settings, seed int64) (*Dispatcher, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	d := &Dispatcher{
-		s: s, endpoints: map[string]*endpoint{}, dests: map[int]*destination{},
-		messages: map[string]*message{}, keys: map[string][]*message{},
-		pools: map[int]*latencies{}, chance: rand.New(rand.NewPCG(uint64(seed), 0)), resub: never,
+		settings: s, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{},
+		messages: map[string]*message{}, orderKeys: map[string][]*message{},
+		kindLatency: map[int]*latencyStats{}, random: rand.New(rand.NewPCG(uint64(seed), 0)), watchAt: never,
 	}
 	if s.WatchEndpoints {
-		d.resub = 0 // at once
+		d.watchAt = 0 // at once
 	}
-	d.weighClasses()
+	d.updateMeanPriorityWeight()
 	return d, nil
 }
 
 // UnhealthyEndpoints is how many listed endpoints are out: nothing goes there but trials.
-func (d *Dispatcher) UnhealthyEndpoints() int { return d.down }
+func (d *Dispatcher) UnhealthyEndpoints() int { return d.unhealthyCount }
 
 // Handle takes in the events of one batch and returns what is to be done, in order.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
-	for _, m := range slices.Clone(d.resting) {
-		d.retire(m)
+	for _, m := range slices.Clone(d.coolingDown) {
+		d.evict(m)
 	}
 	var fresh []*message
 	for _, e := range events {
 		switch e := e.(type) {
 		case Arrived:
-			if m := d.take(e); m != nil {
+			if m := d.accept(e); m != nil {
 				fresh = append(fresh, m)
 			}
 		case AttemptEnded:
-			d.ended(e)
+			d.attemptEnded(e)
 		case DeadlineExceeded:
 			if m := d.messages[e.ID]; m != nil && !m.over {
 				d.giveUp(m)
 			}
 		case Acknowledged:
-			d.settle(e.ID)
+			d.acknowledge(e.ID)
 		case Cancelled:
-			d.withdraw(e.ID)
+			d.cancelMessage(e.ID)
 		case EndpointsChanged:
-			d.listed(e)
+			d.applyEndpoints(e)
 		case WatchFailed:
-			if d.s.WatchEndpoints {
-				d.resub = d.now + subscribeAgain
+			if d.settings.WatchEndpoints {
+				d.watchAt = d.now + watchRetryDelay
 			}
 		case HealthRecovered:
-			d.recall(e)
+			d.recoverHealth(e)
 		case SettingsChanged:
-			d.retune(e.Settings)
+			d.applySettings(e.Settings)
 		case SnapshotRestored:
-			d.inherit(e.Snapshot)
+			d.restoreSnapshot(e.Snapshot)
 		case Quiesced:
-			d.stopping = true
+			d.quiesced = true
 		case Resumed:
-			d.stopping = false
+			d.quiesced = false
 		}
 	}
-	if d.now >= d.resub {
-		d.resub = never
-		d.act(WatchEndpoints{})
+	if d.now >= d.watchAt {
+		d.watchAt = never
+		d.emit(WatchEndpoints{})
 	}
 	for _, m := range fresh {
 		if !m.over {
 			d.admit(m)
 		}
 	}
-	d.expire()
+	d.expireQueued()
 	d.dispatch()
-	d.closeIdle()
-	d.reap()
-	d.rest()
-	d.arm()
+	d.closeIdleConns()
+	d.cancelStuck()
+	d.deactivateQueues()
+	d.armTimer()
 	return d.actions
 }
 
-func (d *Dispatcher) act(a Action) { d.actions = append(d.actions, a) }
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -5,25 +5,25 @@
 )
 
 const (
-	nowhere = -1
+	unknownZone = -1
 )
 
 // endpoint is one listed endpoint and what is known of its health.
 type endpoint struct {
 	Endpoint
-	q         *queue
-	out       []*call
-	failures  float64   // in a row
-	strikes   []float64 // failures in a row by class
-	sick      bool
-	sickAt    time.Duration
-	recovered time.Duration // first success after an outage; 0 for never
-	ramping   bool
-	bucket    // of the budget while sick or ramping
-	lastOK    time.Duration
-	lastUsed  time.Duration
-	lastBegun time.Duration // the start of the latest call that succeeded
-	lastTook  float64       // the latency of the last success
-	connCap   float64       // learned; 0 for none
-	lot       float64       // which of those never used comes first
+	queue               *queue
+	inFlight            []*call
+	consecutiveFailures float64   // in a row
+	classFailures       []float64 // failures in a row by class
+	sick                bool
+	unhealthySince      time.Duration
+	recoveredAt         time.Duration // first success after an outage; 0 for never
+	ramping             bool
+	tokenBucket         // of the budget while sick or ramping
+	lastSuccess         time.Duration
+	lastUsed            time.Duration
+	latestSuccessSent   time.Duration // the start of the latest call that succeeded
+	lastLatency         float64       // the latency of the last success
+	connLimit           float64       // learned; 0 for none
+	tieBreaker          float64       // which of those never used comes first
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -5,6 +5,6 @@
 )
 
 const (
-	// subscribeAgain is the wait before a failed subscription is asked for again.
-	subscribeAgain = 500 * time.Millisecond
+	// watchRetryDelay is the wait before a failed subscription is asked for again.
+	watchRetryDelay = 500 * time.Millisecond
 )
--- a/policy/expired_test.go
+++ b/policy/expired_test.go
@@ -18,15 +18,15 @@
 		expect(t, tt.name+": in time", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
 		expect(t, tt.name, d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.end)
 		expect(t, tt.name+": again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
-		if d.out != 1 || d.messages["m"] == nil {
-			t.Errorf("%s: %d calls out, known: %v", tt.name, d.out, d.messages["m"] != nil)
+		if d.inFlight != 1 || d.messages["m"] == nil {
+			t.Errorf("%s: %d calls out, known: %v", tt.name, d.inFlight, d.messages["m"] != nil)
 		}
 		next := "n>b"
 		if tt.class == 2 {
 			next = "" // in order, until the attempt has an end
 		}
 		expect(t, tt.name+": the next", d.Handle(10*time.Second+2*ms, []Event{arrive("n", tt.class)}), next)
-		ep := d.messages["m"].attempts[0].call.ep.ID
+		ep := d.messages["m"].attempts[0].call.endpoint.ID
 		expect(t, tt.name+": told to wait", d.Handle(10*time.Second+10*ms,
 			[]Event{AttemptEnded{ID: "m", Endpoint: ep, Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}, arrive("o", 0)}), "")
 		if d.messages["m"] != nil {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -9,18 +9,18 @@
 	latencyGain = 0.1
 )
 
-// latencies are mean latencies in seconds; 0 for unknown.
-type latencies struct {
-	n     int     // outcomes counted
-	mean  float64 // of all classes
-	class []float64
+// latencyStats are mean latencies in seconds; 0 for unknown.
+type latencyStats struct {
+	latencySamples int     // outcomes counted
+	meanLatency    float64 // of all classes
+	classLatency   []float64
 }
 
 // observe adds a latency to the means; the first ones weigh more, as what was there is borrowed.
-func (l *latencies) observe(class int, took float64) {
-	l.n++
-	gain := math.Max(latencyGain, 1/float64(l.n+1))
-	for _, mean := range []*float64{&l.mean, &l.class[class]} {
+func (l *latencyStats) observe(class int, took float64) {
+	l.latencySamples++
+	gain := math.Max(latencyGain, 1/float64(l.latencySamples+1))
+	for _, mean := range []*float64{&l.meanLatency, &l.classLatency[class]} {
 		if *mean == 0 {
 			*mean = took
 		}
@@ -28,35 +28,35 @@
 	}
 }
 
-// pool gives what is known of a kind.
-func (d *Dispatcher) pool(kind int) *latencies {
-	if d.pools[kind] == nil {
-		d.pools[kind] = &latencies{class: make([]float64, len(d.s.Classes))}
+// latencyOfKind gives what is known of a kind.
+func (d *Dispatcher) latencyOfKind(kind int) *latencyStats {
+	if d.kindLatency[kind] == nil {
+		d.kindLatency[kind] = &latencyStats{classLatency: make([]float64, len(d.settings.Classes))}
 	}
-	return d.pools[kind]
+	return d.kindLatency[kind]
 }
 
-// borrow fills what a queue does not know of its latencies from all destinations of its kind.
-func (d *Dispatcher) borrow(q *queue) {
-	pool := d.pool(q.kind)
-	if pool.n == 0 {
+// fillUnknownLatency fills what a queue does not know of its latencies from all destinations of its kind.
+func (d *Dispatcher) fillUnknownLatency(q *queue) {
+	pool := d.latencyOfKind(q.kind)
+	if pool.latencySamples == 0 {
 		return
 	}
-	if q.n == 0 {
-		q.mean = pool.mean
+	if q.latencySamples == 0 {
+		q.meanLatency = pool.meanLatency
 	}
-	for i, mean := range q.class {
-		if mean == 0 || q.n == 0 {
-			q.class[i] = pool.class[i]
+	for i, mean := range q.classLatency {
+		if mean == 0 || q.latencySamples == 0 {
+			q.classLatency[i] = pool.classLatency[i]
 		}
 	}
 }
 
-// latency is the mean latency of a queue with the ages of calls out counted in, so that a hang shows
+// agedLatency is the mean latency of a queue with the ages of calls out counted in, so that a hang shows
 // before any outcome.
-func (d *Dispatcher) latency(q *queue) float64 {
-	mean := q.mean
-	for _, c := range q.out {
+func (d *Dispatcher) agedLatency(q *queue) float64 {
+	mean := q.meanLatency
+	for _, c := range q.inFlight {
 		if age := (d.now - c.sent).Seconds(); age > mean {
 			mean += latencyGain * (age - mean)
 		}
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -29,22 +29,22 @@
 		{0.2, 0.2, 0.1},
 		{1e9, 10, 10}, // what is listed bounds it
 	} {
-		d.reported(q, c.limit)
-		if math.Abs(q.pace-c.pace) > 1e-9 || math.Abs(d.even(q)-c.even) > 1e-9 {
-			t.Errorf("told %v: pace %v, even share %v, want %v and %v", c.limit, q.pace, d.even(q), c.pace, c.even)
+		d.recordReportedLimit(q, c.limit)
+		if math.Abs(q.sendRate-c.pace) > 1e-9 || math.Abs(d.evenShare(q)-c.even) > 1e-9 {
+			t.Errorf("told %v: pace %v, even share %v, want %v and %v", c.limit, q.sendRate, d.evenShare(q), c.pace, c.even)
 		}
 	}
-	d.reported(q, 4)
+	d.recordReportedLimit(q, 4)
 	for range 100 {
-		q.held = []*message{{}}
-		d.succeeded(d.endpoints["a"], true)
+		q.queued = []*message{{}}
+		d.recordSuccess(d.endpoints["a"], true)
 	}
-	if q.pace != 4 {
-		t.Errorf("pace %v after many successes, want the 4 that are told", q.pace)
+	if q.sendRate != 4 {
+		t.Errorf("pace %v after many successes, want the 4 that are told", q.sendRate)
 	}
 	unlisted := start(t, plain(), Endpoint{ID: "a"})
-	if unlisted.reported(unlisted.queues[0], 4); unlisted.queues[0].pace != 0 {
-		t.Errorf("pace %v where no rate is listed", unlisted.queues[0].pace)
+	if unlisted.recordReportedLimit(unlisted.queues[0], 4); unlisted.queues[0].sendRate != 0 {
+		t.Errorf("pace %v where no rate is listed", unlisted.queues[0].sendRate)
 	}
 }
 
@@ -61,31 +61,31 @@
 		refusals = append(refusals, AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected})
 	}
 	d.Handle(ms, arrivals)
-	if len(q.out) != 8 {
-		t.Fatalf("%d calls out", len(q.out))
+	if len(q.inFlight) != 8 {
+		t.Fatalf("%d calls out", len(q.inFlight))
 	}
 	d.Handle(50*ms, refusals)
-	if q.fulls != 1 || q.pace != 100*paceCut && q.pace != (100+100)/2 || q.holdUntil > 50*ms+20*ms {
-		t.Errorf("%d refusals in a row, pace %v, pause %v", q.fulls, q.pace, q.holdUntil-50*ms)
+	if q.rejections != 1 || q.sendRate != 100*rateDecrease && q.sendRate != (100+100)/2 || q.backoffUntil > 50*ms+20*ms {
+		t.Errorf("%d refusals in a row, pace %v, pause %v", q.rejections, q.sendRate, q.backoffUntil-50*ms)
 	}
 	// The first that is sent after the pause and refused is the second.
 	at := 50 * ms
 	for n := 2; n < 6; n++ {
-		at = max(q.holdUntil, at) + 50*ms
+		at = max(q.backoffUntil, at) + 50*ms
 		d.Handle(at, []Event{TimerFired{}})
-		if len(q.out) == 0 {
+		if len(q.inFlight) == 0 {
 			t.Fatalf("nothing goes after the pause, at %v", at)
 		}
 		at += 10 * ms
-		c := q.out[len(q.out)-1] // the latest
-		m := c.msgs[0]
+		c := q.inFlight[len(q.inFlight)-1] // the latest
+		m := c.messages[0]
 		d.Handle(at, []Event{AttemptEnded{ID: m.ID, Endpoint: "a", Attempt: len(m.attempts) - 1, Outcome: Rejected}})
-		if q.fulls != n {
-			t.Errorf("%d refusals in a row, want %d", q.fulls, n)
+		if q.rejections != n {
+			t.Errorf("%d refusals in a row, want %d", q.rejections, n)
 		}
 	}
-	if q.holdUntil-at > longestHold*3/2 {
-		t.Errorf("pause of %v", q.holdUntil-at)
+	if q.backoffUntil-at > maxBackoff*3/2 {
+		t.Errorf("pause of %v", q.backoffUntil-at)
 	}
 }
 
@@ -94,10 +94,10 @@
 	s := plain()
 	s.Weights = WeightsNominal
 	old, next := start(t, s, Endpoint{ID: "a", Weight: 20}), start(t, s, Endpoint{ID: "a", Weight: 20})
-	old.reported(old.queues[0], 4)
+	old.recordReportedLimit(old.queues[0], 4)
 	next.Handle(time.Second, []Event{SnapshotRestored{old.Snapshot()}})
-	if q := next.queues[0]; q.pace != 4 || next.even(q) != 4 {
-		t.Errorf("pace %v, even share %v", q.pace, next.even(q))
+	if q := next.queues[0]; q.sendRate != 4 || next.evenShare(q) != 4 {
+		t.Errorf("pace %v, even share %v", q.sendRate, next.evenShare(q))
 	}
 }
 
@@ -119,9 +119,9 @@
 		d := start(t, s, Endpoint{ID: "a", Weight: 20})
 		q := d.queues[0]
 		if tt.reports {
-			d.reported(q, 20)
+			d.recordReportedLimit(q, 20)
 		}
-		before, now := q.pace, time.Second
+		before, now := q.sendRate, time.Second
 		for i := 0; !d.endpoints["a"].sick; i++ {
 			if i == 60 {
 				t.Fatalf("%s: not sick after %d refusals", tt.name, i)
@@ -130,8 +130,8 @@
 			d.Handle(now, []Event{arrive(id, 0)})
 			if m := d.messages[id]; m != nil && m.open > 0 {
 				d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
-				if i == 0 && (q.pace < before) != tt.cut {
-					t.Errorf("%s: pace %v after %v", tt.name, q.pace, before)
+				if i == 0 && (q.sendRate < before) != tt.cut {
+					t.Errorf("%s: pace %v after %v", tt.name, q.sendRate, before)
 				}
 				if q.pausedUntil() <= now {
 					t.Errorf("%s: no pause", tt.name)
@@ -161,7 +161,7 @@
 			for i := range 6 {
 				now, id := time.Duration(i)*100*ms, fmt.Sprint("m", i)
 				d.Handle(now, []Event{arrive(id, 0)})
-				to := d.messages[id].attempts[0].call.ep.ID
+				to := d.messages[id].attempts[0].call.endpoint.ID
 				if took[to]++; i == 0 {
 					first[to]++
 				}
@@ -183,13 +183,13 @@
 	s.Weights, s.Instances = WeightsNominal, 80
 	for _, weight := range []float64{0, -4, math.Inf(1), math.Inf(-1), math.NaN()} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
-		if q := d.queues[0]; q.pace != 0 || q.weight != 0 {
-			t.Errorf("listed with %v: rate %v, pace %v", weight, q.weight, q.pace)
+		if q := d.queues[0]; q.sendRate != 0 || q.listedRate != 0 {
+			t.Errorf("listed with %v: rate %v, pace %v", weight, q.listedRate, q.sendRate)
 		}
 		d.Handle(time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: 40}}}})
 		d.Handle(2*time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: weight}}}})
-		if q := d.queues[0]; q.weight != 40 || !(q.pace > 0) {
-			t.Errorf("listed with %v after 40: rate %v, pace %v", weight, q.weight, q.pace)
+		if q := d.queues[0]; q.listedRate != 40 || !(q.sendRate > 0) {
+			t.Errorf("listed with %v after 40: rate %v, pace %v", weight, q.listedRate, q.sendRate)
 		}
 	}
 }
@@ -201,12 +201,12 @@
 		s.Weights, s.Instances = WeightsNominal, 2
 		d := start(t, s, Endpoint{ID: "a", Weight: rate})
 		q := d.queues[0]
-		for range int(q.pace) / 2 { // as many successes as in half a second at the even share
-			q.held = []*message{{}}
-			d.succeeded(d.endpoints["a"], true)
+		for range int(q.sendRate) / 2 { // as many successes as in half a second at the even share
+			q.queued = []*message{{}}
+			d.recordSuccess(d.endpoints["a"], true)
 		}
-		if most := (1 + paceRaise*raisesASecond/2) * d.even(q); q.pace <= d.even(q) || q.pace > most+1e-9 {
-			t.Errorf("a limit of %v a second: pace %v after half a second, want more than %v and %v at most", rate, q.pace, d.even(q), most)
+		if most := (1 + rateIncrease*maxIncreasesPerSecond/2) * d.evenShare(q); q.sendRate <= d.evenShare(q) || q.sendRate > most+1e-9 {
+			t.Errorf("a limit of %v a second: pace %v after half a second, want more than %v and %v at most", rate, q.sendRate, d.evenShare(q), most)
 		}
 	}
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -5,21 +5,21 @@
 )
 
 const (
-	behindAll = 1 << 40
+	backgroundSeqOffset = 1 << 40
 )
 
 // message is a message taken and not yet retired.
 type message struct {
 	Arrived
-	class    *Class
-	seq      int
-	expires  time.Duration
-	q        *queue // where it is held; nil while it is not
-	attempts []attempt
-	open     int // attempts without an outcome
-	over     bool
-	telling  bool          // its end is still to be known where it is owed
-	rest     time.Duration // until when its key rests after it
+	class         *Class
+	seq           int
+	deadline      time.Duration
+	queue         *queue // where it is held; nil while it is not
+	attempts      []attempt
+	open          int // attempts without an outcome
+	over          bool
+	telling       bool          // its end is still to be known where it is owed
+	cooldownUntil time.Duration // until when its key rests after it
 }
 
 type attempt struct {
@@ -29,44 +29,44 @@
 	unrun bool // proved never to have run
 }
 
-// take notes a new message, or gives nil where it makes no sense.
-func (d *Dispatcher) take(e Arrived) *message {
-	if e.Class < 0 || e.Class >= len(d.s.Classes) || d.messages[e.ID] != nil {
+// accept notes a new message, or gives nil where it makes no sense.
+func (d *Dispatcher) accept(e Arrived) *message {
+	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages[e.ID] != nil {
 		return nil
 	}
-	d.seq++
+	d.lastSeq++
 	m := &message{
-		Arrived: e, class: &d.s.Classes[e.Class], seq: d.seq,
-		expires: d.now + e.TimeLeft,
+		Arrived: e, class: &d.settings.Classes[e.Class], seq: d.lastSeq,
+		deadline: d.now + e.TimeLeft,
 	}
 	if e.Terms != nil {
 		m.class = e.Terms.stricter(m.class)
 	}
 	if e.Background {
-		m.seq += behindAll
+		m.seq += backgroundSeqOffset
 	}
 	d.messages[e.ID] = m
-	d.live = append(d.live, m)
+	d.unfinished = append(d.unfinished, m)
 	if m.class.Ordered && m.OrderKey != "" {
-		d.keys[m.OrderKey] = append(d.keys[m.OrderKey], m)
+		d.orderKeys[m.OrderKey] = append(d.orderKeys[m.OrderKey], m)
 	}
 	if e.Recovered {
-		d.resume(m)
+		d.recoverMessage(m)
 		return nil
 	}
 	return m
 }
 
-// release takes a message out of its queue.
-func (m *message) release() {
-	if m.q != nil {
-		m.q.held = remove(m.q.held, m)
-		m.q = nil
+// dequeue takes a message out of its queue.
+func (m *message) dequeue() {
+	if m.queue != nil {
+		m.queue.queued = remove(m.queue.queued, m)
+		m.queue = nil
 	}
 }
 
-// firstRun is the first attempt that may have run, or nil.
-func (m *message) firstRun() *attempt {
+// firstExecuted is the first attempt that may have run, or nil.
+func (m *message) firstExecuted() *attempt {
 	for i := range m.attempts {
 		if !m.attempts[i].unrun {
 			return &m.attempts[i]
--- a/policy/outage_test.go
+++ b/policy/outage_test.go
@@ -34,7 +34,7 @@
 			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Weight: tt.weight})
 		}
 		d := start(t, s, eps...)
-		d.queues[0].mean = 0.3
+		d.queues[0].meanLatency = 0.3
 		outcomes := map[rune]Outcome{'c': ConnectError, 'n': ConnectError, 'e': Failed, 't': TimedOut, 'o': Succeeded}
 		now := time.Second
 		for i, end := range tt.ends {
@@ -76,7 +76,7 @@
 	for i := range 12 {
 		id := fmt.Sprint("m", i)
 		now += 500 * ms
-		d.endpoints["a"].strikes[0] = 0 // else b gets all messages of the class
+		d.endpoints["a"].classFailures[0] = 0 // else b gets all messages of the class
 		for _, a := range d.Handle(now, []Event{arrive(id, 0)}) {
 			if send, ok := a.(Send); ok {
 				end := AttemptEnded{ID: id, Endpoint: send.Endpoint, Outcome: ConnectError, Latency: 40 * ms}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -83,7 +83,7 @@
 		{"held, but u is 0", 0, 9, 2, 2, true, false},
 	}
 	for _, tt := range tests {
-		if got := refusing(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
+		if got := mustReject(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
@@ -95,27 +95,27 @@
 	if u := d.backlog(q); u != 0 {
 		t.Errorf("idle: u = %v, want 0", u)
 	}
-	q.mean = 0.5
-	q.held = make([]*message, 6)
+	q.meanLatency = 0.5
+	q.queued = make([]*message, 6)
 	if u := d.backlog(q); u != 3 {
 		t.Errorf("six held, none out: u = %v, want 6 × 0.5", u)
 	}
-	q.out = []*call{{ep: q.eps[0]}, {ep: q.eps[0]}}
+	q.inFlight = []*call{{endpoint: q.endpoints[0]}, {endpoint: q.endpoints[0]}}
 	if u := d.backlog(q); u != 1.5 {
 		t.Errorf("six held, two out: u = %v, want 6 × 0.5 / 2", u)
 	}
 	d.now = 5500 * ms // both calls have been out for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
-	if got := d.latency(q); math.Abs(got-1.45) > 1e-9 {
+	if got := d.agedLatency(q); math.Abs(got-1.45) > 1e-9 {
 		t.Errorf("calls out count with their age: %v, want 1.45", got)
 	}
-	q.waitUntil = d.now + 8*time.Second
+	q.retryAfterUntil = d.now + 8*time.Second
 	if u := d.backlog(q); u != 8 {
 		t.Errorf("in a wait: u = %v, want the 8 s that remain", u)
 	}
 }
 
 func TestRatesAndVirtualCopy(t *testing.T) {
-	var a aged
+	var a decayingCounter
 	if a.rate(0) != 0 {
 		t.Error("a fresh counter has a rate")
 	}
@@ -127,11 +127,11 @@
 	}
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.mean = 2
+	q.meanLatency = 2
 	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
-		d.virtual(q, 3)
-		if q.misses.n != want {
-			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.misses.n, want)
+		d.feedShadowQueue(q, 3)
+		if q.shadowRejections.value != want {
+			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.shadowRejections.value, want)
 		}
 		if i == 2 {
 			d.now = 2 * time.Second // the copy's work drains to 2
@@ -142,7 +142,7 @@
 func TestFreshDispatcherUsesTheBasicRuleAlone(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
-	if λ, r := d.queues[0].arrivals.rate(0), d.queues[0].misses.rate(0); λ <= 0 || r != 0 {
+	if λ, r := d.queues[0].arrivals.rate(0), d.queues[0].shadowRejections.rate(0); λ <= 0 || r != 0 {
 		t.Errorf("λ = %v, r = %v", λ, r)
 	}
 }
@@ -244,7 +244,7 @@
 		for range 2 {
 			for _, a := range d.Handle(ms, []Event{change}) {
 				if u, ok := a.(CancelBeforeSend); ok {
-					if back++; d.messages[u.ID].attempts[u.Attempt].call.ep.ID != "a" {
+					if back++; d.messages[u.ID].attempts[u.Attempt].call.endpoint.ID != "a" {
 						t.Errorf("%s: takes back %+v", name, u)
 					}
 				}
@@ -292,7 +292,7 @@
 			AttemptEnded{ID: "o", Endpoint: "a", Outcome: Failed},
 			Arrived{ID: "p", Class: 2, TimeLeft: time.Second},
 		}), "fail o p>a")
-		if n := len(d.keys); n != 1 { // o's, of which nobody has heard
+		if n := len(d.orderKeys); n != 1 { // o's, of which nobody has heard
 			t.Errorf("%d keys are held", n)
 		}
 	}
@@ -339,8 +339,8 @@
 func TestWaitOfABundle(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
 	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
-	if d.out != 1 {
-		t.Errorf("%d calls out, want one bundle", d.out)
+	if d.inFlight != 1 {
+		t.Errorf("%d calls out, want one bundle", d.inFlight)
 	}
 	got := d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
 	expect(t, "in the wait", got, "")
@@ -384,16 +384,16 @@
 	d := start(t, s, Endpoint{ID: "a", Weight: 10})
 	ep := d.endpoints["a"]
 	d.now = time.Second
-	d.sicken(ep)
-	d.succeeded(ep, true)
-	if got, want := d.budget(ep, 0), rampSafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
+	d.markUnhealthy(ep)
+	d.recordSuccess(ep, true)
+	if got, want := d.recoveryRate(ep, 0), recoverySafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
 		t.Errorf("budget at the return: %v, want %v", got, want)
 	}
-	if got, want := d.budget(ep, 10*time.Second), rampSafety*2*10; math.Abs(got-want) > 1e-9 {
+	if got, want := d.recoveryRate(ep, 10*time.Second), recoverySafety*2*10; math.Abs(got-want) > 1e-9 {
 		t.Errorf("budget when warm: %v, want %v", got, want)
 	}
 	d.now = 12 * time.Second
-	if d.epTokens(ep); ep.ramping {
+	if d.recoveryTokens(ep); ep.ramping {
 		t.Error("still ramping after the ramp time")
 	}
 }
@@ -405,14 +405,14 @@
 	d.Handle(10*ms, []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Succeeded, Final: true}, arrive("m3", 0)})
 	d.Handle(20*ms, []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
-	if ep.sick || ep.failures > 0 || ep.connCap != 1 {
-		t.Errorf("sick %v, failures %v, cap %v", ep.sick, ep.failures, ep.connCap)
+	if ep.sick || ep.consecutiveFailures > 0 || ep.connLimit != 1 {
+		t.Errorf("sick %v, failures %v, cap %v", ep.sick, ep.consecutiveFailures, ep.connLimit)
 	}
 	for range 20 {
-		d.succeeded(ep, true)
+		d.recordSuccess(ep, true)
 	}
-	if ep.connCap < 1.9 {
-		t.Errorf("cap %v after twenty successes", ep.connCap)
+	if ep.connLimit < 1.9 {
+		t.Errorf("cap %v after twenty successes", ep.connLimit)
 	}
 }
 
@@ -451,21 +451,21 @@
 	s.Weights, s.Instances = WeightsNominal, 4
 	d := start(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
-	if q.pace != 2 {
-		t.Fatalf("pace %v, want 8 / 4", q.pace)
+	if q.sendRate != 2 {
+		t.Fatalf("pace %v, want 8 / 4", q.sendRate)
 	}
-	d.full(q, false)
-	if q.pace != 2*paceCut {
-		t.Errorf("pace %v after a refusal", q.pace)
+	d.recordRejection(q, false)
+	if q.sendRate != 2*rateDecrease {
+		t.Errorf("pace %v after a refusal", q.sendRate)
 	}
-	q.held = []*message{{}}
-	d.succeeded(d.endpoints["a"], false)
-	if q.pace != 2*paceCut {
-		t.Errorf("pace %v rose without room", q.pace)
+	q.queued = []*message{{}}
+	d.recordSuccess(d.endpoints["a"], false)
+	if q.sendRate != 2*rateDecrease {
+		t.Errorf("pace %v rose without room", q.sendRate)
 	}
-	d.succeeded(d.endpoints["a"], true)
-	if want := 2*paceCut + 2*paceRaise; math.Abs(q.pace-want) > 1e-9 {
-		t.Errorf("pace %v, want %v", q.pace, want)
+	d.recordSuccess(d.endpoints["a"], true)
+	if want := 2*rateDecrease + 2*rateIncrease; math.Abs(q.sendRate-want) > 1e-9 {
+		t.Errorf("pace %v, want %v", q.sendRate, want)
 	}
 }
 
@@ -474,7 +474,7 @@
 	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
-	d.queues[1].mean, d.queues[1].class[0] = 5, 5
+	d.queues[1].meanLatency, d.queues[1].classLatency[0] = 5, 5
 	expect(t, "the faster at a fee", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
 }
 
@@ -487,7 +487,7 @@
 	}
 	expect(t, "at the start", d.Handle(0, nil), "subscribe")
 	expect(t, "failed", d.Handle(ms, []Event{WatchFailed{}}), "")
-	expect(t, "again", d.Handle(ms+subscribeAgain, []Event{TimerFired{}}), "subscribe")
+	expect(t, "again", d.Handle(ms+watchRetryDelay, []Event{TimerFired{}}), "subscribe")
 }
 
 func TestSettingsThatMakeNoSense(t *testing.T) {
@@ -556,19 +556,19 @@
 	for _, tt := range tests {
 		d := start(t, s, Endpoint{ID: "a"})
 		q := d.queues[0]
-		q.mean = 0.5
+		q.meanLatency = 0.5
 		for range tt.held {
-			q.held = append(q.held, &message{class: &s.Classes[1], expires: time.Hour, q: q})
+			q.queued = append(q.queued, &message{class: &s.Classes[1], deadline: time.Hour, queue: q})
 		}
 		if tt.overload {
 			q.arrivals.add(0, 100)
 		}
 		m := &message{
-			Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.s.Classes[tt.class],
-			expires: d.s.Classes[tt.class].Deadline,
+			Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.settings.Classes[tt.class],
+			deadline: d.settings.Classes[tt.class].Deadline,
 		}
-		d.live = append(d.live, m)
-		q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
+		d.unfinished = append(d.unfinished, m)
+		q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
 		if m.over != tt.refused {
 			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.over)
@@ -608,13 +608,13 @@
 func TestSiblingTrials(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
-	d.sicken(a)
-	d.sicken(b)
-	if d.open(b) {
+	d.markUnhealthy(a)
+	d.markUnhealthy(b)
+	if d.acceptsCall(b) {
 		t.Error("a trial at once")
 	}
-	d.succeeded(a, true)
-	if !d.open(b) {
+	d.recordSuccess(a, true)
+	if !d.acceptsCall(b) {
 		t.Error("no trial after the sibling's return")
 	}
 }
@@ -622,11 +622,11 @@
 // TestStuckFactor guards against slots lost to calls that will never be answered.
 func TestStuckFactor(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	if got := d.stuckFactor(); got != silentAfter {
+	if got := d.cancelFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
 	}
-	d.unanswered = 0.9
-	if got := d.stuckFactor(); got != stuckAfter {
+	d.unansweredShare = 0.9
+	if got := d.cancelFactor(); got != stuckFactor {
 		t.Errorf("with late calls unanswered: %v", got)
 	}
 }
@@ -672,7 +672,7 @@
 		for i := range 5 {
 			at, id := time.Duration(i+1)*tt.pitch, fmt.Sprint("m", i)
 			d.Handle(at, []Event{arrive(id, 0)})
-			d.endpoints["a"].connCap = tt.connCap
+			d.endpoints["a"].connLimit = tt.connCap
 			closes = false
 			for _, a := range d.Handle(at+50*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true}}) {
 				closes = closes || a == CloseIdleConns{Endpoint: "a"}
@@ -689,11 +689,11 @@
 	for _, tt := range []struct {
 		relays int
 		want   float64
-	}{{2, 2}, {400, pacedCalls}} { // 4 a second are 2 for one of 2, 0.01 for one of 400: chance decides
+	}{{2, 2}, {400, minCallsPerSpan}} { // 4 a second are 2 for one of 2, 0.01 for one of 400: chance decides
 		s := plain()
 		s.Instances, s.Weights = tt.relays, WeightsNominal
 		d := start(t, s, Endpoint{ID: "a", Weight: 4})
-		if got := d.queues[0].pace; got != tt.want {
+		if got := d.queues[0].sendRate; got != tt.want {
 			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
 		}
 	}
@@ -711,7 +711,7 @@
 		}
 		d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 		d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
-		seen[d.queues[0].holdUntil] = true
+		seen[d.queues[0].backoffUntil] = true
 	}
 	if len(seen) < 4 {
 		t.Errorf("five relays come back at %d moments", len(seen))
@@ -736,7 +736,7 @@
 	s.MaxInFlight = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.queues[0].observe(2, 0.1)
-	d.unanswered = 0.9
+	d.unansweredShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
 	expect(t, "no slot is wanted", d.Handle(3*time.Second, []Event{TimerFired{}}), "")
 	expect(t, "one is wanted", d.Handle(3100*ms, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
@@ -752,11 +752,11 @@
 		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second},
 	})
 	q := d.queues[1]
-	if q.class[0] != 0.4 || q.mean != 0.4 {
-		t.Errorf("b borrows %v, %v, want what a took", q.class[0], q.mean)
+	if q.classLatency[0] != 0.4 || q.meanLatency != 0.4 {
+		t.Errorf("b borrows %v, %v, want what a took", q.classLatency[0], q.meanLatency)
 	}
 	q.observe(0, 0.2)
-	if got := q.class[0]; math.Abs(got-0.3) > 1e-9 {
+	if got := q.classLatency[0]; math.Abs(got-0.3) > 1e-9 {
 		t.Errorf("own first outcome counts half: %v, want 0.3", got)
 	}
 }
@@ -776,9 +776,9 @@
 func TestImpatientClients(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.mean = 0.5
+	q.meanLatency = 0.5
 	q.arrivals.add(0, 100)
-	q.misses.add(0, 1000) // λ - r < 0: the bound stays out of it
+	q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
 	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
 
@@ -789,8 +789,8 @@
 	q.observe(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 100 * ms, Final: true}})
-	if math.Abs(q.mean-0.1) > 1e-9 || d.unanswered != 0 {
-		t.Errorf("mean %v, unanswered %v after a pause of our own", q.mean, d.unanswered)
+	if math.Abs(q.meanLatency-0.1) > 1e-9 || d.unansweredShare != 0 {
+		t.Errorf("mean %v, unanswered %v after a pause of our own", q.meanLatency, d.unansweredShare)
 	}
 }
 
@@ -847,8 +847,8 @@
 			if d.endpoints["a"].sick {
 				sick++
 			}
-			d.full(d.queues[0], false)
-			if d.full(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].sick {
+			d.recordRejection(d.queues[0], false)
+			if d.recordRejection(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].sick {
 				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
 			}
 		}
@@ -869,12 +869,12 @@
 				{ID: fmt.Sprint("b", i), Kind: kind},
 			}}, arrive(fmt.Sprint("m", i), 0)})
 			for id, m := range d.messages {
-				d.Handle(now+100*ms, []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.ep.ID, Outcome: Succeeded, Final: true}})
+				d.Handle(now+100*ms, []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: Succeeded, Final: true}})
 			}
 		}
-		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.dests) != 1 || len(d.active)+len(d.messages)+len(d.live) != 0 {
+		if len(d.endpoints) != 2 || len(d.queues) > 3 || len(d.destinations) != 1 || len(d.activeQueues)+len(d.messages)+len(d.unfinished) != 0 {
 			t.Errorf("kind %d: %d endpoints, %d queues, %d active, %d messages", kind, len(d.endpoints), len(d.queues),
-				len(d.active), len(d.messages))
+				len(d.activeQueues), len(d.messages))
 		}
 	}
 }
@@ -886,8 +886,8 @@
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
 		d := start(t, s, Endpoint{ID: "a", Weight: weight})
 		d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
-		if q := d.queues[0]; q.pace != 5 || len(q.out) != 1 {
-			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.pace, len(q.out))
+		if q := d.queues[0]; q.sendRate != 5 || len(q.inFlight) != 1 {
+			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.inFlight))
 		}
 	}
 	d := start(t, s, Endpoint{ID: "a"})
@@ -925,12 +925,12 @@
 func TestNewEndpointOfADestinationThatIsOut(t *testing.T) {
 	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := start(t, plain(), Endpoint{ID: "a"})
-		d.sicken(d.endpoints["a"])
+		d.markUnhealthy(d.endpoints["a"])
 		d.Handle(ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
 		if !d.endpoints["b"].sick {
 			t.Errorf("old one gone %v: the new one is not on its budget", gone)
 		}
-		d.succeeded(d.endpoints["b"], true)
+		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(2*ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "c"}}}})
 		if d.endpoints["c"].sick {
 			t.Error("a new one after the return is on a budget")
@@ -955,8 +955,8 @@
 			AttemptEnded{ID: "n", Endpoint: "a", Outcome: Succeeded, Final: true},
 			arrive("o", 0),
 		}), "o>a")
-		if d.out != 1 || len(d.messages) != 1 {
-			t.Errorf("kind %d: %d calls out, %d messages", kind, d.out, len(d.messages))
+		if d.inFlight != 1 || len(d.messages) != 1 {
+			t.Errorf("kind %d: %d calls out, %d messages", kind, d.inFlight, len(d.messages))
 		}
 	}
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -8,44 +8,46 @@
 
 // queue is one first-come queue of the paper.
 type queue struct {
-	dest   *destination
-	eps    []*endpoint
-	held   []*message
-	out    []*call
-	served int // the turn in which it was last served
-	latencies
-	kind      int
-	waitUntil time.Duration
-	holdUntil time.Duration // our own pause after a refusal without a wait
-	doorUntil time.Duration // the same after a refusal at the door: for new connections only
-	pausedAt  time.Duration // when that pause began
-	limitAt   time.Duration // the last refusal that was not at the door; 0 for never
-	fulls     int           // refusals in a row
-	firstFull time.Duration // of the refusals in a row
-	lastOK    time.Duration // 0 for never
-	failures  float64       // connections in a row that were not to be had, at endpoints that were not sick
-	weight    float64       // calls a second that all relays may make; 0 for unknown
-	limit     float64       // the same as the destination tells it; 0 for unknown
-	pace      float64       // calls a second of this relay; 0 for unknown
-	bucket                  // of the pace
-	arrivals  aged
-	misses    aged // of the virtual copy under the basic rule
-	copyWork  float64
-	copyAt    time.Duration
-	bundle    int
-	apart     bool
-	active    bool // among Dispatcher.active
-	ill       bool // the last that was heard of an endpoint's health was bad
-	// warm is an endpoint at which a call ended well in this batch: its connection may carry the next.
-	warm *endpoint
+	destination *destination
+	endpoints   []*endpoint
+	queued      []*message
+	inFlight    []*call
+	served      int // the turn in which it was last served
+	latencyStats
+	kind               int
+	retryAfterUntil    time.Duration
+	backoffUntil       time.Duration // our own pause after a refusal without a wait
+	connHoldUntil      time.Duration // the same after a refusal at the door: for new connections only
+	backoffStart       time.Duration // when that pause began
+	lastLimitRejection time.Duration // the last refusal that was not at the door; 0 for never
+	rejections         int           // refusals in a row
+	firstRejection     time.Duration // of the refusals in a row
+	lastSuccess        time.Duration // 0 for never
+	connFailures       float64       // connections in a row that were not to be had, at endpoints that were not sick
+	listedRate         float64       // calls a second that all relays may make; 0 for unknown
+	reportedLimit      float64       // the same as the destination tells it; 0 for unknown
+	sendRate           float64       // calls a second of this relay; 0 for unknown
+	tokenBucket                      // of the pace
+	arrivals           decayingCounter
+	shadowRejections   decayingCounter // of the virtual copy under the basic rule
+	shadowBacklog      float64
+	shadowAt           time.Duration
+	maxBatch           int
+	separateRoute      bool
+	active             bool // among Dispatcher.active
+	unhealthy          bool // the last that was heard of an endpoint's health was bad
+	// reusableConn is an endpoint at which a call ended well in this batch: its connection may carry the next.
+	reusableConn *endpoint
 }
 
 // pausedUntil is when the next call may leave on a new connection, as far as waits and pauses tell.
-func (q *queue) pausedUntil() time.Duration { return max(q.waitUntil, q.holdUntil, q.doorUntil) }
+func (q *queue) pausedUntil() time.Duration {
+	return max(q.retryAfterUntil, q.backoffUntil, q.connHoldUntil)
+}
 
-// usable tells whether a queue has an endpoint that takes new work.
-func (q *queue) usable() bool {
-	for _, ep := range q.eps {
+// acceptsWork tells whether a queue has an endpoint that takes new work.
+func (q *queue) acceptsWork() bool {
+	for _, ep := range q.endpoints {
 		if !ep.Draining && !ep.Removed {
 			return true
 		}
@@ -53,30 +55,30 @@
 	return false
 }
 
-// hold puts a message into a queue, by its order of arrival.
-func (d *Dispatcher) hold(q *queue, m *message) {
-	i := sort.Search(len(q.held), func(i int) bool { return q.held[i].seq > m.seq })
-	q.held = append(q.held, nil)
-	copy(q.held[i+1:], q.held[i:])
-	q.held[i] = m
-	m.q = q
-	d.wake(q)
+// enqueue puts a message into a queue, by its order of arrival.
+func (d *Dispatcher) enqueue(q *queue, m *message) {
+	i := sort.Search(len(q.queued), func(i int) bool { return q.queued[i].seq > m.seq })
+	q.queued = append(q.queued, nil)
+	copy(q.queued[i+1:], q.queued[i:])
+	q.queued[i] = m
+	m.queue = q
+	d.activate(q)
 }
 
-// wake notes that a queue has something to do.
-func (d *Dispatcher) wake(q *queue) {
+// activate notes that a queue has something to do.
+func (d *Dispatcher) activate(q *queue) {
 	if !q.active {
 		q.active = true
-		d.active = append(d.active, q)
+		d.activeQueues = append(d.activeQueues, q)
 	}
 }
 
-// rest drops the queues that have nothing to do from the active ones, and forgets routes that left.
-func (d *Dispatcher) rest() {
-	d.active = slices.DeleteFunc(d.active, func(q *queue) bool {
-		q.active = len(q.held) > 0 || len(q.out) > 0
+// deactivateQueues drops the queues that have nothing to do from the active ones, and forgets routes that left.
+func (d *Dispatcher) deactivateQueues() {
+	d.activeQueues = slices.DeleteFunc(d.activeQueues, func(q *queue) bool {
+		q.active = len(q.queued) > 0 || len(q.inFlight) > 0
 		if !q.active {
-			d.forget(q)
+			d.removeIfUnused(q)
 		}
 		return !q.active
 	})
--- a/policy/rate_control.go
+++ b/policy/rate_control.go
@@ -6,55 +6,57 @@
 )
 
 const (
-	// paceRaise of itself is added to a pace by a success that found messages waiting for it, and a
+	// rateIncrease of itself is added to a pace by a success that found messages waiting for it, and a
 	// refusal cuts it to paceCut: about one refused call in eight where the limit binds all the time.
 	// It is raised so raisesASecond times at most, however many calls succeed: a destination that takes many
 	// would be overrun within a second, and refused calls use its limit up.
-	paceRaise, paceCut, raisesASecond = 0.1, 0.8, 10
-	// paceFloor is the least part of its even share that a queue's pace falls to: a rough weight that is
+	rateIncrease, rateDecrease, maxIncreasesPerSecond = 0.1, 0.8, 10
+	// minShareOfEven is the least part of its even share that a queue's pace falls to: a rough weight that is
 	// half too high is met by two thirds.
-	paceFloor = 0.7
-	// pacedCalls a span is where a pace starts at least: where the even share is less, relays come by
+	minShareOfEven = 0.7
+	// minCallsPerSpan a span is where a pace starts at least: where the even share is less, relays come by
 	// chance, and refusals tell sooner than shares how much the others leave. Each halves what is above.
-	pacedCalls = 0.5
-	// burstSpan of pace may be sent at once: receivers count calls in spans of about this length.
-	burstSpan = time.Second
+	minCallsPerSpan = 0.5
+	// countingSpan of pace may be sent at once: receivers count calls in spans of about this length.
+	countingSpan = time.Second
 )
 
-// tokens is what the pace of a queue allows to be sent now.
-func (d *Dispatcher) tokens(q *queue) float64 {
-	return q.fill(d.now, q.pace, math.Max(1, q.pace*burstSpan.Seconds()))
+// sendTokens is what the pace of a queue allows to be sent now.
+func (d *Dispatcher) sendTokens(q *queue) float64 {
+	return q.refill(d.now, q.sendRate, math.Max(1, q.sendRate*countingSpan.Seconds()))
 }
 
-func (d *Dispatcher) spend(q *queue) {
-	if q.pace > 0 {
-		d.tokens(q)
+func (d *Dispatcher) consumeToken(q *queue) {
+	if q.sendRate > 0 {
+		d.sendTokens(q)
 		q.tokens--
 	}
 }
 
-// even is this relay's even share of a queue's limit, in calls a second.
-func (d *Dispatcher) even(q *queue) float64 { return q.rate() / float64(d.s.Instances) }
+// evenShare is this relay's even share of a queue's limit, in calls a second.
+func (d *Dispatcher) evenShare(q *queue) float64 {
+	return q.totalRate() / float64(d.settings.Instances)
+}
 
-// rate is the calls a second that a queue's destination takes from all relays just now; 0 for unknown.
-func (q *queue) rate() float64 {
-	if q.limit > 0 && q.limit < throttled*q.weight {
-		return q.limit
+// totalRate is the calls a second that a queue's destination takes from all relays just now; 0 for unknown.
+func (q *queue) totalRate() float64 {
+	if q.reportedLimit > 0 && q.reportedLimit < loweredLimitShare*q.listedRate {
+		return q.reportedLimit
 	}
-	return q.weight
+	return q.listedRate
 }
 
-// weigh takes in the rate that a queue's destination is listed with.
-func (d *Dispatcher) weigh(q *queue, weight float64) {
-	if d.s.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.weight {
+// setListedRate takes in the rate that a queue's destination is listed with.
+func (d *Dispatcher) setListedRate(q *queue, weight float64) {
+	if d.settings.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.listedRate {
 		return
 	}
-	q.weight = weight
-	q.pace = math.Max(d.even(q), pacedCalls/burstSpan.Seconds())
-	q.tokens, q.tokensAt = math.Max(1, q.pace*burstSpan.Seconds()), d.now
+	q.listedRate = weight
+	q.sendRate = math.Max(d.evenShare(q), minCallsPerSpan/countingSpan.Seconds())
+	q.tokens, q.refilledAt = math.Max(1, q.sendRate*countingSpan.Seconds()), d.now
 }
 
-// sparse tells whether a second knock is more than this relay's part of what a cold destination takes.
-func (d *Dispatcher) sparse(q *queue) bool {
-	return q.weight > 0 && d.even(q)*burstSpan.Seconds() < pacedCalls
+// lowTraffic tells whether a second knock is more than this relay's part of what a cold destination takes.
+func (d *Dispatcher) lowTraffic(q *queue) bool {
+	return q.listedRate > 0 && d.evenShare(q)*countingSpan.Seconds() < minCallsPerSpan
 }
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -1,10 +1,10 @@
 package policy
 
-// resume puts a message that an earlier process admitted back into its queue, with the attempts made for it. One whose end is
+// recoverMessage puts a message that an earlier process admitted back into its queue, with the attempts made for it. One whose end is
 // decided holds its key until that is known.
-func (d *Dispatcher) resume(m *message) {
+func (d *Dispatcher) recoverMessage(m *message) {
 	if m.OutcomeDecided {
-		d.told(m)
+		d.completeAndAwaitAck(m)
 		return
 	}
 	for _, t := range m.PriorAttempts {
@@ -12,21 +12,21 @@
 		if ep == nil {
 			// Its zone is not known any more: a repeat that has to stay in it has nowhere to go.
 			ep = &endpoint{
-				Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: nowhere, Removed: true},
-				q:        d.dest(m.Destination).queues[0], strikes: make([]float64, len(d.s.Classes)),
+				Endpoint: Endpoint{ID: t.Endpoint, Destination: m.Destination, Zone: unknownZone, Removed: true},
+				queue:    d.destination(m.Destination).queues[0], classFailures: make([]float64, len(d.settings.Classes)),
 			}
 		}
-		c := &call{ep: ep, sent: t.SentAt, msgs: []*message{m}}
+		c := &call{endpoint: ep, sent: t.SentAt, messages: []*message{m}}
 		m.attempts = append(m.attempts, attempt{call: c, sent: t.SentAt, unrun: t.NotExecuted, open: t.InFlight})
 		if t.InFlight {
 			c.open, m.open = 1, m.open+1
-			d.out++
-			ep.out, ep.q.out = append(ep.out, c), append(ep.q.out, c)
-			d.wake(ep.q)
+			d.inFlight++
+			ep.inFlight, ep.queue.inFlight = append(ep.inFlight, c), append(ep.queue.inFlight, c)
+			d.activate(ep.queue)
 			continue
 		}
 		if !t.NotExecuted {
-			m.rest = max(m.rest, d.now+d.s.OrderKeyCooldown)
+			m.cooldownUntil = max(m.cooldownUntil, d.now+d.settings.OrderKeyCooldown)
 		}
 	}
 	if m.open > 0 {
@@ -36,18 +36,18 @@
 		d.giveUp(m) // it had its attempt
 		return
 	}
-	d.hold(d.route(m), m)
+	d.enqueue(d.selectRoute(m), m)
 }
 
-// recall takes over an endpoint's outage or ramp from an earlier process, so that a restart in the middle of
+// recoverHealth takes over an endpoint's outage or ramp from an earlier process, so that a restart in the middle of
 // either does not send to a cold destination as to a warm one.
-func (d *Dispatcher) recall(e HealthRecovered) {
+func (d *Dispatcher) recoverHealth(e HealthRecovered) {
 	ep := d.endpoints[e.Endpoint]
 	switch {
 	case ep == nil:
 	case e.Unhealthy:
-		d.sicken(ep)
-	case d.now-e.At < d.s.SlowStartTime:
-		ep.ramping, ep.recovered = true, e.At
+		d.markUnhealthy(ep)
+	case d.now-e.At < d.settings.SlowStartTime:
+		ep.ramping, ep.recoveredAt = true, e.At
 	}
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -43,7 +43,7 @@
 // A message that was taken on before is not up for admission again.
 func TestResumedIsNotRefusedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	d.dest(0).queues[0].mean, d.dest(0).queues[0].waitUntil = 1, 60*time.Second
+	d.destination(0).queues[0].meanLatency, d.destination(0).queues[0].retryAfterUntil = 1, 60*time.Second
 	expect(t, "a fresh one", d.Handle(time.Second, []Event{arrive("n", 0)}), "refuse n")
 	expect(t, "a resumed one", d.Handle(time.Second, []Event{resumed("m", 0)}), "")
 }
@@ -66,7 +66,7 @@
 		return n
 	}
 	healthy := sends()
-	if out := sends(HealthRecovered{Endpoint: "a", Unhealthy: true, At: time.Hour - time.Minute}); out > fewSlots || out >= healthy {
+	if out := sends(HealthRecovered{Endpoint: "a", Unhealthy: true, At: time.Hour - time.Minute}); out > maxTrialCalls || out >= healthy {
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
 	if ramp := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Second}); ramp >= healthy {
@@ -140,8 +140,8 @@
 	next := start(t, s, Endpoint{ID: "a"})
 	expect(t, "at rest", next.Handle(2*time.Second, []Event{SnapshotRestored{old.Snapshot()}, arrive("n", 2)}), "")
 	expect(t, "rested", next.Handle(3*time.Second, []Event{TimerFired{}}), "n>a")
-	if len(next.resting) != 0 {
-		t.Errorf("%d keys rest", len(next.resting))
+	if len(next.coolingDown) != 0 {
+		t.Errorf("%d keys rest", len(next.coolingDown))
 	}
 	next = start(t, s, Endpoint{ID: "a"})
 	decided := arrive("m", 2).(Arrived)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -48,8 +48,8 @@
 	AwaitAcknowledgement bool
 }
 
-// check names the first setting that makes no sense.
-func (s *Settings) check() error {
+// validate names the first setting that makes no sense.
+func (s *Settings) validate() error {
 	for i, c := range s.Classes {
 		switch {
 		case c.Deadline <= 0:
--- a/policy/settings_change.go
+++ b/policy/settings_change.go
@@ -4,45 +4,45 @@
 	"math"
 )
 
-// retune takes over new settings. Messages under way keep the terms of their class; where its effect is
+// applySettings takes over new settings. Messages under way keep the terms of their class; where its effect is
 // stricter now, both hold.
-func (d *Dispatcher) retune(s Settings) {
-	d.s = s
-	d.weighClasses()
-	d.widen()
+func (d *Dispatcher) applySettings(s Settings) {
+	d.settings = s
+	d.updateMeanPriorityWeight()
+	d.growClassTables()
 	for _, m := range d.messages {
-		m.class = m.class.stricter(&d.s.Classes[m.Class])
+		m.class = m.class.stricter(&d.settings.Classes[m.Class])
 	}
 	for _, q := range d.queues {
-		if q.pace > 0 {
-			q.pace = math.Min(math.Max(q.pace, paceFloor*d.even(q)), q.weight)
+		if q.sendRate > 0 {
+			q.sendRate = math.Min(math.Max(q.sendRate, minShareOfEven*d.evenShare(q)), q.listedRate)
 		}
 	}
 	if !s.WatchEndpoints {
-		d.resub = never
+		d.watchAt = never
 	}
 }
 
-// widen makes room for the classes that new settings brought, wherever something is kept by class.
-func (d *Dispatcher) widen() {
+// growClassTables makes room for the classes that new settings brought, wherever something is kept by class.
+func (d *Dispatcher) growClassTables() {
 	grow := func(list *[]float64) {
-		if more := len(d.s.Classes) - len(*list); more > 0 {
+		if more := len(d.settings.Classes) - len(*list); more > 0 {
 			*list = append(*list, make([]float64, more)...)
 		}
 	}
-	for _, p := range d.pools {
-		grow(&p.class)
+	for _, p := range d.kindLatency {
+		grow(&p.classLatency)
 	}
 	for _, q := range d.queues {
-		grow(&q.class)
+		grow(&q.classLatency)
 	}
 	for _, ep := range d.endpoints {
-		grow(&ep.strikes)
+		grow(&ep.classFailures)
 	}
 	for _, m := range d.messages {
 		for _, a := range m.attempts {
-			grow(&a.call.ep.strikes) // also of an endpoint that has left the list
-			grow(&a.call.ep.q.class) // and of its queue
+			grow(&a.call.endpoint.classFailures)      // also of an endpoint that has left the list
+			grow(&a.call.endpoint.queue.classLatency) // and of its queue
 		}
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -80,23 +80,23 @@
 
 // Snapshot gives what this dispatcher has learned.
 func (d *Dispatcher) Snapshot() *Snapshot {
-	mem := &Snapshot{Kinds: map[int]LatencySnapshot{}, Unanswered: d.unanswered}
-	for _, m := range d.resting {
+	mem := &Snapshot{Kinds: map[int]LatencySnapshot{}, Unanswered: d.unansweredShare}
+	for _, m := range d.coolingDown {
 		if m.class.Ordered && m.OrderKey != "" {
-			mem.KeyCooldowns = append(mem.KeyCooldowns, KeyCooldownSnapshot{m.OrderKey, m.rest})
+			mem.KeyCooldowns = append(mem.KeyCooldowns, KeyCooldownSnapshot{m.OrderKey, m.cooldownUntil})
 		}
 	}
-	for _, no := range sortedKeys(d.dests) {
-		for _, q := range d.dests[no].queues {
+	for _, no := range sortedKeys(d.destinations) {
+		for _, q := range d.destinations[no].queues {
 			m := QueueSnapshot{
-				Destination: no, Latency: q.latencies.memory(), WaitUntil: q.waitUntil, HoldUntil: q.holdUntil, ConnHoldUntil: q.doorUntil,
-				PausedAt: q.pausedAt, LimitAt: q.limitAt, Limit: q.limit, Rejections: q.fulls, FirstRejection: q.firstFull, LastOK: q.lastOK, Failures: q.failures,
-				Weight: q.weight, SendRate: q.pace, Tokens: q.tokens,
-				TokensAt: q.tokensAt, Arrivals: q.arrivals.memory(), Misses: q.misses.memory(), ShadowWork: q.copyWork,
-				ShadowAt: q.copyAt, Unhealthy: q.ill,
+				Destination: no, Latency: q.latencyStats.snapshot(), WaitUntil: q.retryAfterUntil, HoldUntil: q.backoffUntil, ConnHoldUntil: q.connHoldUntil,
+				PausedAt: q.backoffStart, LimitAt: q.lastLimitRejection, Limit: q.reportedLimit, Rejections: q.rejections, FirstRejection: q.firstRejection, LastOK: q.lastSuccess, Failures: q.connFailures,
+				Weight: q.listedRate, SendRate: q.sendRate, Tokens: q.tokens,
+				TokensAt: q.refilledAt, Arrivals: q.arrivals.snapshot(), Misses: q.shadowRejections.snapshot(), ShadowWork: q.shadowBacklog,
+				ShadowAt: q.shadowAt, Unhealthy: q.unhealthy,
 			}
-			if q.apart && len(q.eps) > 0 {
-				m.Route = q.eps[0].ID
+			if q.separateRoute && len(q.endpoints) > 0 {
+				m.Route = q.endpoints[0].ID
 			}
 			mem.Queues = append(mem.Queues, m)
 		}
@@ -104,48 +104,48 @@
 	for _, id := range sortedKeys(d.endpoints) {
 		ep := d.endpoints[id]
 		mem.Endpoints = append(mem.Endpoints, EndpointSnapshot{
-			ID: id, Failures: ep.failures, ClassFailures: slices.Clone(ep.strikes),
-			Unhealthy: ep.sick, UnhealthySince: ep.sickAt, Recovered: ep.recovered, SlowStart: ep.ramping, Tokens: ep.tokens,
-			TokensAt: ep.tokensAt, LastOK: ep.lastOK, LastUsed: ep.lastUsed, LastBegun: ep.lastBegun, LastLatency: ep.lastTook,
-			ConnLimit: ep.connCap,
+			ID: id, Failures: ep.consecutiveFailures, ClassFailures: slices.Clone(ep.classFailures),
+			Unhealthy: ep.sick, UnhealthySince: ep.unhealthySince, Recovered: ep.recoveredAt, SlowStart: ep.ramping, Tokens: ep.tokens,
+			TokensAt: ep.refilledAt, LastOK: ep.lastSuccess, LastUsed: ep.lastUsed, LastBegun: ep.latestSuccessSent, LastLatency: ep.lastLatency,
+			ConnLimit: ep.connLimit,
 		})
 	}
-	for kind, p := range d.pools {
-		mem.Kinds[kind] = p.memory()
+	for kind, p := range d.kindLatency {
+		mem.Kinds[kind] = p.snapshot()
 	}
 	return mem
 }
 
-// inherit takes over what the process before had learned; the list comes before it. What it names and the list does not
+// restoreSnapshot takes over what the process before had learned; the list comes before it. What it names and the list does not
 // have any more is left out, but for a destination's waits: they hold for whatever endpoint comes next.
-func (d *Dispatcher) inherit(mem *Snapshot) {
-	d.unanswered = mem.Unanswered
+func (d *Dispatcher) restoreSnapshot(mem *Snapshot) {
+	d.unansweredShare = mem.Unanswered
 	for _, r := range mem.KeyCooldowns {
-		m := &message{Arrived: Arrived{OrderKey: r.Key}, over: true, rest: r.Until}
-		d.keys[r.Key] = append(d.keys[r.Key], m)
-		d.resting = append(d.resting, m)
+		m := &message{Arrived: Arrived{OrderKey: r.Key}, over: true, cooldownUntil: r.Until}
+		d.orderKeys[r.Key] = append(d.orderKeys[r.Key], m)
+		d.coolingDown = append(d.coolingDown, m)
 	}
 	for kind, m := range mem.Kinds {
-		d.pool(kind).recall(m)
+		d.latencyOfKind(kind).restore(m)
 	}
 	for _, m := range mem.Queues {
-		q := d.dest(m.Destination).queues[0]
+		q := d.destination(m.Destination).queues[0]
 		if m.Route != "" {
 			ep := d.endpoints[m.Route]
 			if ep == nil {
 				continue
 			}
-			q = ep.q
+			q = ep.queue
 		}
-		q.latencies.recall(m.Latency)
-		q.waitUntil, q.holdUntil, q.doorUntil = m.WaitUntil, m.HoldUntil, m.ConnHoldUntil
-		q.pausedAt, q.limitAt, q.lastOK, q.failures = m.PausedAt, m.LimitAt, m.LastOK, m.Failures
-		q.fulls, q.firstFull, q.limit = m.Rejections, m.FirstRejection, m.Limit
-		if q.weight == m.Weight { // else the list has told another rate since, and the pace began anew
-			q.pace, q.tokens, q.tokensAt = m.SendRate, m.Tokens, m.TokensAt
+		q.latencyStats.restore(m.Latency)
+		q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = m.WaitUntil, m.HoldUntil, m.ConnHoldUntil
+		q.backoffStart, q.lastLimitRejection, q.lastSuccess, q.connFailures = m.PausedAt, m.LimitAt, m.LastOK, m.Failures
+		q.rejections, q.firstRejection, q.reportedLimit = m.Rejections, m.FirstRejection, m.Limit
+		if q.listedRate == m.Weight { // else the list has told another rate since, and the pace began anew
+			q.sendRate, q.tokens, q.refilledAt = m.SendRate, m.Tokens, m.TokensAt
 		}
-		q.arrivals, q.misses = m.Arrivals.aged(), m.Misses.aged()
-		q.copyWork, q.copyAt, q.ill = m.ShadowWork, m.ShadowAt, m.Unhealthy
+		q.arrivals, q.shadowRejections = m.Arrivals.counter(), m.Misses.counter()
+		q.shadowBacklog, q.shadowAt, q.unhealthy = m.ShadowWork, m.ShadowAt, m.Unhealthy
 	}
 	for _, m := range mem.Endpoints {
 		ep := d.endpoints[m.ID]
@@ -153,28 +153,30 @@
 			continue
 		}
 		if m.Unhealthy != ep.sick {
-			d.down += map[bool]int{true: 1, false: -1}[m.Unhealthy]
+			d.unhealthyCount += map[bool]int{true: 1, false: -1}[m.Unhealthy]
 		}
-		ep.failures, ep.sick, ep.sickAt, ep.recovered, ep.ramping = m.Failures, m.Unhealthy, m.UnhealthySince, m.Recovered, m.SlowStart
-		copy(ep.strikes, m.ClassFailures)
-		ep.tokens, ep.tokensAt, ep.lastOK, ep.lastUsed = m.Tokens, m.TokensAt, m.LastOK, m.LastUsed
-		ep.lastBegun, ep.lastTook, ep.connCap = m.LastBegun, m.LastLatency, m.ConnLimit
+		ep.consecutiveFailures, ep.sick, ep.unhealthySince, ep.recoveredAt, ep.ramping = m.Failures, m.Unhealthy, m.UnhealthySince, m.Recovered, m.SlowStart
+		copy(ep.classFailures, m.ClassFailures)
+		ep.tokens, ep.refilledAt, ep.lastSuccess, ep.lastUsed = m.Tokens, m.TokensAt, m.LastOK, m.LastUsed
+		ep.latestSuccessSent, ep.lastLatency, ep.connLimit = m.LastBegun, m.LastLatency, m.ConnLimit
 	}
 }
 
-func (l *latencies) memory() LatencySnapshot {
-	return LatencySnapshot{l.n, l.mean, slices.Clone(l.class)}
+func (l *latencyStats) snapshot() LatencySnapshot {
+	return LatencySnapshot{l.latencySamples, l.meanLatency, slices.Clone(l.classLatency)}
 }
 
-// recall takes latencies over; classes are matched by number, which both processes share.
-func (l *latencies) recall(m LatencySnapshot) {
-	l.n, l.mean = m.N, m.Mean
-	copy(l.class, m.Class)
+// restore takes latencies over; classes are matched by number, which both processes share.
+func (l *latencyStats) restore(m LatencySnapshot) {
+	l.latencySamples, l.meanLatency = m.N, m.Mean
+	copy(l.classLatency, m.Class)
 }
 
-func (a *aged) memory() CounterSnapshot { return CounterSnapshot{a.n, a.at, a.since} }
+func (a *decayingCounter) snapshot() CounterSnapshot {
+	return CounterSnapshot{a.value, a.updatedAt, a.startedAt}
+}
 
-func (m CounterSnapshot) aged() aged { return aged{m.N, m.At, m.Since} }
+func (m CounterSnapshot) counter() decayingCounter { return decayingCounter{m.N, m.At, m.Since} }
 
 // sortedKeys are a map's keys in order: what is carried over is the same each time.
 func sortedKeys[K int | string, V any](m map[K]V) []K {
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -4,49 +4,49 @@
 	"time"
 )
 
-// arm asks for a timer when something is next due by time alone.
-func (d *Dispatcher) arm() {
+// armTimer asks for a timer when something is next due by time alone.
+func (d *Dispatcher) armTimer() {
 	next := never
-	soon := func(t time.Duration) { next = min(next, max(t, d.now+d.s.BatchInterval)) }
-	soon(d.resub)
-	for _, m := range d.live {
-		if m.q != nil {
-			soon(d.lastChance(m))
-			if m.firstRun() != nil && m.class.Idempotency == IdempotentByKey {
-				soon(d.forgotten(m))
+	soon := func(t time.Duration) { next = min(next, max(t, d.now+d.settings.BatchInterval)) }
+	soon(d.watchAt)
+	for _, m := range d.unfinished {
+		if m.queue != nil {
+			soon(d.giveUpTime(m))
+			if m.firstExecuted() != nil && m.class.Idempotency == IdempotentByKey {
+				soon(d.keyExpiry(m))
 			}
 		}
 	}
-	for _, q := range d.active {
-		for _, c := range q.out {
-			for _, factor := range []float64{stuckAfter, silentAfter, silentAfter * finalFactor} {
-				if at := d.lateAt(c, factor); at > d.now && !c.canceled {
+	for _, q := range d.activeQueues {
+		for _, c := range q.inFlight {
+			for _, factor := range []float64{stuckFactor, unresponsiveFactor, unresponsiveFactor * lastAttemptFactor} {
+				if at := d.overdueAt(c, factor); at > d.now && !c.cancelled {
 					soon(at)
 				}
 			}
 		}
-		if len(q.held) == 0 {
+		if len(q.queued) == 0 {
 			continue
 		}
 		at := max(q.pausedUntil(), d.now)
-		if q.pace > 0 && d.tokens(q) < 1 {
-			at = max(at, d.now+wait(1-q.tokens, q.pace))
+		if q.sendRate > 0 && d.sendTokens(q) < 1 {
+			at = max(at, d.now+refillTime(1-q.tokens, q.sendRate))
 		}
 		if at > d.now {
 			soon(at)
 		}
-		for _, ep := range q.eps {
-			if (ep.sick || ep.ramping) && d.epTokens(ep) < 1 {
-				soon(max(at, d.now+wait(1-ep.tokens, d.budget(ep, d.coldFor(ep)))))
+		for _, ep := range q.endpoints {
+			if (ep.sick || ep.ramping) && d.recoveryTokens(ep) < 1 {
+				soon(max(at, d.now+refillTime(1-ep.tokens, d.recoveryRate(ep, d.timeSinceRecovery(ep)))))
 			}
 		}
 	}
-	for _, m := range d.resting {
-		soon(m.rest)
+	for _, m := range d.coolingDown {
+		soon(m.cooldownUntil)
 	}
 	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.wakeAt < d.now+d.s.BatchInterval || next < d.wakeAt) {
-		d.wakeAt = next
-		d.act(SetTimer{After: next - d.now})
+	if next < never && (d.timerAt < d.now+d.settings.BatchInterval || next < d.timerAt) {
+		d.timerAt = next
+		d.emit(SetTimer{After: next - d.now})
 	}
 }
--- a/policy/unsend_test.go
+++ b/policy/unsend_test.go
@@ -20,11 +20,11 @@
 		other := arrive("other", 0).(Arrived)
 		other.Destination = 1
 		d.Handle(time.Second, []Event{arrive("m0", 0), arrive("m1", 0), other})
-		if d.out != 3 {
-			t.Fatalf("%s: %d calls out", tt.name, d.out)
+		if d.inFlight != 3 {
+			t.Fatalf("%s: %d calls out", tt.name, d.inFlight)
 		}
 		var got []Action
-		ep := d.messages["m0"].attempts[0].call.ep.ID
+		ep := d.messages["m0"].attempts[0].call.endpoint.ID
 		for _, a := range d.Handle(1100*ms, []Event{AttemptEnded{ID: "m0", Endpoint: ep, Outcome: Rejected, RetryAfter: tt.wait, Latency: 100 * ms}}) {
 			if u, ok := a.(CancelBeforeSend); ok {
 				got = append(got, u)
@@ -36,10 +36,10 @@
 		if tt.wait == 0 {
 			continue
 		}
-		ep = d.messages["m1"].attempts[0].call.ep.ID
+		ep = d.messages["m1"].attempts[0].call.endpoint.ID
 		expect(t, "in the wait", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
-		if m := d.messages["m1"]; m.firstRun() != nil || m.q == nil {
-			t.Errorf("held: %v, taken for run: %v", m.q != nil, m.firstRun())
+		if m := d.messages["m1"]; m.firstExecuted() != nil || m.queue == nil {
+			t.Errorf("held: %v, taken for run: %v", m.queue != nil, m.firstExecuted())
 		}
 		if after := said(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
 			t.Error("nothing goes after the wait")
--- a/policy/warm_test.go
+++ b/policy/warm_test.go
@@ -12,9 +12,9 @@
 	s := plain()
 	s.Weights, s.Instances = WeightsNominal, 80
 	d := start(t, s, Endpoint{ID: "a", Weight: 80}, Endpoint{ID: "b", Weight: 80})
-	d.endpoints["a"].lot, d.endpoints["b"].lot = 0, 1 // a is the first
+	d.endpoints["a"].tieBreaker, d.endpoints["b"].tieBreaker = 0, 1 // a is the first
 	q := d.queues[0]
-	q.tokens, q.tokensAt = 1, time.Second
+	q.tokens, q.refilledAt = 1, time.Second
 	var events []Event
 	for i := range n {
 		events = append(events, arrive(fmt.Sprint("m", i), 0))
@@ -54,7 +54,7 @@
 		if got := closes(actions); got != tt.closed {
 			t.Errorf("%s: closed %d times, want %d", tt.name, got, tt.closed)
 		}
-		if d.queues[0].warm != nil {
+		if d.queues[0].reusableConn != nil {
 			t.Errorf("%s: the connection is still taken to stand", tt.name)
 		}
 	}
@@ -69,19 +69,19 @@
 		end.ID, end.Endpoint, end.Latency = fmt.Sprint("m", sent), "a", 60*ms
 		actions = d.Handle(now, []Event{end})
 	}
-	if sent < 1+aheadCalls || sent > 2+aheadCalls || closes(actions) != 1 {
+	if sent < 1+maxTokenDebt || sent > 2+maxTokenDebt || closes(actions) != 1 {
 		t.Errorf("%d calls in a row, %d closes", sent, closes(actions))
 	}
 	q := d.queues[0]
-	if q.tokens > 1-aheadCalls || q.tokens < -aheadCalls {
+	if q.tokens > 1-maxTokenDebt || q.tokens < -maxTokenDebt {
 		t.Errorf("%v tokens left", q.tokens)
 	}
 
 	// Not ahead where the limit refused a call just now, or was lowered, nor by more than a part of what is taken in a span.
-	q = &queue{weight: 80}
-	for i, change := range []func(){func() {}, func() { q.limitAt = now }, func() { q.limitAt, q.limit = 0, 20 }, func() { q.weight, q.limit = 16, 0 }} {
+	q = &queue{listedRate: 80}
+	for i, change := range []func(){func() {}, func() { q.lastLimitRejection = now }, func() { q.lastLimitRejection, q.reportedLimit = 0, 20 }, func() { q.listedRate, q.reportedLimit = 16, 0 }} {
 		change()
-		if got, want := d.ahead(q), []float64{aheadCalls, 0, 0, 1}[i]; got != want {
+		if got, want := d.tokenDebt(q), []float64{maxTokenDebt, 0, 0, 1}[i]; got != want {
 			t.Errorf("case %d: %v calls ahead, want %v", i, got, want)
 		}
 	}
@@ -91,11 +91,11 @@
 		d, actions := warmed(t, 1, ok)
 		expect(t, "nothing waits", actions, "")
 		q := d.queues[0]
-		q.tokens, q.tokensAt = 1, now
+		q.tokens, q.refilledAt = 1, now
 		d.Handle(now, []Event{arrive("x", 0), arrive("y", 0)}) // x goes
-		d.full(q, door)
+		d.recordRejection(q, door)
 		end := ok
-		end.ID, end.Endpoint, end.Latency = "x", d.messages["x"].attempts[0].call.ep.ID, 60*ms
+		end.ID, end.Endpoint, end.Latency = "x", d.messages["x"].attempts[0].call.endpoint.ID, 60*ms
 		want := ""
 		if door {
 			want = "y>" + end.Endpoint
