--- a/policy/cancel_before_send.go
+++ b/policy/cancel_before_send.go
@@ -1,11 +1,14 @@
 package policy
 
-// cancelBeforeSend takes back those calls that have not left yet, as while their connections are made: their
-// destination has told one to wait, or their endpoint takes nothing new any more.
-func (d *Dispatcher) cancelBeforeSend(calls []*call, told *call) {
+// cancelBeforeSend cancels those calls of which nothing has left yet, as while their connections are made: their destination asked
+// not to be called with the outcome of one of them, answered, or their endpoint takes nothing new any more.
+func (d *Dispatcher) cancelBeforeSend(calls []*call, answered *call) {
 	for _, c := range calls {
+		if c == answered {
+			continue
+		}
 		for _, m := range c.messages {
-			if i := len(m.attempts) - 1; c != told && m.attempts[i].call == c && m.attempts[i].open {
+			if i, ok := m.openAttemptOf(c); ok {
 				d.emit(CancelBeforeSend{ID: m.ID, Attempt: i})
 			}
 		}
--- a/policy/class.go
+++ b/policy/class.go
@@ -2,37 +2,40 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
+// minUsefulValue is the share of its priority weight that a message must still have when it is delivered, while more messages
+// arrive for its queue than can leave: one admitted to be delivered later than that takes the place of one that would be on time.
+const minUsefulValue = 0.65
+
 // Idempotency says what a second execution of a message would do.
 type Idempotency int
 
-// The effects of a class.
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be repeated at will
-	IdempotentByKey                    // the destination drops a repeat while it remembers the key
-	NotIdempotent                      // must never run twice
+	IdempotentByKey                    // the destination drops a repeat for as long as it remembers the idempotency key
+	NotIdempotent                      // must never execute twice
 )
 
-// Class is one class of message.
+// Class is one class of message. The JSON names are those of the stored form.
 type Class struct {
 	Name             string        `json:"Name"`
-	LatencyObjective time.Duration `json:"Aim"`      // full worth up to here
-	Deadline         time.Duration `json:"Deadline"` // given up after this
-	PriorityWeight   float64       `json:"Worth"`
-	LateFraction     float64       `json:"LateShare"` // share of the worth left at the deadline
-	ExponentialDecay bool          `json:"Halving"`   // the worth halves with each further Aim instead of falling evenly
+	LatencyObjective time.Duration `json:"Aim"`       // full value up to this age
+	Deadline         time.Duration `json:"Deadline"`  // given up at this age
+	PriorityWeight   float64       `json:"Worth"`     // value of a message delivered within the objective
+	LateFraction     float64       `json:"LateShare"` // share of that value left at the deadline
+	ExponentialDecay bool          `json:"Halving"`   // the value halves with each further LatencyObjective, instead of falling evenly
 	Idempotency      Idempotency   `json:"Effect"`
-	KeyPerZone       bool          `json:"ByZone"`  // Keyed: only endpoints of one zone share the memory of a key
-	KeyTTL           time.Duration `json:"Memory"`  // Keyed: how long a key is remembered
-	Ordered          bool          `json:"Ordered"` // messages with one key go one at a time, in order
-	// Retired: the settings have it no more. It keeps its number for messages that were taken on under it.
+	KeyPerZone       bool          `json:"ByZone"`  // IdempotentByKey: only endpoints of one zone share their memory of a key
+	KeyTTL           time.Duration `json:"Memory"`  // IdempotentByKey: how long a key is remembered
+	Ordered          bool          `json:"Ordered"` // messages with one order key are sent one at a time, in order of arrival
+	// Retired says that the settings no longer have the class. It keeps its number for messages that were accepted under it.
 	Retired bool `json:"Retired"`
 }
 
-// valueAt is the share of its worth that a message has at an age.
+// valueAt returns the share of its priority weight that a message has at an age.
 func (c *Class) valueAt(age time.Duration) float64 {
 	switch {
 	case age <= c.LatencyObjective:
@@ -45,7 +48,7 @@
 	return 1 - (1-c.LateFraction)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
 
-// ageAtValue is the age at which a message has only a share of its worth left.
+// ageAtValue returns the age at which a message has only a share of its priority weight left.
 func (c *Class) ageAtValue(share float64) time.Duration {
 	switch {
 	case share <= c.LateFraction:
@@ -56,37 +59,28 @@
 	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateFraction)*float64(c.Deadline-c.LatencyObjective))
 }
 
-// stricter gives the terms of a class under which an attempt needs leave from it and from what the settings
-// say now. A message of a class that was safe has no key for a destination to remember: where the class is
-// keyed now, it is repeated only if it never ran.
-func (c *Class) stricter(now *Class) *Class {
-	as := c.Idempotency != IdempotentByKey || now.KeyTTL >= c.KeyTTL && (c.KeyPerZone || !now.KeyPerZone) // as strict
-	if now.Retired || now.Idempotency == c.Idempotency && as {
-		return c
-	}
-	both := *c
-	switch {
-	case c.Idempotency == NotIdempotent || now.Idempotency == NotIdempotent || c.Idempotency == Idempotent && now.Idempotency == IdempotentByKey:
-		both.Idempotency = NotIdempotent
-	case now.Idempotency == IdempotentByKey: // and so is c
-		both.KeyTTL, both.KeyPerZone = min(c.KeyTTL, now.KeyTTL), c.KeyPerZone || now.KeyPerZone
+// maxUsefulAge returns the age at which a message of class c falls under minUsefulValue, or an earlier one at which a class of
+// at least its priority weight does that would wait behind it. It guards urgent messages against a queue full of patient ones
+// that are worth less.
+func (d *Dispatcher) maxUsefulAge(c *Class) time.Duration {
+	age := c.ageAtValue(minUsefulValue)
+	for i := range d.settings.Classes {
+		if other := &d.settings.Classes[i]; other.PriorityWeight >= c.PriorityWeight && !other.Retired {
+			age = min(age, other.ageAtValue(minUsefulValue))
+		}
 	}
-	return &both
+	return age
 }
 
-// MergeClasses gives the table of classes after new settings: a name that was there keeps its number and gets its new terms, new
-// names follow, and what the settings no longer have stays as retired, so that nothing is renumbered under a message.
-func MergeClasses(table, settings []Class) []Class {
-	merged := slices.Clone(table)
-	for i := range merged {
-		merged[i].Retired = true
-	}
-	for _, c := range settings {
-		if i := slices.IndexFunc(merged, func(k Class) bool { return k.Name == c.Name }); i >= 0 {
-			merged[i] = c
-		} else {
-			merged = append(merged, c)
+// updateMeanPriorityWeight computes the mean priority weight of the classes in the settings.
+func (d *Dispatcher) updateMeanPriorityWeight() {
+	classes := 0.0
+	d.meanPriorityWeight = 0
+	for i := range d.settings.Classes {
+		if c := &d.settings.Classes[i]; !c.Retired {
+			d.meanPriorityWeight += c.PriorityWeight
+			classes++
 		}
 	}
-	return merged
+	d.meanPriorityWeight /= math.Max(1, classes)
 }
--- a/policy/destination.go
+++ b/policy/destination.go
@@ -1,35 +1,41 @@
 package policy
 
-// destination is where messages go: one queue, or one for each route.
+// destination is where messages go. Its endpoints share one queue, or are separate routes with a queue each.
 type destination struct {
-	queues []*queue // routes, or the one shared queue; queues[0] also serves while nothing is listed
+	queues []*queue // at least one; queues[0] also serves while no endpoint is listed
 }
 
-// destination gives a destination, with one queue at least.
-func (d *Dispatcher) destination(no int) *destination {
-	if d.destinations[no] == nil {
+// destination returns a destination by its number.
+func (d *Dispatcher) destination(number int) *destination {
+	if d.destinations[number] == nil {
 		dest := &destination{}
-		d.destinations[no] = dest
-		d.addQueue(dest, 1, false)
+		d.destinations[number] = dest
+		d.addQueue(dest)
 	}
-	return d.destinations[no]
+	return d.destinations[number]
 }
 
 // addQueue adds a queue to a destination.
-func (d *Dispatcher) addQueue(dest *destination, bundle int, apart bool) *queue {
+func (d *Dispatcher) addQueue(dest *destination) *queue {
 	q := &queue{
-		destination: dest, latencyStats: latencyStats{classLatency: make([]float64, len(d.settings.Classes))}, maxBatch: max(1, bundle), separateRoute: apart,
-		tokenBucket: tokenBucket{refilledAt: d.now}, arrivals: decayingCounter{startedAt: d.now}, shadowRejections: decayingCounter{startedAt: d.now},
+		destination:      dest,
+		maxBatch:         1,
+		latency:          latencyStats{byClass: make([]float64, len(d.settings.Classes))},
+		sendBucket:       tokenBucket{refilledAt: d.now},
+		arrivals:         decayingCounter{startedAt: d.now},
+		shadowRejections: decayingCounter{startedAt: d.now},
 	}
 	dest.queues = append(dest.queues, q)
 	d.queues = append(d.queues, q)
 	return q
 }
 
-// removeIfUnused drops a queue without endpoints and work, unless it is the one that stands for its destination.
+// removeIfUnused drops a queue without endpoints and work, unless it is the only one of its destination.
 func (d *Dispatcher) removeIfUnused(q *queue) {
-	if len(q.endpoints) > 0 || q.active || q.destination.queues[0] == q && len(q.destination.queues) == 1 {
+	dest := q.destination
+	if len(q.endpoints) > 0 || q.active || dest.queues[0] == q && len(dest.queues) == 1 {
 		return
 	}
-	q.destination.queues, d.queues = remove(q.destination.queues, q), remove(d.queues, q)
+	dest.queues = remove(dest.queues, q)
+	d.queues = remove(d.queues, q)
 }
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -4,51 +4,58 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 )
 
-const (
-	never = time.Duration(math.MaxInt64)
-)
+// never is later than every moment.
+const never = time.Duration(math.MaxInt64)
 
-// Dispatcher decides for one relay. It is not safe for concurrent use.
+// Dispatcher decides for one relay. It does no I/O and reads no clock. It is not safe for concurrent use.
 type Dispatcher struct {
-	settings       Settings
-	now            time.Duration
-	endpoints      map[string]*endpoint
-	destinations   map[int]*destination
-	activeQueues   []*queue // those with messages held or calls out
-	queues         []*queue // in the order in which they were first seen
-	messages       map[string]*message
-	unfinished     []*message // unfinished, in the order of arrival
-	coolingDown    []*message // over, but their keys rest
-	orderKeys      map[string][]*message
-	inFlight       int // calls out
-	unhealthyCount int // listed endpoints that are sick
-	// unansweredShare is the share of calls out for stuckAfter mean latencies that had no success.
-	unansweredShare    float64
-	lastSeq            int
-	turn               int
-	meanPriorityWeight float64
-	watchAt            time.Duration // when to subscribe
-	timerAt            time.Duration // when the next timer is due; 0 for none
-	quiesced           bool          // send nothing more
-	idleCandidates     []*endpoint   // at which calls ended in this batch
-	actions            []Action
+	settings           Settings
+	meanPriorityWeight float64       // of the classes in the settings
+	now                time.Duration // of the batch; never goes back
 	random             *rand.Rand
-	kindLatency        map[int]*latencyStats // by kind of destination
+	quiesced           bool     // send nothing more
+	actions            []Action // of this batch
+
+	endpoints      map[string]*endpoint // listed ones, by ID
+	unhealthyCount int                  // of them
+	destinations   map[int]*destination
+	queues         []*queue // of all destinations, in the order in which they were first seen
+	activeQueues   []*queue // those with messages queued or calls in flight
+	kindLatency    map[int]*latencyStats
+
+	messages    map[string]*message // by ID
+	unfinished  []*message          // without a terminal outcome, in order of arrival
+	arrivals    []*message          // of this batch, for admission
+	lastSeq     int                 // sequence number of the latest message
+	orderKeys   map[string][]*message
+	coolingDown []*message // completed, but their order keys are still blocked
+
+	inFlight        int         // calls in flight
+	unansweredShare float64     // share of the calls overdue by stuckFactor that had no success
+	idleCandidates  []*endpoint // those at which calls ended in this batch
+
+	watchAt time.Duration // when to ask for a watch of the endpoint list
+	timerAt time.Duration // when the latest timer is due; 0 for none
 }
 
-// New returns a dispatcher that knows nothing yet. Settings that make no sense give an error.
+// New returns a dispatcher that knows nothing yet. The error is a *SettingError for a setting without a usable value. The seed
+// decides all random choices: the same events give the same actions.
 func New(s Settings, seed int64) (*Dispatcher, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	d := &Dispatcher{
-		settings: s, endpoints: map[string]*endpoint{}, destinations: map[int]*destination{},
-		messages: map[string]*message{}, orderKeys: map[string][]*message{},
-		kindLatency: map[int]*latencyStats{}, random: rand.New(rand.NewPCG(uint64(seed), 0)), watchAt: never,
+		settings:     s,
+		random:       rand.New(rand.NewPCG(uint64(seed), 0)),
+		endpoints:    map[string]*endpoint{},
+		destinations: map[int]*destination{},
+		kindLatency:  map[int]*latencyStats{},
+		messages:     map[string]*message{},
+		orderKeys:    map[string][]*message{},
+		watchAt:      never,
 	}
 	if s.WatchEndpoints {
 		d.watchAt = 0 // at once
@@ -57,59 +64,19 @@
 	return d, nil
 }
 
-// UnhealthyEndpoints is how many listed endpoints are out: nothing goes there but trials.
+// UnhealthyEndpoints returns how many listed endpoints are unhealthy: they get nothing but trial requests.
 func (d *Dispatcher) UnhealthyEndpoints() int { return d.unhealthyCount }
 
-// Handle takes in the events of one batch and returns what is to be done, in order.
+// Handle applies the events of one batch and returns what is to be done, in order. A time before that of the last batch counts
+// as that.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
-	for _, m := range slices.Clone(d.coolingDown) {
-		d.evict(m)
-	}
-	var fresh []*message
+	d.endKeyCooldowns()
 	for _, e := range events {
-		switch e := e.(type) {
-		case Arrived:
-			if m := d.accept(e); m != nil {
-				fresh = append(fresh, m)
-			}
-		case AttemptEnded:
-			d.attemptEnded(e)
-		case DeadlineExceeded:
-			if m := d.messages[e.ID]; m != nil && !m.over {
-				d.giveUp(m)
-			}
-		case Acknowledged:
-			d.acknowledge(e.ID)
-		case Cancelled:
-			d.cancelMessage(e.ID)
-		case EndpointsChanged:
-			d.applyEndpoints(e)
-		case WatchFailed:
-			if d.settings.WatchEndpoints {
-				d.watchAt = d.now + watchRetryDelay
-			}
-		case HealthRecovered:
-			d.recoverHealth(e)
-		case SettingsChanged:
-			d.applySettings(e.Settings)
-		case SnapshotRestored:
-			d.restoreSnapshot(e.Snapshot)
-		case Quiesced:
-			d.quiesced = true
-		case Resumed:
-			d.quiesced = false
-		}
-	}
-	if d.now >= d.watchAt {
-		d.watchAt = never
-		d.emit(WatchEndpoints{})
-	}
-	for _, m := range fresh {
-		if !m.over {
-			d.admit(m)
-		}
+		e.apply(d)
 	}
+	d.watchEndpoints()
+	d.admitArrivals()
 	d.expireQueued()
 	d.dispatch()
 	d.closeIdleConns()
@@ -119,4 +86,5 @@
 	return d.actions
 }
 
+// emit adds an action to those of the batch.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -1,10 +1,8 @@
 package policy
 
-import (
-	"slices"
-)
+import "slices"
 
-// applyEndpoints takes in a change of the list.
+// applyEndpoints applies a change of the endpoint list.
 func (d *Dispatcher) applyEndpoints(e EndpointsChanged) {
 	named := map[string]bool{}
 	for _, entry := range e.Endpoints {
@@ -12,13 +10,7 @@
 		d.applyEndpoint(entry)
 	}
 	if e.Full {
-		for _, q := range slices.Clone(d.queues) {
-			for _, ep := range append([]*endpoint(nil), q.endpoints...) {
-				if !named[ep.ID] {
-					d.removeEndpoint(ep)
-				}
-			}
-		}
+		d.removeUnnamed(named)
 	}
 	for _, q := range slices.Clone(d.activeQueues) {
 		if len(q.queued) > 0 && !q.acceptsWork() {
@@ -27,56 +19,70 @@
 	}
 }
 
-// applyEndpoint takes in one entry of the list.
-func (d *Dispatcher) applyEndpoint(e Endpoint) {
-	ep := d.endpoints[e.ID]
-	if e.Removed {
+// removeUnnamed removes the endpoints that a full list does not name.
+func (d *Dispatcher) removeUnnamed(named map[string]bool) {
+	for _, q := range slices.Clone(d.queues) {
+		for _, ep := range slices.Clone(q.endpoints) {
+			if !named[ep.ID] {
+				d.removeEndpoint(ep)
+			}
+		}
+	}
+}
+
+// applyEndpoint applies one entry of the endpoint list.
+func (d *Dispatcher) applyEndpoint(entry Endpoint) {
+	ep := d.endpoints[entry.ID]
+	if entry.Removed {
 		if ep != nil {
 			d.removeEndpoint(ep)
 		}
 		return
 	}
-	if ep == nil {
-		ep = &endpoint{classFailures: make([]float64, len(d.settings.Classes))}
-		if !d.keepsIdleConns() {
-			ep.tieBreaker = d.random.Float64()
-		}
-		d.endpoints[e.ID] = ep
-		dest := d.destination(e.Destination)
-		kind := DestinationKind{MaxBatch: 1}
-		if e.Kind >= 0 && e.Kind < len(d.settings.Kinds) {
-			kind = d.settings.Kinds[e.Kind]
-		}
-		ep.queue = dest.queues[0]
-		if kind.SeparateRoutes && (len(ep.queue.endpoints) > 0 || len(dest.queues) > 1) {
-			ep.queue = d.addQueue(dest, 1, true)
-		}
-		ep.queue.maxBatch, ep.queue.separateRoute, ep.queue.kind = max(1, kind.MaxBatch), kind.SeparateRoutes, e.Kind
-		ep.queue.endpoints = append(ep.queue.endpoints, ep)
-		defer d.joins(ep)
+	isNew := ep == nil
+	if isNew {
+		ep = d.addEndpoint(entry)
 	}
-	if e.Draining && !ep.Draining {
+	if entry.Draining && !ep.Draining {
 		d.cancelBeforeSend(ep.inFlight, nil)
 	}
-	ep.Endpoint = e
-	d.setListedRate(ep.queue, e.Weight)
+	ep.Endpoint = entry
+	d.setListedRate(ep.queue, entry.Weight)
+	if isNew && ep.queue.unhealthy {
+		d.markUnhealthy(ep) // at a destination that is out, a new endpoint is as cold as the others
+	}
 }
 
-// removeEndpoint forgets an endpoint that left the list; calls out there still end.
+// addEndpoint adds an endpoint to the queue of its destination, or as a separate route with a queue of its own.
+func (d *Dispatcher) addEndpoint(entry Endpoint) *endpoint {
+	ep := &endpoint{classFailures: make([]float64, len(d.settings.Classes))}
+	if !d.keepsIdleConns() {
+		ep.tieBreaker = d.random.Float64()
+	}
+	d.endpoints[entry.ID] = ep
+	kind := DestinationKind{MaxBatch: 1}
+	if entry.Kind >= 0 && entry.Kind < len(d.settings.Kinds) {
+		kind = d.settings.Kinds[entry.Kind]
+	}
+	dest := d.destination(entry.Destination)
+	q := dest.queues[0]
+	if kind.SeparateRoutes && (len(q.endpoints) > 0 || len(dest.queues) > 1) {
+		q = d.addQueue(dest)
+	}
+	q.kind, q.maxBatch, q.separateRoute = entry.Kind, max(1, kind.MaxBatch), kind.SeparateRoutes
+	q.endpoints = append(q.endpoints, ep)
+	ep.queue = q
+	return ep
+}
+
+// removeEndpoint removes an endpoint that left the list; calls in flight there still end.
 func (d *Dispatcher) removeEndpoint(ep *endpoint) {
 	d.cancelBeforeSend(ep.inFlight, nil)
 	ep.Removed = true
-	if ep.sick {
+	if ep.health.isUnhealthy() {
 		d.unhealthyCount--
 	}
 	delete(d.endpoints, ep.ID)
 	ep.queue.endpoints = remove(ep.queue.endpoints, ep)
 	d.removeIfUnused(ep.queue)
 }
-
-// joins takes in a new endpoint: at a destination that is out it is as cold as the others.
-func (d *Dispatcher) joins(ep *endpoint) {
-	if ep.queue.unhealthy {
-		d.markUnhealthy(ep)
-	}
-}
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -1,19 +1,18 @@
 package policy
 
-const (
-	// maxTrialCalls for a silent or sick endpoint: one call that may be stuck, one that tries.
-	maxTrialCalls = 2
-)
+// maxTrialCalls may be in flight to an unhealthy or unresponsive endpoint: one that may be stuck, one that tries.
+const maxTrialCalls = 2
 
-// selectEndpoint chooses where in a queue a message goes: a sick endpoint whose trial is due, else a healthy
-// one with the fewest calls out, in the relay's own zone; of these the one used last, whose connection may
-// still stand, or in turns, from a lot of the relay's own on, where relays are too many to keep connections.
+// selectEndpoint returns the endpoint of a queue that a message goes to, or nil if none takes it now.
 func (d *Dispatcher) selectEndpoint(q *queue, m *message) *endpoint {
 	var best *endpoint
 	for _, ep := range q.endpoints {
-		if !d.acceptsCall(ep) || !d.retryAllowed(m, ep) || ep.sick && len(m.attempts) > 0 && len(q.endpoints) > 1 {
+		if !d.acceptsCall(ep) || !d.retryAllowed(m, ep) {
 			continue
 		}
+		if ep.health.isUnhealthy() && len(m.attempts) > 0 && len(q.endpoints) > 1 {
+			continue // a retry is no trial request where there are other endpoints
+		}
 		if best == nil || d.preferred(m, ep, best) {
 			best = ep
 		}
@@ -21,64 +20,77 @@
 	return best
 }
 
+// preferred reports whether a message goes to endpoint a rather than to b: to an unhealthy one whose trial request is due, else to a
+// responsive one that has not failed the message or its class, with the fewest calls in flight, in the relay's own zone.
 func (d *Dispatcher) preferred(m *message, a, b *endpoint) bool {
-	if a.sick != b.sick {
-		return a.sick // its trial is due
+	if a.health.isUnhealthy() != b.health.isUnhealthy() {
+		return a.health.isUnhealthy() // its trial request is due
 	}
-	if s, t := d.unresponsive(a), d.unresponsive(b); s != t {
-		return t
+	if unresponsiveA, unresponsiveB := d.unresponsive(a), d.unresponsive(b); unresponsiveA != unresponsiveB {
+		return unresponsiveB
 	}
-	if s, t := m.penalty(a), m.penalty(b); s != t {
-		return s < t
+	if penaltyA, penaltyB := m.penalty(a), m.penalty(b); penaltyA != penaltyB {
+		return penaltyA < penaltyB
 	}
 	if len(a.inFlight) != len(b.inFlight) {
 		return len(a.inFlight) < len(b.inFlight)
 	}
-	if near, far := a.Zone == d.settings.Zone, b.Zone == d.settings.Zone; near != far {
-		return near
+	if ownZoneA, ownZoneB := a.Zone == d.settings.Zone, b.Zone == d.settings.Zone; ownZoneA != ownZoneB {
+		return ownZoneA
 	}
+	return d.preferredByLastUse(a, b)
+}
+
+// preferredByLastUse reports whether a goes before b among equals. Where relays keep idle connections it is the endpoint used last,
+// whose connection may still be open. Where they don't, endpoints take turns, from a random one on: that guards against a fleet in
+// which each relay has reason to take the same endpoint, the first listed and then the one it took last.
+func (d *Dispatcher) preferredByLastUse(a, b *endpoint) bool {
 	if d.keepsIdleConns() {
-		return a.lastUsed > b.lastUsed // its connection may still stand
+		return a.lastUsed > b.lastUsed
 	}
-	// Guards against a fleet in which each relay has reason to take the same endpoint: the first listed, then
-	// the one it took last.
 	return a.lastUsed < b.lastUsed || a.lastUsed == b.lastUsed && a.tieBreaker < b.tieBreaker
 }
 
-// penalty counts what speaks against an endpoint for a message: failures of its class in a row, and a
-// try of its own, the last, that did not succeed. An endpoint may fail one class and serve the others.
+// penalty counts what speaks against an endpoint for a message: consecutive failures of its class, and its own last attempt there.
+// An endpoint may fail one class and serve the others.
 func (m *message) penalty(ep *endpoint) float64 {
-	n := ep.classFailures[m.Class]
+	failures := ep.classFailures[m.Class]
 	if i := len(m.attempts); i > 0 && m.attempts[i-1].call.endpoint == ep {
-		n++
+		failures++
 	}
-	return n
+	return failures
 }
 
-// acceptsCall tells whether an endpoint may get a call now.
+// acceptsCall reports whether an endpoint may get a call now.
 func (d *Dispatcher) acceptsCall(ep *endpoint) bool {
 	if ep.Draining || ep.Removed || ep.connLimit > 0 && float64(len(ep.inFlight)+1) > ep.connLimit {
 		return false
 	}
-	if ep.sick {
-		trials := 0
-		for _, c := range ep.inFlight {
-			if c.sent >= ep.unhealthySince {
-				trials++
-			}
-		}
-		return trials < maxTrialCalls && d.recoveryTokens(ep) >= 1
+	if ep.health.isUnhealthy() {
+		return ep.trialCalls() < maxTrialCalls && d.recoveryTokens(ep) >= 1
 	}
-	if ep.ramping && d.recoveryTokens(ep) < 1 {
+	if ep.health == slowStart && d.recoveryTokens(ep) < 1 {
 		return false
 	}
 	return !d.unresponsive(ep) || len(ep.inFlight) < maxTrialCalls
 }
 
-// unresponsive tells whether an endpoint has a call out for far longer than usual and no success since it.
+// trialCalls returns how many calls in flight to an unhealthy endpoint were sent since it became unhealthy.
+func (ep *endpoint) trialCalls() int {
+	trials := 0
+	for _, c := range ep.inFlight {
+		if c.sent >= ep.unhealthySince {
+			trials++
+		}
+	}
+	return trials
+}
+
+// unresponsive reports whether an endpoint has a call in flight for far longer than usual and no success since it was sent.
 func (d *Dispatcher) unresponsive(ep *endpoint) bool {
-	if len(ep.inFlight) == 0 || ep.queue.meanLatency == 0 {
+	if len(ep.inFlight) == 0 || ep.queue.latency.mean == 0 {
 		return false
 	}
-	return ep.lastSuccess <= ep.inFlight[0].sent && d.now >= d.overdueAt(ep.inFlight[0], unresponsiveFactor)
+	oldest := ep.inFlight[0]
+	return ep.lastSuccess <= oldest.sent && d.now >= d.overdueAt(oldest, unresponsiveFactor)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,61 +1,61 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-const (
-	// latencyGain is the weight of a new outcome in a mean latency: about the last ten calls count.
-	latencyGain = 0.1
-)
+// latencyGain is the weight of a new outcome in a mean latency: about the last ten calls count.
+const latencyGain = 0.1
 
 // latencyStats are mean latencies in seconds; 0 for unknown.
 type latencyStats struct {
-	latencySamples int     // outcomes counted
-	meanLatency    float64 // of all classes
-	classLatency   []float64
+	samples int       // outcomes counted
+	mean    float64   // of all classes
+	byClass []float64 // means by class
 }
 
-// observe adds a latency to the means; the first ones weigh more, as what was there is borrowed.
-func (l *latencyStats) observe(class int, took float64) {
-	l.latencySamples++
-	gain := math.Max(latencyGain, 1/float64(l.latencySamples+1))
-	for _, mean := range []*float64{&l.meanLatency, &l.classLatency[class]} {
-		if *mean == 0 {
-			*mean = took
-		}
-		*mean += gain * (took - *mean)
+// observe adds a latency to the means; the first ones weigh more, as what was there comes from other destinations.
+func (l *latencyStats) observe(class int, latency float64) {
+	l.samples++
+	gain := math.Max(latencyGain, 1/float64(l.samples+1))
+	observeMean(&l.mean, latency, gain)
+	observeMean(&l.byClass[class], latency, gain)
+}
+
+// observeMean moves a mean towards a latency; an unknown one becomes it.
+func observeMean(mean *float64, latency, gain float64) {
+	if *mean == 0 {
+		*mean = latency
 	}
+	*mean += gain * (latency - *mean)
 }
 
-// latencyOfKind gives what is known of a kind.
+// latencyOfKind returns the latencies of all destinations of a kind.
 func (d *Dispatcher) latencyOfKind(kind int) *latencyStats {
 	if d.kindLatency[kind] == nil {
-		d.kindLatency[kind] = &latencyStats{classLatency: make([]float64, len(d.settings.Classes))}
+		d.kindLatency[kind] = &latencyStats{byClass: make([]float64, len(d.settings.Classes))}
 	}
 	return d.kindLatency[kind]
 }
 
 // fillUnknownLatency fills what a queue does not know of its latencies from all destinations of its kind.
 func (d *Dispatcher) fillUnknownLatency(q *queue) {
-	pool := d.latencyOfKind(q.kind)
-	if pool.latencySamples == 0 {
+	ofKind := d.latencyOfKind(q.kind)
+	if ofKind.samples == 0 {
 		return
 	}
-	if q.latencySamples == 0 {
-		q.meanLatency = pool.meanLatency
+	if q.latency.samples == 0 {
+		q.latency.mean = ofKind.mean
 	}
-	for i, mean := range q.classLatency {
-		if mean == 0 || q.latencySamples == 0 {
-			q.classLatency[i] = pool.classLatency[i]
+	for i, mean := range q.latency.byClass {
+		if mean == 0 || q.latency.samples == 0 {
+			q.latency.byClass[i] = ofKind.byClass[i]
 		}
 	}
 }
 
-// agedLatency is the mean latency of a queue with the ages of calls out counted in, so that a hang shows
-// before any outcome.
+// agedLatency returns the mean latency of a queue with the ages of calls in flight counted in, so that a hang shows before any
+// outcome.
 func (d *Dispatcher) agedLatency(q *queue) float64 {
-	mean := q.meanLatency
+	mean := q.latency.mean
 	for _, c := range q.inFlight {
 		if age := (d.now - c.sent).Seconds(); age > mean {
 			mean += latencyGain * (age - mean)
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -122,13 +122,13 @@
 			d.recordReportedLimit(q, 20)
 		}
 		before, now := q.sendRate, time.Second
-		for i := 0; !d.endpoints["a"].sick; i++ {
+		for i := 0; !d.endpoints["a"].health.isUnhealthy(); i++ {
 			if i == 60 {
 				t.Fatalf("%s: not sick after %d refusals", tt.name, i)
 			}
 			id := fmt.Sprint("m", i)
 			d.Handle(now, []Event{arrive(id, 0)})
-			if m := d.messages[id]; m != nil && m.open > 0 {
+			if m := d.messages[id]; m != nil && m.openAttempts > 0 {
 				d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
 				if i == 0 && (q.sendRate < before) != tt.cut {
 					t.Errorf("%s: pace %v after %v", tt.name, q.sendRate, before)
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -1,19 +1,19 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	// loweredLimitShare is the share of its listed rate under which a reported limit counts: reports are noisy, and
-	// a receiver that lowers its limit lowers it by far more. limitGain is a report's weight in that limit.
-	loweredLimitShare, reportGain = 0.7, 0.3
-	// minRemaining of its allowance a destination must report for a pace to rise, where it reports at all.
+	// loweredLimitShare is the share of its listed rate under which a reported limit counts: reports are noisy, and a destination
+	// that lowers its limit lowers it by far more.
+	loweredLimitShare = 0.7
+	// reportGain is the weight of a new report in the reported limit.
+	reportGain = 0.3
+	// minRemaining of its allowance a destination must report for a send rate to rise, where it reports at all.
 	minRemaining = 0.5
 )
 
-// recordReportedLimit takes in the limit that a destination tells of itself: it may lower what it is listed with for a
-// while, and what goes there above that is refused. The pace begins anew at the even share of what it is now.
+// recordReportedLimit learns from the rate limit that a destination reports: it may take less than it is listed with for a while,
+// and rejects what it gets above that. The send rate starts anew at the even share where the limit has changed.
 func (d *Dispatcher) recordReportedLimit(q *queue, limit float64) {
 	if !(limit > 0) || math.IsInf(limit, 0) || q.listedRate == 0 {
 		return
@@ -24,7 +24,8 @@
 	} else {
 		q.reportedLimit += reportGain * (limit - q.reportedLimit)
 	}
-	if now := q.totalRate(); q.sendRate > 0 && (now < loweredLimitShare*before || before < loweredLimitShare*now) {
-		q.sendRate = math.Max(d.evenShare(q), math.Min(now, minCallsPerSpan/countingSpan.Seconds()))
+	now := q.totalRate()
+	if q.sendRate > 0 && (now < loweredLimitShare*before || before < loweredLimitShare*now) {
+		q.sendRate = math.Max(d.evenShare(q), math.Min(now, minStartRate()))
 	}
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -1,74 +1,84 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
+
+// backgroundSeqOffset puts a background message behind all others of its queue: no process accepts as many.
+const backgroundSeqOffset = 1 << 40
+
+// messageState says what a message still owes and is owed. The transitions:
+//
+//	active         -> completed       delivered, cancelled, or given up where no acknowledgement is awaited
+//	active         -> unacknowledged  given up, and the next message of its order key waits for the acknowledgement
+//	unacknowledged -> completed       Acknowledged
+//
+// An active message is queued (queue is set) or has attempts in flight. A completed one is evicted once none of its attempts is in
+// flight and its order key has cooled down.
+type messageState int
 
 const (
-	backgroundSeqOffset = 1 << 40
+	messageActive         messageState = iota // has no terminal outcome yet
+	messageUnacknowledged                     // its terminal outcome was given and is not acknowledged yet
+	messageCompleted                          // nothing is owed any more
 )
 
-// message is a message taken and not yet retired.
+// message is a message that was accepted and is not evicted yet.
 type message struct {
 	Arrived
-	class         *Class
-	seq           int
+	class         *Class // the terms that hold for it
+	seq           int    // order in its queue
 	deadline      time.Duration
-	queue         *queue // where it is held; nil while it is not
+	state         messageState
+	queue         *queue // where it is queued; nil while it is not
 	attempts      []attempt
-	open          int // attempts without an outcome
-	over          bool
-	telling       bool          // its end is still to be known where it is owed
-	cooldownUntil time.Duration // until when its key rests after it
+	openAttempts  int           // those in flight
+	cooldownUntil time.Duration // its order key stays blocked until then
 }
 
+// attemptState says whether an attempt may have executed.
+type attemptState int
+
+const (
+	attemptInFlight    attemptState = iota // has no outcome yet, and may execute
+	attemptEnded                           // has an outcome, and may have executed
+	attemptNotExecuted                     // has an outcome that proves that it did not execute
+)
+
+// attempt is one attempt of a message: its part of a call.
 type attempt struct {
 	call  *call
 	sent  time.Duration
-	open  bool
-	unrun bool // proved never to have run
+	state attemptState
 }
 
-// accept notes a new message, or gives nil where it makes no sense.
-func (d *Dispatcher) accept(e Arrived) *message {
+// accept registers a new message. One of an unknown class, or with an ID that is in use, is ignored.
+func (d *Dispatcher) accept(e Arrived) {
 	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages[e.ID] != nil {
-		return nil
+		return
 	}
 	d.lastSeq++
-	m := &message{
-		Arrived: e, class: &d.settings.Classes[e.Class], seq: d.lastSeq,
-		deadline: d.now + e.TimeLeft,
-	}
+	m := &message{Arrived: e, class: &d.settings.Classes[e.Class], seq: d.lastSeq, deadline: d.now + e.TimeLeft}
 	if e.Terms != nil {
-		m.class = e.Terms.stricter(m.class)
+		m.class = e.Terms.stricterTerms(m.class)
 	}
 	if e.Background {
 		m.seq += backgroundSeqOffset
 	}
 	d.messages[e.ID] = m
 	d.unfinished = append(d.unfinished, m)
-	if m.class.Ordered && m.OrderKey != "" {
+	if m.ordered() {
 		d.orderKeys[m.OrderKey] = append(d.orderKeys[m.OrderKey], m)
 	}
 	if e.Recovered {
 		d.recoverMessage(m)
-		return nil
-	}
-	return m
-}
-
-// dequeue takes a message out of its queue.
-func (m *message) dequeue() {
-	if m.queue != nil {
-		m.queue.queued = remove(m.queue.queued, m)
-		m.queue = nil
+		return
 	}
+	d.arrivals = append(d.arrivals, m)
 }
 
-// firstExecuted is the first attempt that may have run, or nil.
+// firstExecuted returns the first attempt that executed or may have, or nil.
 func (m *message) firstExecuted() *attempt {
 	for i := range m.attempts {
-		if !m.attempts[i].unrun {
+		if m.attempts[i].state != attemptNotExecuted {
 			return &m.attempts[i]
 		}
 	}
--- a/policy/order.go
+++ b/policy/order.go
@@ -1,14 +1,39 @@
 package policy
 
-// attemptAllowed tells whether the rules allow another attempt of a held message now.
-func (d *Dispatcher) attemptAllowed(m *message) bool {
-	if len(m.attempts) >= d.settings.MaxAttempts || d.now >= m.deadline {
+import "slices"
+
+// ordered reports whether a message is sent in order with others of its key.
+func (m *message) ordered() bool { return m.class.Ordered && m.OrderKey != "" }
+
+// inTurn reports whether no earlier message with the order key of m blocks it.
+func (d *Dispatcher) inTurn(m *message) bool {
+	return !m.ordered() || d.orderKeys[m.OrderKey][0] == m
+}
+
+// coolDown reports whether a completed message still blocks its order key: its last attempt may still be executing.
+func (d *Dispatcher) coolDown(m *message) bool {
+	if d.now >= m.cooldownUntil {
+		d.coolingDown = remove(d.coolingDown, m)
 		return false
 	}
-	if m.class.Ordered && m.OrderKey != "" {
-		if line := d.orderKeys[m.OrderKey]; line[0] != m {
-			return false
-		}
+	if !slices.Contains(d.coolingDown, m) {
+		d.coolingDown = append(d.coolingDown, m)
 	}
 	return true
 }
+
+// endKeyCooldowns evicts the completed messages whose order keys have cooled down.
+func (d *Dispatcher) endKeyCooldowns() {
+	for _, m := range slices.Clone(d.coolingDown) {
+		d.evict(m)
+	}
+}
+
+// releaseOrderKey lets the next message of an order key go.
+func (d *Dispatcher) releaseOrderKey(m *message) {
+	if waiting := remove(d.orderKeys[m.OrderKey], m); len(waiting) > 0 {
+		d.orderKeys[m.OrderKey] = waiting
+	} else {
+		delete(d.orderKeys, m.OrderKey)
+	}
+}
--- a/policy/outage_test.go
+++ b/policy/outage_test.go
@@ -11,11 +11,11 @@
 // relays and an endpoint that is out by itself are no such outage.
 func TestOutageOfAllEndpoints(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		relays int
-		weight float64
-		ends   string // each call's: c refused connection, n none in time, e error, t too late, o delivered
-		sick   int    // endpoints of eight
+		name      string
+		relays    int
+		weight    float64
+		ends      string // each call's: c refused connection, n none in time, e error, t too late, o delivered
+		unhealthy int    // endpoints of eight
 	}{
 		{"as many as one may have", 300, 3000, "cc", 0},
 		{"one more", 300, 3000, "ccc", 8},
@@ -34,7 +34,7 @@
 			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Weight: tt.weight})
 		}
 		d := start(t, s, eps...)
-		d.queues[0].meanLatency = 0.3
+		d.queues[0].latency.mean = 0.3
 		outcomes := map[rune]Outcome{'c': ConnectError, 'n': ConnectError, 'e': Failed, 't': TimedOut, 'o': Succeeded}
 		now := time.Second
 		for i, end := range tt.ends {
@@ -59,12 +59,12 @@
 		}
 		sick := 0
 		for _, ep := range d.endpoints {
-			if ep.sick {
+			if ep.health.isUnhealthy() {
 				sick++
 			}
 		}
-		if sick != tt.sick || d.UnhealthyEndpoints() != tt.sick {
-			t.Errorf("%s: %d of eight endpoints sick, want %d", tt.name, sick, tt.sick)
+		if sick != tt.unhealthy || d.UnhealthyEndpoints() != tt.unhealthy {
+			t.Errorf("%s: %d of eight endpoints sick, want %d", tt.name, sick, tt.unhealthy)
 		}
 	}
 
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	if !d.endpoints["a"].sick || d.endpoints["b"].sick {
-		t.Errorf("a sick: %v, b: %v", d.endpoints["a"].sick, d.endpoints["b"].sick)
+	if !d.endpoints["a"].health.isUnhealthy() || d.endpoints["b"].health.isUnhealthy() {
+		t.Errorf("a sick: %v, b: %v", d.endpoints["a"].health.isUnhealthy(), d.endpoints["b"].health.isUnhealthy())
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -95,7 +95,7 @@
 	if u := d.backlog(q); u != 0 {
 		t.Errorf("idle: u = %v, want 0", u)
 	}
-	q.meanLatency = 0.5
+	q.latency.mean = 0.5
 	q.queued = make([]*message, 6)
 	if u := d.backlog(q); u != 3 {
 		t.Errorf("six held, none out: u = %v, want 6 × 0.5", u)
@@ -127,7 +127,7 @@
 	}
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.meanLatency = 2
+	q.latency.mean = 2
 	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
 		d.feedShadowQueue(q, 3)
 		if q.shadowRejections.value != want {
@@ -393,7 +393,7 @@
 		t.Errorf("budget when warm: %v, want %v", got, want)
 	}
 	d.now = 12 * time.Second
-	if d.recoveryTokens(ep); ep.ramping {
+	if d.recoveryTokens(ep); ep.health == slowStart {
 		t.Error("still ramping after the ramp time")
 	}
 }
@@ -405,8 +405,8 @@
 	d.Handle(10*ms, []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Succeeded, Final: true}, arrive("m3", 0)})
 	d.Handle(20*ms, []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
-	if ep.sick || ep.consecutiveFailures > 0 || ep.connLimit != 1 {
-		t.Errorf("sick %v, failures %v, cap %v", ep.sick, ep.consecutiveFailures, ep.connLimit)
+	if ep.health.isUnhealthy() || ep.consecutiveFailures > 0 || ep.connLimit != 1 {
+		t.Errorf("sick %v, failures %v, cap %v", ep.health.isUnhealthy(), ep.consecutiveFailures, ep.connLimit)
 	}
 	for range 20 {
 		d.recordSuccess(ep, true)
@@ -421,7 +421,7 @@
 func TestLostCallIsSentAgain(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.observe(0, 0.1)
+	q.latency.observe(0, 0.1)
 	d.Handle(0, []Event{arrive("lost", 0)})
 	d.Handle(50*ms, []Event{arrive("m", 0)})
 	expect(t, "nothing overtook it", d.Handle(140*ms, []Event{TimerFired{}}), "")
@@ -435,8 +435,8 @@
 	s := plain()
 	s.MaxInFlight = 2
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
-	d.queues[0].observe(0, 0.1)
-	d.queues[1].observe(0, 0.1)
+	d.queues[0].latency.observe(0, 0.1)
+	d.queues[1].latency.observe(0, 0.1)
 	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second} }
 	d.Handle(0, []Event{at("m", 0)})
 	d.Handle(100*ms, []Event{at("n", 1)})
@@ -474,7 +474,7 @@
 	s.ZoneCost = []float64{0.06, 0}
 	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
-	d.queues[1].meanLatency, d.queues[1].classLatency[0] = 5, 5
+	d.queues[1].latency.mean, d.queues[1].latency.byClass[0] = 5, 5
 	expect(t, "the faster at a fee", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
 }
 
@@ -556,7 +556,7 @@
 	for _, tt := range tests {
 		d := start(t, s, Endpoint{ID: "a"})
 		q := d.queues[0]
-		q.meanLatency = 0.5
+		q.latency.mean = 0.5
 		for range tt.held {
 			q.queued = append(q.queued, &message{class: &s.Classes[1], deadline: time.Hour, queue: q})
 		}
@@ -570,8 +570,8 @@
 		d.unfinished = append(d.unfinished, m)
 		q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
 		d.admit(m)
-		if m.over != tt.refused {
-			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, m.over)
+		if (m.state != messageActive) != tt.refused {
+			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, (m.state != messageActive))
 		}
 	}
 }
@@ -580,7 +580,7 @@
 func TestNoAttemptWithoutTime(t *testing.T) {
 	d := start(t, plain())
 	d.Handle(0, []Event{arrive("m", 0)})
-	d.queues[0].observe(0, 0.5)
+	d.queues[0].latency.observe(0, 0.5)
 	expect(t, "0.6 s left, 0.5 s needed", d.Handle(9400*ms, []Event{TimerFired{}}), "")
 	expect(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "refuse m")
 }
@@ -588,9 +588,9 @@
 // TestGrayErrors guards against taking a share of failing calls for an outage.
 func TestGrayErrors(t *testing.T) {
 	tests := []struct {
-		outcome Outcome
-		n       int
-		sick    bool
+		outcome   Outcome
+		n         int
+		unhealthy bool
 	}{{ConnectionReset, 3, false}, {ConnectionReset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false}, {ConnectError, 2, true}}
 	for _, tt := range tests {
 		d := start(t, plain(), Endpoint{ID: "a"})
@@ -598,7 +598,7 @@
 		for i := range tt.n {
 			d.Handle(time.Duration(i+1)*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
-		if got := d.endpoints["a"].sick; got != tt.sick {
+		if got := d.endpoints["a"].health.isUnhealthy(); got != tt.unhealthy {
 			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
 		}
 	}
@@ -735,7 +735,7 @@
 	s := plain()
 	s.MaxInFlight = 1
 	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	d.queues[0].observe(2, 0.1)
+	d.queues[0].latency.observe(2, 0.1)
 	d.unansweredShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
 	expect(t, "no slot is wanted", d.Handle(3*time.Second, []Event{TimerFired{}}), "")
@@ -752,11 +752,11 @@
 		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second},
 	})
 	q := d.queues[1]
-	if q.classLatency[0] != 0.4 || q.meanLatency != 0.4 {
-		t.Errorf("b borrows %v, %v, want what a took", q.classLatency[0], q.meanLatency)
+	if q.latency.byClass[0] != 0.4 || q.latency.mean != 0.4 {
+		t.Errorf("b borrows %v, %v, want what a took", q.latency.byClass[0], q.latency.mean)
 	}
-	q.observe(0, 0.2)
-	if got := q.classLatency[0]; math.Abs(got-0.3) > 1e-9 {
+	q.latency.observe(0, 0.2)
+	if got := q.latency.byClass[0]; math.Abs(got-0.3) > 1e-9 {
 		t.Errorf("own first outcome counts half: %v, want 0.3", got)
 	}
 }
@@ -776,7 +776,7 @@
 func TestImpatientClients(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.meanLatency = 0.5
+	q.latency.mean = 0.5
 	q.arrivals.add(0, 100)
 	q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
 	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
@@ -786,11 +786,11 @@
 func TestOwnStall(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	q := d.queues[0]
-	q.observe(0, 0.1)
+	q.latency.observe(0, 0.1)
 	d.Handle(0, []Event{arrive("m", 0)})
 	d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 100 * ms, Final: true}})
-	if math.Abs(q.meanLatency-0.1) > 1e-9 || d.unansweredShare != 0 {
-		t.Errorf("mean %v, unanswered %v after a pause of our own", q.meanLatency, d.unansweredShare)
+	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.unansweredShare != 0 {
+		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.unansweredShare)
 	}
 }
 
@@ -844,11 +844,11 @@
 			}
 			d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
 			d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
-			if d.endpoints["a"].sick {
+			if d.endpoints["a"].health.isUnhealthy() {
 				sick++
 			}
 			d.recordRejection(d.queues[0], false)
-			if d.recordRejection(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].sick {
+			if d.recordRejection(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].health.isUnhealthy() {
 				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
 			}
 		}
@@ -927,12 +927,12 @@
 		d := start(t, plain(), Endpoint{ID: "a"})
 		d.markUnhealthy(d.endpoints["a"])
 		d.Handle(ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
-		if !d.endpoints["b"].sick {
+		if !d.endpoints["b"].health.isUnhealthy() {
 			t.Errorf("old one gone %v: the new one is not on its budget", gone)
 		}
 		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(2*ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "c"}}}})
-		if d.endpoints["c"].sick {
+		if d.endpoints["c"].health.isUnhealthy() {
 			t.Error("a new one after the return is on a budget")
 		}
 	}
--- a/policy/rate_control.go
+++ b/policy/rate_control.go
@@ -6,39 +6,43 @@
 )
 
 const (
-	// rateIncrease of itself is added to a pace by a success that found messages waiting for it, and a
-	// refusal cuts it to paceCut: about one refused call in eight where the limit binds all the time.
-	// It is raised so raisesASecond times at most, however many calls succeed: a destination that takes many
-	// would be overrun within a second, and refused calls use its limit up.
-	rateIncrease, rateDecrease, maxIncreasesPerSecond = 0.1, 0.8, 10
-	// minShareOfEven is the least part of its even share that a queue's pace falls to: a rough weight that is
-	// half too high is met by two thirds.
+	// rateIncrease of itself is added to a send rate by a success that found messages queued.
+	rateIncrease = 0.1
+	// rateDecrease is what a rejection cuts a send rate to: with rateIncrease, about one rejected call in eight where the limit
+	// binds all the time.
+	rateDecrease = 0.8
+	// maxIncreasesPerSecond bounds the increases, however many calls succeed: a destination that takes many would be overrun within
+	// a second, and rejected calls count against its limit.
+	maxIncreasesPerSecond = 10
+	// minShareOfEven is the least part of its even share that a send rate falls to: a rough weight that is half too high is met by
+	// two thirds.
 	minShareOfEven = 0.7
-	// minCallsPerSpan a span is where a pace starts at least: where the even share is less, relays come by
-	// chance, and refusals tell sooner than shares how much the others leave. Each halves what is above.
+	// minCallsPerSpan is where a send rate starts at least: where the even share is less, relays have calls by chance, and
+	// rejections tell sooner than shares how much the others leave. Each halves what is above.
 	minCallsPerSpan = 0.5
-	// countingSpan of pace may be sent at once: receivers count calls in spans of about this length.
+	// countingSpan of the send rate may be sent at once: destinations count calls in spans of about this length.
 	countingSpan = time.Second
 )
 
-// sendTokens is what the pace of a queue allows to be sent now.
-func (d *Dispatcher) sendTokens(q *queue) float64 {
-	return q.refill(d.now, q.sendRate, math.Max(1, q.sendRate*countingSpan.Seconds()))
-}
+// minStartRate returns the least send rate that a queue starts with, in calls per second.
+func minStartRate() float64 { return minCallsPerSpan / countingSpan.Seconds() }
 
-func (d *Dispatcher) consumeToken(q *queue) {
-	if q.sendRate > 0 {
-		d.sendTokens(q)
-		q.tokens--
+// setListedRate applies the rate that a queue's destination is listed with. The send rate starts anew where it has changed.
+func (d *Dispatcher) setListedRate(q *queue, rate float64) {
+	if d.settings.Weights == WeightsOff || !(rate > 0) || math.IsInf(rate, 0) || rate == q.listedRate {
+		return
 	}
+	q.listedRate = rate
+	q.sendRate = math.Max(d.evenShare(q), minStartRate())
+	q.sendBucket = tokenBucket{tokens: math.Max(1, q.sendRate*countingSpan.Seconds()), refilledAt: d.now}
 }
 
-// evenShare is this relay's even share of a queue's limit, in calls a second.
+// evenShare returns this relay's even share of a queue's rate limit, in calls per second.
 func (d *Dispatcher) evenShare(q *queue) float64 {
 	return q.totalRate() / float64(d.settings.Instances)
 }
 
-// totalRate is the calls a second that a queue's destination takes from all relays just now; 0 for unknown.
+// totalRate returns the calls per second that a queue's destination takes from all relays just now; 0 for unknown.
 func (q *queue) totalRate() float64 {
 	if q.reportedLimit > 0 && q.reportedLimit < loweredLimitShare*q.listedRate {
 		return q.reportedLimit
@@ -46,17 +50,36 @@
 	return q.listedRate
 }
 
-// setListedRate takes in the rate that a queue's destination is listed with.
-func (d *Dispatcher) setListedRate(q *queue, weight float64) {
-	if d.settings.Weights == WeightsOff || !(weight > 0) || math.IsInf(weight, 0) || weight == q.listedRate {
+// lowTraffic reports whether a second trial request is more than this relay's part of what a cold destination takes.
+func (d *Dispatcher) lowTraffic(q *queue) bool {
+	return q.listedRate > 0 && d.evenShare(q)*countingSpan.Seconds() < minCallsPerSpan
+}
+
+// raiseSendRate raises a queue's send rate after a success, where messages wait for it.
+func (d *Dispatcher) raiseSendRate(q *queue) {
+	if q.sendRate <= 0 || len(q.queued) == 0 {
 		return
 	}
-	q.listedRate = weight
-	q.sendRate = math.Max(d.evenShare(q), minCallsPerSpan/countingSpan.Seconds())
-	q.tokens, q.refilledAt = math.Max(1, q.sendRate*countingSpan.Seconds()), d.now
+	base := math.Max(d.evenShare(q), math.Min(q.sendRate, minStartRate()))
+	q.sendRate = math.Min(q.sendRate+rateIncrease*base*math.Min(1, maxIncreasesPerSecond/q.sendRate), q.totalRate())
 }
 
-// lowTraffic tells whether a second knock is more than this relay's part of what a cold destination takes.
-func (d *Dispatcher) lowTraffic(q *queue) bool {
-	return q.listedRate > 0 && d.evenShare(q)*countingSpan.Seconds() < minCallsPerSpan
+// lowerSendRate lowers a queue's send rate after a rejection. Nothing is sent at once then.
+func (d *Dispatcher) lowerSendRate(q *queue) {
+	lowered := math.Min(q.sendRate*rateDecrease, (q.sendRate+d.evenShare(q))/2)
+	q.sendRate = math.Max(minShareOfEven*d.evenShare(q), lowered)
+	q.sendBucket.tokens = math.Min(q.sendBucket.tokens, 0)
+}
+
+// sendTokens returns how many calls the send rate of a queue allows now.
+func (d *Dispatcher) sendTokens(q *queue) float64 {
+	return q.sendBucket.refill(d.now, q.sendRate, math.Max(1, q.sendRate*countingSpan.Seconds()))
+}
+
+// consumeSendToken takes the token for a call, where a queue has a send rate.
+func (d *Dispatcher) consumeSendToken(q *queue) {
+	if q.sendRate > 0 {
+		d.sendTokens(q)
+		q.sendBucket.tokens--
+	}
 }
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -6,38 +6,46 @@
 )
 
 const (
-	// backoffCalls at the pace, and leastPause where no pace is known, is the first pause after a refusal,
-	// longestHold the longest: about the longest span in which receivers count calls.
-	backoffCalls, minBackoff, maxBackoff = 0.5, 100 * time.Millisecond, time.Second
+	// backoffCalls at the send rate is the first backoff after a rejection.
+	backoffCalls = 0.5
+	// minBackoff is the first backoff where no send rate is known.
+	minBackoff = 100 * time.Millisecond
+	// maxBackoff is the longest: about the longest span in which destinations count calls.
+	maxBackoff = time.Second
 )
 
-// recordRejection notes a refusal by the destination: a cut of the pace and a pause, twice as long for each
-// refusal in a row, since refused calls may eat the limit; a run of them is a destination that is shut. A
-// refusal at the door says nothing of the limit: it pauses, and leaves the pace.
-func (d *Dispatcher) recordRejection(q *queue, door bool) {
+// recordRejection learns from a rejection by the destination: it lowers the send rate and begins a backoff. A run of rejections is
+// a destination that is unavailable. A rejection of the connection, before the rate limit was looked at, says nothing of the limit:
+// it leaves the send rate and holds back new connections only.
+func (d *Dispatcher) recordRejection(q *queue, ofConnection bool) {
 	if q.rejections++; q.rejections == 1 {
 		q.firstRejection = d.now
 	}
-	if q.sendRate > 0 && !door {
-		q.sendRate = math.Max(minShareOfEven*d.evenShare(q), math.Min(q.sendRate*rateDecrease, (q.sendRate+d.evenShare(q))/2))
-		q.tokens = math.Min(q.tokens, 0)
+	if q.sendRate > 0 && !ofConnection {
+		d.lowerSendRate(q)
 	}
-	hold := math.Max(minBackoff.Seconds(), q.meanLatency)
-	if q.sendRate > 0 {
-		hold = backoffCalls / math.Max(q.sendRate, minCallsPerSpan/countingSpan.Seconds())
-	}
-	hold = math.Min(hold*math.Pow(2, float64(q.rejections-1)), math.Max(hold, maxBackoff.Seconds()))
-	hold *= 0.5 + d.random.Float64() // relays that were refused together do not come back together
-	until := &q.backoffUntil
-	if door {
-		until = &q.connHoldUntil // what is in already may go on
+	backoffUntil := d.now + time.Duration(d.rejectionBackoff(q)*float64(time.Second))
+	if ofConnection {
+		q.connHoldUntil = max(q.connHoldUntil, backoffUntil) // open connections may go on
 	} else {
 		q.lastLimitRejection = d.now
+		q.backoffUntil = max(q.backoffUntil, backoffUntil)
+	}
+	q.backoffStart = d.now
+	if d.unhealthyEarly(q, q.rejections) ||
+		q.rejections > unhealthyThreshold && d.now-q.firstRejection > unavailableAfter {
+		d.markAllUnhealthy(q)
 	}
-	*until, q.backoffStart = max(*until, d.now+time.Duration(hold*float64(time.Second))), d.now
-	if d.unhealthyEarly(q, q.rejections) || q.rejections > unhealthyThreshold && d.now-q.firstRejection > unavailableAfter {
-		for _, ep := range q.endpoints {
-			d.markUnhealthy(ep)
-		}
+}
+
+// rejectionBackoff returns the seconds to wait after a rejection: twice as long for each in a row, since rejected calls may count
+// against the limit, and at random within half to three halves of that, so that relays that were rejected together do not come back
+// together.
+func (d *Dispatcher) rejectionBackoff(q *queue) float64 {
+	first := math.Max(minBackoff.Seconds(), q.latency.mean)
+	if q.sendRate > 0 {
+		first = backoffCalls / math.Max(q.sendRate, minStartRate())
 	}
+	backoff := math.Min(first*math.Pow(2, float64(q.rejections-1)), math.Max(first, maxBackoff.Seconds()))
+	return backoff * (0.5 + d.random.Float64())
 }
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -43,7 +43,7 @@
 // A message that was taken on before is not up for admission again.
 func TestResumedIsNotRefusedForBacklog(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
-	d.destination(0).queues[0].meanLatency, d.destination(0).queues[0].retryAfterUntil = 1, 60*time.Second
+	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].retryAfterUntil = 1, 60*time.Second
 	expect(t, "a fresh one", d.Handle(time.Second, []Event{arrive("n", 0)}), "refuse n")
 	expect(t, "a resumed one", d.Handle(time.Second, []Event{resumed("m", 0)}), "")
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,10 +1,13 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// retryAllowed tells whether effects allow another attempt, at ep if it is given.
+// attemptAllowed reports whether limits and order allow another attempt of a queued message now.
+func (d *Dispatcher) attemptAllowed(m *message) bool {
+	return len(m.attempts) < d.settings.MaxAttempts && d.now < m.deadline && d.inTurn(m)
+}
+
+// retryAllowed reports whether idempotency allows another attempt, at ep unless that is nil.
 func (d *Dispatcher) retryAllowed(m *message, ep *endpoint) bool {
 	first := m.firstExecuted()
 	switch {
@@ -18,12 +21,12 @@
 	return d.now < d.keyExpiry(m)
 }
 
-// keyExpiry is when a destination may not remember any more that a keyed message has run there.
+// keyExpiry returns when a destination may have forgotten the idempotency key of a message that may have executed there.
 func (d *Dispatcher) keyExpiry(m *message) time.Duration {
 	return m.firstExecuted().sent + m.class.KeyTTL - 2*d.settings.BatchInterval
 }
 
-// retryableCall tells whether every message of a call may be sent again after it.
+// retryableCall reports whether every message of a call may be sent again after it.
 func (d *Dispatcher) retryableCall(c *call) bool {
 	for _, m := range c.messages {
 		if m.class.Idempotency == NotIdempotent || !d.retryAllowed(m, nil) || len(m.attempts) >= d.settings.MaxAttempts {
@@ -32,3 +35,20 @@
 	}
 	return true
 }
+
+// afterAttempt decides what becomes of a message after one of its attempts: it is complete, waits for another attempt in flight,
+// is given up, or is queued for a retry.
+func (d *Dispatcher) afterAttempt(m *message, e AttemptEnded) {
+	switch {
+	case e.Final || e.Outcome == Succeeded:
+		d.complete(m, messageCompleted)
+	case m.state != messageActive:
+		d.evict(m)
+	case m.openAttempts > 0:
+	case m.Background, e.AttemptsExhausted, len(m.attempts) >= d.settings.MaxAttempts,
+		d.now >= m.deadline-d.settings.BatchInterval, !d.retryAllowed(m, nil):
+		d.giveUp(m)
+	default:
+		d.enqueue(d.selectRoute(m), m)
+	}
+}
--- a/policy/retune_test.go
+++ b/policy/retune_test.go
@@ -65,7 +65,7 @@
 		{"gone", s, gone, s},
 	}
 	for _, tt := range tests {
-		if got := *tt.old.stricter(&tt.now); got != tt.want {
+		if got := *tt.old.stricterTerms(&tt.now); got != tt.want {
 			t.Errorf("%s: %+v, want %+v", tt.name, got, tt.want)
 		}
 	}
--- a/policy/route_selection.go
+++ b/policy/route_selection.go
@@ -2,12 +2,14 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-// selectRoute chooses the queue of a message. Among routes apart it takes the least added cost, in the manner
-// of the paper's rule (25): worth lost by lateness, the fee, and the work left (priced so that a whole
-// deadline of it costs one message).
+// maxExpectedSeconds bounds an expected latency, so that it fits into a time.Duration.
+const maxExpectedSeconds = 1e6
+
+// selectRoute returns the queue for a message. Among separate routes it is the one with the least cost.
 func (d *Dispatcher) selectRoute(m *message) *queue {
 	dest := d.destination(m.Destination)
 	best, least := dest.queues[0], math.Inf(1)
@@ -16,23 +18,29 @@
 		if !q.separateRoute || !q.acceptsWork() {
 			continue
 		}
-		done := d.backlog(q) + math.Max(q.classLatency[m.Class], d.agedLatency(q))
-		late := m.deadline - d.now - time.Duration(math.Min(done, 1e6)*float64(time.Second))
-		cost := m.class.PriorityWeight*(1-m.class.valueAt(m.class.Deadline-late)) +
-			d.meanPriorityWeight*done/m.class.Deadline.Seconds()
-		if zone := q.endpoints[0].Zone; zone >= 0 && zone < len(d.settings.ZoneCost) {
-			cost += d.settings.ZoneCost[zone] * d.meanPriorityWeight
-		}
-		if cost < least {
+		if cost := d.routeCost(q, m); cost < least {
 			best, least = q, cost
 		}
 	}
 	return best
 }
 
-// rerouteQueued lets the held messages of a queue choose their route again.
+// routeCost returns the cost that a message adds on a route, in the manner of the paper's rule (25): the value lost by lateness,
+// the work left (priced so that a whole deadline of it costs one message) and the fee of the route's zone.
+func (d *Dispatcher) routeCost(q *queue, m *message) float64 {
+	latency := d.backlog(q) + math.Max(q.latency.byClass[m.Class], d.agedLatency(q))
+	timeLeft := m.deadline - d.now - time.Duration(math.Min(latency, maxExpectedSeconds)*float64(time.Second))
+	cost := m.class.PriorityWeight*(1-m.class.valueAt(m.class.Deadline-timeLeft)) +
+		d.meanPriorityWeight*latency/m.class.Deadline.Seconds()
+	if zone := q.endpoints[0].Zone; zone >= 0 && zone < len(d.settings.ZoneCost) {
+		cost += d.settings.ZoneCost[zone] * d.meanPriorityWeight
+	}
+	return cost
+}
+
+// rerouteQueued lets the queued messages of a queue select their route again.
 func (d *Dispatcher) rerouteQueued(q *queue) {
-	for _, m := range append([]*message(nil), q.queued...) {
+	for _, m := range slices.Clone(q.queued) {
 		m.dequeue()
 		d.enqueue(d.selectRoute(m), m)
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -5,82 +5,106 @@
 	"time"
 )
 
-// Weights says what an endpoint's weight holds.
+// Weights says what the weight of an endpoint in the endpoint list means.
 type Weights int
 
 // The meanings of a weight.
 const (
-	WeightsOff     Weights = iota // nothing
-	WeightsNominal                // calls a second the destination (or route) takes from all relays
+	WeightsOff     Weights = iota // none
+	WeightsNominal                // calls per second that the destination (or route) takes from all relays
 	WeightsRough                  // the same, up to half too high or too low
 )
 
 // DestinationKind is one kind of destination.
 type DestinationKind struct {
-	SeparateRoutes bool // its endpoints are routes apart, each with its own limit, pace and outages
-	MaxBatch       int  // messages in one call at most
+	// SeparateRoutes says that each endpoint is a route of its own, with its own rate limit, send rate and outages. Otherwise the
+	// endpoints of a destination share all of these.
+	SeparateRoutes bool
+	MaxBatch       int // most messages in one call
 }
 
-// Settings is all that a dispatcher is told at its start.
+// Settings is the configuration of a Dispatcher.
 type Settings struct {
 	Instances        int // relays that share the traffic, this one included
-	Zone             int // of this relay, as in Endpoint
+	Zone             int // zone of this relay, as in Endpoint
 	Classes          []Class
 	Kinds            []DestinationKind
-	ZoneCost         []float64 // by zone: points of the result for all messages sent by such routes
-	MaxInFlight      int       // calls out at once
-	MaxQueued        int       // messages held, sent or not
-	MaxAttempts      int
-	Hedging          bool // two attempts of a message may be out at once
-	CanCancel        bool
-	WatchEndpoints   bool // list changes come only after Subscribe
+	ZoneCost         []float64 // by zone: cost of sending all messages by routes of that zone, as a fraction of their priority weight
+	MaxInFlight      int       // most calls in flight at once
+	MaxQueued        int       // most unfinished messages, queued or in flight
+	MaxAttempts      int       // most attempts of one message
+	Hedging          bool      // two attempts of a message may be in flight at once
+	CanCancel        bool      // a call in flight can be cancelled
+	WatchEndpoints   bool      // changes of the endpoint list come only after a WatchEndpoints action
 	Weights          Weights
-	BatchInterval    time.Duration // least time between batches
-	MaxRetryAfter    time.Duration // longest hold-off that a client honours
-	ColdCapacity     float64       // share of its capacity that a destination has after an outage
-	SlowStartTime    time.Duration // and all of it after this
-	OverloadFactor   float64       // sent more than this multiple of its present capacity
-	OverloadWindow   time.Duration // for this long, a cold destination falls over
-	IdleConnTimeout  time.Duration // idle connections close by themselves after this; 0 for never
-	OrderKeyCooldown time.Duration // rest of a key after an attempt that may still run
-	// AwaitAcknowledgement says that ends take a while to be known where they are owed, and that Settled tells when they are: until then
-	// the next message of the key waits.
+	BatchInterval    time.Duration // least time between two batches of events
+	MaxRetryAfter    time.Duration // longest Retry-After that a client honours
+	ColdCapacity     float64       // fraction of its capacity that a destination has right after an outage
+	SlowStartTime    time.Duration // time until it has all of its capacity again
+	OverloadFactor   float64       // a cold destination fails again when sent more than this multiple of its present capacity
+	OverloadWindow   time.Duration // for this long
+	IdleConnTimeout  time.Duration // idle connections close by themselves after this time; 0: never
+	OrderKeyCooldown time.Duration // time for which an order key is blocked after an attempt that may still be executing
+	// AwaitAcknowledgement says that outcomes take a while to reach the party they are owed to, and that an Acknowledged event tells
+	// when one has. Until then the next message with the same order key waits.
 	AwaitAcknowledgement bool
 }
 
-// validate names the first setting that makes no sense.
+// SettingError reports a setting without a usable value.
+type SettingError struct {
+	Setting string // its key
+	Problem string
+}
+
+// Error returns the setting's key and what is wrong with it.
+func (e *SettingError) Error() string { return e.Setting + ": " + e.Problem }
+
+func settingError(setting, format string, args ...any) error {
+	return &SettingError{Setting: setting, Problem: fmt.Sprintf(format, args...)}
+}
+
+// validate returns the first setting without a usable value as a *SettingError, or nil.
 func (s *Settings) validate() error {
-	for i, c := range s.Classes {
-		switch {
-		case c.Deadline <= 0:
-			return fmt.Errorf("Classes[%d].Deadline: %v is not above 0", i, c.Deadline)
-		case c.LatencyObjective < 0:
-			return fmt.Errorf("Classes[%d].Aim: %v is negative", i, c.LatencyObjective)
-		case c.KeyTTL < 0:
-			return fmt.Errorf("Classes[%d].Memory: %v is negative", i, c.KeyTTL)
-		case c.Idempotency < Idempotent || c.Idempotency > NotIdempotent:
-			return fmt.Errorf("Classes[%d].Effect: %d is unknown", i, c.Idempotency)
+	for i := range s.Classes {
+		if err := s.Classes[i].validate(i); err != nil {
+			return err
 		}
 	}
 	switch {
 	case len(s.Classes) == 0:
-		return fmt.Errorf("Classes: there are none")
+		return settingError("Classes", "there are none")
 	case s.Instances < 1:
-		return fmt.Errorf("Instances: %d is less than 1", s.Instances)
+		return settingError("Instances", "%d is less than 1", s.Instances)
 	case s.MaxInFlight < 1:
-		return fmt.Errorf("Slots: %d is less than 1", s.MaxInFlight)
+		return settingError("Slots", "%d is less than 1", s.MaxInFlight)
 	case s.MaxQueued < 1:
-		return fmt.Errorf("HoldRoom: %d is less than 1", s.MaxQueued)
+		return settingError("HoldRoom", "%d is less than 1", s.MaxQueued)
 	case s.MaxAttempts < 1:
-		return fmt.Errorf("MaxAttempts: %d is less than 1", s.MaxAttempts)
+		return settingError("MaxAttempts", "%d is less than 1", s.MaxAttempts)
 	case s.Weights < WeightsOff || s.Weights > WeightsRough:
-		return fmt.Errorf("Weights: %d is unknown", s.Weights)
+		return settingError("Weights", "%d is unknown", s.Weights)
 	case s.BatchInterval < 0:
-		return fmt.Errorf("Tick: %v is negative", s.BatchInterval)
+		return settingError("Tick", "%v is negative", s.BatchInterval)
 	case s.OrderKeyCooldown < 0:
-		return fmt.Errorf("OrderPause: %v is negative", s.OrderKeyCooldown)
+		return settingError("OrderPause", "%v is negative", s.OrderKeyCooldown)
 	case s.SlowStartTime < 0 || s.OverloadWindow < 0 || s.OverloadFactor < 0 || s.ColdCapacity < 0:
-		return fmt.Errorf("RampTime, OverloadFor, OverloadFactor, ColdShare: one is negative")
+		return settingError("RampTime, OverloadFor, OverloadFactor, ColdShare", "one is negative")
+	}
+	return nil
+}
+
+// validate reports the first setting of class number i without a usable value.
+func (c *Class) validate(i int) error {
+	key := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
+	switch {
+	case c.Deadline <= 0:
+		return settingError(key("Deadline"), "%v is not above 0", c.Deadline)
+	case c.LatencyObjective < 0:
+		return settingError(key("Aim"), "%v is negative", c.LatencyObjective)
+	case c.KeyTTL < 0:
+		return settingError(key("Memory"), "%v is negative", c.KeyTTL)
+	case c.Idempotency < Idempotent || c.Idempotency > NotIdempotent:
+		return settingError(key("Effect"), "%d is unknown", c.Idempotency)
 	}
 	return nil
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,11 +1,13 @@
 package policy
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
 
-// Snapshot is what a dispatcher has learned of its destinations. Times are its clock's, which the two processes share.
+// Snapshot is what a dispatcher has learned of its destinations, for the process that takes its place. Times are those of its clock,
+// which the two processes share. The JSON names are those of the stored form.
 type Snapshot struct {
 	Queues       []QueueSnapshot         `json:"queues"`
 	Endpoints    []EndpointSnapshot      `json:"endpoints"`
@@ -14,27 +16,27 @@
 	KeyCooldowns []KeyCooldownSnapshot   `json:"rests,omitempty"`
 }
 
-// KeyCooldownSnapshot is a key that rests after a message that is over.
+// KeyCooldownSnapshot is an order key that is blocked after a completed message.
 type KeyCooldownSnapshot struct {
 	Key   string        `json:"key"`
 	Until time.Duration `json:"until"`
 }
 
-// LatencySnapshot are mean latencies in seconds.
+// LatencySnapshot holds mean latencies in seconds.
 type LatencySnapshot struct {
 	N     int       `json:"n,omitempty"`
 	Mean  float64   `json:"mean,omitempty"`
 	Class []float64 `json:"class,omitempty"`
 }
 
-// CounterSnapshot is a count that fades.
+// CounterSnapshot is a decaying counter.
 type CounterSnapshot struct {
 	N     float64       `json:"n,omitempty"`
 	At    time.Duration `json:"at,omitempty"`
 	Since time.Duration `json:"since,omitempty"`
 }
 
-// QueueSnapshot is what is known of a destination, or of one route of it, which an endpoint names then.
+// QueueSnapshot is what is known of a destination, or of the route of it that is named by its endpoint.
 type QueueSnapshot struct {
 	Destination    int             `json:"destination"`
 	Route          string          `json:"route,omitempty"`
@@ -78,112 +80,172 @@
 	ConnLimit      float64       `json:"conn_cap,omitempty"`
 }
 
-// Snapshot gives what this dispatcher has learned.
+// Snapshot returns what this dispatcher has learned.
 func (d *Dispatcher) Snapshot() *Snapshot {
-	mem := &Snapshot{Kinds: map[int]LatencySnapshot{}, Unanswered: d.unansweredShare}
+	s := &Snapshot{Kinds: map[int]LatencySnapshot{}, Unanswered: d.unansweredShare}
 	for _, m := range d.coolingDown {
-		if m.class.Ordered && m.OrderKey != "" {
-			mem.KeyCooldowns = append(mem.KeyCooldowns, KeyCooldownSnapshot{m.OrderKey, m.cooldownUntil})
+		if m.ordered() {
+			s.KeyCooldowns = append(s.KeyCooldowns, KeyCooldownSnapshot{Key: m.OrderKey, Until: m.cooldownUntil})
 		}
 	}
-	for _, no := range sortedKeys(d.destinations) {
-		for _, q := range d.destinations[no].queues {
-			m := QueueSnapshot{
-				Destination: no, Latency: q.latencyStats.snapshot(), WaitUntil: q.retryAfterUntil, HoldUntil: q.backoffUntil, ConnHoldUntil: q.connHoldUntil,
-				PausedAt: q.backoffStart, LimitAt: q.lastLimitRejection, Limit: q.reportedLimit, Rejections: q.rejections, FirstRejection: q.firstRejection, LastOK: q.lastSuccess, Failures: q.connFailures,
-				Weight: q.listedRate, SendRate: q.sendRate, Tokens: q.tokens,
-				TokensAt: q.refilledAt, Arrivals: q.arrivals.snapshot(), Misses: q.shadowRejections.snapshot(), ShadowWork: q.shadowBacklog,
-				ShadowAt: q.shadowAt, Unhealthy: q.unhealthy,
-			}
-			if q.separateRoute && len(q.endpoints) > 0 {
-				m.Route = q.endpoints[0].ID
-			}
-			mem.Queues = append(mem.Queues, m)
+	for _, number := range slices.Sorted(maps.Keys(d.destinations)) { // in order: the same state gives the same snapshot
+		for _, q := range d.destinations[number].queues {
+			s.Queues = append(s.Queues, q.snapshot(number))
 		}
 	}
-	for _, id := range sortedKeys(d.endpoints) {
-		ep := d.endpoints[id]
-		mem.Endpoints = append(mem.Endpoints, EndpointSnapshot{
-			ID: id, Failures: ep.consecutiveFailures, ClassFailures: slices.Clone(ep.classFailures),
-			Unhealthy: ep.sick, UnhealthySince: ep.unhealthySince, Recovered: ep.recoveredAt, SlowStart: ep.ramping, Tokens: ep.tokens,
-			TokensAt: ep.refilledAt, LastOK: ep.lastSuccess, LastUsed: ep.lastUsed, LastBegun: ep.latestSuccessSent, LastLatency: ep.lastLatency,
-			ConnLimit: ep.connLimit,
-		})
+	for _, id := range slices.Sorted(maps.Keys(d.endpoints)) {
+		s.Endpoints = append(s.Endpoints, d.endpoints[id].snapshot())
 	}
-	for kind, p := range d.kindLatency {
-		mem.Kinds[kind] = p.snapshot()
+	for kind, latency := range d.kindLatency {
+		s.Kinds[kind] = latency.snapshot()
 	}
-	return mem
+	return s
 }
 
-// restoreSnapshot takes over what the process before had learned; the list comes before it. What it names and the list does not
-// have any more is left out, but for a destination's waits: they hold for whatever endpoint comes next.
-func (d *Dispatcher) restoreSnapshot(mem *Snapshot) {
-	d.unansweredShare = mem.Unanswered
-	for _, r := range mem.KeyCooldowns {
-		m := &message{Arrived: Arrived{OrderKey: r.Key}, over: true, cooldownUntil: r.Until}
-		d.orderKeys[r.Key] = append(d.orderKeys[r.Key], m)
-		d.coolingDown = append(d.coolingDown, m)
+func (l *latencyStats) snapshot() LatencySnapshot {
+	return LatencySnapshot{N: l.samples, Mean: l.mean, Class: slices.Clone(l.byClass)}
+}
+
+func (c *decayingCounter) snapshot() CounterSnapshot {
+	return CounterSnapshot{N: c.value, At: c.updatedAt, Since: c.startedAt}
+}
+
+// snapshot returns what is known of a queue of a destination.
+func (q *queue) snapshot(destination int) QueueSnapshot {
+	s := QueueSnapshot{
+		Destination:    destination,
+		Latency:        q.latency.snapshot(),
+		WaitUntil:      q.retryAfterUntil,
+		HoldUntil:      q.backoffUntil,
+		ConnHoldUntil:  q.connHoldUntil,
+		PausedAt:       q.backoffStart,
+		LimitAt:        q.lastLimitRejection,
+		Rejections:     q.rejections,
+		FirstRejection: q.firstRejection,
+		LastOK:         q.lastSuccess,
+		Failures:       q.connFailures,
+		Weight:         q.listedRate,
+		Limit:          q.reportedLimit,
+		SendRate:       q.sendRate,
+		Tokens:         q.sendBucket.tokens,
+		TokensAt:       q.sendBucket.refilledAt,
+		Arrivals:       q.arrivals.snapshot(),
+		Misses:         q.shadowRejections.snapshot(),
+		ShadowWork:     q.shadowBacklog,
+		ShadowAt:       q.shadowAt,
+		Unhealthy:      q.unhealthy,
 	}
-	for kind, m := range mem.Kinds {
-		d.latencyOfKind(kind).restore(m)
-	}
-	for _, m := range mem.Queues {
-		q := d.destination(m.Destination).queues[0]
-		if m.Route != "" {
-			ep := d.endpoints[m.Route]
-			if ep == nil {
-				continue
-			}
-			q = ep.queue
-		}
-		q.latencyStats.restore(m.Latency)
-		q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = m.WaitUntil, m.HoldUntil, m.ConnHoldUntil
-		q.backoffStart, q.lastLimitRejection, q.lastSuccess, q.connFailures = m.PausedAt, m.LimitAt, m.LastOK, m.Failures
-		q.rejections, q.firstRejection, q.reportedLimit = m.Rejections, m.FirstRejection, m.Limit
-		if q.listedRate == m.Weight { // else the list has told another rate since, and the pace began anew
-			q.sendRate, q.tokens, q.refilledAt = m.SendRate, m.Tokens, m.TokensAt
-		}
-		q.arrivals, q.shadowRejections = m.Arrivals.counter(), m.Misses.counter()
-		q.shadowBacklog, q.shadowAt, q.unhealthy = m.ShadowWork, m.ShadowAt, m.Unhealthy
+	if q.separateRoute && len(q.endpoints) > 0 {
+		s.Route = q.endpoints[0].ID
 	}
-	for _, m := range mem.Endpoints {
-		ep := d.endpoints[m.ID]
-		if ep == nil {
-			continue
-		}
-		if m.Unhealthy != ep.sick {
-			d.unhealthyCount += map[bool]int{true: 1, false: -1}[m.Unhealthy]
-		}
-		ep.consecutiveFailures, ep.sick, ep.unhealthySince, ep.recoveredAt, ep.ramping = m.Failures, m.Unhealthy, m.UnhealthySince, m.Recovered, m.SlowStart
-		copy(ep.classFailures, m.ClassFailures)
-		ep.tokens, ep.refilledAt, ep.lastSuccess, ep.lastUsed = m.Tokens, m.TokensAt, m.LastOK, m.LastUsed
-		ep.latestSuccessSent, ep.lastLatency, ep.connLimit = m.LastBegun, m.LastLatency, m.ConnLimit
+	return s
+}
+
+// snapshot returns what is known of an endpoint.
+func (ep *endpoint) snapshot() EndpointSnapshot {
+	return EndpointSnapshot{
+		ID:             ep.ID,
+		Failures:       ep.consecutiveFailures,
+		ClassFailures:  slices.Clone(ep.classFailures),
+		Unhealthy:      ep.health.isUnhealthy(),
+		UnhealthySince: ep.unhealthySince,
+		Recovered:      ep.recoveredAt,
+		SlowStart:      ep.health.hasRecovery(),
+		Tokens:         ep.recoveryBucket.tokens,
+		TokensAt:       ep.recoveryBucket.refilledAt,
+		LastOK:         ep.lastSuccess,
+		LastUsed:       ep.lastUsed,
+		LastBegun:      ep.latestSuccessSent,
+		LastLatency:    ep.lastLatency,
+		ConnLimit:      ep.connLimit,
 	}
 }
 
-func (l *latencyStats) snapshot() LatencySnapshot {
-	return LatencySnapshot{l.latencySamples, l.meanLatency, slices.Clone(l.classLatency)}
+// restoreSnapshot takes over what the preceding process had learned; the endpoint list comes before it. What it names and the list
+// does not have any more is left out, but for a destination's backoff and Retry-After: they hold for whatever endpoint comes next.
+func (d *Dispatcher) restoreSnapshot(s *Snapshot) {
+	d.unansweredShare = s.Unanswered
+	for _, cooldown := range s.KeyCooldowns {
+		m := &message{Arrived: Arrived{OrderKey: cooldown.Key}, state: messageCompleted, cooldownUntil: cooldown.Until}
+		d.orderKeys[cooldown.Key] = append(d.orderKeys[cooldown.Key], m)
+		d.coolingDown = append(d.coolingDown, m)
+	}
+	for kind, latency := range s.Kinds {
+		d.latencyOfKind(kind).restore(latency)
+	}
+	for i := range s.Queues {
+		d.restoreQueue(&s.Queues[i])
+	}
+	for i := range s.Endpoints {
+		d.restoreEndpoint(&s.Endpoints[i])
+	}
 }
 
 // restore takes latencies over; classes are matched by number, which both processes share.
-func (l *latencyStats) restore(m LatencySnapshot) {
-	l.latencySamples, l.meanLatency = m.N, m.Mean
-	copy(l.classLatency, m.Class)
+func (l *latencyStats) restore(s LatencySnapshot) {
+	l.samples, l.mean = s.N, s.Mean
+	copy(l.byClass, s.Class)
 }
 
-func (a *decayingCounter) snapshot() CounterSnapshot {
-	return CounterSnapshot{a.value, a.updatedAt, a.startedAt}
+// counter returns the counter of a snapshot.
+func (s CounterSnapshot) counter() decayingCounter {
+	return decayingCounter{value: s.N, updatedAt: s.At, startedAt: s.Since}
+}
+
+// restoreQueue takes over what was known of a destination or route.
+func (d *Dispatcher) restoreQueue(s *QueueSnapshot) {
+	q := d.destination(s.Destination).queues[0]
+	if s.Route != "" {
+		ep := d.endpoints[s.Route]
+		if ep == nil {
+			return
+		}
+		q = ep.queue
+	}
+	q.latency.restore(s.Latency)
+	q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = s.WaitUntil, s.HoldUntil, s.ConnHoldUntil
+	q.backoffStart, q.lastLimitRejection = s.PausedAt, s.LimitAt
+	q.rejections, q.firstRejection = s.Rejections, s.FirstRejection
+	q.lastSuccess, q.connFailures, q.unhealthy = s.LastOK, s.Failures, s.Unhealthy
+	q.reportedLimit = s.Limit
+	if q.listedRate == s.Weight { // else another rate is listed since, and the send rate started anew
+		q.sendRate = s.SendRate
+		q.sendBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.TokensAt}
+	}
+	q.arrivals, q.shadowRejections = s.Arrivals.counter(), s.Misses.counter()
+	q.shadowBacklog, q.shadowAt = s.ShadowWork, s.ShadowAt
 }
 
-func (m CounterSnapshot) counter() decayingCounter { return decayingCounter{m.N, m.At, m.Since} }
+// restoreEndpoint takes over what was known of an endpoint.
+func (d *Dispatcher) restoreEndpoint(s *EndpointSnapshot) {
+	ep := d.endpoints[s.ID]
+	if ep == nil {
+		return
+	}
+	if ep.health.isUnhealthy() {
+		d.unhealthyCount--
+	}
+	if s.Unhealthy {
+		d.unhealthyCount++
+	}
+	ep.health, ep.unhealthySince, ep.recoveredAt = s.health(), s.UnhealthySince, s.Recovered
+	ep.recoveryBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.TokensAt}
+	ep.consecutiveFailures = s.Failures
+	copy(ep.classFailures, s.ClassFailures)
+	ep.lastUsed, ep.lastSuccess = s.LastUsed, s.LastOK
+	ep.latestSuccessSent, ep.lastLatency, ep.connLimit = s.LastBegun, s.LastLatency, s.ConnLimit
+}
 
-// sortedKeys are a map's keys in order: what is carried over is the same each time.
-func sortedKeys[K int | string, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
+// health returns the health that a snapshot carries as two flags.
+func (s *EndpointSnapshot) health() health {
+	switch {
+	case s.Unhealthy && s.SlowStart:
+		return unhealthyRecoveryRecorded
+	case s.Unhealthy:
+		return unhealthy
+	case s.SlowStart:
+		return slowStart
+	default:
+		return healthy
 	}
-	slices.Sort(keys)
-	return keys
 }
--- a/policy/stuck_attempts.go
+++ b/policy/stuck_attempts.go
@@ -6,50 +6,69 @@
 	"time"
 )
 
+// The following factors count usual latencies of a call; see overdueAt.
 const (
-	// unresponsiveFactor mean latencies without an outcome make an endpoint silent. stuckAfter of them a call may
-	// be called off where its slot is wanted and such calls, mostly, are never answered; finalFactor times
-	// as late one whose message then fails: a slot serves a message worth as much in each mean latency.
-	unresponsiveFactor, stuckFactor, lastAttemptFactor, mostlyUnanswered = 6, 3, 2, 0.5
+	// unresponsiveFactor without an outcome make an endpoint unresponsive, and a call that a later one has overtaken lost.
+	unresponsiveFactor = 6
+	// stuckFactor make a call stuck where its slot is wanted and overdue calls, mostly, are never answered.
+	stuckFactor = 3
+	// lastAttemptFactor times as long is waited before a call is cancelled whose message then fails: a slot serves a message worth
+	// as much in each mean latency.
+	lastAttemptFactor = 2
+	// mostlyUnanswered is the share of overdue calls without a success above which stuckFactor holds.
+	mostlyUnanswered = 0.5
 )
 
-// cancelStuck calls off calls that are out far longer than usual, so that their messages can be sent again. It
-// guards against lost calls and answers, and against hangs that fill the slots, whatever the cause; it
-// costs the work of a call that was merely slow, so calls are taken later with each attempt, and those
-// that no later call has overtaken only for want of a slot. A call that may not be repeated is taken for
-// want of a slot alone, finalFactor times as late: its message fails, but the slot serves others.
+// cancelStuck cancels calls that are in flight far longer than usual, so that their messages can be sent again. It guards against
+// lost calls and answers, and against hangs that fill the slots, whatever the cause. It costs the work of a call that was merely
+// slow, so calls are cancelled later with each attempt, and those that no later call has overtaken only for want of a slot. A call
+// that may not be repeated is cancelled for want of a slot alone, lastAttemptFactor times as late: its message fails, but the slot
+// serves others.
 func (d *Dispatcher) cancelStuck() {
 	if !d.settings.CanCancel {
 		return
 	}
-	want := d.inFlight >= d.settings.MaxInFlight && slices.ContainsFunc(d.activeQueues, func(q *queue) bool {
-		_, m := d.nextSend(q)
-		return m != nil
-	})
+	slotWanted := d.slotWanted()
 	for _, q := range d.activeQueues {
 		for _, c := range q.inFlight {
-			again := d.retryableCall(c)
-			lost := again && c.endpoint.latestSuccessSent > c.sent // a call that began later has succeeded
-			factor := d.cancelFactor()
-			if !again {
-				factor *= lastAttemptFactor
-			}
-			due := lost && d.now >= d.overdueAt(c, unresponsiveFactor) || want && d.now >= d.overdueAt(c, factor)
-			if c.cancelled || !due {
+			if c.cancelled {
 				continue
 			}
-			c.cancelled, want = true, want && lost
-			for _, m := range c.messages {
-				if i := len(m.attempts) - 1; m.attempts[i].call == c && m.attempts[i].open {
-					d.emit(CancelAttempt{ID: m.ID, Attempt: i})
-				}
+			switch lost := d.lost(c); {
+			case lost && d.now >= d.overdueAt(c, unresponsiveFactor):
+				d.cancelCall(c)
+			case slotWanted && d.overdueForSlot(c):
+				d.cancelCall(c)
+				slotWanted = lost // one call that may still be answered is enough
 			}
 		}
 	}
 }
 
-// cancelFactor is the number of mean latencies after which a wanted slot is taken back: sooner where late
-// calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
+// slotWanted reports whether all slots are in use and a queue has a message to send.
+func (d *Dispatcher) slotWanted() bool {
+	return d.inFlight >= d.settings.MaxInFlight && slices.ContainsFunc(d.activeQueues, func(q *queue) bool {
+		_, m := d.nextSend(q)
+		return m != nil
+	})
+}
+
+// lost reports whether a call that may be repeated was overtaken: one sent later has succeeded.
+func (d *Dispatcher) lost(c *call) bool {
+	return d.retryableCall(c) && c.endpoint.latestSuccessSent > c.sent
+}
+
+// overdueForSlot reports whether a call is cancelled where its slot is wanted.
+func (d *Dispatcher) overdueForSlot(c *call) bool {
+	factor := d.cancelFactor()
+	if !d.retryableCall(c) {
+		factor *= lastAttemptFactor
+	}
+	return d.now >= d.overdueAt(c, factor)
+}
+
+// cancelFactor returns the number of usual latencies after which a call that may be repeated is cancelled for want of a slot: fewer
+// where overdue calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
 func (d *Dispatcher) cancelFactor() float64 {
 	if d.unansweredShare > mostlyUnanswered {
 		return stuckFactor
@@ -57,15 +76,33 @@
 	return unresponsiveFactor
 }
 
-// overdueAt is when a call has been out for far longer than usual.
+// cancelCall cancels all attempts of a call.
+func (d *Dispatcher) cancelCall(c *call) {
+	c.cancelled = true
+	for _, m := range c.messages {
+		if i, ok := m.openAttemptOf(c); ok {
+			d.emit(CancelAttempt{ID: m.ID, Attempt: i})
+		}
+	}
+}
+
+// openAttemptOf returns the number of a message's last attempt, if that is in flight as part of a call.
+func (m *message) openAttemptOf(c *call) (number int, ok bool) {
+	last := len(m.attempts) - 1
+	a := &m.attempts[last]
+	return last, a.call == c && a.state == attemptInFlight
+}
+
+// overdueAt returns when a call has been in flight for so many usual latencies, doubled with each earlier attempt of its message;
+// never where no latency is known.
 func (d *Dispatcher) overdueAt(c *call, factor float64) time.Duration {
-	usual := math.Max(c.endpoint.queue.meanLatency, c.endpoint.lastLatency)
+	usual := math.Max(c.endpoint.queue.latency.mean, c.endpoint.lastLatency)
 	for _, m := range c.messages {
-		usual = math.Max(usual, c.endpoint.queue.classLatency[m.Class])
+		usual = math.Max(usual, c.endpoint.queue.latency.byClass[m.Class])
 	}
 	if usual == 0 {
 		return never
 	}
-	tries := math.Pow(2, float64(len(c.messages[0].attempts)-1))
-	return c.sent + time.Duration(factor*tries*usual*float64(time.Second))
+	doublings := math.Pow(2, float64(len(c.messages[0].attempts)-1))
+	return c.sent + time.Duration(factor*doublings*usual*float64(time.Second))
 }
--- a/policy/terminal.go
+++ b/policy/terminal.go
@@ -2,101 +2,109 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
+// complete notes that a message needs nothing more to be decided for it, and evicts it where nothing else is pending.
+func (d *Dispatcher) complete(m *message, state messageState) {
+	if m.state == messageActive {
+		m.state = state
+		m.dequeue()
+		d.unfinished = remove(d.unfinished, m)
+	}
+	d.evict(m)
+}
+
+// completeWithNotice completes a message whose terminal outcome was just given: where acknowledgements are awaited, its order key is
+// free once that is acknowledged.
+func (d *Dispatcher) completeWithNotice(m *message) {
+	if d.settings.AwaitAcknowledgement && m.ordered() {
+		d.complete(m, messageUnacknowledged)
+	} else {
+		d.complete(m, messageCompleted)
+	}
+}
+
+// acknowledge notes that a message's terminal outcome has reached the party it was owed to.
+func (d *Dispatcher) acknowledge(id string) {
+	if m := d.messages[id]; m != nil && m.state == messageUnacknowledged {
+		m.state = messageCompleted
+		d.evict(m)
+	}
+}
+
+// evict drops a completed message that has nothing in flight, and lets the next of its order key go.
+func (d *Dispatcher) evict(m *message) {
+	if m.state != messageCompleted || m.openAttempts > 0 || d.coolDown(m) {
+		return
+	}
+	delete(d.messages, m.ID)
+	d.releaseOrderKey(m)
+}
+
 // cancelMessage drops a message that nobody wants any more.
 func (d *Dispatcher) cancelMessage(id string) {
 	m := d.messages[id]
-	if m == nil || m.over {
+	if m == nil || m.state != messageActive {
 		return
 	}
-	d.complete(m)
+	d.complete(m, messageCompleted)
 	for i := range m.attempts {
-		if m.attempts[i].open && d.settings.CanCancel {
+		if m.attempts[i].state == attemptInFlight && d.settings.CanCancel {
 			d.emit(CancelAttempt{ID: m.ID, Attempt: i})
 		}
 	}
 }
 
-// expireQueued gives final answers to held messages that have no time left for another attempt of mean latency,
-// and to those that cannot be sent again any more, also since new settings allow fewer attempts.
+// deadlineExceeded gives a terminal outcome to a message whose attempt is still in flight.
+func (d *Dispatcher) deadlineExceeded(id string) {
+	if m := d.messages[id]; m != nil && m.state == messageActive {
+		d.giveUp(m)
+	}
+}
+
+// expireQueued gives terminal outcomes to queued messages that have no time left for another attempt of mean latency, and to those
+// that can't be sent again any more, also since new settings allow fewer attempts.
 func (d *Dispatcher) expireQueued() {
-	var ended []*message
+	var expired []*message
 	for _, m := range d.unfinished {
-		spent := len(m.attempts) >= d.settings.MaxAttempts
-		if m.queue != nil && (spent || d.now >= d.giveUpTime(m) || !d.retryAllowed(m, nil)) {
-			ended = append(ended, m)
+		if m.queue == nil {
+			continue
+		}
+		if len(m.attempts) >= d.settings.MaxAttempts || d.now >= d.giveUpTime(m) || !d.retryAllowed(m, nil) {
+			expired = append(expired, m)
 		}
 	}
-	for _, m := range ended {
+	for _, m := range expired {
 		d.giveUp(m)
 	}
 }
 
-// giveUpTime is when a held message is given up: its time left is then its expected latency.
+// giveUpTime returns when a queued message is given up: its time left is then its expected latency.
 func (d *Dispatcher) giveUpTime(m *message) time.Duration {
-	x := time.Duration(m.queue.classLatency[m.Class] * float64(time.Second))
-	return m.deadline - max(2*d.settings.BatchInterval, x)
+	latency := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
+	return m.deadline - max(2*d.settings.BatchInterval, latency)
 }
 
-// giveUp ends a message: a refusal where trying again is harmless, else a failure.
+// giveUp ends a message: it is rejected where submitting it again is harmless, and fails otherwise.
 func (d *Dispatcher) giveUp(m *message) {
-	if m.firstExecuted() == nil || m.class.Idempotency == Idempotent || m.class.Idempotency == IdempotentByKey && !m.class.KeyPerZone {
+	if m.safeToResubmit() {
 		d.reject(m, 0)
 		return
 	}
 	d.emit(Fail{ID: m.ID})
-	d.completeAndAwaitAck(m)
-}
-
-func (d *Dispatcher) reject(m *message, after float64) {
-	stay := time.Duration(math.Min(math.Max(0, after), d.settings.MaxRetryAfter.Seconds()) * float64(time.Second))
-	d.emit(Reject{ID: m.ID, RetryAfter: stay})
-	d.completeAndAwaitAck(m)
-}
-
-// complete notes that a message has its final answer.
-func (d *Dispatcher) complete(m *message) {
-	if !m.over {
-		m.over = true
-		m.dequeue()
-		d.unfinished = remove(d.unfinished, m)
-	}
-	d.evict(m)
-}
-
-// completeAndAwaitAck finishes a message whose end was just given: its key is free once that is known where it is owed.
-func (d *Dispatcher) completeAndAwaitAck(m *message) {
-	m.telling = d.settings.AwaitAcknowledgement && m.class.Ordered && m.OrderKey != ""
-	d.complete(m)
+	d.completeWithNotice(m)
 }
 
-// acknowledge notes that a message's end is known where it is owed.
-func (d *Dispatcher) acknowledge(id string) {
-	if m := d.messages[id]; m != nil && m.telling {
-		m.telling = false
-		d.evict(m)
-	}
+// safeToResubmit reports whether a client may submit a message again without a second execution.
+func (m *message) safeToResubmit() bool {
+	return m.firstExecuted() == nil || m.class.Idempotency == Idempotent ||
+		m.class.Idempotency == IdempotentByKey && !m.class.KeyPerZone
 }
 
-// evict forgets a message that is over and has nothing out, and lets the next of its key go.
-func (d *Dispatcher) evict(m *message) {
-	if !m.over || m.open > 0 || m.telling {
-		return
-	}
-	if d.now < m.cooldownUntil {
-		if !slices.Contains(d.coolingDown, m) {
-			d.coolingDown = append(d.coolingDown, m)
-		}
-		return
-	}
-	d.coolingDown = remove(d.coolingDown, m)
-	delete(d.messages, m.ID)
-	if line := remove(d.orderKeys[m.OrderKey], m); len(line) > 0 {
-		d.orderKeys[m.OrderKey] = line
-	} else {
-		delete(d.orderKeys, m.OrderKey)
-	}
+// reject ends a message undelivered, with the seconds after which submitting it again may help.
+func (d *Dispatcher) reject(m *message, retryAfter float64) {
+	seconds := math.Min(math.Max(0, retryAfter), d.settings.MaxRetryAfter.Seconds())
+	d.emit(Reject{ID: m.ID, RetryAfter: time.Duration(seconds * float64(time.Second))})
+	d.completeWithNotice(m)
 }
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// timeoutShare of the time left is waited for an answer where the message may be sent again, and
-	// timeoutMeans mean latencies at least, so that slow receivers are not timed out for nothing.
-	timeoutShare, timeoutLatencies = 1.0 / 3, 8
+	// timeoutShare of the time left is waited for an answer where the message may be sent again.
+	timeoutShare = 1.0 / 3
+	// timeoutLatencies mean latencies are waited at least: slow destinations are not timed out for nothing.
+	timeoutLatencies = 8
 )
 
-// attemptTimeout is how long an answer is waited for; an unsafe message waits to its end, since after a
-// time-out it could only be failed.
+// attemptTimeout returns how long the answer to an attempt is waited for; 0 is until the deadline. A message that is not idempotent
+// waits that long, since after a timeout it could only fail, and so does the last attempt.
 func (d *Dispatcher) attemptTimeout(m *message, c *call) time.Duration {
-	left := m.deadline - d.now
+	timeLeft := m.deadline - d.now
 	if m.class.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
 		return 0
 	}
-	wait := math.Max(timeoutShare*left.Seconds(), timeoutLatencies*c.endpoint.queue.meanLatency)
-	return min(left, time.Duration(wait*float64(time.Second)))
+	wait := math.Max(timeoutShare*timeLeft.Seconds(), timeoutLatencies*c.endpoint.queue.latency.mean)
+	return min(timeLeft, time.Duration(wait*float64(time.Second)))
 }
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -1,52 +1,78 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// armTimer asks for a timer when something is next due by time alone.
+// dueTime collects the times at which something is due, and gives the first of them.
+type dueTime struct {
+	earliest time.Duration // nothing is due before
+	first    time.Duration
+}
+
+// add adds a time at which something is due.
+func (t *dueTime) add(at time.Duration) { t.first = min(t.first, max(at, t.earliest)) }
+
+// armTimer asks for a timer when something is next due by time alone, unless one is due before.
 func (d *Dispatcher) armTimer() {
-	next := never
-	soon := func(t time.Duration) { next = min(next, max(t, d.now+d.settings.BatchInterval)) }
-	soon(d.watchAt)
-	for _, m := range d.unfinished {
-		if m.queue != nil {
-			soon(d.giveUpTime(m))
-			if m.firstExecuted() != nil && m.class.Idempotency == IdempotentByKey {
-				soon(d.keyExpiry(m))
-			}
-		}
-	}
+	due := dueTime{earliest: d.now + d.settings.BatchInterval, first: never}
+	due.add(d.watchAt)
+	d.addMessagesDue(&due)
 	for _, q := range d.activeQueues {
-		for _, c := range q.inFlight {
-			for _, factor := range []float64{stuckFactor, unresponsiveFactor, unresponsiveFactor * lastAttemptFactor} {
-				if at := d.overdueAt(c, factor); at > d.now && !c.cancelled {
-					soon(at)
-				}
-			}
+		d.addOverdueCalls(&due, q)
+		if len(q.queued) > 0 {
+			d.addNextSends(&due, q)
 		}
-		if len(q.queued) == 0 {
+	}
+	for _, m := range d.coolingDown {
+		due.add(m.cooldownUntil)
+	}
+	// A clock with coarser steps than ours may fire a little before the time: that timer is used up.
+	usedUp := d.timerAt < d.now+d.settings.BatchInterval
+	if due.first < never && (usedUp || due.first < d.timerAt) {
+		d.timerAt = due.first
+		d.emit(SetTimer{After: due.first - d.now})
+	}
+}
+
+// addMessagesDue adds when queued messages are given up.
+func (d *Dispatcher) addMessagesDue(due *dueTime) {
+	for _, m := range d.unfinished {
+		if m.queue == nil {
 			continue
 		}
-		at := max(q.pausedUntil(), d.now)
-		if q.sendRate > 0 && d.sendTokens(q) < 1 {
-			at = max(at, d.now+refillTime(1-q.tokens, q.sendRate))
+		due.add(d.giveUpTime(m))
+		if m.firstExecuted() != nil && m.class.Idempotency == IdempotentByKey {
+			due.add(d.keyExpiry(m))
 		}
-		if at > d.now {
-			soon(at)
+	}
+}
+
+// addOverdueCalls adds when calls in flight become overdue.
+func (d *Dispatcher) addOverdueCalls(due *dueTime, q *queue) {
+	for _, c := range q.inFlight {
+		if c.cancelled {
+			continue
 		}
-		for _, ep := range q.endpoints {
-			if (ep.sick || ep.ramping) && d.recoveryTokens(ep) < 1 {
-				soon(max(at, d.now+refillTime(1-ep.tokens, d.recoveryRate(ep, d.timeSinceRecovery(ep)))))
+		for _, factor := range []float64{stuckFactor, unresponsiveFactor, unresponsiveFactor * lastAttemptFactor} {
+			if at := d.overdueAt(c, factor); at > d.now {
+				due.add(at)
 			}
 		}
 	}
-	for _, m := range d.coolingDown {
-		soon(m.cooldownUntil)
+}
+
+// addNextSends adds when Retry-After, backoff, the send rate and endpoint health let a queue send again.
+func (d *Dispatcher) addNextSends(due *dueTime, q *queue) {
+	at := max(q.pausedUntil(), d.now)
+	if q.sendRate > 0 && d.sendTokens(q) < 1 {
+		at = max(at, d.now+refillTime(1-q.sendBucket.tokens, q.sendRate))
+	}
+	if at > d.now {
+		due.add(at)
 	}
-	// A clock with coarser steps than ours may wake us a little before the time: that timer is used up.
-	if next < never && (d.timerAt < d.now+d.settings.BatchInterval || next < d.timerAt) {
-		d.timerAt = next
-		d.emit(SetTimer{After: next - d.now})
+	for _, ep := range q.endpoints {
+		if ep.health != healthy && d.recoveryTokens(ep) < 1 {
+			missing := 1 - ep.recoveryBucket.tokens
+			due.add(max(at, d.now+refillTime(missing, d.recoveryRate(ep, d.timeSinceRecovery(ep)))))
+		}
 	}
 }
--- a/policy/warm_test.go
+++ b/policy/warm_test.go
@@ -14,7 +14,7 @@
 	d := start(t, s, Endpoint{ID: "a", Weight: 80}, Endpoint{ID: "b", Weight: 80})
 	d.endpoints["a"].tieBreaker, d.endpoints["b"].tieBreaker = 0, 1 // a is the first
 	q := d.queues[0]
-	q.tokens, q.refilledAt = 1, time.Second
+	q.sendBucket.tokens, q.sendBucket.refilledAt = 1, time.Second
 	var events []Event
 	for i := range n {
 		events = append(events, arrive(fmt.Sprint("m", i), 0))
@@ -73,8 +73,8 @@
 		t.Errorf("%d calls in a row, %d closes", sent, closes(actions))
 	}
 	q := d.queues[0]
-	if q.tokens > 1-maxTokenDebt || q.tokens < -maxTokenDebt {
-		t.Errorf("%v tokens left", q.tokens)
+	if q.sendBucket.tokens > 1-maxTokenDebt || q.sendBucket.tokens < -maxTokenDebt {
+		t.Errorf("%v tokens left", q.sendBucket.tokens)
 	}
 
 	// Not ahead where the limit refused a call just now, or was lowered, nor by more than a part of what is taken in a span.
@@ -91,7 +91,7 @@
 		d, actions := warmed(t, 1, ok)
 		expect(t, "nothing waits", actions, "")
 		q := d.queues[0]
-		q.tokens, q.refilledAt = 1, now
+		q.sendBucket.tokens, q.sendBucket.refilledAt = 1, now
 		d.Handle(now, []Event{arrive("x", 0), arrive("y", 0)}) // x goes
 		d.recordRejection(q, door)
 		end := ok
