--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,7 +12,8 @@
 			d.admit(m)
 		}
 	}
-	d.arrivals = nil
+	clear(d.arrivals)
+	d.arrivals = d.arrivals[:0]
 }
 
 // admit rejects an arriving message at once or puts it into a queue.
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -73,7 +73,7 @@
 	d.now, d.actions = max(now, d.now), nil
 	d.endKeyCooldowns()
 	for _, e := range events {
-		e.apply(d)
+		d.apply(e)
 	}
 	d.watchEndpoints()
 	d.admitArrivals()
@@ -86,5 +86,37 @@
 	return d.actions
 }
 
+// apply updates the state by an event. What to do about it is decided once the whole batch is applied. It is a type switch, so that
+// a batch of events need not be allocated.
+func (d *Dispatcher) apply(e Event) {
+	switch e := e.(type) {
+	case Arrived:
+		d.accept(e)
+	case AttemptEnded:
+		d.attemptEnded(e)
+	case DeadlineExceeded:
+		d.deadlineExceeded(e.ID)
+	case Acknowledged:
+		d.acknowledge(e.ID)
+	case Cancelled:
+		d.cancelMessage(e.ID)
+	case EndpointsChanged:
+		d.applyEndpoints(e)
+	case WatchFailed:
+		d.retryWatch()
+	case HealthRecovered:
+		d.recoverHealth(e)
+	case SnapshotRestored:
+		d.restoreSnapshot(e.Snapshot)
+	case SettingsChanged:
+		d.applySettings(e.Settings)
+	case Quiesced:
+		d.quiesced = true
+	case Resumed:
+		d.quiesced = false
+	case TimerFired: // every batch decides by the clock
+	}
+}
+
 // emit adds an action to those of the batch.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
--- a/policy/events.go
+++ b/policy/events.go
@@ -3,10 +3,7 @@
 import "time"
 
 // Event is something that happened to a dispatcher. The set is closed: all events are in this file.
-type Event interface {
-	// apply updates the dispatcher's state. What to do about it is decided once the whole batch is applied.
-	apply(d *Dispatcher)
-}
+type Event interface{ event() }
 
 // Arrived submits a message. Its dispatcher gives it exactly one terminal outcome.
 type Arrived struct {
@@ -123,16 +120,16 @@
 // TimerFired says that a timer fell due. It carries nothing: each batch decides by the clock.
 type TimerFired struct{}
 
-func (e Arrived) apply(d *Dispatcher)          { d.accept(e) }
-func (e AttemptEnded) apply(d *Dispatcher)     { d.attemptEnded(e) }
-func (e DeadlineExceeded) apply(d *Dispatcher) { d.deadlineExceeded(e.ID) }
-func (e Acknowledged) apply(d *Dispatcher)     { d.acknowledge(e.ID) }
-func (e Cancelled) apply(d *Dispatcher)        { d.cancelMessage(e.ID) }
-func (e EndpointsChanged) apply(d *Dispatcher) { d.applyEndpoints(e) }
-func (WatchFailed) apply(d *Dispatcher)        { d.retryWatch() }
-func (e HealthRecovered) apply(d *Dispatcher)  { d.recoverHealth(e) }
-func (e SnapshotRestored) apply(d *Dispatcher) { d.restoreSnapshot(e.Snapshot) }
-func (e SettingsChanged) apply(d *Dispatcher)  { d.applySettings(e.Settings) }
-func (Quiesced) apply(d *Dispatcher)           { d.quiesced = true }
-func (Resumed) apply(d *Dispatcher)            { d.quiesced = false }
-func (TimerFired) apply(*Dispatcher)           {}
+func (Arrived) event()          {}
+func (AttemptEnded) event()     {}
+func (DeadlineExceeded) event() {}
+func (Acknowledged) event()     {}
+func (Cancelled) event()        {}
+func (EndpointsChanged) event() {}
+func (WatchFailed) event()      {}
+func (HealthRecovered) event()  {}
+func (SnapshotRestored) event() {}
+func (SettingsChanged) event()  {}
+func (Quiesced) event()         {}
+func (Resumed) event()          {}
+func (TimerFired) event()       {}
