--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -6,12 +6,8 @@
 	"time"
 )
 
-func background(id string, class int) Event {
-	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Background: true}
-}
-
 // A background message goes where nothing else is wanted, and is refused at once where anything is.
-func TestBackgroundGoesOnlyWhereNothingIsWanted(t *testing.T) {
+func TestBackground_AdmittedOnlyToSpareCapacity(t *testing.T) {
 	s := plain()
 	s.MaxInFlight = 16
 	ep := Endpoint{ID: "a"}
@@ -62,7 +58,7 @@
 }
 
 // It has one attempt: after that it goes back to where it came from, whatever became of it.
-func TestBackgroundHasOneAttempt(t *testing.T) {
+func TestBackground_HasOneAttempt(t *testing.T) {
 	for class, outcomes := range map[int]map[Outcome]string{
 		0: {Succeeded: "", Failed: "refuse m", Rejected: "refuse m", TimedOut: "refuse m"},
 		2: {Succeeded: "", Failed: "fail m", Rejected: "refuse m", ConnectionReset: "fail m"},
@@ -80,7 +76,7 @@
 }
 
 // What a process left is taken up by the next: sent if it was not yet, given back if it was.
-func TestBackgroundThroughARestart(t *testing.T) {
+func TestBackground_Recovered(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	tried := []PriorAttempt{{Endpoint: "a", SentAt: ms}}
 	got := d.Handle(time.Second, []Event{
@@ -91,7 +87,7 @@
 }
 
 // A fresh message sees neither arrivals nor a copy's work of background ones: it is decided on as if there were none.
-func TestBackgroundDoesNotSwellArrivals(t *testing.T) {
+func TestBackground_NotCountedAsArrival(t *testing.T) {
 	with, without := start(t, plain(), Endpoint{ID: "a"}), start(t, plain(), Endpoint{ID: "a"})
 	for i := range 200 {
 		at := time.Duration(i+1) * 20 * ms
--- /dev/null
+++ b/policy/dispatcher_test.go
@@ -0,0 +1,71 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+func TestHandle_IgnoresUnknownIDs(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	got := d.Handle(time.Second, []Event{
+		AttemptEnded{ID: "x"},
+		Cancelled{ID: "x"},
+		Arrived{ID: "y", Class: 99},
+		EndpointsChanged{Endpoints: []Endpoint{{ID: "z", Removed: true}}},
+	})
+	expect(t, "unknown", got, "")
+	d.Handle(0, []Event{TimerFired{}}) // a clock that goes back
+	if d.now != time.Second {
+		t.Errorf("the clock went back to %v", d.now)
+	}
+}
+
+// TestHandle_UnusableValuesChangeNothingLater guards against values that make no sense: sensible events after them are decided as ever.
+func TestHandle_UnusableValuesChangeNothingLater(t *testing.T) {
+	s := plain()
+	s.Weights = WeightsNominal
+	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
+		d := start(t, s, Endpoint{ID: "a", Weight: weight})
+		d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
+		if q := d.queues[0]; q.sendRate != 5 || len(q.inFlight) != 1 {
+			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.inFlight))
+		}
+	}
+	d := start(t, s, Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrive("m", 0)})
+	d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
+	expect(t, "an endless wait is kept", d.Handle(time.Second, []Event{arrive("n", 0)}), "refuse n")
+	expect(t, "no time left", d.Handle(time.Second, []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "refuse o")
+}
+
+func TestQuiesced_SendsNothing(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	expect(t, "nothing is sent", d.Handle(time.Second, []Event{Quiesced{}, arrive("m", 0)}), "")
+	expect(t, "nor later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
+}
+
+// BenchmarkHandle reports what a batch costs with 1,000 endpoints listed.
+func BenchmarkHandle(b *testing.B) {
+	s := plain()
+	d, err := New(s, 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	var list []Endpoint
+	for i := range 1000 {
+		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Destination: i / 2})
+	}
+	d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: list}})
+	now := time.Duration(0)
+	for i := 0; b.Loop(); i++ {
+		id := fmt.Sprint("m", i)
+		now += 10 * ms
+		for _, a := range d.Handle(now, []Event{Arrived{ID: id, Destination: i % 500, TimeLeft: 10 * time.Second}}) {
+			if a, ok := a.(Send); ok {
+				d.Handle(now+5*ms, []Event{AttemptEnded{ID: id, Endpoint: a.Endpoint, Outcome: Succeeded, Final: true}})
+			}
+		}
+	}
+}
--- /dev/null
+++ b/policy/helpers_test.go
@@ -0,0 +1,83 @@
+package policy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// plain are settings with one safe class, and room for everything.
+func plain() Settings {
+	return Settings{
+		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, CanCancel: true,
+		BatchInterval: 5 * ms, ColdCapacity: 0.2, SlowStartTime: 10 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
+		MaxRetryAfter: 3 * time.Second, Kinds: []DestinationKind{{MaxBatch: 1}, {MaxBatch: 5}, {MaxBatch: 1, SeparateRoutes: true}},
+		Classes: []Class{
+			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
+			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: IdempotentByKey, KeyTTL: 4 * time.Second},
+			{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: NotIdempotent, Ordered: true},
+		},
+	}
+}
+
+func start(t *testing.T, s Settings, eps ...Endpoint) *Dispatcher {
+	t.Helper()
+	d, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: eps}})
+	return d
+}
+
+func arrive(id string, class int) Event {
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, OrderKey: "k"}
+}
+
+// said lists actions in short, without timers and time-outs.
+func said(actions []Action) string {
+	var out []string
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			out = append(out, a.ID+">"+a.Endpoint)
+		case Reject:
+			out = append(out, "refuse "+a.ID)
+		case Fail:
+			out = append(out, "fail "+a.ID)
+		case CancelAttempt:
+			out = append(out, fmt.Sprintf("cancel %s/%d", a.ID, a.Attempt))
+		case WatchEndpoints:
+			out = append(out, "subscribe")
+		}
+	}
+	return strings.Join(out, " ")
+}
+
+func expect(t *testing.T, what string, actions []Action, want string) {
+	t.Helper()
+	if got := said(actions); got != want {
+		t.Errorf("%s: got %q, want %q", what, got, want)
+	}
+}
+
+// resumed is a message that an earlier process took on, with the attempts that it made.
+func resumed(id string, class int, tried ...PriorAttempt) Event {
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: tried}
+}
+
+func background(id string, class int) Event {
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Background: true}
+}
+
+func closes(actions []Action) (n int) {
+	for _, a := range actions {
+		if _, ok := a.(CloseIdleConns); ok {
+			n++
+		}
+	}
+	return n
+}
--- a/policy/warm_test.go
+++ b/policy/idle_connections_test.go
@@ -6,6 +6,59 @@
 	"time"
 )
 
+// TestConnectError_LearnsConnectionLimit guards against taking a connection limit for an outage.
+func TestConnectError_LearnsConnectionLimit(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
+	d.Handle(10*ms, []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Succeeded, Final: true}, arrive("m3", 0)})
+	d.Handle(20*ms, []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
+	ep := d.endpoints["a"]
+	if ep.health.isUnhealthy() || ep.consecutiveFailures > 0 || ep.connLimit != 1 {
+		t.Errorf("sick %v, failures %v, cap %v", ep.health.isUnhealthy(), ep.consecutiveFailures, ep.connLimit)
+	}
+	for range 20 {
+		d.recordSuccess(ep, true)
+	}
+	if ep.connLimit < 1.9 {
+		t.Errorf("cap %v after twenty successes", ep.connLimit)
+	}
+}
+
+// TestCloseIdleConns_LowTraffic guards against many relays whose idle connections fill a small endpoint.
+func TestCloseIdleConns_LowTraffic(t *testing.T) {
+	tests := []struct {
+		name    string
+		pitch   time.Duration // between messages
+		connCap float64
+		relays  int
+		closes  bool
+	}{
+		{"one in many seconds", 15 * time.Second, 0, 8, true},
+		{"one a second", time.Second, 0, 8, false},
+		{"one a second, few connections", time.Second, 2, 8, true},
+		{"few relays", 15 * time.Second, 0, 3, false},
+		{"more relays than a host takes connections", 100 * ms, 0, 80, true},
+	}
+	for _, tt := range tests {
+		s := plain()
+		s.IdleConnTimeout, s.Instances = 10*time.Second, tt.relays
+		d := start(t, s, Endpoint{ID: "a"})
+		closes := false
+		for i := range 5 {
+			at, id := time.Duration(i+1)*tt.pitch, fmt.Sprint("m", i)
+			d.Handle(at, []Event{arrive(id, 0)})
+			d.endpoints["a"].connLimit = tt.connCap
+			closes = false
+			for _, a := range d.Handle(at+50*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true}}) {
+				closes = closes || a == CloseIdleConns{Endpoint: "a"}
+			}
+		}
+		if closes != tt.closes {
+			t.Errorf("%s: closes %v", tt.name, closes)
+		}
+	}
+}
+
 // warmed is a relay of a large fleet whose first call of n messages for one destination has just ended at host a.
 func warmed(t *testing.T, n int, how AttemptEnded) (*Dispatcher, []Action) {
 	t.Helper()
@@ -24,18 +77,9 @@
 	return d, d.Handle(time.Second+200*ms, []Event{how})
 }
 
-func closes(actions []Action) (n int) {
-	for _, a := range actions {
-		if _, ok := a.(CloseIdleConns); ok {
-			n++
-		}
-	}
-	return n
-}
-
 // Where relays keep no connections, one that has carried a call carries the next that waits, ahead of the pace; it is closed once
 // none does.
-func TestConnectionCarriesWhatWaits(t *testing.T) {
+func TestReusableConn_CarriesQueuedMessages(t *testing.T) {
 	ok := AttemptEnded{Outcome: Succeeded, Final: true, LoadReport: &LoadReport{Remaining: 0.9, RateLimit: 80}}
 	full := ok
 	full.LoadReport = &LoadReport{Remaining: 0.1, RateLimit: 80}
--- /dev/null
+++ b/policy/latency_test.go
@@ -0,0 +1,25 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// TestLatency_UnknownFilledFromKind guards against queues that know nothing: a lost first call would hold its slot to its end.
+func TestLatency_UnknownFilledFromKind(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d.Handle(0, []Event{arrive("m", 0)})
+	d.Handle(400*ms, []Event{
+		AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 400 * ms, Final: true},
+		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second},
+	})
+	q := d.queues[1]
+	if q.latency.byClass[0] != 0.4 || q.latency.mean != 0.4 {
+		t.Errorf("b borrows %v, %v, want what a took", q.latency.byClass[0], q.latency.mean)
+	}
+	q.latency.observe(0, 0.2)
+	if got := q.latency.byClass[0]; math.Abs(got-0.3) > 1e-9 {
+		t.Errorf("own first outcome counts half: %v, want 0.3", got)
+	}
+}
--- /dev/null
+++ b/policy/load_report_test.go
@@ -0,0 +1,47 @@
+package policy
+
+import (
+	"math"
+	"testing"
+)
+
+// A destination that lowers its limit says so in its answers: the pace goes to this relay's share of what is left, noise
+// about the listed rate changes nothing, and the limit's return is heard with the next answer.
+func TestLoadReport_SendRateFollowsReportedLimit(t *testing.T) {
+	s := plain()
+	s.Weights, s.Instances = WeightsNominal, 2
+	d := start(t, s, Endpoint{ID: "a", Weight: 20})
+	q := d.queues[0]
+	for _, c := range []struct {
+		limit, pace, even float64
+	}{
+		{18, 10, 10},
+		{23, 10, 10},
+		{0, 10, 10},
+		{math.Inf(1), 10, 10},
+		{math.NaN(), 10, 10},
+		{-3, 10, 10}, // noise, and nonsense
+		{4, 2, 2},
+		{4.4, 2, 2.06}, // lowered
+		{20, 10, 10},   // back
+		{0.2, 0.2, 0.1},
+		{1e9, 10, 10}, // what is listed bounds it
+	} {
+		d.recordReportedLimit(q, c.limit)
+		if math.Abs(q.sendRate-c.pace) > 1e-9 || math.Abs(d.evenShare(q)-c.even) > 1e-9 {
+			t.Errorf("told %v: pace %v, even share %v, want %v and %v", c.limit, q.sendRate, d.evenShare(q), c.pace, c.even)
+		}
+	}
+	d.recordReportedLimit(q, 4)
+	for range 100 {
+		q.queued = []*message{{}}
+		d.recordSuccess(d.endpoints["a"], true)
+	}
+	if q.sendRate != 4 {
+		t.Errorf("pace %v after many successes, want the 4 that are told", q.sendRate)
+	}
+	unlisted := start(t, plain(), Endpoint{ID: "a"})
+	if unlisted.recordReportedLimit(unlisted.queues[0], 4); unlisted.queues[0].sendRate != 0 {
+		t.Errorf("pace %v where no rate is listed", unlisted.queues[0].sendRate)
+	}
+}
--- a/policy/outage_test.go
+++ b/policy/outlier_test.go
@@ -6,10 +6,68 @@
 	"time"
 )
 
+// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against taking a share of failing calls for an outage.
+func TestRecordFailure_UnhealthyAfterConsecutiveFailures(t *testing.T) {
+	tests := []struct {
+		outcome   Outcome
+		n         int
+		unhealthy bool
+	}{{ConnectionReset, 3, false}, {ConnectionReset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false}, {ConnectError, 2, true}}
+	for _, tt := range tests {
+		d := start(t, plain(), Endpoint{ID: "a"})
+		d.Handle(0, []Event{arrive("m", 0)})
+		for i := range tt.n {
+			d.Handle(time.Duration(i+1)*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
+		}
+		if got := d.endpoints["a"].health.isUnhealthy(); got != tt.unhealthy {
+			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
+		}
+	}
+}
+
+// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose further knocks push over a destination that
+// comes back cold: the even share of 4 calls a second is 0.01 for one of 400, and 2 for one of 2.
+func TestUnhealthyEarly_FewTrialsInLargeFleet(t *testing.T) {
+	for _, tt := range []struct {
+		relays      int
+		outcome     Outcome
+		wait        time.Duration
+		least, most int // of 40 relays are sick after one
+	}{
+		{400, Rejected, 0, 10, 30},
+		{400, ConnectError, 0, 10, 30},
+		{400, Rejected, time.Second, 40, 40},
+		{2, Rejected, 0, 0, 0},
+		{2, ConnectError, 0, 0, 0},
+	} {
+		sick := 0
+		for seed := range int64(40) {
+			s := plain()
+			s.Instances, s.Weights = tt.relays, WeightsNominal
+			d, err := New(s, seed)
+			if err != nil {
+				t.Fatal(err)
+			}
+			d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+			d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
+			if d.endpoints["a"].health.isUnhealthy() {
+				sick++
+			}
+			d.recordRejection(d.queues[0], false)
+			if d.recordRejection(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].health.isUnhealthy() {
+				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
+			}
+		}
+		if sick < tt.least || sick > tt.most {
+			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 sick", tt.relays, tt.outcome, tt.wait, sick)
+		}
+	}
+}
+
 // Where relays are many, an outage of all endpoints of a destination is known after more failures in a row than one endpoint
 // may have, at whichever of them: connections that are refused or do not come up. Errors, lateness, a success in between, few
 // relays and an endpoint that is out by itself are no such outage.
-func TestOutageOfAllEndpoints(t *testing.T) {
+func TestConnFailure_OutageOfAllEndpoints(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		relays    int
--- a/policy/resume_test.go
+++ b/policy/recovery_test.go
@@ -5,12 +5,7 @@
 	"time"
 )
 
-// resumed is a message that an earlier process took on, with the attempts that it made.
-func resumed(id string, class int, tried ...PriorAttempt) Event {
-	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: tried}
-}
-
-func TestResumed(t *testing.T) {
+func TestRecovery_MessageWithPriorAttempts(t *testing.T) {
 	const safe, keyed, unsafe = 0, 1, 2
 	begin := time.Hour
 	ran := func(ago time.Duration) PriorAttempt { return PriorAttempt{Endpoint: "gone", SentAt: begin - ago} }
@@ -41,7 +36,7 @@
 }
 
 // A message that was taken on before is not up for admission again.
-func TestResumedIsNotRefusedForBacklog(t *testing.T) {
+func TestRecovery_NoSecondAdmission(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].retryAfterUntil = 1, 60*time.Second
 	expect(t, "a fresh one", d.Handle(time.Second, []Event{arrive("n", 0)}), "refuse n")
@@ -49,7 +44,7 @@
 }
 
 // A restart in an outage, or in the ramp after one, goes on as the process before it would have.
-func TestRecalled(t *testing.T) {
+func TestRecovery_EndpointHealth(t *testing.T) {
 	s := plain()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
 	sends := func(events ...Event) int {
@@ -81,7 +76,7 @@
 }
 
 // What has to be recalled is told when it happens.
-func TestRemember(t *testing.T) {
+func TestPersistHealth_OnOutageAndRecovery(t *testing.T) {
 	d := start(t, plain(), Endpoint{ID: "a"})
 	told := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
@@ -103,49 +98,3 @@
 		t.Errorf("the return: %v", got)
 	}
 }
-
-func TestStopping(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "nothing is sent", d.Handle(time.Second, []Event{Quiesced{}, arrive("m", 0)}), "")
-	expect(t, "nor later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
-}
-
-func TestSpent(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "sent", d.Handle(time.Second, []Event{arrive("m", 2)}), "m>a")
-	expect(t, "ended", d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
-		"refuse m")
-}
-
-func TestHoldRoom(t *testing.T) {
-	s := plain()
-	s.MaxQueued, s.MaxInFlight = 2, 1
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
-	var events []Event
-	for i, id := range []string{"l", "m", "n"} {
-		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
-	}
-	expect(t, "a third where two may be held", d.Handle(time.Second, events), "refuse l m>b")
-}
-
-// A key that rests after a message that is over goes on resting in a process that takes the place of another, and a message whose
-// end is decided holds its key there until that is known.
-func TestKeysOutlastAReplacement(t *testing.T) {
-	s := plain()
-	s.OrderKeyCooldown, s.AwaitAcknowledgement = 2*time.Second, true
-	old := start(t, s, Endpoint{ID: "a"})
-	old.Handle(0, []Event{arrive("m", 2)})
-	expect(t, "may have run", old.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectionReset}}), "fail m")
-	old.Handle(time.Second+ms, []Event{Acknowledged{ID: "m"}})
-	next := start(t, s, Endpoint{ID: "a"})
-	expect(t, "at rest", next.Handle(2*time.Second, []Event{SnapshotRestored{old.Snapshot()}, arrive("n", 2)}), "")
-	expect(t, "rested", next.Handle(3*time.Second, []Event{TimerFired{}}), "n>a")
-	if len(next.coolingDown) != 0 {
-		t.Errorf("%d keys rest", len(next.coolingDown))
-	}
-	next = start(t, s, Endpoint{ID: "a"})
-	decided := arrive("m", 2).(Arrived)
-	decided.Recovered, decided.OutcomeDecided = true, true
-	expect(t, "decided", next.Handle(ms, []Event{decided, arrive("n", 2)}), "")
-	expect(t, "known", next.Handle(2*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
-}
--- /dev/null
+++ b/policy/rejection_test.go
@@ -0,0 +1,175 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestRetryAfter_BindsDestinationOrRoute(t *testing.T) {
+	for _, tt := range []struct {
+		kind int
+		want string
+	}{{0, ""}, {2, "n>b"}} { // a shared limit binds the destination, a route only itself
+		d := start(t, plain(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
+		d.Handle(0, []Event{arrive("m", 0)})
+		d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, Cancelled{ID: "m"}})
+		expect(t, fmt.Sprint("kind ", tt.kind), d.Handle(500*ms, []Event{arrive("n", 0)}), tt.want)
+	}
+}
+
+// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against a wait that is told with the first of several outcomes of one call.
+func TestRetryAfter_HoldsFromFirstOutcomeOfBatch(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
+	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
+	if d.inFlight != 1 {
+		t.Errorf("%d calls out, want one bundle", d.inFlight)
+	}
+	got := d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
+	expect(t, "in the wait", got, "")
+}
+
+// What is out to a destination that tells to wait is taken back, where it has not left: it never ran, and goes again once the wait
+// is over. Calls to others, and refusals without a wait, take nothing back.
+func TestRetryAfter_CancelsBeforeSend(t *testing.T) {
+	for _, tt := range []struct {
+		name string
+		wait time.Duration
+		want []Action
+	}{
+		{"told to wait", 2 * time.Second, []Action{CancelBeforeSend{ID: "m1", Attempt: 0}}},
+		{"refused without a wait", 0, nil},
+	} {
+		d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
+		other := arrive("other", 0).(Arrived)
+		other.Destination = 1
+		d.Handle(time.Second, []Event{arrive("m0", 0), arrive("m1", 0), other})
+		if d.inFlight != 3 {
+			t.Fatalf("%s: %d calls out", tt.name, d.inFlight)
+		}
+		var got []Action
+		ep := d.messages["m0"].attempts[0].call.endpoint.ID
+		for _, a := range d.Handle(1100*ms, []Event{AttemptEnded{ID: "m0", Endpoint: ep, Outcome: Rejected, RetryAfter: tt.wait, Latency: 100 * ms}}) {
+			if u, ok := a.(CancelBeforeSend); ok {
+				got = append(got, u)
+			}
+		}
+		if len(got) != len(tt.want) || len(got) > 0 && got[0] != tt.want[0] {
+			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
+		}
+		if tt.wait == 0 {
+			continue
+		}
+		ep = d.messages["m1"].attempts[0].call.endpoint.ID
+		expect(t, "in the wait", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
+		if m := d.messages["m1"]; m.firstExecuted() != nil || m.queue == nil {
+			t.Errorf("held: %v, taken for run: %v", m.queue != nil, m.firstExecuted())
+		}
+		if after := said(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
+			t.Error("nothing goes after the wait")
+		}
+	}
+}
+
+// TestRejection_BackoffIsRandomized guards against relays that are refused together and come back together.
+func TestRejection_BackoffIsRandomized(t *testing.T) {
+	s := plain()
+	s.Instances, s.Weights = 400, WeightsNominal
+	seen := map[time.Duration]bool{}
+	for seed := range int64(5) {
+		d, err := New(s, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+		d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
+		seen[d.queues[0].backoffUntil] = true
+	}
+	if len(seen) < 4 {
+		t.Errorf("five relays come back at %d moments", len(seen))
+	}
+}
+
+// Calls that were out together and are refused together are one refusal: they were sent before anything was heard.
+func TestRejection_CallsRejectedTogetherCountOnce(t *testing.T) {
+	s := plain()
+	s.Weights, s.MaxInFlight = WeightsNominal, 16
+	d := start(t, s, Endpoint{ID: "a", Weight: 100})
+	q := d.queues[0]
+	var arrivals, refusals []Event
+	for i := range 8 {
+		id := fmt.Sprint("m", i)
+		arrivals = append(arrivals, arrive(id, 0))
+		refusals = append(refusals, AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected})
+	}
+	d.Handle(ms, arrivals)
+	if len(q.inFlight) != 8 {
+		t.Fatalf("%d calls out", len(q.inFlight))
+	}
+	d.Handle(50*ms, refusals)
+	if q.rejections != 1 || q.sendRate != 100*rateDecrease && q.sendRate != (100+100)/2 || q.backoffUntil > 50*ms+20*ms {
+		t.Errorf("%d refusals in a row, pace %v, pause %v", q.rejections, q.sendRate, q.backoffUntil-50*ms)
+	}
+	// The first that is sent after the pause and refused is the second.
+	at := 50 * ms
+	for n := 2; n < 6; n++ {
+		at = max(q.backoffUntil, at) + 50*ms
+		d.Handle(at, []Event{TimerFired{}})
+		if len(q.inFlight) == 0 {
+			t.Fatalf("nothing goes after the pause, at %v", at)
+		}
+		at += 10 * ms
+		c := q.inFlight[len(q.inFlight)-1] // the latest
+		m := c.messages[0]
+		d.Handle(at, []Event{AttemptEnded{ID: m.ID, Endpoint: "a", Attempt: len(m.attempts) - 1, Outcome: Rejected}})
+		if q.rejections != n {
+			t.Errorf("%d refusals in a row, want %d", q.rejections, n)
+		}
+	}
+	if q.backoffUntil-at > maxBackoff*3/2 {
+		t.Errorf("pause of %v", q.backoffUntil-at)
+	}
+}
+
+// A host that reports its limit and refuses without a report has no connection left: the pace stays, and a run of such
+// refusals is a destination that is shut all the same.
+func TestRejection_OfConnectionLeavesSendRate(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		reports bool
+		report  *LoadReport
+		cut     bool
+	}{
+		{"at the limit", true, &LoadReport{Remaining: 0, RateLimit: 20}, true},
+		{"at the door", true, nil, false},
+		{"where nothing is reported", false, nil, true},
+	} {
+		s := plain()
+		s.Weights, s.Instances = WeightsNominal, 2
+		d := start(t, s, Endpoint{ID: "a", Weight: 20})
+		q := d.queues[0]
+		if tt.reports {
+			d.recordReportedLimit(q, 20)
+		}
+		before, now := q.sendRate, time.Second
+		for i := 0; !d.endpoints["a"].health.isUnhealthy(); i++ {
+			if i == 60 {
+				t.Fatalf("%s: not sick after %d refusals", tt.name, i)
+			}
+			id := fmt.Sprint("m", i)
+			d.Handle(now, []Event{arrive(id, 0)})
+			if m := d.messages[id]; m != nil && m.openAttempts > 0 {
+				d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
+				if i == 0 && (q.sendRate < before) != tt.cut {
+					t.Errorf("%s: pace %v after %v", tt.name, q.sendRate, before)
+				}
+				if q.pausedUntil() <= now {
+					t.Errorf("%s: no pause", tt.name)
+				}
+			} else {
+				d.Handle(now+40*ms, []Event{Cancelled{id}})
+			}
+			now += 300 * ms
+		}
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,100 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestAttemptEnded_RetriesAsIdempotencyAllows(t *testing.T) {
+	tests := []struct {
+		class   int
+		outcome Outcome
+		want    string
+	}{
+		{0, Succeeded, ""},
+		{0, Failed, "m>a"},
+		{0, TimedOut, "m>a"},
+		{0, ConnectionReset, "m>a"},
+		{0, Canceled, "m>a"},
+		{0, ConnectError, "m>a"},
+		{0, NotSent, "m>a"},
+		{0, Rejected, ""},
+		{1, Succeeded, ""},
+		{1, Failed, "m>a"},
+		{1, TimedOut, "m>a"},
+		{1, ConnectError, "m>a"},
+		{2, Succeeded, ""},
+		{2, Failed, "fail m"},
+		{2, TimedOut, "fail m"},
+		{2, ConnectionReset, "fail m"},
+		{2, Canceled, "fail m"},
+		{2, ConnectError, "m>a"},
+		{2, NotSent, "m>a"},
+	}
+	for _, tt := range tests {
+		d := start(t, plain(), Endpoint{ID: "a"})
+		expect(t, "arrival", d.Handle(0, []Event{arrive("m", tt.class)}), "m>a")
+		got := d.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Final: tt.outcome == Succeeded}})
+		expect(t, fmt.Sprintf("class %d, outcome %d", tt.class, tt.outcome), got, tt.want)
+	}
+}
+
+func TestRetry_EndsWithKeyTTL(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrive("m", 1)})
+	got := d.Handle(3995*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
+	expect(t, "memory gone", got, "refuse m")
+}
+
+// A keyed message that may have run at an endpoint which has left the list goes nowhere after a restart where only its zone
+// drops repeats: which one that was is not known any more. Before, it counted as the first zone.
+func TestRetry_KeyPerZoneAndUnknownZone(t *testing.T) {
+	s := plain()
+	s.Classes[1].KeyPerZone = true
+	for _, tt := range []struct {
+		name, tried, want string
+		zones             []int
+	}{
+		{"gone", "gone", "", []int{0, 1}},
+		{"listed without a zone", "a", "", []int{-1, -1}},
+		{"listed", "a", "m>a", []int{0, 1}},
+	} {
+		d := start(t, s, Endpoint{ID: "a", Zone: tt.zones[0]}, Endpoint{ID: "b", Zone: tt.zones[1]})
+		got := d.Handle(time.Second, []Event{Arrived{
+			ID: "m", Class: 1, TimeLeft: 10 * time.Second, OrderKey: "k", Recovered: true,
+			PriorAttempts: []PriorAttempt{{Endpoint: tt.tried, SentAt: 0}},
+		}})
+		expect(t, tt.name, got, tt.want)
+		if tt.want == "" {
+			expect(t, tt.name+", forgotten", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
+		}
+	}
+}
+
+// A repeat of a keyed message that may have run has to leave before its key is forgotten, however late its connection comes up.
+func TestRetry_WriteWithinKeyTTL(t *testing.T) {
+	const took = 500 * ms
+	for _, tt := range []struct {
+		class   int
+		outcome Outcome
+		want    time.Duration
+	}{
+		{1, ConnectionReset, 4*time.Second - 10*ms - took}, {1, Failed, 4*time.Second - 10*ms - took}, {1, Rejected, 0}, {1, ConnectError, 0}, {0, ConnectionReset, 0},
+	} {
+		d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+		d.Handle(0, []Event{arrive("m", tt.class)})
+		actions := d.Handle(took, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Latency: took}})
+		for now := took; said(actions) == "" && now < 3*time.Second; now += ms {
+			actions = d.Handle(now, []Event{TimerFired{}})
+			tt.want = max(0, tt.want-ms) // in the pause after a refusal it is the same
+		}
+		i := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok })
+		if i < 0 {
+			t.Errorf("class %d, outcome %d: not sent again: %v", tt.class, tt.outcome, actions)
+		} else if got := actions[i].(Send).WriteWithin; got != tt.want {
+			t.Errorf("class %d, outcome %d: within %v, want %v", tt.class, tt.outcome, got, tt.want)
+		}
+	}
+}
--- a/policy/retune_test.go
+++ b/policy/settings_change_test.go
@@ -8,7 +8,7 @@
 )
 
 // The table of classes keeps every number, whatever files come.
-func TestMergeKeepsNumbers(t *testing.T) {
+func TestMergeClasses_KeepsNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 5, rapid.ID[string])
 		var table []Class
@@ -39,7 +39,7 @@
 }
 
 // An attempt needs leave from the terms that a message was taken on under and from those of the settings now.
-func TestStricterEffect(t *testing.T) {
+func TestStricterTerms(t *testing.T) {
 	class := func(e Idempotency, memory time.Duration, byZone bool) Class {
 		return Class{Name: "c", Deadline: 10 * time.Second, Idempotency: e, KeyTTL: memory, KeyPerZone: byZone}
 	}
@@ -73,7 +73,7 @@
 
 // New settings bind what is under way: fewer attempts end what has had them, a message keeps its class when that goes,
 // and a new class is served beside the old ones.
-func TestRetuned(t *testing.T) {
+func TestSettingsChanged_BindsMessagesUnderWay(t *testing.T) {
 	s := plain()
 	for i := range s.Classes {
 		s.Classes[i].Name = string(rune('a' + i))
--- a/policy/expired_test.go
+++ b/policy/terminal_test.go
@@ -5,9 +5,31 @@
 	"time"
 )
 
+func TestQueuedMessage_RejectedAtDeadline(t *testing.T) {
+	d := start(t, plain())
+	got := d.Handle(0, []Event{arrive("m", 2)})
+	expect(t, "no endpoint listed", got, "")
+	at := got[len(got)-1].(SetTimer).After
+	if at > 10*time.Second || at < 9900*ms {
+		t.Errorf("timer after %v", at)
+	}
+	expect(t, "before its end", d.Handle(at-ms, []Event{TimerFired{}}), "")
+	expect(t, "at its end", d.Handle(at, []Event{TimerFired{}}), "refuse m")
+	expect(t, "late outcome", d.Handle(at+ms, []Event{AttemptEnded{ID: "m", Outcome: Succeeded}}), "")
+}
+
+// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and cannot end in time.
+func TestQueuedMessage_GivenUpWithoutTimeForAttempt(t *testing.T) {
+	d := start(t, plain())
+	d.Handle(0, []Event{arrive("m", 0)})
+	d.queues[0].latency.observe(0, 0.5)
+	expect(t, "0.6 s left, 0.5 s needed", d.Handle(9400*ms, []Event{TimerFired{}}), "")
+	expect(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "refuse m")
+}
+
 // A message whose time is up while the answer to its call is still listened to ends at once, and once. The call goes on: the next of
 // its key waits for the end of that, and a wait that it brings binds the others.
-func TestExpiredWhileOut(t *testing.T) {
+func TestDeadlineExceeded_WhileAttemptInFlight(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		class int
@@ -37,3 +59,10 @@
 		}
 	}
 }
+
+func TestAttemptsExhausted_EndsMessage(t *testing.T) {
+	d := start(t, plain(), Endpoint{ID: "a"})
+	expect(t, "sent", d.Handle(time.Second, []Event{arrive("m", 2)}), "m>a")
+	expect(t, "ended", d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
+		"refuse m")
+}
