--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestBacklog_CountsQueuedMessagesAndAgesOfCalls(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	if u := d.backlog(q); u != 0 {
 		t.Errorf("idle: u = %v, want 0", u)
@@ -68,7 +68,7 @@
 	if got := a.rate(40 * time.Second); math.Abs(got-10) > 0.3 {
 		t.Errorf("ten a second: rate %v", got)
 	}
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 2
 	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
@@ -83,8 +83,8 @@
 }
 
 func TestAdmit_NewDispatcherUsesBasicRuleAlone(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "first message", d.Handle(0, []Event{arrive("m", 0)}), "m>a")
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+	wantActions(t, "first message", d.Handle(0, []Event{arrival("m", 0)}), "m>a")
 	if λ, r := d.queues[0].arrivals.rate(0), d.queues[0].shadowRejections.rate(0); λ <= 0 || r != 0 {
 		t.Errorf("λ = %v, r = %v", λ, r)
 	}
@@ -93,7 +93,7 @@
 // TestAdmit_OverloadRejectsLateMessages guards against a queue that serves everybody late, and against patient
 // messages that fill it before urgent ones worth more.
 func TestAdmit_OverloadRejectsLateMessages(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Classes = []Class{
 		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                         // keepWorth left at 2.4 s
 		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateFraction: 0.5}, // and at 12.4 s
@@ -115,7 +115,7 @@
 		{2, true, 26, true},
 	}
 	for _, tt := range tests {
-		d := start(t, s, Endpoint{ID: "a"})
+		d := newDispatcher(t, s, Endpoint{ID: "a"})
 		q := d.queues[0]
 		q.latency.mean = 0.5
 		for range tt.held {
@@ -139,39 +139,39 @@
 
 // TestAdmit_OneQueueDoesNotTakeAllSpace guards against one queue that fills the holding room.
 func TestAdmit_OneQueueDoesNotTakeAllSpace(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxQueued = 20
-	d := start(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
+	d := newDispatcher(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
 	refused := 0
 	for i := range 20 {
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
-		if strings.HasPrefix(said(got), "refuse") {
+		if strings.HasPrefix(summary(got), "reject") {
 			refused++
 		}
 	}
 	if refused != 5 {
 		t.Errorf("%d of 20 refused, want those past three quarters of the room", refused)
 	}
-	expect(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
+	wantActions(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
 
 func TestAdmit_MaxQueued(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxQueued, s.MaxInFlight = 2, 1
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	var events []Event
 	for i, id := range []string{"l", "m", "n"} {
 		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
 	}
-	expect(t, "a third where two may be held", d.Handle(time.Second, events), "refuse l m>b")
+	wantActions(t, "a third where two may be held", d.Handle(time.Second, events), "reject l m>b")
 }
 
 // TestAdmit_LittleTimeLeftIsNotAge guards against taking little time left for age: under overload all were refused.
 func TestAdmit_LittleTimeLeftIsNotAge(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 0.5
 	q.arrivals.add(0, 100)
 	q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
-	expect(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
+	wantActions(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
--- a/policy/attempt_outcome_test.go
+++ b/policy/attempt_outcome_test.go
@@ -8,10 +8,10 @@
 
 // TestRecordOutcome_OwnStallIsNotLatency guards against holding a relay's own pause against its destinations.
 func TestRecordOutcome_OwnStallIsNotLatency(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.observe(0, 0.1)
-	d.Handle(0, []Event{arrive("m", 0)})
+	d.Handle(0, []Event{arrival("m", 0)})
 	d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 100 * ms, Final: true}})
 	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.unansweredShare != 0 {
 		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.unansweredShare)
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -6,21 +6,21 @@
 )
 
 func TestDispatch_FewestCallsInFlightFirst(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxInFlight = 3
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	other := Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}
-	expect(t, "fewest calls out first", d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0), arrive("m3", 0), other}),
+	wantActions(t, "fewest calls out first", d.Handle(0, []Event{arrival("m1", 0), arrival("m2", 0), arrival("m3", 0), other}),
 		"m1>a n>b m2>a")
 }
 
 // TestDispatch_UrgentMessageFirst guards against slots given to what can wait, where few slots make every turn a tie.
 func TestDispatch_UrgentMessageFirst(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxInFlight = 1
 	s.Classes[1].LatencyObjective = 8 * time.Second
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	expect(t, "one slot", d.Handle(0, []Event{
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	wantActions(t, "one slot", d.Handle(0, []Event{
 		Arrived{ID: "patient", Class: 1, TimeLeft: 10 * time.Second},
 		Arrived{ID: "urgent", Destination: 1, TimeLeft: 10 * time.Second},
 	}), "urgent>b")
--- a/policy/dispatcher_test.go
+++ b/policy/dispatcher_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestHandle_IgnoresUnknownIDs(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	got := d.Handle(time.Second, []Event{
 		AttemptEnded{ID: "x"},
 		Cancelled{ID: "x"},
 		Arrived{ID: "y", Class: 99},
 		EndpointsChanged{Endpoints: []Endpoint{{ID: "z", Removed: true}}},
 	})
-	expect(t, "unknown", got, "")
+	wantActions(t, "unknown", got, "")
 	d.Handle(0, []Event{TimerFired{}}) // a clock that goes back
 	if d.now != time.Second {
 		t.Errorf("the clock went back to %v", d.now)
@@ -24,31 +24,31 @@
 
 // TestHandle_UnusableValuesChangeNothingLater guards against values that make no sense: sensible events after them are decided as ever.
 func TestHandle_UnusableValuesChangeNothingLater(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights = WeightsNominal
 	for _, weight := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0} {
-		d := start(t, s, Endpoint{ID: "a", Weight: weight})
-		d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrive("m", 0)})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: weight})
+		d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrival("m", 0)})
 		if q := d.queues[0]; q.sendRate != 5 || len(q.inFlight) != 1 {
 			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.inFlight))
 		}
 	}
-	d := start(t, s, Endpoint{ID: "a"})
-	d.Handle(0, []Event{arrive("m", 0)})
+	d := newDispatcher(t, s, Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrival("m", 0)})
 	d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
-	expect(t, "an endless wait is kept", d.Handle(time.Second, []Event{arrive("n", 0)}), "refuse n")
-	expect(t, "no time left", d.Handle(time.Second, []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "refuse o")
+	wantActions(t, "an endless wait is kept", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
+	wantActions(t, "no time left", d.Handle(time.Second, []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
 }
 
 func TestQuiesced_SendsNothing(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "nothing is sent", d.Handle(time.Second, []Event{Quiesced{}, arrive("m", 0)}), "")
-	expect(t, "nor later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+	wantActions(t, "nothing is sent", d.Handle(time.Second, []Event{Quiesced{}, arrival("m", 0)}), "")
+	wantActions(t, "nor later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
 }
 
 // BenchmarkHandle reports what a batch costs with 1,000 endpoints listed.
 func BenchmarkHandle(b *testing.B) {
-	s := plain()
+	s := testSettings()
 	d, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -7,13 +7,13 @@
 )
 
 func TestEndpointList_NoCallsToDrainingOrRemovedEndpoints(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxInFlight = 8
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
-	expect(t, "draining", d.Handle(1, []Event{arrive("m", 0), arrive("n", 0)}), "m>b n>b")
+	wantActions(t, "draining", d.Handle(1, []Event{arrival("m", 0), arrival("n", 0)}), "m>b n>b")
 	d.Handle(2, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "c"}}}})
-	expect(t, "gone", d.Handle(3, []Event{arrive("o", 0)}), "o>c")
+	wantActions(t, "gone", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
 }
 
 // Calls that have not left as an endpoint begins to drain, or is gone, are taken back: their connections may come up when
@@ -24,8 +24,8 @@
 		"gone":              {Endpoints: []Endpoint{{ID: "a", Removed: true}}},
 		"missing in a list": {Full: true, Endpoints: []Endpoint{{ID: "b"}}},
 	} {
-		d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-		d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)})
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+		d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)})
 		back := 0
 		for range 2 {
 			for _, a := range d.Handle(ms, []Event{change}) {
@@ -45,13 +45,13 @@
 // TestEndpointList_ReplacedEndpointsAreDropped guards against routes and endpoints that left and are walked for ever.
 func TestEndpointList_ReplacedEndpointsAreDropped(t *testing.T) {
 	for kind := range 3 {
-		d := start(t, plain())
+		d := newDispatcher(t, testSettings())
 		for i := range 200 {
 			now := time.Duration(i) * time.Second
 			d.Handle(now, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{
 				{ID: fmt.Sprint("a", i), Kind: kind},
 				{ID: fmt.Sprint("b", i), Kind: kind},
-			}}, arrive(fmt.Sprint("m", i), 0)})
+			}}, arrival(fmt.Sprint("m", i), 0)})
 			for id, m := range d.messages {
 				d.Handle(now+100*ms, []Event{AttemptEnded{ID: id, Endpoint: m.attempts[0].call.endpoint.ID, Outcome: Succeeded, Final: true}})
 			}
@@ -66,7 +66,7 @@
 // TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays rushing to a replacement at once.
 func TestEndpointList_NewEndpointOfUnhealthyDestination(t *testing.T) {
 	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
-		d := start(t, plain(), Endpoint{ID: "a"})
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 		d.markUnhealthy(d.endpoints["a"])
 		d.Handle(ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
 		if !d.endpoints["b"].health.isUnhealthy() {
@@ -84,18 +84,18 @@
 // weight and the zone change, and the clock jumps back and far ahead.
 func TestEndpointList_EmptiesAndRefills(t *testing.T) {
 	for kind := range 3 {
-		s := plain()
+		s := testSettings()
 		s.Weights = WeightsNominal
-		d := start(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
-		expect(t, "sent", d.Handle(time.Second, []Event{arrive("m", 0)}), "m>a")
-		expect(t, "held", d.Handle(2*time.Second, []Event{EndpointsChanged{Full: true}, arrive("n", 0)}), "")
-		expect(t, "its outcome", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Final: true}}), "")
-		expect(t, "back", d.Handle(3*time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{
+		d := newDispatcher(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
+		wantActions(t, "sent", d.Handle(time.Second, []Event{arrival("m", 0)}), "m>a")
+		wantActions(t, "held", d.Handle(2*time.Second, []Event{EndpointsChanged{Full: true}, arrival("n", 0)}), "")
+		wantActions(t, "its outcome", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Final: true}}), "")
+		wantActions(t, "back", d.Handle(3*time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1},
 		}}}), "n>a")
-		expect(t, "far ahead", d.Handle(1000*time.Hour, []Event{
+		wantActions(t, "far ahead", d.Handle(1000*time.Hour, []Event{
 			AttemptEnded{ID: "n", Endpoint: "a", Outcome: Succeeded, Final: true},
-			arrive("o", 0),
+			arrival("o", 0),
 		}), "o>a")
 		if d.inFlight != 1 || len(d.messages) != 1 {
 			t.Errorf("kind %d: %d calls out, %d messages", kind, d.inFlight, len(d.messages))
--- a/policy/endpoint_selection_test.go
+++ b/policy/endpoint_selection_test.go
@@ -8,15 +8,15 @@
 
 // TestSelectEndpoint_AvoidsEndpointThatFailsTheClass guards against an endpoint that fails one class and serves the others.
 func TestSelectEndpoint_AvoidsEndpointThatFailsTheClass(t *testing.T) {
-	s := plain()
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
-	d.Handle(0, []Event{arrive("m", 0)})
-	expect(t, "a retry goes to the sibling", d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
+	s := testSettings()
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d.Handle(0, []Event{arrival("m", 0)})
+	wantActions(t, "a retry goes to the sibling", d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
 	d.Handle(2*ms, []Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: Succeeded, Final: true}})
-	expect(t, "so does its class", d.Handle(3*ms, []Event{arrive("n", 0)}), "n>b")
+	wantActions(t, "so does its class", d.Handle(3*ms, []Event{arrival("n", 0)}), "n>b")
 	d.Handle(4*ms, []Event{AttemptEnded{ID: "n", Endpoint: "b", Outcome: Succeeded, Final: true}})
 	d.endpoints["a"].lastUsed = 4 * ms
-	expect(t, "others do not", d.Handle(5*ms, []Event{arrive("o", 1)}), "o>a")
+	wantActions(t, "others do not", d.Handle(5*ms, []Event{arrival("o", 1)}), "o>a")
 }
 
 // Relays that keep no connections do not all take the endpoint that is listed first, and each goes to all in turns; a few
@@ -25,7 +25,7 @@
 	for _, relays := range []int{3, 80} {
 		first := map[string]int{}
 		for seed := range int64(60) {
-			s := plain()
+			s := testSettings()
 			s.Instances = relays
 			d, err := New(s, seed)
 			if err != nil {
@@ -35,7 +35,7 @@
 			took := map[string]int{}
 			for i := range 6 {
 				now, id := time.Duration(i)*100*ms, fmt.Sprint("m", i)
-				d.Handle(now, []Event{arrive(id, 0)})
+				d.Handle(now, []Event{arrival(id, 0)})
 				to := d.messages[id].attempts[0].call.endpoint.ID
 				if took[to]++; i == 0 {
 					first[to]++
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -5,13 +5,13 @@
 )
 
 func TestWatchEndpoints_RetriedAfterFailure(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.WatchEndpoints = true
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	expect(t, "at the start", d.Handle(0, nil), "subscribe")
-	expect(t, "failed", d.Handle(ms, []Event{WatchFailed{}}), "")
-	expect(t, "again", d.Handle(ms+watchRetryDelay, []Event{TimerFired{}}), "subscribe")
+	wantActions(t, "at the start", d.Handle(0, nil), "subscribe")
+	wantActions(t, "failed", d.Handle(ms, []Event{WatchFailed{}}), "")
+	wantActions(t, "again", d.Handle(ms+watchRetryDelay, []Event{TimerFired{}}), "subscribe")
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -10,7 +10,7 @@
 const ms = time.Millisecond
 
 // plain are settings with one safe class, and room for everything.
-func plain() Settings {
+func testSettings() Settings {
 	return Settings{
 		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, CanCancel: true,
 		BatchInterval: 5 * ms, ColdCapacity: 0.2, SlowStartTime: 10 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
@@ -23,7 +23,7 @@
 	}
 }
 
-func start(t *testing.T, s Settings, eps ...Endpoint) *Dispatcher {
+func newDispatcher(t *testing.T, s Settings, eps ...Endpoint) *Dispatcher {
 	t.Helper()
 	d, err := New(s, 1)
 	if err != nil {
@@ -33,19 +33,19 @@
 	return d
 }
 
-func arrive(id string, class int) Event {
+func arrival(id string, class int) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, OrderKey: "k"}
 }
 
 // said lists actions in short, without timers and time-outs.
-func said(actions []Action) string {
+func summary(actions []Action) string {
 	var out []string
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			out = append(out, a.ID+">"+a.Endpoint)
 		case Reject:
-			out = append(out, "refuse "+a.ID)
+			out = append(out, "reject "+a.ID)
 		case Fail:
 			out = append(out, "fail "+a.ID)
 		case CancelAttempt:
@@ -57,23 +57,23 @@
 	return strings.Join(out, " ")
 }
 
-func expect(t *testing.T, what string, actions []Action, want string) {
+func wantActions(t *testing.T, what string, actions []Action, want string) {
 	t.Helper()
-	if got := said(actions); got != want {
+	if got := summary(actions); got != want {
 		t.Errorf("%s: got %q, want %q", what, got, want)
 	}
 }
 
 // resumed is a message that an earlier process took on, with the attempts that it made.
-func resumed(id string, class int, tried ...PriorAttempt) Event {
+func recovered(id string, class int, tried ...PriorAttempt) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: tried}
 }
 
-func background(id string, class int) Event {
+func backgroundArrival(id string, class int) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Background: true}
 }
 
-func closes(actions []Action) (n int) {
+func countCloses(actions []Action) (n int) {
 	for _, a := range actions {
 		if _, ok := a.(CloseIdleConns); ok {
 			n++
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -8,9 +8,9 @@
 
 // TestConnectError_LearnsConnectionLimit guards against taking a connection limit for an outage.
 func TestConnectError_LearnsConnectionLimit(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	d.Handle(0, []Event{arrive("m1", 0), arrive("m2", 0)})
-	d.Handle(10*ms, []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Succeeded, Final: true}, arrive("m3", 0)})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrival("m1", 0), arrival("m2", 0)})
+	d.Handle(10*ms, []Event{AttemptEnded{ID: "m1", Endpoint: "a", Outcome: Succeeded, Final: true}, arrival("m3", 0)})
 	d.Handle(20*ms, []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
 	if ep.health.isUnhealthy() || ep.consecutiveFailures > 0 || ep.connLimit != 1 {
@@ -40,13 +40,13 @@
 		{"more relays than a host takes connections", 100 * ms, 0, 80, true},
 	}
 	for _, tt := range tests {
-		s := plain()
+		s := testSettings()
 		s.IdleConnTimeout, s.Instances = 10*time.Second, tt.relays
-		d := start(t, s, Endpoint{ID: "a"})
+		d := newDispatcher(t, s, Endpoint{ID: "a"})
 		closes := false
 		for i := range 5 {
 			at, id := time.Duration(i+1)*tt.pitch, fmt.Sprint("m", i)
-			d.Handle(at, []Event{arrive(id, 0)})
+			d.Handle(at, []Event{arrival(id, 0)})
 			d.endpoints["a"].connLimit = tt.connCap
 			closes = false
 			for _, a := range d.Handle(at+50*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true}}) {
@@ -60,17 +60,17 @@
 }
 
 // warmed is a relay of a large fleet whose first call of n messages for one destination has just ended at host a.
-func warmed(t *testing.T, n int, how AttemptEnded) (*Dispatcher, []Action) {
+func afterFirstCall(t *testing.T, n int, how AttemptEnded) (*Dispatcher, []Action) {
 	t.Helper()
-	s := plain()
+	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 80
-	d := start(t, s, Endpoint{ID: "a", Weight: 80}, Endpoint{ID: "b", Weight: 80})
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 80}, Endpoint{ID: "b", Weight: 80})
 	d.endpoints["a"].tieBreaker, d.endpoints["b"].tieBreaker = 0, 1 // a is the first
 	q := d.queues[0]
 	q.sendBucket.tokens, q.sendBucket.refilledAt = 1, time.Second
 	var events []Event
 	for i := range n {
-		events = append(events, arrive(fmt.Sprint("m", i), 0))
+		events = append(events, arrival(fmt.Sprint("m", i), 0))
 	}
 	d.Handle(time.Second, events)
 	how.ID, how.Endpoint, how.Latency = "m0", "a", 200*ms
@@ -93,9 +93,9 @@
 		{"little of its allowance left", full, "", 1},
 		{"the call failed", AttemptEnded{Outcome: Failed}, "", 1},
 	} {
-		d, actions := warmed(t, 3, tt.end)
-		expect(t, tt.name, actions, tt.next)
-		if got := closes(actions); got != tt.closed {
+		d, actions := afterFirstCall(t, 3, tt.end)
+		wantActions(t, tt.name, actions, tt.next)
+		if got := countCloses(actions); got != tt.closed {
 			t.Errorf("%s: closed %d times, want %d", tt.name, got, tt.closed)
 		}
 		if d.queues[0].reusableConn != nil {
@@ -104,17 +104,17 @@
 	}
 
 	// So many ahead, and no more; the pace catches up.
-	d, actions := warmed(t, 9, ok)
+	d, actions := afterFirstCall(t, 9, ok)
 	sent, now := 1, time.Second+200*ms
-	for ; said(actions) != ""; sent++ {
-		expect(t, "in a row", actions, fmt.Sprintf("m%d>a", sent))
+	for ; summary(actions) != ""; sent++ {
+		wantActions(t, "in a row", actions, fmt.Sprintf("m%d>a", sent))
 		now += 60 * ms
 		end := ok
 		end.ID, end.Endpoint, end.Latency = fmt.Sprint("m", sent), "a", 60*ms
 		actions = d.Handle(now, []Event{end})
 	}
-	if sent < 1+maxTokenDebt || sent > 2+maxTokenDebt || closes(actions) != 1 {
-		t.Errorf("%d calls in a row, %d closes", sent, closes(actions))
+	if sent < 1+maxTokenDebt || sent > 2+maxTokenDebt || countCloses(actions) != 1 {
+		t.Errorf("%d calls in a row, %d closes", sent, countCloses(actions))
 	}
 	q := d.queues[0]
 	if q.sendBucket.tokens > 1-maxTokenDebt || q.sendBucket.tokens < -maxTokenDebt {
@@ -132,11 +132,11 @@
 
 	// A refusal at the door keeps new connections away, and not what has one; a refusal at the limit does both.
 	for _, door := range []bool{true, false} {
-		d, actions := warmed(t, 1, ok)
-		expect(t, "nothing waits", actions, "")
+		d, actions := afterFirstCall(t, 1, ok)
+		wantActions(t, "nothing waits", actions, "")
 		q := d.queues[0]
 		q.sendBucket.tokens, q.sendBucket.refilledAt = 1, now
-		d.Handle(now, []Event{arrive("x", 0), arrive("y", 0)}) // x goes
+		d.Handle(now, []Event{arrival("x", 0), arrival("y", 0)}) // x goes
 		d.recordRejection(q, door)
 		end := ok
 		end.ID, end.Endpoint, end.Latency = "x", d.messages["x"].attempts[0].call.endpoint.ID, 60*ms
@@ -144,6 +144,6 @@
 		if door {
 			want = "y>" + end.Endpoint
 		}
-		expect(t, fmt.Sprintf("refused at the door: %v", door), d.Handle(now+60*ms, []Event{end}), want)
+		wantActions(t, fmt.Sprintf("rejectd at the door: %v", door), d.Handle(now+60*ms, []Event{end}), want)
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -8,8 +8,8 @@
 
 // TestLatency_UnknownFilledFromKind guards against queues that know nothing: a lost first call would hold its slot to its end.
 func TestLatency_UnknownFilledFromKind(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
-	d.Handle(0, []Event{arrive("m", 0)})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d.Handle(0, []Event{arrival("m", 0)})
 	d.Handle(400*ms, []Event{
 		AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 400 * ms, Final: true},
 		Arrived{ID: "n", Destination: 1, TimeLeft: 10 * time.Second},
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -8,9 +8,9 @@
 // A destination that lowers its limit says so in its answers: the pace goes to this relay's share of what is left, noise
 // about the listed rate changes nothing, and the limit's return is heard with the next answer.
 func TestLoadReport_SendRateFollowsReportedLimit(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 2
-	d := start(t, s, Endpoint{ID: "a", Weight: 20})
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 20})
 	q := d.queues[0]
 	for _, c := range []struct {
 		limit, pace, even float64
@@ -40,7 +40,7 @@
 	if q.sendRate != 4 {
 		t.Errorf("pace %v after many successes, want the 4 that are told", q.sendRate)
 	}
-	unlisted := start(t, plain(), Endpoint{ID: "a"})
+	unlisted := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	if unlisted.recordReportedLimit(unlisted.queues[0], 4); unlisted.queues[0].sendRate != 0 {
 		t.Errorf("pace %v where no rate is listed", unlisted.queues[0].sendRate)
 	}
--- a/policy/order_test.go
+++ b/policy/order_test.go
@@ -6,25 +6,25 @@
 )
 
 func TestOrder_OneMessagePerKeyAndCooldown(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.OrderKeyCooldown = 300 * ms
-	d := start(t, s, Endpoint{ID: "a"})
-	expect(t, "one of a key at a time", d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)}), "m>a")
-	expect(t, "a time-out rests the key", d.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
+	d := newDispatcher(t, s, Endpoint{ID: "a"})
+	wantActions(t, "one of a key at a time", d.Handle(0, []Event{arrival("m", 2), arrival("n", 2)}), "m>a")
+	wantActions(t, "a time-out rests the key", d.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}}),
 		"fail m")
-	expect(t, "still resting", d.Handle(1299*ms, []Event{TimerFired{}}), "")
-	expect(t, "rested", d.Handle(1300*ms, []Event{TimerFired{}}), "n>a")
+	wantActions(t, "still resting", d.Handle(1299*ms, []Event{TimerFired{}}), "")
+	wantActions(t, "rested", d.Handle(1300*ms, []Event{TimerFired{}}), "n>a")
 }
 
 // Where ends take a while to be known, the next of a key waits for that: a call that overtakes the notice of the message
 // before it is out of turn. What has no key, and what was delivered, holds up nothing.
 func TestOrder_WaitsForAcknowledgement(t *testing.T) {
 	for _, settles := range []bool{false, true} {
-		s := plain()
+		s := testSettings()
 		s.AwaitAcknowledgement = settles
-		d := start(t, s, Endpoint{ID: "a"})
-		d.Handle(0, []Event{arrive("m", 2), arrive("n", 2)})
-		got := said(d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}))
+		d := newDispatcher(t, s, Endpoint{ID: "a"})
+		d.Handle(0, []Event{arrival("m", 2), arrival("n", 2)})
+		got := summary(d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}))
 		if !settles {
 			if got != "fail m n>a" {
 				t.Errorf("ends count at once: %q", got)
@@ -34,10 +34,10 @@
 		if got != "fail m" {
 			t.Errorf("given up: %q", got)
 		}
-		expect(t, "of another message", d.Handle(2*ms, []Event{Acknowledged{ID: "x"}, Acknowledged{ID: "n"}}), "")
-		expect(t, "known", d.Handle(3*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
-		expect(t, "delivered", d.Handle(4*ms, []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Succeeded, Final: true}, arrive("o", 2)}), "o>a")
-		expect(t, "without a key", d.Handle(5*ms, []Event{
+		wantActions(t, "of another message", d.Handle(2*ms, []Event{Acknowledged{ID: "x"}, Acknowledged{ID: "n"}}), "")
+		wantActions(t, "known", d.Handle(3*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
+		wantActions(t, "delivered", d.Handle(4*ms, []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Succeeded, Final: true}, arrival("o", 2)}), "o>a")
+		wantActions(t, "without a key", d.Handle(5*ms, []Event{
 			AttemptEnded{ID: "o", Endpoint: "a", Outcome: Failed},
 			Arrived{ID: "p", Class: 2, TimeLeft: time.Second},
 		}), "fail o p>a")
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -14,8 +14,8 @@
 		unhealthy bool
 	}{{ConnectionReset, 3, false}, {ConnectionReset, 4, true}, {Failed, 3, false}, {ConnectError, 1, false}, {ConnectError, 2, true}}
 	for _, tt := range tests {
-		d := start(t, plain(), Endpoint{ID: "a"})
-		d.Handle(0, []Event{arrive("m", 0)})
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+		d.Handle(0, []Event{arrival("m", 0)})
 		for i := range tt.n {
 			d.Handle(time.Duration(i+1)*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
@@ -42,13 +42,13 @@
 	} {
 		sick := 0
 		for seed := range int64(40) {
-			s := plain()
+			s := testSettings()
 			s.Instances, s.Weights = tt.relays, WeightsNominal
 			d, err := New(s, seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+			d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrival("m", 0)})
 			d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
 			if d.endpoints["a"].health.isUnhealthy() {
 				sick++
@@ -85,20 +85,20 @@
 		{"one is not enough there either", 300, 120, "c", 0},
 		{"few relays, each with many calls", 3, 3000, "ccccc", 0},
 	} {
-		s := plain()
+		s := testSettings()
 		s.Weights, s.Instances = WeightsNominal, tt.relays
 		var eps []Endpoint
 		for i := range 8 {
 			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Weight: tt.weight})
 		}
-		d := start(t, s, eps...)
+		d := newDispatcher(t, s, eps...)
 		d.queues[0].latency.mean = 0.3
 		outcomes := map[rune]Outcome{'c': ConnectError, 'n': ConnectError, 'e': Failed, 't': TimedOut, 'o': Succeeded}
 		now := time.Second
 		for i, end := range tt.ends {
 			id := fmt.Sprint("m", i)
 			now += 2500 * ms
-			actions := d.Handle(now, []Event{arrive(id, 0)})
+			actions := d.Handle(now, []Event{arrival(id, 0)})
 			var to string
 			for _, a := range actions {
 				if send, ok := a.(Send); ok && send.ID == id {
@@ -127,15 +127,15 @@
 	}
 
 	// One of two that is out by itself: the other answers, and stays well.
-	s := plain()
+	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 300
-	d := start(t, s, Endpoint{ID: "a", Weight: 3000}, Endpoint{ID: "b", Weight: 3000})
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 3000}, Endpoint{ID: "b", Weight: 3000})
 	now := time.Second
 	for i := range 12 {
 		id := fmt.Sprint("m", i)
 		now += 500 * ms
 		d.endpoints["a"].classFailures[0] = 0 // else b gets all messages of the class
-		for _, a := range d.Handle(now, []Event{arrive(id, 0)}) {
+		for _, a := range d.Handle(now, []Event{arrival(id, 0)}) {
 			if send, ok := a.(Send); ok {
 				end := AttemptEnded{ID: id, Endpoint: send.Endpoint, Outcome: ConnectError, Latency: 40 * ms}
 				if send.Endpoint == "b" {
--- a/policy/rate_control_test.go
+++ b/policy/rate_control_test.go
@@ -9,9 +9,9 @@
 // TestSendRate_FallsOnRejectionAndRisesOnSuccess guards against a pace that is cut by refusals and never comes back, and against one
 // that rises although the destination reports that its allowance is used up.
 func TestSendRate_FallsOnRejectionAndRisesOnSuccess(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 4
-	d := start(t, s, Endpoint{ID: "a", Weight: 8})
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 8})
 	q := d.queues[0]
 	if q.sendRate != 2 {
 		t.Fatalf("pace %v, want 8 / 4", q.sendRate)
@@ -37,9 +37,9 @@
 		relays int
 		want   float64
 	}{{2, 2}, {400, minCallsPerSpan}} { // 4 a second are 2 for one of 2, 0.01 for one of 400: chance decides
-		s := plain()
+		s := testSettings()
 		s.Instances, s.Weights = tt.relays, WeightsNominal
-		d := start(t, s, Endpoint{ID: "a", Weight: 4})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 4})
 		if got := d.queues[0].sendRate; got != tt.want {
 			t.Errorf("%d relays: pace %v, want %v", tt.relays, got, tt.want)
 		}
@@ -48,10 +48,10 @@
 
 // A rate that is absent, no number or negative is none: there is no pace then, and what was known before stays.
 func TestListedRate_IgnoresUnusableRates(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 80
 	for _, weight := range []float64{0, -4, math.Inf(1), math.Inf(-1), math.NaN()} {
-		d := start(t, s, Endpoint{ID: "a", Weight: weight})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: weight})
 		if q := d.queues[0]; q.sendRate != 0 || q.listedRate != 0 {
 			t.Errorf("listed with %v: rate %v, pace %v", weight, q.listedRate, q.sendRate)
 		}
@@ -66,9 +66,9 @@
 // The pace of a destination that takes many calls rises no faster in a second than that of one that takes few.
 func TestSendRate_BoundedIncreasePerSecond(t *testing.T) {
 	for _, rate := range []float64{8, 80, 800} {
-		s := plain()
+		s := testSettings()
 		s.Weights, s.Instances = WeightsNominal, 2
-		d := start(t, s, Endpoint{ID: "a", Weight: rate})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: rate})
 		q := d.queues[0]
 		for range int(q.sendRate) / 2 { // as many successes as in half a second at the even share
 			q.queued = []*message{{}}
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -10,7 +10,7 @@
 	begin := time.Hour
 	ran := func(ago time.Duration) PriorAttempt { return PriorAttempt{Endpoint: "gone", SentAt: begin - ago} }
 	unrun := PriorAttempt{Endpoint: "a", SentAt: begin - time.Second, NotExecuted: true}
-	spent := make([]PriorAttempt, plain().MaxAttempts)
+	spent := make([]PriorAttempt, testSettings().MaxAttempts)
 	for i := range spent {
 		spent[i] = unrun
 	}
@@ -19,38 +19,38 @@
 		event Event
 		want  string
 	}{
-		{"never tried", resumed("m", unsafe), "m>a"},
-		{"safe, may have run", resumed("m", safe, ran(time.Second)), "m>a"},
-		{"keyed within its memory", resumed("m", keyed, ran(3*time.Second)), "m>a"},
-		{"keyed past its memory", resumed("m", keyed, ran(4*time.Second)), "refuse m"},
-		{"keyed, counted from the first that may have run", resumed("m", keyed, ran(4*time.Second), ran(ms)), "refuse m"},
-		{"unsafe, may have run", resumed("m", unsafe, ran(time.Second)), "fail m"},
-		{"unsafe, never ran", resumed("m", unsafe, unrun, unrun), "m>a"},
-		{"all attempts made", resumed("m", safe, spent...), "refuse m"},
-		{"its time is up", Arrived{ID: "m", Recovered: true, TimeLeft: -time.Second}, "refuse m"},
+		{"never tried", recovered("m", unsafe), "m>a"},
+		{"safe, may have run", recovered("m", safe, ran(time.Second)), "m>a"},
+		{"keyed within its memory", recovered("m", keyed, ran(3*time.Second)), "m>a"},
+		{"keyed past its memory", recovered("m", keyed, ran(4*time.Second)), "reject m"},
+		{"keyed, counted from the first that may have run", recovered("m", keyed, ran(4*time.Second), ran(ms)), "reject m"},
+		{"unsafe, may have run", recovered("m", unsafe, ran(time.Second)), "fail m"},
+		{"unsafe, never ran", recovered("m", unsafe, unrun, unrun), "m>a"},
+		{"all attempts made", recovered("m", safe, spent...), "reject m"},
+		{"its time is up", Arrived{ID: "m", Recovered: true, TimeLeft: -time.Second}, "reject m"},
 	}
 	for _, tt := range tests {
-		d := start(t, plain(), Endpoint{ID: "a"})
-		expect(t, tt.name, d.Handle(begin, []Event{tt.event}), tt.want)
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+		wantActions(t, tt.name, d.Handle(begin, []Event{tt.event}), tt.want)
 	}
 }
 
 // A message that was taken on before is not up for admission again.
 func TestRecovery_NoSecondAdmission(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].retryAfterUntil = 1, 60*time.Second
-	expect(t, "a fresh one", d.Handle(time.Second, []Event{arrive("n", 0)}), "refuse n")
-	expect(t, "a resumed one", d.Handle(time.Second, []Event{resumed("m", 0)}), "")
+	wantActions(t, "a fresh one", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
+	wantActions(t, "a resumed one", d.Handle(time.Second, []Event{recovered("m", 0)}), "")
 }
 
 // A restart in an outage, or in the ramp after one, goes on as the process before it would have.
 func TestRecovery_EndpointHealth(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
 	sends := func(events ...Event) int {
-		d := start(t, s, Endpoint{ID: "a", Weight: 10})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 10})
 		for i := range 6 {
-			events = append(events, resumed(string(rune('m'+i)), 0))
+			events = append(events, recovered(string(rune('m'+i)), 0))
 		}
 		n := 0
 		for _, a := range d.Handle(time.Hour, events) {
@@ -77,7 +77,7 @@
 
 // What has to be recalled is told when it happens.
 func TestPersistHealth_OnOutageAndRecovery(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	told := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
 			if r, ok := a.(PersistHealth); ok {
@@ -86,13 +86,13 @@
 		}
 		return list
 	}
-	d.Handle(time.Second, []Event{arrive("m", 0)})
+	d.Handle(time.Second, []Event{arrival("m", 0)})
 	d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
 	got := told(d.Handle(3*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Unhealthy: true, At: 3 * time.Second}) {
 		t.Errorf("an outage: %v", got)
 	}
-	expect(t, "the next knock", d.Handle(7*time.Second, []Event{TimerFired{}}), "m>a")
+	wantActions(t, "the next knock", d.Handle(7*time.Second, []Event{TimerFired{}}), "m>a")
 	got = told(d.Handle(8*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: Succeeded, Final: true}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: 8 * time.Second}) {
 		t.Errorf("the return: %v", got)
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -11,22 +11,22 @@
 		kind int
 		want string
 	}{{0, ""}, {2, "n>b"}} { // a shared limit binds the destination, a route only itself
-		d := start(t, plain(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
-		d.Handle(0, []Event{arrive("m", 0)})
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
+		d.Handle(0, []Event{arrival("m", 0)})
 		d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, Cancelled{ID: "m"}})
-		expect(t, fmt.Sprint("kind ", tt.kind), d.Handle(500*ms, []Event{arrive("n", 0)}), tt.want)
+		wantActions(t, fmt.Sprint("kind ", tt.kind), d.Handle(500*ms, []Event{arrival("n", 0)}), tt.want)
 	}
 }
 
 // TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against a wait that is told with the first of several outcomes of one call.
 func TestRetryAfter_HoldsFromFirstOutcomeOfBatch(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a", Kind: 1})
-	expect(t, "one call", d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}), "m>a n>a")
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: 1})
+	wantActions(t, "one call", d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)}), "m>a n>a")
 	if d.inFlight != 1 {
 		t.Errorf("%d calls out, want one bundle", d.inFlight)
 	}
-	got := d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrive("o", 0)})
-	expect(t, "in the wait", got, "")
+	got := d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrival("o", 0)})
+	wantActions(t, "in the wait", got, "")
 }
 
 // What is out to a destination that tells to wait is taken back, where it has not left: it never ran, and goes again once the wait
@@ -38,12 +38,12 @@
 		want []Action
 	}{
 		{"told to wait", 2 * time.Second, []Action{CancelBeforeSend{ID: "m1", Attempt: 0}}},
-		{"refused without a wait", 0, nil},
+		{"rejectd without a wait", 0, nil},
 	} {
-		d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
-		other := arrive("other", 0).(Arrived)
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
+		other := arrival("other", 0).(Arrived)
 		other.Destination = 1
-		d.Handle(time.Second, []Event{arrive("m0", 0), arrive("m1", 0), other})
+		d.Handle(time.Second, []Event{arrival("m0", 0), arrival("m1", 0), other})
 		if d.inFlight != 3 {
 			t.Fatalf("%s: %d calls out", tt.name, d.inFlight)
 		}
@@ -61,11 +61,11 @@
 			continue
 		}
 		ep = d.messages["m1"].attempts[0].call.endpoint.ID
-		expect(t, "in the wait", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
+		wantActions(t, "in the wait", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
 		if m := d.messages["m1"]; m.firstExecuted() != nil || m.queue == nil {
 			t.Errorf("held: %v, taken for run: %v", m.queue != nil, m.firstExecuted())
 		}
-		if after := said(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
+		if after := summary(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
 			t.Error("nothing goes after the wait")
 		}
 	}
@@ -73,7 +73,7 @@
 
 // TestRejection_BackoffIsRandomized guards against relays that are refused together and come back together.
 func TestRejection_BackoffIsRandomized(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Instances, s.Weights = 400, WeightsNominal
 	seen := map[time.Duration]bool{}
 	for seed := range int64(5) {
@@ -81,7 +81,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrive("m", 0)})
+		d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrival("m", 0)})
 		d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected}})
 		seen[d.queues[0].backoffUntil] = true
 	}
@@ -92,14 +92,14 @@
 
 // Calls that were out together and are refused together are one refusal: they were sent before anything was heard.
 func TestRejection_CallsRejectedTogetherCountOnce(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
-	d := start(t, s, Endpoint{ID: "a", Weight: 100})
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 100})
 	q := d.queues[0]
 	var arrivals, refusals []Event
 	for i := range 8 {
 		id := fmt.Sprint("m", i)
-		arrivals = append(arrivals, arrive(id, 0))
+		arrivals = append(arrivals, arrival(id, 0))
 		refusals = append(refusals, AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected})
 	}
 	d.Handle(ms, arrivals)
@@ -144,9 +144,9 @@
 		{"at the door", true, nil, false},
 		{"where nothing is reported", false, nil, true},
 	} {
-		s := plain()
+		s := testSettings()
 		s.Weights, s.Instances = WeightsNominal, 2
-		d := start(t, s, Endpoint{ID: "a", Weight: 20})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 20})
 		q := d.queues[0]
 		if tt.reports {
 			d.recordReportedLimit(q, 20)
@@ -157,7 +157,7 @@
 				t.Fatalf("%s: not sick after %d refusals", tt.name, i)
 			}
 			id := fmt.Sprint("m", i)
-			d.Handle(now, []Event{arrive(id, 0)})
+			d.Handle(now, []Event{arrival(id, 0)})
 			if m := d.messages[id]; m != nil && m.openAttempts > 0 {
 				d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
 				if i == 0 && (q.sendRate < before) != tt.cut {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -34,24 +34,24 @@
 		{2, NotSent, "m>a"},
 	}
 	for _, tt := range tests {
-		d := start(t, plain(), Endpoint{ID: "a"})
-		expect(t, "arrival", d.Handle(0, []Event{arrive("m", tt.class)}), "m>a")
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+		wantActions(t, "arrival", d.Handle(0, []Event{arrival("m", tt.class)}), "m>a")
 		got := d.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Final: tt.outcome == Succeeded}})
-		expect(t, fmt.Sprintf("class %d, outcome %d", tt.class, tt.outcome), got, tt.want)
+		wantActions(t, fmt.Sprintf("class %d, outcome %d", tt.class, tt.outcome), got, tt.want)
 	}
 }
 
 func TestRetry_EndsWithKeyTTL(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	d.Handle(0, []Event{arrive("m", 1)})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+	d.Handle(0, []Event{arrival("m", 1)})
 	got := d.Handle(3995*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
-	expect(t, "memory gone", got, "refuse m")
+	wantActions(t, "memory gone", got, "reject m")
 }
 
 // A keyed message that may have run at an endpoint which has left the list goes nowhere after a restart where only its zone
 // drops repeats: which one that was is not known any more. Before, it counted as the first zone.
 func TestRetry_KeyPerZoneAndUnknownZone(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Classes[1].KeyPerZone = true
 	for _, tt := range []struct {
 		name, tried, want string
@@ -61,14 +61,14 @@
 		{"listed without a zone", "a", "", []int{-1, -1}},
 		{"listed", "a", "m>a", []int{0, 1}},
 	} {
-		d := start(t, s, Endpoint{ID: "a", Zone: tt.zones[0]}, Endpoint{ID: "b", Zone: tt.zones[1]})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Zone: tt.zones[0]}, Endpoint{ID: "b", Zone: tt.zones[1]})
 		got := d.Handle(time.Second, []Event{Arrived{
 			ID: "m", Class: 1, TimeLeft: 10 * time.Second, OrderKey: "k", Recovered: true,
 			PriorAttempts: []PriorAttempt{{Endpoint: tt.tried, SentAt: 0}},
 		}})
-		expect(t, tt.name, got, tt.want)
+		wantActions(t, tt.name, got, tt.want)
 		if tt.want == "" {
-			expect(t, tt.name+", forgotten", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
+			wantActions(t, tt.name+", forgotten", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
 		}
 	}
 }
@@ -83,10 +83,10 @@
 	}{
 		{1, ConnectionReset, 4*time.Second - 10*ms - took}, {1, Failed, 4*time.Second - 10*ms - took}, {1, Rejected, 0}, {1, ConnectError, 0}, {0, ConnectionReset, 0},
 	} {
-		d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-		d.Handle(0, []Event{arrive("m", tt.class)})
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+		d.Handle(0, []Event{arrival("m", tt.class)})
 		actions := d.Handle(took, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Latency: took}})
-		for now := took; said(actions) == "" && now < 3*time.Second; now += ms {
+		for now := took; summary(actions) == "" && now < 3*time.Second; now += ms {
 			actions = d.Handle(now, []Event{TimerFired{}})
 			tt.want = max(0, tt.want-ms) // in the pause after a refusal it is the same
 		}
--- a/policy/route_selection_test.go
+++ b/policy/route_selection_test.go
@@ -5,10 +5,10 @@
 )
 
 func TestSelectRoute_LeastCost(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.ZoneCost = []float64{0.06, 0}
-	d := start(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
-	expect(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrive("m", 0)}), "m>b")
+	d := newDispatcher(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
+	wantActions(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrival("m", 0)}), "m>b")
 	d.queues[1].latency.mean, d.queues[1].latency.byClass[0] = 5, 5
-	expect(t, "the faster at a fee", d.Handle(0, []Event{arrive("n", 0)}), "n>a")
+	wantActions(t, "the faster at a fee", d.Handle(0, []Event{arrival("n", 0)}), "n>a")
 }
--- a/policy/settings_change_test.go
+++ b/policy/settings_change_test.go
@@ -74,17 +74,17 @@
 // New settings bind what is under way: fewer attempts end what has had them, a message keeps its class when that goes,
 // and a new class is served beside the old ones.
 func TestSettingsChanged_BindsMessagesUnderWay(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	for i := range s.Classes {
 		s.Classes[i].Name = string(rune('a' + i))
 	}
-	d := start(t, s, Endpoint{ID: "a"})
+	d := newDispatcher(t, s, Endpoint{ID: "a"})
 	reset := func(id string, attempt int) Event {
 		return AttemptEnded{ID: id, Endpoint: "a", Attempt: attempt, Outcome: ConnectionReset}
 	}
 	now := time.Second
-	expect(t, "taken on", d.Handle(now, []Event{arrive("m", 0)}), "m>a")
-	expect(t, "tried again", d.Handle(now+ms, []Event{reset("m", 0)}), "m>a")
+	wantActions(t, "taken on", d.Handle(now, []Event{arrival("m", 0)}), "m>a")
+	wantActions(t, "tried again", d.Handle(now+ms, []Event{reset("m", 0)}), "m>a")
 
 	next := s
 	next.MaxAttempts = 2
@@ -93,26 +93,26 @@
 		t.Fatalf("class 0 is %+v", got)
 	}
 	added := len(next.Classes) - 1
-	expect(t, "new settings end nothing that is out", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "")
-	expect(t, "a message of a new class", d.Handle(now+3*ms, []Event{Arrived{ID: "n", Class: added, TimeLeft: 5 * time.Second}}), "n>a")
-	expect(t, "it is delivered", d.Handle(now+4*ms, []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Succeeded}}), "")
-	expect(t, "no third attempt", d.Handle(now+5*ms, []Event{reset("m", 1)}), "refuse m")
+	wantActions(t, "new settings end nothing that is out", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "")
+	wantActions(t, "a message of a new class", d.Handle(now+3*ms, []Event{Arrived{ID: "n", Class: added, TimeLeft: 5 * time.Second}}), "n>a")
+	wantActions(t, "it is delivered", d.Handle(now+4*ms, []Event{AttemptEnded{ID: "n", Endpoint: "a", Outcome: Succeeded}}), "")
+	wantActions(t, "no third attempt", d.Handle(now+5*ms, []Event{reset("m", 1)}), "reject m")
 
 	// One that is held with as many attempts as the settings now allow gets its end at once.
-	d = start(t, s, Endpoint{ID: "a"})
+	d = newDispatcher(t, s, Endpoint{ID: "a"})
 	full := AttemptEnded{ID: "h", Endpoint: "a", Outcome: Rejected, RetryAfter: 5 * time.Second}
-	d.Handle(now, []Event{arrive("h", 0)})
-	expect(t, "held for a wait", d.Handle(now+ms, []Event{full}), "")
+	d.Handle(now, []Event{arrival("h", 0)})
+	wantActions(t, "held for a wait", d.Handle(now+ms, []Event{full}), "")
 	next.MaxAttempts = 1
-	expect(t, "cut", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "refuse h")
+	wantActions(t, "cut", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "reject h")
 
 	// A class that was safe and is unsafe now: what was out under it and may have run is not sent again, nor handed back.
-	d = start(t, s, Endpoint{ID: "a"})
-	d.Handle(now, []Event{arrive("m", 0)})
+	d = newDispatcher(t, s, Endpoint{ID: "a"})
+	d.Handle(now, []Event{arrival("m", 0)})
 	next = s
 	strict := s.Classes[0]
 	strict.Idempotency = NotIdempotent
 	next.Classes = MergeClasses(s.Classes, append([]Class{strict}, s.Classes[1:]...))
 	d.Handle(now+ms, []Event{SettingsChanged{next}})
-	expect(t, "may have run, unsafe now", d.Handle(now+2*ms, []Event{reset("m", 0)}), "fail m")
+	wantActions(t, "may have run, unsafe now", d.Handle(now+2*ms, []Event{reset("m", 0)}), "fail m")
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -21,7 +21,7 @@
 		{"OrderPause", func(s *Settings) { s.OrderKeyCooldown = -1 }},
 	}
 	for _, tt := range tests {
-		s := plain()
+		s := testSettings()
 		tt.spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
 			t.Errorf("%s: error %v", tt.field, err)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -9,10 +9,10 @@
 
 // TestOutage_TrialRequestsWithinRecoveryRate plays each kind of outage: trials stay within the rule's budget, and a success starts a ramp.
 func TestOutage_TrialRequestsWithinRecoveryRate(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights = WeightsNominal
 	for _, outcome := range []Outcome{ConnectError, Failed, ConnectionReset, Rejected, TimedOut} {
-		d := start(t, s, Endpoint{ID: "a", Weight: 5})
+		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 5})
 		sends, out := 0, map[string]int{}
 		for now := time.Duration(0); now < 24*time.Second; now += 20 * ms {
 			var events []Event
@@ -40,9 +40,9 @@
 }
 
 func TestSlowStart_RecoveryRateRises(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 40
-	d := start(t, s, Endpoint{ID: "a", Weight: 10})
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 10})
 	ep := d.endpoints["a"]
 	d.now = time.Second
 	d.markUnhealthy(ep)
@@ -61,7 +61,7 @@
 
 // TestSlowStart_SuccessAllowsTrialOfSiblings guards against slow detection: outages mostly end for a whole destination.
 func TestSlowStart_SuccessAllowsTrialOfSiblings(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.markUnhealthy(a)
 	d.markUnhealthy(b)
--- a/policy/stuck_attempts_test.go
+++ b/policy/stuck_attempts_test.go
@@ -8,34 +8,34 @@
 // TestCancelStuck_LostCallIsRetried guards against single lost calls: one that a later call has overtaken is
 // called off; one that nothing has overtaken stays while slots are free.
 func TestCancelStuck_LostCallIsRetried(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.observe(0, 0.1)
-	d.Handle(0, []Event{arrive("lost", 0)})
-	d.Handle(50*ms, []Event{arrive("m", 0)})
-	expect(t, "nothing overtook it", d.Handle(140*ms, []Event{TimerFired{}}), "")
+	d.Handle(0, []Event{arrival("lost", 0)})
+	d.Handle(50*ms, []Event{arrival("m", 0)})
+	wantActions(t, "nothing overtook it", d.Handle(140*ms, []Event{TimerFired{}}), "")
 	d.Handle(150*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Final: true}})
-	expect(t, "overtaken and late", d.Handle(700*ms, []Event{TimerFired{}}), "cancel lost/0")
-	expect(t, "sent again", d.Handle(705*ms, []Event{AttemptEnded{ID: "lost", Endpoint: "a", Outcome: Canceled}}), "lost>a")
+	wantActions(t, "overtaken and late", d.Handle(700*ms, []Event{TimerFired{}}), "cancel lost/0")
+	wantActions(t, "sent again", d.Handle(705*ms, []Event{AttemptEnded{ID: "lost", Endpoint: "a", Outcome: Canceled}}), "lost>a")
 }
 
 // TestCancelStuck_FreesWantedSlot guards against hangs that fill the slots.
 func TestCancelStuck_FreesWantedSlot(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxInFlight = 2
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1}, Endpoint{ID: "c", Destination: 2})
 	d.queues[0].latency.observe(0, 0.1)
 	d.queues[1].latency.observe(0, 0.1)
 	at := func(id string, dest int) Event { return Arrived{ID: id, Destination: dest, TimeLeft: 10 * time.Second} }
 	d.Handle(0, []Event{at("m", 0)})
 	d.Handle(100*ms, []Event{at("n", 1)})
-	expect(t, "no slot is wanted", d.Handle(900*ms, []Event{TimerFired{}}), "")
-	expect(t, "one is wanted", d.Handle(1000*ms, []Event{at("o", 2)}), "cancel m/0")
+	wantActions(t, "no slot is wanted", d.Handle(900*ms, []Event{TimerFired{}}), "")
+	wantActions(t, "one is wanted", d.Handle(1000*ms, []Event{at("o", 2)}), "cancel m/0")
 }
 
 // TestCancelFactor_LowerWhereMostlyUnanswered guards against slots lost to calls that will never be answered.
 func TestCancelFactor_LowerWhereMostlyUnanswered(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	if got := d.cancelFactor(); got != unresponsiveFactor {
 		t.Errorf("at the start: %v", got)
 	}
@@ -47,13 +47,13 @@
 
 // TestCancelStuck_NonIdempotentCallOnlyForWantedSlot guards against answers lost at unsafe calls, which filled all slots.
 func TestCancelStuck_NonIdempotentCallOnlyForWantedSlot(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxInFlight = 1
-	d := start(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
+	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.queues[0].latency.observe(2, 0.1)
 	d.unansweredShare = 0.9
 	d.Handle(0, []Event{Arrived{ID: "m", Class: 2, TimeLeft: 20 * time.Second}})
-	expect(t, "no slot is wanted", d.Handle(3*time.Second, []Event{TimerFired{}}), "")
-	expect(t, "one is wanted", d.Handle(3100*ms, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
-	expect(t, "never twice", d.Handle(3105*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Canceled}}), "fail m n>b")
+	wantActions(t, "no slot is wanted", d.Handle(3*time.Second, []Event{TimerFired{}}), "")
+	wantActions(t, "one is wanted", d.Handle(3100*ms, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: 9 * time.Second}}), "cancel m/0")
+	wantActions(t, "never twice", d.Handle(3105*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Canceled}}), "fail m n>b")
 }
--- a/policy/terminal_test.go
+++ b/policy/terminal_test.go
@@ -6,25 +6,25 @@
 )
 
 func TestQueuedMessage_RejectedAtDeadline(t *testing.T) {
-	d := start(t, plain())
-	got := d.Handle(0, []Event{arrive("m", 2)})
-	expect(t, "no endpoint listed", got, "")
+	d := newDispatcher(t, testSettings())
+	got := d.Handle(0, []Event{arrival("m", 2)})
+	wantActions(t, "no endpoint listed", got, "")
 	at := got[len(got)-1].(SetTimer).After
 	if at > 10*time.Second || at < 9900*ms {
 		t.Errorf("timer after %v", at)
 	}
-	expect(t, "before its end", d.Handle(at-ms, []Event{TimerFired{}}), "")
-	expect(t, "at its end", d.Handle(at, []Event{TimerFired{}}), "refuse m")
-	expect(t, "late outcome", d.Handle(at+ms, []Event{AttemptEnded{ID: "m", Outcome: Succeeded}}), "")
+	wantActions(t, "before its end", d.Handle(at-ms, []Event{TimerFired{}}), "")
+	wantActions(t, "at its end", d.Handle(at, []Event{TimerFired{}}), "reject m")
+	wantActions(t, "late outcome", d.Handle(at+ms, []Event{AttemptEnded{ID: "m", Outcome: Succeeded}}), "")
 }
 
 // TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and cannot end in time.
 func TestQueuedMessage_GivenUpWithoutTimeForAttempt(t *testing.T) {
-	d := start(t, plain())
-	d.Handle(0, []Event{arrive("m", 0)})
+	d := newDispatcher(t, testSettings())
+	d.Handle(0, []Event{arrival("m", 0)})
 	d.queues[0].latency.observe(0, 0.5)
-	expect(t, "0.6 s left, 0.5 s needed", d.Handle(9400*ms, []Event{TimerFired{}}), "")
-	expect(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "refuse m")
+	wantActions(t, "0.6 s left, 0.5 s needed", d.Handle(9400*ms, []Event{TimerFired{}}), "")
+	wantActions(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "reject m")
 }
 
 // A message whose time is up while the answer to its call is still listened to ends at once, and once. The call goes on: the next of
@@ -34,12 +34,12 @@
 		name  string
 		class int
 		end   string
-	}{{"safe", 0, "refuse m"}, {"keyed", 1, "refuse m"}, {"unsafe, in order", 2, "fail m"}} {
-		d := start(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-		d.Handle(0, []Event{arrive("m", tt.class)})
-		expect(t, tt.name+": in time", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
-		expect(t, tt.name, d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.end)
-		expect(t, tt.name+": again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
+	}{{"safe", 0, "reject m"}, {"keyed", 1, "reject m"}, {"unsafe, in order", 2, "fail m"}} {
+		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+		d.Handle(0, []Event{arrival("m", tt.class)})
+		wantActions(t, tt.name+": in time", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
+		wantActions(t, tt.name, d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.end)
+		wantActions(t, tt.name+": again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
 		if d.inFlight != 1 || d.messages["m"] == nil {
 			t.Errorf("%s: %d calls out, known: %v", tt.name, d.inFlight, d.messages["m"] != nil)
 		}
@@ -47,22 +47,22 @@
 		if tt.class == 2 {
 			next = "" // in order, until the attempt has an end
 		}
-		expect(t, tt.name+": the next", d.Handle(10*time.Second+2*ms, []Event{arrive("n", tt.class)}), next)
+		wantActions(t, tt.name+": the next", d.Handle(10*time.Second+2*ms, []Event{arrival("n", tt.class)}), next)
 		ep := d.messages["m"].attempts[0].call.endpoint.ID
-		expect(t, tt.name+": told to wait", d.Handle(10*time.Second+10*ms,
-			[]Event{AttemptEnded{ID: "m", Endpoint: ep, Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}, arrive("o", 0)}), "")
+		wantActions(t, tt.name+": told to wait", d.Handle(10*time.Second+10*ms,
+			[]Event{AttemptEnded{ID: "m", Endpoint: ep, Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}, arrival("o", 0)}), "")
 		if d.messages["m"] != nil {
 			t.Errorf("%s: the message is still known", tt.name)
 		}
-		if got := said(d.Handle(12*time.Second+20*ms, []Event{TimerFired{}})); got == "" {
+		if got := summary(d.Handle(12*time.Second+20*ms, []Event{TimerFired{}})); got == "" {
 			t.Errorf("%s: nothing goes after the wait", tt.name)
 		}
 	}
 }
 
 func TestAttemptsExhausted_EndsMessage(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
-	expect(t, "sent", d.Handle(time.Second, []Event{arrive("m", 2)}), "m>a")
-	expect(t, "ended", d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
-		"refuse m")
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+	wantActions(t, "sent", d.Handle(time.Second, []Event{arrival("m", 2)}), "m>a")
+	wantActions(t, "ended", d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: NotSent, AttemptsExhausted: true}}),
+		"reject m")
 }
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -7,10 +7,10 @@
 
 // TestTimer_NotArmedWhileWaitingForSlot guards against a timer every tick while a queue with a free token waits for a slot.
 func TestTimer_NotArmedWhileWaitingForSlot(t *testing.T) {
-	s := plain()
+	s := testSettings()
 	s.MaxInFlight, s.Weights = 1, WeightsNominal
-	d := start(t, s, Endpoint{ID: "a", Weight: 5})
-	for _, a := range d.Handle(0, []Event{arrive("m", 0), arrive("n", 0)}) {
+	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 5})
+	for _, a := range d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)}) {
 		if w, ok := a.(SetTimer); ok && w.After < time.Second {
 			t.Errorf("timer after %v", w.After)
 		}
@@ -19,8 +19,8 @@
 
 // TestTimer_RearmedAfterFiringEarly guards against a clock of coarser steps that uses up the timer of a last chance.
 func TestTimer_RearmedAfterFiringEarly(t *testing.T) {
-	d := start(t, plain())
-	got := d.Handle(0, []Event{arrive("m", 0)})
+	d := newDispatcher(t, testSettings())
+	got := d.Handle(0, []Event{arrival("m", 0)})
 	at := got[len(got)-1].(SetTimer).After
 	got = d.Handle(at-400, []Event{TimerFired{}})
 	if len(got) != 1 || got[0].(SetTimer).After > 10*ms {
