--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,21 +12,21 @@
 	tests := []struct {
 		name         string
 		u, x, τ, net float64
-		held, want   bool
+		queued, want bool
 	}{
 		{"u exactly τ", 2, 0.1, 2, 0, true, false},
 		{"u above τ", 2.01, 0.1, 2, 0, false, true},
-		{"nothing held", 0, 5, 3, 1, false, false},
+		{"nothing queued", 0, 5, 3, 1, false, false},
 		{"bound met exactly: 2(1.5+1-2) = 1", 1.5, 1, 2, 2, true, true},
 		{"bound missed: 2(1.4+1-2) = 0.8", 1.4, 1, 2, 2, true, false},
 		{"λ = r: no bound", 1.9, 5, 2, 0, true, false},
 		{"λ below r: no bound", 1.9, 5, 2, -1, true, false},
 		{"static rule: x = τ + 1/(λ-r)", 0.001, 2.5, 2, 2, true, true},
 		{"no time left and idle", 0, 0.1, -0.1, 1, false, true},
-		{"held, but u is 0", 0, 9, 2, 2, true, false},
+		{"queued, but u is 0", 0, 9, 2, 2, true, false},
 	}
 	for _, tt := range tests {
-		if got := mustReject(tt.u, tt.x, tt.τ, tt.net, tt.held); got != tt.want {
+		if got := mustReject(tt.u, tt.x, tt.τ, tt.net, tt.queued); got != tt.want {
 			t.Errorf("%s: got %v", tt.name, got)
 		}
 	}
@@ -41,43 +41,43 @@
 	q.latency.mean = 0.5
 	q.queued = make([]*message, 6)
 	if u := d.backlog(q); u != 3 {
-		t.Errorf("six held, none out: u = %v, want 6 × 0.5", u)
+		t.Errorf("six queued, none in flight: u = %v, want 6 × 0.5", u)
 	}
 	q.inFlight = []*call{{endpoint: q.endpoints[0]}, {endpoint: q.endpoints[0]}}
 	if u := d.backlog(q); u != 1.5 {
-		t.Errorf("six held, two out: u = %v, want 6 × 0.5 / 2", u)
+		t.Errorf("six queued, two in flight: u = %v, want 6 × 0.5 / 2", u)
 	}
-	d.now = 5500 * ms // both calls have been out for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
+	d.now = 5500 * ms // both calls have been in flight for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
 	if got := d.agedLatency(q); math.Abs(got-1.45) > 1e-9 {
-		t.Errorf("calls out count with their age: %v, want 1.45", got)
+		t.Errorf("calls in flight count with their age: %v, want 1.45", got)
 	}
 	q.retryAfterUntil = d.now + 8*time.Second
 	if u := d.backlog(q); u != 8 {
-		t.Errorf("in a wait: u = %v, want the 8 s that remain", u)
+		t.Errorf("during Retry-After: u = %v, want the 8 s that remain", u)
 	}
 }
 
 func TestShadowQueue_CountsRejections(t *testing.T) {
 	var a decayingCounter
 	if a.rate(0) != 0 {
-		t.Error("a fresh counter has a rate")
+		t.Error("a new counter has a rate")
 	}
 	for i := range 400 {
 		a.add(time.Duration(i)*100*ms, 1)
 	}
 	if got := a.rate(40 * time.Second); math.Abs(got-10) > 0.3 {
-		t.Errorf("ten a second: rate %v", got)
+		t.Errorf("ten per second: rate %v", got)
 	}
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 2
-	for i, want := range []float64{0, 0, 1, 1} { // work 0, 2 and 4 against τ = 3; a miss adds none
+	for i, want := range []float64{0, 0, 1, 1} { // backlog 0, 2 and 4 against a longest wait of 3; a rejection adds none
 		d.feedShadowQueue(q, 3)
 		if q.shadowRejections.value != want {
-			t.Errorf("arrival %d: %v misses of the copy, want %v", i, q.shadowRejections.value, want)
+			t.Errorf("arrival %d: %v shadow rejections, want %v", i, q.shadowRejections.value, want)
 		}
 		if i == 2 {
-			d.now = 2 * time.Second // the copy's work drains to 2
+			d.now = 2 * time.Second // the shadow queue's backlog drains to 2
 		}
 	}
 }
@@ -90,27 +90,27 @@
 	}
 }
 
-// TestAdmit_OverloadRejectsLateMessages guards against a queue that serves everybody late, and against patient
-// messages that fill it before urgent ones worth more.
+// TestAdmit_OverloadRejectsLateMessages guards against a queue that serves all messages late, and
+// against one that fills with patient messages before urgent ones of a higher priority weight.
 func TestAdmit_OverloadRejectsLateMessages(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{
-		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                         // keepWorth left at 2.4 s
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                         // minUsefulValue left at 2.4 s
 		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateFraction: 0.5}, // and at 12.4 s
 		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4, LateFraction: 0.5},
 	}
 	tests := []struct {
 		class    int
 		overload bool
-		held     int // at half a second each
-		refused  bool
+		queued   int // at half a second each
+		rejected bool
 	}{
 		{0, false, 8, false},
 		{0, true, 3, false},
 		{0, true, 5, true},
 		{1, false, 20, false},
 		{1, true, 3, false},
-		{1, true, 5, true}, // class 0 is worth more
+		{1, true, 5, true}, // class 0 has a higher priority weight
 		{2, true, 24, false},
 		{2, true, 26, true},
 	}
@@ -118,7 +118,7 @@
 		d := newDispatcher(t, s, Endpoint{ID: "a"})
 		q := d.queues[0]
 		q.latency.mean = 0.5
-		for range tt.held {
+		for range tt.queued {
 			q.queued = append(q.queued, &message{class: &s.Classes[1], deadline: time.Hour, queue: q})
 		}
 		if tt.overload {
@@ -129,28 +129,28 @@
 			deadline: d.settings.Classes[tt.class].Deadline,
 		}
 		d.unfinished = append(d.unfinished, m)
-		q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
+		q.shadowRejections.add(0, 1000) // λ - r < 0: the bound does not apply
 		d.admit(m)
-		if (m.state != messageActive) != tt.refused {
-			t.Errorf("class %d, overload %v, %d held: refused %v", tt.class, tt.overload, tt.held, (m.state != messageActive))
+		if (m.state != messageActive) != tt.rejected {
+			t.Errorf("class %d, overload %v, %d queued: rejected %v", tt.class, tt.overload, tt.queued, m.state != messageActive)
 		}
 	}
 }
 
-// TestAdmit_OneQueueDoesNotTakeAllSpace guards against one queue that fills the holding room.
+// TestAdmit_OneQueueDoesNotTakeAllSpace guards against one queue that takes all of MaxQueued.
 func TestAdmit_OneQueueDoesNotTakeAllSpace(t *testing.T) {
 	s := testSettings()
 	s.MaxQueued = 20
 	d := newDispatcher(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
-	refused := 0
+	rejected := 0
 	for i := range 20 {
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
 		if strings.HasPrefix(summary(got), "reject") {
-			refused++
+			rejected++
 		}
 	}
-	if refused != 5 {
-		t.Errorf("%d of 20 refused, want those past three quarters of the room", refused)
+	if rejected != 5 {
+		t.Errorf("%d of 20 rejected, want those past three quarters of MaxQueued", rejected)
 	}
 	wantActions(t, "another destination", d.Handle(0, []Event{Arrived{ID: "n", Destination: 1, TimeLeft: time.Second}}), "n>b")
 }
@@ -163,15 +163,16 @@
 	for i, id := range []string{"l", "m", "n"} {
 		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
 	}
-	wantActions(t, "a third where two may be held", d.Handle(time.Second, events), "reject l m>b")
+	wantActions(t, "a third where two may be queued", d.Handle(time.Second, events), "reject l m>b")
 }
 
-// TestAdmit_LittleTimeLeftIsNotAge guards against taking little time left for age: under overload all were refused.
+// TestAdmit_LittleTimeLeftIsNotAge guards against taking little time left for age:
+// under overload all such messages were rejected.
 func TestAdmit_LittleTimeLeftIsNotAge(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 0.5
 	q.arrivals.add(0, 100)
-	q.shadowRejections.add(0, 1000) // λ - r < 0: the bound stays out of it
-	wantActions(t, "2 s of 10 left, nothing held", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
+	q.shadowRejections.add(0, 1000) // λ - r < 0: the bound does not apply
+	wantActions(t, "2 s of 10 left, nothing queued", d.Handle(0, []Event{Arrived{ID: "m", TimeLeft: 2 * time.Second}}), "m>a")
 }
--- a/policy/attempt_outcome_test.go
+++ b/policy/attempt_outcome_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRecordOutcome_OwnStallIsNotLatency guards against holding a relay's own pause against its destinations.
+// TestRecordOutcome_OwnStallIsNotLatency guards against counting a relay's own stall as latency
+// of its destinations.
 func TestRecordOutcome_OwnStallIsNotLatency(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
@@ -14,6 +15,6 @@
 	d.Handle(0, []Event{arrival("m", 0)})
 	d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 100 * ms, Final: true}})
 	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.unansweredShare != 0 {
-		t.Errorf("mean %v, unanswered %v after a pause of our own", q.latency.mean, d.unansweredShare)
+		t.Errorf("mean %v, unanswered share %v after a stall of our own", q.latency.mean, d.unansweredShare)
 	}
 }
--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A background message goes where nothing else is wanted, and is refused at once where anything is.
+// A background message is sent where capacity is spare, and rejected at once where it is not.
 func TestBackground_AdmittedOnlyToSpareCapacity(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight = 16
@@ -20,20 +20,20 @@
 		send   Event
 		want   string
 	}{
-		"all is idle":          {func(*Dispatcher) {}, backgroundArrival("m", 0), "m>a"},
-		"one is out already":   {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, backgroundArrival("m", 0), "reject m"},
-		"one is out elsewhere": {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, to("m", 1), "m>b"},
-		"an eighth has them":   {func(d *Dispatcher) { d.Handle(ms, []Event{to("n", 0), to("o", 2)}) }, to("m", 1), "reject m"},
-		"half of the slots":    {func(d *Dispatcher) { submitMany(d, 8) }, to("m", 1), "reject m"},
-		"just under half":      {func(d *Dispatcher) { submitMany(d, 7) }, to("m", 1), "m>b"},
-		"fresh ones are held":  {func(d *Dispatcher) { submitMany(d, 12) }, backgroundArrival("m", 0), "reject m"},
-		"a wait is on":         {func(d *Dispatcher) { failOne(d, AttemptEnded{Outcome: Rejected, RetryAfter: 5 * time.Second}) }, backgroundArrival("m", 0), "reject m"},
-		"it is out": {func(d *Dispatcher) {
+		"idle":                    {func(*Dispatcher) {}, backgroundArrival("m", 0), "m>a"},
+		"one in flight already":   {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, backgroundArrival("m", 0), "reject m"},
+		"one in flight elsewhere": {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, to("m", 1), "m>b"},
+		"an eighth of the slots":  {func(d *Dispatcher) { d.Handle(ms, []Event{to("n", 0), to("o", 2)}) }, to("m", 1), "reject m"},
+		"half of the slots":       {func(d *Dispatcher) { submitMany(d, 8) }, to("m", 1), "reject m"},
+		"just under half":         {func(d *Dispatcher) { submitMany(d, 7) }, to("m", 1), "m>b"},
+		"others are queued":       {func(d *Dispatcher) { submitMany(d, 12) }, backgroundArrival("m", 0), "reject m"},
+		"during Retry-After":      {func(d *Dispatcher) { failOne(d, AttemptEnded{Outcome: Rejected, RetryAfter: 5 * time.Second}) }, backgroundArrival("m", 0), "reject m"},
+		"unhealthy": {func(d *Dispatcher) {
 			failOne(d, AttemptEnded{Outcome: ConnectError})
 			failOne(d, AttemptEnded{Outcome: ConnectError})
 		}, backgroundArrival("m", 0), "reject m"},
-		"nothing is listed":     {func(*Dispatcher) {}, to("m", 9), "reject m"},
-		"the process is ending": {func(d *Dispatcher) { d.Handle(ms, []Event{Quiesced{}}) }, backgroundArrival("m", 0), "reject m"},
+		"no endpoint is listed": {func(*Dispatcher) {}, to("m", 9), "reject m"},
+		"quiesced":              {func(d *Dispatcher) { d.Handle(ms, []Event{Quiesced{}}) }, backgroundArrival("m", 0), "reject m"},
 	} {
 		d := newDispatcher(t, s, ep, other, Endpoint{ID: "c", Destination: 2})
 		c.before(d)
@@ -41,7 +41,7 @@
 	}
 }
 
-// flood has so many fresh messages arrive at destination 0.
+// submitMany submits so many messages to destination 0.
 func submitMany(d *Dispatcher, n int) {
 	var events []Event
 	for i := range n {
@@ -50,14 +50,14 @@
 	d.Handle(ms, events)
 }
 
-// fail has a fresh message fail at destination 0, and be withdrawn.
+// failOne submits a message to destination 0, ends its attempt with e and cancels it.
 func failOne(d *Dispatcher, e AttemptEnded) {
 	e.ID, e.Endpoint = fmt.Sprint("x", d.lastSeq), "a"
 	d.Handle(d.now+ms, []Event{Arrived{ID: e.ID, TimeLeft: 10 * time.Second}})
 	d.Handle(d.now+2*ms, []Event{e, Cancelled{ID: e.ID}})
 }
 
-// It has one attempt: after that it goes back to where it came from, whatever became of it.
+// A background message has one attempt: after that it goes back to where it waited, whatever the outcome.
 func TestBackground_HasOneAttempt(t *testing.T) {
 	for class, outcomes := range map[int]map[Outcome]string{
 		0: {Succeeded: "", Failed: "reject m", Rejected: "reject m", TimedOut: "reject m"},
@@ -65,17 +65,17 @@
 	} {
 		for outcome, want := range outcomes {
 			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
-			wantActions(t, "it goes", d.Handle(time.Second, []Event{backgroundArrival("m", class)}), "m>a")
+			wantActions(t, "sent", d.Handle(time.Second, []Event{backgroundArrival("m", class)}), "m>a")
 			wantActions(t, fmt.Sprint("class ", class, ", outcome ", outcome), d.Handle(2*time.Second,
 				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: outcome, Final: outcome == Succeeded}}), want)
 			if len(d.messages) > 0 && len(d.coolingDown) == 0 {
-				t.Errorf("class %d, outcome %d: still held", class, outcome)
+				t.Errorf("class %d, outcome %d: not evicted", class, outcome)
 			}
 		}
 	}
 }
 
-// What a process left is taken up by the next: sent if it was not yet, given back if it was.
+// A recovered background message is sent if it was not yet, and rejected if it was.
 func TestBackground_Recovered(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	tried := []PriorAttempt{{Endpoint: "a", SentAt: ms}}
@@ -86,7 +86,7 @@
 	wantActions(t, "a restart", got, "reject old new>a")
 }
 
-// A fresh message sees neither arrivals nor a copy's work of background ones: it is decided on as if there were none.
+// Admission of other messages counts neither arrivals nor shadow backlog of background ones.
 func TestBackground_NotCountedAsArrival(t *testing.T) {
 	with, without := newDispatcher(t, testSettings(), Endpoint{ID: "a"}), newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	for i := range 200 {
@@ -98,6 +98,6 @@
 	}
 	a, b := with.destinations[0].queues[0], without.destinations[0].queues[0]
 	if x, y := a.arrivals.rate(with.now), b.arrivals.rate(without.now); x != y || a.shadowRejections != b.shadowRejections || a.shadowBacklog != b.shadowBacklog {
-		t.Errorf("λ %v with background messages, %v without", x, y)
+		t.Errorf("arrival rate %v with background messages, %v without", x, y)
 	}
 }
--- a/policy/dispatcher_test.go
+++ b/policy/dispatcher_test.go
@@ -16,13 +16,14 @@
 		EndpointsChanged{Endpoints: []Endpoint{{ID: "z", Removed: true}}},
 	})
 	wantActions(t, "unknown", got, "")
-	d.Handle(0, []Event{TimerFired{}}) // a clock that goes back
+	d.Handle(0, []Event{TimerFired{}}) // the clock goes back
 	if d.now != time.Second {
 		t.Errorf("the clock went back to %v", d.now)
 	}
 }
 
-// TestHandle_UnusableValuesChangeNothingLater guards against values that make no sense: sensible events after them are decided as ever.
+// TestHandle_UnusableValuesChangeNothingLater guards against unusable values that spoil
+// decisions on the events after them.
 func TestHandle_UnusableValuesChangeNothingLater(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -30,20 +31,20 @@
 		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: weight})
 		d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Weight: 5}}}, arrival("m", 0)})
 		if q := d.queues[0]; q.sendRate != 5 || len(q.inFlight) != 1 {
-			t.Errorf("after weight %v: pace %v, %d calls out", weight, q.sendRate, len(q.inFlight))
+			t.Errorf("after weight %v: send rate %v, %d calls in flight", weight, q.sendRate, len(q.inFlight))
 		}
 	}
 	d := newDispatcher(t, s, Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrival("m", 0)})
 	d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
-	wantActions(t, "an endless wait is kept", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
+	wantActions(t, "an endless Retry-After holds", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
 	wantActions(t, "no time left", d.Handle(time.Second, []Event{Arrived{ID: "o", TimeLeft: -time.Second}}), "reject o")
 }
 
 func TestQuiesced_SendsNothing(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
-	wantActions(t, "nothing is sent", d.Handle(time.Second, []Event{Quiesced{}, arrival("m", 0)}), "")
-	wantActions(t, "nor later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
+	wantActions(t, "at once", d.Handle(time.Second, []Event{Quiesced{}, arrival("m", 0)}), "")
+	wantActions(t, "later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
 }
 
 // BenchmarkHandle reports what a batch costs with 1,000 endpoints listed.
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -16,33 +16,34 @@
 	wantActions(t, "gone", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
 }
 
-// Calls that have not left as an endpoint begins to drain, or is gone, are taken back: their connections may come up when
-// nothing new may go there any more. Told once more, nothing is said again.
+// Attempts that have not left when an endpoint begins to drain, or is removed, are cancelled: their connections may come up when
+// nothing new may be sent there any more. The same change again cancels nothing.
 func TestEndpointList_CancelsBeforeSend(t *testing.T) {
 	for name, change := range map[string]EndpointsChanged{
-		"draining":          {Endpoints: []Endpoint{{ID: "a", Draining: true}}},
-		"gone":              {Endpoints: []Endpoint{{ID: "a", Removed: true}}},
-		"missing in a list": {Full: true, Endpoints: []Endpoint{{ID: "b"}}},
+		"draining":           {Endpoints: []Endpoint{{ID: "a", Draining: true}}},
+		"removed":            {Endpoints: []Endpoint{{ID: "a", Removed: true}}},
+		"not in a full list": {Full: true, Endpoints: []Endpoint{{ID: "b"}}},
 	} {
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 		d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)})
-		back := 0
+		cancelled := 0
 		for range 2 {
 			for _, a := range d.Handle(ms, []Event{change}) {
 				if u, ok := a.(CancelBeforeSend); ok {
-					if back++; d.messages[u.ID].attempts[u.Attempt].call.endpoint.ID != "a" {
-						t.Errorf("%s: takes back %+v", name, u)
+					if cancelled++; d.messages[u.ID].attempts[u.Attempt].call.endpoint.ID != "a" {
+						t.Errorf("%s: cancels %+v", name, u)
 					}
 				}
 			}
 		}
-		if back != 1 {
-			t.Errorf("%s: %d taken back", name, back)
+		if cancelled != 1 {
+			t.Errorf("%s: %d cancelled", name, cancelled)
 		}
 	}
 }
 
-// TestEndpointList_ReplacedEndpointsAreDropped guards against routes and endpoints that left and are walked for ever.
+// TestEndpointList_ReplacedEndpointsAreDropped guards against routes and endpoints that have left the
+// list and are iterated over for ever.
 func TestEndpointList_ReplacedEndpointsAreDropped(t *testing.T) {
 	for kind := range 3 {
 		d := newDispatcher(t, testSettings())
@@ -63,34 +64,34 @@
 	}
 }
 
-// TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays rushing to a replacement at once.
+// TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays sending to a replacement at once.
 func TestEndpointList_NewEndpointOfUnhealthyDestination(t *testing.T) {
-	for _, gone := range []bool{false, true} { // the old endpoint stays, or is replaced
+	for _, removed := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 		d.markUnhealthy(d.endpoints["a"])
-		d.Handle(ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Removed: gone}, {ID: "b"}}}})
+		d.Handle(ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Removed: removed}, {ID: "b"}}}})
 		if !d.endpoints["b"].health.isUnhealthy() {
-			t.Errorf("old one gone %v: the new one is not on its budget", gone)
+			t.Errorf("old one removed %v: the new one is not unhealthy", removed)
 		}
 		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(2*ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "c"}}}})
 		if d.endpoints["c"].health.isUnhealthy() {
-			t.Error("a new one after the return is on a budget")
+			t.Error("a new one after the recovery is unhealthy")
 		}
 	}
 }
 
-// TestEndpointList_EmptiesAndRefills guards against state that stays spoilt: calls are out while the list empties, the
-// weight and the zone change, and the clock jumps back and far ahead.
+// TestEndpointList_EmptiesAndRefills guards against state that stays wrong: calls are in flight while the list
+// empties, the weight and the zone change, and the clock jumps back and far ahead.
 func TestEndpointList_EmptiesAndRefills(t *testing.T) {
 	for kind := range 3 {
 		s := testSettings()
 		s.Weights = WeightsNominal
 		d := newDispatcher(t, s, Endpoint{ID: "a", Kind: kind, Weight: 5})
 		wantActions(t, "sent", d.Handle(time.Second, []Event{arrival("m", 0)}), "m>a")
-		wantActions(t, "held", d.Handle(2*time.Second, []Event{EndpointsChanged{Full: true}, arrival("n", 0)}), "")
-		wantActions(t, "its outcome", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Final: true}}), "")
-		wantActions(t, "back", d.Handle(3*time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{
+		wantActions(t, "queued", d.Handle(2*time.Second, []Event{EndpointsChanged{Full: true}, arrival("n", 0)}), "")
+		wantActions(t, "outcome after removal", d.Handle(0, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Final: true}}), "")
+		wantActions(t, "listed again", d.Handle(3*time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1},
 		}}}), "n>a")
 		wantActions(t, "far ahead", d.Handle(1000*time.Hour, []Event{
@@ -98,7 +99,7 @@
 			arrival("o", 0),
 		}), "o>a")
 		if d.inFlight != 1 || len(d.messages) != 1 {
-			t.Errorf("kind %d: %d calls out, %d messages", kind, d.inFlight, len(d.messages))
+			t.Errorf("kind %d: %d calls in flight, %d messages", kind, d.inFlight, len(d.messages))
 		}
 	}
 }
--- a/policy/endpoint_selection_test.go
+++ b/policy/endpoint_selection_test.go
@@ -11,16 +11,16 @@
 	s := testSettings()
 	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{arrival("m", 0)})
-	wantActions(t, "a retry goes to the sibling", d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
+	wantActions(t, "a retry goes to the other endpoint", d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Failed}}), "m>b")
 	d.Handle(2*ms, []Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: Succeeded, Final: true}})
-	wantActions(t, "so does its class", d.Handle(3*ms, []Event{arrival("n", 0)}), "n>b")
+	wantActions(t, "so does another message of its class", d.Handle(3*ms, []Event{arrival("n", 0)}), "n>b")
 	d.Handle(4*ms, []Event{AttemptEnded{ID: "n", Endpoint: "b", Outcome: Succeeded, Final: true}})
 	d.endpoints["a"].lastUsed = 4 * ms
-	wantActions(t, "others do not", d.Handle(5*ms, []Event{arrival("o", 1)}), "o>a")
+	wantActions(t, "other classes do not", d.Handle(5*ms, []Event{arrival("o", 1)}), "o>a")
 }
 
-// Relays that keep no connections do not all take the endpoint that is listed first, and each goes to all in turns; a few
-// relays stay with the one whose connection may still stand.
+// Relays that keep no idle connections do not all take the endpoint that is listed first, and each takes all in turns. A few
+// relays stay with the one whose connection may still be open.
 func TestSelectEndpoint_TakesTurnsInLargeFleet(t *testing.T) {
 	for _, relays := range []int{3, 80} {
 		first := map[string]int{}
@@ -32,18 +32,18 @@
 				t.Fatal(err)
 			}
 			d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}})
-			took := map[string]int{}
+			calls := map[string]int{}
 			for i := range 6 {
 				now, id := time.Duration(i)*100*ms, fmt.Sprint("m", i)
 				d.Handle(now, []Event{arrival(id, 0)})
 				to := d.messages[id].attempts[0].call.endpoint.ID
-				if took[to]++; i == 0 {
+				if calls[to]++; i == 0 {
 					first[to]++
 				}
 				d.Handle(now+50*ms, []Event{AttemptEnded{ID: id, Endpoint: to, Outcome: Succeeded, Final: true}})
 			}
-			if want := map[bool]int{true: 1, false: 3}[relays == 3]; len(took) != want {
-				t.Errorf("%d relays, seed %d: took %v, want %d endpoints", relays, seed, took, want)
+			if want := map[bool]int{true: 1, false: 3}[relays == 3]; len(calls) != want {
+				t.Errorf("%d relays, seed %d: calls by endpoint %v, want %d endpoints", relays, seed, calls, want)
 			}
 		}
 		if relays == 80 && (first["a"] < 8 || first["b"] < 8 || first["c"] < 8) {
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantActions(t, "at the start", d.Handle(0, nil), "subscribe")
+	wantActions(t, "at the start", d.Handle(0, nil), "watch")
 	wantActions(t, "failed", d.Handle(ms, []Event{WatchFailed{}}), "")
-	wantActions(t, "again", d.Handle(ms+watchRetryDelay, []Event{TimerFired{}}), "subscribe")
+	wantActions(t, "again", d.Handle(ms+watchRetryDelay, []Event{TimerFired{}}), "watch")
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// plain are settings with one safe class, and room for everything.
+// testSettings returns settings with one class of each kind of idempotency, and capacity for everything.
 func testSettings() Settings {
 	return Settings{
 		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, CanCancel: true,
@@ -37,7 +37,7 @@
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, OrderKey: "k"}
 }
 
-// said lists actions in short, without timers and time-outs.
+// summary lists actions in short, without timers and timeouts.
 func summary(actions []Action) string {
 	var out []string
 	for _, a := range actions {
@@ -51,7 +51,7 @@
 		case CancelAttempt:
 			out = append(out, fmt.Sprintf("cancel %s/%d", a.ID, a.Attempt))
 		case WatchEndpoints:
-			out = append(out, "subscribe")
+			out = append(out, "watch")
 		}
 	}
 	return strings.Join(out, " ")
@@ -64,7 +64,7 @@
 	}
 }
 
-// resumed is a message that an earlier process took on, with the attempts that it made.
+// recovered is a message that an earlier process accepted, with the attempts that it made.
 func recovered(id string, class int, tried ...PriorAttempt) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: tried}
 }
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -14,30 +14,31 @@
 	d.Handle(20*ms, []Event{AttemptEnded{ID: "m2", Endpoint: "a", Outcome: ConnectError}})
 	ep := d.endpoints["a"]
 	if ep.health.isUnhealthy() || ep.consecutiveFailures > 0 || ep.connLimit != 1 {
-		t.Errorf("sick %v, failures %v, cap %v", ep.health.isUnhealthy(), ep.consecutiveFailures, ep.connLimit)
+		t.Errorf("unhealthy %v, failures %v, connection limit %v", ep.health.isUnhealthy(), ep.consecutiveFailures, ep.connLimit)
 	}
 	for range 20 {
 		d.recordSuccess(ep, true)
 	}
 	if ep.connLimit < 1.9 {
-		t.Errorf("cap %v after twenty successes", ep.connLimit)
+		t.Errorf("connection limit %v after twenty successes", ep.connLimit)
 	}
 }
 
-// TestCloseIdleConns_LowTraffic guards against many relays whose idle connections fill a small endpoint.
+// TestCloseIdleConns_LowTraffic guards against many relays whose idle connections use up those of a small
+// endpoint.
 func TestCloseIdleConns_LowTraffic(t *testing.T) {
 	tests := []struct {
-		name    string
-		pitch   time.Duration // between messages
-		connCap float64
-		relays  int
-		closes  bool
+		name     string
+		interval time.Duration // between messages
+		connCap  float64
+		relays   int
+		closes   bool
 	}{
 		{"one in many seconds", 15 * time.Second, 0, 8, true},
-		{"one a second", time.Second, 0, 8, false},
-		{"one a second, few connections", time.Second, 2, 8, true},
+		{"one per second", time.Second, 0, 8, false},
+		{"one per second, few connections", time.Second, 2, 8, true},
 		{"few relays", 15 * time.Second, 0, 3, false},
-		{"more relays than a host takes connections", 100 * ms, 0, 80, true},
+		{"more relays than an endpoint takes connections", 100 * ms, 0, 80, true},
 	}
 	for _, tt := range tests {
 		s := testSettings()
@@ -45,7 +46,7 @@
 		d := newDispatcher(t, s, Endpoint{ID: "a"})
 		closes := false
 		for i := range 5 {
-			at, id := time.Duration(i+1)*tt.pitch, fmt.Sprint("m", i)
+			at, id := time.Duration(i+1)*tt.interval, fmt.Sprint("m", i)
 			d.Handle(at, []Event{arrival(id, 0)})
 			d.endpoints["a"].connLimit = tt.connCap
 			closes = false
@@ -59,13 +60,14 @@
 	}
 }
 
-// warmed is a relay of a large fleet whose first call of n messages for one destination has just ended at host a.
-func afterFirstCall(t *testing.T, n int, how AttemptEnded) (*Dispatcher, []Action) {
+// afterFirstCall returns a relay of a large fleet whose first call, of n messages for one destination, has just ended at endpoint
+// a, and the actions on that.
+func afterFirstCall(t *testing.T, n int, e AttemptEnded) (*Dispatcher, []Action) {
 	t.Helper()
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 80
 	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 80}, Endpoint{ID: "b", Weight: 80})
-	d.endpoints["a"].tieBreaker, d.endpoints["b"].tieBreaker = 0, 1 // a is the first
+	d.endpoints["a"].tieBreaker, d.endpoints["b"].tieBreaker = 0, 1 // a comes first
 	q := d.queues[0]
 	q.sendBucket.tokens, q.sendBucket.refilledAt = 1, time.Second
 	var events []Event
@@ -73,12 +75,12 @@
 		events = append(events, arrival(fmt.Sprint("m", i), 0))
 	}
 	d.Handle(time.Second, events)
-	how.ID, how.Endpoint, how.Latency = "m0", "a", 200*ms
-	return d, d.Handle(time.Second+200*ms, []Event{how})
+	e.ID, e.Endpoint, e.Latency = "m0", "a", 200*ms
+	return d, d.Handle(time.Second+200*ms, []Event{e})
 }
 
-// Where relays keep no connections, one that has carried a call carries the next that waits, ahead of the pace; it is closed once
-// none does.
+// Where relays keep no idle connections, one that has carried a call carries the next queued message, ahead of the send rate. It is
+// closed when nothing is queued.
 func TestReusableConn_CarriesQueuedMessages(t *testing.T) {
 	ok := AttemptEnded{Outcome: Succeeded, Final: true, LoadReport: &LoadReport{Remaining: 0.9, RateLimit: 80}}
 	full := ok
@@ -86,11 +88,11 @@
 	for _, tt := range []struct {
 		name   string
 		end    AttemptEnded
-		next   string // said next
+		next   string // sent next
 		closed int
 	}{
-		{"room at the destination", ok, "m1>a", 0},
-		{"little of its allowance left", full, "", 1},
+		{"allowance left", ok, "m1>a", 0},
+		{"little allowance left", full, "", 1},
 		{"the call failed", AttemptEnded{Outcome: Failed}, "", 1},
 	} {
 		d, actions := afterFirstCall(t, 3, tt.end)
@@ -99,11 +101,11 @@
 			t.Errorf("%s: closed %d times, want %d", tt.name, got, tt.closed)
 		}
 		if d.queues[0].reusableConn != nil {
-			t.Errorf("%s: the connection is still taken to stand", tt.name)
+			t.Errorf("%s: the connection still counts as reusable", tt.name)
 		}
 	}
 
-	// So many ahead, and no more; the pace catches up.
+	// So many calls ahead, and no more; the send rate catches up.
 	d, actions := afterFirstCall(t, 9, ok)
 	sent, now := 1, time.Second+200*ms
 	for ; summary(actions) != ""; sent++ {
@@ -121,7 +123,7 @@
 		t.Errorf("%v tokens left", q.sendBucket.tokens)
 	}
 
-	// Not ahead where the limit refused a call just now, or was lowered, nor by more than a part of what is taken in a span.
+	// None ahead where the limit rejected a call just now or was lowered, nor more than a part of what is taken in a counting span.
 	q = &queue{listedRate: 80}
 	for i, change := range []func(){func() {}, func() { q.lastLimitRejection = now }, func() { q.lastLimitRejection, q.reportedLimit = 0, 20 }, func() { q.listedRate, q.reportedLimit = 16, 0 }} {
 		change()
@@ -130,20 +132,20 @@
 		}
 	}
 
-	// A refusal at the door keeps new connections away, and not what has one; a refusal at the limit does both.
-	for _, door := range []bool{true, false} {
+	// A rejection of the connection holds back new connections, and not what has one; one by the rate limit does both.
+	for _, ofConnection := range []bool{true, false} {
 		d, actions := afterFirstCall(t, 1, ok)
-		wantActions(t, "nothing waits", actions, "")
+		wantActions(t, "nothing queued", actions, "")
 		q := d.queues[0]
 		q.sendBucket.tokens, q.sendBucket.refilledAt = 1, now
-		d.Handle(now, []Event{arrival("x", 0), arrival("y", 0)}) // x goes
-		d.recordRejection(q, door)
+		d.Handle(now, []Event{arrival("x", 0), arrival("y", 0)}) // x is sent
+		d.recordRejection(q, ofConnection)
 		end := ok
 		end.ID, end.Endpoint, end.Latency = "x", d.messages["x"].attempts[0].call.endpoint.ID, 60*ms
 		want := ""
-		if door {
+		if ofConnection {
 			want = "y>" + end.Endpoint
 		}
-		wantActions(t, fmt.Sprintf("rejectd at the door: %v", door), d.Handle(now+60*ms, []Event{end}), want)
+		wantActions(t, fmt.Sprintf("rejection of the connection: %v", ofConnection), d.Handle(now+60*ms, []Event{end}), want)
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestLatency_UnknownFilledFromKind guards against queues that know nothing: a lost first call would hold its slot to its end.
+// TestLatency_UnknownFilledFromKind guards against queues without a known latency: a lost first call would keep
+// its slot until the deadline.
 func TestLatency_UnknownFilledFromKind(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrival("m", 0)})
@@ -16,7 +17,7 @@
 	})
 	q := d.queues[1]
 	if q.latency.byClass[0] != 0.4 || q.latency.mean != 0.4 {
-		t.Errorf("b borrows %v, %v, want what a took", q.latency.byClass[0], q.latency.mean)
+		t.Errorf("b has %v, %v, want the latency of a", q.latency.byClass[0], q.latency.mean)
 	}
 	q.latency.observe(0, 0.2)
 	if got := q.latency.byClass[0]; math.Abs(got-0.3) > 1e-9 {
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -5,31 +5,31 @@
 	"testing"
 )
 
-// A destination that lowers its limit says so in its answers: the pace goes to this relay's share of what is left, noise
-// about the listed rate changes nothing, and the limit's return is heard with the next answer.
+// A destination that lowers its limit reports that in its answers: the send rate goes to this relay's share of what is left. Noise
+// about the listed rate changes nothing, and the next report ends the lower limit.
 func TestLoadReport_SendRateFollowsReportedLimit(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 2
 	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 20})
 	q := d.queues[0]
 	for _, c := range []struct {
-		limit, pace, even float64
+		limit, sendRate, even float64
 	}{
 		{18, 10, 10},
 		{23, 10, 10},
 		{0, 10, 10},
 		{math.Inf(1), 10, 10},
 		{math.NaN(), 10, 10},
-		{-3, 10, 10}, // noise, and nonsense
+		{-3, 10, 10}, // noise, and unusable values
 		{4, 2, 2},
 		{4.4, 2, 2.06}, // lowered
 		{20, 10, 10},   // back
 		{0.2, 0.2, 0.1},
-		{1e9, 10, 10}, // what is listed bounds it
+		{1e9, 10, 10}, // the listed rate bounds it
 	} {
 		d.recordReportedLimit(q, c.limit)
-		if math.Abs(q.sendRate-c.pace) > 1e-9 || math.Abs(d.evenShare(q)-c.even) > 1e-9 {
-			t.Errorf("told %v: pace %v, even share %v, want %v and %v", c.limit, q.sendRate, d.evenShare(q), c.pace, c.even)
+		if math.Abs(q.sendRate-c.sendRate) > 1e-9 || math.Abs(d.evenShare(q)-c.even) > 1e-9 {
+			t.Errorf("reported %v: send rate %v, even share %v, want %v and %v", c.limit, q.sendRate, d.evenShare(q), c.sendRate, c.even)
 		}
 	}
 	d.recordReportedLimit(q, 4)
@@ -38,7 +38,7 @@
 		d.recordSuccess(d.endpoints["a"], true)
 	}
 	if q.sendRate != 4 {
-		t.Errorf("pace %v after many successes, want the 4 that are told", q.sendRate)
+		t.Errorf("send rate %v after many successes, want the 4 reported", q.sendRate)
 	}
 	unlisted := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	if unlisted.recordReportedLimit(unlisted.queues[0], 4); unlisted.queues[0].sendRate != 0 {
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against taking a share of failing calls for an outage.
+// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against taking a share of failing calls for an
+// outage.
 func TestRecordFailure_UnhealthyAfterConsecutiveFailures(t *testing.T) {
 	tests := []struct {
 		outcome   Outcome
@@ -20,19 +21,19 @@
 			d.Handle(time.Duration(i+1)*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: i, Outcome: tt.outcome}})
 		}
 		if got := d.endpoints["a"].health.isUnhealthy(); got != tt.unhealthy {
-			t.Errorf("%d of outcome %d: sick %v", tt.n, tt.outcome, got)
+			t.Errorf("%d of outcome %d: unhealthy %v", tt.n, tt.outcome, got)
 		}
 	}
 }
 
-// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose further knocks push over a destination that
-// comes back cold: the even share of 4 calls a second is 0.01 for one of 400, and 2 for one of 2.
+// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose further trial requests overload a destination
+// that comes back cold: the even share of 4 calls per second is 0.01 for one of 400, and 2 for one of 2.
 func TestUnhealthyEarly_FewTrialsInLargeFleet(t *testing.T) {
 	for _, tt := range []struct {
 		relays      int
 		outcome     Outcome
 		wait        time.Duration
-		least, most int // of 40 relays are sick after one
+		least, most int // of 40 relays count it unhealthy after one
 	}{
 		{400, Rejected, 0, 10, 30},
 		{400, ConnectError, 0, 10, 30},
@@ -40,7 +41,7 @@
 		{2, Rejected, 0, 0, 0},
 		{2, ConnectError, 0, 0, 0},
 	} {
-		sick := 0
+		unhealthy := 0
 		for seed := range int64(40) {
 			s := testSettings()
 			s.Instances, s.Weights = tt.relays, WeightsNominal
@@ -51,28 +52,28 @@
 			d.Handle(0, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}}, arrival("m", 0)})
 			d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
 			if d.endpoints["a"].health.isUnhealthy() {
-				sick++
+				unhealthy++
 			}
 			d.recordRejection(d.queues[0], false)
 			if d.recordRejection(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].health.isUnhealthy() {
-				t.Errorf("%d relays, outcome %d: not sick after more", tt.relays, tt.outcome)
+				t.Errorf("%d relays, outcome %d: not unhealthy after more", tt.relays, tt.outcome)
 			}
 		}
-		if sick < tt.least || sick > tt.most {
-			t.Errorf("%d relays, outcome %d, wait %v: %d of 40 sick", tt.relays, tt.outcome, tt.wait, sick)
+		if unhealthy < tt.least || unhealthy > tt.most {
+			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 unhealthy", tt.relays, tt.outcome, tt.wait, unhealthy)
 		}
 	}
 }
 
-// Where relays are many, an outage of all endpoints of a destination is known after more failures in a row than one endpoint
-// may have, at whichever of them: connections that are refused or do not come up. Errors, lateness, a success in between, few
-// relays and an endpoint that is out by itself are no such outage.
+// Where relays are many, an outage of all endpoints of a destination is detected after more consecutive failures to connect than one
+// endpoint may have, at whichever of them. Errors, late answers, a success in between, few relays and an endpoint that is down by
+// itself are no such outage.
 func TestConnFailure_OutageOfAllEndpoints(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		relays    int
 		weight    float64
-		ends      string // each call's: c refused connection, n none in time, e error, t too late, o delivered
+		ends      string // of each call: c connection refused, n no connection in time, e error, t too late, o delivered
 		unhealthy int    // endpoints of eight
 	}{
 		{"as many as one may have", 300, 3000, "cc", 0},
@@ -108,25 +109,25 @@
 			if to == "" {
 				t.Fatalf("%s: %s was not sent: %v", tt.name, id, actions)
 			}
-			took := 40 * ms
+			latency := 40 * ms
 			if end == 'n' {
-				took = time.Second
+				latency = time.Second
 			}
-			now += took
-			d.Handle(now, []Event{AttemptEnded{ID: id, Endpoint: to, Outcome: outcomes[end], Final: end == 'o', Latency: took}, Cancelled{ID: id}})
+			now += latency
+			d.Handle(now, []Event{AttemptEnded{ID: id, Endpoint: to, Outcome: outcomes[end], Final: end == 'o', Latency: latency}, Cancelled{ID: id}})
 		}
-		sick := 0
+		unhealthy := 0
 		for _, ep := range d.endpoints {
 			if ep.health.isUnhealthy() {
-				sick++
+				unhealthy++
 			}
 		}
-		if sick != tt.unhealthy || d.UnhealthyEndpoints() != tt.unhealthy {
-			t.Errorf("%s: %d of eight endpoints sick, want %d", tt.name, sick, tt.unhealthy)
+		if unhealthy != tt.unhealthy || d.UnhealthyEndpoints() != tt.unhealthy {
+			t.Errorf("%s: %d of eight endpoints unhealthy, want %d", tt.name, unhealthy, tt.unhealthy)
 		}
 	}
 
-	// One of two that is out by itself: the other answers, and stays well.
+	// One of two that is down by itself: the other answers, and stays healthy.
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 300
 	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 3000}, Endpoint{ID: "b", Weight: 3000})
@@ -147,6 +148,6 @@
 		}
 	}
 	if !d.endpoints["a"].health.isUnhealthy() || d.endpoints["b"].health.isUnhealthy() {
-		t.Errorf("a sick: %v, b: %v", d.endpoints["a"].health.isUnhealthy(), d.endpoints["b"].health.isUnhealthy())
+		t.Errorf("a unhealthy: %v, b: %v", d.endpoints["a"].health.isUnhealthy(), d.endpoints["b"].health.isUnhealthy())
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -6,28 +6,28 @@
 )
 
 func TestRecovery_MessageWithPriorAttempts(t *testing.T) {
-	const safe, keyed, unsafe = 0, 1, 2
+	const idempotent, byKey, notIdempotent = 0, 1, 2
 	begin := time.Hour
-	ran := func(ago time.Duration) PriorAttempt { return PriorAttempt{Endpoint: "gone", SentAt: begin - ago} }
-	unrun := PriorAttempt{Endpoint: "a", SentAt: begin - time.Second, NotExecuted: true}
-	spent := make([]PriorAttempt, testSettings().MaxAttempts)
-	for i := range spent {
-		spent[i] = unrun
+	executed := func(ago time.Duration) PriorAttempt { return PriorAttempt{Endpoint: "gone", SentAt: begin - ago} }
+	notExecuted := PriorAttempt{Endpoint: "a", SentAt: begin - time.Second, NotExecuted: true}
+	exhausted := make([]PriorAttempt, testSettings().MaxAttempts)
+	for i := range exhausted {
+		exhausted[i] = notExecuted
 	}
 	tests := []struct {
 		name  string
 		event Event
 		want  string
 	}{
-		{"never tried", recovered("m", unsafe), "m>a"},
-		{"safe, may have run", recovered("m", safe, ran(time.Second)), "m>a"},
-		{"keyed within its memory", recovered("m", keyed, ran(3*time.Second)), "m>a"},
-		{"keyed past its memory", recovered("m", keyed, ran(4*time.Second)), "reject m"},
-		{"keyed, counted from the first that may have run", recovered("m", keyed, ran(4*time.Second), ran(ms)), "reject m"},
-		{"unsafe, may have run", recovered("m", unsafe, ran(time.Second)), "fail m"},
-		{"unsafe, never ran", recovered("m", unsafe, unrun, unrun), "m>a"},
-		{"all attempts made", recovered("m", safe, spent...), "reject m"},
-		{"its time is up", Arrived{ID: "m", Recovered: true, TimeLeft: -time.Second}, "reject m"},
+		{"no attempt", recovered("m", notIdempotent), "m>a"},
+		{"idempotent, may have executed", recovered("m", idempotent, executed(time.Second)), "m>a"},
+		{"by key, within its TTL", recovered("m", byKey, executed(3*time.Second)), "m>a"},
+		{"by key, past its TTL", recovered("m", byKey, executed(4*time.Second)), "reject m"},
+		{"by key, TTL counted from the first that may have executed", recovered("m", byKey, executed(4*time.Second), executed(ms)), "reject m"},
+		{"not idempotent, may have executed", recovered("m", notIdempotent, executed(time.Second)), "fail m"},
+		{"not idempotent, not executed", recovered("m", notIdempotent, notExecuted, notExecuted), "m>a"},
+		{"all attempts made", recovered("m", idempotent, exhausted...), "reject m"},
+		{"deadline passed", Arrived{ID: "m", Recovered: true, TimeLeft: -time.Second}, "reject m"},
 	}
 	for _, tt := range tests {
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
@@ -35,15 +35,15 @@
 	}
 }
 
-// A message that was taken on before is not up for admission again.
+// A recovered message does not pass admission again.
 func TestRecovery_NoSecondAdmission(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	d.destination(0).queues[0].latency.mean, d.destination(0).queues[0].retryAfterUntil = 1, 60*time.Second
-	wantActions(t, "a fresh one", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
-	wantActions(t, "a resumed one", d.Handle(time.Second, []Event{recovered("m", 0)}), "")
+	wantActions(t, "a new message", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
+	wantActions(t, "a recovered message", d.Handle(time.Second, []Event{recovered("m", 0)}), "")
 }
 
-// A restart in an outage, or in the ramp after one, goes on as the process before it would have.
+// After a restart in an outage, or in the slow start after one, sending goes on as before it.
 func TestRecovery_EndpointHealth(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
@@ -65,20 +65,20 @@
 		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
 	}
 	if ramp := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Second}); ramp >= healthy {
-		t.Errorf("in a ramp: %d calls at once, %d when healthy", ramp, healthy)
+		t.Errorf("in slow start: %d calls at once, %d when healthy", ramp, healthy)
 	}
 	if warm := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Minute}); warm != healthy {
-		t.Errorf("after a ramp: %d calls at once, want %d", warm, healthy)
+		t.Errorf("after slow start: %d calls at once, want %d", warm, healthy)
 	}
 	if unknown := sends(HealthRecovered{Endpoint: "z", Unhealthy: true}); unknown != healthy {
-		t.Errorf("an endpoint that left: %d calls at once, want %d", unknown, healthy)
+		t.Errorf("an unlisted endpoint: %d calls at once, want %d", unknown, healthy)
 	}
 }
 
-// What has to be recalled is told when it happens.
+// The start and the end of an outage are persisted when they happen.
 func TestPersistHealth_OnOutageAndRecovery(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
-	told := func(actions []Action) (list []PersistHealth) {
+	persisted := func(actions []Action) (list []PersistHealth) {
 		for _, a := range actions {
 			if r, ok := a.(PersistHealth); ok {
 				list = append(list, r)
@@ -88,13 +88,13 @@
 	}
 	d.Handle(time.Second, []Event{arrival("m", 0)})
 	d.Handle(2*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 0, Outcome: ConnectError}})
-	got := told(d.Handle(3*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
+	got := persisted(d.Handle(3*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Unhealthy: true, At: 3 * time.Second}) {
 		t.Errorf("an outage: %v", got)
 	}
-	wantActions(t, "the next knock", d.Handle(7*time.Second, []Event{TimerFired{}}), "m>a")
-	got = told(d.Handle(8*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: Succeeded, Final: true}}))
+	wantActions(t, "the next trial request", d.Handle(7*time.Second, []Event{TimerFired{}}), "m>a")
+	got = persisted(d.Handle(8*time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: Succeeded, Final: true}}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: 8 * time.Second}) {
-		t.Errorf("the return: %v", got)
+		t.Errorf("the recovery: %v", got)
 	}
 }
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -10,7 +10,7 @@
 	for _, tt := range []struct {
 		kind int
 		want string
-	}{{0, ""}, {2, "n>b"}} { // a shared limit binds the destination, a route only itself
+	}{{0, ""}, {2, "n>b"}} { // by one endpoint for the whole destination, or for a separate route
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
 		d.Handle(0, []Event{arrival("m", 0)})
 		d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, Cancelled{ID: "m"}})
@@ -18,34 +18,35 @@
 	}
 }
 
-// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against a wait that is told with the first of several outcomes of one call.
+// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against losing a Retry-After that comes with the first of
+// several outcomes of one call.
 func TestRetryAfter_HoldsFromFirstOutcomeOfBatch(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: 1})
 	wantActions(t, "one call", d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)}), "m>a n>a")
 	if d.inFlight != 1 {
-		t.Errorf("%d calls out, want one bundle", d.inFlight)
+		t.Errorf("%d calls in flight, want one batch", d.inFlight)
 	}
 	got := d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second}, arrival("o", 0)})
-	wantActions(t, "in the wait", got, "")
+	wantActions(t, "before Retry-After has passed", got, "")
 }
 
-// What is out to a destination that tells to wait is taken back, where it has not left: it never ran, and goes again once the wait
-// is over. Calls to others, and refusals without a wait, take nothing back.
+// Attempts to a destination that answers with Retry-After are cancelled where they have not left: they did not execute, and are
+// retried after that time. Calls to others, and rejections without Retry-After, cancel nothing.
 func TestRetryAfter_CancelsBeforeSend(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		wait time.Duration
 		want []Action
 	}{
-		{"told to wait", 2 * time.Second, []Action{CancelBeforeSend{ID: "m1", Attempt: 0}}},
-		{"rejectd without a wait", 0, nil},
+		{"with Retry-After", 2 * time.Second, []Action{CancelBeforeSend{ID: "m1", Attempt: 0}}},
+		{"without Retry-After", 0, nil},
 	} {
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
 		other := arrival("other", 0).(Arrived)
 		other.Destination = 1
 		d.Handle(time.Second, []Event{arrival("m0", 0), arrival("m1", 0), other})
 		if d.inFlight != 3 {
-			t.Fatalf("%s: %d calls out", tt.name, d.inFlight)
+			t.Fatalf("%s: %d calls in flight", tt.name, d.inFlight)
 		}
 		var got []Action
 		ep := d.messages["m0"].attempts[0].call.endpoint.ID
@@ -61,17 +62,17 @@
 			continue
 		}
 		ep = d.messages["m1"].attempts[0].call.endpoint.ID
-		wantActions(t, "in the wait", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
+		wantActions(t, "before Retry-After has passed", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
 		if m := d.messages["m1"]; m.firstExecuted() != nil || m.queue == nil {
-			t.Errorf("held: %v, taken for run: %v", m.queue != nil, m.firstExecuted())
+			t.Errorf("queued: %v, executed: %v", m.queue != nil, m.firstExecuted())
 		}
 		if after := summary(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
-			t.Error("nothing goes after the wait")
+			t.Error("nothing is sent after Retry-After")
 		}
 	}
 }
 
-// TestRejection_BackoffIsRandomized guards against relays that are refused together and come back together.
+// TestRejection_BackoffIsRandomized guards against relays that are rejected together and come back together.
 func TestRejection_BackoffIsRandomized(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Weights = 400, WeightsNominal
@@ -86,53 +87,53 @@
 		seen[d.queues[0].backoffUntil] = true
 	}
 	if len(seen) < 4 {
-		t.Errorf("five relays come back at %d moments", len(seen))
+		t.Errorf("five relays come back at %d different times", len(seen))
 	}
 }
 
-// Calls that were out together and are refused together are one refusal: they were sent before anything was heard.
+// Calls that were in flight together and are rejected together are one rejection: all were sent before the first outcome.
 func TestRejection_CallsRejectedTogetherCountOnce(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
 	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 100})
 	q := d.queues[0]
-	var arrivals, refusals []Event
+	var arrivals, rejections []Event
 	for i := range 8 {
 		id := fmt.Sprint("m", i)
 		arrivals = append(arrivals, arrival(id, 0))
-		refusals = append(refusals, AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected})
+		rejections = append(rejections, AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected})
 	}
 	d.Handle(ms, arrivals)
 	if len(q.inFlight) != 8 {
-		t.Fatalf("%d calls out", len(q.inFlight))
+		t.Fatalf("%d calls in flight", len(q.inFlight))
 	}
-	d.Handle(50*ms, refusals)
+	d.Handle(50*ms, rejections)
 	if q.rejections != 1 || q.sendRate != 100*rateDecrease && q.sendRate != (100+100)/2 || q.backoffUntil > 50*ms+20*ms {
-		t.Errorf("%d refusals in a row, pace %v, pause %v", q.rejections, q.sendRate, q.backoffUntil-50*ms)
+		t.Errorf("%d consecutive rejections, send rate %v, backoff %v", q.rejections, q.sendRate, q.backoffUntil-50*ms)
 	}
-	// The first that is sent after the pause and refused is the second.
+	// The first one that is sent after the backoff and rejected is the second rejection.
 	at := 50 * ms
 	for n := 2; n < 6; n++ {
 		at = max(q.backoffUntil, at) + 50*ms
 		d.Handle(at, []Event{TimerFired{}})
 		if len(q.inFlight) == 0 {
-			t.Fatalf("nothing goes after the pause, at %v", at)
+			t.Fatalf("nothing is sent after the backoff, at %v", at)
 		}
 		at += 10 * ms
 		c := q.inFlight[len(q.inFlight)-1] // the latest
 		m := c.messages[0]
 		d.Handle(at, []Event{AttemptEnded{ID: m.ID, Endpoint: "a", Attempt: len(m.attempts) - 1, Outcome: Rejected}})
 		if q.rejections != n {
-			t.Errorf("%d refusals in a row, want %d", q.rejections, n)
+			t.Errorf("%d consecutive rejections, want %d", q.rejections, n)
 		}
 	}
 	if q.backoffUntil-at > maxBackoff*3/2 {
-		t.Errorf("pause of %v", q.backoffUntil-at)
+		t.Errorf("backoff of %v", q.backoffUntil-at)
 	}
 }
 
-// A host that reports its limit and refuses without a report has no connection left: the pace stays, and a run of such
-// refusals is a destination that is shut all the same.
+// A destination that reports its limit and rejects without a report has no connection left: the send rate stays, and a run of such
+// rejections is a destination that is unavailable all the same.
 func TestRejection_OfConnectionLeavesSendRate(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -140,8 +141,8 @@
 		report  *LoadReport
 		cut     bool
 	}{
-		{"at the limit", true, &LoadReport{Remaining: 0, RateLimit: 20}, true},
-		{"at the door", true, nil, false},
+		{"by the rate limit", true, &LoadReport{Remaining: 0, RateLimit: 20}, true},
+		{"of the connection", true, nil, false},
 		{"where nothing is reported", false, nil, true},
 	} {
 		s := testSettings()
@@ -154,17 +155,17 @@
 		before, now := q.sendRate, time.Second
 		for i := 0; !d.endpoints["a"].health.isUnhealthy(); i++ {
 			if i == 60 {
-				t.Fatalf("%s: not sick after %d refusals", tt.name, i)
+				t.Fatalf("%s: not unhealthy after %d rejections", tt.name, i)
 			}
 			id := fmt.Sprint("m", i)
 			d.Handle(now, []Event{arrival(id, 0)})
 			if m := d.messages[id]; m != nil && m.openAttempts > 0 {
 				d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
 				if i == 0 && (q.sendRate < before) != tt.cut {
-					t.Errorf("%s: pace %v after %v", tt.name, q.sendRate, before)
+					t.Errorf("%s: send rate %v after %v", tt.name, q.sendRate, before)
 				}
 				if q.pausedUntil() <= now {
-					t.Errorf("%s: no pause", tt.name)
+					t.Errorf("%s: no backoff", tt.name)
 				}
 			} else {
 				d.Handle(now+40*ms, []Event{Cancelled{id}})
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -45,50 +45,50 @@
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrival("m", 1)})
 	got := d.Handle(3995*ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: TimedOut}})
-	wantActions(t, "memory gone", got, "reject m")
+	wantActions(t, "key expired", got, "reject m")
 }
 
-// A keyed message that may have run at an endpoint which has left the list goes nowhere after a restart where only its zone
-// drops repeats: which one that was is not known any more. Before, it counted as the first zone.
+// Where only the zone of the first attempt drops repeats, a message that may have executed at an endpoint which has left the list is
+// not sent after a restart: that zone is not known any more.
 func TestRetry_KeyPerZoneAndUnknownZone(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].KeyPerZone = true
 	for _, tt := range []struct {
-		name, tried, want string
-		zones             []int
+		name, attempted, want string
+		zones                 []int
 	}{
-		{"gone", "gone", "", []int{0, 1}},
+		{"removed", "gone", "", []int{0, 1}},
 		{"listed without a zone", "a", "", []int{-1, -1}},
 		{"listed", "a", "m>a", []int{0, 1}},
 	} {
 		d := newDispatcher(t, s, Endpoint{ID: "a", Zone: tt.zones[0]}, Endpoint{ID: "b", Zone: tt.zones[1]})
 		got := d.Handle(time.Second, []Event{Arrived{
 			ID: "m", Class: 1, TimeLeft: 10 * time.Second, OrderKey: "k", Recovered: true,
-			PriorAttempts: []PriorAttempt{{Endpoint: tt.tried, SentAt: 0}},
+			PriorAttempts: []PriorAttempt{{Endpoint: tt.attempted, SentAt: 0}},
 		}})
 		wantActions(t, tt.name, got, tt.want)
 		if tt.want == "" {
-			wantActions(t, tt.name+", forgotten", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
+			wantActions(t, tt.name+", key expired", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
 		}
 	}
 }
 
-// A repeat of a keyed message that may have run has to leave before its key is forgotten, however late its connection comes up.
+// A retry of a message that may have executed has to leave before its idempotency key expires, however late its connection comes up.
 func TestRetry_WriteWithinKeyTTL(t *testing.T) {
-	const took = 500 * ms
+	const latency = 500 * ms
 	for _, tt := range []struct {
 		class   int
 		outcome Outcome
 		want    time.Duration
 	}{
-		{1, ConnectionReset, 4*time.Second - 10*ms - took}, {1, Failed, 4*time.Second - 10*ms - took}, {1, Rejected, 0}, {1, ConnectError, 0}, {0, ConnectionReset, 0},
+		{1, ConnectionReset, 4*time.Second - 10*ms - latency}, {1, Failed, 4*time.Second - 10*ms - latency}, {1, Rejected, 0}, {1, ConnectError, 0}, {0, ConnectionReset, 0},
 	} {
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 		d.Handle(0, []Event{arrival("m", tt.class)})
-		actions := d.Handle(took, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Latency: took}})
-		for now := took; summary(actions) == "" && now < 3*time.Second; now += ms {
+		actions := d.Handle(latency, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, Latency: latency}})
+		for now := latency; summary(actions) == "" && now < 3*time.Second; now += ms {
 			actions = d.Handle(now, []Event{TimerFired{}})
-			tt.want = max(0, tt.want-ms) // in the pause after a refusal it is the same
+			tt.want = max(0, tt.want-ms) // stays 0 in the backoff after a rejection
 		}
 		i := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok })
 		if i < 0 {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestOutage_TrialRequestsWithinRecoveryRate plays each kind of outage: trials stay within the rule's budget, and a success starts a ramp.
+// TestOutage_TrialRequestsWithinRecoveryRate plays each kind of outage: trial requests stay within the recovery rate.
 func TestOutage_TrialRequestsWithinRecoveryRate(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -48,28 +48,29 @@
 	d.markUnhealthy(ep)
 	d.recordSuccess(ep, true)
 	if got, want := d.recoveryRate(ep, 0), recoverySafety*2*0.2*10; math.Abs(got-want) > 1e-9 {
-		t.Errorf("budget at the return: %v, want %v", got, want)
+		t.Errorf("recovery rate at the recovery: %v, want %v", got, want)
 	}
 	if got, want := d.recoveryRate(ep, 10*time.Second), recoverySafety*2*10; math.Abs(got-want) > 1e-9 {
-		t.Errorf("budget when warm: %v, want %v", got, want)
+		t.Errorf("recovery rate when warm: %v, want %v", got, want)
 	}
 	d.now = 12 * time.Second
 	if d.recoveryTokens(ep); ep.health == slowStart {
-		t.Error("still ramping after the ramp time")
+		t.Error("still in slow start after SlowStartTime")
 	}
 }
 
-// TestSlowStart_SuccessAllowsTrialOfSiblings guards against slow detection: outages mostly end for a whole destination.
+// TestSlowStart_SuccessAllowsTrialOfSiblings guards against slow detection of a recovery: outages mostly
+// end for a whole destination.
 func TestSlowStart_SuccessAllowsTrialOfSiblings(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.markUnhealthy(a)
 	d.markUnhealthy(b)
 	if d.acceptsCall(b) {
-		t.Error("a trial at once")
+		t.Error("a trial request at once")
 	}
 	d.recordSuccess(a, true)
 	if !d.acceptsCall(b) {
-		t.Error("no trial after the sibling's return")
+		t.Error("no trial request after the other endpoint's recovery")
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What a destination told of its limit goes on to the process that takes the place.
+// The limit that a destination reported is carried over to the next process.
 func TestSnapshot_CarriesReportedLimit(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -13,28 +13,28 @@
 	old.recordReportedLimit(old.queues[0], 4)
 	next.Handle(time.Second, []Event{SnapshotRestored{old.Snapshot()}})
 	if q := next.queues[0]; q.sendRate != 4 || next.evenShare(q) != 4 {
-		t.Errorf("pace %v, even share %v", q.sendRate, next.evenShare(q))
+		t.Errorf("send rate %v, even share %v", q.sendRate, next.evenShare(q))
 	}
 }
 
-// A key that rests after a message that is over goes on resting in a process that takes the place of another, and a message whose
-// end is decided holds its key there until that is known.
+// An order key that is blocked after a completed message stays blocked in the next process, and a message whose outcome is decided
+// blocks its key there until that is acknowledged.
 func TestSnapshot_CarriesKeyCooldowns(t *testing.T) {
 	s := testSettings()
 	s.OrderKeyCooldown, s.AwaitAcknowledgement = 2*time.Second, true
 	old := newDispatcher(t, s, Endpoint{ID: "a"})
 	old.Handle(0, []Event{arrival("m", 2)})
-	wantActions(t, "may have run", old.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectionReset}}), "fail m")
+	wantActions(t, "may have executed", old.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectionReset}}), "fail m")
 	old.Handle(time.Second+ms, []Event{Acknowledged{ID: "m"}})
 	next := newDispatcher(t, s, Endpoint{ID: "a"})
-	wantActions(t, "at rest", next.Handle(2*time.Second, []Event{SnapshotRestored{old.Snapshot()}, arrival("n", 2)}), "")
-	wantActions(t, "rested", next.Handle(3*time.Second, []Event{TimerFired{}}), "n>a")
+	wantActions(t, "in cooldown", next.Handle(2*time.Second, []Event{SnapshotRestored{old.Snapshot()}, arrival("n", 2)}), "")
+	wantActions(t, "after cooldown", next.Handle(3*time.Second, []Event{TimerFired{}}), "n>a")
 	if len(next.coolingDown) != 0 {
-		t.Errorf("%d keys rest", len(next.coolingDown))
+		t.Errorf("%d keys in cooldown", len(next.coolingDown))
 	}
 	next = newDispatcher(t, s, Endpoint{ID: "a"})
 	decided := arrival("m", 2).(Arrived)
 	decided.Recovered, decided.OutcomeDecided = true, true
 	wantActions(t, "decided", next.Handle(ms, []Event{decided, arrival("n", 2)}), "")
-	wantActions(t, "known", next.Handle(2*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
+	wantActions(t, "acknowledged", next.Handle(2*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
 }
--- a/policy/stuck_attempts_test.go
+++ b/policy/stuck_attempts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCancelStuck_LostCallIsRetried guards against single lost calls: one that a later call has overtaken is
-// called off; one that nothing has overtaken stays while slots are free.
+// TestCancelStuck_LostCallIsRetried guards against single lost calls: one that a later call has overtaken is cancelled; one
+// that nothing has overtaken stays while slots are free.
 func TestCancelStuck_LostCallIsRetried(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
@@ -41,11 +41,12 @@
 	}
 	d.unansweredShare = 0.9
 	if got := d.cancelFactor(); got != stuckFactor {
-		t.Errorf("with late calls unanswered: %v", got)
+		t.Errorf("with overdue calls unanswered: %v", got)
 	}
 }
 
-// TestCancelStuck_NonIdempotentCallOnlyForWantedSlot guards against answers lost at unsafe calls, which filled all slots.
+// TestCancelStuck_NonIdempotentCallOnlyForWantedSlot guards against lost answers to calls that are not
+// idempotent, which filled all slots.
 func TestCancelStuck_NonIdempotentCallOnlyForWantedSlot(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight = 1
--- a/policy/terminal_test.go
+++ b/policy/terminal_test.go
@@ -13,12 +13,13 @@
 	if at > 10*time.Second || at < 9900*ms {
 		t.Errorf("timer after %v", at)
 	}
-	wantActions(t, "before its end", d.Handle(at-ms, []Event{TimerFired{}}), "")
-	wantActions(t, "at its end", d.Handle(at, []Event{TimerFired{}}), "reject m")
+	wantActions(t, "before", d.Handle(at-ms, []Event{TimerFired{}}), "")
+	wantActions(t, "at that time", d.Handle(at, []Event{TimerFired{}}), "reject m")
 	wantActions(t, "late outcome", d.Handle(at+ms, []Event{AttemptEnded{ID: "m", Outcome: Succeeded}}), "")
 }
 
-// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and cannot end in time.
+// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and can't end in
+// time.
 func TestQueuedMessage_GivenUpWithoutTimeForAttempt(t *testing.T) {
 	d := newDispatcher(t, testSettings())
 	d.Handle(0, []Event{arrival("m", 0)})
@@ -27,35 +28,35 @@
 	wantActions(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "reject m")
 }
 
-// A message whose time is up while the answer to its call is still listened to ends at once, and once. The call goes on: the next of
-// its key waits for the end of that, and a wait that it brings binds the others.
+// A message whose deadline passes while its attempt is in flight gets its terminal outcome at once, and once. The call goes on: the
+// next message of its key waits for the outcome, and a Retry-After with it binds the others.
 func TestDeadlineExceeded_WhileAttemptInFlight(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		class int
-		end   string
-	}{{"safe", 0, "reject m"}, {"keyed", 1, "reject m"}, {"unsafe, in order", 2, "fail m"}} {
+		want  string
+	}{{"idempotent", 0, "reject m"}, {"by key", 1, "reject m"}, {"not idempotent, ordered", 2, "fail m"}} {
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 		d.Handle(0, []Event{arrival("m", tt.class)})
-		wantActions(t, tt.name+": in time", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
-		wantActions(t, tt.name, d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.end)
+		wantActions(t, tt.name+": before", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
+		wantActions(t, tt.name, d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.want)
 		wantActions(t, tt.name+": again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
 		if d.inFlight != 1 || d.messages["m"] == nil {
-			t.Errorf("%s: %d calls out, known: %v", tt.name, d.inFlight, d.messages["m"] != nil)
+			t.Errorf("%s: %d calls in flight, known: %v", tt.name, d.inFlight, d.messages["m"] != nil)
 		}
 		next := "n>b"
 		if tt.class == 2 {
-			next = "" // in order, until the attempt has an end
+			next = "" // ordered: until the attempt has an outcome
 		}
 		wantActions(t, tt.name+": the next", d.Handle(10*time.Second+2*ms, []Event{arrival("n", tt.class)}), next)
 		ep := d.messages["m"].attempts[0].call.endpoint.ID
-		wantActions(t, tt.name+": told to wait", d.Handle(10*time.Second+10*ms,
+		wantActions(t, tt.name+": Retry-After", d.Handle(10*time.Second+10*ms,
 			[]Event{AttemptEnded{ID: "m", Endpoint: ep, Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}, arrival("o", 0)}), "")
 		if d.messages["m"] != nil {
 			t.Errorf("%s: the message is still known", tt.name)
 		}
 		if got := summary(d.Handle(12*time.Second+20*ms, []Event{TimerFired{}})); got == "" {
-			t.Errorf("%s: nothing goes after the wait", tt.name)
+			t.Errorf("%s: nothing is sent after Retry-After", tt.name)
 		}
 	}
 }
--- a/policy/timeout_test.go
+++ b/policy/timeout_test.go
@@ -11,7 +11,7 @@
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), Class: i, TimeLeft: 10 * time.Second}})
 		if send := got[0].(Send); (send.Timeout > 0) != want {
-			t.Errorf("class %d: time-out %v", i, send.Timeout)
+			t.Errorf("class %d: timeout %v", i, send.Timeout)
 		}
 	}
 }
