--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -7,84 +7,140 @@
 	"frostlink/policy"
 )
 
-const answerSlack = 20 * time.Millisecond
+const answerTolerance = 20 * time.Millisecond
 
-// checker follows events and actions and reports the first action that breaks one of the six rules. It
-// is written from the wording of the rules and shares no code with the module.
+// checker follows events and actions and reports the first action that breaks one of the six rules:
+//
+//  1. Each message gets exactly one terminal outcome, by its deadline.
+//  2. No second attempt, and no rejection, that idempotency forbids.
+//  3. Nothing is sent to an endpoint that drains or was removed.
+//  4. An endpoint in an outage gets no more calls than a cold destination bears.
+//  5. Messages with one order key are sent one at a time, in order of arrival.
+//  6. Nothing is sent before a Retry-After has passed.
+//
+// It is written from the wording of the rules and shares no code with the module.
 type checker struct {
-	s     policy.Settings
-	now   time.Duration
-	msgs  map[string]*seen
-	order []*seen
-	eps   map[string]*place
-	waits map[string]time.Duration // by place.scope
-	told  map[string]int           // failures in a row, by endpoint
-	good  map[string]time.Duration // last success, by endpoint
-	bad   map[string]time.Duration // when the last call that failed was sent, by endpoint
-	sends map[string][]time.Duration
+	settings        policy.Settings
+	now             time.Duration // of the batch
+	messages        map[string]*messageHistory
+	order           []*messageHistory // in order of arrival
+	endpoints       map[string]*endpointHistory
+	retryAfterUntil map[string]time.Duration   // by endpointHistory.scope
+	failures        map[string]int             // consecutive failures, by endpoint
+	lastSuccess     map[string]time.Duration   // by endpoint
+	lastFailureSent map[string]time.Duration   // by endpoint
+	sends           map[string][]time.Duration // during outages, by endpointHistory.scope
 }
 
+// messageHistory is a message with its attempts.
+type messageHistory struct {
+	policy.Arrived
+	class         policy.Class
+	deadline      time.Duration
+	attempts      []attemptHistory
+	completed     bool
+	cancelledAt   time.Duration // an outcome in the same batch breaks no rule
+	cooldownUntil time.Duration
+}
+
+// firstExecuted returns the first attempt that may have executed.
+func (m *messageHistory) firstExecuted() *attemptHistory {
+	for i := range m.attempts {
+		if !m.attempts[i].notExecuted {
+			return &m.attempts[i]
+		}
+	}
+	return nil
+}
+
+// attemptHistory is one attempt of a message.
+type attemptHistory struct {
+	endpoint    string
+	sent        time.Duration
+	open        bool
+	notExecuted bool
+	timeout     time.Duration
+}
+
+// endpointHistory is an endpoint of the list.
+type endpointHistory struct {
+	policy.Endpoint
+	closed bool
+	scope  string // what Retry-After and outages bind: the destination, or the separate route
+}
+
+func newChecker(s policy.Settings) *checker {
+	return &checker{
+		settings: s, messages: map[string]*messageHistory{}, endpoints: map[string]*endpointHistory{}, retryAfterUntil: map[string]time.Duration{},
+		failures: map[string]int{}, lastSuccess: map[string]time.Duration{}, lastFailureSent: map[string]time.Duration{},
+		sends: map[string][]time.Duration{},
+	}
+}
+
+// list applies a change of the endpoint list.
 func (c *checker) list(e policy.EndpointsChanged) {
 	named := map[string]bool{}
 	for _, x := range e.Endpoints {
 		named[x.ID] = true
-		p := c.eps[x.ID]
+		p := c.endpoints[x.ID]
 		if p == nil {
-			p = &place{scope: fmt.Sprint("d", x.Destination)}
-			if x.Kind < len(c.s.Kinds) && c.s.Kinds[x.Kind].SeparateRoutes {
+			p = &endpointHistory{scope: fmt.Sprint("d", x.Destination)}
+			if x.Kind < len(c.settings.Kinds) && c.settings.Kinds[x.Kind].SeparateRoutes {
 				p.scope = x.ID
 			}
-			c.eps[x.ID] = p
+			c.endpoints[x.ID] = p
 		}
 		p.Endpoint, p.closed = x, x.Draining || x.Removed
 	}
-	for id, p := range c.eps {
+	for id, p := range c.endpoints {
 		if e.Full && !named[id] {
 			p.closed = true
 		}
 	}
 }
 
+// ended applies the outcome of an attempt.
 func (c *checker) ended(e policy.AttemptEnded) {
-	m := c.msgs[e.ID]
-	if m == nil || e.Attempt >= len(m.tries) || !m.tries[e.Attempt].open {
+	m := c.messages[e.ID]
+	if m == nil || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
 		return
 	}
-	t := &m.tries[e.Attempt]
+	t := &m.attempts[e.Attempt]
 	t.open = false
-	t.unrun = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent
+	t.notExecuted = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent
 	if e.Outcome == policy.TimedOut || e.Outcome == policy.ConnectionReset || e.Outcome == policy.Canceled {
-		m.rest = c.now + c.s.OrderKeyCooldown
+		m.cooldownUntil = c.now + c.settings.OrderKeyCooldown
 	}
 	switch {
 	case e.Outcome == policy.Succeeded:
-		m.over = true
-		c.told[t.ep], c.good[t.ep] = 0, c.now
-	case t.sent <= max(c.good[t.ep], c.bad[t.ep]): // tells nothing new: an old call, or a bundle's next
+		m.completed = true
+		c.failures[t.endpoint], c.lastSuccess[t.endpoint] = 0, c.now
+	case t.sent <= max(c.lastSuccess[t.endpoint], c.lastFailureSent[t.endpoint]): // tells nothing new: an old call, or another message of a batch
 	case e.Outcome == policy.Failed || e.Outcome == policy.ConnectionReset || e.Outcome == policy.ConnectError:
-		c.told[t.ep]++
-		c.bad[t.ep] = t.sent
+		c.failures[t.endpoint]++
+		c.lastFailureSent[t.endpoint] = t.sent
 	}
 	if e.RetryAfter > 0 {
-		scope := c.eps[t.ep].scope
-		c.waits[scope] = max(c.waits[scope], c.now+e.RetryAfter)
+		scope := c.endpoints[t.endpoint].scope
+		c.retryAfterUntil[scope] = max(c.retryAfterUntil[scope], c.now+e.RetryAfter)
 	}
-	m.over = m.over || e.Final
+	m.completed = m.completed || e.Final
 }
 
+// events applies a batch of events.
 func (c *checker) events(now time.Duration, events []policy.Event) {
 	c.now = now
 	for _, e := range events {
 		switch e := e.(type) {
 		case policy.Arrived:
-			m := &seen{Arrived: e, class: c.s.Classes[e.Class], expires: now + e.TimeLeft, left: -1}
-			c.msgs[e.ID] = m
+			m := &messageHistory{Arrived: e, class: c.settings.Classes[e.Class], deadline: now + e.TimeLeft, cancelledAt: -1}
+			c.messages[e.ID] = m
 			c.order = append(c.order, m)
 		case policy.AttemptEnded:
 			c.ended(e)
 		case policy.Cancelled:
-			if m := c.msgs[e.ID]; m != nil && !m.over {
-				m.over, m.left = true, now
+			if m := c.messages[e.ID]; m != nil && !m.completed {
+				m.completed, m.cancelledAt = true, now
 			}
 		case policy.EndpointsChanged:
 			c.list(e)
@@ -92,6 +148,7 @@
 	}
 }
 
+// actions checks the actions on a batch.
 func (c *checker) actions(actions []policy.Action) error {
 	for _, a := range actions {
 		var err error
@@ -99,12 +156,12 @@
 		case policy.Send:
 			err = c.send(a)
 		case policy.Reject:
-			err = c.refuse(a)
+			err = c.reject(a)
 		case policy.Fail:
-			if m := c.msgs[a.ID]; m == nil || m.over && m.left != c.now {
-				err = fmt.Errorf("rule 1: %s failed, but it is over", a.ID)
+			if m := c.messages[a.ID]; m == nil || m.completed && m.cancelledAt != c.now {
+				err = fmt.Errorf("rule 1: %s failed, but it is completed", a.ID)
 			} else {
-				m.over = true
+				m.completed = true
 			}
 		}
 		if err != nil {
@@ -112,153 +169,113 @@
 		}
 	}
 	for _, m := range c.order {
-		if !m.over && c.now > m.expires+answerSlack {
-			return fmt.Errorf("at %v: rule 1: %s has no answer by %v", c.now, m.ID, m.expires)
+		if !m.completed && c.now > m.deadline+answerTolerance {
+			return fmt.Errorf("at %v: rule 1: %s has no outcome by %v", c.now, m.ID, m.deadline)
 		}
 	}
 	return nil
 }
 
-func (c *checker) refuse(a policy.Reject) error {
-	m := c.msgs[a.ID]
-	if m == nil || m.over && m.left != c.now {
-		return fmt.Errorf("rule 1: %s refused, but it is over", a.ID)
+// reject checks a rejection.
+func (c *checker) reject(a policy.Reject) error {
+	m := c.messages[a.ID]
+	if m == nil || m.completed && m.cancelledAt != c.now {
+		return fmt.Errorf("rule 1: %s rejected, but it is completed", a.ID)
 	}
-	m.over = true
-	if m.mayHaveRun() != nil && (m.class.Idempotency == policy.NotIdempotent || m.class.Idempotency == policy.IdempotentByKey && m.class.KeyPerZone) {
-		return fmt.Errorf("rule 2: %s refused, but it may have run", a.ID)
+	m.completed = true
+	if m.firstExecuted() != nil && (m.class.Idempotency == policy.NotIdempotent || m.class.Idempotency == policy.IdempotentByKey && m.class.KeyPerZone) {
+		return fmt.Errorf("rule 2: %s rejected, but it may have executed", a.ID)
 	}
 	return nil
 }
 
+// send checks the start of an attempt.
 func (c *checker) send(a policy.Send) error {
-	m, p := c.msgs[a.ID], c.eps[a.Endpoint]
+	m, p := c.messages[a.ID], c.endpoints[a.Endpoint]
 	switch {
-	case m == nil || m.over:
-		return fmt.Errorf("rule 1: %s sent, but it is over", a.ID)
+	case m == nil || m.completed:
+		return fmt.Errorf("rule 1: %s sent, but it is completed", a.ID)
 	case p == nil || p.Destination != m.Destination:
 		return fmt.Errorf("%s sent to %s, which is not its destination's", a.ID, a.Endpoint)
 	case p.closed:
-		return fmt.Errorf("rule 3: %s sent to %s, which drains or is gone", a.ID, a.Endpoint)
-	case c.now < c.waits[p.scope]:
-		return fmt.Errorf("rule 6: %s sent to %s within a wait", a.ID, a.Endpoint)
+		return fmt.Errorf("rule 3: %s sent to %s, which drains or was removed", a.ID, a.Endpoint)
+	case c.now < c.retryAfterUntil[p.scope]:
+		return fmt.Errorf("rule 6: %s sent to %s before Retry-After has passed", a.ID, a.Endpoint)
 	}
-	for _, t := range m.tries {
-		if t.open && !c.s.Hedging {
-			return fmt.Errorf("rule 2: %s has two attempts out", a.ID)
+	for _, t := range m.attempts {
+		if t.open && !c.settings.Hedging {
+			return fmt.Errorf("rule 2: %s has two attempts in flight", a.ID)
 		}
 	}
-	if t := m.mayHaveRun(); t != nil {
+	if t := m.firstExecuted(); t != nil {
 		switch {
 		case m.class.Idempotency == policy.NotIdempotent:
-			return fmt.Errorf("rule 2: unsafe %s sent again", a.ID)
+			return fmt.Errorf("rule 2: %s sent again, which is not idempotent", a.ID)
 		case m.class.Idempotency == policy.IdempotentByKey && c.now > t.sent+m.class.KeyTTL:
-			return fmt.Errorf("rule 2: keyed %s sent after its memory", a.ID)
-		case m.class.Idempotency == policy.IdempotentByKey && m.class.KeyPerZone && c.eps[t.ep].Zone != p.Zone:
-			return fmt.Errorf("rule 2: keyed %s sent to another zone", a.ID)
+			return fmt.Errorf("rule 2: %s sent after its key expired", a.ID)
+		case m.class.Idempotency == policy.IdempotentByKey && m.class.KeyPerZone && c.endpoints[t.endpoint].Zone != p.Zone:
+			return fmt.Errorf("rule 2: %s sent with its key to another zone", a.ID)
 		}
 	}
 	if err := c.inTurn(m); err != nil {
 		return err
 	}
-	m.tries = append(m.tries, try{ep: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
+	m.attempts = append(m.attempts, attemptHistory{endpoint: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
 	return c.outage(p)
 }
 
-func (c *checker) inTurn(m *seen) error {
+// inTurn checks the order of messages with one order key.
+func (c *checker) inTurn(m *messageHistory) error {
 	if !m.class.Ordered || m.OrderKey == "" {
 		return nil
 	}
-	for _, o := range c.order {
-		if o == m {
+	for _, earlier := range c.order {
+		if earlier == m {
 			return nil
 		}
-		if o.OrderKey != m.OrderKey || !o.class.Ordered {
+		if earlier.OrderKey != m.OrderKey || !earlier.class.Ordered {
 			continue
 		}
-		open := !o.over || c.now < o.rest
-		for _, t := range o.tries {
+		open := !earlier.completed || c.now < earlier.cooldownUntil
+		for _, t := range earlier.attempts {
 			open = open || t.open
 		}
 		if open {
-			return fmt.Errorf("rule 5: %s sent before %s was done", m.ID, o.ID)
+			return fmt.Errorf("rule 5: %s sent before %s was completed", m.ID, earlier.ID)
 		}
 	}
 	return nil
 }
 
-// outage holds the sends to endpoints that only fail to this relay's part of what a cold destination can
-// take, with room for one call an endpoint, one that a sibling's return brings forward and two of chance.
-func (c *checker) outage(p *place) error {
-	const sure = 5 // failures in a row that no chance explains
-	if c.told[p.ID] < sure {
+// outage checks the calls to an endpoint that only fails against this relay's part of what a cold destination bears, with room for
+// one call per endpoint, one that another endpoint's recovery brings forward and two by chance.
+func (c *checker) outage(p *endpointHistory) error {
+	const certain = 5 // consecutive failures that no chance explains
+	if c.failures[p.ID] < certain {
 		return nil
 	}
 	list := c.sends[p.scope]
-	if n := len(list); n > 0 && list[n-1] == c.now && c.s.Kinds[p.Kind].MaxBatch > 1 {
-		return nil // the same call, by as many as one holds
+	if n := len(list); n > 0 && list[n-1] == c.now && c.settings.Kinds[p.Kind].MaxBatch > 1 {
+		return nil // another message of the same call
 	}
 	list = append(list, c.now)
-	for list[0] <= c.now-c.s.OverloadWindow {
+	for list[0] <= c.now-c.settings.OverloadWindow {
 		list = list[1:]
 	}
 	c.sends[p.scope] = list
-	eps := 0
-	for _, q := range c.eps {
-		if q.scope == p.scope {
-			eps++
+	endpoints := 0
+	for _, other := range c.endpoints {
+		if other.scope == p.scope {
+			endpoints++
 		}
 	}
 	weight := p.Weight
-	if c.s.Weights == policy.WeightsOff {
-		weight = float64(c.s.Instances)
+	if c.settings.Weights == policy.WeightsOff {
+		weight = float64(c.settings.Instances)
 	}
-	all := c.s.OverloadFactor * c.s.ColdCapacity * weight * c.s.OverloadWindow.Seconds()
-	if budget := all/float64(c.s.Instances) + float64(eps+3); float64(len(list)) > budget {
-		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d eps %v %+v", len(list), p.ID, c.s.OverloadWindow, budget, eps, list, c.s)
+	allRelays := c.settings.OverloadFactor * c.settings.ColdCapacity * weight * c.settings.OverloadWindow.Seconds()
+	if budget := allRelays/float64(c.settings.Instances) + float64(endpoints+3); float64(len(list)) > budget {
+		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d endpoints %v %+v", len(list), p.ID, c.settings.OverloadWindow, budget, endpoints, list, c.settings)
 	}
 	return nil
 }
-
-type seen struct {
-	policy.Arrived
-	class   policy.Class
-	expires time.Duration
-	tries   []try
-	over    bool
-	left    time.Duration // when it was withdrawn; an answer in the same batch is no fault
-	rest    time.Duration
-}
-
-// mayHaveRun gives the first try that may have run.
-func (m *seen) mayHaveRun() *try {
-	for i := range m.tries {
-		if !m.tries[i].unrun {
-			return &m.tries[i]
-		}
-	}
-	return nil
-}
-
-type try struct {
-	ep      string
-	sent    time.Duration
-	open    bool
-	unrun   bool
-	timeout time.Duration
-}
-
-type place struct {
-	policy.Endpoint
-	closed bool
-	scope  string // what waits and outages bind: the destination, or the route
-	seen   time.Duration
-}
-
-func newChecker(s policy.Settings) *checker {
-	return &checker{
-		s: s, msgs: map[string]*seen{}, eps: map[string]*place{}, waits: map[string]time.Duration{},
-		told: map[string]int{}, good: map[string]time.Duration{}, bad: map[string]time.Duration{},
-		sends: map[string][]time.Duration{},
-	}
-}
--- a/policy/rules_generator_test.go
+++ b/policy/rules_generator_test.go
@@ -8,8 +8,8 @@
 	"frostlink/policy"
 )
 
-// variant draws settings from a seed.
-func variant(r *rand.Rand) policy.Settings {
+// drawSettings draws settings.
+func drawSettings(r *rand.Rand) policy.Settings {
 	s := policy.Settings{
 		Instances: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], MaxInFlight: 1 + r.Intn(12), MaxQueued: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
 		Hedging: r.Intn(2) == 0, CanCancel: r.Intn(4) > 0, WatchEndpoints: r.Intn(2) == 0,
@@ -29,147 +29,148 @@
 	return s
 }
 
-// world draws legal events from a seed; it knows nothing of servers.
-type world struct {
-	r     *rand.Rand
-	s     policy.Settings
-	c     *checker
-	now   time.Duration
-	next  int
-	wakes []time.Duration
-	eps   []policy.Endpoint
-	mood  []policy.Outcome // what the attempts of a destination mostly get just now
-	fates map[string]policy.Outcome
+// generator draws legal events from a seed. It does not model destinations.
+type generator struct {
+	random       *rand.Rand
+	settings     policy.Settings
+	checker      *checker // knows the messages and endpoints
+	now          time.Duration
+	next         int // number of the next endpoint or message
+	timers       []time.Duration
+	endpoints    []policy.Endpoint
+	usualOutcome []policy.Outcome          // of most attempts just now, by destination
+	callOutcome  map[string]policy.Outcome // by endpoint and time of the call
 }
 
-func (w *world) list() policy.EndpointsChanged {
-	whole := w.r.Intn(3) == 0 || len(w.eps) == 0
-	if len(w.eps) == 0 || w.r.Intn(3) == 0 {
-		dest := w.r.Intn(4)
-		w.eps = append(w.eps, policy.Endpoint{
-			ID: fmt.Sprint("e", w.next), Destination: dest, Kind: dest % 3,
-			Zone: w.r.Intn(2), Weight: 2 + float64(dest)*3,
+// list draws a change of the endpoint list.
+func (g *generator) list() policy.EndpointsChanged {
+	full := g.random.Intn(3) == 0 || len(g.endpoints) == 0
+	if len(g.endpoints) == 0 || g.random.Intn(3) == 0 {
+		destination := g.random.Intn(4)
+		g.endpoints = append(g.endpoints, policy.Endpoint{
+			ID: fmt.Sprint("e", g.next), Destination: destination, Kind: destination % 3,
+			Zone: g.random.Intn(2), Weight: 2 + float64(destination)*3,
 		})
-		w.next++
+		g.next++
 	}
-	var out []policy.Endpoint
-	for i := range w.eps {
-		if w.r.Intn(12) == 0 {
-			w.eps[i].Draining = true
+	var changed []policy.Endpoint
+	for i := range g.endpoints {
+		if g.random.Intn(12) == 0 {
+			g.endpoints[i].Draining = true
 		}
-		if w.r.Intn(15) == 0 && len(w.eps) > 4 {
-			w.eps[i].Removed = true
+		if g.random.Intn(15) == 0 && len(g.endpoints) > 4 {
+			g.endpoints[i].Removed = true
 		}
-		if !whole || !w.eps[i].Removed {
-			out = append(out, w.eps[i])
+		if !full || !g.endpoints[i].Removed {
+			changed = append(changed, g.endpoints[i])
 		}
 	}
-	kept := w.eps[:0]
-	for _, e := range w.eps {
+	remaining := g.endpoints[:0]
+	for _, e := range g.endpoints {
 		if !e.Removed {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	w.eps = kept
-	return policy.EndpointsChanged{Full: whole, Endpoints: out}
+	g.endpoints = remaining
+	return policy.EndpointsChanged{Full: full, Endpoints: changed}
 }
 
-// batch moves the clock to the next moment and gives its events.
-func (w *world) batch() []policy.Event {
-	at := w.now + time.Duration(1+w.r.Intn(60))*5*time.Millisecond
-	for _, t := range w.wakes {
+// batch moves the clock to the next time at which something is due and returns the events of that time.
+func (g *generator) batch() []policy.Event {
+	at := g.now + time.Duration(1+g.random.Intn(60))*5*time.Millisecond
+	for _, t := range g.timers {
 		at = min(at, t)
 	}
-	for _, m := range w.c.order {
-		if !m.over && m.expires > w.now {
-			at = min(at, m.expires)
+	for _, m := range g.checker.order {
+		if !m.completed && m.deadline > g.now {
+			at = min(at, m.deadline)
 		}
-		for _, t := range m.tries {
-			if t.open && t.timeout > 0 && t.sent+t.timeout > w.now {
+		for _, t := range m.attempts {
+			if t.open && t.timeout > 0 && t.sent+t.timeout > g.now {
 				at = min(at, t.sent+t.timeout)
 			}
 		}
 	}
-	w.now = max(at, w.now+5*time.Millisecond)
+	g.now = max(at, g.now+5*time.Millisecond)
 	var events []policy.Event
-	kept := w.wakes[:0]
-	for _, t := range w.wakes {
-		if t <= w.now {
+	remaining := g.timers[:0]
+	for _, t := range g.timers {
+		if t <= g.now {
 			events = append(events, policy.TimerFired{})
 		} else {
-			kept = append(kept, t)
+			remaining = append(remaining, t)
 		}
 	}
-	w.wakes = kept
-	events = append(events, w.outcomes()...)
-	if w.r.Intn(12) == 0 {
-		events = append(events, w.list())
+	g.timers = remaining
+	events = append(events, g.outcomes()...)
+	if g.random.Intn(12) == 0 {
+		events = append(events, g.list())
 	}
-	if w.r.Intn(40) == 0 {
+	if g.random.Intn(40) == 0 {
 		events = append(events, policy.WatchFailed{})
 	}
-	for range w.r.Intn(4) {
-		w.next++
-		class := w.r.Intn(len(w.s.Classes))
+	for range g.random.Intn(4) {
+		g.next++
+		class := g.random.Intn(len(g.settings.Classes))
 		e := policy.Arrived{
-			ID: fmt.Sprint("m", w.next), Class: class, Destination: w.r.Intn(5),
-			TimeLeft: w.s.Classes[class].Deadline - time.Duration(w.r.Intn(2000))*time.Millisecond,
+			ID: fmt.Sprint("m", g.next), Class: class, Destination: g.random.Intn(5),
+			TimeLeft: g.settings.Classes[class].Deadline - time.Duration(g.random.Intn(2000))*time.Millisecond,
 		}
-		if w.s.Classes[class].Ordered && w.r.Intn(5) > 0 {
-			e.OrderKey = fmt.Sprint("k", w.r.Intn(3))
+		if g.settings.Classes[class].Ordered && g.random.Intn(5) > 0 {
+			e.OrderKey = fmt.Sprint("k", g.random.Intn(3))
 		}
 		events = append(events, e)
 	}
 	return events
 }
 
-// outcomes ends attempts: those whose time is up, and others by chance.
-func (w *world) outcomes() []policy.Event {
+// outcomes ends attempts: those whose timeout or deadline has passed, and others by chance.
+func (g *generator) outcomes() []policy.Event {
 	var events []policy.Event
-	for d := range w.mood {
-		if w.r.Intn(80) == 0 {
-			w.mood[d] = policy.Outcome(w.r.Intn(8))
+	for d := range g.usualOutcome {
+		if g.random.Intn(80) == 0 {
+			g.usualOutcome[d] = policy.Outcome(g.random.Intn(8))
 		}
 	}
-	for _, m := range w.c.order {
-		for i, t := range m.tries {
+	for _, m := range g.checker.order {
+		for i, t := range m.attempts {
 			if !t.open {
 				continue
 			}
-			limit := m.expires
+			limit := m.deadline
 			if t.timeout > 0 {
 				limit = min(limit, t.sent+t.timeout)
 			}
-			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.ep, Attempt: i, Latency: w.now - t.sent, Final: m.over}
+			e := policy.AttemptEnded{ID: m.ID, Endpoint: t.endpoint, Attempt: i, Latency: g.now - t.sent, Final: m.completed}
 			switch {
-			case w.now >= limit:
+			case g.now >= limit:
 				e.Outcome = policy.TimedOut
-			case w.r.Intn(6) == 0:
-				e.Outcome = w.mood[w.c.eps[t.ep].Destination]
-				if w.r.Intn(4) == 0 {
-					e.Outcome = policy.Outcome(w.r.Intn(8))
+			case g.random.Intn(6) == 0:
+				e.Outcome = g.usualOutcome[g.checker.endpoints[t.endpoint].Destination]
+				if g.random.Intn(4) == 0 {
+					e.Outcome = policy.Outcome(g.random.Intn(8))
 				}
-				call := fmt.Sprint(t.ep, t.sent) // the messages of one call share its fate
-				if fate, ok := w.fates[call]; ok {
-					e.Outcome = fate
+				call := fmt.Sprint(t.endpoint, t.sent) // the messages of one call share its outcome
+				if outcome, ok := g.callOutcome[call]; ok {
+					e.Outcome = outcome
 				}
 				if e.Outcome == policy.TimedOut {
 					continue
 				}
-				w.fates[call] = e.Outcome
+				g.callOutcome[call] = e.Outcome
 			default:
 				continue
 			}
-			if e.Outcome == policy.Rejected && w.r.Intn(2) == 0 {
-				e.RetryAfter = time.Duration(w.r.Intn(2000)) * time.Millisecond
+			if e.Outcome == policy.Rejected && g.random.Intn(2) == 0 {
+				e.RetryAfter = time.Duration(g.random.Intn(2000)) * time.Millisecond
 			}
 			e.Final = e.Final || e.Outcome == policy.Succeeded
 			events = append(events, e)
-			if w.r.Intn(30) == 0 {
-				events = append(events, e) // doubled up: changes nothing
+			if g.random.Intn(30) == 0 {
+				events = append(events, e) // a duplicate changes nothing
 			}
 		}
-		if !m.over && w.r.Intn(400) == 0 {
+		if !m.completed && g.random.Intn(400) == 0 {
 			events = append(events, policy.Cancelled{ID: m.ID})
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -14,38 +14,38 @@
 // play runs a dispatcher on seeded events under the checker and returns its actions.
 func play(seed int64, steps int) ([]policy.Action, error) {
 	r := rand.New(rand.NewSource(seed))
-	s := variant(r)
+	s := drawSettings(r)
 	d, err := policy.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
-	w := &world{
-		r: r, s: s, c: newChecker(s), now: time.Hour, mood: make([]policy.Outcome, 5),
-		fates: map[string]policy.Outcome{},
+	g := &generator{
+		random: r, settings: s, checker: newChecker(s), now: time.Hour, usualOutcome: make([]policy.Outcome, 5),
+		callOutcome: map[string]policy.Outcome{},
 	}
 	var all []policy.Action
 	for range steps {
-		if r.Intn(600) == 0 { // killed and begun anew
+		if r.Intn(600) == 0 { // the process is killed and starts anew
 			if d, err = policy.New(s, seed); err != nil {
 				return nil, err
 			}
-			w.c, w.wakes = newChecker(s), nil
-			w.eps = nil
+			g.checker, g.timers = newChecker(s), nil
+			g.endpoints = nil
 		}
-		events := w.batch()
-		w.c.events(w.now, events)
-		actions := d.Handle(w.now, events)
+		events := g.batch()
+		g.checker.events(g.now, events)
+		actions := d.Handle(g.now, events)
 		all = append(all, actions...)
 		for _, a := range actions {
 			switch a := a.(type) {
 			case policy.SetTimer:
-				w.wakes = append(w.wakes, w.now+a.After)
+				g.timers = append(g.timers, g.now+a.After)
 			case policy.CancelAttempt:
-				m := w.c.msgs[a.ID]
-				m.tries[a.Attempt].timeout = max(1, w.now-m.tries[a.Attempt].sent)
+				m := g.checker.messages[a.ID]
+				m.attempts[a.Attempt].timeout = max(1, g.now-m.attempts[a.Attempt].sent)
 			}
 		}
-		if err := w.c.actions(actions); err != nil {
+		if err := g.checker.actions(actions); err != nil {
 			return all, err
 		}
 	}
@@ -74,20 +74,20 @@
 		a, _ := play(seed, 300)
 		b, _ := play(seed, 300)
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("seed %d: two plays of the same events differ", seed)
+			t.Errorf("seed %d: two runs on the same events differ", seed)
 		}
 	}
 }
 
-// TestHandle_InterleavedDispatchers plays two dispatchers in turns on events that were recorded from one alone.
+// TestHandle_InterleavedDispatchers feeds two dispatchers in turns with the events of one that runs alone.
 func TestHandle_InterleavedDispatchers(t *testing.T) {
-	s := variant(rand.New(rand.NewSource(3)))
+	s := drawSettings(rand.New(rand.NewSource(3)))
 	feed := func(d *policy.Dispatcher, i int) []policy.Action {
 		var events []policy.Event
 		if i == 0 {
-			for dest := range 4 {
+			for destination := range 4 {
 				events = append(events, policy.EndpointsChanged{Endpoints: []policy.Endpoint{
-					{ID: fmt.Sprint("e", dest), Destination: dest, Kind: dest % 3, Weight: 5},
+					{ID: fmt.Sprint("e", destination), Destination: destination, Kind: destination % 3, Weight: 5},
 				}})
 			}
 		}
@@ -99,14 +99,14 @@
 		}
 		return d.Handle(time.Duration(i)*50*time.Millisecond, events)
 	}
-	fresh := func() *policy.Dispatcher {
+	newDispatcher := func() *policy.Dispatcher {
 		d, err := policy.New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
-	alone, a, b := fresh(), fresh(), fresh()
+	alone, a, b := newDispatcher(), newDispatcher(), newDispatcher()
 	for i := range 100 {
 		want := feed(alone, i)
 		if got := feed(a, i); !reflect.DeepEqual(got, want) {
@@ -120,7 +120,7 @@
 
 // TestChecker_CatchesViolations shows for each rule a sequence that breaks it and that the checker catches.
 func TestChecker_CatchesViolations(t *testing.T) {
-	s := variant(rand.New(rand.NewSource(1)))
+	s := drawSettings(rand.New(rand.NewSource(1)))
 	s.Hedging, s.Instances, s.OrderKeyCooldown = false, 2, 0
 	s.Classes = []policy.Class{
 		{Deadline: 5 * time.Second, Idempotency: policy.Idempotent},
@@ -128,7 +128,7 @@
 		{Deadline: 9 * time.Second, Idempotency: policy.NotIdempotent, Ordered: true},
 	}
 	list := policy.EndpointsChanged{Full: true, Endpoints: []policy.Endpoint{{ID: "a", Weight: 3}, {ID: "b", Weight: 3}}}
-	arrive := func(id string, class int) policy.Event {
+	arrival := func(id string, class int) policy.Event {
 		return policy.Arrived{ID: id, Class: class, TimeLeft: s.Classes[class].Deadline, OrderKey: "k"}
 	}
 	send := func(id string) policy.Action { return policy.Send{ID: id, Endpoint: "a"} }
@@ -140,41 +140,41 @@
 	ended := func(id string, n int, o policy.Outcome) policy.Event {
 		return policy.AttemptEnded{ID: id, Endpoint: "a", Attempt: n, Outcome: o}
 	}
-	var knocks []step
+	var trials []step
 	for i := range 40 {
 		id := fmt.Sprint("m", i)
 		at := time.Duration(i) * 50 * time.Millisecond
-		knocks = append(knocks, step{at, []policy.Event{list, arrive(id, 0)}, []policy.Action{send(id)}},
+		trials = append(trials, step{at, []policy.Event{list, arrival(id, 0)}, []policy.Action{send(id)}},
 			step{at, []policy.Event{ended(id, 0, policy.ConnectError)}, nil})
 	}
 	tests := map[string][]step{
-		"1: no answer":      {{0, []policy.Event{list, arrive("m", 0)}, nil}, {6 * time.Second, nil, nil}},
-		"1: two answers":    {{0, []policy.Event{arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, policy.Reject{ID: "m"}}}},
-		"1: sent after end": {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, send("m")}}},
-		"2: two out":        {{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m"), send("m")}}},
-		"2: unsafe again": {
-			{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
+		"1: no outcome":             {{0, []policy.Event{list, arrival("m", 0)}, nil}, {6 * time.Second, nil, nil}},
+		"1: two outcomes":           {{0, []policy.Event{arrival("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, policy.Reject{ID: "m"}}}},
+		"1: sent after its outcome": {{0, []policy.Event{list, arrival("m", 0)}, []policy.Action{policy.Fail{ID: "m"}, send("m")}}},
+		"2: two attempts in flight": {{0, []policy.Event{list, arrival("m", 0)}, []policy.Action{send("m"), send("m")}}},
+		"2: not idempotent, sent again": {
+			{0, []policy.Event{list, arrival("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.Failed)}, []policy.Action{send("m")}},
 		},
-		"2: unsafe refused": {
-			{0, []policy.Event{list, arrive("m", 2)}, []policy.Action{send("m")}},
+		"2: not idempotent, rejected": {
+			{0, []policy.Event{list, arrival("m", 2)}, []policy.Action{send("m")}},
 			{1, []policy.Event{ended("m", 0, policy.ConnectionReset)}, []policy.Action{policy.Reject{ID: "m"}}},
 		},
-		"2: memory over": {
-			{0, []policy.Event{list, arrive("m", 1)}, []policy.Action{send("m")}},
+		"2: key expired": {
+			{0, []policy.Event{list, arrival("m", 1)}, []policy.Action{send("m")}},
 			{3 * time.Second, []policy.Event{ended("m", 0, policy.TimedOut)}, []policy.Action{send("m")}},
 		},
-		"3: drained": {{0, []policy.Event{list, arrive("m", 0), policy.EndpointsChanged{Endpoints: []policy.Endpoint{
+		"3: draining": {{0, []policy.Event{list, arrival("m", 0), policy.EndpointsChanged{Endpoints: []policy.Endpoint{
 			{ID: "a", Draining: true},
 		}}}, []policy.Action{send("m")}}},
-		"4: knocking": knocks,
-		"5: out of turn": {{
+		"4: too many trial requests": trials,
+		"5: out of order": {{
 			0,
-			[]policy.Event{list, arrive("m", 2), arrive("n", 2)},
+			[]policy.Event{list, arrival("m", 2), arrival("n", 2)},
 			[]policy.Action{send("m"), send("n")},
 		}},
-		"6: in a wait": {
-			{0, []policy.Event{list, arrive("m", 0)}, []policy.Action{send("m")}},
+		"6: before Retry-After has passed": {
+			{0, []policy.Event{list, arrival("m", 0)}, []policy.Action{send("m")}},
 			{
 				1,
 				[]policy.Event{policy.AttemptEnded{ID: "m", Endpoint: "a", Outcome: policy.Rejected, RetryAfter: time.Second}},
