--- a/policy/admission.go
+++ b/policy/admission.go
@@ -29,7 +29,7 @@
 	arrivalRate, shadowRejectionRate := q.arrivals.rate(d.now), q.shadowRejections.rate(d.now)
 	d.feedShadowQueue(q, timeLeft-latency)
 	if arrivalRate*q.serviceInterval() > 1 { // more arrive than can leave
-		timeLeft = math.Min(timeLeft, d.maxUsefulAge(m.class).Seconds()) // little time left need not be age
+		timeLeft = math.Min(timeLeft, d.maxUsefulAge(m.terms).Seconds()) // little time left need not be age
 	}
 	late := mustReject(backlog, latency, timeLeft-latency, arrivalRate-shadowRejectionRate, len(q.queued) > 0)
 	if late || d.overcrowded(q) {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -119,13 +119,13 @@
 		q := d.queues[0]
 		q.latency.mean = 0.5
 		for range tt.queued {
-			q.queued = append(q.queued, &message{class: &s.Classes[1], deadline: time.Hour, queue: q})
+			q.queued = append(q.queued, &message{terms: &s.Classes[1], deadline: time.Hour, queue: q})
 		}
 		if tt.overload {
 			q.arrivals.add(0, 100)
 		}
 		m := &message{
-			Arrived: Arrived{ID: "m", Class: tt.class}, class: &d.settings.Classes[tt.class],
+			Arrived: Arrived{ID: "m", Class: tt.class}, terms: &d.settings.Classes[tt.class],
 			deadline: d.settings.Classes[tt.class].Deadline,
 		}
 		d.unfinished = append(d.unfinished, m)
--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -59,7 +59,7 @@
 	if e.Latency <= 0 {
 		e.Latency = d.now - c.sent
 	}
-	latency := min(e.Latency, m.class.Deadline).Seconds()
+	latency := min(e.Latency, m.terms.Deadline).Seconds()
 	d.recordOverdue(c, e)
 	switch e.Outcome {
 	case Succeeded:
--- a/policy/class.go
+++ b/policy/class.go
@@ -61,7 +61,7 @@
 
 // maxUsefulAge returns the age at which a message of class c falls under minUsefulValue, or an earlier one at which a class of
 // at least its priority weight does that would wait behind it. It guards urgent messages against a queue full of patient ones
-// that are worth less.
+// of less weight.
 func (d *Dispatcher) maxUsefulAge(c *Class) time.Duration {
 	age := c.ageAtValue(minUsefulValue)
 	for i := range d.settings.Classes {
--- a/policy/destination.go
+++ b/policy/destination.go
@@ -8,34 +8,33 @@
 // destination returns a destination by its number.
 func (d *Dispatcher) destination(number int) *destination {
 	if d.destinations[number] == nil {
-		dest := &destination{}
-		d.destinations[number] = dest
-		d.addQueue(dest)
+		d.destinations[number] = &destination{}
+		d.addQueue(d.destinations[number])
 	}
 	return d.destinations[number]
 }
 
 // addQueue adds a queue to a destination.
-func (d *Dispatcher) addQueue(dest *destination) *queue {
+func (d *Dispatcher) addQueue(to *destination) *queue {
 	q := &queue{
-		destination:      dest,
+		destination:      to,
 		maxBatch:         1,
 		latency:          latencyStats{byClass: make([]float64, len(d.settings.Classes))},
 		sendBucket:       tokenBucket{refilledAt: d.now},
 		arrivals:         decayingCounter{startedAt: d.now},
 		shadowRejections: decayingCounter{startedAt: d.now},
 	}
-	dest.queues = append(dest.queues, q)
+	to.queues = append(to.queues, q)
 	d.queues = append(d.queues, q)
 	return q
 }
 
 // removeIfUnused drops a queue without endpoints and work, unless it is the only one of its destination.
 func (d *Dispatcher) removeIfUnused(q *queue) {
-	dest := q.destination
-	if len(q.endpoints) > 0 || q.active || dest.queues[0] == q && len(dest.queues) == 1 {
+	siblings := q.destination.queues
+	if len(q.endpoints) > 0 || q.active || siblings[0] == q && len(siblings) == 1 {
 		return
 	}
-	dest.queues = remove(dest.queues, q)
+	q.destination.queues = remove(siblings, q)
 	d.queues = remove(d.queues, q)
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -49,7 +49,7 @@
 // objectiveExpiry returns when a message falls under minUsefulValue. One that is under it already comes after all others.
 func (d *Dispatcher) objectiveExpiry(m *message) time.Duration {
 	const afterAllOthers = time.Hour
-	at := m.deadline - m.class.Deadline + m.class.ageAtValue(minUsefulValue)
+	at := m.deadline - m.terms.Deadline + m.terms.ageAtValue(minUsefulValue)
 	if at < d.now {
 		at += afterAllOthers
 	}
@@ -127,7 +127,7 @@
 func (d *Dispatcher) addAttempt(m *message, c *call) {
 	m.dequeue()
 	writeWithin := time.Duration(0)
-	if m.firstExecuted() != nil && m.class.Idempotency == IdempotentByKey {
+	if m.firstExecuted() != nil && m.terms.Idempotency == IdempotentByKey {
 		writeWithin = d.keyExpiry(m) - d.now // which may pass while a connection is made
 	}
 	m.attempts = append(m.attempts, attempt{call: c, sent: d.now, state: attemptInFlight})
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -64,10 +64,10 @@
 	if entry.Kind >= 0 && entry.Kind < len(d.settings.Kinds) {
 		kind = d.settings.Kinds[entry.Kind]
 	}
-	dest := d.destination(entry.Destination)
-	q := dest.queues[0]
-	if kind.SeparateRoutes && (len(q.endpoints) > 0 || len(dest.queues) > 1) {
-		q = d.addQueue(dest)
+	destination := d.destination(entry.Destination)
+	q := destination.queues[0]
+	if kind.SeparateRoutes && (len(q.endpoints) > 0 || len(destination.queues) > 1) {
+		q = d.addQueue(destination)
 	}
 	q.kind, q.maxBatch, q.separateRoute = entry.Kind, max(1, kind.MaxBatch), kind.SeparateRoutes
 	q.endpoints = append(q.endpoints, ep)
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -13,7 +13,7 @@
 	d.Handle(0, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Draining: true}}}})
 	wantActions(t, "draining", d.Handle(1, []Event{arrival("m", 0), arrival("n", 0)}), "m>b n>b")
 	d.Handle(2, []Event{EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "c"}}}})
-	wantActions(t, "gone", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
+	wantActions(t, "removed", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
 }
 
 // Attempts that have not left when an endpoint begins to drain, or is removed, are cancelled: their connections may come up when
--- a/policy/idle_connections.go
+++ b/policy/idle_connections.go
@@ -6,11 +6,11 @@
 	// minConnReuses of a connection must be expected within its idle time, or it is closed after a call. At half of this, failed
 	// connections cost more than the handshakes saved.
 	minConnReuses = 4
-	// alwaysKeepRelays or fewer may all keep their idle connections: even small destinations take as many.
-	alwaysKeepRelays = 6
-	// maxKeepRelays is about all the connections that a small destination takes: where relays are more, a connection that idles at
-	// one relay is a call rejected at another, and none keeps any.
-	maxKeepRelays = 9
+	// smallFleet is the largest number of relays that may all keep their idle connections: even small destinations take as many.
+	smallFleet = 6
+	// mediumFleet is about all the connections that a small destination takes: in a larger fleet a connection that idles at one
+	// relay is a call rejected at another, and no relay keeps any.
+	mediumFleet = 9
 	// maxTokenDebt calls may be sent ahead of the send rate on a connection that has just carried a call, where idle connections
 	// are not kept: a new connection takes one of the destination's few places for some round trips before its call has begun, and
 	// a call on an open one does not. The send rate then falls behind by as many.
@@ -22,7 +22,7 @@
 )
 
 // keepsIdleConns reports whether relays are few enough for any of them to keep idle connections.
-func (d *Dispatcher) keepsIdleConns() bool { return d.settings.Instances <= maxKeepRelays }
+func (d *Dispatcher) keepsIdleConns() bool { return d.settings.Instances <= mediumFleet }
 
 // closesIdleConn reports whether a connection to an endpoint is closed after its call: it would idle until its timeout, or the
 // endpoint takes few connections, and many relays that keep idle ones leave no room for each other. It costs a handshake where that
@@ -31,11 +31,11 @@
 	// Counted, not as a rate: at the start one arrival looks like many.
 	expected := ep.queue.arrivals.count(d.now) * float64(d.settings.IdleConnTimeout) / float64(counterTimeConstant)
 	return ep.connLimit > 0 || !d.keepsIdleConns() ||
-		d.settings.Instances > alwaysKeepRelays && expected < minConnReuses*float64(max(1, len(ep.queue.endpoints)))
+		d.settings.Instances > smallFleet && expected < minConnReuses*float64(max(1, len(ep.queue.endpoints)))
 }
 
 // closeIdleConns closes connections that have ended their calls in this batch and carry no further one, where they are not worth
-// keeping. None is reusable after the batch.
+// keeping open. None is reusable after the batch.
 func (d *Dispatcher) closeIdleConns() {
 	for _, ep := range d.idleCandidates {
 		ep.queue.reusableConn = nil
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -42,6 +42,6 @@
 	}
 	unlisted := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	if unlisted.recordReportedLimit(unlisted.queues[0], 4); unlisted.queues[0].sendRate != 0 {
-		t.Errorf("pace %v where no rate is listed", unlisted.queues[0].sendRate)
+		t.Errorf("send rate %v where no rate is listed", unlisted.queues[0].sendRate)
 	}
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -24,7 +24,7 @@
 // message is a message that was accepted and is not evicted yet.
 type message struct {
 	Arrived
-	class         *Class // the terms that hold for it
+	terms         *Class // of its class, as they hold for it
 	seq           int    // order in its queue
 	deadline      time.Duration
 	state         messageState
@@ -56,9 +56,9 @@
 		return
 	}
 	d.lastSeq++
-	m := &message{Arrived: e, class: &d.settings.Classes[e.Class], seq: d.lastSeq, deadline: d.now + e.TimeLeft}
+	m := &message{Arrived: e, terms: &d.settings.Classes[e.Class], seq: d.lastSeq, deadline: d.now + e.TimeLeft}
 	if e.Terms != nil {
-		m.class = e.Terms.stricterTerms(m.class)
+		m.terms = e.Terms.stricterTerms(m.terms)
 	}
 	if e.Background {
 		m.seq += backgroundSeqOffset
--- a/policy/order.go
+++ b/policy/order.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // ordered reports whether a message is sent in order with others of its key.
-func (m *message) ordered() bool { return m.class.Ordered && m.OrderKey != "" }
+func (m *message) ordered() bool { return m.terms.Ordered && m.OrderKey != "" }
 
 // inTurn reports whether no earlier message with the order key of m blocks it.
 func (d *Dispatcher) inTurn(m *message) bool {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -32,7 +32,7 @@
 // recordConnFailure counts a connection that was not to be had against all endpoints of a destination. It guards against an outage
 // of them all that shows at each one late, where relays are so many that each has few calls; where they are so few that a third
 // failure is long in coming, two do. An endpoint that is down by itself is unhealthy before the count gets there. A broken link
-// looks like machines that are gone: what is behind it is treated as cold as well, as it may be.
+// looks like machines that are down: what is behind it is treated as cold as well, as it may be.
 func (d *Dispatcher) recordConnFailure(ep *endpoint, c *call) {
 	q := ep.queue
 	if d.keepsIdleConns() || ep.health.isUnhealthy() || q.lastSuccess > c.sent {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,11 +11,11 @@
 func (d *Dispatcher) retryAllowed(m *message, ep *endpoint) bool {
 	first := m.firstExecuted()
 	switch {
-	case first == nil || m.class.Idempotency == Idempotent:
+	case first == nil || m.terms.Idempotency == Idempotent:
 		return true
-	case m.class.Idempotency == NotIdempotent:
+	case m.terms.Idempotency == NotIdempotent:
 		return false
-	case ep != nil && m.class.KeyPerZone && (first.call.endpoint.Zone != ep.Zone || ep.Zone <= unknownZone):
+	case ep != nil && m.terms.KeyPerZone && (first.call.endpoint.Zone != ep.Zone || ep.Zone <= unknownZone):
 		return false
 	}
 	return d.now < d.keyExpiry(m)
@@ -23,13 +23,13 @@
 
 // keyExpiry returns when a destination may have forgotten the idempotency key of a message that may have executed there.
 func (d *Dispatcher) keyExpiry(m *message) time.Duration {
-	return m.firstExecuted().sent + m.class.KeyTTL - 2*d.settings.BatchInterval
+	return m.firstExecuted().sent + m.terms.KeyTTL - 2*d.settings.BatchInterval
 }
 
 // retryableCall reports whether every message of a call may be sent again after it.
 func (d *Dispatcher) retryableCall(c *call) bool {
 	for _, m := range c.messages {
-		if m.class.Idempotency == NotIdempotent || !d.retryAllowed(m, nil) || len(m.attempts) >= d.settings.MaxAttempts {
+		if m.terms.Idempotency == NotIdempotent || !d.retryAllowed(m, nil) || len(m.attempts) >= d.settings.MaxAttempts {
 			return false
 		}
 	}
--- a/policy/route_selection.go
+++ b/policy/route_selection.go
@@ -11,9 +11,9 @@
 
 // selectRoute returns the queue for a message. Among separate routes it is the one with the least cost.
 func (d *Dispatcher) selectRoute(m *message) *queue {
-	dest := d.destination(m.Destination)
-	best, least := dest.queues[0], math.Inf(1)
-	for _, q := range dest.queues {
+	queues := d.destination(m.Destination).queues
+	best, least := queues[0], math.Inf(1)
+	for _, q := range queues {
 		d.fillUnknownLatency(q)
 		if !q.separateRoute || !q.acceptsWork() {
 			continue
@@ -30,8 +30,8 @@
 func (d *Dispatcher) routeCost(q *queue, m *message) float64 {
 	latency := d.backlog(q) + math.Max(q.latency.byClass[m.Class], d.agedLatency(q))
 	timeLeft := m.deadline - d.now - time.Duration(math.Min(latency, maxExpectedSeconds)*float64(time.Second))
-	cost := m.class.PriorityWeight*(1-m.class.valueAt(m.class.Deadline-timeLeft)) +
-		d.meanPriorityWeight*latency/m.class.Deadline.Seconds()
+	cost := m.terms.PriorityWeight*(1-m.terms.valueAt(m.terms.Deadline-timeLeft)) +
+		d.meanPriorityWeight*latency/m.terms.Deadline.Seconds()
 	if zone := q.endpoints[0].Zone; zone >= 0 && zone < len(d.settings.ZoneCost) {
 		cost += d.settings.ZoneCost[zone] * d.meanPriorityWeight
 	}
--- a/policy/settings_change.go
+++ b/policy/settings_change.go
@@ -29,7 +29,7 @@
 	d.updateMeanPriorityWeight()
 	d.growClassTables()
 	for _, m := range d.messages {
-		m.class = m.class.stricterTerms(&d.settings.Classes[m.Class])
+		m.terms = m.terms.stricterTerms(&d.settings.Classes[m.Class])
 	}
 	for _, q := range d.queues {
 		if q.sendRate > 0 {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -9,11 +9,11 @@
 // Snapshot is what a dispatcher has learned of its destinations, for the process that takes its place. Times are those of its clock,
 // which the two processes share. The JSON names are those of the stored form.
 type Snapshot struct {
-	Queues       []QueueSnapshot         `json:"queues"`
-	Endpoints    []EndpointSnapshot      `json:"endpoints"`
-	Kinds        map[int]LatencySnapshot `json:"kinds,omitempty"`
-	Unanswered   float64                 `json:"unanswered,omitempty"`
-	KeyCooldowns []KeyCooldownSnapshot   `json:"rests,omitempty"`
+	Queues          []QueueSnapshot         `json:"queues"`
+	Endpoints       []EndpointSnapshot      `json:"endpoints"`
+	Kinds           map[int]LatencySnapshot `json:"kinds,omitempty"`
+	UnansweredShare float64                 `json:"unanswered,omitempty"`
+	KeyCooldowns    []KeyCooldownSnapshot   `json:"rests,omitempty"`
 }
 
 // KeyCooldownSnapshot is an order key that is blocked after a completed message.
@@ -24,65 +24,65 @@
 
 // LatencySnapshot holds mean latencies in seconds.
 type LatencySnapshot struct {
-	N     int       `json:"n,omitempty"`
-	Mean  float64   `json:"mean,omitempty"`
-	Class []float64 `json:"class,omitempty"`
+	Samples int       `json:"n,omitempty"`
+	Mean    float64   `json:"mean,omitempty"`
+	ByClass []float64 `json:"class,omitempty"`
 }
 
 // CounterSnapshot is a decaying counter.
 type CounterSnapshot struct {
-	N     float64       `json:"n,omitempty"`
-	At    time.Duration `json:"at,omitempty"`
-	Since time.Duration `json:"since,omitempty"`
+	Value     float64       `json:"n,omitempty"`
+	UpdatedAt time.Duration `json:"at,omitempty"`
+	StartedAt time.Duration `json:"since,omitempty"`
 }
 
 // QueueSnapshot is what is known of a destination, or of the route of it that is named by its endpoint.
 type QueueSnapshot struct {
-	Destination    int             `json:"destination"`
-	Route          string          `json:"route,omitempty"`
-	Latency        LatencySnapshot `json:"latency"`
-	WaitUntil      time.Duration   `json:"wait_until,omitempty"`
-	HoldUntil      time.Duration   `json:"hold_until,omitempty"`
-	ConnHoldUntil  time.Duration   `json:"door_until,omitempty"`
-	PausedAt       time.Duration   `json:"paused_at,omitempty"`
-	LimitAt        time.Duration   `json:"limit_at,omitempty"`
-	Rejections     int             `json:"fulls,omitempty"`
-	FirstRejection time.Duration   `json:"first_full,omitempty"`
-	LastOK         time.Duration   `json:"last_ok,omitempty"`
-	Failures       float64         `json:"failures,omitempty"`
-	Weight         float64         `json:"weight,omitempty"`
-	Limit          float64         `json:"limit,omitempty"`
-	SendRate       float64         `json:"pace,omitempty"`
-	Tokens         float64         `json:"tokens,omitempty"`
-	TokensAt       time.Duration   `json:"tokens_at,omitempty"`
-	Arrivals       CounterSnapshot `json:"arrivals"`
-	Misses         CounterSnapshot `json:"misses"`
-	ShadowWork     float64         `json:"copy_work,omitempty"`
-	ShadowAt       time.Duration   `json:"copy_at,omitempty"`
-	Unhealthy      bool            `json:"ill,omitempty"`
+	Destination        int             `json:"destination"`
+	Route              string          `json:"route,omitempty"`
+	Latency            LatencySnapshot `json:"latency"`
+	RetryAfterUntil    time.Duration   `json:"wait_until,omitempty"`
+	HoldUntil          time.Duration   `json:"hold_until,omitempty"`
+	ConnHoldUntil      time.Duration   `json:"door_until,omitempty"`
+	BackoffStart       time.Duration   `json:"paused_at,omitempty"`
+	LastLimitRejection time.Duration   `json:"limit_at,omitempty"`
+	Rejections         int             `json:"fulls,omitempty"`
+	FirstRejection     time.Duration   `json:"first_full,omitempty"`
+	LastSuccess        time.Duration   `json:"last_ok,omitempty"`
+	ConnFailures       float64         `json:"failures,omitempty"`
+	ListedRate         float64         `json:"weight,omitempty"`
+	ReportedLimit      float64         `json:"limit,omitempty"`
+	SendRate           float64         `json:"pace,omitempty"`
+	Tokens             float64         `json:"tokens,omitempty"`
+	RefilledAt         time.Duration   `json:"tokens_at,omitempty"`
+	Arrivals           CounterSnapshot `json:"arrivals"`
+	ShadowRejections   CounterSnapshot `json:"misses"`
+	ShadowBacklog      float64         `json:"copy_work,omitempty"`
+	ShadowAt           time.Duration   `json:"copy_at,omitempty"`
+	Unhealthy          bool            `json:"ill,omitempty"`
 }
 
 // EndpointSnapshot is what is known of a listed endpoint.
 type EndpointSnapshot struct {
-	ID             string        `json:"id"`
-	Failures       float64       `json:"failures,omitempty"`
-	ClassFailures  []float64     `json:"strikes,omitempty"`
-	Unhealthy      bool          `json:"sick,omitempty"`
-	UnhealthySince time.Duration `json:"sick_at,omitempty"`
-	Recovered      time.Duration `json:"recovered,omitempty"`
-	SlowStart      bool          `json:"ramping,omitempty"`
-	Tokens         float64       `json:"tokens,omitempty"`
-	TokensAt       time.Duration `json:"tokens_at,omitempty"`
-	LastOK         time.Duration `json:"last_ok,omitempty"`
-	LastUsed       time.Duration `json:"last_used,omitempty"`
-	LastBegun      time.Duration `json:"last_begun,omitempty"`
-	LastLatency    float64       `json:"last_took,omitempty"`
-	ConnLimit      float64       `json:"conn_cap,omitempty"`
+	ID                string        `json:"id"`
+	Failures          float64       `json:"failures,omitempty"`
+	ClassFailures     []float64     `json:"strikes,omitempty"`
+	Unhealthy         bool          `json:"sick,omitempty"`
+	UnhealthySince    time.Duration `json:"sick_at,omitempty"`
+	RecoveredAt       time.Duration `json:"recovered,omitempty"`
+	SlowStart         bool          `json:"ramping,omitempty"`
+	Tokens            float64       `json:"tokens,omitempty"`
+	RefilledAt        time.Duration `json:"tokens_at,omitempty"`
+	LastSuccess       time.Duration `json:"last_ok,omitempty"`
+	LastUsed          time.Duration `json:"last_used,omitempty"`
+	LatestSuccessSent time.Duration `json:"last_begun,omitempty"`
+	LastLatency       float64       `json:"last_took,omitempty"`
+	ConnLimit         float64       `json:"conn_cap,omitempty"`
 }
 
 // Snapshot returns what this dispatcher has learned.
 func (d *Dispatcher) Snapshot() *Snapshot {
-	s := &Snapshot{Kinds: map[int]LatencySnapshot{}, Unanswered: d.unansweredShare}
+	s := &Snapshot{Kinds: map[int]LatencySnapshot{}, UnansweredShare: d.unansweredShare}
 	for _, m := range d.coolingDown {
 		if m.ordered() {
 			s.KeyCooldowns = append(s.KeyCooldowns, KeyCooldownSnapshot{Key: m.OrderKey, Until: m.cooldownUntil})
@@ -103,37 +103,37 @@
 }
 
 func (l *latencyStats) snapshot() LatencySnapshot {
-	return LatencySnapshot{N: l.samples, Mean: l.mean, Class: slices.Clone(l.byClass)}
+	return LatencySnapshot{Samples: l.samples, Mean: l.mean, ByClass: slices.Clone(l.byClass)}
 }
 
 func (c *decayingCounter) snapshot() CounterSnapshot {
-	return CounterSnapshot{N: c.value, At: c.updatedAt, Since: c.startedAt}
+	return CounterSnapshot{Value: c.value, UpdatedAt: c.updatedAt, StartedAt: c.startedAt}
 }
 
 // snapshot returns what is known of a queue of a destination.
 func (q *queue) snapshot(destination int) QueueSnapshot {
 	s := QueueSnapshot{
-		Destination:    destination,
-		Latency:        q.latency.snapshot(),
-		WaitUntil:      q.retryAfterUntil,
-		HoldUntil:      q.backoffUntil,
-		ConnHoldUntil:  q.connHoldUntil,
-		PausedAt:       q.backoffStart,
-		LimitAt:        q.lastLimitRejection,
-		Rejections:     q.rejections,
-		FirstRejection: q.firstRejection,
-		LastOK:         q.lastSuccess,
-		Failures:       q.connFailures,
-		Weight:         q.listedRate,
-		Limit:          q.reportedLimit,
-		SendRate:       q.sendRate,
-		Tokens:         q.sendBucket.tokens,
-		TokensAt:       q.sendBucket.refilledAt,
-		Arrivals:       q.arrivals.snapshot(),
-		Misses:         q.shadowRejections.snapshot(),
-		ShadowWork:     q.shadowBacklog,
-		ShadowAt:       q.shadowAt,
-		Unhealthy:      q.unhealthy,
+		Destination:        destination,
+		Latency:            q.latency.snapshot(),
+		RetryAfterUntil:    q.retryAfterUntil,
+		HoldUntil:          q.backoffUntil,
+		ConnHoldUntil:      q.connHoldUntil,
+		BackoffStart:       q.backoffStart,
+		LastLimitRejection: q.lastLimitRejection,
+		Rejections:         q.rejections,
+		FirstRejection:     q.firstRejection,
+		LastSuccess:        q.lastSuccess,
+		ConnFailures:       q.connFailures,
+		ListedRate:         q.listedRate,
+		ReportedLimit:      q.reportedLimit,
+		SendRate:           q.sendRate,
+		Tokens:             q.sendBucket.tokens,
+		RefilledAt:         q.sendBucket.refilledAt,
+		Arrivals:           q.arrivals.snapshot(),
+		ShadowRejections:   q.shadowRejections.snapshot(),
+		ShadowBacklog:      q.shadowBacklog,
+		ShadowAt:           q.shadowAt,
+		Unhealthy:          q.unhealthy,
 	}
 	if q.separateRoute && len(q.endpoints) > 0 {
 		s.Route = q.endpoints[0].ID
@@ -144,27 +144,27 @@
 // snapshot returns what is known of an endpoint.
 func (ep *endpoint) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
-		ID:             ep.ID,
-		Failures:       ep.consecutiveFailures,
-		ClassFailures:  slices.Clone(ep.classFailures),
-		Unhealthy:      ep.health.isUnhealthy(),
-		UnhealthySince: ep.unhealthySince,
-		Recovered:      ep.recoveredAt,
-		SlowStart:      ep.health.hasRecovery(),
-		Tokens:         ep.recoveryBucket.tokens,
-		TokensAt:       ep.recoveryBucket.refilledAt,
-		LastOK:         ep.lastSuccess,
-		LastUsed:       ep.lastUsed,
-		LastBegun:      ep.latestSuccessSent,
-		LastLatency:    ep.lastLatency,
-		ConnLimit:      ep.connLimit,
+		ID:                ep.ID,
+		Failures:          ep.consecutiveFailures,
+		ClassFailures:     slices.Clone(ep.classFailures),
+		Unhealthy:         ep.health.isUnhealthy(),
+		UnhealthySince:    ep.unhealthySince,
+		RecoveredAt:       ep.recoveredAt,
+		SlowStart:         ep.health.hasRecovery(),
+		Tokens:            ep.recoveryBucket.tokens,
+		RefilledAt:        ep.recoveryBucket.refilledAt,
+		LastSuccess:       ep.lastSuccess,
+		LastUsed:          ep.lastUsed,
+		LatestSuccessSent: ep.latestSuccessSent,
+		LastLatency:       ep.lastLatency,
+		ConnLimit:         ep.connLimit,
 	}
 }
 
 // restoreSnapshot takes over what the preceding process had learned; the endpoint list comes before it. What it names and the list
 // does not have any more is left out, but for a destination's backoff and Retry-After: they hold for whatever endpoint comes next.
 func (d *Dispatcher) restoreSnapshot(s *Snapshot) {
-	d.unansweredShare = s.Unanswered
+	d.unansweredShare = s.UnansweredShare
 	for _, cooldown := range s.KeyCooldowns {
 		m := &message{Arrived: Arrived{OrderKey: cooldown.Key}, state: messageCompleted, cooldownUntil: cooldown.Until}
 		d.orderKeys[cooldown.Key] = append(d.orderKeys[cooldown.Key], m)
@@ -183,13 +183,13 @@
 
 // restore takes latencies over; classes are matched by number, which both processes share.
 func (l *latencyStats) restore(s LatencySnapshot) {
-	l.samples, l.mean = s.N, s.Mean
-	copy(l.byClass, s.Class)
+	l.samples, l.mean = s.Samples, s.Mean
+	copy(l.byClass, s.ByClass)
 }
 
 // counter returns the counter of a snapshot.
 func (s CounterSnapshot) counter() decayingCounter {
-	return decayingCounter{value: s.N, updatedAt: s.At, startedAt: s.Since}
+	return decayingCounter{value: s.Value, updatedAt: s.UpdatedAt, startedAt: s.StartedAt}
 }
 
 // restoreQueue takes over what was known of a destination or route.
@@ -203,17 +203,17 @@
 		q = ep.queue
 	}
 	q.latency.restore(s.Latency)
-	q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = s.WaitUntil, s.HoldUntil, s.ConnHoldUntil
-	q.backoffStart, q.lastLimitRejection = s.PausedAt, s.LimitAt
+	q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = s.RetryAfterUntil, s.HoldUntil, s.ConnHoldUntil
+	q.backoffStart, q.lastLimitRejection = s.BackoffStart, s.LastLimitRejection
 	q.rejections, q.firstRejection = s.Rejections, s.FirstRejection
-	q.lastSuccess, q.connFailures, q.unhealthy = s.LastOK, s.Failures, s.Unhealthy
-	q.reportedLimit = s.Limit
-	if q.listedRate == s.Weight { // else another rate is listed since, and the send rate started anew
+	q.lastSuccess, q.connFailures, q.unhealthy = s.LastSuccess, s.ConnFailures, s.Unhealthy
+	q.reportedLimit = s.ReportedLimit
+	if q.listedRate == s.ListedRate { // else another rate is listed since, and the send rate started anew
 		q.sendRate = s.SendRate
-		q.sendBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.TokensAt}
+		q.sendBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.RefilledAt}
 	}
-	q.arrivals, q.shadowRejections = s.Arrivals.counter(), s.Misses.counter()
-	q.shadowBacklog, q.shadowAt = s.ShadowWork, s.ShadowAt
+	q.arrivals, q.shadowRejections = s.Arrivals.counter(), s.ShadowRejections.counter()
+	q.shadowBacklog, q.shadowAt = s.ShadowBacklog, s.ShadowAt
 }
 
 // restoreEndpoint takes over what was known of an endpoint.
@@ -228,12 +228,12 @@
 	if s.Unhealthy {
 		d.unhealthyCount++
 	}
-	ep.health, ep.unhealthySince, ep.recoveredAt = s.health(), s.UnhealthySince, s.Recovered
-	ep.recoveryBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.TokensAt}
+	ep.health, ep.unhealthySince, ep.recoveredAt = s.health(), s.UnhealthySince, s.RecoveredAt
+	ep.recoveryBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.RefilledAt}
 	ep.consecutiveFailures = s.Failures
 	copy(ep.classFailures, s.ClassFailures)
-	ep.lastUsed, ep.lastSuccess = s.LastUsed, s.LastOK
-	ep.latestSuccessSent, ep.lastLatency, ep.connLimit = s.LastBegun, s.LastLatency, s.ConnLimit
+	ep.lastUsed, ep.lastSuccess = s.LastUsed, s.LastSuccess
+	ep.latestSuccessSent, ep.lastLatency, ep.connLimit = s.LatestSuccessSent, s.LastLatency, s.ConnLimit
 }
 
 // health returns the health that a snapshot carries as two flags.
--- a/policy/terminal.go
+++ b/policy/terminal.go
@@ -98,8 +98,8 @@
 
 // safeToResubmit reports whether a client may submit a message again without a second execution.
 func (m *message) safeToResubmit() bool {
-	return m.firstExecuted() == nil || m.class.Idempotency == Idempotent ||
-		m.class.Idempotency == IdempotentByKey && !m.class.KeyPerZone
+	return m.firstExecuted() == nil || m.terms.Idempotency == Idempotent ||
+		m.terms.Idempotency == IdempotentByKey && !m.terms.KeyPerZone
 }
 
 // reject ends a message undelivered, with the seconds after which submitting it again may help.
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -16,7 +16,7 @@
 // waits that long, since after a timeout it could only fail, and so does the last attempt.
 func (d *Dispatcher) attemptTimeout(m *message, c *call) time.Duration {
 	timeLeft := m.deadline - d.now
-	if m.class.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
+	if m.terms.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
 		return 0
 	}
 	wait := math.Max(timeoutShare*timeLeft.Seconds(), timeoutLatencies*c.endpoint.queue.latency.mean)
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		due.add(d.giveUpTime(m))
-		if m.firstExecuted() != nil && m.class.Idempotency == IdempotentByKey {
+		if m.firstExecuted() != nil && m.terms.Idempotency == IdempotentByKey {
 			due.add(d.keyExpiry(m))
 		}
 	}
