--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -26,9 +26,11 @@
 		{"queued, but u is 0", 0, 9, 2, 2, true, false},
 	}
 	for _, tt := range tests {
-		if got := mustReject(tt.u, tt.x, tt.τ, tt.net, tt.queued); got != tt.want {
-			t.Errorf("%s: got %v", tt.name, got)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			if got := mustReject(tt.u, tt.x, tt.τ, tt.net, tt.queued); got != tt.want {
+				t.Errorf("got %v", got)
+			}
+		})
 	}
 }
 
--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -35,9 +35,11 @@
 		"no endpoint is listed": {func(*Dispatcher) {}, to("m", 9), "reject m"},
 		"quiesced":              {func(d *Dispatcher) { d.Handle(ms, []Event{Quiesced{}}) }, backgroundArrival("m", 0), "reject m"},
 	} {
-		d := newDispatcher(t, s, ep, other, Endpoint{ID: "c", Destination: 2})
-		c.before(d)
-		wantActions(t, name, d.Handle(time.Second, []Event{c.send}), c.want)
+		t.Run(name, func(t *testing.T) {
+			d := newDispatcher(t, s, ep, other, Endpoint{ID: "c", Destination: 2})
+			c.before(d)
+			wantActions(t, "background", d.Handle(time.Second, []Event{c.send}), c.want)
+		})
 	}
 }
 
--- a/policy/dispatcher_test.go
+++ b/policy/dispatcher_test.go
@@ -3,6 +3,9 @@
 import (
 	"fmt"
 	"math"
+	"os"
+	"regexp"
+	"strings"
 	"testing"
 	"time"
 )
@@ -70,3 +73,24 @@
 		}
 	}
 }
+
+// TestApply_CoversEveryEvent guards against an event that is declared and then ignored: the compiler does not check that a type
+// switch covers a sealed interface.
+func TestApply_CoversEveryEvent(t *testing.T) {
+	read := func(file string) string {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(text)
+	}
+	declared := regexp.MustCompile(`(?m)^func \((\w+)\) event\(\)`).FindAllStringSubmatch(read("events.go"), -1)
+	if len(declared) == 0 {
+		t.Fatal("no events found")
+	}
+	for _, event := range declared {
+		if !strings.Contains(read("dispatcher.go"), "\n\tcase "+event[1]+":") {
+			t.Errorf("Dispatcher.apply has no case for %s", event[1])
+		}
+	}
+}
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -24,21 +24,23 @@
 		"removed":            {Endpoints: []Endpoint{{ID: "a", Removed: true}}},
 		"not in a full list": {Full: true, Endpoints: []Endpoint{{ID: "b"}}},
 	} {
-		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-		d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)})
-		cancelled := 0
-		for range 2 {
-			for _, a := range d.Handle(ms, []Event{change}) {
-				if u, ok := a.(CancelBeforeSend); ok {
-					if cancelled++; d.messages[u.ID].attempts[u.Attempt].call.endpoint.ID != "a" {
-						t.Errorf("%s: cancels %+v", name, u)
+		t.Run(name, func(t *testing.T) {
+			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+			d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)})
+			cancelled := 0
+			for range 2 {
+				for _, a := range d.Handle(ms, []Event{change}) {
+					if u, ok := a.(CancelBeforeSend); ok {
+						if cancelled++; d.messages[u.ID].attempts[u.Attempt].call.endpoint.ID != "a" {
+							t.Errorf("cancels %+v", u)
+						}
 					}
 				}
 			}
-		}
-		if cancelled != 1 {
-			t.Errorf("%s: %d cancelled", name, cancelled)
-		}
+			if cancelled != 1 {
+				t.Errorf("%d cancelled", cancelled)
+			}
+		})
 	}
 }
 
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -41,22 +41,24 @@
 		{"more relays than an endpoint takes connections", 100 * ms, 0, 80, true},
 	}
 	for _, tt := range tests {
-		s := testSettings()
-		s.IdleConnTimeout, s.Instances = 10*time.Second, tt.relays
-		d := newDispatcher(t, s, Endpoint{ID: "a"})
-		closes := false
-		for i := range 5 {
-			at, id := time.Duration(i+1)*tt.interval, fmt.Sprint("m", i)
-			d.Handle(at, []Event{arrival(id, 0)})
-			d.endpoints["a"].connLimit = tt.connCap
-			closes = false
-			for _, a := range d.Handle(at+50*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true}}) {
-				closes = closes || a == CloseIdleConns{Endpoint: "a"}
+		t.Run(tt.name, func(t *testing.T) {
+			s := testSettings()
+			s.IdleConnTimeout, s.Instances = 10*time.Second, tt.relays
+			d := newDispatcher(t, s, Endpoint{ID: "a"})
+			closes := false
+			for i := range 5 {
+				at, id := time.Duration(i+1)*tt.interval, fmt.Sprint("m", i)
+				d.Handle(at, []Event{arrival(id, 0)})
+				d.endpoints["a"].connLimit = tt.connCap
+				closes = false
+				for _, a := range d.Handle(at+50*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true}}) {
+					closes = closes || a == CloseIdleConns{Endpoint: "a"}
+				}
 			}
-		}
-		if closes != tt.closes {
-			t.Errorf("%s: closes %v", tt.name, closes)
-		}
+			if closes != tt.closes {
+				t.Errorf("closes %v", closes)
+			}
+		})
 	}
 }
 
@@ -95,14 +97,16 @@
 		{"little allowance left", full, "", 1},
 		{"the call failed", AttemptEnded{Outcome: Failed}, "", 1},
 	} {
-		d, actions := afterFirstCall(t, 3, tt.end)
-		wantActions(t, tt.name, actions, tt.next)
-		if got := countCloses(actions); got != tt.closed {
-			t.Errorf("%s: closed %d times, want %d", tt.name, got, tt.closed)
-		}
-		if d.queues[0].reusableConn != nil {
-			t.Errorf("%s: the connection still counts as reusable", tt.name)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			d, actions := afterFirstCall(t, 3, tt.end)
+			wantActions(t, "next", actions, tt.next)
+			if got := countCloses(actions); got != tt.closed {
+				t.Errorf("closed %d times, want %d", got, tt.closed)
+			}
+			if d.queues[0].reusableConn != nil {
+				t.Error("the connection still counts as reusable")
+			}
+		})
 	}
 
 	// So many calls ahead, and no more; the send rate catches up.
--- a/policy/message.go
+++ b/policy/message.go
@@ -24,8 +24,9 @@
 // message is a message that was accepted and is not evicted yet.
 type message struct {
 	Arrived
-	terms         *Class // of its class, as they hold for it
-	seq           int    // order in its queue
+	// terms are those of its class that hold for it: as at its acceptance, or stricter by the settings since.
+	terms         *Class
+	seq           int // order in its queue
 	deadline      time.Duration
 	state         messageState
 	queue         *queue // where it is queued; nil while it is not
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -86,45 +86,47 @@
 		{"one is not enough there either", 300, 120, "c", 0},
 		{"few relays, each with many calls", 3, 3000, "ccccc", 0},
 	} {
-		s := testSettings()
-		s.Weights, s.Instances = WeightsNominal, tt.relays
-		var eps []Endpoint
-		for i := range 8 {
-			eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Weight: tt.weight})
-		}
-		d := newDispatcher(t, s, eps...)
-		d.queues[0].latency.mean = 0.3
-		outcomes := map[rune]Outcome{'c': ConnectError, 'n': ConnectError, 'e': Failed, 't': TimedOut, 'o': Succeeded}
-		now := time.Second
-		for i, end := range tt.ends {
-			id := fmt.Sprint("m", i)
-			now += 2500 * ms
-			actions := d.Handle(now, []Event{arrival(id, 0)})
-			var to string
-			for _, a := range actions {
-				if send, ok := a.(Send); ok && send.ID == id {
-					to = send.Endpoint
-				}
+		t.Run(tt.name, func(t *testing.T) {
+			s := testSettings()
+			s.Weights, s.Instances = WeightsNominal, tt.relays
+			var eps []Endpoint
+			for i := range 8 {
+				eps = append(eps, Endpoint{ID: fmt.Sprint("e", i), Weight: tt.weight})
 			}
-			if to == "" {
-				t.Fatalf("%s: %s was not sent: %v", tt.name, id, actions)
+			d := newDispatcher(t, s, eps...)
+			d.queues[0].latency.mean = 0.3
+			outcomes := map[rune]Outcome{'c': ConnectError, 'n': ConnectError, 'e': Failed, 't': TimedOut, 'o': Succeeded}
+			now := time.Second
+			for i, end := range tt.ends {
+				id := fmt.Sprint("m", i)
+				now += 2500 * ms
+				actions := d.Handle(now, []Event{arrival(id, 0)})
+				var to string
+				for _, a := range actions {
+					if send, ok := a.(Send); ok && send.ID == id {
+						to = send.Endpoint
+					}
+				}
+				if to == "" {
+					t.Fatalf("%s was not sent: %v", id, actions)
+				}
+				latency := 40 * ms
+				if end == 'n' {
+					latency = time.Second
+				}
+				now += latency
+				d.Handle(now, []Event{AttemptEnded{ID: id, Endpoint: to, Outcome: outcomes[end], Final: end == 'o', Latency: latency}, Cancelled{ID: id}})
 			}
-			latency := 40 * ms
-			if end == 'n' {
-				latency = time.Second
+			unhealthy := 0
+			for _, ep := range d.endpoints {
+				if ep.health.isUnhealthy() {
+					unhealthy++
+				}
 			}
-			now += latency
-			d.Handle(now, []Event{AttemptEnded{ID: id, Endpoint: to, Outcome: outcomes[end], Final: end == 'o', Latency: latency}, Cancelled{ID: id}})
-		}
-		unhealthy := 0
-		for _, ep := range d.endpoints {
-			if ep.health.isUnhealthy() {
-				unhealthy++
+			if unhealthy != tt.unhealthy || d.UnhealthyEndpoints() != tt.unhealthy {
+				t.Errorf("%d of eight endpoints unhealthy, want %d", unhealthy, tt.unhealthy)
 			}
-		}
-		if unhealthy != tt.unhealthy || d.UnhealthyEndpoints() != tt.unhealthy {
-			t.Errorf("%s: %d of eight endpoints unhealthy, want %d", tt.name, unhealthy, tt.unhealthy)
-		}
+		})
 	}
 
 	// One of two that is down by itself: the other answers, and stays healthy.
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -30,8 +30,10 @@
 		{"deadline passed", Arrived{ID: "m", Recovered: true, TimeLeft: -time.Second}, "reject m"},
 	}
 	for _, tt := range tests {
-		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
-		wantActions(t, tt.name, d.Handle(begin, []Event{tt.event}), tt.want)
+		t.Run(tt.name, func(t *testing.T) {
+			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+			wantActions(t, "recovered", d.Handle(begin, []Event{tt.event}), tt.want)
+		})
 	}
 }
 
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -41,34 +41,36 @@
 		{"with Retry-After", 2 * time.Second, []Action{CancelBeforeSend{ID: "m1", Attempt: 0}}},
 		{"without Retry-After", 0, nil},
 	} {
-		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
-		other := arrival("other", 0).(Arrived)
-		other.Destination = 1
-		d.Handle(time.Second, []Event{arrival("m0", 0), arrival("m1", 0), other})
-		if d.inFlight != 3 {
-			t.Fatalf("%s: %d calls in flight", tt.name, d.inFlight)
-		}
-		var got []Action
-		ep := d.messages["m0"].attempts[0].call.endpoint.ID
-		for _, a := range d.Handle(1100*ms, []Event{AttemptEnded{ID: "m0", Endpoint: ep, Outcome: Rejected, RetryAfter: tt.wait, Latency: 100 * ms}}) {
-			if u, ok := a.(CancelBeforeSend); ok {
-				got = append(got, u)
+		t.Run(tt.name, func(t *testing.T) {
+			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"}, Endpoint{ID: "c", Destination: 1})
+			other := arrival("other", 0).(Arrived)
+			other.Destination = 1
+			d.Handle(time.Second, []Event{arrival("m0", 0), arrival("m1", 0), other})
+			if d.inFlight != 3 {
+				t.Fatalf("%d calls in flight", d.inFlight)
 			}
-		}
-		if len(got) != len(tt.want) || len(got) > 0 && got[0] != tt.want[0] {
-			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
-		}
-		if tt.wait == 0 {
-			continue
-		}
-		ep = d.messages["m1"].attempts[0].call.endpoint.ID
-		wantActions(t, "before Retry-After has passed", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
-		if m := d.messages["m1"]; m.firstExecuted() != nil || m.queue == nil {
-			t.Errorf("queued: %v, executed: %v", m.queue != nil, m.firstExecuted())
-		}
-		if after := summary(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
-			t.Error("nothing is sent after Retry-After")
-		}
+			var got []Action
+			ep := d.messages["m0"].attempts[0].call.endpoint.ID
+			for _, a := range d.Handle(1100*ms, []Event{AttemptEnded{ID: "m0", Endpoint: ep, Outcome: Rejected, RetryAfter: tt.wait, Latency: 100 * ms}}) {
+				if u, ok := a.(CancelBeforeSend); ok {
+					got = append(got, u)
+				}
+			}
+			if len(got) != len(tt.want) || len(got) > 0 && got[0] != tt.want[0] {
+				t.Errorf("%v, want %v", got, tt.want)
+			}
+			if tt.wait == 0 {
+				return
+			}
+			ep = d.messages["m1"].attempts[0].call.endpoint.ID
+			wantActions(t, "before Retry-After has passed", d.Handle(1110*ms, []Event{AttemptEnded{ID: "m1", Endpoint: ep, Outcome: NotSent, Latency: 110 * ms}}), "")
+			if m := d.messages["m1"]; m.firstExecuted() != nil || m.queue == nil {
+				t.Errorf("queued: %v, executed: %v", m.queue != nil, m.firstExecuted())
+			}
+			if after := summary(d.Handle(3200*ms, []Event{TimerFired{}})); after == "" {
+				t.Error("nothing is sent after Retry-After")
+			}
+		})
 	}
 }
 
@@ -145,32 +147,34 @@
 		{"of the connection", true, nil, false},
 		{"where nothing is reported", false, nil, true},
 	} {
-		s := testSettings()
-		s.Weights, s.Instances = WeightsNominal, 2
-		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 20})
-		q := d.queues[0]
-		if tt.reports {
-			d.recordReportedLimit(q, 20)
-		}
-		before, now := q.sendRate, time.Second
-		for i := 0; !d.endpoints["a"].health.isUnhealthy(); i++ {
-			if i == 60 {
-				t.Fatalf("%s: not unhealthy after %d rejections", tt.name, i)
+		t.Run(tt.name, func(t *testing.T) {
+			s := testSettings()
+			s.Weights, s.Instances = WeightsNominal, 2
+			d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 20})
+			q := d.queues[0]
+			if tt.reports {
+				d.recordReportedLimit(q, 20)
 			}
-			id := fmt.Sprint("m", i)
-			d.Handle(now, []Event{arrival(id, 0)})
-			if m := d.messages[id]; m != nil && m.openAttempts > 0 {
-				d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
-				if i == 0 && (q.sendRate < before) != tt.cut {
-					t.Errorf("%s: send rate %v after %v", tt.name, q.sendRate, before)
+			before, now := q.sendRate, time.Second
+			for i := 0; !d.endpoints["a"].health.isUnhealthy(); i++ {
+				if i == 60 {
+					t.Fatalf("not unhealthy after %d rejections", i)
 				}
-				if q.pausedUntil() <= now {
-					t.Errorf("%s: no backoff", tt.name)
+				id := fmt.Sprint("m", i)
+				d.Handle(now, []Event{arrival(id, 0)})
+				if m := d.messages[id]; m != nil && m.openAttempts > 0 {
+					d.Handle(now+40*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report}, Cancelled{id}})
+					if i == 0 && (q.sendRate < before) != tt.cut {
+						t.Errorf("send rate %v after %v", q.sendRate, before)
+					}
+					if q.pausedUntil() <= now {
+						t.Error("no backoff")
+					}
+				} else {
+					d.Handle(now+40*ms, []Event{Cancelled{id}})
 				}
-			} else {
-				d.Handle(now+40*ms, []Event{Cancelled{id}})
+				now += 300 * ms
 			}
-			now += 300 * ms
-		}
+		})
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -61,15 +61,17 @@
 		{"listed without a zone", "a", "", []int{-1, -1}},
 		{"listed", "a", "m>a", []int{0, 1}},
 	} {
-		d := newDispatcher(t, s, Endpoint{ID: "a", Zone: tt.zones[0]}, Endpoint{ID: "b", Zone: tt.zones[1]})
-		got := d.Handle(time.Second, []Event{Arrived{
-			ID: "m", Class: 1, TimeLeft: 10 * time.Second, OrderKey: "k", Recovered: true,
-			PriorAttempts: []PriorAttempt{{Endpoint: tt.attempted, SentAt: 0}},
-		}})
-		wantActions(t, tt.name, got, tt.want)
-		if tt.want == "" {
-			wantActions(t, tt.name+", key expired", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			d := newDispatcher(t, s, Endpoint{ID: "a", Zone: tt.zones[0]}, Endpoint{ID: "b", Zone: tt.zones[1]})
+			got := d.Handle(time.Second, []Event{Arrived{
+				ID: "m", Class: 1, TimeLeft: 10 * time.Second, OrderKey: "k", Recovered: true,
+				PriorAttempts: []PriorAttempt{{Endpoint: tt.attempted, SentAt: 0}},
+			}})
+			wantActions(t, "recovered", got, tt.want)
+			if tt.want == "" {
+				wantActions(t, "key expired", d.Handle(4*time.Second, []Event{TimerFired{}}), "fail m")
+			}
+		})
 	}
 }
 
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -188,16 +188,18 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		c := newChecker(s)
-		var err error
-		for _, st := range tests[name] {
-			c.events(st.at, st.events)
-			if err = c.actions(st.actions); err != nil {
-				break
+		t.Run(name, func(t *testing.T) {
+			c := newChecker(s)
+			var err error
+			for _, st := range tests[name] {
+				c.events(st.at, st.events)
+				if err = c.actions(st.actions); err != nil {
+					break
+				}
 			}
-		}
-		if err == nil {
-			t.Errorf("%s: not caught", name)
-		}
+			if err == nil {
+				t.Error("not caught")
+			}
+		})
 	}
 }
--- a/policy/settings_change_test.go
+++ b/policy/settings_change_test.go
@@ -65,9 +65,11 @@
 		{"retired", s, retired, s},
 	}
 	for _, tt := range tests {
-		if got := *tt.old.stricterTerms(&tt.now); got != tt.want {
-			t.Errorf("%s: %+v, want %+v", tt.name, got, tt.want)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			if got := *tt.old.stricterTerms(&tt.now); got != tt.want {
+				t.Errorf("%+v, want %+v", got, tt.want)
+			}
+		})
 	}
 }
 
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -21,10 +22,17 @@
 		{"OrderPause", func(s *Settings) { s.OrderKeyCooldown = -1 }},
 	}
 	for _, tt := range tests {
-		s := testSettings()
-		tt.spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("%s: error %v", tt.field, err)
-		}
+		t.Run(tt.field, func(t *testing.T) {
+			s := testSettings()
+			tt.spoil(&s)
+			_, err := New(s, 1)
+			if err == nil || !strings.Contains(err.Error(), tt.field) {
+				t.Fatalf("error %v", err)
+			}
+			var setting *SettingError
+			if !errors.As(err, &setting) || setting.Setting != tt.field {
+				t.Errorf("error %#v, want a SettingError of %s", err, tt.field)
+			}
+		})
 	}
 }
--- a/policy/stuck_attempts.go
+++ b/policy/stuck_attempts.go
@@ -39,7 +39,7 @@
 				d.cancelCall(c)
 			case slotWanted && d.overdueForSlot(c):
 				d.cancelCall(c)
-				slotWanted = lost // one call that may still be answered is enough
+				slotWanted = lost // one call that may still be answered is given up for a slot, not more
 			}
 		}
 	}
--- a/policy/terminal_test.go
+++ b/policy/terminal_test.go
@@ -36,28 +36,30 @@
 		class int
 		want  string
 	}{{"idempotent", 0, "reject m"}, {"by key", 1, "reject m"}, {"not idempotent, ordered", 2, "fail m"}} {
-		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
-		d.Handle(0, []Event{arrival("m", tt.class)})
-		wantActions(t, tt.name+": before", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
-		wantActions(t, tt.name, d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.want)
-		wantActions(t, tt.name+": again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
-		if d.inFlight != 1 || d.messages["m"] == nil {
-			t.Errorf("%s: %d calls in flight, known: %v", tt.name, d.inFlight, d.messages["m"] != nil)
-		}
-		next := "n>b"
-		if tt.class == 2 {
-			next = "" // ordered: until the attempt has an outcome
-		}
-		wantActions(t, tt.name+": the next", d.Handle(10*time.Second+2*ms, []Event{arrival("n", tt.class)}), next)
-		ep := d.messages["m"].attempts[0].call.endpoint.ID
-		wantActions(t, tt.name+": Retry-After", d.Handle(10*time.Second+10*ms,
-			[]Event{AttemptEnded{ID: "m", Endpoint: ep, Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}, arrival("o", 0)}), "")
-		if d.messages["m"] != nil {
-			t.Errorf("%s: the message is still known", tt.name)
-		}
-		if got := summary(d.Handle(12*time.Second+20*ms, []Event{TimerFired{}})); got == "" {
-			t.Errorf("%s: nothing is sent after Retry-After", tt.name)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
+			d.Handle(0, []Event{arrival("m", tt.class)})
+			wantActions(t, "before", d.Handle(time.Second, []Event{DeadlineExceeded{ID: "other"}}), "")
+			wantActions(t, "at the deadline", d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.want)
+			wantActions(t, "again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
+			if d.inFlight != 1 || d.messages["m"] == nil {
+				t.Errorf("%d calls in flight, known: %v", d.inFlight, d.messages["m"] != nil)
+			}
+			next := "n>b"
+			if tt.class == 2 {
+				next = "" // ordered: until the attempt has an outcome
+			}
+			wantActions(t, "the next", d.Handle(10*time.Second+2*ms, []Event{arrival("n", tt.class)}), next)
+			ep := d.messages["m"].attempts[0].call.endpoint.ID
+			wantActions(t, "Retry-After", d.Handle(10*time.Second+10*ms,
+				[]Event{AttemptEnded{ID: "m", Endpoint: ep, Outcome: Rejected, RetryAfter: 2 * time.Second, Latency: time.Second}, arrival("o", 0)}), "")
+			if d.messages["m"] != nil {
+				t.Error("the message is still known")
+			}
+			if got := summary(d.Handle(12*time.Second+20*ms, []Event{TimerFired{}})); got == "" {
+				t.Error("nothing is sent after Retry-After")
+			}
+		})
 	}
 }
 
