--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// Action is something that a dispatcher wants done. The set is closed: all actions are in this file.
+// Action is something that a dispatcher wants done. The set is closed: all actions are in this
+// file.
 type Action interface{ action() }
 
-// Send starts the next attempt of a message. With Timeout 0 it stays in flight until the message's deadline. Where WriteWithin is
-// not 0, its last byte may leave within that time only: later the destination may have forgotten the idempotency key of an earlier
-// attempt. An attempt that can't is NotSent.
+// Send starts the next attempt of a message. With Timeout 0 it stays in flight until the message's
+// deadline. Where WriteWithin is not 0, its last byte may leave within that time only: later the
+// destination may have forgotten the idempotency key of an earlier attempt. An attempt that can't
+// is NotSent.
 type Send struct {
 	ID          string
 	Endpoint    string
@@ -30,8 +32,9 @@
 	Attempt int
 }
 
-// CancelBeforeSend cancels an attempt if nothing of it has left yet, as while its connection is made: its destination asked not to
-// be called, or its endpoint drains or was removed. The attempt ends as NotSent then; one that has left goes on.
+// CancelBeforeSend cancels an attempt if nothing of it has left yet, as while its connection is
+// made: its destination asked not to be called, or its endpoint drains or was removed. The attempt
+// ends as NotSent then; one that has left goes on.
 type CancelBeforeSend struct {
 	ID      string
 	Attempt int
@@ -46,7 +49,8 @@
 // WatchEndpoints asks for changes of the endpoint list.
 type WatchEndpoints struct{}
 
-// PersistHealth is what a later process of this relay has to know of an endpoint: that it is unhealthy, or when it recovered.
+// PersistHealth is what a later process of this relay has to know of an endpoint: that it is
+// unhealthy, or when it recovered.
 type PersistHealth struct {
 	Endpoint  string
 	Unhealthy bool
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// maxQueuedShare of MaxQueued may be in use before the queue that has most of it gets no more: no queue takes it all.
+// maxQueuedShare of MaxQueued may be in use before the queue that has most of it gets no more: no
+// queue takes it all.
 const maxQueuedShare = 0.75
 
 // admitArrivals passes the messages that arrived in this batch through admission.
@@ -46,9 +47,10 @@
 //	τ    the longest wait after which the message still ends in time: the time left less x
 //	net  λ−r, the arrival rate less the rate of deadline misses under the basic admission policy, per second
 //
-// The basic admission policy (Definition 1) rejects where u > τ. Where messages are queued, the lower bound of the value function
-// (Lemma 8) also rejects where (λ−r)(u+x−τ) ≥ 1: admitting the message is then expected to cost at least one other its deadline.
-// That holds for every u once x ≥ τ + 1/(λ−r), the static rule (21).
+// The basic admission policy (Definition 1) rejects where u > τ. Where messages are queued, the
+// lower bound of the value function (Lemma 8) also rejects where (λ−r)(u+x−τ) ≥ 1: admitting the
+// message is then expected to cost at least one other its deadline. That holds for every u once x ≥
+// τ + 1/(λ−r), the static rule (21).
 func mustReject(u, x, τ, net float64, queued bool) bool {
 	if u > τ {
 		return true
@@ -62,8 +64,9 @@
 	return float64(len(d.unfinished)) > room && float64(len(q.queued)) > room/2 || len(d.unfinished) > d.settings.MaxQueued
 }
 
-// feedShadowQueue adds an arrival to the shadow queue: a copy of the queue that admits by the basic rule alone, for a message that
-// can wait so many seconds. Its rejection rate is the r of mustReject.
+// feedShadowQueue adds an arrival to the shadow queue: a copy of the queue that admits by the basic
+// rule alone, for a message that can wait so many seconds. Its rejection rate is the r of
+// mustReject.
 func (d *Dispatcher) feedShadowQueue(q *queue, maxWait float64) {
 	q.shadowBacklog = math.Max(0, q.shadowBacklog-(d.now-q.shadowAt).Seconds())
 	q.shadowAt = d.now
@@ -83,15 +86,16 @@
 	return interval
 }
 
-// backlog returns the seconds of work ahead of an arriving message: messages queued × mean latency ÷ calls in flight, and at least
-// what Retry-After, backoff, the send rate and slow start imply. It is zero with a slot free and nothing queued.
+// backlog returns the seconds of work ahead of an arriving message: messages queued × mean latency
+// ÷ calls in flight, and at least what Retry-After, backoff, the send rate and slow start imply. It
+// is zero with a slot free and nothing queued.
 func (d *Dispatcher) backlog(q *queue) float64 {
 	work := float64(len(q.queued)) * d.agedLatency(q) / math.Max(1, float64(len(q.inFlight)))
 	return math.Max(work, d.timeToNextSend(q, len(q.queued)))
 }
 
-// timeToNextSend returns the seconds until a queue's next call may leave with so many messages ahead of it, as far as Retry-After,
-// backoff, the send rate and endpoint health tell.
+// timeToNextSend returns the seconds until a queue's next call may leave with so many messages
+// ahead of it, as far as Retry-After, backoff, the send rate and endpoint health tell.
 func (d *Dispatcher) timeToNextSend(q *queue, ahead int) float64 {
 	wait := math.Max(0, (q.pausedUntil() - d.now).Seconds())
 	calls := float64(ahead) / float64(q.maxBatch)
@@ -111,8 +115,9 @@
 	return math.Max(wait, recovery)
 }
 
-// timeToRecoverySend returns the seconds until an endpoint that is not healthy may get a call with so many calls ahead of it: the
-// next trial request, and if that succeeds the others at the rate of an endpoint halfway through its slow start.
+// timeToRecoverySend returns the seconds until an endpoint that is not healthy may get a call with
+// so many calls ahead of it: the next trial request, and if that succeeds the others at the rate of
+// an endpoint halfway through its slow start.
 func (d *Dispatcher) timeToRecoverySend(ep *endpoint, calls float64) float64 {
 	const tiny = 1e-9 // in place of a rate of zero
 	first := math.Max(0, 1-d.recoveryTokens(ep)) / math.Max(tiny, d.recoveryRate(ep, d.timeSinceRecovery(ep)))
--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// recordOutcome learns from the outcome of a call. It goes by the call's own latency: a relay that is short of processor time hears
-// of outcomes late.
+// recordOutcome learns from the outcome of a call. It goes by the call's own latency: a relay that
+// is short of processor time hears of outcomes late.
 func (d *Dispatcher) recordOutcome(c *call, m *message, e AttemptEnded) {
 	ep, q := c.endpoint, c.endpoint.queue
 	if e.Latency <= 0 {
@@ -70,8 +70,8 @@
 		d.recordSuccess(ep, e.LoadReport == nil || e.LoadReport.Remaining >= minRemaining)
 	case Rejected:
 		if c.sent >= q.backoffStart { // else it is one rejection with those that began the backoff
-			// A destination that reports its limit in its answers, but not in this one, did not look at it: it has all the
-			// connections it takes, or is unavailable.
+			// A destination that reports its limit in its answers, but not in this one, did not
+			// look at it: it has all the connections it takes, or is unavailable.
 			d.recordRejection(q, e.LoadReport == nil && q.reportedLimit > 0)
 		}
 	case ConnectError:
@@ -108,8 +108,8 @@
 	d.recordFailure(ep, c, 1)
 }
 
-// recordSuccess learns from a success: an unhealthy endpoint starts its slow start, and the send rate may rise if the destination
-// has allowance left.
+// recordSuccess learns from a success: an unhealthy endpoint starts its slow start, and the send
+// rate may rise if the destination has allowance left.
 func (d *Dispatcher) recordSuccess(ep *endpoint, allowanceLeft bool) {
 	q := ep.queue
 	ep.consecutiveFailures, ep.lastSuccess, q.lastSuccess = 0, d.now, d.now
--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -59,7 +59,8 @@
 	d.Handle(d.now+2*ms, []Event{e, Cancelled{ID: e.ID}})
 }
 
-// A background message has one attempt: after that it goes back to where it waited, whatever the outcome.
+// A background message has one attempt: after that it goes back to where it waited, whatever the
+// outcome.
 func TestBackground_HasOneAttempt(t *testing.T) {
 	for class, outcomes := range map[int]map[Outcome]string{
 		0: {Succeeded: "", Failed: "reject m", Rejected: "reject m", TimedOut: "reject m"},
--- a/policy/class.go
+++ b/policy/class.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// minUsefulValue is the share of its priority weight that a message must still have when it is delivered, while more messages
-// arrive for its queue than can leave: one admitted to be delivered later than that takes the place of one that would be on time.
+// minUsefulValue is the share of its priority weight that a message must still have when it is
+// delivered, while more messages arrive for its queue than can leave: one admitted to be delivered
+// later than that takes the place of one that would be on time.
 const minUsefulValue = 0.65
 
 // Idempotency says what a second execution of a message would do.
@@ -15,23 +16,33 @@
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be repeated at will
-	IdempotentByKey                    // the destination drops a repeat for as long as it remembers the idempotency key
+	IdempotentByKey                    // repeats are dropped while the key is remembered
 	NotIdempotent                      // must never execute twice
 )
 
 // Class is one class of message. The JSON names are those of the stored form.
 type Class struct {
-	Name             string        `json:"Name"`
-	LatencyObjective time.Duration `json:"Aim"`       // full value up to this age
-	Deadline         time.Duration `json:"Deadline"`  // given up at this age
-	PriorityWeight   float64       `json:"Worth"`     // value of a message delivered within the objective
-	LateFraction     float64       `json:"LateShare"` // share of that value left at the deadline
-	ExponentialDecay bool          `json:"Halving"`   // the value halves with each further LatencyObjective, instead of falling evenly
-	Idempotency      Idempotency   `json:"Effect"`
-	KeyPerZone       bool          `json:"ByZone"`  // IdempotentByKey: only endpoints of one zone share their memory of a key
-	KeyTTL           time.Duration `json:"Memory"`  // IdempotentByKey: how long a key is remembered
-	Ordered          bool          `json:"Ordered"` // messages with one order key are sent one at a time, in order of arrival
-	// Retired says that the settings no longer have the class. It keeps its number for messages that were accepted under it.
+	Name string `json:"Name"`
+
+	// A message has its full PriorityWeight, the value of its delivery, up to LatencyObjective. Then
+	// its value falls to LateFraction of that at Deadline, when it is given up: evenly, or by half
+	// with each further LatencyObjective.
+	LatencyObjective time.Duration `json:"Aim"`
+	Deadline         time.Duration `json:"Deadline"`
+	PriorityWeight   float64       `json:"Worth"`
+	LateFraction     float64       `json:"LateShare"`
+	ExponentialDecay bool          `json:"Halving"`
+
+	// With IdempotentByKey, a destination remembers a key for KeyTTL, and with KeyPerZone only in the
+	// zone of the endpoint that got it.
+	Idempotency Idempotency   `json:"Effect"`
+	KeyPerZone  bool          `json:"ByZone"`
+	KeyTTL      time.Duration `json:"Memory"`
+
+	// Ordered says that messages with one order key are sent one at a time, in order of arrival.
+	Ordered bool `json:"Ordered"`
+	// Retired says that the settings no longer have the class. It keeps its number for messages that
+	// were accepted under it.
 	Retired bool `json:"Retired"`
 }
 
@@ -59,9 +70,9 @@
 	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateFraction)*float64(c.Deadline-c.LatencyObjective))
 }
 
-// maxUsefulAge returns the age at which a message of class c falls under minUsefulValue, or an earlier one at which a class of
-// at least its priority weight does that would wait behind it. It guards urgent messages against a queue full of patient ones
-// of less weight.
+// maxUsefulAge returns the age at which a message of class c falls under minUsefulValue, or an
+// earlier one at which a class of at least its priority weight does that would wait behind it. It
+// guards urgent messages against a queue full of patient ones of less weight.
 func (d *Dispatcher) maxUsefulAge(c *Class) time.Duration {
 	age := c.ageAtValue(minUsefulValue)
 	for i := range d.settings.Classes {
--- a/policy/destination.go
+++ b/policy/destination.go
@@ -1,6 +1,7 @@
 package policy
 
-// destination is where messages go. Its endpoints share one queue, or are separate routes with a queue each.
+// destination is where messages go. Its endpoints share one queue, or are separate routes with a
+// queue each.
 type destination struct {
 	queues []*queue // at least one; queues[0] also serves while no endpoint is listed
 }
@@ -29,7 +30,8 @@
 	return q
 }
 
-// removeIfUnused drops a queue without endpoints and work, unless it is the only one of its destination.
+// removeIfUnused drops a queue without endpoints and work, unless it is the only one of its
+// destination.
 func (d *Dispatcher) removeIfUnused(q *queue) {
 	siblings := q.destination.queues
 	if len(q.endpoints) > 0 || q.active || siblings[0] == q && len(siblings) == 1 {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxInFlightShare of MaxInFlight is the most that one queue may have in flight: no queue takes all slots.
+// maxInFlightShare of MaxInFlight is the most that one queue may have in flight: no queue takes all
+// slots.
 const maxInFlightShare = 0.5
 
 // call is one call in flight to an endpoint, with an attempt of one message or of a batch of them.
@@ -17,8 +18,8 @@
 	cancelled bool // to free its slot
 }
 
-// dispatch fills the free slots. Each goes to the queue with the fewest calls in flight that can send, and among these to the one
-// whose message runs out of time first.
+// dispatch fills the free slots. Each goes to the queue with the fewest calls in flight that can
+// send, and among these to the one whose message runs out of time first.
 func (d *Dispatcher) dispatch() {
 	for d.inFlight < d.settings.MaxInFlight && !d.quiesced {
 		q, ep, m := d.nextQueue()
@@ -46,7 +47,8 @@
 	return best, ep, first
 }
 
-// objectiveExpiry returns when a message falls under minUsefulValue. One that is under it already comes after all others.
+// objectiveExpiry returns when a message falls under minUsefulValue. One that is under it already
+// comes after all others.
 func (d *Dispatcher) objectiveExpiry(m *message) time.Duration {
 	const afterAllOthers = time.Hour
 	at := m.deadline - m.terms.Deadline + m.terms.ageAtValue(minUsefulValue)
@@ -78,8 +80,8 @@
 	return nil, nil
 }
 
-// nextOnReusableConn returns the message that a queue would send on a connection that has just carried a call; nil if there is
-// none.
+// nextOnReusableConn returns the message that a queue would send on a connection that has just
+// carried a call; nil if there is none.
 func (d *Dispatcher) nextOnReusableConn(q *queue) (*endpoint, *message) {
 	ep := q.reusableConn
 	if ep == nil || !d.acceptsCall(ep) || q.sendRate != 0 && d.sendTokens(q) < 1-d.tokenDebt(q) {
@@ -93,7 +95,8 @@
 	return nil, nil
 }
 
-// send starts a call with a message and, where the kind of destination allows a batch, others of the queue.
+// send starts a call with a message and, where the kind of destination allows a batch, others of
+// the queue.
 func (d *Dispatcher) send(q *queue, ep *endpoint, first *message) {
 	c := &call{endpoint: ep, sent: d.now}
 	if q.reusableConn == ep {
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -10,7 +10,8 @@
 // never is later than every moment.
 const never = time.Duration(math.MaxInt64)
 
-// Dispatcher decides for one relay. It does no I/O and reads no clock. It is not safe for concurrent use.
+// Dispatcher decides for one relay. It does no I/O and reads no clock. It is not safe for
+// concurrent use.
 type Dispatcher struct {
 	settings           Settings
 	meanPriorityWeight float64       // of the classes in the settings
@@ -41,8 +42,9 @@
 	timerAt time.Duration // when the latest timer is due; 0 for none
 }
 
-// New returns a dispatcher that knows nothing yet. The error is a *SettingError for a setting without a usable value. The seed
-// decides all random choices: the same events give the same actions.
+// New returns a dispatcher that knows nothing yet. The error is a *SettingError for a setting
+// without a usable value. The seed decides all random choices: the same events give the same
+// actions.
 func New(s Settings, seed int64) (*Dispatcher, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -64,11 +66,12 @@
 	return d, nil
 }
 
-// UnhealthyEndpoints returns how many listed endpoints are unhealthy: they get nothing but trial requests.
+// UnhealthyEndpoints returns how many listed endpoints are unhealthy: they get nothing but trial
+// requests.
 func (d *Dispatcher) UnhealthyEndpoints() int { return d.unhealthyCount }
 
-// Handle applies the events of one batch and returns what is to be done, in order. A time before that of the last batch counts
-// as that.
+// Handle applies the events of one batch and returns what is to be done, in order. A time before
+// that of the last batch counts as that.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
 	d.endKeyCooldowns()
@@ -86,8 +89,8 @@
 	return d.actions
 }
 
-// apply updates the state by an event. What to do about it is decided once the whole batch is applied. It is a type switch, so that
-// a batch of events need not be allocated.
+// apply updates the state by an event. What to do about it is decided once the whole batch is
+// applied. It is a type switch, so that a batch of events need not be allocated.
 func (d *Dispatcher) apply(e Event) {
 	switch e := e.(type) {
 	case Arrived:
--- a/policy/dispatcher_test.go
+++ b/policy/dispatcher_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestApply_CoversEveryEvent guards against an event that is declared and then ignored: the compiler does not check that a type
-// switch covers a sealed interface.
+// TestApply_CoversEveryEvent guards against an event that is declared and then ignored: the
+// compiler does not check that a type switch covers a sealed interface.
 func TestApply_CoversEveryEvent(t *testing.T) {
 	read := func(file string) string {
 		text, err := os.ReadFile(file)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,29 +1,35 @@
-// Package policy decides what a relay does with the messages that it forwards: which it admits, when and to which endpoint it sends
-// them, when it retries, and what it tells the client in the end.
+// Package policy decides what a relay does with the messages that it forwards: which it admits,
+// when and to which endpoint it sends them, when it retries, and what it tells the client in the
+// end.
 //
 // # Use
 //
-// A Dispatcher is a state machine without I/O and clock. Its caller collects events, hands a batch of them with the time to Handle,
-// and carries out the returned actions in order. The same events with the same seed give the same actions.
+// A Dispatcher is a state machine without I/O and clock. Its caller collects events, hands a batch
+// of them with the time to Handle, and carries out the returned actions in order. The same events
+// with the same seed give the same actions.
 //
 // # Mechanism
 //
-// The ordinary path is Hyytiä's deadline-aware admission control and dispatching for parallel first-come, first-served queues. Each
-// destination, or each separate route of one, is a queue. A message is rejected at once where the backlog of its queue plus its own
-// latency would make it late (the basic admission policy), or where a lower bound of the value function says that admitting it is
-// expected to cost another message its deadline. The bound needs the rate at which the basic policy would reject; as the paper
-// suggests, a shadow queue under that policy gets the same arrivals to measure it. A message with a choice of separate routes takes
-// the one with the least added cost.
+// The ordinary path is Hyytiä's deadline-aware admission control and dispatching for parallel
+// first-come, first-served queues. Each destination, or each separate route of one, is a queue. A
+// message is rejected at once where the backlog of its queue plus its own latency would make it
+// late (the basic admission policy), or where a lower bound of the value function says that
+// admitting it is expected to cost another message its deadline. The bound needs the rate at which
+// the basic policy would reject; as the paper suggests, a shadow queue under that policy gets the
+// same arrivals to measure it. A message with a choice of separate routes takes the one with the
+// least added cost.
 //
-// Everything else guards against what the paper does not treat: destinations with rate limits, failures and outages, answers that
-// never come, messages that must not execute twice or out of order, and many relays that share a destination without talking to
-// each other.
+// Everything else guards against what the paper does not treat: destinations with rate limits,
+// failures and outages, answers that never come, messages that must not execute twice or out of
+// order, and many relays that share a destination without talking to each other.
 //
 // # Terms
 //
-// A relay is one of the processes that share the traffic. A destination has endpoints; an endpoint is one address that takes calls.
-// A message is sent by attempts. A call carries one attempt, or a batch of attempts of several messages, to an endpoint. A slot is
-// one of the MaxInFlight calls that may be in flight. A message that may have executed is retried only as its idempotency allows.
+// A relay is one of the processes that share the traffic. A destination has endpoints; an endpoint
+// is one address that takes calls. A message is sent by attempts. A call carries one attempt, or a
+// batch of attempts of several messages, to an endpoint. A slot is one of the MaxInFlight calls
+// that may be in flight. A message that may have executed is retried only as its idempotency
+// allows.
 //
 // # Files
 //
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -7,23 +7,27 @@
 
 // health is the state of an endpoint. The transitions:
 //
-//	healthy, slowStart                          -> unhealthy                 markUnhealthy
-//	unhealthy, unhealthyRecoveryRecorded        -> slowStart                 recordSuccess
-//	slowStart                                   -> healthy                   SlowStartTime passed (endSlowStart)
-//	healthy, slowStart                          -> slowStart                 recoverHealth: an earlier process saw it recover
-//	unhealthy                                   -> unhealthyRecoveryRecorded recoverHealth, the same
-//	unhealthyRecoveryRecorded                   -> unhealthy                 endSlowStart, where there is no slow start
+//	from                                  to                         by
+//	healthy, slowStart                    unhealthy                  markUnhealthy
+//	unhealthy, unhealthyRecoveryRecorded  slowStart                  startSlowStart
+//	slowStart                             healthy                    endSlowStart
+//	healthy, slowStart                    slowStart                  recoverHealth
+//	unhealthy                             unhealthyRecoveryRecorded  recoverHealth
+//	unhealthyRecoveryRecorded             unhealthy                  endSlowStart
+//
+// The last one happens only where SlowStartTime is 0. A restored snapshot sets the state.
 type health int
 
 const (
 	// healthy endpoints get calls as their destination's limits allow.
 	healthy health = iota
-	// slowStart endpoints are back from an outage, and get no more calls than a cold destination bears.
+	// slowStart endpoints are back from an outage, and get no more calls than a cold destination
+	// bears.
 	slowStart
 	// unhealthy endpoints get trial requests only.
 	unhealthy
-	// unhealthyRecoveryRecorded endpoints are unhealthy in every respect. An earlier process recorded their recovery, not long ago;
-	// a snapshot carries both.
+	// unhealthyRecoveryRecorded endpoints are unhealthy in every respect. An earlier process
+	// recorded their recovery, not long ago; a snapshot carries both.
 	unhealthyRecoveryRecorded
 )
 
@@ -33,7 +37,8 @@
 // hasRecovery reports whether a recovery is on record whose slow start has not ended.
 func (h health) hasRecovery() bool { return h == slowStart || h == unhealthyRecoveryRecorded }
 
-// recoveryRecorded returns the health of an endpoint in state h which an earlier process saw recover.
+// recoveryRecorded returns the health of an endpoint in state h which an earlier process saw
+// recover.
 func (h health) recoveryRecorded() health {
 	if h.isUnhealthy() {
 		return unhealthyRecoveryRecorded
@@ -41,7 +46,8 @@
 	return slowStart
 }
 
-// recoveryEnded returns the health of an endpoint in state h once no slow start is on record any more.
+// recoveryEnded returns the health of an endpoint in state h once no slow start is on record any
+// more.
 func (h health) recoveryEnded() health {
 	if h.isUnhealthy() {
 		return unhealthy
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// addEndpoint adds an endpoint to the queue of its destination, or as a separate route with a queue of its own.
+// addEndpoint adds an endpoint to the queue of its destination, or as a separate route with a queue
+// of its own.
 func (d *Dispatcher) addEndpoint(entry Endpoint) *endpoint {
 	ep := &endpoint{classFailures: make([]float64, len(d.settings.Classes))}
 	if !d.keepsIdleConns() {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -16,8 +16,9 @@
 	wantActions(t, "removed", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
 }
 
-// Attempts that have not left when an endpoint begins to drain, or is removed, are cancelled: their connections may come up when
-// nothing new may be sent there any more. The same change again cancels nothing.
+// Attempts that have not left when an endpoint begins to drain, or is removed, are cancelled: their
+// connections may come up when nothing new may be sent there any more. The same change again
+// cancels nothing.
 func TestEndpointList_CancelsBeforeSend(t *testing.T) {
 	for name, change := range map[string]EndpointsChanged{
 		"draining":           {Endpoints: []Endpoint{{ID: "a", Draining: true}}},
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestEndpointList_ReplacedEndpointsAreDropped guards against routes and endpoints that have left the
-// list and are iterated over for ever.
+// TestEndpointList_ReplacedEndpointsAreDropped guards against routes and endpoints that have left
+// the list and are iterated over for ever.
 func TestEndpointList_ReplacedEndpointsAreDropped(t *testing.T) {
 	for kind := range 3 {
 		d := newDispatcher(t, testSettings())
@@ -66,7 +67,8 @@
 	}
 }
 
-// TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays sending to a replacement at once.
+// TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays sending to a
+// replacement at once.
 func TestEndpointList_NewEndpointOfUnhealthyDestination(t *testing.T) {
 	for _, removed := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
@@ -83,8 +85,8 @@
 	}
 }
 
-// TestEndpointList_EmptiesAndRefills guards against state that stays wrong: calls are in flight while the list
-// empties, the weight and the zone change, and the clock jumps back and far ahead.
+// TestEndpointList_EmptiesAndRefills guards against state that stays wrong: calls are in flight
+// while the list empties, the weight and the zone change, and the clock jumps back and far ahead.
 func TestEndpointList_EmptiesAndRefills(t *testing.T) {
 	for kind := range 3 {
 		s := testSettings()
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -1,9 +1,11 @@
 package policy
 
-// maxTrialCalls may be in flight to an unhealthy or unresponsive endpoint: one that may be stuck, one that tries.
+// maxTrialCalls may be in flight to an unhealthy or unresponsive endpoint: one that may be stuck,
+// one that tries.
 const maxTrialCalls = 2
 
-// selectEndpoint returns the endpoint of a queue that a message goes to, or nil if none takes it now.
+// selectEndpoint returns the endpoint of a queue that a message goes to, or nil if none takes it
+// now.
 func (d *Dispatcher) selectEndpoint(q *queue, m *message) *endpoint {
 	var best *endpoint
 	for _, ep := range q.endpoints {
@@ -20,8 +22,9 @@
 	return best
 }
 
-// preferred reports whether a message goes to endpoint a rather than to b: to an unhealthy one whose trial request is due, else to a
-// responsive one that has not failed the message or its class, with the fewest calls in flight, in the relay's own zone.
+// preferred reports whether a message goes to endpoint a rather than to b: to an unhealthy one
+// whose trial request is due, else to a responsive one that has not failed the message or its
+// class, with the fewest calls in flight, in the relay's own zone.
 func (d *Dispatcher) preferred(m *message, a, b *endpoint) bool {
 	if a.health.isUnhealthy() != b.health.isUnhealthy() {
 		return a.health.isUnhealthy() // its trial request is due
@@ -41,9 +44,10 @@
 	return d.preferredByLastUse(a, b)
 }
 
-// preferredByLastUse reports whether a goes before b among equals. Where relays keep idle connections it is the endpoint used last,
-// whose connection may still be open. Where they don't, endpoints take turns, from a random one on: that guards against a fleet in
-// which each relay has reason to take the same endpoint, the first listed and then the one it took last.
+// preferredByLastUse reports whether a goes before b among equals. Where relays keep idle
+// connections it is the endpoint used last, whose connection may still be open. Where they don't,
+// endpoints take turns, from a random one on: that guards against a fleet in which each relay has
+// reason to take the same endpoint, the first listed and then the one it took last.
 func (d *Dispatcher) preferredByLastUse(a, b *endpoint) bool {
 	if d.keepsIdleConns() {
 		return a.lastUsed > b.lastUsed
@@ -51,8 +55,8 @@
 	return a.lastUsed < b.lastUsed || a.lastUsed == b.lastUsed && a.tieBreaker < b.tieBreaker
 }
 
-// penalty counts what speaks against an endpoint for a message: consecutive failures of its class, and its own last attempt there.
-// An endpoint may fail one class and serve the others.
+// penalty counts what speaks against an endpoint for a message: consecutive failures of its class,
+// and its own last attempt there. An endpoint may fail one class and serve the others.
 func (m *message) penalty(ep *endpoint) float64 {
 	failures := ep.classFailures[m.Class]
 	if i := len(m.attempts); i > 0 && m.attempts[i-1].call.endpoint == ep {
@@ -75,7 +79,8 @@
 	return !d.unresponsive(ep) || len(ep.inFlight) < maxTrialCalls
 }
 
-// trialCalls returns how many calls in flight to an unhealthy endpoint were sent since it became unhealthy.
+// trialCalls returns how many calls in flight to an unhealthy endpoint were sent since it became
+// unhealthy.
 func (ep *endpoint) trialCalls() int {
 	trials := 0
 	for _, c := range ep.inFlight {
@@ -86,7 +91,8 @@
 	return trials
 }
 
-// unresponsive reports whether an endpoint has a call in flight for far longer than usual and no success since it was sent.
+// unresponsive reports whether an endpoint has a call in flight for far longer than usual and no
+// success since it was sent.
 func (d *Dispatcher) unresponsive(ep *endpoint) bool {
 	if len(ep.inFlight) == 0 || ep.queue.latency.mean == 0 {
 		return false
--- a/policy/endpoint_selection_test.go
+++ b/policy/endpoint_selection_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestSelectEndpoint_AvoidsEndpointThatFailsTheClass guards against an endpoint that fails one class and serves the others.
+// TestSelectEndpoint_AvoidsEndpointThatFailsTheClass guards against an endpoint that fails one
+// class and serves the others.
 func TestSelectEndpoint_AvoidsEndpointThatFailsTheClass(t *testing.T) {
 	s := testSettings()
 	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
@@ -19,8 +20,8 @@
 	wantActions(t, "other classes do not", d.Handle(5*ms, []Event{arrival("o", 1)}), "o>a")
 }
 
-// Relays that keep no idle connections do not all take the endpoint that is listed first, and each takes all in turns. A few
-// relays stay with the one whose connection may still be open.
+// Relays that keep no idle connections do not all take the endpoint that is listed first, and each
+// takes all in turns. A few relays stay with the one whose connection may still be open.
 func TestSelectEndpoint_TakesTurnsInLargeFleet(t *testing.T) {
 	for _, relays := range []int{3, 80} {
 		first := map[string]int{}
--- a/policy/events.go
+++ b/policy/events.go
@@ -12,16 +12,19 @@
 	Destination int
 	TimeLeft    time.Duration // until its deadline
 	OrderKey    string        // of ordered classes, or empty
-	// Terms are those of its class at its acceptance, where they may have changed since; nil: as in the settings.
+	// Terms are those of its class at its acceptance, where they may have changed since; nil: as in
+	// the settings.
 	Terms *Class
-	// Recovered says that an earlier process of this relay accepted the message: it does not pass admission again. PriorAttempts
-	// are that process's attempts, which count like this one's.
+	// Recovered says that an earlier process of this relay accepted the message: it does not pass
+	// admission again. PriorAttempts are that process's attempts, which count like this one's.
 	Recovered     bool
 	PriorAttempts []PriorAttempt
-	// OutcomeDecided says of a recovered message that its outcome was given and is not acknowledged yet: Acknowledged will follow.
+	// OutcomeDecided says of a recovered message that its outcome was given and is not acknowledged
+	// yet: Acknowledged will follow.
 	OutcomeDecided bool
-	// Background says that the message waited elsewhere until nothing else needed the capacity, and can go on waiting there: it is
-	// rejected unless it can be sent at once, and after one attempt that did not deliver it.
+	// Background says that the message waited elsewhere until nothing else needed the capacity, and
+	// can go on waiting there: it is rejected unless it can be sent at once, and after one attempt
+	// that did not deliver it.
 	Background bool
 }
 
@@ -30,8 +33,9 @@
 	Endpoint    string
 	SentAt      time.Duration
 	NotExecuted bool // proved not to have executed
-	// InFlight says that the attempt has no outcome yet, and that an AttemptEnded will follow: this process took over the
-	// connections of the earlier one. Only the last attempt of a message can be in flight.
+	// InFlight says that the attempt has no outcome yet, and that an AttemptEnded will follow: this
+	// process took over the connections of the earlier one. Only the last attempt of a message can
+	// be in flight.
 	InFlight bool
 }
 
@@ -70,8 +74,8 @@
 	LoadReport        *LoadReport // or nil
 }
 
-// DeadlineExceeded says that a message's deadline passed while an attempt is in flight: its terminal outcome is due, and that of
-// the attempt still follows.
+// DeadlineExceeded says that a message's deadline passed while an attempt is in flight: its
+// terminal outcome is due, and that of the attempt still follows.
 type DeadlineExceeded struct{ ID string }
 
 // Acknowledged says that the terminal outcome of a message has reached the party it was owed to.
@@ -100,15 +104,17 @@
 // WatchFailed says that a watch of the endpoint list failed or was dropped.
 type WatchFailed struct{}
 
-// HealthRecovered carries the health of a listed endpoint that an earlier process of this relay recorded.
+// HealthRecovered carries the health of a listed endpoint that an earlier process of this relay
+// recorded.
 type HealthRecovered PersistHealth
 
-// SnapshotRestored carries what the preceding process had learned, whose place this one takes. It comes after the endpoint list
-// and before messages.
+// SnapshotRestored carries what the preceding process had learned, whose place this one takes. It
+// comes after the endpoint list and before messages.
 type SnapshotRestored struct{ Snapshot *Snapshot }
 
-// SettingsChanged replaces the settings. Their classes must come from MergeClasses: those that were there keep their numbers.
-// Messages accepted before keep the terms of their class, and what stricter idempotency forbids is forbidden too.
+// SettingsChanged replaces the settings. Their classes must come from MergeClasses: those that were
+// there keep their numbers. Messages accepted before keep the terms of their class, and what
+// stricter idempotency forbids is forbidden too.
 type SettingsChanged struct{ Settings Settings }
 
 // Quiesced says that this process is about to end: nothing more is sent until Resumed.
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// testSettings returns settings with one class of each kind of idempotency, and capacity for everything.
+// testSettings returns settings with one class of each kind of idempotency, and capacity for
+// everything.
 func testSettings() Settings {
 	return Settings{
 		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, CanCancel: true,
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestCloseIdleConns_LowTraffic guards against many relays whose idle connections use up those of a small
-// endpoint.
+// TestCloseIdleConns_LowTraffic guards against many relays whose idle connections use up those of a
+// small endpoint.
 func TestCloseIdleConns_LowTraffic(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -62,8 +62,8 @@
 	}
 }
 
-// afterFirstCall returns a relay of a large fleet whose first call, of n messages for one destination, has just ended at endpoint
-// a, and the actions on that.
+// afterFirstCall returns a relay of a large fleet whose first call, of n messages for one
+// destination, has just ended at endpoint a, and the actions on that.
 func afterFirstCall(t *testing.T, n int, e AttemptEnded) (*Dispatcher, []Action) {
 	t.Helper()
 	s := testSettings()
@@ -81,8 +81,8 @@
 	return d, d.Handle(time.Second+200*ms, []Event{e})
 }
 
-// Where relays keep no idle connections, one that has carried a call carries the next queued message, ahead of the send rate. It is
-// closed when nothing is queued.
+// Where relays keep no idle connections, one that has carried a call carries the next queued
+// message, ahead of the send rate. It is closed when nothing is queued.
 func TestReusableConn_CarriesQueuedMessages(t *testing.T) {
 	ok := AttemptEnded{Outcome: Succeeded, Final: true, LoadReport: &LoadReport{Remaining: 0.9, RateLimit: 80}}
 	full := ok
@@ -127,7 +127,8 @@
 		t.Errorf("%v tokens left", q.sendBucket.tokens)
 	}
 
-	// None ahead where the limit rejected a call just now or was lowered, nor more than a part of what is taken in a counting span.
+	// None ahead where the limit rejected a call just now or was lowered, nor more than a part of
+	// what is taken in a counting span.
 	q = &queue{listedRate: 80}
 	for i, change := range []func(){func() {}, func() { q.lastLimitRejection = now }, func() { q.lastLimitRejection, q.reportedLimit = 0, 20 }, func() { q.listedRate, q.reportedLimit = 16, 0 }} {
 		change()
@@ -136,7 +137,8 @@
 		}
 	}
 
-	// A rejection of the connection holds back new connections, and not what has one; one by the rate limit does both.
+	// A rejection of the connection holds back new connections, and not what has one; one by the
+	// rate limit does both.
 	for _, ofConnection := range []bool{true, false} {
 		d, actions := afterFirstCall(t, 1, ok)
 		wantActions(t, "nothing queued", actions, "")
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -12,7 +12,8 @@
 	byClass []float64 // means by class
 }
 
-// observe adds a latency to the means; the first ones weigh more, as what was there comes from other destinations.
+// observe adds a latency to the means; the first ones weigh more, as what was there comes from
+// other destinations.
 func (l *latencyStats) observe(class int, latency float64) {
 	l.samples++
 	gain := math.Max(latencyGain, 1/float64(l.samples+1))
@@ -36,7 +37,8 @@
 	return d.kindLatency[kind]
 }
 
-// fillUnknownLatency fills what a queue does not know of its latencies from all destinations of its kind.
+// fillUnknownLatency fills what a queue does not know of its latencies from all destinations of its
+// kind.
 func (d *Dispatcher) fillUnknownLatency(q *queue) {
 	ofKind := d.latencyOfKind(q.kind)
 	if ofKind.samples == 0 {
@@ -52,8 +54,8 @@
 	}
 }
 
-// agedLatency returns the mean latency of a queue with the ages of calls in flight counted in, so that a hang shows before any
-// outcome.
+// agedLatency returns the mean latency of a queue with the ages of calls in flight counted in, so
+// that a hang shows before any outcome.
 func (d *Dispatcher) agedLatency(q *queue) float64 {
 	mean := q.latency.mean
 	for _, c := range q.inFlight {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLatency_UnknownFilledFromKind guards against queues without a known latency: a lost first call would keep
-// its slot until the deadline.
+// TestLatency_UnknownFilledFromKind guards against queues without a known latency: a lost first
+// call would keep its slot until the deadline.
 func TestLatency_UnknownFilledFromKind(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrival("m", 0)})
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A destination that lowers its limit reports that in its answers: the send rate goes to this relay's share of what is left. Noise
-// about the listed rate changes nothing, and the next report ends the lower limit.
+// A destination that lowers its limit reports that in its answers: the send rate goes to this
+// relay's share of what is left. Noise about the listed rate changes nothing, and the next report
+// ends the lower limit.
 func TestLoadReport_SendRateFollowsReportedLimit(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 2
--- a/policy/message.go
+++ b/policy/message.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// backgroundSeqOffset puts a background message behind all others of its queue: no process accepts as many.
+// backgroundSeqOffset puts a background message behind all others of its queue: no process accepts
+// as many.
 const backgroundSeqOffset = 1 << 40
 
 // messageState says what a message still owes and is owed. The transitions:
 //
-//	active         -> completed       delivered, cancelled, or given up where no acknowledgement is awaited
-//	active         -> unacknowledged  given up, and the next message of its order key waits for the acknowledgement
-//	unacknowledged -> completed       Acknowledged
+//	from            to              by
+//	active          completed       delivery, cancellation, or an outcome without acknowledgement
+//	active          unacknowledged  an outcome that must be acknowledged (completeWithNotice)
+//	unacknowledged  completed       Acknowledged
 //
-// An active message is queued (queue is set) or has attempts in flight. A completed one is evicted once none of its attempts is in
-// flight and its order key has cooled down.
+// An active message is queued (queue is set) or has attempts in flight. A completed one is evicted
+// once none of its attempts is in flight and its order key has cooled down.
 type messageState int
 
 const (
@@ -24,7 +26,8 @@
 // message is a message that was accepted and is not evicted yet.
 type message struct {
 	Arrived
-	// terms are those of its class that hold for it: as at its acceptance, or stricter by the settings since.
+	// terms are those of its class that hold for it: as at its acceptance, or stricter by the
+	// settings since.
 	terms         *Class
 	seq           int // order in its queue
 	deadline      time.Duration
@@ -51,7 +54,8 @@
 	state attemptState
 }
 
-// accept registers a new message. One of an unknown class, or with an ID that is in use, is ignored.
+// accept registers a new message. One of an unknown class, or with an ID that is in use, is
+// ignored.
 func (d *Dispatcher) accept(e Arrived) {
 	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages[e.ID] != nil {
 		return
--- a/policy/order.go
+++ b/policy/order.go
@@ -10,7 +10,8 @@
 	return !m.ordered() || d.orderKeys[m.OrderKey][0] == m
 }
 
-// coolDown reports whether a completed message still blocks its order key: its last attempt may still be executing.
+// coolDown reports whether a completed message still blocks its order key: its last attempt may
+// still be executing.
 func (d *Dispatcher) coolDown(m *message) bool {
 	if d.now >= m.cooldownUntil {
 		d.coolingDown = remove(d.coolingDown, m)
--- a/policy/order_test.go
+++ b/policy/order_test.go
@@ -16,8 +16,8 @@
 	wantActions(t, "after cooldown", d.Handle(1300*ms, []Event{TimerFired{}}), "n>a")
 }
 
-// Where acknowledgements are awaited, the next message of a key waits for that of the one before: a call that overtakes it is out of
-// turn. What has no key, and what was delivered, blocks nothing.
+// Where acknowledgements are awaited, the next message of a key waits for that of the one before: a
+// call that overtakes it is out of turn. What has no key, and what was delivered, blocks nothing.
 func TestOrder_WaitsForAcknowledgement(t *testing.T) {
 	for _, awaits := range []bool{false, true} {
 		s := testSettings()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,18 +3,22 @@
 import "time"
 
 const (
-	// unhealthyThreshold consecutive failures make an endpoint unhealthy; single errors are ordinary.
+	// unhealthyThreshold consecutive failures make an endpoint unhealthy; single errors are
+	// ordinary.
 	unhealthyThreshold = 2
-	// answeredFailureWeight is what an error or a broken connection counts: something is alive there.
+	// answeredFailureWeight is what an error or a broken connection counts: something is alive
+	// there.
 	answeredFailureWeight = 0.5
-	// unavailableAfter of nothing but rejections means that the destination is unavailable rather than at its limit: longer than
-	// the spans in which destinations commonly count calls.
+	// unavailableAfter of nothing but rejections means that the destination is unavailable rather
+	// than at its limit: longer than the spans in which destinations commonly count calls.
 	unavailableAfter = 2500 * time.Millisecond
-	// earlyUnhealthyChance is the probability that a single failure makes an endpoint unhealthy; see unhealthyEarly.
+	// earlyUnhealthyChance is the probability that a single failure makes an endpoint unhealthy;
+	// see unhealthyEarly.
 	earlyUnhealthyChance = 0.5
 )
 
-// recordFailure counts a failure of an endpoint, with a weight. One of a call sent before its last success tells nothing new.
+// recordFailure counts a failure of an endpoint, with a weight. One of a call sent before its last
+// success tells nothing new.
 func (d *Dispatcher) recordFailure(ep *endpoint, c *call, weight float64) {
 	for _, m := range c.messages {
 		ep.classFailures[m.Class] += weight / float64(len(c.messages))
@@ -29,10 +33,12 @@
 	}
 }
 
-// recordConnFailure counts a connection that was not to be had against all endpoints of a destination. It guards against an outage
-// of them all that shows at each one late, where relays are so many that each has few calls; where they are so few that a third
-// failure is long in coming, two do. An endpoint that is down by itself is unhealthy before the count gets there. A broken link
-// looks like machines that are down: what is behind it is treated as cold as well, as it may be.
+// recordConnFailure counts a connection that was not to be had against all endpoints of a
+// destination. It guards against an outage of them all that shows at each one late, where relays
+// are so many that each has few calls; where they are so few that a third failure is long in
+// coming, two do. An endpoint that is down by itself is unhealthy before the count gets there. A
+// broken link looks like machines that are down: what is behind it is treated as cold as well, as
+// it may be.
 func (d *Dispatcher) recordConnFailure(ep *endpoint, c *call) {
 	q := ep.queue
 	if d.keepsIdleConns() || ep.health.isUnhealthy() || q.lastSuccess > c.sent {
@@ -44,10 +50,11 @@
 	}
 }
 
-// unhealthyEarly reports whether so many failures or rejections are all that may be seen before a destination counts as unhealthy.
-// That costs what the recovery rate holds back where the destination was only at its limit; other relays, which were not rejected,
-// use the capacity. Half of the relays may send one more trial request, by chance, but not after a Retry-After, when all would; and
-// an outage that began after a success just now is not about to end.
+// unhealthyEarly reports whether so many failures or rejections are all that may be seen before a
+// destination counts as unhealthy. That costs what the recovery rate holds back where the
+// destination was only at its limit; other relays, which were not rejected, use the capacity. Half
+// of the relays may send one more trial request, by chance, but not after a Retry-After, when all
+// would; and an outage that began after a success just now is not about to end.
 func (d *Dispatcher) unhealthyEarly(q *queue, failures int) bool {
 	if !d.lowTraffic(q) || q.lastSuccess > 0 && d.now-q.lastSuccess <= unavailableAfter {
 		return false
@@ -62,7 +69,8 @@
 	}
 }
 
-// markUnhealthy marks an endpoint unhealthy, if it isn't yet, and lets the messages of its route select another.
+// markUnhealthy marks an endpoint unhealthy, if it isn't yet, and lets the messages of its route
+// select another.
 func (d *Dispatcher) markUnhealthy(ep *endpoint) {
 	if ep.health.isUnhealthy() {
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against taking a share of failing calls for an
-// outage.
+// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against taking a share of failing
+// calls for an outage.
 func TestRecordFailure_UnhealthyAfterConsecutiveFailures(t *testing.T) {
 	tests := []struct {
 		outcome   Outcome
@@ -26,8 +26,9 @@
 	}
 }
 
-// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose further trial requests overload a destination
-// that comes back cold: the even share of 4 calls per second is 0.01 for one of 400, and 2 for one of 2.
+// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose further trial
+// requests overload a destination that comes back cold: the even share of 4 calls per second is
+// 0.01 for one of 400, and 2 for one of 2.
 func TestUnhealthyEarly_FewTrialsInLargeFleet(t *testing.T) {
 	for _, tt := range []struct {
 		relays      int
@@ -65,9 +66,10 @@
 	}
 }
 
-// Where relays are many, an outage of all endpoints of a destination is detected after more consecutive failures to connect than one
-// endpoint may have, at whichever of them. Errors, late answers, a success in between, few relays and an endpoint that is down by
-// itself are no such outage.
+// Where relays are many, an outage of all endpoints of a destination is detected after more
+// consecutive failures to connect than one endpoint may have, at whichever of them. Errors, late
+// answers, a success in between, few relays and an endpoint that is down by itself are no such
+// outage.
 func TestConnFailure_OutageOfAllEndpoints(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// queue is one of the paper's parallel first-come queues: the messages for a destination, or for one route of it, and what is
-// known of the endpoints behind it.
+// queue is one of the paper's parallel first-come queues: the messages for a destination, or for
+// one route of it, and what is known of the endpoints behind it.
 type queue struct {
 	destination   *destination
 	kind          int // of its endpoints
@@ -43,11 +43,13 @@
 	shadowBacklog    float64 // seconds
 	shadowAt         time.Duration
 
-	// reusableConn is an endpoint at which a call succeeded in this batch: its connection may carry the next one.
+	// reusableConn is an endpoint at which a call succeeded in this batch: its connection may carry
+	// the next one.
 	reusableConn *endpoint
 }
 
-// pausedUntil returns when the next call may leave on a new connection, as far as Retry-After and backoff tell.
+// pausedUntil returns when the next call may leave on a new connection, as far as Retry-After and
+// backoff tell.
 func (q *queue) pausedUntil() time.Duration {
 	return max(q.retryAfterUntil, q.backoffUntil, q.connHoldUntil)
 }
@@ -86,7 +88,8 @@
 	}
 }
 
-// deactivateQueues drops the queues that have nothing to do from the active ones, and removes routes that have left the list.
+// deactivateQueues drops the queues that have nothing to do from the active ones, and removes
+// routes that have left the list.
 func (d *Dispatcher) deactivateQueues() {
 	d.activeQueues = slices.DeleteFunc(d.activeQueues, func(q *queue) bool {
 		q.active = len(q.queued) > 0 || len(q.inFlight) > 0
--- a/policy/rate_control.go
+++ b/policy/rate_control.go
@@ -8,26 +8,29 @@
 const (
 	// rateIncrease of itself is added to a send rate by a success that found messages queued.
 	rateIncrease = 0.1
-	// rateDecrease is what a rejection cuts a send rate to: with rateIncrease, about one rejected call in eight where the limit
-	// binds all the time.
+	// rateDecrease is what a rejection cuts a send rate to: with rateIncrease, about one rejected
+	// call in eight where the limit binds all the time.
 	rateDecrease = 0.8
-	// maxIncreasesPerSecond bounds the increases, however many calls succeed: a destination that takes many would be overrun within
-	// a second, and rejected calls count against its limit.
+	// maxIncreasesPerSecond bounds the increases, however many calls succeed: a destination that
+	// takes many would be overrun within a second, and rejected calls count against its limit.
 	maxIncreasesPerSecond = 10
-	// minShareOfEven is the least part of its even share that a send rate falls to: a rough weight that is half too high is met by
-	// two thirds.
+	// minShareOfEven is the least part of its even share that a send rate falls to: a rough weight
+	// that is half too high is met by two thirds.
 	minShareOfEven = 0.7
-	// minCallsPerSpan is where a send rate starts at least: where the even share is less, relays have calls by chance, and
-	// rejections tell sooner than shares how much the others leave. Each halves what is above.
+	// minCallsPerSpan is where a send rate starts at least: where the even share is less, relays
+	// have calls by chance, and rejections tell sooner than shares how much the others leave. Each
+	// halves what is above.
 	minCallsPerSpan = 0.5
-	// countingSpan of the send rate may be sent at once: destinations count calls in spans of about this length.
+	// countingSpan of the send rate may be sent at once: destinations count calls in spans of about
+	// this length.
 	countingSpan = time.Second
 )
 
 // minStartRate returns the least send rate that a queue starts with, in calls per second.
 func minStartRate() float64 { return minCallsPerSpan / countingSpan.Seconds() }
 
-// setListedRate applies the rate that a queue's destination is listed with. The send rate starts anew where it has changed.
+// setListedRate applies the rate that a queue's destination is listed with. The send rate starts
+// anew where it has changed.
 func (d *Dispatcher) setListedRate(q *queue, rate float64) {
 	if d.settings.Weights == WeightsOff || !(rate > 0) || math.IsInf(rate, 0) || rate == q.listedRate {
 		return
@@ -42,7 +45,8 @@
 	return q.totalRate() / float64(d.settings.Instances)
 }
 
-// totalRate returns the calls per second that a queue's destination takes from all relays just now; 0 for unknown.
+// totalRate returns the calls per second that a queue's destination takes from all relays just now;
+// 0 for unknown.
 func (q *queue) totalRate() float64 {
 	if q.reportedLimit > 0 && q.reportedLimit < loweredLimitShare*q.listedRate {
 		return q.reportedLimit
@@ -50,7 +54,8 @@
 	return q.listedRate
 }
 
-// lowTraffic reports whether a second trial request is more than this relay's part of what a cold destination takes.
+// lowTraffic reports whether a second trial request is more than this relay's part of what a cold
+// destination takes.
 func (d *Dispatcher) lowTraffic(q *queue) bool {
 	return q.listedRate > 0 && d.evenShare(q)*countingSpan.Seconds() < minCallsPerSpan
 }
--- a/policy/rate_control_test.go
+++ b/policy/rate_control_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestSendRate_FallsOnRejectionAndRisesOnSuccess guards against a send rate that rejections lower for good, and
-// against one that rises although the destination reports that its allowance is used up.
+// TestSendRate_FallsOnRejectionAndRisesOnSuccess guards against a send rate that rejections lower
+// for good, and against one that rises although the destination reports that its allowance is used
+// up.
 func TestSendRate_FallsOnRejectionAndRisesOnSuccess(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 4
@@ -31,8 +32,8 @@
 	}
 }
 
-// TestSendRate_StartsAtEvenShareOrMinimum guards against a send rate that starves relays whose even share is
-// a call in many seconds.
+// TestSendRate_StartsAtEvenShareOrMinimum guards against a send rate that starves relays whose even
+// share is a call in many seconds.
 func TestSendRate_StartsAtEvenShareOrMinimum(t *testing.T) {
 	for _, tt := range []struct {
 		relays int
@@ -47,7 +48,8 @@
 	}
 }
 
-// A rate that is absent, not a number or negative is none: there is no send rate then, and what was known before stays.
+// A rate that is absent, not a number or negative is none: there is no send rate then, and what was
+// known before stays.
 func TestListedRate_IgnoresUnusableRates(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 80
@@ -64,7 +66,8 @@
 	}
 }
 
-// The send rate of a destination that takes many calls rises no faster in a second than that of one that takes few.
+// The send rate of a destination that takes many calls rises no faster in a second than that of one
+// that takes few.
 func TestSendRate_BoundedIncreasePerSecond(t *testing.T) {
 	for _, rate := range []float64{8, 80, 800} {
 		s := testSettings()
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -1,7 +1,8 @@
 package policy
 
-// recoverMessage puts a message that an earlier process accepted back into its queue, with the attempts made for it. One whose
-// outcome is decided blocks its order key until that is acknowledged.
+// recoverMessage puts a message that an earlier process accepted back into its queue, with the
+// attempts made for it. One whose outcome is decided blocks its order key until that is
+// acknowledged.
 func (d *Dispatcher) recoverMessage(m *message) {
 	if m.OutcomeDecided {
 		d.completeWithNotice(m)
@@ -42,8 +43,8 @@
 	m.attempts = append(m.attempts, a)
 }
 
-// unlistedEndpoint returns an endpoint that has left the list. Its zone is not known any more: a repeat that has to stay in that
-// zone has nowhere to go.
+// unlistedEndpoint returns an endpoint that has left the list. Its zone is not known any more: a
+// repeat that has to stay in that zone has nowhere to go.
 func (d *Dispatcher) unlistedEndpoint(id string, destination int) *endpoint {
 	return &endpoint{
 		Endpoint:      Endpoint{ID: id, Destination: destination, Zone: unknownZone, Removed: true},
@@ -52,8 +53,8 @@
 	}
 }
 
-// recoverHealth restores an endpoint's outage or slow start from an earlier process, so that a restart in the middle of either
-// does not send to a cold destination as to a warm one.
+// recoverHealth restores an endpoint's outage or slow start from an earlier process, so that a
+// restart in the middle of either does not send to a cold destination as to a warm one.
 func (d *Dispatcher) recoverHealth(e HealthRecovered) {
 	ep := d.endpoints[e.Endpoint]
 	switch {
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -14,9 +14,10 @@
 	maxBackoff = time.Second
 )
 
-// recordRejection learns from a rejection by the destination: it lowers the send rate and begins a backoff. A run of rejections is
-// a destination that is unavailable. A rejection of the connection, before the rate limit was looked at, says nothing of the limit:
-// it leaves the send rate and holds back new connections only.
+// recordRejection learns from a rejection by the destination: it lowers the send rate and begins a
+// backoff. A run of rejections is a destination that is unavailable. A rejection of the connection,
+// before the rate limit was looked at, says nothing of the limit: it leaves the send rate and holds
+// back new connections only.
 func (d *Dispatcher) recordRejection(q *queue, ofConnection bool) {
 	if q.rejections++; q.rejections == 1 {
 		q.firstRejection = d.now
@@ -38,9 +39,9 @@
 	}
 }
 
-// rejectionBackoff returns the seconds to wait after a rejection: twice as long for each in a row, since rejected calls may count
-// against the limit, and at random within half to three halves of that, so that relays that were rejected together do not come back
-// together.
+// rejectionBackoff returns the seconds to wait after a rejection: twice as long for each in a row,
+// since rejected calls may count against the limit, and at random within half to three halves of
+// that, so that relays that were rejected together do not come back together.
 func (d *Dispatcher) rejectionBackoff(q *queue) float64 {
 	first := math.Max(minBackoff.Seconds(), q.latency.mean)
 	if q.sendRate > 0 {
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against losing a Retry-After that comes with the first of
-// several outcomes of one call.
+// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against losing a Retry-After that comes with
+// the first of several outcomes of one call.
 func TestRetryAfter_HoldsFromFirstOutcomeOfBatch(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: 1})
 	wantActions(t, "one call", d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)}), "m>a n>a")
@@ -30,8 +30,9 @@
 	wantActions(t, "before Retry-After has passed", got, "")
 }
 
-// Attempts to a destination that answers with Retry-After are cancelled where they have not left: they did not execute, and are
-// retried after that time. Calls to others, and rejections without Retry-After, cancel nothing.
+// Attempts to a destination that answers with Retry-After are cancelled where they have not left:
+// they did not execute, and are retried after that time. Calls to others, and rejections without
+// Retry-After, cancel nothing.
 func TestRetryAfter_CancelsBeforeSend(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -74,7 +75,8 @@
 	}
 }
 
-// TestRejection_BackoffIsRandomized guards against relays that are rejected together and come back together.
+// TestRejection_BackoffIsRandomized guards against relays that are rejected together and come back
+// together.
 func TestRejection_BackoffIsRandomized(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Weights = 400, WeightsNominal
@@ -93,7 +95,8 @@
 	}
 }
 
-// Calls that were in flight together and are rejected together are one rejection: all were sent before the first outcome.
+// Calls that were in flight together and are rejected together are one rejection: all were sent
+// before the first outcome.
 func TestRejection_CallsRejectedTogetherCountOnce(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
@@ -134,8 +137,8 @@
 	}
 }
 
-// A destination that reports its limit and rejects without a report has no connection left: the send rate stays, and a run of such
-// rejections is a destination that is unavailable all the same.
+// A destination that reports its limit and rejects without a report has no connection left: the
+// send rate stays, and a run of such rejections is a destination that is unavailable all the same.
 func TestRejection_OfConnectionLeavesSendRate(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -21,7 +21,8 @@
 	return d.now < d.keyExpiry(m)
 }
 
-// keyExpiry returns when a destination may have forgotten the idempotency key of a message that may have executed there.
+// keyExpiry returns when a destination may have forgotten the idempotency key of a message that may
+// have executed there.
 func (d *Dispatcher) keyExpiry(m *message) time.Duration {
 	return m.firstExecuted().sent + m.terms.KeyTTL - 2*d.settings.BatchInterval
 }
@@ -36,8 +37,8 @@
 	return true
 }
 
-// afterAttempt decides what becomes of a message after one of its attempts: it is complete, waits for another attempt in flight,
-// is given up, or is queued for a retry.
+// afterAttempt decides what becomes of a message after one of its attempts: it is complete, waits
+// for another attempt in flight, is given up, or is queued for a retry.
 func (d *Dispatcher) afterAttempt(m *message, e AttemptEnded) {
 	switch {
 	case e.Final || e.Outcome == Succeeded:
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -48,8 +48,8 @@
 	wantActions(t, "key expired", got, "reject m")
 }
 
-// Where only the zone of the first attempt drops repeats, a message that may have executed at an endpoint which has left the list is
-// not sent after a restart: that zone is not known any more.
+// Where only the zone of the first attempt drops repeats, a message that may have executed at an
+// endpoint which has left the list is not sent after a restart: that zone is not known any more.
 func TestRetry_KeyPerZoneAndUnknownZone(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].KeyPerZone = true
@@ -75,7 +75,8 @@
 	}
 }
 
-// A retry of a message that may have executed has to leave before its idempotency key expires, however late its connection comes up.
+// A retry of a message that may have executed has to leave before its idempotency key expires,
+// however late its connection comes up.
 func TestRetry_WriteWithinKeyTTL(t *testing.T) {
 	const latency = 500 * ms
 	for _, tt := range []struct {
--- a/policy/route_selection.go
+++ b/policy/route_selection.go
@@ -9,7 +9,8 @@
 // maxExpectedSeconds bounds an expected latency, so that it fits into a time.Duration.
 const maxExpectedSeconds = 1e6
 
-// selectRoute returns the queue for a message. Among separate routes it is the one with the least cost.
+// selectRoute returns the queue for a message. Among separate routes it is the one with the least
+// cost.
 func (d *Dispatcher) selectRoute(m *message) *queue {
 	queues := d.destination(m.Destination).queues
 	best, least := queues[0], math.Inf(1)
@@ -25,8 +26,9 @@
 	return best
 }
 
-// routeCost returns the cost that a message adds on a route, in the manner of the paper's rule (25): the value lost by lateness,
-// the work left (priced so that a whole deadline of it costs one message) and the fee of the route's zone.
+// routeCost returns the cost that a message adds on a route, in the manner of the paper's rule
+// (25): the value lost by lateness, the work left (priced so that a whole deadline of it costs one
+// message) and the fee of the route's zone.
 func (d *Dispatcher) routeCost(q *queue, m *message) float64 {
 	latency := d.backlog(q) + math.Max(q.latency.byClass[m.Class], d.agedLatency(q))
 	timeLeft := m.deadline - d.now - time.Duration(math.Min(latency, maxExpectedSeconds)*float64(time.Second))
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -247,8 +247,9 @@
 	return nil
 }
 
-// outage checks the calls to an endpoint that only fails against this relay's part of what a cold destination bears, with room for
-// one call per endpoint, one that another endpoint's recovery brings forward and two by chance.
+// outage checks the calls to an endpoint that only fails against this relay's part of what a cold
+// destination bears, with room for one call per endpoint, one that another endpoint's recovery
+// brings forward and two by chance.
 func (c *checker) outage(p *endpointHistory) error {
 	const certain = 5 // consecutive failures that no chance explains
 	if c.failures[p.ID] < certain {
--- a/policy/rules_generator_test.go
+++ b/policy/rules_generator_test.go
@@ -75,7 +75,8 @@
 	return policy.EndpointsChanged{Full: full, Endpoints: changed}
 }
 
-// batch moves the clock to the next time at which something is due and returns the events of that time.
+// batch moves the clock to the next time at which something is due and returns the events of that
+// time.
 func (g *generator) batch() []policy.Event {
 	at := g.now + time.Duration(1+g.random.Intn(60))*5*time.Millisecond
 	for _, t := range g.timers {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// TestHandle_InterleavedDispatchers feeds two dispatchers in turns with the events of one that runs alone.
+// TestHandle_InterleavedDispatchers feeds two dispatchers in turns with the events of one that runs
+// alone.
 func TestHandle_InterleavedDispatchers(t *testing.T) {
 	s := drawSettings(rand.New(rand.NewSource(3)))
 	feed := func(d *policy.Dispatcher, i int) []policy.Action {
@@ -118,7 +119,8 @@
 	}
 }
 
-// TestChecker_CatchesViolations shows for each rule a sequence that breaks it and that the checker catches.
+// TestChecker_CatchesViolations shows for each rule a sequence that breaks it and that the checker
+// catches.
 func TestChecker_CatchesViolations(t *testing.T) {
 	s := drawSettings(rand.New(rand.NewSource(1)))
 	s.Hedging, s.Instances, s.OrderKeyCooldown = false, 2, 0
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -17,36 +17,48 @@
 
 // DestinationKind is one kind of destination.
 type DestinationKind struct {
-	// SeparateRoutes says that each endpoint is a route of its own, with its own rate limit, send rate and outages. Otherwise the
-	// endpoints of a destination share all of these.
+	// SeparateRoutes says that each endpoint is a route of its own, with its own rate limit, send
+	// rate and outages. Otherwise the endpoints of a destination share all of these.
 	SeparateRoutes bool
 	MaxBatch       int // most messages in one call
 }
 
 // Settings is the configuration of a Dispatcher.
 type Settings struct {
-	Instances        int // relays that share the traffic, this one included
-	Zone             int // zone of this relay, as in Endpoint
-	Classes          []Class
-	Kinds            []DestinationKind
-	ZoneCost         []float64 // by zone: cost of sending all messages by routes of that zone, as a fraction of their priority weight
-	MaxInFlight      int       // most calls in flight at once
-	MaxQueued        int       // most unfinished messages, queued or in flight
-	MaxAttempts      int       // most attempts of one message
-	Hedging          bool      // two attempts of a message may be in flight at once
-	CanCancel        bool      // a call in flight can be cancelled
-	WatchEndpoints   bool      // changes of the endpoint list come only after a WatchEndpoints action
-	Weights          Weights
-	BatchInterval    time.Duration // least time between two batches of events
-	MaxRetryAfter    time.Duration // longest Retry-After that a client honours
-	ColdCapacity     float64       // fraction of its capacity that a destination has right after an outage
-	SlowStartTime    time.Duration // time until it has all of its capacity again
-	OverloadFactor   float64       // a cold destination fails again when sent more than this multiple of its present capacity
-	OverloadWindow   time.Duration // for this long
-	IdleConnTimeout  time.Duration // idle connections close by themselves after this time; 0: never
-	OrderKeyCooldown time.Duration // time for which an order key is blocked after an attempt that may still be executing
-	// AwaitAcknowledgement says that outcomes take a while to reach the party they are owed to, and that an Acknowledged event tells
-	// when one has. Until then the next message with the same order key waits.
+	Instances int // relays that share the traffic, this one included
+	Zone      int // zone of this relay, as in Endpoint
+	Classes   []Class
+	Kinds     []DestinationKind
+	Weights   Weights
+	// ZoneCost is, by zone, the cost of sending all messages by routes of that zone, as a fraction
+	// of their priority weight.
+	ZoneCost []float64
+
+	MaxInFlight   int           // most calls in flight at once
+	MaxQueued     int           // most unfinished messages, queued or in flight
+	MaxAttempts   int           // most attempts of one message
+	MaxRetryAfter time.Duration // longest Retry-After that a client honours
+	BatchInterval time.Duration // least time between two batches of events
+
+	Hedging         bool          // two attempts of a message may be in flight at once
+	CanCancel       bool          // a call in flight can be cancelled
+	WatchEndpoints  bool          // list changes come only after a WatchEndpoints action
+	IdleConnTimeout time.Duration // idle connections close by themselves after this; 0: never
+
+	// A destination has ColdCapacity, a fraction of its capacity, right after an outage, and all of
+	// it after SlowStartTime. It fails again when it gets more than OverloadFactor times its present
+	// capacity for OverloadWindow.
+	ColdCapacity   float64
+	SlowStartTime  time.Duration
+	OverloadFactor float64
+	OverloadWindow time.Duration
+
+	// OrderKeyCooldown is the time for which an order key is blocked after an attempt that may still
+	// be executing.
+	OrderKeyCooldown time.Duration
+	// AwaitAcknowledgement says that outcomes take a while to reach the party they are owed to, and
+	// that an Acknowledged event tells when one has. Until then the next message with the same order
+	// key waits.
 	AwaitAcknowledgement bool
 }
 
--- a/policy/settings_change.go
+++ b/policy/settings_change.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// MergeClasses returns the table of classes after new settings: a name that was there keeps its number and gets its new terms,
-// new names follow, and what the settings no longer have stays as retired. So no class is renumbered under a message.
+// MergeClasses returns the table of classes after new settings: a name that was there keeps its
+// number and gets its new terms, new names follow, and what the settings no longer have stays as
+// retired. So no class is renumbered under a message.
 func MergeClasses(table, settings []Class) []Class {
 	merged := slices.Clone(table)
 	for i := range merged {
@@ -22,8 +23,8 @@
 	return merged
 }
 
-// applySettings replaces the settings. Accepted messages keep the terms of their class; where its idempotency is stricter now,
-// both hold.
+// applySettings replaces the settings. Accepted messages keep the terms of their class; where its
+// idempotency is stricter now, both hold.
 func (d *Dispatcher) applySettings(s Settings) {
 	d.settings = s
 	d.updateMeanPriorityWeight()
@@ -41,9 +42,10 @@
 	}
 }
 
-// stricterTerms returns the terms of class c under which an attempt must be allowed both by c and by what the settings say now.
-// A message of a class that was idempotent has no key for a destination to remember: where the class needs one now, the message
-// is repeated only if it never executed.
+// stricterTerms returns the terms of class c under which an attempt must be allowed both by c and
+// by what the settings say now. A message of a class that was idempotent has no key for a
+// destination to remember: where the class needs one now, the message is repeated only if it never
+// executed.
 func (c *Class) stricterTerms(now *Class) *Class {
 	keyTermsHold := c.Idempotency != IdempotentByKey || now.KeyTTL >= c.KeyTTL && (c.KeyPerZone || !now.KeyPerZone)
 	if now.Retired || now.Idempotency == c.Idempotency && keyTermsHold {
@@ -60,7 +62,8 @@
 	return &both
 }
 
-// growClassTables makes room for the classes that new settings brought, wherever something is stored by class.
+// growClassTables makes room for the classes that new settings brought, wherever something is
+// stored by class.
 func (d *Dispatcher) growClassTables() {
 	grow := func(byClass *[]float64) {
 		if more := len(d.settings.Classes) - len(*byClass); more > 0 {
--- a/policy/settings_change_test.go
+++ b/policy/settings_change_test.go
@@ -38,7 +38,8 @@
 	})
 }
 
-// An attempt must be allowed both by the terms under which a message was accepted and by those of the settings now.
+// An attempt must be allowed both by the terms under which a message was accepted and by those of
+// the settings now.
 func TestStricterTerms(t *testing.T) {
 	class := func(e Idempotency, ttl time.Duration, perZone bool) Class {
 		return Class{Name: "c", Deadline: 10 * time.Second, Idempotency: e, KeyTTL: ttl, KeyPerZone: perZone}
@@ -73,8 +74,8 @@
 	}
 }
 
-// New settings bind messages under way: fewer attempts end what has had them, a message keeps its class when that is retired, and a
-// new class is served beside the old ones.
+// New settings bind messages under way: fewer attempts end what has had them, a message keeps its
+// class when that is retired, and a new class is served beside the old ones.
 func TestSettingsChanged_BindsMessagesUnderWay(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
@@ -108,8 +109,8 @@
 	next.MaxAttempts = 1
 	wantActions(t, "given up", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "reject h")
 
-	// A class that was idempotent and is not now: a message that was in flight under it and may have executed is neither sent again nor
-	// rejected.
+	// A class that was idempotent and is not now: a message that was in flight under it and may
+	// have executed is neither sent again nor rejected.
 	d = newDispatcher(t, s, Endpoint{ID: "a"})
 	d.Handle(now, []Event{arrival("m", 0)})
 	next = s
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// recoverySafety is the share used of what a cold destination bears by the settings: the rest is for other relays' uneven
-	// shares and for chance.
+	// recoverySafety is the share used of what a cold destination bears by the settings: the rest
+	// is for other relays' uneven shares and for chance.
 	recoverySafety = 0.8
-	// lowTrafficSafety is that share where many relays have less than a call each in OverloadWindow: with second trial requests of
-	// half of those rejected, it never reaches two thirds of what overloads the destination.
+	// lowTrafficSafety is that share where many relays have less than a call each in
+	// OverloadWindow: with second trial requests of half of those rejected, it never reaches two
+	// thirds of what overloads the destination.
 	lowTrafficSafety = 0.42
 	// recoveryBurstShare of the calls that OverloadWindow allows may be sent at once.
 	recoveryBurstShare = 1.0 / 3
@@ -37,7 +38,8 @@
 	}
 }
 
-// recoveryTokens returns how many calls to an endpoint that is unhealthy or in slow start are allowed now.
+// recoveryTokens returns how many calls to an endpoint that is unhealthy or in slow start are
+// allowed now.
 func (d *Dispatcher) recoveryTokens(ep *endpoint) float64 {
 	d.endSlowStart(ep)
 	rate := d.recoveryRate(ep, d.timeSinceRecovery(ep))
@@ -45,7 +47,8 @@
 	return ep.recoveryBucket.refill(d.now, rate, burst)
 }
 
-// consumeRecoveryToken takes the token for a call to an endpoint that is unhealthy or in slow start.
+// consumeRecoveryToken takes the token for a call to an endpoint that is unhealthy or in slow
+// start.
 func (d *Dispatcher) consumeRecoveryToken(ep *endpoint) {
 	if ep.health != healthy {
 		d.recoveryTokens(ep)
@@ -53,7 +56,8 @@
 	}
 }
 
-// timeSinceRecovery returns how long an endpoint has been back from its outage, SlowStartTime at most; 0 while it is unhealthy.
+// timeSinceRecovery returns how long an endpoint has been back from its outage, SlowStartTime at
+// most; 0 while it is unhealthy.
 func (d *Dispatcher) timeSinceRecovery(ep *endpoint) time.Duration {
 	if ep.health.isUnhealthy() {
 		return 0
@@ -61,9 +65,9 @@
 	return min(d.now-ep.recoveredAt, d.settings.SlowStartTime)
 }
 
-// recoveryRate returns the calls per second that this relay may make to an endpoint that has been back for so long: its part of
-// what a destination bears after an outage by the settings. Where no rate is listed, that is one call per OverloadWindow of full
-// capacity.
+// recoveryRate returns the calls per second that this relay may make to an endpoint that has been
+// back for so long: its part of what a destination bears after an outage by the settings. Where no
+// rate is listed, that is one call per OverloadWindow of full capacity.
 func (d *Dispatcher) recoveryRate(ep *endpoint, back time.Duration) float64 {
 	capacity := 1.0
 	if d.settings.SlowStartTime > 0 {
@@ -81,8 +85,9 @@
 	return allRelays / float64(d.settings.Instances*max(1, len(ep.queue.endpoints)))
 }
 
-// initialRecoveryTokens returns what a recovery rate of less than a call per OverloadWindow starts with: a random part of a call, so
-// that of many relays with a call in a minute each some try at any time, and the total is what the settings allow.
+// initialRecoveryTokens returns what a recovery rate of less than a call per OverloadWindow starts
+// with: a random part of a call, so that of many relays with a call in a minute each some try at
+// any time, and the total is what the settings allow.
 func (d *Dispatcher) initialRecoveryTokens(ep *endpoint) float64 {
 	return math.Max(0, d.random.Float64()-d.recoveryRate(ep, d.timeSinceRecovery(ep))*d.settings.OverloadWindow.Seconds())
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestOutage_TrialRequestsWithinRecoveryRate plays each kind of outage: trial requests stay within the recovery rate.
+// TestOutage_TrialRequestsWithinRecoveryRate plays each kind of outage: trial requests stay within
+// the recovery rate.
 func TestOutage_TrialRequestsWithinRecoveryRate(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestSlowStart_SuccessAllowsTrialOfSiblings guards against slow detection of a recovery: outages mostly
-// end for a whole destination.
+// TestSlowStart_SuccessAllowsTrialOfSiblings guards against slow detection of a recovery: outages
+// mostly end for a whole destination.
 func TestSlowStart_SuccessAllowsTrialOfSiblings(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Snapshot is what a dispatcher has learned of its destinations, for the process that takes its place. Times are those of its clock,
-// which the two processes share. The JSON names are those of the stored form.
+// Snapshot is what a dispatcher has learned of its destinations, for the process that takes its
+// place. Times are those of its clock, which the two processes share. The JSON names are those of
+// the stored form.
 type Snapshot struct {
 	Queues          []QueueSnapshot         `json:"queues"`
 	Endpoints       []EndpointSnapshot      `json:"endpoints"`
@@ -36,7 +37,8 @@
 	StartedAt time.Duration `json:"since,omitempty"`
 }
 
-// QueueSnapshot is what is known of a destination, or of the route of it that is named by its endpoint.
+// QueueSnapshot is what is known of a destination, or of the route of it that is named by its
+// endpoint.
 type QueueSnapshot struct {
 	Destination        int             `json:"destination"`
 	Route              string          `json:"route,omitempty"`
@@ -88,7 +90,8 @@
 			s.KeyCooldowns = append(s.KeyCooldowns, KeyCooldownSnapshot{Key: m.OrderKey, Until: m.cooldownUntil})
 		}
 	}
-	for _, number := range slices.Sorted(maps.Keys(d.destinations)) { // in order: the same state gives the same snapshot
+	// In order: the same state gives the same snapshot.
+	for _, number := range slices.Sorted(maps.Keys(d.destinations)) {
 		for _, q := range d.destinations[number].queues {
 			s.Queues = append(s.Queues, q.snapshot(number))
 		}
@@ -161,8 +164,9 @@
 	}
 }
 
-// restoreSnapshot takes over what the preceding process had learned; the endpoint list comes before it. What it names and the list
-// does not have any more is left out, but for a destination's backoff and Retry-After: they hold for whatever endpoint comes next.
+// restoreSnapshot takes over what the preceding process had learned; the endpoint list comes before
+// it. What it names and the list does not have any more is left out, but for a destination's
+// backoff and Retry-After: they hold for whatever endpoint comes next.
 func (d *Dispatcher) restoreSnapshot(s *Snapshot) {
 	d.unansweredShare = s.UnansweredShare
 	for _, cooldown := range s.KeyCooldowns {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// An order key that is blocked after a completed message stays blocked in the next process, and a message whose outcome is decided
-// blocks its key there until that is acknowledged.
+// An order key that is blocked after a completed message stays blocked in the next process, and a
+// message whose outcome is decided blocks its key there until that is acknowledged.
 func TestSnapshot_CarriesKeyCooldowns(t *testing.T) {
 	s := testSettings()
 	s.OrderKeyCooldown, s.AwaitAcknowledgement = 2*time.Second, true
--- a/policy/stuck_attempts.go
+++ b/policy/stuck_attempts.go
@@ -8,22 +8,26 @@
 
 // The following factors count usual latencies of a call; see overdueAt.
 const (
-	// unresponsiveFactor without an outcome make an endpoint unresponsive, and a call that a later one has overtaken lost.
+	// unresponsiveFactor without an outcome make an endpoint unresponsive, and a call that a later
+	// one has overtaken lost.
 	unresponsiveFactor = 6
-	// stuckFactor make a call stuck where its slot is wanted and overdue calls, mostly, are never answered.
+	// stuckFactor make a call stuck where its slot is wanted and overdue calls, mostly, are never
+	// answered.
 	stuckFactor = 3
-	// lastAttemptFactor times as long is waited before a call is cancelled whose message then fails: a slot serves a message worth
-	// as much in each mean latency.
+	// lastAttemptFactor times as long is waited before a call is cancelled whose message then
+	// fails: a slot serves a message worth as much in each mean latency.
 	lastAttemptFactor = 2
-	// mostlyUnanswered is the share of overdue calls without a success above which stuckFactor holds.
+	// mostlyUnanswered is the share of overdue calls without a success above which stuckFactor
+	// holds.
 	mostlyUnanswered = 0.5
 )
 
-// cancelStuck cancels calls that are in flight far longer than usual, so that their messages can be sent again. It guards against
-// lost calls and answers, and against hangs that fill the slots, whatever the cause. It costs the work of a call that was merely
-// slow, so calls are cancelled later with each attempt, and those that no later call has overtaken only for want of a slot. A call
-// that may not be repeated is cancelled for want of a slot alone, lastAttemptFactor times as late: its message fails, but the slot
-// serves others.
+// cancelStuck cancels calls that are in flight far longer than usual, so that their messages can be
+// sent again. It guards against lost calls and answers, and against hangs that fill the slots,
+// whatever the cause. It costs the work of a call that was merely slow, so calls are cancelled
+// later with each attempt, and those that no later call has overtaken only for want of a slot. A
+// call that may not be repeated is cancelled for want of a slot alone, lastAttemptFactor times as
+// late: its message fails, but the slot serves others.
 func (d *Dispatcher) cancelStuck() {
 	if !d.settings.CanCancel {
 		return
@@ -67,8 +71,9 @@
 	return d.now >= d.overdueAt(c, factor)
 }
 
-// cancelFactor returns the number of usual latencies after which a call that may be repeated is cancelled for want of a slot: fewer
-// where overdue calls have mostly not been answered at all (loss, hangs) than where they have (slowness, heavy work).
+// cancelFactor returns the number of usual latencies after which a call that may be repeated is
+// cancelled for want of a slot: fewer where overdue calls have mostly not been answered at all
+// (loss, hangs) than where they have (slowness, heavy work).
 func (d *Dispatcher) cancelFactor() float64 {
 	if d.unansweredShare > mostlyUnanswered {
 		return stuckFactor
@@ -86,15 +91,16 @@
 	}
 }
 
-// openAttemptOf returns the number of a message's last attempt, if that is in flight as part of a call.
+// openAttemptOf returns the number of a message's last attempt, if that is in flight as part of a
+// call.
 func (m *message) openAttemptOf(c *call) (number int, ok bool) {
 	last := len(m.attempts) - 1
 	a := &m.attempts[last]
 	return last, a.call == c && a.state == attemptInFlight
 }
 
-// overdueAt returns when a call has been in flight for so many usual latencies, doubled with each earlier attempt of its message;
-// never where no latency is known.
+// overdueAt returns when a call has been in flight for so many usual latencies, doubled with each
+// earlier attempt of its message; never where no latency is known.
 func (d *Dispatcher) overdueAt(c *call, factor float64) time.Duration {
 	usual := math.Max(c.endpoint.queue.latency.mean, c.endpoint.lastLatency)
 	for _, m := range c.messages {
--- a/policy/stuck_attempts_test.go
+++ b/policy/stuck_attempts_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCancelStuck_LostCallIsRetried guards against single lost calls: one that a later call has overtaken is cancelled; one
-// that nothing has overtaken stays while slots are free.
+// TestCancelStuck_LostCallIsRetried guards against single lost calls: one that a later call has
+// overtaken is cancelled; one that nothing has overtaken stays while slots are free.
 func TestCancelStuck_LostCallIsRetried(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
@@ -33,7 +33,8 @@
 	wantActions(t, "one is wanted", d.Handle(1000*ms, []Event{at("o", 2)}), "cancel m/0")
 }
 
-// TestCancelFactor_LowerWhereMostlyUnanswered guards against slots lost to calls that will never be answered.
+// TestCancelFactor_LowerWhereMostlyUnanswered guards against slots lost to calls that will never be
+// answered.
 func TestCancelFactor_LowerWhereMostlyUnanswered(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	if got := d.cancelFactor(); got != unresponsiveFactor {
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestCancelStuck_NonIdempotentCallOnlyForWantedSlot guards against lost answers to calls that are not
-// idempotent, which filled all slots.
+// TestCancelStuck_NonIdempotentCallOnlyForWantedSlot guards against lost answers to calls that are
+// not idempotent, which filled all slots.
 func TestCancelStuck_NonIdempotentCallOnlyForWantedSlot(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight = 1
--- a/policy/terminal.go
+++ b/policy/terminal.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// complete notes that a message needs nothing more to be decided for it, and evicts it where nothing else is pending.
+// complete notes that a message needs nothing more to be decided for it, and evicts it where
+// nothing else is pending.
 func (d *Dispatcher) complete(m *message, state messageState) {
 	if m.state == messageActive {
 		m.state = state
@@ -15,8 +16,8 @@
 	d.evict(m)
 }
 
-// completeWithNotice completes a message whose terminal outcome was just given: where acknowledgements are awaited, its order key is
-// free once that is acknowledged.
+// completeWithNotice completes a message whose terminal outcome was just given: where
+// acknowledgements are awaited, its order key is free once that is acknowledged.
 func (d *Dispatcher) completeWithNotice(m *message) {
 	if d.settings.AwaitAcknowledgement && m.ordered() {
 		d.complete(m, messageUnacknowledged)
@@ -33,7 +34,8 @@
 	}
 }
 
-// evict drops a completed message that has nothing in flight, and lets the next of its order key go.
+// evict drops a completed message that has nothing in flight, and lets the next of its order key
+// go.
 func (d *Dispatcher) evict(m *message) {
 	if m.state != messageCompleted || m.openAttempts > 0 || d.coolDown(m) {
 		return
@@ -63,8 +65,9 @@
 	}
 }
 
-// expireQueued gives terminal outcomes to queued messages that have no time left for another attempt of mean latency, and to those
-// that can't be sent again any more, also since new settings allow fewer attempts.
+// expireQueued gives terminal outcomes to queued messages that have no time left for another
+// attempt of mean latency, and to those that can't be sent again any more, also since new settings
+// allow fewer attempts.
 func (d *Dispatcher) expireQueued() {
 	var expired []*message
 	for _, m := range d.unfinished {
--- a/policy/terminal_test.go
+++ b/policy/terminal_test.go
@@ -18,8 +18,8 @@
 	wantActions(t, "late outcome", d.Handle(at+ms, []Event{AttemptEnded{ID: "m", Outcome: Succeeded}}), "")
 }
 
-// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and can't end in
-// time.
+// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and can't
+// end in time.
 func TestQueuedMessage_GivenUpWithoutTimeForAttempt(t *testing.T) {
 	d := newDispatcher(t, testSettings())
 	d.Handle(0, []Event{arrival("m", 0)})
@@ -28,8 +28,9 @@
 	wantActions(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "reject m")
 }
 
-// A message whose deadline passes while its attempt is in flight gets its terminal outcome at once, and once. The call goes on: the
-// next message of its key waits for the outcome, and a Retry-After with it binds the others.
+// A message whose deadline passes while its attempt is in flight gets its terminal outcome at once,
+// and once. The call goes on: the next message of its key waits for the outcome, and a Retry-After
+// with it binds the others.
 func TestDeadlineExceeded_WhileAttemptInFlight(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -25,7 +25,8 @@
 	for _, m := range d.coolingDown {
 		due.add(m.cooldownUntil)
 	}
-	// A clock with coarser steps than ours may fire a little before the time: that timer is used up.
+	// A clock with coarser steps than ours may fire a little before the time: that timer is used
+	// up.
 	usedUp := d.timerAt < d.now+d.settings.BatchInterval
 	if due.first < never && (usedUp || due.first < d.timerAt) {
 		d.timerAt = due.first
@@ -60,7 +61,8 @@
 	}
 }
 
-// addNextSends adds when Retry-After, backoff, the send rate and endpoint health let a queue send again.
+// addNextSends adds when Retry-After, backoff, the send rate and endpoint health let a queue send
+// again.
 func (d *Dispatcher) addNextSends(due *dueTime, q *queue) {
 	at := max(q.pausedUntil(), d.now)
 	if q.sendRate > 0 && d.sendTokens(q) < 1 {
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTimer_NotArmedWhileWaitingForSlot guards against a timer for each batch while a queue with a token waits for a
-// slot.
+// TestTimer_NotArmedWhileWaitingForSlot guards against a timer for each batch while a queue with a
+// token waits for a slot.
 func TestTimer_NotArmedWhileWaitingForSlot(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight, s.Weights = 1, WeightsNominal
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestTimer_RearmedAfterFiringEarly guards against a clock of coarser steps that uses up the only timer for a
-// message.
+// TestTimer_RearmedAfterFiringEarly guards against a clock of coarser steps that uses up the only
+// timer for a message.
 func TestTimer_RearmedAfterFiringEarly(t *testing.T) {
 	d := newDispatcher(t, testSettings())
 	got := d.Handle(0, []Event{arrival("m", 0)})
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// tokenBucket holds tokens that come at a rate, up to a depth. Its zero value is empty. Tokens may be negative: a debt.
+// tokenBucket holds tokens that come at a rate, up to a depth. Its zero value is empty. Tokens may
+// be negative: a debt.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
@@ -18,7 +19,8 @@
 	return b.tokens
 }
 
-// refillTime returns the time in which so many tokens come at a rate, rounded up, and an hour at most.
+// refillTime returns the time in which so many tokens come at a rate, rounded up, and an hour at
+// most.
 func refillTime(tokens, rate float64) time.Duration {
 	const mostSeconds = 3600
 	return time.Duration(math.Min(mostSeconds, math.Max(0, tokens)/rate)*float64(time.Second)) + time.Microsecond
