--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -27,12 +27,12 @@
 		d.cancelBeforeSend(q.inFlight, c)
 	}
 	if c.open--; c.open == 0 {
-		d.callEnded(c, m, e)
+		d.callEnded(c, m, &e)
 	}
 	if e.Outcome == TimedOut || e.Outcome == ConnectionReset || e.Outcome == Canceled {
 		m.cooldownUntil = d.now + d.settings.OrderKeyCooldown // it may still be executing
 	}
-	d.afterAttempt(m, e)
+	d.afterAttempt(m, &e)
 }
 
 // notExecuted reports whether an outcome proves that the attempt did not execute.
@@ -41,7 +41,7 @@
 }
 
 // callEnded frees the slot of a call whose last message has its outcome.
-func (d *Dispatcher) callEnded(c *call, m *message, e AttemptEnded) {
+func (d *Dispatcher) callEnded(c *call, m *message, e *AttemptEnded) {
 	ep := c.endpoint
 	d.inFlight--
 	ep.inFlight = remove(ep.inFlight, c)
@@ -54,13 +54,16 @@
 
 // recordOutcome learns from the outcome of a call. It goes by the call's own latency: a relay that
 // is short of processor time hears of outcomes late.
-func (d *Dispatcher) recordOutcome(c *call, m *message, e AttemptEnded) {
+func (d *Dispatcher) recordOutcome(c *call, m *message, e *AttemptEnded) {
 	ep, q := c.endpoint, c.endpoint.queue
-	if e.Latency <= 0 {
-		e.Latency = d.now - c.sent
+	duration := e.Latency
+	if duration <= 0 {
+		duration = d.now - c.sent
+	}
+	latency := min(duration, m.terms.Deadline).Seconds()
+	if c.sent+duration >= d.overdueAt(c, stuckFactor) {
+		d.recordOverdue(e.Outcome)
 	}
-	latency := min(e.Latency, m.terms.Deadline).Seconds()
-	d.recordOverdue(c, e)
 	switch e.Outcome {
 	case Succeeded:
 		ep.latestSuccessSent, ep.lastLatency = max(ep.latestSuccessSent, c.sent), latency
@@ -87,12 +90,9 @@
 }
 
 // recordOverdue counts an overdue call by whether it succeeded after all.
-func (d *Dispatcher) recordOverdue(c *call, e AttemptEnded) {
-	if c.sent+e.Latency < d.overdueAt(c, stuckFactor) {
-		return
-	}
+func (d *Dispatcher) recordOverdue(outcome Outcome) {
 	d.unansweredShare *= 1 - latencyGain
-	if e.Outcome != Succeeded {
+	if outcome != Succeeded {
 		d.unansweredShare += latencyGain
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -39,7 +39,7 @@
 
 // afterAttempt decides what becomes of a message after one of its attempts: it is complete, waits
 // for another attempt in flight, is given up, or is queued for a retry.
-func (d *Dispatcher) afterAttempt(m *message, e AttemptEnded) {
+func (d *Dispatcher) afterAttempt(m *message, e *AttemptEnded) {
 	switch {
 	case e.Final || e.Outcome == Succeeded:
 		d.complete(m, messageCompleted)
