--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -6,13 +6,9 @@
 	"time"
 )
 
-func background(id string, class int) Event {
-	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Background: true}
-}
-
-// A background message goes where nothing else is wanted, and is refused at once where anything is.
-func TestBackgroundGoesOnlyWhereNothingIsWanted(t *testing.T) {
-	s := plain()
+// A background message is sent where capacity is spare, and rejected at once where it is not.
+func TestBackground_AdmittedOnlyToSpareCapacity(t *testing.T) {
+	s := testSettings()
 	s.MaxInFlight = 16
 	ep := Endpoint{ID: "a"}
 	other := Endpoint{ID: "b", Destination: 1}
@@ -24,29 +20,31 @@
 		send   Event
 		want   string
 	}{
-		"all is idle":          {func(*Dispatcher) {}, background("m", 0), "m>a"},
-		"one is out already":   {func(d *Dispatcher) { d.Handle(ms, []Event{background("n", 0)}) }, background("m", 0), "refuse m"},
-		"one is out elsewhere": {func(d *Dispatcher) { d.Handle(ms, []Event{background("n", 0)}) }, to("m", 1), "m>b"},
-		"an eighth has them":   {func(d *Dispatcher) { d.Handle(ms, []Event{to("n", 0), to("o", 2)}) }, to("m", 1), "refuse m"},
-		"half of the slots":    {func(d *Dispatcher) { flood(d, 8) }, to("m", 1), "refuse m"},
-		"just under half":      {func(d *Dispatcher) { flood(d, 7) }, to("m", 1), "m>b"},
-		"fresh ones are held":  {func(d *Dispatcher) { flood(d, 12) }, background("m", 0), "refuse m"},
-		"a wait is on":         {func(d *Dispatcher) { fail(d, AttemptEnded{Outcome: Rejected, RetryAfter: 5 * time.Second}) }, background("m", 0), "refuse m"},
-		"it is out": {func(d *Dispatcher) {
-			fail(d, AttemptEnded{Outcome: ConnectError})
-			fail(d, AttemptEnded{Outcome: ConnectError})
-		}, background("m", 0), "refuse m"},
-		"nothing is listed":     {func(*Dispatcher) {}, to("m", 9), "refuse m"},
-		"the process is ending": {func(d *Dispatcher) { d.Handle(ms, []Event{Quiesced{}}) }, background("m", 0), "refuse m"},
+		"idle":                    {func(*Dispatcher) {}, backgroundArrival("m", 0), "m>a"},
+		"one in flight already":   {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, backgroundArrival("m", 0), "reject m"},
+		"one in flight elsewhere": {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, to("m", 1), "m>b"},
+		"an eighth of the slots":  {func(d *Dispatcher) { d.Handle(ms, []Event{to("n", 0), to("o", 2)}) }, to("m", 1), "reject m"},
+		"half of the slots":       {func(d *Dispatcher) { submitMany(d, 8) }, to("m", 1), "reject m"},
+		"just under half":         {func(d *Dispatcher) { submitMany(d, 7) }, to("m", 1), "m>b"},
+		"others are queued":       {func(d *Dispatcher) { submitMany(d, 12) }, backgroundArrival("m", 0), "reject m"},
+		"during Retry-After":      {func(d *Dispatcher) { failOne(d, AttemptEnded{Outcome: Rejected, RetryAfter: 5 * time.Second}) }, backgroundArrival("m", 0), "reject m"},
+		"unhealthy": {func(d *Dispatcher) {
+			failOne(d, AttemptEnded{Outcome: ConnectError})
+			failOne(d, AttemptEnded{Outcome: ConnectError})
+		}, backgroundArrival("m", 0), "reject m"},
+		"no endpoint is listed": {func(*Dispatcher) {}, to("m", 9), "reject m"},
+		"quiesced":              {func(d *Dispatcher) { d.Handle(ms, []Event{Quiesced{}}) }, backgroundArrival("m", 0), "reject m"},
 	} {
-		d := start(t, s, ep, other, Endpoint{ID: "c", Destination: 2})
-		c.before(d)
-		expect(t, name, d.Handle(time.Second, []Event{c.send}), c.want)
+		t.Run(name, func(t *testing.T) {
+			d := newDispatcher(t, s, ep, other, Endpoint{ID: "c", Destination: 2})
+			c.before(d)
+			wantActions(t, "background", d.Handle(time.Second, []Event{c.send}), c.want)
+		})
 	}
 }
 
-// flood has so many fresh messages arrive at destination 0.
-func flood(d *Dispatcher, n int) {
+// submitMany submits so many messages to destination 0.
+func submitMany(d *Dispatcher, n int) {
 	var events []Event
 	for i := range n {
 		events = append(events, Arrived{ID: fmt.Sprint("f", i), TimeLeft: 10 * time.Second})
@@ -54,54 +52,58 @@
 	d.Handle(ms, events)
 }
 
-// fail has a fresh message fail at destination 0, and be withdrawn.
-func fail(d *Dispatcher, e AttemptEnded) {
-	e.ID, e.Endpoint = fmt.Sprint("x", d.seq), "a"
+// failOne submits a message to destination 0, ends its attempt with e and cancels it.
+func failOne(d *Dispatcher, e AttemptEnded) {
+	e.ID, e.Endpoint = fmt.Sprint("x", d.lastSeq), "a"
 	d.Handle(d.now+ms, []Event{Arrived{ID: e.ID, TimeLeft: 10 * time.Second}})
 	d.Handle(d.now+2*ms, []Event{e, Cancelled{ID: e.ID}})
 }
 
-// It has one attempt: after that it goes back to where it came from, whatever became of it.
-func TestBackgroundHasOneAttempt(t *testing.T) {
+// A background message has one attempt: after that it goes back to where it waited, whatever the
+// outcome.
+func TestBackground_HasOneAttempt(t *testing.T) {
 	for class, outcomes := range map[int]map[Outcome]string{
-		0: {Succeeded: "", Failed: "refuse m", Rejected: "refuse m", TimedOut: "refuse m"},
-		2: {Succeeded: "", Failed: "fail m", Rejected: "refuse m", ConnectionReset: "fail m"},
+		0: {Succeeded: "", Failed: "reject m", Rejected: "reject m", TimedOut: "reject m"},
+		2: {Succeeded: "", Failed: "fail m", Rejected: "reject m", ConnectionReset: "fail m"},
 	} {
 		for outcome, want := range outcomes {
-			d := start(t, plain(), Endpoint{ID: "a"})
-			expect(t, "it goes", d.Handle(time.Second, []Event{background("m", class)}), "m>a")
-			expect(t, fmt.Sprint("class ", class, ", outcome ", outcome), d.Handle(2*time.Second,
+			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
+			wantActions(t, "sent", d.Handle(time.Second, []Event{backgroundArrival("m", class)}), "m>a")
+			wantActions(t, fmt.Sprint("class ", class, ", outcome ", outcome), d.Handle(2*time.Second,
 				[]Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: outcome, Final: outcome == Succeeded}}), want)
-			if len(d.messages) > 0 && len(d.resting) == 0 {
-				t.Errorf("class %d, outcome %d: still held", class, outcome)
+			if len(d.messages) > 0 && len(d.coolingDown) == 0 {
+				t.Errorf("class %d, outcome %d: not evicted", class, outcome)
 			}
 		}
 	}
 }
 
-// What a process left is taken up by the next: sent if it was not yet, given back if it was.
-func TestBackgroundThroughARestart(t *testing.T) {
-	d := start(t, plain(), Endpoint{ID: "a"})
+// A recovered background message is sent if it was not yet, and rejected if it was.
+func TestBackground_Recovered(t *testing.T) {
+	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	tried := []PriorAttempt{{Endpoint: "a", SentAt: ms}}
 	got := d.Handle(time.Second, []Event{
 		Arrived{ID: "new", TimeLeft: time.Second, Background: true, Recovered: true},
 		Arrived{ID: "old", TimeLeft: time.Second, Background: true, Recovered: true, PriorAttempts: tried},
 	})
-	expect(t, "a restart", got, "refuse old new>a")
+	wantActions(t, "a restart", got, "reject old new>a")
 }
 
-// A fresh message sees neither arrivals nor a copy's work of background ones: it is decided on as if there were none.
-func TestBackgroundDoesNotSwellArrivals(t *testing.T) {
-	with, without := start(t, plain(), Endpoint{ID: "a"}), start(t, plain(), Endpoint{ID: "a"})
+// Admission of other messages counts neither arrivals nor shadow backlog of background ones.
+func TestBackground_NotCountedAsArrival(t *testing.T) {
+	with, without := newDispatcher(t, testSettings(), Endpoint{ID: "a"}), newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	for i := range 200 {
 		at := time.Duration(i+1) * 20 * ms
 		id := fmt.Sprint("b", i)
-		with.Handle(at, []Event{background(id, 0)})
-		with.Handle(at+10*ms, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true, Latency: 10 * ms}})
+		with.Handle(at, []Event{backgroundArrival(id, 0)})
+		with.Handle(at+10*ms, []Event{
+			AttemptEnded{ID: id, Endpoint: "a", Outcome: Succeeded, Final: true, Latency: 10 * ms},
+		})
 		without.Handle(at, nil)
 	}
-	a, b := with.dests[0].queues[0], without.dests[0].queues[0]
-	if x, y := a.arrivals.rate(with.now), b.arrivals.rate(without.now); x != y || a.misses != b.misses || a.copyWork != b.copyWork {
-		t.Errorf("λ %v with background messages, %v without", x, y)
+	a, b := with.destinations[0].queues[0], without.destinations[0].queues[0]
+	rateWith, rateWithout := a.arrivals.rate(with.now), b.arrivals.rate(without.now)
+	if rateWith != rateWithout || a.shadowRejections != b.shadowRejections || a.shadowBacklog != b.shadowBacklog {
+		t.Errorf("arrival rate %v with background messages, %v without", rateWith, rateWithout)
 	}
 }
--- /dev/null
+++ b/policy/destination.go
@@ -0,0 +1,42 @@
+package policy
+
+// destination is where messages go. Its endpoints share one queue, or are separate routes with a
+// queue each.
+type destination struct {
+	queues []*queue // at least one; queues[0] also serves while no endpoint is listed
+}
+
+// destination returns a destination by its number.
+func (d *Dispatcher) destination(number int) *destination {
+	if d.destinations[number] == nil {
+		d.destinations[number] = &destination{}
+		d.addQueue(d.destinations[number])
+	}
+	return d.destinations[number]
+}
+
+// addQueue adds a queue to a destination.
+func (d *Dispatcher) addQueue(to *destination) *queue {
+	q := &queue{
+		destination:      to,
+		maxBatch:         1,
+		latency:          latencyStats{byClass: make([]float64, len(d.settings.Classes))},
+		sendBucket:       tokenBucket{refilledAt: d.now},
+		arrivals:         decayingCounter{startedAt: d.now},
+		shadowRejections: decayingCounter{startedAt: d.now},
+	}
+	to.queues = append(to.queues, q)
+	d.queues = append(d.queues, q)
+	return q
+}
+
+// removeIfUnused drops a queue without endpoints and work, unless it is the only one of its
+// destination.
+func (d *Dispatcher) removeIfUnused(q *queue) {
+	siblings := q.destination.queues
+	if len(q.endpoints) > 0 || q.active || siblings[0] == q && len(siblings) == 1 {
+		return
+	}
+	q.destination.queues = remove(siblings, q)
+	d.queues = remove(d.queues, q)
+}
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,55 @@
+package policy
+
+import "time"
+
+// attemptAllowed reports whether limits and order allow another attempt of a queued message now.
+func (d *Dispatcher) attemptAllowed(m *message) bool {
+	return len(m.attempts) < d.settings.MaxAttempts && d.now < m.deadline && d.inTurn(m)
+}
+
+// retryAllowed reports whether idempotency allows another attempt, at ep unless that is nil.
+func (d *Dispatcher) retryAllowed(m *message, ep *endpoint) bool {
+	first := m.firstExecuted()
+	switch {
+	case first == nil || m.terms.Idempotency == Idempotent:
+		return true
+	case m.terms.Idempotency == NotIdempotent:
+		return false
+	case ep != nil && m.terms.KeyPerZone && (first.call.endpoint.Zone != ep.Zone || ep.Zone <= unknownZone):
+		return false
+	}
+	return d.now < d.keyExpiry(m)
+}
+
+// keyExpiry returns when a destination may have forgotten the idempotency key of a message that may
+// have executed there.
+func (d *Dispatcher) keyExpiry(m *message) time.Duration {
+	return m.firstExecuted().sent + m.terms.KeyTTL - 2*d.settings.BatchInterval
+}
+
+// retryableCall reports whether every message of a call may be sent again after it.
+func (d *Dispatcher) retryableCall(c *call) bool {
+	for _, m := range c.messages {
+		if m.terms.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts || !d.retryAllowed(m, nil) {
+			return false
+		}
+	}
+	return true
+}
+
+// afterAttempt decides what becomes of a message after one of its attempts: it is complete, waits
+// for another attempt in flight, is given up, or is queued for a retry.
+func (d *Dispatcher) afterAttempt(m *message, e *AttemptEnded) {
+	switch {
+	case e.Final || e.Outcome == Succeeded:
+		d.complete(m, messageCompleted)
+	case m.state != messageActive:
+		d.evict(m)
+	case m.openAttempts > 0:
+	case m.Background, e.AttemptsExhausted, len(m.attempts) >= d.settings.MaxAttempts,
+		d.now >= m.deadline-d.settings.BatchInterval, !d.retryAllowed(m, nil):
+		d.giveUp(m)
+	default:
+		d.enqueue(d.selectRoute(m), m)
+	}
+}
--- /dev/null
+++ b/policy/settings_change_test.go
@@ -0,0 +1,125 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// The table of classes keeps every number, whatever settings come.
+func TestMergeClasses_KeepsNumbers(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		draw := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 5, rapid.ID[string])
+		var table []Class
+		number := map[string]int{}
+		for range rapid.IntRange(1, 6).Draw(t, "settings") {
+			var settings []Class
+			in := map[string]bool{}
+			for _, name := range draw.Draw(t, "classes") {
+				settings, in[name] = append(settings, Class{Name: name, Deadline: time.Second}), true
+			}
+			table = MergeClasses(table, settings)
+			for i, c := range table {
+				if n, had := number[c.Name]; had && n != i {
+					t.Fatalf("%s was number %d and is %d", c.Name, n, i)
+				}
+				number[c.Name] = i
+				if c.Retired == in[c.Name] {
+					t.Fatalf("%s: retired %v, in the settings %v", c.Name, c.Retired, in[c.Name])
+				}
+			}
+			for name := range in {
+				if _, ok := number[name]; !ok {
+					t.Fatalf("%s has no number", name)
+				}
+			}
+		}
+	})
+}
+
+// An attempt must be allowed both by the terms under which a message was accepted and by those of
+// the settings now.
+func TestStricterTerms(t *testing.T) {
+	class := func(e Idempotency, ttl time.Duration, perZone bool) Class {
+		return Class{Name: "c", Deadline: 10 * time.Second, Idempotency: e, KeyTTL: ttl, KeyPerZone: perZone}
+	}
+	s, u := class(Idempotent, 0, false), class(NotIdempotent, 0, false)
+	k5, k2 := class(IdempotentByKey, 5*time.Second, false), class(IdempotentByKey, 2*time.Second, false)
+	z5 := class(IdempotentByKey, 5*time.Second, true)
+	retired := u
+	retired.Retired = true
+	tests := []struct {
+		name           string
+		old, now, want Class
+	}{
+		{"the same", k5, k5, k5},
+		{"idempotent, by key now: it may have come without a key", s, k5, class(NotIdempotent, 0, false)},
+		{"idempotent, not now", s, u, u},
+		{"by key, not idempotent now", k5, u, class(NotIdempotent, 5*time.Second, false)},
+		{"by key, idempotent now", k5, s, k5},
+		{"not idempotent, idempotent now", u, s, u},
+		{"not idempotent, by key now", u, k5, u},
+		{"a shorter TTL", k5, k2, k2},
+		{"a longer TTL", k2, k5, k2},
+		{"per zone now", k5, z5, z5},
+		{"per zone before", z5, k5, z5},
+		{"retired", s, retired, s},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			if got := *tt.old.stricterTerms(&tt.now); got != tt.want {
+				t.Errorf("%+v, want %+v", got, tt.want)
+			}
+		})
+	}
+}
+
+// New settings bind messages under way: fewer attempts end what has had them, a message keeps its
+// class when that is retired, and a new class is served beside the old ones.
+func TestSettingsChanged_BindsMessagesUnderWay(t *testing.T) {
+	s := testSettings()
+	for i := range s.Classes {
+		s.Classes[i].Name = string(rune('a' + i))
+	}
+	d := newDispatcher(t, s, Endpoint{ID: "a"})
+	reset := func(id string, attempt int) Event {
+		return AttemptEnded{ID: id, Endpoint: "a", Attempt: attempt, Outcome: ConnectionReset}
+	}
+	now := time.Second
+	wantActions(t, "accepted", d.Handle(now, []Event{arrival("m", 0)}), "m>a")
+	wantActions(t, "retried", d.Handle(now+ms, []Event{reset("m", 0)}), "m>a")
+
+	next := s
+	next.MaxAttempts = 2
+	next.Classes = MergeClasses(s.Classes, append([]Class{{Name: "new", Deadline: 10 * time.Second, PriorityWeight: 1}}, s.Classes[1:]...))
+	if got := next.Classes[0]; !got.Retired || got.Name != s.Classes[0].Name {
+		t.Fatalf("class 0 is %+v", got)
+	}
+	added := len(next.Classes) - 1
+	wantActions(t, "new settings end nothing in flight", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "")
+	wantActions(t, "a message of a new class", d.Handle(now+3*ms, []Event{
+		Arrived{ID: "n", Class: added, TimeLeft: 5 * time.Second},
+	}), "n>a")
+	wantActions(t, "it is delivered", d.Handle(now+4*ms, []Event{ended("n", Succeeded)}), "")
+	wantActions(t, "no third attempt", d.Handle(now+5*ms, []Event{reset("m", 1)}), "reject m")
+
+	// A queued message with as many attempts as the settings now allow is given up at once.
+	d = newDispatcher(t, s, Endpoint{ID: "a"})
+	full := AttemptEnded{ID: "h", Endpoint: "a", Outcome: Rejected, RetryAfter: 5 * time.Second}
+	d.Handle(now, []Event{arrival("h", 0)})
+	wantActions(t, "queued until Retry-After", d.Handle(now+ms, []Event{full}), "")
+	next.MaxAttempts = 1
+	wantActions(t, "given up", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "reject h")
+
+	// A class that was idempotent and is not now: a message that was in flight under it and may
+	// have executed is neither sent again nor rejected.
+	d = newDispatcher(t, s, Endpoint{ID: "a"})
+	d.Handle(now, []Event{arrival("m", 0)})
+	next = s
+	strict := s.Classes[0]
+	strict.Idempotency = NotIdempotent
+	next.Classes = MergeClasses(s.Classes, append([]Class{strict}, s.Classes[1:]...))
+	d.Handle(now+ms, []Event{SettingsChanged{next}})
+	wantActions(t, "may have executed, not idempotent now", d.Handle(now+2*ms, []Event{reset("m", 0)}), "fail m")
+}
--- /dev/null
+++ b/policy/timer.go
@@ -0,0 +1,80 @@
+package policy
+
+import "time"
+
+// dueTime collects the times at which something is due, and gives the first of them.
+type dueTime struct {
+	earliest time.Duration // nothing is due before
+	first    time.Duration
+}
+
+// add adds a time at which something is due.
+func (t *dueTime) add(at time.Duration) { t.first = min(t.first, max(at, t.earliest)) }
+
+// armTimer asks for a timer when something is next due by time alone, unless one is due before.
+func (d *Dispatcher) armTimer() {
+	due := dueTime{earliest: d.now + d.settings.BatchInterval, first: never}
+	due.add(d.watchAt)
+	d.addMessagesDue(&due)
+	for _, q := range d.activeQueues {
+		d.addOverdueCalls(&due, q)
+		if len(q.queued) > 0 {
+			d.addNextSends(&due, q)
+		}
+	}
+	for _, m := range d.coolingDown {
+		due.add(m.cooldownUntil)
+	}
+	// A clock with coarser steps than ours may fire a little before the time: that timer is used
+	// up.
+	usedUp := d.timerAt < d.now+d.settings.BatchInterval
+	if due.first < never && (usedUp || due.first < d.timerAt) {
+		d.timerAt = due.first
+		d.emit(SetTimer{After: due.first - d.now})
+	}
+}
+
+// addMessagesDue adds when queued messages are given up.
+func (d *Dispatcher) addMessagesDue(due *dueTime) {
+	for _, m := range d.unfinished {
+		if m.queue == nil {
+			continue
+		}
+		due.add(d.giveUpTime(m))
+		if m.firstExecuted() != nil && m.terms.Idempotency == IdempotentByKey {
+			due.add(d.keyExpiry(m))
+		}
+	}
+}
+
+// addOverdueCalls adds when calls in flight become overdue.
+func (d *Dispatcher) addOverdueCalls(due *dueTime, q *queue) {
+	for _, c := range q.inFlight {
+		if c.cancelled {
+			continue
+		}
+		for _, factor := range []float64{stuckFactor, unresponsiveFactor, unresponsiveFactor * lastAttemptFactor} {
+			if at := d.overdueAt(c, factor); at > d.now {
+				due.add(at)
+			}
+		}
+	}
+}
+
+// addNextSends adds when Retry-After, backoff, the send rate and endpoint health let a queue send
+// again.
+func (d *Dispatcher) addNextSends(due *dueTime, q *queue) {
+	at := max(q.pausedUntil(), d.now)
+	if q.sendRate > 0 && d.sendTokens(q) < 1 {
+		at = max(at, d.now+refillTime(1-q.sendBucket.tokens, q.sendRate))
+	}
+	if at > d.now {
+		due.add(at)
+	}
+	for _, ep := range q.endpoints {
+		if ep.health != healthy && d.recoveryTokens(ep) < 1 {
+			missing := 1 - ep.recoveryBucket.tokens
+			due.add(max(at, d.now+refillTime(missing, d.recoveryRate(ep, d.timeSinceRecovery(ep)))))
+		}
+	}
+}
