--- a/cmd/frostlink-coord/folder.go
+++ b/cmd/frostlink-coord/folder.go
@@ -39,9 +39,9 @@
 				}
 			}
 			switch {
-			case cluster == "" || len(cluster) > coord.MostName-1:
-				return fmt.Errorf("--cluster: a name of 1 to %d bytes is wanted", coord.MostName-1)
-			case len(members) > coord.MostMembers || len(members)%2 == 0:
+			case cluster == "" || len(cluster) > coord.MaxNameSize-1:
+				return fmt.Errorf("--cluster: a name of 1 to %d bytes is wanted", coord.MaxNameSize-1)
+			case len(members) > coord.MaxMembers || len(members)%2 == 0:
 				return fmt.Errorf("--member: %d of them; 1, 3, 5 or 7 are wanted: an even number bears no more losses than one less", len(members))
 			case identity.Address == "":
 				return fmt.Errorf("--id: member %d is not in the list of --member", id)
--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -23,45 +23,50 @@
 }
 
 const (
-	client  = "internal/lease/core.go"
-	machine = "internal/coord/machine.go"
-	leases  = "internal/coord/leases.go"
+	clientCore    = "internal/lease/core.go"
+	clientActs    = "internal/lease/acts.go"
+	clientCalls   = "internal/lease/calls.go"
+	clientResults = "internal/lease/results.go"
+
+	machine  = "internal/coord/machine.go"
+	sessions = "internal/coord/session.go"
+	leases   = "internal/coord/lease.go"
 	member  = "internal/coord/replica/core.go"
 	lives   = "internal/coord/replica/lives.go"
 	state   = "internal/coord/snapshot.go"
 )
 
 var mutants = map[string]mutant{
-	"deadline from the answer's arrival": {client, [][2]string{{"made.sent+c.lasts())", "now+c.lasts())"}}, []string{"overlap"}, 1000},
+	"deadline from the answer's arrival": {clientResults, [][2]string{{"call.sent+c.validity())", "now+c.validity())"}}, []string{"overlap"}, 1000},
 	"no guard and no bound on clocks": {
-		client,
+		clientCore,
 		[][2]string{{"time.Duration(float64(c.cfg.TTL)*(1-2*RateBound)) - c.cfg.Guard", "c.cfg.TTL"}},
 		[]string{"overlap"},
 		1000,
 	},
-	"an act is not cut off at its end": {client, [][2]string{{
-		"if p := c.acts[id]; now >= p.Until || c.held[p.Lease].Token != p.Token {",
-		"if p := c.acts[id]; c.held[p.Lease].Token != p.Token {",
+	"an act is not cut off at its end": {clientActs, [][2]string{{
+		"if p := c.openActs[id]; now >= p.Until || c.held[p.Lease].Token != p.Token {",
+		"if p := c.openActs[id]; c.held[p.Lease].Token != p.Token {",
 	}}, []string{"overlap"}, 300},
 	"given back before the act has ended": {
-		client,
-		[][2]string{{"case w.drop && held && c.open(name), now < w.pause:", "case now < w.pause:"}},
+		clientCalls,
+		[][2]string{{"case r.releasing && held && c.hasOpenAct(name), now < r.notBefore:", "case now < r.notBefore:"}},
 		[]string{"overlap"},
 		300,
 	},
-	"believed to be held while it is given back": {client, [][2]string{{"		delete(c.held, cmd.Lease)\n", ""}}, []string{"overlap", "token"}, 1000},
-	"a session that ended is kept":               {client, [][2]string{{"	if r.Code == coord.NoSession {", "	if false {"}}, []string{"held", "overlap"}, 300},
+	"believed to be held while it is given back": {clientCalls, [][2]string{{"	delete(c.held, command.Lease)\n", ""}}, []string{"overlap", "token"}, 1000},
+	"a session that ended is kept":               {clientResults, [][2]string{{"	if r.Code == coord.CodeNoSession {", "	if false {"}}, []string{"held", "overlap"}, 300},
 	"a retry is applied twice":                   {machine, [][2]string{{"case c.Seq == s.Seq:", "case false:"}}, []string{"linear"}, 300},
-	"sessions end early":                         {machine, [][2]string{{"if s.Deadline <= m.now {", "if s.Deadline-s.TTL/10 <= m.now {"}}, []string{"overlap", "same"}, 1000},
+	"sessions end early":                         {sessions, [][2]string{{"if s.Deadline <= m.now {", "if s.Deadline-s.TTL/10 <= m.now {"}}, []string{"overlap", "same"}, 1000},
 	"the last who came is next": {leases, [][2]string{{
 		"next := l.Queue[0]\n	l.Queue = slices.Delete(l.Queue, 0, 1)",
 		"next := l.Queue[len(l.Queue)-1]\n	l.Queue = l.Queue[:len(l.Queue)-1]",
 	}}, []string{"queue"}, 300},
-	"revoked and free at once": {leases, [][2]string{{"l.FreeAt = m.sessions[l.Holder].Deadline", "l.FreeAt = m.now"}}, []string{"overlap"}, 300},
+	"revoked and free at once": {leases, [][2]string{{"l.RevokedUntil = holder.Deadline", "l.RevokedUntil = m.now"}}, []string{"overlap"}, 300},
 	"tokens counted anew after a snapshot": {state, [][2]string{
-		{"i.Opened, i.Tokens, i.Revision", "i.Opened, 0, i.Revision"},
-		{"case l.Token > m.tokens:", "case false:"},
-		{"	m.leases[l.Name] = l\n", "	m.leases[l.Name], m.tokens = l, max(m.tokens, l.Token)\n"},
+		{"data.LastSessionID, data.LastToken, data.Revision", "data.LastSessionID, 0, data.Revision"},
+		{"case l.Token > m.lastToken:", "case false:"},
+		{"	m.leases[l.Name] = l\n", "	m.leases[l.Name], m.lastToken = l, max(m.lastToken, l.Token)\n"},
 	}, []string{"token", "same"}, 300},
 	"reads from a leader that may be deposed": {member, [][2]string{{"read{tag: tag})", "read{tag: tag, index: 1})"}}, []string{"linear"}, 1000},
 	"answered before it is on disk": {
@@ -83,7 +88,7 @@
 		member,
 		[][2]string{{
 			"	c.queue = append(c.queue, queued{tag, command})\n",
-			"	if command.Op == coord.Renew {\n		r := c.machine.Apply(c.machine.Index(), coord.Entry{Commands: []coord.Command{command}})\n" +
+			"	if command.Op == coord.OpRenew {\n		r := c.machine.Apply(c.machine.Index(), coord.Entry{Commands: []coord.Command{command}})\n" +
 				"		c.answers = append(c.answers, Answer{Tag: tag, Result: r[0]})\n		return true\n	}\n	c.queue = append(c.queue, queued{tag, command})\n",
 		}},
 		[]string{"overlap", "same", "queue", "token"},
--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -111,12 +111,12 @@
 }
 
 func (s *service) put(seq uint64, key string) error {
-	open, err := s.lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.Open, Nonce: "n", TTL: time.Minute}})
+	open, err := s.lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", TTL: time.Minute}})
 	if err != nil {
 		return err
 	}
-	a, err := s.lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.Put, Session: open.Result.Session, Seq: seq, Key: key}})
-	if err == nil && a.Result.Code != coord.Done {
+	a, err := s.lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpPut, Session: open.Result.Session, Seq: seq, Key: key}})
+	if err == nil && a.Result.Code != coord.CodeOK {
 		err = fmt.Errorf("%s: %s", key, a.Result.Code)
 	}
 	return err
@@ -136,7 +136,7 @@
 				return false
 			}
 			for _, p := range st.Member.Peers {
-				if !p.Reached {
+				if !p.Acknowledged {
 					return false
 				}
 			}
--- a/cmd/frostlinkctl/coord.go
+++ b/cmd/frostlinkctl/coord.go
@@ -150,20 +150,20 @@
 				m := a.Status.Member
 				var unreached []string
 				for _, p := range m.Peers {
-					if !p.Reached {
+					if !p.Acknowledged {
 						unreached = append(unreached, strconv.FormatUint(p.ID, 10))
 					}
 				}
 				wrong := a.Error
 				if wrong == "" {
-					wrong = m.Why
+					wrong = m.Detail
 				}
 				if m.Role == "leader" {
 					leads++
 				}
 				found = found || wrong != "" || len(unreached) > 0
-				fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", a.Member.ID, a.Member.Address, m.Role, m.Leader, m.Term, m.Life, m.Applied,
-					a.Counts.Sessions, a.Counts.Leases, a.Counts.Waiting, strings.Join(unreached, ","), wrong)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", a.Member.ID, a.Member.Address, m.Role, m.Leader, m.Term, m.Incarnation, m.Applied,
+					a.Counts.Sessions, a.Counts.Leases, a.Counts.QueuedRequests, strings.Join(unreached, ","), wrong)
 			}
 			_ = w.Flush()
 			if leads != 1 {
@@ -289,7 +289,7 @@
 			}
 			n := m.Counts()
 			fmt.Fprintf(c.OutOrStdout(), "cluster %s, entry %d: %d sessions, %d leases, %d values of %d bytes\n", m.Cluster(), m.Index(), n.Sessions,
-				n.Leases, n.Values, n.Bytes)
+				n.Leases, n.Values, n.ValueBytes)
 			return nil
 		},
 	}
--- a/cmd/frostlinkctl/coordmeasure.go
+++ b/cmd/frostlinkctl/coordmeasure.go
@@ -45,8 +45,8 @@
 		switch {
 		case sessions < 1 || sessions > mostMeasured:
 			return nil, fmt.Errorf("--sessions: %d is not from 1 to %d", sessions, mostMeasured)
-		case leases < 1 || leases > coord.MostLeases:
-			return nil, fmt.Errorf("--leases: %d is not from 1 to %d", leases, coord.MostLeases)
+		case leases < 1 || leases > coord.MaxLeases:
+			return nil, fmt.Errorf("--leases: %d is not from 1 to %d", leases, coord.MaxLeases)
 		case span <= 0 || span > mostFor:
 			return nil, fmt.Errorf("--for: %v is not up to %v", span, mostFor)
 		}
@@ -95,7 +95,7 @@
 		return ctx.Err()
 	}
 	err := each(func(i int) error {
-		r, err := s.change(ctx, coord.Command{Op: coord.Open, Nonce: rand.Text(), Name: fmt.Sprint("measure-", i), TTL: 2 * time.Minute})
+		r, err := s.change(ctx, coord.Command{Op: coord.OpOpen, Nonce: rand.Text(), Name: fmt.Sprint("measure-", i), TTL: 2 * time.Minute})
 		ids[i] = r.Session
 		return err
 	})
@@ -106,7 +106,7 @@
 	begun := time.Now()
 	if err = each(func(i int) error {
 		for seq, n := uint64(1), i; n < leases; seq, n = seq+1, n+sessions {
-			if _, err := s.change(ctx, coord.Command{Op: coord.Acquire, Session: ids[i], Seq: seq, Lease: fmt.Sprint(prefix, "/", n)}); err != nil {
+			if _, err := s.change(ctx, coord.Command{Op: coord.OpAcquire, Session: ids[i], Seq: seq, Lease: fmt.Sprint(prefix, "/", n)}); err != nil {
 				return err
 			}
 		}
@@ -128,7 +128,7 @@
 	}
 	m.Bytes = int64(len(raw))
 	return m, each(func(i int) error {
-		_, err := s.change(ctx, coord.Command{Op: coord.Close, Session: ids[i]})
+		_, err := s.change(ctx, coord.Command{Op: coord.OpClose, Session: ids[i]})
 		return err
 	})
 }
@@ -144,7 +144,7 @@
 		}
 		for time.Since(begun) < span {
 			sent := time.Now()
-			if _, err := s.change(ctx, coord.Command{Op: coord.Renew, Session: ids[i]}); err != nil {
+			if _, err := s.change(ctx, coord.Command{Op: coord.OpRenew, Session: ids[i]}); err != nil {
 				return err
 			}
 			took[i] = append(took[i], time.Since(sent).Seconds()*1000)
--- a/cmd/frostlinkctl/lease.go
+++ b/cmd/frostlinkctl/lease.go
@@ -53,7 +53,7 @@
 			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "lease\tholder\ttoken\theld for\tlasts\twait\treason")
 			for _, l := range v.([]coord.Lease) {
-				fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", l.Name, l.Holder, l.Token, l.For.Round(time.Millisecond), l.Lasts.Round(time.Millisecond),
+				fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%d\t%s\n", l.Name, l.Holder, l.Token, l.HeldFor.Round(time.Millisecond), l.TimeLeft.Round(time.Millisecond),
 					len(l.Queue), l.Reason)
 			}
 			return w.Flush()
@@ -86,7 +86,7 @@
 		func(out io.Writer, v any) error {
 			l := v.(coord.Lease)
 			fmt.Fprintf(out, "%s is held by %s (session %d) under token %d for %v, and lasts %v unless it is renewed\n", l.Name, l.Holder, l.Session, l.Token,
-				l.For.Round(time.Millisecond), l.Lasts.Round(time.Millisecond))
+				l.HeldFor.Round(time.Millisecond), l.TimeLeft.Round(time.Millisecond))
 			if l.Revoked {
 				fmt.Fprintln(out, "it is being revoked")
 			}
@@ -114,17 +114,17 @@
 		if err != nil {
 			return nil, err
 		}
-		open, err := s.change(c.Context(), coord.Command{Op: coord.Open, Nonce: rand.Text(), Name: "frostlinkctl", TTL: commandTTL})
+		open, err := s.change(c.Context(), coord.Command{Op: coord.OpOpen, Nonce: rand.Text(), Name: "frostlinkctl", TTL: commandTTL})
 		if err != nil {
 			return nil, err
 		}
 		// The token names the grant that was seen: one that came after it is not revoked.
-		r, err := s.change(c.Context(), coord.Command{Op: coord.Revoke, Session: open.Session, Seq: 1, Lease: l.Name, Token: l.Token, Reason: reason})
+		r, err := s.change(c.Context(), coord.Command{Op: coord.OpRevoke, Session: open.Session, Seq: 1, Lease: l.Name, Token: l.Token, Reason: reason})
 		if err != nil {
 			return nil, err
 		}
-		_, _ = s.change(c.Context(), coord.Command{Op: coord.Close, Session: open.Session}) // else it ends by itself
-		if r.Code == coord.NotHeld {
+		_, _ = s.change(c.Context(), coord.Command{Op: coord.OpClose, Session: open.Session}) // else it ends by itself
+		if r.Code == coord.CodeNotHeld {
 			return fmt.Sprintf("%s was given back by %s meanwhile", l.Name, l.Holder), nil
 		}
 		return fmt.Sprintf("%s is being revoked from %s (token %d)", l.Name, l.Holder, l.Token), nil
@@ -141,17 +141,17 @@
 		return coord.Result{}, err
 	case a.Result == nil:
 		return coord.Result{}, fmt.Errorf("an answer without a result")
-	case a.Result.Code == coord.Done || a.Result.Code == coord.NotHeld:
+	case a.Result.Code == coord.CodeOK || a.Result.Code == coord.CodeNotHeld:
 		return *a.Result, nil
 	}
-	return *a.Result, fmt.Errorf("%s: %s %s", command.Op, a.Result.Code, a.Result.Why)
+	return *a.Result, fmt.Errorf("%s: %s %s", command.Op, a.Result.Code, a.Result.Detail)
 }
 
 func (s *service) historyCommand() *cobra.Command {
 	return s.command(&cobra.Command{
 		Use:     "history [LEASE]",
 		Short:   "Show what became of a lease, or of all, of late",
-		Long:    fmt.Sprintf("Show what became of a lease, or of all, of late. The last %d events are kept, or up to a quarter less.", coord.MostHistory),
+		Long:    fmt.Sprintf("Show what became of a lease, or of all, of late. The last %d events are kept, or up to a quarter less.", coord.MaxRetainedEvents),
 		Example: "  frostlinkctl lease history export --operator deploy/frostlink.toml",
 		Args:    cobra.MaximumNArgs(1),
 	}, func(c *cobra.Command, args []string) (any, error) {
@@ -168,7 +168,7 @@
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "time\tlease\ttoken\tholder\twhat\treason")
 		for _, e := range v.([]coord.Event) {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", time.UnixMilli(e.Wall).UTC().Format("2006-01-02 15:04:05.000"), e.Lease, e.Token, e.Holder, e.What, e.Reason)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", time.UnixMilli(e.WallMillis).UTC().Format("2006-01-02 15:04:05.000"), e.Lease, e.Token, e.Holder, e.Kind, e.Reason)
 		}
 		return w.Flush()
 	})
--- a/internal/coord/api/api.go
+++ b/internal/coord/api/api.go
@@ -205,7 +205,7 @@
 // written. One that is known keeps its address: the list may name another way to it.
 func Learn(members []coord.Member, a Answer) []coord.Member {
 	known := func(m coord.Member) bool { return m.ID == a.Leader }
-	if a.Leader == 0 || a.Address == "" || len(members) >= 4*coord.MostMembers || slices.ContainsFunc(members, known) {
+	if a.Leader == 0 || a.Address == "" || len(members) >= 4*coord.MaxMembers || slices.ContainsFunc(members, known) {
 		return members
 	}
 	return append(slices.Clone(members), coord.Member{ID: a.Leader, Address: a.Address})
--- /dev/null
+++ b/internal/coord/lease.go
@@ -0,0 +1,154 @@
+package coord
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// queuedRequest is one place in a lease's queue.
+type queuedRequest struct {
+	Session uint64 `json:"session"`
+	Reason  string `json:"reason"`
+}
+
+// leaseState is a lease that is held. A lease without a holder has no state.
+type leaseState struct {
+	Name         string          `json:"name"`
+	Holder       uint64          `json:"holder"` // a session's id
+	Reason       string          `json:"reason"`
+	Token        uint64          `json:"token"`
+	Since        time.Duration   `json:"since"`             // of the machine's time
+	Revoked      bool            `json:"revoked,omitempty"` // by an operator: the grant ends with its release, or at RevokedUntil
+	RevokedUntil time.Duration   `json:"free_at,omitempty"` // of the machine's time
+	Queue        []queuedRequest `json:"queue,omitempty"`   // the next holder first
+}
+
+// acquire grants a lease that is free, and queues the session for one that is not. A session that holds it, or is queued
+// for it, is told so: asking again does not lose its place.
+func (m *Machine) acquire(s *session, c *Command) Result {
+	l := m.leases[c.Lease]
+	switch {
+	case l != nil && l.Holder == s.ID && !l.Revoked:
+		return Result{Code: CodeOK, Token: l.Token}
+	case s.queued[c.Lease] != nil:
+		return Result{Code: CodeQueued}
+	case len(s.held)+len(s.queued) >= MaxLeasesPerSession:
+		return limitExceeded(fmt.Sprintf("%d leases of one session", MaxLeasesPerSession))
+	case l == nil && len(m.leases) >= MaxLeases:
+		return limitExceeded(fmt.Sprintf("%d leases", MaxLeases))
+	case l == nil:
+		l = &leaseState{Name: c.Lease}
+		m.leases[c.Lease] = l
+		m.grant(l, s, c.Reason)
+		return Result{Code: CodeOK, Token: l.Token}
+	case len(l.Queue) >= MaxQueueLength:
+		return limitExceeded(fmt.Sprintf("%d wait for this lease", MaxQueueLength))
+	case m.queuedRequests >= MaxQueuedRequests:
+		return limitExceeded(fmt.Sprintf("%d wait for leases", MaxQueuedRequests))
+	}
+	l.Queue = append(l.Queue, queuedRequest{Session: s.ID, Reason: c.Reason})
+	s.queued[l.Name] = l
+	m.queuedRequests++
+	return Result{Code: CodeQueued}
+}
+
+// grant gives a lease without a holder to a session, under a token higher than any before.
+func (m *Machine) grant(l *leaseState, s *session, reason string) {
+	m.lastToken++
+	l.Holder, l.Reason, l.Token, l.Since = s.ID, reason, m.lastToken, m.now
+	s.held[l.Name] = l
+	m.changedSessions[s.ID] = true
+	m.record(l, s.Name, EventGranted, reason)
+}
+
+// endGrant ends a lease's grant, and grants it to the first session in its queue.
+func (m *Machine) endGrant(l *leaseState, kind EventKind, reason string) {
+	holder := fmt.Sprint(l.Holder) // a session that has ended has no name any more
+	if s := m.sessions[l.Holder]; s != nil {
+		holder = s.Name
+		delete(s.held, l.Name)
+	}
+	m.record(l, holder, kind, reason)
+	delete(m.revoked, l.Name)
+	l.Holder, l.Revoked, l.RevokedUntil = 0, false, 0
+	if len(l.Queue) == 0 {
+		delete(m.leases, l.Name)
+		return
+	}
+	next := l.Queue[0]
+	l.Queue = slices.Delete(l.Queue, 0, 1)
+	m.queuedRequests--
+	s := m.sessions[next.Session]
+	delete(s.queued, l.Name)
+	m.grant(l, s, next.Reason)
+}
+
+// release ends the session's grant of a lease, or takes the session out of the lease's queue. A release names the grant's
+// token: one that arrives after the lease has passed on changes nothing.
+func (m *Machine) release(s *session, c *Command) Result {
+	if queued := s.queued[c.Lease]; c.Token == 0 && queued != nil {
+		m.leaveQueue(s, queued)
+		return Result{Code: CodeOK}
+	}
+	l := m.leases[c.Lease]
+	if !l.isHeldBy(s, c.Token) {
+		return Result{Code: CodeNotHeld}
+	}
+	m.endGrant(l, EventReleased, c.Reason)
+	return Result{Code: CodeOK}
+}
+
+// transfer ends the session's grant of a lease in favour of the first queued session of a given name.
+func (m *Machine) transfer(s *session, c *Command) Result {
+	l := m.leases[c.Lease]
+	if !l.isHeldBy(s, c.Token) {
+		return Result{Code: CodeNotHeld}
+	}
+	i := slices.IndexFunc(l.Queue, func(q queuedRequest) bool { return m.sessions[q.Session].Name == c.To })
+	if i < 0 {
+		return Result{Code: CodeConflict, Detail: fmt.Sprintf("%q does not wait for this lease", c.To)}
+	}
+	successor := l.Queue[i]
+	l.Queue = slices.Insert(slices.Delete(l.Queue, i, i+1), 0, successor)
+	m.endGrant(l, EventTransferred, c.Reason)
+	return Result{Code: CodeOK}
+}
+
+// isHeldBy reports whether a lease, which may be nil, is held by a session under a token.
+func (l *leaseState) isHeldBy(s *session, token uint64) bool {
+	return l != nil && l.Holder == s.ID && l.Token == token
+}
+
+// revoke revokes a grant. The grant ends when its holder has released it, or else at the holder's present deadline: until
+// then the holder may not have received a result that says so, and may act.
+func (m *Machine) revoke(c *Command) Result {
+	l := m.leases[c.Lease]
+	if l == nil || l.Token != c.Token {
+		return Result{Code: CodeNotHeld}
+	}
+	if !l.Revoked {
+		holder := m.sessions[l.Holder]
+		l.Revoked = true
+		l.RevokedUntil = holder.Deadline
+		m.revoked[l.Name] = l
+		m.changedSessions[holder.ID] = true
+		m.record(l, holder.Name, EventRevoking, c.Reason)
+	}
+	return Result{Code: CodeOK}
+}
+
+// leaveAllQueues takes a session out of all queues.
+func (m *Machine) leaveAllQueues(s *session) {
+	for _, name := range slices.Sorted(maps.Keys(s.queued)) {
+		m.leaveQueue(s, s.queued[name])
+	}
+}
+
+// leaveQueue takes a session out of a lease's queue.
+func (m *Machine) leaveQueue(s *session, l *leaseState) {
+	l.Queue = slices.DeleteFunc(l.Queue, func(q queuedRequest) bool { return q.Session == s.ID })
+	delete(s.queued, l.Name)
+	m.queuedRequests--
+}
--- a/internal/coord/machine_test.go
+++ b/internal/coord/machine_test.go
@@ -10,260 +10,268 @@
 	"pgregory.net/rapid"
 )
 
-// script applies commands, one entry each, a millisecond apart.
-type script struct {
-	t     testing.TB
+// log applies commands to a machine, one entry each.
+type log struct {
+	tb    testing.TB
 	m     *Machine
 	index uint64
-	seq   map[uint64]uint64
+	seq   map[uint64]uint64 // last sequence number by session
 }
 
-func newScript(t testing.TB) *script { return &script{t: t, m: New("c"), seq: map[uint64]uint64{}} }
+func newLog(tb testing.TB) *log {
+	tb.Helper()
+	return &log{tb: tb, m: New("c"), seq: map[uint64]uint64{}}
+}
 
-func (s *script) do(elapsed time.Duration, c Command) Result {
-	s.index++
+// apply applies a command as it is, after some time has elapsed.
+func (l *log) apply(elapsed time.Duration, c Command) Result {
+	l.tb.Helper()
+	l.index++
 	e, err := DecodeEntry(Entry{Elapsed: elapsed, Commands: []Command{c}}.Encode())
 	if err != nil {
-		s.t.Fatal(err)
+		l.tb.Fatal(err)
 	}
-	return s.m.Apply(s.index, e)[0]
+	return l.m.Apply(l.index, e)[0]
 }
 
-func (s *script) open(name string) uint64 {
-	return s.do(time.Millisecond, Command{Op: Open, Nonce: name, Name: name, TTL: time.Second}).Session
+func (l *log) open(name string) uint64 {
+	l.tb.Helper()
+	return l.apply(time.Millisecond, Command{Op: OpOpen, Nonce: name, Name: name, TTL: time.Second}).Session
 }
 
-func (s *script) next(session uint64, c Command) Result {
-	s.seq[session]++
-	c.Session, c.Seq = session, s.seq[session]
-	return s.do(time.Millisecond, c)
+// next applies a command of a session under its next sequence number, a millisecond later.
+func (l *log) next(session uint64, c Command) Result {
+	l.tb.Helper()
+	l.seq[session]++
+	c.Session, c.Seq = session, l.seq[session]
+	return l.apply(time.Millisecond, c)
 }
 
-func (s *script) holder(lease string) string {
-	for _, l := range s.m.Leases(lease) {
-		if l.Name == lease {
-			return l.Holder
+func (l *log) holder(lease string) string {
+	for _, view := range l.m.Leases(lease) {
+		if view.Name == lease {
+			return view.Holder
 		}
 	}
 	return ""
 }
 
-func TestLeaseGoesOn(t *testing.T) {
+func TestMachine_GrantsLeaseToNextInQueue(t *testing.T) {
 	tests := map[string]struct {
-		do   func(s *script, a, b, c uint64)
-		want string
-		how  string
+		run   func(l *log, a, b, c uint64)
+		want  string
+		event EventKind
 	}{
-		"released":                      {func(s *script, a, _, _ uint64) { s.next(a, Command{Op: Release, Lease: "x", Token: 1}) }, "b", "released"},
-		"released under an older token": {func(s *script, a, _, _ uint64) { s.next(a, Command{Op: Release, Lease: "x", Token: 7}) }, "a", "granted"},
-		"handed over by name":           {func(s *script, a, _, _ uint64) { s.next(a, Command{Op: Handover, Lease: "x", Token: 1, To: "c"}) }, "c", "handed over"},
-		"handed over to nobody":         {func(s *script, a, _, _ uint64) { s.next(a, Command{Op: Handover, Lease: "x", Token: 1, To: "d"}) }, "a", "granted"},
-		"released by another":           {func(s *script, _, b, _ uint64) { s.next(b, Command{Op: Release, Lease: "x", Token: 1}) }, "a", "granted"},
-		"closed":                        {func(s *script, a, _, _ uint64) { s.do(0, Command{Op: Close, Session: a}) }, "b", "closed"},
-		"the first who waits leaves": {func(s *script, a, b, _ uint64) {
-			s.next(b, Command{Op: Release, Lease: "x"})
-			s.next(a, Command{Op: Release, Lease: "x", Token: 1})
+		"released":                                    {func(l *log, a, _, _ uint64) { l.next(a, Command{Op: OpRelease, Lease: "x", Token: 1}) }, "b", "released"},
+		"released under another token":                {func(l *log, a, _, _ uint64) { l.next(a, Command{Op: OpRelease, Lease: "x", Token: 7}) }, "a", "granted"},
+		"transferred by name":                         {func(l *log, a, _, _ uint64) { l.next(a, Command{Op: OpTransfer, Lease: "x", Token: 1, To: "c"}) }, "c", "handed over"},
+		"transferred to a session that is not queued": {func(l *log, a, _, _ uint64) { l.next(a, Command{Op: OpTransfer, Lease: "x", Token: 1, To: "d"}) }, "a", "granted"},
+		"released by a session that does not hold it": {func(l *log, _, b, _ uint64) { l.next(b, Command{Op: OpRelease, Lease: "x", Token: 1}) }, "a", "granted"},
+		"closed": {func(l *log, a, _, _ uint64) { l.apply(0, Command{Op: OpClose, Session: a}) }, "b", "closed"},
+		"first in the queue leaves it": {func(l *log, a, b, _ uint64) {
+			l.next(b, Command{Op: OpRelease, Lease: "x"})
+			l.next(a, Command{Op: OpRelease, Lease: "x", Token: 1})
 		}, "c", "released"},
-		"holder and first waiter end in one entry": {func(s *script, _, _, c uint64) {
-			s.do(900*time.Millisecond, Command{Op: Renew, Session: c})
-			s.do(200*time.Millisecond, Command{Op: Renew, Session: c})
+		"holder and first in the queue expire in one entry": {func(l *log, _, _, c uint64) {
+			l.apply(900*time.Millisecond, Command{Op: OpRenew, Session: c})
+			l.apply(200*time.Millisecond, Command{Op: OpRenew, Session: c})
 		}, "c", "ended"},
-		"renewed": {func(s *script, a, b, c uint64) {
+		"renewed": {func(l *log, a, b, c uint64) {
 			for range 5 {
 				for _, id := range []uint64{a, b, c} {
-					s.do(250*time.Millisecond, Command{Op: Renew, Session: id})
+					l.apply(250*time.Millisecond, Command{Op: OpRenew, Session: id})
 				}
 			}
 		}, "a", "granted"},
-		"revoked, and the holder still believes": {func(s *script, a, b, c uint64) {
-			s.next(c, Command{Op: Revoke, Lease: "x", Token: 1})
-			s.do(900*time.Millisecond, Command{Op: Renew, Session: a})
-			s.do(0, Command{Op: Renew, Session: b})
+		"revoked, before the deadline of its holder": {func(l *log, a, b, c uint64) {
+			l.next(c, Command{Op: OpRevoke, Lease: "x", Token: 1})
+			l.apply(900*time.Millisecond, Command{Op: OpRenew, Session: a})
+			l.apply(0, Command{Op: OpRenew, Session: b})
 		}, "a", "being revoked"},
-		"revoked, and it can't believe any more": {func(s *script, a, b, c uint64) {
-			s.next(c, Command{Op: Revoke, Lease: "x", Token: 1})
+		"revoked, past the deadline of its holder": {func(l *log, a, b, c uint64) {
+			l.next(c, Command{Op: OpRevoke, Lease: "x", Token: 1})
 			for _, id := range []uint64{a, b, c, a} {
-				s.do(300*time.Millisecond, Command{Op: Renew, Session: id})
+				l.apply(300*time.Millisecond, Command{Op: OpRenew, Session: id})
 			}
 		}, "b", "revoked"},
-		"revoked and released": {func(s *script, a, _, c uint64) {
-			s.next(c, Command{Op: Revoke, Lease: "x", Token: 1})
-			s.next(a, Command{Op: Release, Lease: "x", Token: 1})
+		"revoked and released": {func(l *log, a, _, c uint64) {
+			l.next(c, Command{Op: OpRevoke, Lease: "x", Token: 1})
+			l.next(a, Command{Op: OpRelease, Lease: "x", Token: 1})
 		}, "b", "released"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newScript(t)
-			a, b, c := s.open("a"), s.open("b"), s.open("c")
+			l := newLog(t)
+			a, b, c := l.open("a"), l.open("b"), l.open("c")
 			for _, id := range []uint64{a, b, c} {
-				s.next(id, Command{Op: Acquire, Lease: "x"})
+				l.next(id, Command{Op: OpAcquire, Lease: "x"})
 			}
-			tt.do(s, a, b, c)
-			if got := s.holder("x"); got != tt.want {
+			tt.run(l, a, b, c)
+			if got := l.holder("x"); got != tt.want {
 				t.Errorf("held by %q, want %q", got, tt.want)
 			}
-			how := ""
-			for _, e := range s.m.History("x") {
-				if e.What != "granted" || how == "" {
-					how = e.What
+			var event EventKind
+			for _, e := range l.m.History("x") {
+				if e.Kind != EventGranted || event == "" {
+					event = e.Kind
 				}
 			}
-			if how != tt.how {
-				t.Errorf("history ends with %q, want %q", how, tt.how)
+			if event != tt.event {
+				t.Errorf("last event %q, want %q", event, tt.event)
 			}
 		})
 	}
 }
 
-func TestCommandsComeAgain(t *testing.T) {
-	s := newScript(t)
-	a := s.open("a")
-	if again := s.do(0, Command{Op: Open, Nonce: "a", Name: "a", TTL: time.Second}); again.Session != a {
-		t.Errorf("an Open that came again opened session %d beside %d", again.Session, a)
+func TestMachine_AppliesRetriedCommandOnce(t *testing.T) {
+	l := newLog(t)
+	a := l.open("a")
+	if retried := l.apply(0, Command{Op: OpOpen, Nonce: "a", Name: "a", TTL: time.Second}); retried.Session != a {
+		t.Errorf("a retried open opened session %d beside %d", retried.Session, a)
 	}
-	put := Command{Op: Put, Session: a, Seq: 1, Key: "k", Value: []byte("1")}
-	first := s.do(0, put)
-	if again := s.do(0, put); first.Code != Done || again.Code != Done || again.Version != first.Version {
-		t.Errorf("%+v, and when it came again %+v", first, again)
+	put := Command{Op: OpPut, Session: a, Seq: 1, Key: "k", Value: []byte("1")}
+	first := l.apply(0, put)
+	if retried := l.apply(0, put); first.Code != CodeOK || retried.Code != CodeOK || retried.ModRevision != first.ModRevision {
+		t.Errorf("%+v, and when retried %+v", first, retried)
 	}
-	s.do(0, Command{Op: Put, Session: a, Seq: 2, Key: "k", Value: []byte("2"), Expect: first.Version})
-	if late := s.do(0, put); late.Code != Late {
-		t.Errorf("one that came late: %+v", late)
+	l.apply(0, Command{Op: OpPut, Session: a, Seq: 2, Key: "k", Value: []byte("2"), ExpectedRevision: first.ModRevision})
+	if stale := l.apply(0, put); stale.Code != CodeStale {
+		t.Errorf("a command before the last one: %+v", stale)
 	}
-	if v := s.m.Values("k"); len(v) != 1 || string(v[0].Value) != "2" {
+	if v := l.m.Values("k"); len(v) != 1 || string(v[0].Value) != "2" {
 		t.Errorf("value: %+v", v)
 	}
 }
 
-func TestFencedPut(t *testing.T) {
-	s := newScript(t)
-	a, b := s.open("a"), s.open("b")
-	token := s.next(a, Command{Op: Acquire, Lease: "x"}).Token
-	s.next(b, Command{Op: Acquire, Lease: "x"})
-	put := Command{Op: Put, Key: "k", Lease: "x", Token: token}
-	if r := s.next(a, put); r.Code != Done {
+func TestMachine_RejectsPutUnderOldToken(t *testing.T) {
+	l := newLog(t)
+	a, b := l.open("a"), l.open("b")
+	token := l.next(a, Command{Op: OpAcquire, Lease: "x"}).Token
+	l.next(b, Command{Op: OpAcquire, Lease: "x"})
+	put := Command{Op: OpPut, Key: "k", Lease: "x", Token: token}
+	if r := l.next(a, put); r.Code != CodeOK {
 		t.Fatalf("by the holder: %+v", r)
 	}
-	s.next(a, Command{Op: Release, Lease: "x", Token: token})
-	put.Expect = s.m.Revision()
-	if r := s.next(a, put); r.Code != NotHeld {
-		t.Errorf("by one that was the holder: %+v", r)
+	l.next(a, Command{Op: OpRelease, Lease: "x", Token: token})
+	put.ExpectedRevision = l.m.Revision()
+	if r := l.next(a, put); r.Code != CodeNotHeld {
+		t.Errorf("by the previous holder: %+v", r)
 	}
-	if r := s.next(b, put); r.Code != NotHeld {
-		t.Errorf("by the holder, under the token before: %+v", r)
+	if r := l.next(b, put); r.Code != CodeNotHeld {
+		t.Errorf("by the holder, under the previous token: %+v", r)
 	}
 }
 
-func TestBounds(t *testing.T) {
-	s := newScript(t)
-	a, b := s.open("a"), s.open("b")
+func TestMachine_EnforcesLimits(t *testing.T) {
+	l := newLog(t)
+	a, b := l.open("a"), l.open("b")
 	var r Result
-	for i := 0; i < MostHeld; i++ {
-		if r = s.next(a, Command{Op: Acquire, Lease: fmt.Sprint(i)}); r.Code != Done {
+	for i := 0; i < MaxLeasesPerSession; i++ {
+		if r = l.next(a, Command{Op: OpAcquire, Lease: fmt.Sprint(i)}); r.Code != CodeOK {
 			t.Fatalf("lease %d: %+v", i, r)
 		}
-		s.do(0, Command{Op: Renew, Session: b})
+		l.apply(0, Command{Op: OpRenew, Session: b})
 	}
-	full := map[string]Result{"leases of a session": s.next(a, Command{Op: Acquire, Lease: "more"})}
-	big := bytes.Repeat([]byte{1}, MostValue)
-	for i := 0; i < MostBytes/MostValue; i++ {
-		if r = s.next(a, Command{Op: Put, Key: fmt.Sprint(i), Value: big}); r.Code != Done {
+	limited := map[string]Result{"leases of a session": l.next(a, Command{Op: OpAcquire, Lease: "more"})}
+	big := bytes.Repeat([]byte{1}, MaxValueSize)
+	for i := 0; i < MaxValueBytes/MaxValueSize; i++ {
+		if r = l.next(a, Command{Op: OpPut, Key: fmt.Sprint(i), Value: big}); r.Code != CodeOK {
 			t.Fatalf("value %d: %+v", i, r)
 		}
 	}
-	full["bytes"] = s.next(a, Command{Op: Put, Key: "more", Value: []byte{1}})
-	for i := 2; i < MostSessions; i++ {
-		s.do(0, Command{Op: Open, Nonce: fmt.Sprint("n", i), TTL: time.Minute})
+	limited["bytes"] = l.next(a, Command{Op: OpPut, Key: "more", Value: []byte{1}})
+	for i := 2; i < MaxSessions; i++ {
+		l.apply(0, Command{Op: OpOpen, Nonce: fmt.Sprint("n", i), TTL: time.Minute})
 	}
-	full["sessions"] = s.do(0, Command{Op: Open, Nonce: "more", TTL: time.Minute})
-	for name, r := range full {
-		if r.Code != Full || r.Why == "" {
+	limited["sessions"] = l.apply(0, Command{Op: OpOpen, Nonce: "more", TTL: time.Minute})
+	for name, r := range limited {
+		if r.Code != CodeLimitExceeded || r.Detail == "" {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
 	for name, c := range map[string]Command{
-		"a long key":   {Op: Put, Session: a, Seq: 1 << 20, Key: strings.Repeat("k", MostName+1)},
-		"a long value": {Op: Put, Session: a, Seq: 1 << 20, Key: "k", Value: append(big, 1)}, "no number": {Op: Acquire, Session: a, Lease: "x"},
-		"no operation": {Session: a, Seq: 1 << 20}, "a short session": {Op: Open, Nonce: "n", TTL: time.Millisecond},
+		"a long key":   {Op: OpPut, Session: a, Seq: 1 << 20, Key: strings.Repeat("k", MaxNameSize+1)},
+		"a long value": {Op: OpPut, Session: a, Seq: 1 << 20, Key: "k", Value: append(big, 1)}, "no number": {Op: OpAcquire, Session: a, Lease: "x"},
+		"no operation": {Session: a, Seq: 1 << 20}, "a short session": {Op: OpOpen, Nonce: "n", TTL: time.Millisecond},
 	} {
-		if r := s.do(0, c); r.Code != Invalid || r.Why == "" {
+		if r := l.apply(0, c); r.Code != CodeInvalid || r.Detail == "" {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
 }
 
-func TestWatches(t *testing.T) {
-	s := newScript(t)
-	a := s.open("a")
+func TestMachine_ReportsCompactedChanges(t *testing.T) {
+	l := newLog(t)
+	a := l.open("a")
 	var version uint64
-	for range 3 * MostChanges {
-		version = s.next(a, Command{Op: Put, Key: "k", Expect: version}).Version
+	for range 3 * MaxRetainedChanges {
+		version = l.next(a, Command{Op: OpPut, Key: "k", ExpectedRevision: version}).ModRevision
 	}
-	if list, kept := s.m.Changes(version-1, "k"); !kept || len(list) != 1 || list[0].Revision != version {
-		t.Errorf("after the last but one: %v, %v", list, kept)
+	if list, ok := l.m.Changes(version-1, "k"); !ok || len(list) != 1 || list[0].Revision != version {
+		t.Errorf("changes after the last but one: %v, %v", list, ok)
 	}
-	if _, kept := s.m.Changes(1, "k"); kept {
-		t.Error("changes from the beginning are said to be kept")
+	if _, ok := l.m.Changes(1, "k"); ok {
+		t.Error("changes from the beginning are reported as retained")
 	}
-	again, err := Restore(s.m.Snapshot())
+	restored, err := Restore(l.m.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, kept := again.Changes(version-1, "k"); kept {
-		t.Error("changes from before a snapshot are said to be kept")
+	if _, ok := restored.Changes(version-1, "k"); ok {
+		t.Error("changes from before a snapshot are reported as retained")
 	}
 }
 
-// TestAnyLog: whatever a log holds, a state that went through a snapshot at any entry goes on as the one that did not,
-// tokens only grow, every holder and waiter has a session, and nobody is in a queue twice.
-func TestAnyLog(t *testing.T) {
+// TestMachine_InvariantsOfAnyLog: whatever a log holds, a state that was restored from a snapshot at any entry goes on as the
+// one that was not, tokens only grow, every holder and queued request has a session, and no session is in a queue twice.
+func TestMachine_InvariantsOfAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, index, last := New("c"), uint64(0), uint64(0)
 		name := rapid.SampledFrom([]string{"x", "y", "z"})
 		for range rapid.IntRange(1, 60).Draw(t, "entries") {
 			e := Entry{Elapsed: time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond}
 			if rapid.IntRange(0, 20).Draw(t, "begin") == 0 {
-				e.Begin = 1
+				e.NewTerm = 1
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "commands") {
 				e.Commands = append(e.Commands, Command{
-					Op:      rapid.SampledFrom([]Op{Open, Renew, Renew, Close, Acquire, Acquire, Acquire, Release, Handover, Revoke, Put, Delete}).Draw(t, "op"),
+					Op:      rapid.SampledFrom([]Op{OpOpen, OpRenew, OpRenew, OpClose, OpAcquire, OpAcquire, OpAcquire, OpRelease, OpTransfer, OpRevoke, OpPut, OpDelete}).Draw(t, "op"),
 					Session: rapid.Uint64Range(1, 5).Draw(t, "session"), Seq: rapid.Uint64Range(1, 30).Draw(t, "seq"),
 					Nonce: name.Draw(t, "nonce"), Name: name.Draw(t, "name"), TTL: time.Second, Lease: name.Draw(t, "lease"),
 					Token: rapid.Uint64Range(0, 12).Draw(t, "token"), To: name.Draw(t, "to"), Key: name.Draw(t, "key"),
-					Expect: rapid.Uint64Range(0, 4).Draw(t, "expect"),
+					ExpectedRevision: rapid.Uint64Range(0, 4).Draw(t, "expect"),
 				})
 			}
 			index++
-			twin, err := Restore(m.Snapshot())
+			restored, err := Restore(m.Snapshot())
 			if err != nil {
 				t.Fatal(err)
 			}
 			m.Apply(index, e)
-			twin.Apply(index, e)
-			if !bytes.Equal(m.Snapshot(), twin.Snapshot()) {
-				t.Fatalf("after a snapshot:\n%s\nwithout:\n%s", twin.Snapshot(), m.Snapshot())
+			restored.Apply(index, e)
+			if !bytes.Equal(m.Snapshot(), restored.Snapshot()) {
+				t.Fatalf("after a snapshot:\n%s\nwithout:\n%s", restored.Snapshot(), m.Snapshot())
 			}
-			if due := m.Due(); due <= 0 {
-				t.Fatalf("something should have ended %v ago", -due)
+			if next := m.NextExpiry(); next <= 0 {
+				t.Fatalf("something should have expired %v ago", -next)
 			}
-			if m.tokens < last {
-				t.Fatalf("tokens fell from %d to %d", last, m.tokens)
+			if m.lastToken < last {
+				t.Fatalf("the last token fell from %d to %d", last, m.lastToken)
 			}
-			last = m.tokens
-			waiting := 0
-			for _, l := range m.Leases("") { // panics where a holder or waiter has no session
+			last = m.lastToken
+			queued := 0
+			for _, l := range m.Leases("") { // panics where a holder or queued request has no session
 				seen := map[uint64]bool{}
-				for _, w := range m.leases[l.Name].Queue {
-					if seen[w.Session] {
-						t.Fatalf("session %d waits twice for %s", w.Session, l.Name)
+				for _, q := range m.leases[l.Name].Queue {
+					if seen[q.Session] {
+						t.Fatalf("session %d is queued twice for %s", q.Session, l.Name)
 					}
-					seen[w.Session] = true
+					seen[q.Session] = true
 				}
-				waiting += len(l.Queue)
+				queued += len(l.Queue)
 			}
-			if waiting != m.waiting {
-				t.Fatalf("%d wait, and %d are counted", waiting, m.waiting)
+			if queued != m.queuedRequests {
+				t.Fatalf("%d requests are queued, and %d are counted", queued, m.queuedRequests)
 			}
 		}
 	})
@@ -284,15 +292,15 @@
 	})
 }
 
-func FuzzEntry(f *testing.F) {
-	f.Add(Entry{Commands: []Command{{Op: Acquire, Session: 1, Seq: 1, Lease: "x"}}}.Encode())
+func FuzzDecodeEntry(f *testing.F) {
+	f.Add(Entry{Commands: []Command{{Op: OpAcquire, Session: 1, Seq: 1, Lease: "x"}}}.Encode())
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := DecodeEntry(raw)
 		if err != nil {
 			return
 		}
-		s := newScript(t)
-		s.open("a")
-		s.m.Apply(2, e) // must not panic
+		l := newLog(t)
+		l.open("a")
+		l.m.Apply(2, e) // must not panic
 	})
 }
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -105,7 +105,7 @@
 	machine := coord.New(cluster)
 	conf := &raftpb.ConfState{}
 	for _, m := range members {
-		machine.Join(1, m)
+		machine.AddMember(1, m)
 		conf.Voters = append(conf.Voters, m.ID)
 	}
 	return Disk{
@@ -242,7 +242,7 @@
 
 // Join proposes to add a learner, or to give one its vote.
 func (c *Core) Join(m coord.Member) error {
-	if err := c.machine.MayJoin(m); err != nil {
+	if err := c.machine.ValidateAdd(m); err != nil {
 		return err
 	}
 	kind := raftpb.ConfChangeAddNode
@@ -256,7 +256,7 @@
 
 // Leave proposes to remove a member.
 func (c *Core) Leave(id uint64) error {
-	if err := c.machine.MayLeave(id); err != nil {
+	if err := c.machine.ValidateRemove(id); err != nil {
 		return err
 	}
 	return c.propose(raftpb.ConfChangeRemoveNode, id, change{Leave: id})
@@ -299,14 +299,14 @@
 // append proposes one entry.
 func (c *Core) append(e coord.Entry, wall int64) bool {
 	c.number++
-	e.From, e.Life, e.Number, e.Wall = c.cfg.ID, c.life.Number, c.number, wall
+	e.Proposer, e.Incarnation, e.ProposalID, e.WallMillis = c.cfg.ID, c.life.Number, c.number, wall
 	return c.node.Propose(e.Encode()) == nil
 }
 
 // Pass lets time pass in the state machine although no command came, where a session may end by it. Call it some
 // times a second.
 func (c *Core) Pass(now time.Duration, wall int64) {
-	if c.leading && len(c.queue) == 0 && now-c.base >= c.machine.Due() && c.append(coord.Entry{Elapsed: now - c.base}, wall) {
+	if c.leading && len(c.queue) == 0 && now-c.base >= c.machine.NextExpiry() && c.append(coord.Entry{Elapsed: now - c.base}, wall) {
 		c.base = now
 	}
 }
@@ -347,7 +347,7 @@
 	}
 	out := Output{Messages: c.outbox, Answers: c.answers}
 	c.outbox, c.answers = nil, nil
-	if hints := c.machine.Touched(); c.leading {
+	if hints := c.machine.TakeChangedSessions(); c.leading {
 		out.Hints = hints
 	}
 	if !out.empty() {
@@ -414,7 +414,7 @@
 	switch {
 	case leads && !c.leading:
 		c.leading, c.base = true, now
-		c.append(coord.Entry{Begin: c.term}, wall)
+		c.append(coord.Entry{NewTerm: c.term}, wall)
 	case !leads && c.leading:
 		c.leading = false
 		c.drop()
@@ -456,13 +456,13 @@
 		return err
 	}
 	results := c.machine.Apply(e.GetIndex(), entry)
-	if entry.From != c.cfg.ID || entry.Life != c.life.Number {
+	if entry.Proposer != c.cfg.ID || entry.Incarnation != c.life.Number {
 		return nil
 	}
-	for i, tag := range c.waiting[entry.Number] {
+	for i, tag := range c.waiting[entry.ProposalID] {
 		c.answers = append(c.answers, Answer{Tag: tag, Result: results[i]})
 	}
-	delete(c.waiting, entry.Number)
+	delete(c.waiting, entry.ProposalID)
 	return nil
 }
 
@@ -485,9 +485,9 @@
 		return err
 	}
 	if what.Join != nil {
-		c.machine.Join(e.GetIndex(), *what.Join)
+		c.machine.AddMember(e.GetIndex(), *what.Join)
 	} else {
-		c.machine.Leave(e.GetIndex(), what.Leave)
+		c.machine.RemoveMember(e.GetIndex(), what.Leave)
 	}
 	return nil
 }
--- a/internal/coord/replica/status.go
+++ b/internal/coord/replica/status.go
@@ -11,14 +11,14 @@
 func (c *Core) Status() coord.Status {
 	st := c.node.Status()
 	s := coord.Status{
-		ID: c.cfg.ID, Life: c.life.Number, Leader: st.Lead, Term: st.HardState.GetTerm(), Applied: c.applied,
-		Commit: st.HardState.GetCommit(), Snapshot: c.taken,
+		ID: c.cfg.ID, Incarnation: c.life.Number, Leader: st.Lead, Term: st.HardState.GetTerm(), Applied: c.applied,
+		Committed: st.HardState.GetCommit(), Snapshot: c.taken,
 	}
 	switch {
 	case c.failed != nil:
-		s.Role, s.Why = "failed", c.failed.Error()
+		s.Role, s.Detail = "failed", c.failed.Error()
 	case !c.cleared:
-		s.Role, s.Why = "unannounced", "too few other members have been reached to be a majority with it"
+		s.Role, s.Detail = "unannounced", "too few other members have been reached to be a majority with it"
 	case c.leading:
 		s.Role = "leader"
 	case st.Lead != 0:
@@ -28,7 +28,7 @@
 	}
 	ids, _ := c.others(c.conf)
 	for _, id := range ids {
-		p := coord.Peer{ID: id, Reached: c.reached[id], Learner: slices.Contains(c.conf.GetLearners(), id)}
+		p := coord.Peer{ID: id, Acknowledged: c.reached[id], Learner: slices.Contains(c.conf.GetLearners(), id)}
 		if progress, ok := st.Progress[id]; ok {
 			p.Match, p.Active = progress.Match, progress.RecentActive
 		}
--- a/internal/coord/server/http.go
+++ b/internal/coord/server/http.go
@@ -205,9 +205,9 @@
 	there := func() (done bool) {
 		n.do(ctx, func() {
 			if q.Join != nil {
-				done = n.core.State().Has(*q.Join)
+				done = n.core.State().HasMember(*q.Join)
 			} else {
-				done = !n.core.State().HasID(q.Leave)
+				done = !n.core.State().HasMemberID(q.Leave)
 			}
 		})
 		return done
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -171,7 +171,7 @@
 func (n *Node) waiter(session uint64) chan struct{} {
 	c := n.hints[session]
 	if c == nil {
-		if len(n.hints) >= 2*coord.MostSessions {
+		if len(n.hints) >= 2*coord.MaxSessions {
 			clear(n.hints) // of sessions that are long over, for the most part; hints may be lost
 		}
 		c = make(chan struct{}, 1)
--- a/internal/coord/server/peers.go
+++ b/internal/coord/server/peers.go
@@ -67,7 +67,7 @@
 	}
 	q := p.queues[to]
 	if q == nil {
-		if len(p.queues) >= 4*coord.MostMembers {
+		if len(p.queues) >= 4*coord.MaxMembers {
 			return // members were replaced very often in this life
 		}
 		q = make(chan message, queueRoom)
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -82,13 +82,13 @@
 
 func TestValuesAndWatch(t *testing.T) {
 	c := servertest.New(t)
-	open, err := c.Lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.Open, Nonce: "n", Name: "t", TTL: time.Minute}})
+	open, err := c.Lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", Name: "t", TTL: time.Minute}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	put := api.Request{Command: &coord.Command{Op: coord.Put, Session: open.Result.Session, Seq: 1, Key: "k", Value: []byte("v")}}
+	put := api.Request{Command: &coord.Command{Op: coord.OpPut, Session: open.Result.Session, Seq: 1, Key: "k", Value: []byte("v")}}
 	for range 2 { // the second time its answer counts as lost
-		if a, err := c.Lead(api.PathCommand, put); err != nil || a.Result.Code != coord.Done || a.Result.Version != 1 {
+		if a, err := c.Lead(api.PathCommand, put); err != nil || a.Result.Code != coord.CodeOK || a.Result.ModRevision != 1 {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// SnapshotVersion is the form of a snapshot.
+// SnapshotVersion is the version of a snapshot's form.
 const SnapshotVersion = 1
 
-// image is a snapshot: all that later entries depend on. Changes for watches are not in it: a watch from before is
-// told to read anew.
-type image struct {
-	Version  int           `json:"version"`
-	Cluster  string        `json:"cluster"`
-	Now      time.Duration `json:"now"`
-	Wall     int64         `json:"wall"`
-	Index    uint64        `json:"index"`
-	Stamp    uint64        `json:"stamp"`
-	Opened   uint64        `json:"opened"`
-	Tokens   uint64        `json:"tokens"`
-	Revision uint64        `json:"revision"`
-	Sessions []*session    `json:"sessions"`
-	Leases   []*held       `json:"leases"`
-	Values   []*Value      `json:"values"`
-	History  []Event       `json:"history"`
-	Members  []Member      `json:"members"`
-	Retired  []uint64      `json:"retired"`
+// snapshotData is the form of a snapshot: all that the result of later entries depends on. Changes for watches are not part
+// of it: a watch from before a snapshot is told to read the values anew.
+type snapshotData struct {
+	Version        int           `json:"version"`
+	Cluster        string        `json:"cluster"`
+	Now            time.Duration `json:"now"`
+	WallMillis     int64         `json:"wall"`
+	Index          uint64        `json:"index"`
+	CommandIndex   uint64        `json:"stamp"`
+	LastSessionID  uint64        `json:"opened"`
+	LastToken      uint64        `json:"tokens"`
+	Revision       uint64        `json:"revision"`
+	Sessions       []*session    `json:"sessions"`
+	Leases         []*leaseState `json:"leases"`
+	Values         []*Value      `json:"values"`
+	History        []Event       `json:"history"`
+	Members        []Member      `json:"members"`
+	RemovedMembers []uint64      `json:"retired"`
 }
 
-// byKey gives a map's values in the order of their keys.
-func byKey[K ~string | ~uint64, V any](m map[K]V) []V {
+// valuesByKey returns a map's values in the order of their keys.
+func valuesByKey[K ~string | ~uint64, V any](m map[K]V) []V {
 	list := make([]V, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		list = append(list, m[k])
@@ -41,82 +41,100 @@
 	return list
 }
 
-// Snapshot gives the state's bytes: the same bytes for the same state.
+// Snapshot returns the state's bytes: the same bytes for the same state.
 func (m *Machine) Snapshot() []byte {
-	raw, err := json.Marshal(image{
-		Version: SnapshotVersion, Cluster: m.cluster, Now: m.now, Wall: m.wall, Index: m.index, Stamp: m.stamp,
-		Opened: m.opened, Tokens: m.tokens, Revision: m.revision, Sessions: byKey(m.sessions), Leases: byKey(m.leases),
-		Values: byKey(m.values), History: m.history, Members: m.Members(), Retired: m.retired,
+	raw, err := json.Marshal(snapshotData{
+		Version: SnapshotVersion, Cluster: m.cluster, Now: m.now, WallMillis: m.wallMillis, Index: m.index,
+		CommandIndex: m.commandIndex, LastSessionID: m.lastSessionID, LastToken: m.lastToken, Revision: m.revision,
+		Sessions: valuesByKey(m.sessions), Leases: valuesByKey(m.leases), Values: valuesByKey(m.values),
+		History: m.history, Members: m.Members(), RemovedMembers: m.removedMembers,
 	})
 	if err != nil {
-		panic(fmt.Sprintf("coord: a state that can't be encoded: %v", err)) // its types all can
+		panic(fmt.Sprintf("coord: a state that can't be encoded: %v", err)) // all of its types can
 	}
 	return raw
 }
 
-// Restore makes the state of a snapshot. An error means another version's snapshot, damage, or a state that no log
-// leads to.
+// Restore returns the state of a snapshot. It fails with a VersionError or a SnapshotError, or where the snapshot is not
+// JSON.
 func Restore(raw []byte) (*Machine, error) {
-	var i image
-	if err := json.Unmarshal(raw, &i); err != nil {
+	var data snapshotData
+	if err := json.Unmarshal(raw, &data); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if i.Version != SnapshotVersion {
-		return nil, fmt.Errorf("snapshot: version %d; this program reads version %d", i.Version, SnapshotVersion)
+	if data.Version != SnapshotVersion {
+		return nil, &VersionError{Form: "snapshot", Version: data.Version, Supported: SnapshotVersion}
 	}
-	m := New(i.Cluster)
-	m.now, m.wall, m.index, m.stamp = i.Now, i.Wall, i.Index, i.Stamp
-	m.opened, m.tokens, m.revision, m.history = i.Opened, i.Tokens, i.Revision, i.History
-	m.before, m.retired = i.Revision, i.Retired
-	for _, member := range i.Members {
+	m := New(data.Cluster)
+	m.now, m.wallMillis, m.index, m.commandIndex = data.Now, data.WallMillis, data.Index, data.CommandIndex
+	m.lastSessionID, m.lastToken, m.revision = data.LastSessionID, data.LastToken, data.Revision
+	m.history, m.compactedRevision, m.removedMembers = data.History, data.Revision, data.RemovedMembers
+	for _, member := range data.Members {
 		m.members[member.ID] = member
 	}
-	m.soonest = math.MaxInt64
-	for _, s := range i.Sessions {
-		if s == nil || s.ID == 0 || s.ID > m.opened || m.sessions[s.ID] != nil || m.nonces[s.Nonce] != 0 {
-			return nil, fmt.Errorf("snapshot: sessions: one is missing, listed twice or was never opened")
-		}
-		s.holds, s.waits = map[string]*held{}, map[string]*held{}
-		m.sessions[s.ID] = s
-		m.nonces[s.Nonce] = s.ID
-		m.soonest = min(m.soonest, s.Deadline)
+	if err := m.restoreSessions(data.Sessions); err != nil {
+		return nil, err
 	}
-	for _, l := range i.Leases {
+	for _, l := range data.Leases {
 		if err := m.restoreLease(l); err != nil {
 			return nil, err
 		}
 	}
-	for _, v := range i.Values {
-		if v == nil || m.values[v.Key] != nil || v.Version > m.revision {
-			return nil, fmt.Errorf("snapshot: values: one is missing, listed twice or newer than the state")
-		}
-		m.values[v.Key] = v
-		m.bytes += len(v.Value)
+	if err := m.restoreValues(data.Values); err != nil {
+		return nil, err
 	}
 	return m, nil
 }
 
-func (m *Machine) restoreLease(l *held) error {
+func (m *Machine) restoreSessions(sessions []*session) error {
+	m.earliestDeadline = math.MaxInt64
+	for _, s := range sessions {
+		if s == nil || s.ID == 0 || s.ID > m.lastSessionID || m.sessions[s.ID] != nil || m.nonces[s.Nonce] != 0 {
+			return &SnapshotError{"sessions", "one is missing, listed twice or was never opened"}
+		}
+		s.held, s.queued = map[string]*leaseState{}, map[string]*leaseState{}
+		m.sessions[s.ID] = s
+		m.nonces[s.Nonce] = s.ID
+		m.earliestDeadline = min(m.earliestDeadline, s.Deadline)
+	}
+	return nil
+}
+
+// restoreLease restores a lease, its holder's side of it and its queue.
+func (m *Machine) restoreLease(l *leaseState) error {
+	if l == nil || m.leases[l.Name] != nil {
+		return &SnapshotError{"leases", "one is missing or listed twice"}
+	}
+	part := fmt.Sprintf("lease %q", l.Name)
 	switch {
-	case l == nil || m.leases[l.Name] != nil:
-		return fmt.Errorf("snapshot: leases: one is missing or listed twice")
 	case m.sessions[l.Holder] == nil:
-		return fmt.Errorf("snapshot: lease %q: its holder has no session", l.Name)
-	case l.Token > m.tokens:
-		return fmt.Errorf("snapshot: lease %q: token %d, and only %d were granted", l.Name, l.Token, m.tokens)
+		return &SnapshotError{part, "its holder has no session"}
+	case l.Token > m.lastToken:
+		return &SnapshotError{part, fmt.Sprintf("token %d, and only %d were granted", l.Token, m.lastToken)}
 	}
 	m.leases[l.Name] = l
-	m.sessions[l.Holder].holds[l.Name] = l
+	m.sessions[l.Holder].held[l.Name] = l
 	if l.Revoked {
-		m.ending[l.Name] = l
+		m.revoked[l.Name] = l
 	}
-	for _, w := range l.Queue {
-		s := m.sessions[w.Session]
-		if s == nil || s.waits[l.Name] != nil {
-			return fmt.Errorf("snapshot: lease %q: one who waits has no session or waits twice", l.Name)
+	for _, q := range l.Queue {
+		s := m.sessions[q.Session]
+		if s == nil || s.queued[l.Name] != nil {
+			return &SnapshotError{part, "one who waits has no session or waits twice"}
 		}
-		s.waits[l.Name] = l
-		m.waiting++
+		s.queued[l.Name] = l
+		m.queuedRequests++
+	}
+	return nil
+}
+
+func (m *Machine) restoreValues(values []*Value) error {
+	for _, v := range values {
+		if v == nil || m.values[v.Key] != nil || v.ModRevision > m.revision {
+			return &SnapshotError{"values", "one is missing, listed twice or newer than the state"}
+		}
+		m.values[v.Key] = v
+		m.valueBytes += len(v.Value)
 	}
 	return nil
 }
--- a/internal/coord/values.go
+++ b/internal/coord/values.go
@@ -9,12 +9,12 @@
 
 // Value is a small value under a key.
 type Value struct {
-	Key     string `json:"key"`
-	Value   []byte `json:"value"`
-	Version uint64 `json:"version"` // the revision that wrote it: no two writes of any key have the same
+	Key         string `json:"key"`
+	Value       []byte `json:"value"`
+	ModRevision uint64 `json:"version"` // revision of the write that made it: no two writes of any keys have the same
 }
 
-// Change is one write, for watches.
+// Change is one write of a value, for watches.
 type Change struct {
 	Revision uint64 `json:"revision"`
 	Key      string `json:"key"`
@@ -22,54 +22,66 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// write puts or deletes a value if its version is the one expected and, where the command names a lease, if that
-// lease is held under its token by the session: a holder that was paused can't write after the next one.
+// write puts or deletes a value if its revision is the expected one and, where the command names a lease, if the session
+// holds that lease under that token: a holder that was paused can't write after its successor.
 func (m *Machine) write(s *session, c *Command) Result {
 	if c.Lease != "" {
-		if l := s.holds[c.Lease]; l == nil || l.Token != c.Token || l.Revoked {
-			return Result{Code: NotHeld}
+		if l := s.held[c.Lease]; l == nil || l.Token != c.Token || l.Revoked {
+			return Result{Code: CodeNotHeld}
 		}
 	}
-	old := m.values[c.Key]
-	var version uint64
-	size := 0
-	if old != nil {
-		version, size = old.Version, len(old.Value)
+	current := m.values[c.Key]
+	var revision uint64
+	if current != nil {
+		revision = current.ModRevision
 	}
-	if version != c.Expect {
-		return Result{Code: Conflict, Version: version}
+	switch {
+	case revision != c.ExpectedRevision:
+		return Result{Code: CodeConflict, ModRevision: revision}
+	case c.Op == OpPut:
+		return m.put(current, c)
+	case current == nil:
+		return Result{Code: CodeOK} // there is nothing to be deleted
+	}
+	delete(m.values, c.Key)
+	m.valueBytes -= len(current.Value)
+	return m.recordChange(Change{Key: c.Key, Deleted: true})
+}
+
+// put writes a value in the place of the current one, which may be nil.
+func (m *Machine) put(current *Value, c *Command) Result {
+	currentSize := 0
+	if current != nil {
+		currentSize = len(current.Value)
 	}
-	change := Change{Key: c.Key}
 	switch {
-	case c.Op == Delete && old == nil:
-		return Result{Code: Done}
-	case c.Op == Delete:
-		delete(m.values, c.Key)
-		m.bytes -= size
-		change.Deleted = true
-	case old == nil && len(m.values) >= MostValues:
-		return Result{Code: Full, Why: fmt.Sprintf("%d values", MostValues)}
-	case m.bytes-size+len(c.Value) > MostBytes:
-		return Result{Code: Full, Why: fmt.Sprintf("%d bytes of values", MostBytes)}
-	default:
-		m.bytes += len(c.Value) - size
-		m.values[c.Key] = &Value{Key: c.Key, Value: c.Value, Version: m.revision + 1}
-		change.Value = c.Value
+	case current == nil && len(m.values) >= MaxValues:
+		return limitExceeded(fmt.Sprintf("%d values", MaxValues))
+	case m.valueBytes-currentSize+len(c.Value) > MaxValueBytes:
+		return limitExceeded(fmt.Sprintf("%d bytes of values", MaxValueBytes))
 	}
+	m.valueBytes += len(c.Value) - currentSize
+	m.values[c.Key] = &Value{Key: c.Key, Value: c.Value, ModRevision: m.revision + 1}
+	return m.recordChange(Change{Key: c.Key, Value: c.Value})
+}
+
+// recordChange gives a change the next revision and retains it for watches.
+func (m *Machine) recordChange(change Change) Result {
 	m.revision++
 	change.Revision = m.revision
-	if len(m.changes) >= MostChanges {
-		m.before = m.changes[MostChanges/4-1].Revision
-		m.changes = slices.Clone(m.changes[MostChanges/4:])
+	if len(m.changes) >= MaxRetainedChanges {
+		compacted := MaxRetainedChanges / compactedShare
+		m.compactedRevision = m.changes[compacted-1].Revision
+		m.changes = slices.Clone(m.changes[compacted:])
 	}
 	m.changes = append(m.changes, change)
-	return Result{Code: Done, Version: m.revision}
+	return Result{Code: CodeOK, ModRevision: m.revision}
 }
 
-// Revision is that of the last write.
+// Revision returns the revision of the last write.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// Values gives the values whose keys begin with a prefix, by key.
+// Values returns the values whose keys begin with a prefix, by key.
 func (m *Machine) Values(prefix string) []Value {
 	var list []Value
 	for _, key := range slices.Sorted(maps.Keys(m.values)) {
@@ -80,10 +92,10 @@
 	return list
 }
 
-// Changes gives the writes after a revision to keys with a prefix. It is false where they are not all kept any
-// more: then the values have to be read anew.
+// Changes returns the writes after a revision to keys with a prefix. It reports false where they are compacted, or where
+// the revision was never reached: then the values have to be read anew.
 func (m *Machine) Changes(after uint64, prefix string) ([]Change, bool) {
-	if after < m.before || after > m.revision {
+	if after < m.compactedRevision || after > m.revision {
 		return nil, false
 	}
 	var list []Change
--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -117,9 +117,9 @@
 	case !op.put && op.value == s.value && as(op.version):
 		return []register{{op.version, op.value}}
 	case !op.put:
-	case op.code == coord.Done && as(op.expect):
+	case op.code == coord.CodeOK && as(op.expect):
 		return []register{{op.version, op.value}}
-	case op.code == coord.Conflict && op.version != op.expect && as(op.version):
+	case op.code == coord.CodeConflict && op.version != op.expect && as(op.version):
 		return []register{{op.version, s.value}}
 	case op.code == "" && as(op.expect):
 		return []register{s, {0, op.value}}
--- a/internal/faultinjection/coordsim/clients.go
+++ b/internal/faultinjection/coordsim/clients.go
@@ -179,7 +179,7 @@
 func (c *client) call(call lease.Call) {
 	w := c.run.world
 	command := call.Command
-	if command.Op == coord.Acquire && c.askedBy[command.Lease] != command.Seq {
+	if command.Op == coord.OpAcquire && c.askedBy[command.Lease] != command.Seq {
 		c.asked[command.Lease], c.askedBy[command.Lease] = w.now, command.Seq
 	}
 	sent := w.now
@@ -259,7 +259,7 @@
 func (v *writer) renew() {
 	v.session, v.seq = 0, 0
 	v.nonce = fmt.Sprintf("%s-%d", v.name, v.run.world.rand.Uint64())
-	v.try(coord.Command{Op: coord.Open, Nonce: v.nonce, Name: v.name, TTL: 5 * time.Second}, v.run.world.now, func(r coord.Result) {
+	v.try(coord.Command{Op: coord.OpOpen, Nonce: v.nonce, Name: v.name, TTL: 5 * time.Second}, v.run.world.now, func(r coord.Result) {
 		v.session = r.Session
 		v.next()
 	}, v.renew)
@@ -285,11 +285,11 @@
 		v.seq++
 		value := fmt.Sprintf("%s-%d", v.name, w.rand.Uint64())
 		op := operation{client: v.number, key: key, put: true, expect: v.version[key], value: value, call: w.now}
-		v.try(coord.Command{Op: coord.Put, Session: v.session, Seq: v.seq, Key: key, Value: []byte(value), Expect: op.expect}, w.now,
+		v.try(coord.Command{Op: coord.OpPut, Session: v.session, Seq: v.seq, Key: key, Value: []byte(value), ExpectedRevision: op.expect}, w.now,
 			func(r coord.Result) {
-				op.code, op.version, op.end = r.Code, r.Version, w.now
+				op.code, op.version, op.end = r.Code, r.ModRevision, w.now
 				v.run.history = append(v.run.history, op)
-				v.version[key] = r.Version
+				v.version[key] = r.ModRevision
 				v.next()
 			}, func() {
 				op.code, op.end = "", forever
@@ -311,7 +311,7 @@
 	l := list[w.rand.IntN(len(list))]
 	v.seq++
 	v.run.counts["revoke"]++
-	v.try(coord.Command{Op: coord.Revoke, Session: v.session, Seq: v.seq, Lease: l.Name, Token: l.Token}, w.now,
+	v.try(coord.Command{Op: coord.OpRevoke, Session: v.session, Seq: v.seq, Lease: l.Name, Token: l.Token}, w.now,
 		func(coord.Result) { v.next() }, v.renew)
 }
 
@@ -342,7 +342,7 @@
 			case turn != v.turn:
 			case !r.ok:
 				again(r.leader)
-			case r.result.Code == coord.NoSession || r.result.Code == coord.Late:
+			case r.result.Code == coord.CodeNoSession || r.result.Code == coord.CodeStale:
 				v.turn++
 				lost()
 			default:
@@ -374,10 +374,10 @@
 				return
 			}
 			if r.ok {
-				op.end, op.code = w.now, coord.Done
+				op.end, op.code = w.now, coord.CodeOK
 				v.version[key] = 0
 				if len(r.values) == 1 {
-					op.value, op.version = string(r.values[0].Value), r.values[0].Version
+					op.value, op.version = string(r.values[0].Value), r.values[0].ModRevision
 					v.version[key] = op.version
 				}
 				v.run.history = append(v.run.history, op)
--- a/internal/faultinjection/coordsim/replace.go
+++ b/internal/faultinjection/coordsim/replace.go
@@ -42,9 +42,9 @@
 		done func(m *coord.Machine) bool
 		try  func(c *replica.Core) error
 	}{
-		{func(m *coord.Machine) bool { return m.Has(learner) || m.Has(voter) }, func(c *replica.Core) error { return c.Join(learner) }},
-		{func(m *coord.Machine) bool { return !m.HasID(old.id) }, func(c *replica.Core) error { return c.Leave(old.id) }},
-		{func(m *coord.Machine) bool { return m.Has(voter) }, func(c *replica.Core) error { return c.Join(voter) }},
+		{func(m *coord.Machine) bool { return m.HasMember(learner) || m.HasMember(voter) }, func(c *replica.Core) error { return c.Join(learner) }},
+		{func(m *coord.Machine) bool { return !m.HasMemberID(old.id) }, func(c *replica.Core) error { return c.Leave(old.id) }},
+		{func(m *coord.Machine) bool { return m.HasMember(voter) }, func(c *replica.Core) error { return c.Join(voter) }},
 	}
 	var step func(n int)
 	step = func(n int) {
--- a/internal/faultinjection/coordsim/trouble.go
+++ b/internal/faultinjection/coordsim/trouble.go
@@ -202,7 +202,7 @@
 			return
 		}
 		for _, p := range m.core.Status().Peers {
-			if !p.Reached {
+			if !p.Acknowledged {
 				return
 			}
 		}
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		if g, _ := e.client.Grant(ExportLease); g.Wait > 0 {
+		if g, _ := e.client.Grant(ExportLease); g.QueueLength > 0 {
 			return nil
 		}
 	}
@@ -124,8 +124,8 @@
 	switch {
 	case err != nil:
 		return fmt.Errorf("export: slice %s: %w", head.Name, err) // the next holder reads whether it counts
-	case r.Code != coord.Done:
-		return fmt.Errorf("export: slice %s does not count: %s %s", head.Name, r.Code, r.Why)
+	case r.Code != coord.CodeOK:
+		return fmt.Errorf("export: slice %s does not count: %s %s", head.Name, r.Code, r.Detail)
 	}
 	return nil
 }
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -80,7 +80,7 @@
 		r.mu.Lock()
 		want, drop := r.turns.Step(clock.SinceBoot(), func(partner int) (uint64, int, bool) {
 			g, ok := r.client.Grant(ResendLease(partner))
-			return g.Token, g.Wait, ok
+			return g.Token, g.QueueLength, ok
 		})
 		r.mu.Unlock()
 		for _, partner := range want {
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -67,13 +67,13 @@
 
 // Check tells what is wrong in the section.
 func (s *Section) Check(doc *strictconfig.Document, at string) {
-	if s.Cluster == "" || len(s.Cluster) >= coord.MostName {
-		doc.AddError(at+".cluster", "is no name of 1 to %d bytes", coord.MostName-1)
+	if s.Cluster == "" || len(s.Cluster) >= coord.MaxNameSize {
+		doc.AddError(at+".cluster", "is no name of 1 to %d bytes", coord.MaxNameSize-1)
 	}
 	if members, err := api.ParseMembers(s.Members); err != nil {
 		doc.AddError(at+".members", "%v", err)
-	} else if len(members) == 0 || len(members) > coord.MostMembers {
-		doc.AddError(at+".members", "names %d members; 1 to %d are wanted", len(members), coord.MostMembers)
+	} else if len(members) == 0 || len(members) > coord.MaxMembers {
+		doc.AddError(at+".members", "names %d members; 1 to %d are wanted", len(members), coord.MaxMembers)
 	}
 	if ttl := s.TTL(); ttl < coord.MinTTL || ttl > coord.MaxTTL {
 		doc.AddError(at+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMS, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
--- a/internal/lease/calls.go
+++ b/internal/lease/calls.go
@@ -61,7 +61,7 @@
 	c.nextCall++
 	call := Call{ID: c.nextCall, Server: c.server, Command: *command}
 	c.inFlight[call.ID] = inFlightCall{sent: now, server: call.Server, command: call.Command}
-	if command.Op == coord.Close {
+	if command.Op == coord.OpClose {
 		// The close may arrive at any time from now on: the session must not be used again, whatever becomes of this call.
 		c.resetSession()
 	}
@@ -94,7 +94,7 @@
 		return nil
 	}
 	if c.session == 0 {
-		return &coord.Command{Op: coord.Open, Nonce: c.nonce, Name: c.cfg.Name, TTL: c.cfg.TTL}
+		return &coord.Command{Op: coord.OpOpen, Nonce: c.nonce, Name: c.cfg.Name, TTL: c.cfg.TTL}
 	}
 	if c.pending == nil {
 		c.pending = c.nextChange(now)
@@ -103,10 +103,10 @@
 		return c.pending
 	}
 	if c.idle() {
-		return &coord.Command{Op: coord.Close, Session: c.session}
+		return &coord.Command{Op: coord.OpClose, Session: c.session}
 	}
 	if now >= c.renewAt {
-		return &coord.Command{Op: coord.Renew, Session: c.session}
+		return &coord.Command{Op: coord.OpRenew, Session: c.session}
 	}
 	return nil
 }
@@ -121,7 +121,7 @@
 func (c *Core) nextChange(now time.Duration) *coord.Command {
 	for _, name := range slices.Sorted(maps.Keys(c.revoked)) {
 		if !c.hasOpenAct(name) {
-			return c.release(coord.Command{Op: coord.Release, Lease: name, Token: c.revoked[name], Reason: "revoked"})
+			return c.release(coord.Command{Op: coord.OpRelease, Lease: name, Token: c.revoked[name], Reason: "revoked"})
 		}
 	}
 	if len(c.puts) > 0 {
@@ -143,13 +143,13 @@
 	switch {
 	case r.releasing && held && c.hasOpenAct(name), now < r.notBefore:
 	case r.releasing && held && r.successor != "":
-		return c.release(coord.Command{Op: coord.Handover, Lease: name, Token: grant.Token, To: r.successor})
+		return c.release(coord.Command{Op: coord.OpTransfer, Lease: name, Token: grant.Token, To: r.successor})
 	case r.releasing && (held || r.registered):
-		return c.release(coord.Command{Op: coord.Release, Lease: name, Token: grant.Token})
+		return c.release(coord.Command{Op: coord.OpRelease, Lease: name, Token: grant.Token})
 	case r.releasing:
 		delete(c.requests, name)
 	case !held && !r.registered:
-		return c.numbered(coord.Command{Op: coord.Acquire, Lease: name, Reason: r.reason})
+		return c.numbered(coord.Command{Op: coord.OpAcquire, Lease: name, Reason: r.reason})
 	}
 	return nil
 }
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -113,7 +113,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	token, _, held := c.core.Holds(clock.SinceBoot(), name)
-	return coord.Grant{Lease: name, Token: token, Wait: c.core.Waiters(name)}, held
+	return coord.Grant{Lease: name, Token: token, QueueLength: c.core.Waiters(name)}, held
 }
 
 // Act is one act under a lease.
@@ -180,7 +180,7 @@
 	}
 	for _, v := range answer.Values {
 		if v.Key == key {
-			return v.Value, v.Version, nil
+			return v.Value, v.ModRevision, nil
 		}
 	}
 	return nil, 0, nil
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -123,7 +123,7 @@
 }
 
 // Waiters returns how many processes wait for a lease that is held, as of the newest answer.
-func (c *Core) Waiters(name string) int { return c.held[name].Wait }
+func (c *Core) Waiters(name string) int { return c.held[name].QueueLength }
 
 // SetServers raises the number of servers that can be called: a member has joined.
 func (c *Core) SetServers(servers int) { c.cfg.Servers = max(c.cfg.Servers, servers) }
--- a/internal/lease/puts.go
+++ b/internal/lease/puts.go
@@ -21,9 +21,9 @@
 // the one expected. TakePutResults tells what became of it.
 func (c *Core) Put(lease string, token uint64, key string, value []byte, expect uint64) (id uint64) {
 	c.nextPut++
-	p := queuedPut{c.nextPut, coord.Command{Op: coord.Put, Lease: lease, Token: token, Key: key, Value: value, Expect: expect}}
+	p := queuedPut{c.nextPut, coord.Command{Op: coord.OpPut, Lease: lease, Token: token, Key: key, Value: value, ExpectedRevision: expect}}
 	if c.session == 0 {
-		c.putResults = append(c.putResults, PutResult{ID: p.id, Result: coord.Result{Code: coord.NotHeld}})
+		c.putResults = append(c.putResults, PutResult{ID: p.id, Result: coord.Result{Code: coord.CodeNotHeld}})
 		return p.id
 	}
 	c.puts = append(c.puts, p)
--- a/internal/lease/results.go
+++ b/internal/lease/results.go
@@ -14,13 +14,13 @@
 	}
 	delete(c.inFlight, id)
 	c.failures, c.notBefore = 0, 0
-	if call.command.Op == coord.Open && !c.opened(now, call, r) {
+	if call.command.Op == coord.OpOpen && !c.opened(now, call, r) {
 		return
 	}
 	if !c.concernsSession(call, r) {
 		return
 	}
-	if r.Code == coord.NoSession {
+	if r.Code == coord.CodeNoSession {
 		c.resetSession()
 		return
 	}
@@ -32,15 +32,15 @@
 	if !c.hintPending {
 		c.renewAt = max(c.renewAt, call.sent+c.cfg.TTL/renewalsPerTTL)
 	}
-	if r.Stamp > c.stamp {
-		c.stamp = r.Stamp
+	if r.CommandIndex > c.stamp {
+		c.stamp = r.CommandIndex
 		c.applyHoldings(now, r)
 	}
 }
 
 // opened takes the answer to the opening of a session, and reports whether it was accepted.
 func (c *Core) opened(now time.Duration, call inFlightCall, r coord.Result) bool {
-	if r.Code != coord.Done { // the service has no room for a further session
+	if r.Code != coord.CodeOK { // the service has no room for a further session
 		c.backOff(now)
 		return false
 	}
@@ -53,9 +53,9 @@
 // concernsSession reports whether an answer tells something of the session as it is now.
 func (c *Core) concernsSession(call inFlightCall, r coord.Result) bool {
 	switch {
-	case call.command.Op != coord.Open && call.command.Session != c.session:
+	case call.command.Op != coord.OpOpen && call.command.Session != c.session:
 		return false
-	case call.command.Op == coord.Close:
+	case call.command.Op == coord.OpClose:
 		return false
 	}
 	return r.Session == 0 || r.Session == c.session
@@ -67,13 +67,13 @@
 	c.pending = nil
 	request := c.requests[command.Lease]
 	switch {
-	case command.Op == coord.Put:
+	case command.Op == coord.OpPut:
 		c.putResults = append(c.putResults, PutResult{ID: c.puts[0].id, Result: r})
 		c.puts = c.puts[1:]
 	case request == nil:
-	case r.Code == coord.Full || r.Code == coord.Invalid:
+	case r.Code == coord.CodeLimitExceeded || r.Code == coord.CodeInvalid:
 		request.notBefore = now + c.cfg.TTL
-	case command.Op == coord.Handover && r.Code == coord.Conflict:
+	case command.Op == coord.OpTransfer && r.Code == coord.CodeConflict:
 		request.successor = "" // that one does not wait any more: the first in the queue is next
 	}
 }
