--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -31,9 +31,9 @@
 	machine  = "internal/coord/machine.go"
 	sessions = "internal/coord/session.go"
 	leases   = "internal/coord/lease.go"
-	member  = "internal/coord/replica/core.go"
-	lives   = "internal/coord/replica/lives.go"
-	state   = "internal/coord/snapshot.go"
+	member   = "internal/coord/replica/core.go"
+	lives    = "internal/coord/replica/lives.go"
+	state    = "internal/coord/snapshot.go"
 )
 
 var mutants = map[string]mutant{
