--- a/cmd/frostlink-coord/folder.go
+++ b/cmd/frostlink-coord/folder.go
@@ -46,7 +46,7 @@
 			case identity.Address == "":
 				return fmt.Errorf("--id: member %d is not in the list of --member", id)
 			}
-			return disk.Create(dir, identity, replica.First(cluster, members))
+			return disk.Create(dir, identity, replica.Bootstrap(cluster, members))
 		},
 	}
 	f := c.Flags()
@@ -87,7 +87,7 @@
 					identity.Via = append(identity.Via, other.Address)
 				}
 			}
-			return disk.Create(dir, identity, replica.Disk{})
+			return disk.Create(dir, identity, replica.PersistentState{})
 		},
 	}
 	f := c.Flags()
@@ -177,12 +177,12 @@
 	}
 	v := &verified{}
 	id, state, err := disk.Read(dir)
-	v.Identity, v.Life = id, uint64(len(state.Lives))
+	v.Identity, v.Life = id, uint64(len(state.Incarnations))
 	if err != nil {
 		v.Damage = err.Error()
 		return v, nil
 	}
-	v.Snapshot, v.Entries, v.Committed = state.Snapshot.GetMetadata().GetIndex(), len(state.Entries), state.Hard.GetCommit()
+	v.Snapshot, v.Entries, v.Committed = state.Snapshot.GetMetadata().GetIndex(), len(state.Entries), state.HardState.GetCommit()
 	v.Last = v.Snapshot
 	if v.Entries > 0 {
 		v.Last = state.Entries[v.Entries-1].GetIndex()
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -38,7 +38,7 @@
 		}
 		if d, _, _, err := Open(dir); err != nil { // must not end the process, either
 			t.Fatalf("byte %d flipped: read, and not opened: %v", at, err)
-		} else if err := errors.Join(d.Save(replica.Write{Entries: []*raftpb.Entry{entry(6, 2, "g")}}), d.Close()); err != nil {
+		} else if err := errors.Join(d.Save(replica.WriteBatch{Entries: []*raftpb.Entry{entry(6, 2, "g")}}), d.Close()); err != nil {
 			t.Fatalf("byte %d flipped: %v", at, err)
 		}
 		for i, e := range got.Entries {
--- a/internal/coord/disk/disk.go
+++ b/internal/coord/disk/disk.go
@@ -58,7 +58,7 @@
 }
 
 // Create makes the folder of a new member. One that is there already is left alone.
-func Create(dir string, id Identity, first replica.Disk) error {
+func Create(dir string, id Identity, first replica.PersistentState) error {
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); err == nil {
 		return fmt.Errorf("%s: there is a member's data already", path)
@@ -73,7 +73,7 @@
 
 // Open opens a member's folder and gives what it holds. All of that is first written into a new file: of the old one
 // nothing is relied on but what its checksums vouch for, such as bbolt's list of free pages, which has none.
-func Open(dir string) (d *Disk, id Identity, state replica.Disk, err error) {
+func Open(dir string) (d *Disk, id Identity, state replica.PersistentState, err error) {
 	lock, err := lockFolder(dir)
 	if err != nil {
 		return nil, id, state, err
@@ -114,7 +114,7 @@
 }
 
 // fill writes a whole new file, and puts it in the place of the one that is there.
-func fill(dir string, id Identity, state replica.Disk) error {
+func fill(dir string, id Identity, state replica.PersistentState) error {
 	path, next := filepath.Join(dir, fileName), filepath.Join(dir, nextName)
 	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -134,8 +134,8 @@
 		if err := putJSON(meta, kIdentity, id); err != nil {
 			return err
 		}
-		if err := save(tx, replica.Write{
-			Lives: state.Lives, Marks: state.Marks, Hard: state.Hard, Snapshot: state.Snapshot,
+		if err := save(tx, replica.WriteBatch{
+			Incarnations: state.Incarnations, PeerIncarnations: state.PeerIncarnations, HardState: state.HardState, Snapshot: state.Snapshot,
 			Entries: state.Entries,
 		}); err != nil {
 			return err
@@ -159,7 +159,7 @@
 func (d *Disk) Close() error { return errors.Join(d.db.Close(), d.lock.Close()) }
 
 // Read reads all that a folder holds, and checks it. An error names what can't be read.
-func Read(dir string) (id Identity, disk replica.Disk, err error) {
+func Read(dir string) (id Identity, disk replica.PersistentState, err error) {
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); err != nil {
 		return id, disk, fmt.Errorf("no member's data: %w", err)
@@ -178,7 +178,7 @@
 	return id, disk, err
 }
 
-func load(tx *bbolt.Tx, id *Identity, disk *replica.Disk) error {
+func load(tx *bbolt.Tx, id *Identity, disk *replica.PersistentState) error {
 	meta, log := tx.Bucket(bMeta), tx.Bucket(bLog)
 	if meta == nil || log == nil {
 		return fmt.Errorf("buckets: %w", errNone)
@@ -192,7 +192,7 @@
 		key  []byte
 		must bool
 		to   any
-	}{{kIdentity, true, id}, {kLives, false, &disk.Lives}, {kMarks, false, &disk.Marks}} {
+	}{{kIdentity, true, id}, {kLives, false, &disk.Incarnations}, {kMarks, false, &disk.PeerIncarnations}} {
 		raw, err := unseal(meta.Get(one.key))
 		if errors.Is(err, errNone) && !one.must {
 			continue
@@ -208,7 +208,7 @@
 	if there, err := message(meta, kHard, hard); err != nil {
 		return err
 	} else if there {
-		disk.Hard = hard
+		disk.HardState = hard
 	}
 	if there, err := message(meta, kSnapshot, snapshot); err != nil {
 		return err
@@ -263,36 +263,36 @@
 }
 
 // Save writes what a round of the core gave. When it returns without an error all of it is on the disk.
-func (d *Disk) Save(w replica.Write) error {
+func (d *Disk) Save(w replica.WriteBatch) error {
 	if err := d.db.Update(func(tx *bbolt.Tx) error { return save(tx, w) }); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
 	}
 	return nil
 }
 
-func save(tx *bbolt.Tx, w replica.Write) error {
+func save(tx *bbolt.Tx, w replica.WriteBatch) error {
 	meta, log := tx.Bucket(bMeta), tx.Bucket(bLog)
-	if len(w.Lives) > 0 {
-		if err := putJSON(meta, kLives, w.Lives); err != nil {
+	if len(w.Incarnations) > 0 {
+		if err := putJSON(meta, kLives, w.Incarnations); err != nil {
 			return err
 		}
 	}
-	if len(w.Marks) > 0 {
-		marks := map[uint64]replica.Life{}
+	if len(w.PeerIncarnations) > 0 {
+		marks := map[uint64]replica.Incarnation{}
 		if raw, err := unseal(meta.Get(kMarks)); err == nil {
 			if err := json.Unmarshal(raw, &marks); err != nil {
 				return fmt.Errorf("marks: %w", err)
 			}
 		}
-		for id, life := range w.Marks {
+		for id, life := range w.PeerIncarnations {
 			marks[id] = life
 		}
 		if err := putJSON(meta, kMarks, marks); err != nil {
 			return err
 		}
 	}
-	if w.Hard != nil {
-		if err := putMessage(meta, kHard, w.Hard); err != nil {
+	if w.HardState != nil {
+		if err := putMessage(meta, kHard, w.HardState); err != nil {
 			return err
 		}
 	}
@@ -301,7 +301,7 @@
 			return err
 		}
 	}
-	if w.Whole {
+	if w.ReplaceLog {
 		if err := remove(log, 0, 1<<63); err != nil {
 			return err
 		}
@@ -316,7 +316,7 @@
 			return err
 		}
 	}
-	return remove(log, 0, w.First)
+	return remove(log, 0, w.FirstIndex)
 }
 
 // remove removes the entries from one index up to, not including, another.
--- a/internal/coord/disk/disk_test.go
+++ b/internal/coord/disk/disk_test.go
@@ -19,10 +19,10 @@
 }
 
 // filled makes a folder with some writes in it, and gives what it should hold.
-func filled(t *testing.T) (string, replica.Disk) {
+func filled(t *testing.T) (string, replica.PersistentState) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "m")
-	want := replica.First("c", []coord.Member{{ID: 1, Address: "a:1"}})
+	want := replica.Bootstrap("c", []coord.Member{{ID: 1, Address: "a:1"}})
 	if err := Create(dir, Identity{Cluster: "c", ID: 1, Address: "a:1"}, want); err != nil {
 		t.Fatal(err)
 	}
@@ -31,12 +31,12 @@
 		t.Fatal(err)
 	}
 	defer d.Close()
-	for _, w := range []replica.Write{
-		{Lives: []replica.Life{{Number: 1, Nonce: 9}}},
-		{Entries: []*raftpb.Entry{entry(2, 1, "a"), entry(3, 1, "b"), entry(4, 1, "c")}, Marks: map[uint64]replica.Life{2: {Number: 4}}},
-		{Entries: []*raftpb.Entry{entry(3, 2, "d")}, Hard: &raftpb.HardState{Term: new(uint64(2))}},
-		{Marks: map[uint64]replica.Life{3: {Number: 5}}, Entries: []*raftpb.Entry{entry(4, 2, "e"), entry(5, 2, "f")}},
-		{Snapshot: &raftpb.Snapshot{Data: []byte("s"), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(4)), Term: new(uint64(2))}}, First: 4},
+	for _, w := range []replica.WriteBatch{
+		{Incarnations: []replica.Incarnation{{Number: 1, Nonce: 9}}},
+		{Entries: []*raftpb.Entry{entry(2, 1, "a"), entry(3, 1, "b"), entry(4, 1, "c")}, PeerIncarnations: map[uint64]replica.Incarnation{2: {Number: 4}}},
+		{Entries: []*raftpb.Entry{entry(3, 2, "d")}, HardState: &raftpb.HardState{Term: new(uint64(2))}},
+		{PeerIncarnations: map[uint64]replica.Incarnation{3: {Number: 5}}, Entries: []*raftpb.Entry{entry(4, 2, "e"), entry(5, 2, "f")}},
+		{Snapshot: &raftpb.Snapshot{Data: []byte("s"), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(4)), Term: new(uint64(2))}}, FirstIndex: 4},
 	} {
 		if err := d.Save(w); err != nil {
 			t.Fatal(err)
@@ -46,7 +46,7 @@
 	return dir, want
 }
 
-func read(dir string) (replica.Disk, error) {
+func read(dir string) (replica.PersistentState, error) {
 	_, got, err := Read(dir)
 	return got, err
 }
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Lives) != 1 || got.Lives[0] != want.Lives[0] || len(got.Marks) != 2 || got.Marks[3] != want.Marks[3] || got.Hard.GetTerm() != want.Hard.GetTerm() ||
+	if len(got.Incarnations) != 1 || got.Incarnations[0] != want.Incarnations[0] || len(got.PeerIncarnations) != 2 || got.PeerIncarnations[3] != want.PeerIncarnations[3] || got.HardState.GetTerm() != want.HardState.GetTerm() ||
 		got.Snapshot.GetMetadata().GetIndex() != 4 || len(got.Entries) != len(want.Entries) {
 		t.Fatalf("%+v, want %+v", got, want)
 	}
@@ -67,7 +67,7 @@
 			t.Errorf("entry %d: %v, want %v", i, e, want.Entries[i])
 		}
 	}
-	if err := Create(dir, Identity{}, replica.Disk{}); err == nil || !strings.Contains(err.Error(), "already") {
+	if err := Create(dir, Identity{}, replica.PersistentState{}); err == nil || !strings.Contains(err.Error(), "already") {
 		t.Errorf("made anew: %v", err)
 	}
 	if _, _, _, err := Open(t.TempDir()); err == nil {
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -29,10 +29,10 @@
 	if id.Cluster != "c" || id.ID != 1 || id.Address != "a:1" {
 		t.Errorf("identity %+v", id)
 	}
-	if len(got.Lives) != 1 || got.Lives[0] != want.Lives[0] || len(got.Marks) != 2 || got.Marks[3] != want.Marks[3] || got.Hard.GetTerm() != want.Hard.GetTerm() ||
+	if len(got.Incarnations) != 1 || got.Incarnations[0] != want.Incarnations[0] || len(got.PeerIncarnations) != 2 || got.PeerIncarnations[3] != want.PeerIncarnations[3] || got.HardState.GetTerm() != want.HardState.GetTerm() ||
 		got.Snapshot.GetMetadata().GetIndex() != 4 || len(got.Entries) != len(want.Entries) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "identity", Value: &Identity{}}, goldentest.Form{Name: "lives", Value: &[]replica.Life{}},
-		goldentest.Form{Name: "marks", Value: &map[uint64]replica.Life{}})
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "identity", Value: &Identity{}}, goldentest.Form{Name: "lives", Value: &[]replica.Incarnation{}},
+		goldentest.Form{Name: "marks", Value: &map[uint64]replica.Incarnation{}})
 }
--- a/internal/coord/errors.go
+++ b/internal/coord/errors.go
@@ -22,7 +22,7 @@
 
 // VersionError says that a stored form is of a version that this program does not read.
 type VersionError struct {
-	Form      string // "entry" or "snapshot"
+	Form      string // "entry", "snapshot" or "envelope"
 	Version   int
 	Supported int
 }
--- a/internal/coord/replica/envelope.go
+++ b/internal/coord/replica/envelope.go
@@ -4,39 +4,62 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+
+	"frostlink/internal/coord"
 )
 
-// EnvelopeVersion is the form of what members send one another.
+// EnvelopeVersion is the version of an envelope's form.
 const EnvelopeVersion = 1
 
-// Kind says what an envelope is for.
+// Kind is the kind of an envelope.
 type Kind byte
 
-// The kinds.
+// The kinds. Subject is the incarnation that the last two are about, one of the receiver.
 const (
-	Raft     Kind = iota + 1 // a message of the consensus
-	Hello                    // this is my life now
-	Welcome                  // I have on disk that your life is Of
-	Outdated                 // I know of a later life of yours: Of
+	KindRaft        Kind = iota + 1 // Body is a message of Raft
+	KindAnnounce                    // the sender announces its incarnation; Body is its history
+	KindAcknowledge                 // the sender has Subject on disk as the receiver's incarnation
+	KindStale                       // the sender knows Subject as a later incarnation of the receiver
 )
 
 // Envelope is one message between members.
+//
+// Its form, with all numbers big-endian:
+//
+//	version      1 byte
+//	kind         1 byte
+//	from         8 bytes, the sender's id
+//	to           8 bytes, the receiver's id
+//	incarnation  8 bytes number and 8 bytes nonce, of the sender
+//	subject      8 bytes number and 8 bytes nonce
+//	cluster      1 byte length, and so many bytes
+//	body         the rest
 type Envelope struct {
-	Cluster string
-	From    uint64
-	To      uint64
-	Life    Life // the sender's
-	Kind    Kind
-	Of      Life
-	Body    []byte // Raft: its message; Hello: the member's lives so far
+	Cluster     string
+	From        uint64
+	To          uint64
+	Incarnation Incarnation // the sender's
+	Kind        Kind
+	Subject     Incarnation
+	Body        []byte
 }
 
-// Encode gives an envelope's bytes: version and kind, a byte each; six numbers of eight bytes, big-endian; the
-// cluster's id behind its length in a byte; the rest is the body.
+// The sizes of an envelope's parts.
+const (
+	envelopeNumbers = 6                         // of 8 bytes each, behind version and kind
+	envelopeMinSize = 2 + 8*envelopeNumbers + 1 // without the cluster's name and the body
+)
+
+// errEnvelopeTruncated says that an envelope is shorter than it says.
+var errEnvelopeTruncated = errors.New("envelope: cut off")
+
+// Encode returns an envelope's bytes.
 func (e Envelope) Encode() []byte {
-	raw := make([]byte, 0, 2+6*8+1+len(e.Cluster)+len(e.Body))
+	raw := make([]byte, 0, envelopeMinSize+len(e.Cluster)+len(e.Body))
 	raw = append(raw, EnvelopeVersion, byte(e.Kind))
-	for _, n := range []uint64{e.From, e.To, e.Life.Number, e.Life.Nonce, e.Of.Number, e.Of.Nonce} {
+	for _, n := range []uint64{
+		e.From, e.To, e.Incarnation.Number, e.Incarnation.Nonce, e.Subject.Number, e.Subject.Nonce,
+	} {
 		raw = binary.BigEndian.AppendUint64(raw, n)
 	}
 	raw = append(raw, byte(len(e.Cluster)))
@@ -44,32 +67,32 @@
 	return append(raw, e.Body...)
 }
 
-var errShort = errors.New("envelope: cut off")
-
-// DecodeEnvelope reads an envelope.
+// DecodeEnvelope decodes an envelope.
 func DecodeEnvelope(raw []byte) (Envelope, error) {
 	var e Envelope
 	if len(raw) == 0 {
-		return e, errShort
+		return e, errEnvelopeTruncated
 	}
 	if raw[0] != EnvelopeVersion {
-		return e, fmt.Errorf("envelope: version %d; this program reads version %d", raw[0], EnvelopeVersion)
+		return e, &coord.VersionError{Form: "envelope", Version: int(raw[0]), Supported: EnvelopeVersion}
 	}
-	if len(raw) < 2+6*8+1 {
-		return e, errShort
+	if len(raw) < envelopeMinSize {
+		return e, errEnvelopeTruncated
 	}
 	e.Kind = Kind(raw[1])
-	if e.Kind < Raft || e.Kind > Outdated {
+	if e.Kind < KindRaft || e.Kind > KindStale {
 		return e, fmt.Errorf("envelope: kind %d is unknown", raw[1])
 	}
 	rest := raw[2:]
-	for _, n := range []*uint64{&e.From, &e.To, &e.Life.Number, &e.Life.Nonce, &e.Of.Number, &e.Of.Nonce} {
+	for _, n := range []*uint64{
+		&e.From, &e.To, &e.Incarnation.Number, &e.Incarnation.Nonce, &e.Subject.Number, &e.Subject.Nonce,
+	} {
 		*n = binary.BigEndian.Uint64(rest)
 		rest = rest[8:]
 	}
 	size := int(rest[0])
 	if len(rest) < 1+size {
-		return e, errShort
+		return e, errEnvelopeTruncated
 	}
 	e.Cluster, e.Body = string(rest[1:1+size]), rest[1+size:]
 	return e, nil
--- a/internal/coord/replica/golden_test.go
+++ b/internal/coord/replica/golden_test.go
@@ -6,12 +6,13 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenForms(t *testing.T) {
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "change", Value: &change{}}, goldentest.Form{Name: "life", Value: &Life{}})
+func TestStoredForms_AreUnchanged(t *testing.T) {
+	goldentest.JSON(t, "forms.txt",
+		goldentest.Form{Name: "change", Value: &memberChange{}}, goldentest.Form{Name: "life", Value: &Incarnation{}})
 	var all []byte
-	for _, kind := range []Kind{Raft, Hello, Welcome, Outdated} {
-		all = append(all, Envelope{Cluster: "lahore", From: 1, To: 2, Life: Life{3, 4}, Kind: kind, Of: Life{5, 6}, Body: []byte("body")}.Encode()...)
+	for _, kind := range []Kind{KindRaft, KindAnnounce, KindAcknowledge, KindStale} {
+		all = append(all, Envelope{Cluster: "lahore", From: 1, To: 2, Incarnation: Incarnation{3, 4}, Kind: kind, Subject: Incarnation{5, 6}, Body: []byte("body")}.Encode()...)
 	}
 	goldentest.Bytes(t, "envelopes.bin", all)
-	goldentest.Bytes(t, "lives.bin", encodeLives([]Life{{1, 2}, {3, 4}}))
+	goldentest.Bytes(t, "lives.bin", encodeIncarnations([]Incarnation{{1, 2}, {3, 4}}))
 }
--- a/internal/coord/server/frame_test.go
+++ b/internal/coord/server/frame_test.go
@@ -8,7 +8,7 @@
 )
 
 func FuzzUnframe(f *testing.F) {
-	f.Add(frame(frame(nil, replica.Envelope{Cluster: "c", From: 1, To: 2, Kind: replica.Hello}.Encode()), replica.Envelope{Kind: replica.Raft}.Encode()))
+	f.Add(frame(frame(nil, replica.Envelope{Cluster: "c", From: 1, To: 2, Kind: replica.KindAnnounce}.Encode()), replica.Envelope{Kind: replica.KindRaft}.Encode()))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		list, err := unframe(raw)
 		if err != nil {
--- a/internal/coord/server/http.go
+++ b/internal/coord/server/http.go
@@ -62,10 +62,10 @@
 func (n *Node) notLeader(ctx context.Context, w http.ResponseWriter) {
 	a := api.Answer{Error: "this member does not lead"}
 	n.do(ctx, func() {
-		if leads, id := n.core.Leading(); !leads {
+		if leads, id := n.core.Leadership(); !leads {
 			a.Leader = id
 		}
-		for _, m := range n.core.State().Members() {
+		for _, m := range n.core.Machine().Members() {
 			if m.ID == a.Leader {
 				a.Address = m.Address
 			}
@@ -85,11 +85,11 @@
 	}
 	ctx, stop := context.WithTimeout(r.Context(), answerWithin)
 	defer stop()
-	a, taken := n.ask(ctx, func(tag uint64) bool { return n.core.Submit(tag, *q.Command) })
+	a, taken := n.ask(ctx, func(tag uint64) bool { return n.core.Propose(tag, *q.Command) })
 	switch {
 	case !taken:
 		n.notLeader(ctx, w)
-	case a.Lost:
+	case a.OutcomeUnknown:
 		refuse(w, http.StatusServiceUnavailable, "it is not known whether the command is applied")
 	default:
 		reply(w, http.StatusOK, api.Answer{Result: &a.Result})
@@ -101,12 +101,12 @@
 func (n *Node) reading(w http.ResponseWriter, r *http.Request, look func(*coord.Machine)) bool {
 	ctx, stop := context.WithTimeout(r.Context(), answerWithin)
 	defer stop()
-	a, taken := n.ask(ctx, func(tag uint64) bool { return n.core.Read(tag) })
+	a, taken := n.ask(ctx, func(tag uint64) bool { return n.core.ReadIndex(tag) })
 	switch {
 	case !taken:
 		n.notLeader(ctx, w)
 		return false
-	case a.Lost || !n.do(ctx, func() { look(n.core.State()) }):
+	case a.OutcomeUnknown || !n.do(ctx, func() { look(n.core.Machine()) }):
 		refuse(w, http.StatusServiceUnavailable, "no majority answers")
 		return false
 	}
@@ -171,7 +171,7 @@
 	var c chan struct{}
 	leads := false
 	n.do(ctx, func() {
-		if leads, _ = n.core.Leading(); leads {
+		if leads, _ = n.core.Leadership(); leads {
 			c = n.waiter(q.Wait.Session)
 		}
 	})
@@ -205,20 +205,20 @@
 	there := func() (done bool) {
 		n.do(ctx, func() {
 			if q.Join != nil {
-				done = n.core.State().HasMember(*q.Join)
+				done = n.core.Machine().HasMember(*q.Join)
 			} else {
-				done = !n.core.State().HasMemberID(q.Leave)
+				done = !n.core.Machine().HasMemberID(q.Leave)
 			}
 		})
 		return done
 	}
 	n.do(ctx, func() {
-		switch leads, _ = n.core.Leading(); {
+		switch leads, _ = n.core.Leadership(); {
 		case !leads:
 		case q.Join != nil:
-			err = n.core.Join(*q.Join)
+			err = n.core.AddMember(*q.Join)
 		default:
-			err = n.core.Leave(q.Leave)
+			err = n.core.RemoveMember(q.Leave)
 		}
 	})
 	switch {
@@ -243,7 +243,7 @@
 func (n *Node) status(w http.ResponseWriter, r *http.Request) {
 	s := api.Status{Cluster: n.id.Cluster}
 	if !n.do(r.Context(), func() {
-		s.Member, s.Members, s.Counts = n.core.Status(), n.core.State().Members(), n.core.State().Counts()
+		s.Member, s.Members, s.Counts = n.core.Status(), n.core.Machine().Members(), n.core.Machine().Counts()
 	}) {
 		refuse(w, http.StatusServiceUnavailable, "this member ends")
 		return
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -35,7 +35,7 @@
 	done  chan struct{} // closed when the loop has ended
 	peers *peers
 
-	answers map[uint64]chan<- replica.Answer
+	answers map[uint64]chan<- replica.Completion
 	tag     uint64
 	hints   map[uint64]chan struct{} // by session: holds one hint until it is waited for
 }
@@ -48,7 +48,7 @@
 	}
 	core, err := replica.New(replica.Config{
 		Cluster: id.Cluster, ID: id.ID, Peers: id.Peers, Seed: rand.Uint64(), Nonce: rand.Uint64(),
-		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotEvery: snapshotEvery, KeepEntries: keepEntries,
+		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotInterval: snapshotEvery, RetainedEntries: keepEntries,
 	}, state)
 	if err != nil {
 		_ = d.Close()
@@ -60,7 +60,7 @@
 	}
 	return &Node{
 		core: core, disk: d, id: id, log: log, inbox: make(chan func(), inboxRoom), done: make(chan struct{}),
-		peers: newPeers(known, reach), answers: map[uint64]chan<- replica.Answer{}, hints: map[uint64]chan struct{}{},
+		peers: newPeers(known, reach), answers: map[uint64]chan<- replica.Completion{}, hints: map[uint64]chan struct{}{},
 	}, nil
 }
 
@@ -85,7 +85,7 @@
 			do()
 		case <-ticks.C:
 			n.core.Tick()
-			n.core.Pass(clock.SinceBoot(), clock.WallMilliseconds())
+			n.core.AdvanceTime(clock.SinceBoot(), clock.WallMilliseconds())
 		}
 	more:
 		for range mostAtOnce {
@@ -99,7 +99,7 @@
 		if err := n.rounds(); err != nil {
 			return err
 		}
-		if leads, leader = n.core.Leading(); leads != led || leader != was {
+		if leads, leader = n.core.Leadership(); leads != led || leader != was {
 			led, was = leads, leader
 			n.log.Info("leader", "member", leader, "this one", leads)
 		}
@@ -109,7 +109,7 @@
 // rounds lets the core go on until there is nothing to do. The clock is read after the events were taken.
 func (n *Node) rounds() error {
 	for {
-		more, err := n.core.Round(clock.SinceBoot(), clock.WallMilliseconds(), n.disk.Save, n.send)
+		more, err := n.core.ProcessReady(clock.SinceBoot(), clock.WallMilliseconds(), n.disk.Save, n.send)
 		if err != nil || !more {
 			return err
 		}
@@ -118,11 +118,11 @@
 
 // handOn lets another member lead before this one ends, if that is done at once.
 func (n *Node) handOn() {
-	leads, _ := n.core.Leading()
+	leads, _ := n.core.Leadership()
 	if !leads {
 		return
 	}
-	n.core.Transfer()
+	n.core.TransferLeadership()
 	until := time.NewTimer(500 * time.Millisecond)
 	defer until.Stop()
 	for leads {
@@ -135,7 +135,7 @@
 		case <-until.C:
 			return
 		}
-		leads, _ = n.core.Leading()
+		leads, _ = n.core.Leadership()
 	}
 	_ = n.rounds()
 }
@@ -143,18 +143,18 @@
 // send lets out what a round put out.
 func (n *Node) send(out replica.Output) {
 	if len(out.Messages) > 0 {
-		members := n.core.State().Members()
+		members := n.core.Machine().Members()
 		for _, e := range out.Messages {
 			n.peers.send(e.To, members, e.Encode())
 		}
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Completions {
 		if to := n.answers[a.Tag]; to != nil {
 			delete(n.answers, a.Tag)
 			to <- a // has room for it
 		}
 	}
-	for _, session := range out.Hints {
+	for _, session := range out.ChangedSessions {
 		n.hint(session)
 	}
 }
@@ -200,8 +200,8 @@
 
 // ask submits something to the core under a new tag and waits for its answer. It is false where the member does not
 // lead; the answer is lost where it ends first.
-func (n *Node) ask(ctx context.Context, submit func(tag uint64) bool) (replica.Answer, bool) {
-	answer := make(chan replica.Answer, 1)
+func (n *Node) ask(ctx context.Context, submit func(tag uint64) bool) (replica.Completion, bool) {
+	answer := make(chan replica.Completion, 1)
 	taken := false
 	if !n.do(ctx, func() {
 		n.tag++
@@ -209,7 +209,7 @@
 			n.answers[n.tag] = answer
 		}
 	}) || !taken {
-		return replica.Answer{}, false
+		return replica.Completion{}, false
 	}
 	select {
 	case a := <-answer:
@@ -217,5 +217,5 @@
 	case <-ctx.Done():
 	case <-n.done:
 	}
-	return replica.Answer{Lost: true}, true
+	return replica.Completion{OutcomeUnknown: true}, true
 }
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -139,7 +139,7 @@
 		"not a member":     {api.PathMembers, `{"cluster":"c","leave":9}`, http.StatusConflict, "no member"},
 		"a cut message":    {api.PathRaft, "\x00\x00\x00\x09\x01", http.StatusBadRequest, "cut off"},
 		"a newer message":  {api.PathRaft, "\x00\x00\x00\x01\x09", http.StatusBadRequest, "version 9"},
-		"another's member": {api.PathRaft, framed(replica.Envelope{Cluster: "d", From: 1, To: 2, Kind: replica.Hello}), http.StatusBadRequest, "of cluster"},
+		"another's member": {api.PathRaft, framed(replica.Envelope{Cluster: "d", From: 1, To: 2, Kind: replica.KindAnnounce}), http.StatusBadRequest, "of cluster"},
 	} {
 		if status, body := post(tt.path, tt.body); status != tt.status || !strings.Contains(body, tt.says) {
 			t.Errorf("%s: %d %s", name, status, body)
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -49,7 +49,7 @@
 		c.Members = append(c.Members, coord.Member{ID: id, Address: ln.Addr().String()})
 	}
 	for _, m := range c.Members {
-		if err := disk.Create(c.folder(m.ID), disk.Identity{Cluster: Name, ID: m.ID, Address: m.Address}, replica.First(Name, c.Members)); err != nil {
+		if err := disk.Create(c.folder(m.ID), disk.Identity{Cluster: Name, ID: m.ID, Address: m.Address}, replica.Bootstrap(Name, c.Members)); err != nil {
 			t.Fatal(err)
 		}
 		c.Start(m.ID, listeners[m.ID])
--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -167,7 +167,7 @@
 		if !m.up {
 			continue
 		}
-		state := m.core.State()
+		state := m.core.Machine()
 		raw := state.Snapshot()
 		if other, ok := states[state.Index()]; ok && !bytes.Equal(raw, other) {
 			r.fault("same", "member %d has another state at entry %d than others have", m.id, state.Index())
--- a/internal/faultinjection/coordsim/clients.go
+++ b/internal/faultinjection/coordsim/clients.go
@@ -303,11 +303,11 @@
 func (v *writer) revoke() {
 	w := v.run.world
 	m := v.run.members[w.rand.IntN(len(v.run.members))]
-	if v.run.calm || !m.up || len(m.core.State().Leases("")) == 0 {
+	if v.run.calm || !m.up || len(m.core.Machine().Leases("")) == 0 {
 		v.next()
 		return
 	}
-	list := m.core.State().Leases("")
+	list := m.core.Machine().Leases("")
 	l := list[w.rand.IntN(len(list))]
 	v.seq++
 	v.run.counts["revoke"]++
--- a/internal/faultinjection/coordsim/members.go
+++ b/internal/faultinjection/coordsim/members.go
@@ -23,16 +23,16 @@
 	run  *run
 	id   uint64
 	core *replica.Core
-	disk replica.Disk
+	disk replica.PersistentState
 	// saving is on its way to the disk until the moment it is: a crash before leaves it there, or not.
-	saving   *replica.Write
+	saving   *replica.WriteBatch
 	savedAt  time.Duration
 	full     bool          // the disk takes nothing
 	slow     time.Duration // the longest that a write takes
 	usual    time.Duration // the same, without a fault
-	earlier  *replica.Disk // a copy to be set back to
+	earlier  *replica.PersistentState // a copy to be set back to
 	stopped  error         // for good
-	answers  map[uint64]func(replica.Answer)
+	answers  map[uint64]func(replica.Completion)
 	nextTag  uint64
 	sessions map[uint64]*client // of hints
 }
@@ -44,11 +44,11 @@
 	}
 	w := m.run.world
 	m.up, m.busy, m.saving = true, 0, nil
-	m.answers, m.sessions = map[uint64]func(replica.Answer){}, map[uint64]*client{}
+	m.answers, m.sessions = map[uint64]func(replica.Completion){}, map[uint64]*client{}
 	var err error
 	m.core, err = replica.New(replica.Config{
 		Cluster: cluster, ID: m.id, Peers: m.run.others(m.id), Seed: w.rand.Uint64(), Nonce: w.rand.Uint64(),
-		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotEvery: m.run.snapshotEvery, KeepEntries: m.run.keepEntries,
+		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotInterval: m.run.snapshotEvery, RetainedEntries: m.run.keepEntries,
 	}, m.disk)
 	if err != nil {
 		m.run.fault("start", "member %d can't use its disk: %v", m.id, err)
@@ -72,7 +72,7 @@
 func (m *member) passing() {
 	m.run.world.after(m.run.passEvery, &m.process, func() {
 		w := m.run.world
-		m.core.Pass(w.clock(&m.process), 0)
+		m.core.AdvanceTime(w.clock(&m.process), 0)
 		m.round()
 		m.passing()
 	})
@@ -84,10 +84,10 @@
 	w := m.run.world
 	m.settle()
 	m.saving, m.savedAt = nil, w.now
-	var written replica.Write
+	var written replica.WriteBatch
 	wrote := false
 	for range 100 {
-		more, err := m.core.Round(w.clock(&m.process), 0, func(write replica.Write) error {
+		more, err := m.core.ProcessReady(w.clock(&m.process), 0, func(write replica.WriteBatch) error {
 			if m.full {
 				return errDisk
 			}
@@ -139,13 +139,13 @@
 				})
 			}
 		}
-		for _, a := range out.Answers {
+		for _, a := range out.Completions {
 			if answer := m.answers[a.Tag]; answer != nil {
 				delete(m.answers, a.Tag)
 				answer(a)
 			}
 		}
-		for _, id := range out.Hints {
+		for _, id := range out.ChangedSessions {
 			if c := m.sessions[id]; c != nil {
 				m.run.world.send(&m.process, &c.process, c.hinted)
 			}
@@ -174,12 +174,12 @@
 func (m *member) call(from *process, c *client, command coord.Command, answer func(reply)) {
 	back := func(r reply) { m.run.world.send(&m.process, from, func() { answer(r) }) }
 	m.nextTag++
-	if !m.core.Submit(m.nextTag, command) {
+	if !m.core.Propose(m.nextTag, command) {
 		back(m.refusal())
 		return
 	}
-	m.answers[m.nextTag] = func(a replica.Answer) {
-		if a.Lost {
+	m.answers[m.nextTag] = func(a replica.Completion) {
+		if a.OutcomeUnknown {
 			back(m.refusal())
 			return
 		}
@@ -195,23 +195,23 @@
 func (m *member) read(from *process, key string, answer func(reply)) {
 	back := func(r reply) { m.run.world.send(&m.process, from, func() { answer(r) }) }
 	m.nextTag++
-	if !m.core.Read(m.nextTag) {
+	if !m.core.ReadIndex(m.nextTag) {
 		back(m.refusal())
 		return
 	}
-	m.answers[m.nextTag] = func(a replica.Answer) {
-		if a.Lost {
+	m.answers[m.nextTag] = func(a replica.Completion) {
+		if a.OutcomeUnknown {
 			back(m.refusal())
 			return
 		}
-		back(reply{ok: true, values: m.core.State().Values(key), leader: -1})
+		back(reply{ok: true, values: m.core.Machine().Values(key), leader: -1})
 	}
 	m.round()
 }
 
 func (m *member) refusal() reply {
 	r := reply{leader: -1}
-	if leads, id := m.core.Leading(); !leads && id != 0 {
+	if leads, id := m.core.Leadership(); !leads && id != 0 {
 		if other := m.run.member(id); other != nil {
 			r.leader = other.number
 		}
--- a/internal/faultinjection/coordsim/replace.go
+++ b/internal/faultinjection/coordsim/replace.go
@@ -31,7 +31,7 @@
 	r.nextID++
 	joins := &member{
 		process: process{number: len(r.members), rate: old.rate, zero: old.zero}, run: r, id: r.nextID, usual: old.usual, slow: old.usual,
-		disk: replica.Disk{},
+		disk: replica.PersistentState{},
 	}
 	r.members = append(r.members, joins)
 	joins.start()
@@ -42,9 +42,9 @@
 		done func(m *coord.Machine) bool
 		try  func(c *replica.Core) error
 	}{
-		{func(m *coord.Machine) bool { return m.HasMember(learner) || m.HasMember(voter) }, func(c *replica.Core) error { return c.Join(learner) }},
-		{func(m *coord.Machine) bool { return !m.HasMemberID(old.id) }, func(c *replica.Core) error { return c.Leave(old.id) }},
-		{func(m *coord.Machine) bool { return m.HasMember(voter) }, func(c *replica.Core) error { return c.Join(voter) }},
+		{func(m *coord.Machine) bool { return m.HasMember(learner) || m.HasMember(voter) }, func(c *replica.Core) error { return c.AddMember(learner) }},
+		{func(m *coord.Machine) bool { return !m.HasMemberID(old.id) }, func(c *replica.Core) error { return c.RemoveMember(old.id) }},
+		{func(m *coord.Machine) bool { return m.HasMember(voter) }, func(c *replica.Core) error { return c.AddMember(voter) }},
 	}
 	var step func(n int)
 	step = func(n int) {
@@ -56,7 +56,7 @@
 			if !m.up || m.stopped != nil {
 				continue
 			}
-			if steps[n].done(m.core.State()) {
+			if steps[n].done(m.core.Machine()) {
 				if n == 1 {
 					old.crash()
 					old.stopped = errRemoved
--- a/internal/faultinjection/coordsim/run.go
+++ b/internal/faultinjection/coordsim/run.go
@@ -102,7 +102,7 @@
 		if r.clocks {
 			m.usual = 200 * time.Microsecond
 		}
-		m.disk, m.slow = replica.First(cluster, first), m.usual
+		m.disk, m.slow = replica.Bootstrap(cluster, first), m.usual
 	}
 	for i := range 1 + rng.IntN(3) {
 		r.names = append(r.names, fmt.Sprint("lease-", i))
--- a/internal/faultinjection/coordsim/trouble.go
+++ b/internal/faultinjection/coordsim/trouble.go
@@ -113,7 +113,7 @@
 		})
 	case "hand on":
 		w.after(0, &m.process, func() {
-			m.core.Transfer()
+			m.core.TransferLeadership()
 			m.round()
 		})
 	case "replace":
@@ -140,7 +140,7 @@
 	if !m.up {
 		return false
 	}
-	leads, _ := m.core.Leading()
+	leads, _ := m.core.Leadership()
 	return leads
 }
 
