--- a/cmd/frostlink-coord/folder.go
+++ b/cmd/frostlink-coord/folder.go
@@ -84,7 +84,7 @@
 				}
 				if !other.Learner {
 					identity.Peers = append(identity.Peers, other.ID)
-					identity.Via = append(identity.Via, other.Address)
+					identity.PeerAddresses = append(identity.PeerAddresses, other.Address)
 				}
 			}
 			return disk.Create(dir, identity, replica.PersistentState{})
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Without the race detector: it does not bear a fault of memory that is handled.
+// Without the race detector: it does not survive a memory fault that is recovered from.
 
 package disk
 
@@ -15,45 +15,45 @@
 	"frostlink/internal/coord/replica"
 )
 
-// TestFlippedBytes: a byte that is flipped anywhere in the file is either of no account, or an error; it never ends the
-// process, and never gives anything else than what was written.
-func TestFlippedBytes(t *testing.T) {
-	dir, want := filled(t)
+// TestRead_DetectsFlippedBytes: a byte that is flipped anywhere in the store either has no effect or is an error. It never ends
+// the process, and what is read is never anything else than what was written.
+func TestRead_DetectsFlippedBytes(t *testing.T) {
+	dir, want := createFilled(t)
 	path := filepath.Join(dir, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := 0
-	for at := 0; at < len(whole); at += 13 {
+	detected := 0
+	for offset := 0; offset < len(whole); offset += 13 {
 		raw := append([]byte{}, whole...)
-		raw[at] ^= 0x40
+		raw[offset] ^= 0x40
 		if err := os.WriteFile(path, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, err := read(dir)
+		got, err := readState(dir)
 		if err != nil {
-			found++
+			detected++
 			continue
 		}
-		if d, _, _, err := Open(dir); err != nil { // must not end the process, either
-			t.Fatalf("byte %d flipped: read, and not opened: %v", at, err)
-		} else if err := errors.Join(d.Save(replica.WriteBatch{Entries: []*raftpb.Entry{entry(6, 2, "g")}}), d.Close()); err != nil {
-			t.Fatalf("byte %d flipped: %v", at, err)
+		if store, _, _, err := Open(dir); err != nil { // must not end the process, either
+			t.Fatalf("byte %d flipped: read, and not opened: %v", offset, err)
+		} else if err := errors.Join(store.Save(replica.WriteBatch{Entries: []*raftpb.Entry{entry(6, 2, "g")}}), store.Close()); err != nil {
+			t.Fatalf("byte %d flipped: %v", offset, err)
 		}
 		for i, e := range got.Entries {
 			if len(got.Entries) != len(want.Entries) || string(e.GetData()) != string(want.Entries[i].GetData()) {
-				t.Fatalf("byte %d flipped: %v", at, got.Entries)
+				t.Fatalf("byte %d flipped: %v", offset, got.Entries)
 			}
 		}
 	}
-	if found == 0 {
-		t.Error("no flipped byte was found")
+	if detected == 0 {
+		t.Error("no flipped byte was detected")
 	}
 }
 
-func TestCutShort(t *testing.T) {
-	dir, _ := filled(t)
+func TestRead_DetectsTruncation(t *testing.T) {
+	dir, _ := createFilled(t)
 	path := filepath.Join(dir, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -63,9 +63,9 @@
 		if err := os.WriteFile(path, whole[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = read(dir) // an error, or nothing that counted was cut off; never the process's end
+		_, _ = readState(dir) // an error, or nothing that matters was cut off; it must not end the process
 	}
-	if _, err := read(dir); err == nil {
+	if _, err := readState(dir); err == nil {
 		t.Error("an empty file was read")
 	}
 }
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -9,11 +9,11 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestGoldenFolder: a member's folder that an earlier build has written holds what it held.
-func TestGoldenFolder(t *testing.T) {
-	_, want := filled(t)
+// TestRead_FolderOfEarlierBuild: a member's folder that an earlier build has written holds what it held.
+func TestRead_FolderOfEarlierBuild(t *testing.T) {
+	_, want := createFilled(t)
 	goldentest.File(t, "member.db", fileName, func(dir string) {
-		from, _ := filled(t)
+		from, _ := createFilled(t)
 		raw, err := os.ReadFile(filepath.Join(from, fileName))
 		if err != nil {
 			t.Fatal(err)
@@ -29,10 +29,11 @@
 	if id.Cluster != "c" || id.ID != 1 || id.Address != "a:1" {
 		t.Errorf("identity %+v", id)
 	}
-	if len(got.Incarnations) != 1 || got.Incarnations[0] != want.Incarnations[0] || len(got.PeerIncarnations) != 2 || got.PeerIncarnations[3] != want.PeerIncarnations[3] || got.HardState.GetTerm() != want.HardState.GetTerm() ||
-		got.Snapshot.GetMetadata().GetIndex() != 4 || len(got.Entries) != len(want.Entries) {
+	if !matches(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "identity", Value: &Identity{}}, goldentest.Form{Name: "lives", Value: &[]replica.Incarnation{}},
+	goldentest.JSON(t, "forms.txt",
+		goldentest.Form{Name: "identity", Value: &Identity{}},
+		goldentest.Form{Name: "lives", Value: &[]replica.Incarnation{}},
 		goldentest.Form{Name: "marks", Value: &map[uint64]replica.Incarnation{}})
 }
--- /dev/null
+++ b/internal/coord/disk/store.go
@@ -0,0 +1,156 @@
+package disk
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+
+	"go.etcd.io/bbolt"
+	"golang.org/x/sys/unix"
+
+	"frostlink/internal/boltfile"
+	"frostlink/internal/coord/replica"
+)
+
+// The files of the folder.
+const (
+	fileName = "coord.db"
+	nextName = "coord.db.next"
+	lockName = "lock"
+)
+
+// Identity says whose folder it is. It is written once.
+type Identity struct {
+	Cluster       string   `json:"cluster"`
+	ID            uint64   `json:"id"`
+	Address       string   `json:"address"`         // that the member listens on
+	Peers         []uint64 `json:"peers,omitempty"` // of a member that has joined: the voters at that time
+	PeerAddresses []string `json:"via,omitempty"`   // of Peers
+}
+
+// Store is a folder that is open for writing.
+type Store struct {
+	db   *boltfile.File
+	path string
+	lock *os.File
+}
+
+// Create creates the folder of a new member. One that is there already is left as it is, and is an error.
+func Create(dir string, id Identity, state replica.PersistentState) error {
+	path := filepath.Join(dir, fileName)
+	if _, err := os.Stat(path); err == nil {
+		return fmt.Errorf("%s: there is a member's data already", path)
+	} else if !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("member's folder: %w", err)
+	}
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return fmt.Errorf("member's folder: %w", err)
+	}
+	return replaceStore(dir, id, state)
+}
+
+// Open opens a member's folder and returns what it holds. All of that is copied into a new store first: nothing of the old
+// one is relied on but what its checksums vouch for.
+func Open(dir string) (s *Store, id Identity, state replica.PersistentState, err error) {
+	lock, err := lockFolder(dir)
+	if err != nil {
+		return nil, id, state, err
+	}
+	defer func() {
+		if err != nil {
+			_ = lock.Close()
+		}
+	}()
+	if id, state, err = Read(dir); err != nil {
+		return nil, id, state, err
+	}
+	if err = replaceStore(dir, id, state); err != nil {
+		return nil, id, state, err
+	}
+	path := filepath.Join(dir, fileName)
+	db, err := boltfile.Open(path, boltfile.Options{})
+	if err != nil {
+		return nil, id, state, fmt.Errorf("%s: %w", path, err)
+	}
+	return &Store{db, path, lock}, id, state, nil
+}
+
+// Save writes a batch of the replica's. When it returns without an error all of it is durable.
+func (s *Store) Save(b replica.WriteBatch) error {
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return writeBatch(tx, b) }); err != nil {
+		return fmt.Errorf("%s: %w", s.path, err)
+	}
+	return nil
+}
+
+// Close closes the folder.
+func (s *Store) Close() error { return errors.Join(s.db.Close(), s.lock.Close()) }
+
+// lockFolder keeps other processes from opening a folder, until the file that it returns is closed.
+func lockFolder(dir string) (*os.File, error) {
+	if err := hasStore(dir); err != nil {
+		return nil, err
+	}
+	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("lock: %w", err)
+	}
+	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		_ = f.Close()
+		return nil, fmt.Errorf("%s: %w", dir, boltfile.ErrInUse)
+	}
+	return f, nil
+}
+
+// replaceStore writes a new store, and renames it over the one that is there.
+func replaceStore(dir string, id Identity, state replica.PersistentState) error {
+	path, next := filepath.Join(dir, fileName), filepath.Join(dir, nextName)
+	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("new store: %w", err)
+	}
+	db, err := boltfile.Open(next, boltfile.Options{})
+	if err != nil {
+		return fmt.Errorf("%s: %w", next, err)
+	}
+	err = db.Update(func(tx *bbolt.Tx) error { return writeStore(tx, id, state) })
+	if err = errors.Join(err, db.Close()); err != nil {
+		return fmt.Errorf("%s: %w", next, err)
+	}
+	if err := os.Rename(next, path); err != nil {
+		return fmt.Errorf("new store: %w", err)
+	}
+	return syncFolder(dir)
+}
+
+// writeStore writes all that a new store holds.
+func writeStore(tx *bbolt.Tx, id Identity, state replica.PersistentState) error {
+	meta, err := tx.CreateBucket(metaBucket)
+	if err != nil {
+		return fmt.Errorf("buckets: %w", err)
+	}
+	if _, err := tx.CreateBucket(logBucket); err != nil {
+		return fmt.Errorf("buckets: %w", err)
+	}
+	if err := putJSON(meta, identityKey, id); err != nil {
+		return err
+	}
+	if err := writeBatch(tx, replica.WriteBatch{
+		Incarnations: state.Incarnations, PeerIncarnations: state.PeerIncarnations, HardState: state.HardState,
+		Snapshot: state.Snapshot, Entries: state.Entries,
+	}); err != nil {
+		return err
+	}
+	return put(meta, versionKey, binary.BigEndian.AppendUint32(nil, formatVersion))
+}
+
+// syncFolder makes a renamed file's name durable.
+func syncFolder(dir string) error {
+	folder, err := os.Open(dir)
+	if err != nil {
+		return fmt.Errorf("member's folder: %w", err)
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
--- a/internal/coord/disk/disk_test.go
+++ b/internal/coord/disk/store_test.go
@@ -18,48 +18,55 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
-// filled makes a folder with some writes in it, and gives what it should hold.
-func filled(t *testing.T) (string, replica.PersistentState) {
+// createFilled creates a folder with some batches saved, and returns what it should hold.
+func createFilled(t *testing.T) (string, replica.PersistentState) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "m")
 	want := replica.Bootstrap("c", []coord.Member{{ID: 1, Address: "a:1"}})
 	if err := Create(dir, Identity{Cluster: "c", ID: 1, Address: "a:1"}, want); err != nil {
 		t.Fatal(err)
 	}
-	d, _, _, err := Open(dir)
+	store, _, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
-	for _, w := range []replica.WriteBatch{
+	defer store.Close()
+	for _, b := range []replica.WriteBatch{
 		{Incarnations: []replica.Incarnation{{Number: 1, Nonce: 9}}},
 		{Entries: []*raftpb.Entry{entry(2, 1, "a"), entry(3, 1, "b"), entry(4, 1, "c")}, PeerIncarnations: map[uint64]replica.Incarnation{2: {Number: 4}}},
 		{Entries: []*raftpb.Entry{entry(3, 2, "d")}, HardState: &raftpb.HardState{Term: new(uint64(2))}},
 		{PeerIncarnations: map[uint64]replica.Incarnation{3: {Number: 5}}, Entries: []*raftpb.Entry{entry(4, 2, "e"), entry(5, 2, "f")}},
 		{Snapshot: &raftpb.Snapshot{Data: []byte("s"), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(4)), Term: new(uint64(2))}}, FirstIndex: 4},
 	} {
-		if err := d.Save(w); err != nil {
+		if err := store.Save(b); err != nil {
 			t.Fatal(err)
 		}
-		want.Apply(w)
+		want.Apply(b)
 	}
 	return dir, want
 }
 
-func read(dir string) (replica.PersistentState, error) {
+func readState(dir string) (replica.PersistentState, error) {
 	_, got, err := Read(dir)
 	return got, err
 }
 
-// TestSaveAndLoad: what is read is what the model of a disk, which the quorums in virtual time have, holds.
-func TestSaveAndLoad(t *testing.T) {
-	dir, want := filled(t)
-	got, err := read(dir)
+// matches reports whether a state is the one of createFilled, but for the data of its entries.
+func matches(got, want replica.PersistentState) bool {
+	return len(got.Incarnations) == 1 && got.Incarnations[0] == want.Incarnations[0] &&
+		len(got.PeerIncarnations) == 2 && got.PeerIncarnations[3] == want.PeerIncarnations[3] &&
+		got.HardState.GetTerm() == want.HardState.GetTerm() &&
+		got.Snapshot.GetMetadata().GetIndex() == 4 && len(got.Entries) == len(want.Entries)
+}
+
+// TestStore_ReadsWhatWasSaved: what is read is what replica.PersistentState, the simulation's model of a disk, holds.
+func TestStore_ReadsWhatWasSaved(t *testing.T) {
+	dir, want := createFilled(t)
+	got, err := readState(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Incarnations) != 1 || got.Incarnations[0] != want.Incarnations[0] || len(got.PeerIncarnations) != 2 || got.PeerIncarnations[3] != want.PeerIncarnations[3] || got.HardState.GetTerm() != want.HardState.GetTerm() ||
-		got.Snapshot.GetMetadata().GetIndex() != 4 || len(got.Entries) != len(want.Entries) {
+	if !matches(got, want) {
 		t.Fatalf("%+v, want %+v", got, want)
 	}
 	for i, e := range got.Entries {
@@ -68,36 +75,36 @@
 		}
 	}
 	if err := Create(dir, Identity{}, replica.PersistentState{}); err == nil || !strings.Contains(err.Error(), "already") {
-		t.Errorf("made anew: %v", err)
+		t.Errorf("created again: %v", err)
 	}
 	if _, _, _, err := Open(t.TempDir()); err == nil {
 		t.Error("an empty folder was opened")
 	}
 }
 
-func TestInUse(t *testing.T) {
-	dir, _ := filled(t)
-	d, _, _, err := Open(dir)
+func TestOpen_RejectsFolderInUse(t *testing.T) {
+	dir, _ := createFilled(t)
+	store, _, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer store.Close()
 	if _, _, _, err := Open(dir); !errors.Is(err, boltfile.ErrInUse) {
 		t.Errorf("opened twice: %v", err)
 	}
 }
 
-func TestNewerVersion(t *testing.T) {
-	dir, _ := filled(t)
+func TestRead_RejectsNewerVersion(t *testing.T) {
+	dir, _ := createFilled(t)
 	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = errors.Join(db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bMeta).Put(kVersion, []byte{0, 0, 0, 9}) }), db.Close())
+	err = errors.Join(db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(metaBucket).Put(versionKey, []byte{0, 0, 0, 9}) }), db.Close())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := read(dir); err == nil || !strings.Contains(err.Error(), "version 1") {
+	if _, err := readState(dir); err == nil || !strings.Contains(err.Error(), "version 1") {
 		t.Errorf("a newer folder: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/coord/disk/write.go
@@ -0,0 +1,93 @@
+package disk
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math"
+
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"frostlink/internal/coord/replica"
+)
+
+// endOfLog is past the index of every entry.
+const endOfLog = math.MaxInt64 + 1
+
+// writeBatch writes a batch in a transaction.
+func writeBatch(tx *bbolt.Tx, b replica.WriteBatch) error {
+	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
+	if err := writeIncarnations(meta, b); err != nil {
+		return err
+	}
+	if b.HardState != nil {
+		if err := putMessage(meta, hardStateKey, b.HardState); err != nil {
+			return err
+		}
+	}
+	if b.Snapshot != nil {
+		if err := putMessage(meta, snapshotKey, b.Snapshot); err != nil {
+			return err
+		}
+	}
+	if b.ReplaceLog {
+		if err := deleteEntries(log, 0, endOfLog); err != nil {
+			return err
+		}
+	}
+	if err := writeEntries(log, b.Entries); err != nil {
+		return err
+	}
+	return deleteEntries(log, 0, b.FirstIndex)
+}
+
+func writeIncarnations(meta *bbolt.Bucket, b replica.WriteBatch) error {
+	if len(b.Incarnations) > 0 {
+		if err := putJSON(meta, incarnationsKey, b.Incarnations); err != nil {
+			return err
+		}
+	}
+	if len(b.PeerIncarnations) == 0 {
+		return nil
+	}
+	peers := map[uint64]replica.Incarnation{}
+	// A value that is missing or damaged is replaced.
+	if raw, err := unseal(meta.Get(peerIncarnationsKey)); err == nil {
+		if err := json.Unmarshal(raw, &peers); err != nil {
+			return fmt.Errorf("%s: %w", peerIncarnationsKey, err)
+		}
+	}
+	maps.Copy(peers, b.PeerIncarnations)
+	return putJSON(meta, peerIncarnationsKey, peers)
+}
+
+// writeEntries replaces the log from the first entry's index on.
+func writeEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := deleteEntries(log, entries[0].GetIndex(), endOfLog); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if err := putMessage(log, logKey(e.GetIndex()), e); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// deleteEntries deletes the entries from one index up to, not including, another.
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
+	c := log.Cursor()
+	first := logKey(from)
+	// A cursor has to seek again after a deletion.
+	for k, _ := c.Seek(first); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Seek(first) {
+		if err := c.Delete(); err != nil {
+			return fmt.Errorf("log: %w", err)
+		}
+	}
+	return nil
+}
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -28,7 +28,7 @@
 // Node is a running member. Its loop alone touches the core.
 type Node struct {
 	core  *replica.Core
-	disk  *disk.Disk
+	disk  *disk.Store
 	id    disk.Identity
 	log   *slog.Logger
 	inbox chan func()
@@ -56,7 +56,7 @@
 	}
 	known := map[uint64]string{}
 	for i, peer := range id.Peers {
-		known[peer] = id.Via[i]
+		known[peer] = id.PeerAddresses[i]
 	}
 	return &Node{
 		core: core, disk: d, id: id, log: log, inbox: make(chan func(), inboxRoom), done: make(chan struct{}),
