--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -84,10 +84,10 @@
 	}
 }
 
-func (s *service) lead(path string, r api.Request) (api.Answer, error) {
+func (s *service) lead(path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
 	defer stop()
-	return s.caller.Lead(ctx, s.members, path, r)
+	return s.caller.CallLeader(ctx, s.members, path, r)
 }
 
 // eventually waits for what has to come.
@@ -159,7 +159,7 @@
 	s.members = append(s.members[1:], fourth)
 	s.must("join", "--folder", s.folder(4), "--cluster", "c", "--member", "4="+fourth.Address, "--via", s.members[0].Address)
 	s.run(4)
-	for _, step := range []api.Request{{Join: &fourth}, {Leave: 1}, {Join: &coord.Member{ID: 4, Address: fourth.Address}}} {
+	for _, step := range []api.Request{{AddMember: &fourth}, {RemoveMember: 1}, {AddMember: &coord.Member{ID: 4, Address: fourth.Address}}} {
 		s.eventually(fmt.Sprintf("%+v", step), func() bool { _, err := s.lead(api.PathMembers, step); return err == nil })
 	}
 	// With the new one and one of the old there is a majority again.
--- a/cmd/frostlinkctl/coord.go
+++ b/cmd/frostlinkctl/coord.go
@@ -63,10 +63,10 @@
 }
 
 // lead sends a request to the member that leads.
-func (s *service) lead(ctx context.Context, path string, r api.Request) (api.Answer, error) {
+func (s *service) lead(ctx context.Context, path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(ctx, askWithin)
 	defer stop()
-	return s.caller.Lead(ctx, s.members, path, r)
+	return s.caller.CallLeader(ctx, s.members, path, r)
 }
 
 // command makes a command that calls the service and prints what it got, also as JSON.
@@ -221,7 +221,7 @@
 			return nil, err
 		}
 		m.Learner = !vote
-		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{Join: &m}); err != nil {
+		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{AddMember: &m}); err != nil {
 			return nil, err
 		}
 		return fmt.Sprintf("member %d is in, learner: %v", m.ID, m.Learner), nil
@@ -241,7 +241,7 @@
 		if err != nil || id == 0 {
 			return nil, fmt.Errorf("%q is no member's id", args[0])
 		}
-		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{Leave: id}); err != nil {
+		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{RemoveMember: id}); err != nil {
 			return nil, err
 		}
 		return fmt.Sprintf("member %d is out", id), nil
--- /dev/null
+++ b/internal/coord/api/caller.go
@@ -0,0 +1,99 @@
+package api
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+)
+
+// Caller calls the members of a cluster.
+type Caller struct {
+	Cluster    string
+	HTTPClient *http.Client
+}
+
+// NewCaller returns a caller with connections of its own.
+func NewCaller(cluster string) *Caller {
+	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
+	return &Caller{Cluster: cluster, HTTPClient: &http.Client{Transport: transport}}
+}
+
+// Post sends a request to a member. With ErrNotLeader the response may name the leader.
+func (c *Caller) Post(ctx context.Context, address, path string, r Request) (Response, error) {
+	var response Response
+	status, body, err := c.post(ctx, address, path, r)
+	if err != nil {
+		return response, err
+	}
+	if err := json.Unmarshal(body, &response); err != nil {
+		return response, fmt.Errorf("%s: no answer of a coordination service: %w", address, err)
+	}
+	switch {
+	case status == http.StatusOK:
+		return response, nil
+	case status == http.StatusMisdirectedRequest:
+		return response, ErrNotLeader
+	case status/100 == 4:
+		return response, fmt.Errorf("%s: %w: %s", address, ErrRejected, response.Error)
+	}
+	return response, &StatusError{Address: address, Status: status, Message: response.Error}
+}
+
+// Snapshot reads the state's bytes from a member that leads.
+func (c *Caller) Snapshot(ctx context.Context, address string) ([]byte, error) {
+	status, body, err := c.post(ctx, address, PathSnapshot, Request{})
+	switch {
+	case err != nil:
+		return nil, err
+	case status == http.StatusMisdirectedRequest:
+		return nil, ErrNotLeader
+	case status != http.StatusOK:
+		return nil, &StatusError{Address: address, Status: status, Message: strings.TrimSpace(string(body))}
+	}
+	return body, nil
+}
+
+// Status reads a member's status.
+func (c *Caller) Status(ctx context.Context, address string) (Status, error) {
+	var s Status
+	status, body, err := c.do(ctx, http.MethodGet, address, PathStatus, nil)
+	if err != nil {
+		return s, err
+	}
+	if status != http.StatusOK || json.Unmarshal(body, &s) != nil {
+		return s, fmt.Errorf("%s: no answer of a coordination service (status %d)", address, status)
+	}
+	return s, nil
+}
+
+// post sends a request of this caller's cluster, and returns the answer's status and body.
+func (c *Caller) post(ctx context.Context, address, path string, r Request) (int, []byte, error) {
+	r.Cluster = c.Cluster
+	raw, err := json.Marshal(r)
+	if err != nil {
+		return 0, nil, &CallError{Address: address, Err: err}
+	}
+	return c.do(ctx, http.MethodPost, address, path, raw)
+}
+
+func (c *Caller) do(ctx context.Context, method, address, path string, body []byte) (int, []byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil, &CallError{Address: address, Err: err}
+	}
+	resp, err := c.HTTPClient.Do(req)
+	if err != nil {
+		return 0, nil, &CallError{Address: address, Err: err}
+	}
+	defer func() { _ = resp.Body.Close() }() // it is read to its end, or of no use
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodySize))
+	if err != nil {
+		return 0, nil, fmt.Errorf("%s: %w", address, err)
+	}
+	return resp.StatusCode, raw, nil
+}
--- a/internal/coord/server/http.go
+++ b/internal/coord/server/http.go
@@ -40,7 +40,9 @@
 	_ = json.NewEncoder(w).Encode(v) // the caller is gone, else
 }
 
-func refuse(w http.ResponseWriter, status int, why string) { reply(w, status, api.Answer{Error: why}) }
+func refuse(w http.ResponseWriter, status int, why string) {
+	reply(w, status, api.Response{Error: why})
+}
 
 // request reads a request's body. It is false where that was answered with what is wrong.
 func (n *Node) request(w http.ResponseWriter, r *http.Request) (api.Request, bool) {
@@ -60,7 +62,7 @@
 
 // notLeader names who leads, if it is known.
 func (n *Node) notLeader(ctx context.Context, w http.ResponseWriter) {
-	a := api.Answer{Error: "this member does not lead"}
+	a := api.Response{Error: "this member does not lead"}
 	n.do(ctx, func() {
 		if leads, id := n.core.Leadership(); !leads {
 			a.Leader = id
@@ -92,7 +94,7 @@
 	case a.OutcomeUnknown:
 		refuse(w, http.StatusServiceUnavailable, "it is not known whether the command is applied")
 	default:
-		reply(w, http.StatusOK, api.Answer{Result: &a.Result})
+		reply(w, http.StatusOK, api.Response{Result: &a.Result})
 	}
 }
 
@@ -124,9 +126,9 @@
 		refuse(w, http.StatusBadRequest, "query: missing")
 		return
 	}
-	var a api.Answer
+	var a api.Response
 	if n.reading(w, r, func(m *coord.Machine) {
-		a.At = m.Revision()
+		a.Revision = m.Revision()
 		if q.Query.Leases != "" {
 			a.Leases = m.Leases(all(q.Query.Leases))
 		}
@@ -139,7 +141,7 @@
 		if q.Query.Changes != "" {
 			var kept bool
 			a.Changes, kept = m.Changes(q.Query.After, all(q.Query.Changes))
-			a.Gone = !kept
+			a.Compacted = !kept
 		}
 	}) {
 		reply(w, http.StatusOK, a)
@@ -181,9 +183,9 @@
 	}
 	select {
 	case <-c:
-		reply(w, http.StatusOK, api.Answer{Hint: true})
+		reply(w, http.StatusOK, api.Response{Hint: true})
 	case <-ctx.Done():
-		reply(w, http.StatusOK, api.Answer{})
+		reply(w, http.StatusOK, api.Response{})
 	case <-n.done:
 		refuse(w, http.StatusServiceUnavailable, "this member ends")
 	}
@@ -194,7 +196,7 @@
 	if !ok {
 		return
 	}
-	if (q.Join == nil) == (q.Leave == 0) {
+	if (q.AddMember == nil) == (q.RemoveMember == 0) {
 		refuse(w, http.StatusBadRequest, "join, leave: one of them is wanted")
 		return
 	}
@@ -204,10 +206,10 @@
 	leads := false
 	there := func() (done bool) {
 		n.do(ctx, func() {
-			if q.Join != nil {
-				done = n.core.Machine().HasMember(*q.Join)
+			if q.AddMember != nil {
+				done = n.core.Machine().HasMember(*q.AddMember)
 			} else {
-				done = !n.core.Machine().HasMemberID(q.Leave)
+				done = !n.core.Machine().HasMemberID(q.RemoveMember)
 			}
 		})
 		return done
@@ -215,10 +217,10 @@
 	n.do(ctx, func() {
 		switch leads, _ = n.core.Leadership(); {
 		case !leads:
-		case q.Join != nil:
-			err = n.core.AddMember(*q.Join)
+		case q.AddMember != nil:
+			err = n.core.AddMember(*q.AddMember)
 		default:
-			err = n.core.RemoveMember(q.Leave)
+			err = n.core.RemoveMember(q.RemoveMember)
 		}
 	})
 	switch {
@@ -237,7 +239,7 @@
 		case <-time.After(tick):
 		}
 	}
-	reply(w, http.StatusOK, api.Answer{})
+	reply(w, http.StatusOK, api.Response{})
 }
 
 func (n *Node) status(w http.ResponseWriter, r *http.Request) {
@@ -253,7 +255,7 @@
 
 // raft takes messages of other members. Those of another cluster or version are refused, and said so once a call.
 func (n *Node) raft(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MostBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodySize))
 	var list []replica.Envelope
 	if err == nil {
 		list, err = unframe(body)
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -93,10 +93,10 @@
 		}
 	}
 	a, err := c.Lead(api.PathRead, api.Request{Query: &api.Query{Values: "*", Changes: "*"}})
-	if err != nil || len(a.Values) != 1 || string(a.Values[0].Value) != "v" || len(a.Changes) != 1 || a.Gone || a.At != 1 {
+	if err != nil || len(a.Values) != 1 || string(a.Values[0].Value) != "v" || len(a.Changes) != 1 || a.Compacted || a.Revision != 1 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if a, err = c.Lead(api.PathRead, api.Request{Query: &api.Query{Changes: "*", After: 99}}); err != nil || !a.Gone {
+	if a, err = c.Lead(api.PathRead, api.Request{Query: &api.Query{Changes: "*", After: 99}}); err != nil || !a.Compacted {
 		t.Errorf("changes after a revision that never was: %+v, %v", a, err)
 	}
 	var raw []byte
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -91,10 +91,10 @@
 }
 
 // Lead calls the member that leads.
-func (c *Cluster) Lead(path string, r api.Request) (api.Answer, error) {
+func (c *Cluster) Lead(path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(context.Background(), Within)
 	defer stop()
-	return c.Caller.Lead(ctx, c.Members, path, r)
+	return c.Caller.CallLeader(ctx, c.Members, path, r)
 }
 
 // Eventually waits for what has to come.
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -174,7 +174,7 @@
 	c.mu.Lock()
 	members := c.members
 	c.mu.Unlock()
-	answer, err := c.caller.Lead(ctx, members, api.PathRead, api.Request{Query: &api.Query{Values: key}})
+	answer, err := c.caller.CallLeader(ctx, members, api.PathRead, api.Request{Query: &api.Query{Values: key}})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -252,7 +252,7 @@
 	ctx, stop := context.WithTimeout(ctx, c.core.cfg.Timeout)
 	defer stop()
 	answer, err := c.caller.Post(ctx, address, api.PathCommand, api.Request{Command: &call.Command})
-	if errors.Is(err, api.ErrRefused) {
+	if errors.Is(err, api.ErrRejected) {
 		c.log.Warn("the coordination service refuses", logkey.Err, err)
 	}
 	c.update(func(now time.Duration) {
@@ -260,7 +260,7 @@
 			c.core.HandleResult(now, call.ID, *answer.Result)
 			return
 		}
-		c.members = api.Learn(c.members, answer)
+		c.members = api.AddLeader(c.members, answer)
 		c.core.SetServers(len(c.members))
 		c.core.HandleFailure(now, call.ID, c.serverOf(answer.Leader))
 	})
