--- a/internal/coord/server/frame_test.go
+++ b/internal/coord/server/frame_test.go
@@ -7,19 +7,19 @@
 	"frostlink/internal/coord/replica"
 )
 
-func FuzzUnframe(f *testing.F) {
-	f.Add(frame(frame(nil, replica.Envelope{Cluster: "c", From: 1, To: 2, Kind: replica.KindAnnounce}.Encode()), replica.Envelope{Kind: replica.KindRaft}.Encode()))
+func FuzzDecodeFrames(f *testing.F) {
+	f.Add(appendFrame(appendFrame(nil, replica.Envelope{Cluster: "c", From: 1, To: 2, Kind: replica.KindAnnounce}.Encode()), replica.Envelope{Kind: replica.KindRaft}.Encode()))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		list, err := unframe(raw)
+		envelopes, err := decodeFrames(raw)
 		if err != nil {
 			return
 		}
-		var again []byte
-		for _, e := range list {
-			again = frame(again, e.Encode())
+		var encoded []byte
+		for _, e := range envelopes {
+			encoded = appendFrame(encoded, e.Encode())
 		}
-		if !bytes.Equal(raw, again) {
-			t.Errorf("%x became %x", raw, again)
+		if !bytes.Equal(raw, encoded) {
+			t.Errorf("%x became %x", raw, encoded)
 		}
 	})
 }
--- a/internal/coord/server/golden_test.go
+++ b/internal/coord/server/golden_test.go
@@ -6,6 +6,6 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenFrames(t *testing.T) {
-	goldentest.Bytes(t, "frames.bin", frame(frame(nil, []byte("one")), []byte("second")))
+func TestFrameForm_IsUnchanged(t *testing.T) {
+	goldentest.Bytes(t, "frames.bin", appendFrame(appendFrame(nil, []byte("one")), []byte("second")))
 }
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -1,4 +1,3 @@
-// Package server is the I/O round a member of the coordination service: its loop, its disk, its connections.
 package server
 
 import (
@@ -9,138 +8,124 @@
 	"time"
 
 	"frostlink/internal/clock"
-	"frostlink/internal/coord"
 	"frostlink/internal/coord/disk"
 	"frostlink/internal/coord/replica"
 )
 
 const (
-	tick           = 50 * time.Millisecond
-	electionTicks  = 10 // an election after half a second to a second without a leader
-	heartbeatTicks = 2
-	snapshotEvery  = 10000 // entries: a restart reads at most so many
-	keepEntries    = 2000
-	inboxRoom      = 4096
-	// mostAtOnce events are taken before what they led to is written: one sync serves all of them.
-	mostAtOnce = 1024
+	tick             = 50 * time.Millisecond
+	electionTicks    = 10 // an election after half a second to a second without a leader
+	heartbeatTicks   = 2
+	snapshotInterval = 10000 // entries: a restart reads at most so many
+	retainedEntries  = 2000
+	inboxSize        = 4096
+	// maxBatchEvents bounds the events that are handled before what they led to is saved: one sync serves all of them.
+	maxBatchEvents = 1024
+	// transferTimeout is how long a leader that stops waits for another one to lead.
+	transferTimeout = 500 * time.Millisecond
 )
 
-// Node is a running member. Its loop alone touches the core.
+// The keys of log attributes that only the coordination service has.
+const (
+	keyLeader  = "leader"
+	keyLeading = "leading"
+)
+
+// Node is a running member. Its loop alone touches the core, and all that is below it here.
 type Node struct {
-	core  *replica.Core
-	disk  *disk.Store
-	id    disk.Identity
-	log   *slog.Logger
-	inbox chan func()
-	done  chan struct{} // closed when the loop has ended
-	peers *peers
+	identity disk.Identity
+	log      *slog.Logger
+	inbox    chan func()
+	done     chan struct{} // closed when the loop has ended
 
-	answers map[uint64]chan<- replica.Completion
-	tag     uint64
-	hints   map[uint64]chan struct{} // by session: holds one hint until it is waited for
+	core    *replica.Core
+	store   *disk.Store
+	peers   *peers
+	pending map[uint64]chan<- replica.Completion // by tag
+	lastTag uint64
+	hints   map[uint64]chan struct{} // by session
 }
 
-// New opens a member's folder and starts its core. What the folder holds is the same until Run.
-func New(dir string, reach map[uint64]string, log *slog.Logger) (*Node, error) {
-	d, id, state, err := disk.Open(dir)
+// New opens a member's folder and starts its core. What the folder holds stays the same until Run. addressOverrides are
+// addresses by member that go before those that the cluster knows.
+func New(dir string, addressOverrides map[uint64]string, log *slog.Logger) (*Node, error) {
+	store, identity, state, err := disk.Open(dir)
 	if err != nil {
 		return nil, err
 	}
 	core, err := replica.New(replica.Config{
-		Cluster: id.Cluster, ID: id.ID, Peers: id.Peers, Seed: rand.Uint64(), Nonce: rand.Uint64(),
-		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, SnapshotInterval: snapshotEvery, RetainedEntries: keepEntries,
+		Cluster: identity.Cluster, ID: identity.ID, Peers: identity.Peers, Seed: rand.Uint64(), Nonce: rand.Uint64(),
+		ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks,
+		SnapshotInterval: snapshotInterval, RetainedEntries: retainedEntries,
 	}, state)
 	if err != nil {
-		_ = d.Close()
+		_ = store.Close()
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	known := map[uint64]string{}
-	for i, peer := range id.Peers {
-		known[peer] = id.PeerAddresses[i]
+	joinAddresses := map[uint64]string{}
+	for i, peer := range identity.Peers {
+		joinAddresses[peer] = identity.PeerAddresses[i]
 	}
 	return &Node{
-		core: core, disk: d, id: id, log: log, inbox: make(chan func(), inboxRoom), done: make(chan struct{}),
-		peers: newPeers(known, reach), answers: map[uint64]chan<- replica.Completion{}, hints: map[uint64]chan struct{}{},
+		identity: identity, log: log, inbox: make(chan func(), inboxSize), done: make(chan struct{}),
+		core: core, store: store, peers: newPeers(joinAddresses, addressOverrides),
+		pending: map[uint64]chan<- replica.Completion{}, hints: map[uint64]chan struct{}{},
 	}, nil
 }
 
-// Identity says which member it is.
-func (n *Node) Identity() disk.Identity { return n.id }
+// Identity returns which member it is.
+func (n *Node) Identity() disk.Identity { return n.identity }
 
 // Run runs the loop until its context ends. An error means that the member can't go on.
 func (n *Node) Run(ctx context.Context) error {
-	defer n.disk.Close()
+	defer func() { _ = n.store.Close() }() // every batch is synced already
 	defer n.peers.close()
 	defer close(n.done)
-	ticks := time.NewTicker(tick)
-	defer ticks.Stop()
-	var led, leads bool
-	var was, leader uint64
+	ticker := time.NewTicker(tick)
+	defer ticker.Stop()
+	var leadership leadershipLog
 	for {
 		select {
 		case <-ctx.Done():
-			n.handOn()
+			n.transferLeadership()
 			return nil
-		case do := <-n.inbox:
-			do()
-		case <-ticks.C:
+		case event := <-n.inbox:
+			event()
+		case <-ticker.C:
 			n.core.Tick()
 			n.core.AdvanceTime(clock.SinceBoot(), clock.WallMilliseconds())
 		}
-	more:
-		for range mostAtOnce {
-			select {
-			case do := <-n.inbox:
-				do()
-			default:
-				break more
-			}
-		}
-		if err := n.rounds(); err != nil {
+		n.handleQueued()
+		if err := n.processReady(); err != nil {
 			return err
 		}
-		if leads, leader = n.core.Leadership(); leads != led || leader != was {
-			led, was = leads, leader
-			n.log.Info("leader", "member", leader, "this one", leads)
-		}
+		leadership.update(n)
 	}
 }
 
-// rounds lets the core go on until there is nothing to do. The clock is read after the events were taken.
-func (n *Node) rounds() error {
-	for {
-		more, err := n.core.ProcessReady(clock.SinceBoot(), clock.WallMilliseconds(), n.disk.Save, n.send)
-		if err != nil || !more {
-			return err
+// handleQueued handles the events that have come meanwhile.
+func (n *Node) handleQueued() {
+	for range maxBatchEvents {
+		select {
+		case event := <-n.inbox:
+			event()
+		default:
+			return
 		}
 	}
 }
 
-// handOn lets another member lead before this one ends, if that is done at once.
-func (n *Node) handOn() {
-	leads, _ := n.core.Leadership()
-	if !leads {
-		return
-	}
-	n.core.TransferLeadership()
-	until := time.NewTimer(500 * time.Millisecond)
-	defer until.Stop()
-	for leads {
-		if n.rounds() != nil {
-			return
-		}
-		select {
-		case do := <-n.inbox:
-			do()
-		case <-until.C:
-			return
+// processReady runs the core's rounds until there is nothing to do. The clock is read after the events were handled.
+func (n *Node) processReady() error {
+	for {
+		more, err := n.core.ProcessReady(clock.SinceBoot(), clock.WallMilliseconds(), n.store.Save, n.send)
+		if err != nil || !more {
+			return err
 		}
-		leads, _ = n.core.Leadership()
 	}
-	_ = n.rounds()
 }
 
-// send lets out what a round put out.
+// send sends what a round has put out.
 func (n *Node) send(out replica.Output) {
 	if len(out.Messages) > 0 {
 		members := n.core.Machine().Members()
@@ -148,74 +133,49 @@
 			n.peers.send(e.To, members, e.Encode())
 		}
 	}
-	for _, a := range out.Completions {
-		if to := n.answers[a.Tag]; to != nil {
-			delete(n.answers, a.Tag)
-			to <- a // has room for it
-		}
+	for _, c := range out.Completions {
+		n.complete(c)
 	}
 	for _, session := range out.ChangedSessions {
 		n.hint(session)
 	}
 }
 
-// hint wakes who waits for a session's hints, or the next who does.
-func (n *Node) hint(session uint64) {
-	c := n.waiter(session)
-	select {
-	case c <- struct{}{}:
-	default: // one is there already
+// transferLeadership lets another member lead before this one stops, if that succeeds at once.
+func (n *Node) transferLeadership() {
+	leading, _ := n.core.Leadership()
+	if !leading {
+		return
 	}
-}
-
-func (n *Node) waiter(session uint64) chan struct{} {
-	c := n.hints[session]
-	if c == nil {
-		if len(n.hints) >= 2*coord.MaxSessions {
-			clear(n.hints) // of sessions that are long over, for the most part; hints may be lost
+	n.core.TransferLeadership()
+	timeout := time.NewTimer(transferTimeout)
+	defer timeout.Stop()
+	for leading {
+		if n.processReady() != nil {
+			return
 		}
-		c = make(chan struct{}, 1)
-		n.hints[session] = c
+		select {
+		case event := <-n.inbox:
+			event()
+		case <-timeout.C:
+			return
+		}
+		leading, _ = n.core.Leadership()
 	}
-	return c
+	_ = n.processReady() // the member stops in any case
 }
 
-// do has the loop do something, and waits until it is done. It is false where the member or the caller is gone.
-func (n *Node) do(ctx context.Context, f func()) bool {
-	done := make(chan struct{})
-	select {
-	case n.inbox <- func() { f(); close(done) }:
-	case <-n.done:
-		return false
-	case <-ctx.Done():
-		return false
-	}
-	select {
-	case <-done:
-		return true
-	case <-n.done:
-		return false
-	}
+// leadershipLog logs changes of the leader.
+type leadershipLog struct {
+	leading bool
+	leader  uint64
 }
 
-// ask submits something to the core under a new tag and waits for its answer. It is false where the member does not
-// lead; the answer is lost where it ends first.
-func (n *Node) ask(ctx context.Context, submit func(tag uint64) bool) (replica.Completion, bool) {
-	answer := make(chan replica.Completion, 1)
-	taken := false
-	if !n.do(ctx, func() {
-		n.tag++
-		if taken = submit(n.tag); taken {
-			n.answers[n.tag] = answer
-		}
-	}) || !taken {
-		return replica.Completion{}, false
-	}
-	select {
-	case a := <-answer:
-		return a, true
-	case <-ctx.Done():
-	case <-n.done:
+func (l *leadershipLog) update(n *Node) {
+	leading, leader := n.core.Leadership()
+	if leading == l.leading && leader == l.leader {
+		return
 	}
-	return replica.Completion{OutcomeUnknown: true}, true
+	l.leading, l.leader = leading, leader
+	n.log.Info("leader changed", keyLeader, leader, keyLeading, leading)
 }
--- a/internal/coord/server/peers.go
+++ b/internal/coord/server/peers.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -12,147 +10,133 @@
 
 	"frostlink/internal/coord"
 	"frostlink/internal/coord/api"
-	"frostlink/internal/coord/replica"
 )
 
 const (
-	// queueRoom messages wait for another member; what comes beyond is dropped, as a network would.
-	queueRoom = 512
-	// mostBatch bytes of messages go into one call, about.
-	mostBatch = 4 << 20
-	// callWithin is how long another member may take for a call.
-	callWithin = 2 * time.Second
-	// pauseAfter a call that failed.
-	pauseAfter = 20 * time.Millisecond
+	// peerQueueSize bounds the messages that wait for another member; more are dropped.
+	peerQueueSize = 512
+	// maxBodyBytes bounds the messages of one call, about.
+	maxBodyBytes = 4 << 20
+	// peerTimeout is how long another member may take for a call.
+	peerTimeout = 2 * time.Second
+	// peerBackoff is the pause after a call that failed.
+	peerBackoff = 20 * time.Millisecond
+	// maxPeerQueues bounds the members to which messages were ever sent.
+	maxPeerQueues = 4 * coord.MaxMembers
+	// maxDiscarded is how much of an answer's body is read, so that the connection can be reused.
+	maxDiscarded = 4096
 )
 
 // peers sends messages to other members, each by a goroutine of its own, in order.
 type peers struct {
-	known  map[uint64]string // addresses of those that a member which joins was told of
-	reach  map[uint64]string // addresses that go before the listed ones
-	queues map[uint64]chan message
-	client *http.Client
-	ctx    context.Context
-	stop   context.CancelFunc
+	joinAddresses map[uint64]string // of the members that this one knew when it joined
+	overrides     map[uint64]string // addresses that go before all others
+	queues        map[uint64]chan peerMessage
+	client        *http.Client
+	ctx           context.Context // of the goroutines
+	stop          context.CancelFunc
 }
 
-type message struct {
+type peerMessage struct {
 	address string
-	raw     []byte
+	raw     []byte // an encoded envelope
 }
 
-func newPeers(known, reach map[uint64]string) *peers {
+func newPeers(joinAddresses, overrides map[uint64]string) *peers {
 	ctx, stop := context.WithCancel(context.Background())
+	transport := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}
 	return &peers{
-		known: known, reach: reach, queues: map[uint64]chan message{}, ctx: ctx, stop: stop,
-		client: &http.Client{Timeout: callWithin, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}},
+		joinAddresses: joinAddresses, overrides: overrides, queues: map[uint64]chan peerMessage{}, ctx: ctx, stop: stop,
+		client: &http.Client{Timeout: peerTimeout, Transport: transport},
 	}
 }
 
 func (p *peers) close() { p.stop() }
 
-// send queues a message to a member. Called by the loop alone.
+// send queues a message to a member. It is called by the loop alone.
 func (p *peers) send(to uint64, members []coord.Member, raw []byte) {
-	address := p.reach[to]
-	for _, m := range members {
-		if address == "" && m.ID == to {
-			address = m.Address
-		}
-	}
-	if address == "" {
-		address = p.known[to]
-	}
+	address := p.address(to, members)
 	if address == "" {
 		return
 	}
-	q := p.queues[to]
-	if q == nil {
-		if len(p.queues) >= 4*coord.MaxMembers {
-			return // members were replaced very often in this life
+	queue := p.queues[to]
+	if queue == nil {
+		if len(p.queues) >= maxPeerQueues {
+			return // members were replaced very often in this incarnation
 		}
-		q = make(chan message, queueRoom)
-		p.queues[to] = q
-		go p.carry(q)
+		queue = make(chan peerMessage, peerQueueSize)
+		p.queues[to] = queue
+		go p.deliver(queue)
 	}
 	select {
-	case q <- message{address, raw}:
+	case queue <- peerMessage{address, raw}:
 	default:
 	}
 }
 
-// carry sends one member's messages, as many at once as have come meanwhile.
-func (p *peers) carry(q <-chan message) {
+// address returns a member's address, or "" where it is not known.
+func (p *peers) address(id uint64, members []coord.Member) string {
+	if address := p.overrides[id]; address != "" {
+		return address
+	}
+	for _, m := range members {
+		if m.ID == id && m.Address != "" {
+			return m.Address
+		}
+	}
+	return p.joinAddresses[id]
+}
+
+// deliver delivers one member's messages, as many in one call as have come meanwhile.
+func (p *peers) deliver(queue <-chan peerMessage) {
 	for {
-		var m message
+		var first peerMessage
 		select {
-		case m = <-q:
+		case first = <-queue:
 		case <-p.ctx.Done():
 			return
 		}
-		body := frame(nil, m.raw)
-	more:
-		for len(body) < mostBatch {
-			select {
-			case next := <-q:
-				if next.address != m.address {
-					break more // the member has moved: what was for its old address is lost
-				}
-				body = frame(body, next.raw)
-			default:
-				break more
-			}
+		if p.post(first.address, collectBody(first, queue)) == nil {
+			continue
 		}
-		if p.post(m.address, body) != nil {
-			select {
-			case <-time.After(pauseAfter):
-			case <-p.ctx.Done():
-				return
+		select {
+		case <-time.After(peerBackoff):
+		case <-p.ctx.Done():
+			return
+		}
+	}
+}
+
+// collectBody returns the body of a call with a message and those that are queued behind it.
+func collectBody(first peerMessage, queue <-chan peerMessage) []byte {
+	body := appendFrame(nil, first.raw)
+	for len(body) < maxBodyBytes {
+		select {
+		case next := <-queue:
+			if next.address != first.address {
+				return body // the member has moved: the first message for its new address is lost
 			}
+			body = appendFrame(body, next.raw)
+		default:
+			return body
 		}
 	}
+	return body
 }
 
 func (p *peers) post(address string, body []byte) error {
 	req, err := http.NewRequestWithContext(p.ctx, http.MethodPost, "http://"+address+api.PathRaft, bytes.NewReader(body))
 	if err != nil {
-		return err
+		return fmt.Errorf("%s: %w", address, err)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return err
+		return fmt.Errorf("%s: %w", address, err)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 4096)) // so that the connection serves again
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded)) // so that the connection is reused
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: status %d", address, resp.StatusCode)
 	}
 	return nil
 }
-
-// frame adds an envelope to a body, behind its length (4 bytes, big endian).
-func frame(body, raw []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(body, uint32(len(raw))), raw...)
-}
-
-var errFrame = errors.New("envelopes: cut off")
-
-// unframe reads the envelopes of a body.
-func unframe(body []byte) ([]replica.Envelope, error) {
-	var list []replica.Envelope
-	for len(body) > 0 {
-		if len(body) < 4 {
-			return nil, errFrame
-		}
-		size := int(binary.BigEndian.Uint32(body))
-		if size > len(body)-4 {
-			return nil, errFrame
-		}
-		e, err := replica.DecodeEnvelope(body[4 : 4+size])
-		if err != nil {
-			return nil, err
-		}
-		list = append(list, e)
-		body = body[4+size:]
-	}
-	return list, nil
-}
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -18,16 +18,16 @@
 	"frostlink/internal/lease"
 )
 
-func TestLeaseGoesOnBetweenClients(t *testing.T) {
+func TestServer_LeasePassesBetweenClients(t *testing.T) {
 	c := servertest.New(t)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer stop()
 	clients := map[string]*lease.Client{}
 	for _, name := range []string{"a", "b"} {
-		client := lease.NewClient(name, "c", c.Members, 2*time.Second, 50*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		client := lease.NewClient(name, "c", c.Members, 2*time.Second, 50*time.Millisecond, slog.New(slog.DiscardHandler))
 		clients[name] = client
 		work.Go(func() { client.Run(ctx) })
 	}
@@ -44,7 +44,7 @@
 	first := act.Token
 	clients["a"].Release("x", "")
 	if _, err := clients["a"].Act(ctx, "x", time.Millisecond); err == nil {
-		t.Error("a may act on although it gives the lease back")
+		t.Error("a may act on although it releases the lease")
 	}
 	if holds("b")() {
 		t.Error("b holds before a's act has ended")
@@ -54,54 +54,54 @@
 	if token, _ := clients["b"].Holds("x"); token <= first {
 		t.Errorf("b's token %d is not above a's %d", token, first)
 	}
-	// The member that leads ends: another leads, and the lease is not lost by it.
-	was, _ := clients["b"].Holds("x")
-	old := c.Leader()
-	c.Stop(old)
-	servertest.Eventually(t, "another leads", func() bool { now := c.Leader(); return now != 0 && now != old })
+	// The leader stops: another member leads, and the lease is not lost by it.
+	before, _ := clients["b"].Holds("x")
+	oldLeader := c.Leader()
+	c.Stop(oldLeader)
+	servertest.Eventually(t, "another leads", func() bool { now := c.Leader(); return now != 0 && now != oldLeader })
 	servertest.Eventually(t, "b holds", holds("b"))
-	if now, _ := clients["b"].Holds("x"); now != was {
-		t.Errorf("the lease was lost by a change of leader: token %d, then %d", was, now)
+	if now, _ := clients["b"].Holds("x"); now != before {
+		t.Errorf("the lease was lost by a change of leader: token %d, then %d", before, now)
 	}
-	c.Start(old, nil)
+	c.Start(oldLeader, nil)
 	clients["b"].Release("x", "")
 	clients["a"].Request("x", "test")
 	servertest.Eventually(t, "a holds again", holds("a"))
-	list, err := c.Lead(api.PathRead, api.Request{Query: &api.Query{Leases: "*", History: "x"}})
+	list, err := c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Leases: "*", History: "x"}})
 	if err != nil || len(list.Leases) != 1 || list.Leases[0].Holder != "a" || len(list.History) < 5 {
 		t.Errorf("%+v, %v", list, err)
 	}
 }
 
-func TestTaskWithoutGuard(t *testing.T) {
+func TestClient_RejectsTaskWithoutGuard(t *testing.T) {
 	c := lease.NewClient("a", "c", nil, time.Second, 0, slog.Default())
-	if err := c.RunTask(context.Background(), lease.Task{Lease: "x"}); err == nil {
-		t.Error("a task that says neither Fenced nor Idempotent is run")
+	if err := c.RunTask(t.Context(), lease.Task{Lease: "x"}); err == nil {
+		t.Error("a task that is neither Fenced nor Idempotent is run")
 	}
 }
 
-func TestValuesAndWatch(t *testing.T) {
+func TestServer_WritesAndWatchesValues(t *testing.T) {
 	c := servertest.New(t)
-	open, err := c.Lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", Name: "t", TTL: time.Minute}})
+	open, err := c.CallLeader(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", Name: "t", TTL: time.Minute}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	put := api.Request{Command: &coord.Command{Op: coord.OpPut, Session: open.Result.Session, Seq: 1, Key: "k", Value: []byte("v")}}
-	for range 2 { // the second time its answer counts as lost
-		if a, err := c.Lead(api.PathCommand, put); err != nil || a.Result.Code != coord.CodeOK || a.Result.ModRevision != 1 {
+	for range 2 { // the second time is a retry
+		if a, err := c.CallLeader(api.PathCommand, put); err != nil || a.Result.Code != coord.CodeOK || a.Result.ModRevision != 1 {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
-	a, err := c.Lead(api.PathRead, api.Request{Query: &api.Query{Values: "*", Changes: "*"}})
+	a, err := c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*", Changes: "*"}})
 	if err != nil || len(a.Values) != 1 || string(a.Values[0].Value) != "v" || len(a.Changes) != 1 || a.Compacted || a.Revision != 1 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if a, err = c.Lead(api.PathRead, api.Request{Query: &api.Query{Changes: "*", After: 99}}); err != nil || !a.Compacted {
+	if a, err = c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Changes: "*", After: 99}}); err != nil || !a.Compacted {
 		t.Errorf("changes after a revision that never was: %+v, %v", a, err)
 	}
 	var raw []byte
 	servertest.Eventually(t, "a snapshot", func() bool {
-		raw, err = c.Caller.Snapshot(context.Background(), c.Members[0].Address)
+		raw, err = c.Caller.Snapshot(t.Context(), c.Members[0].Address)
 		if err != nil {
 			c.Members = append(c.Members[1:], c.Members[0])
 		}
@@ -112,12 +112,13 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestServer_RejectsInvalidRequests(t *testing.T) {
 	c := servertest.New(t)
 	servertest.Eventually(t, "a member leads", func() bool { return c.Leader() != 0 })
-	at := c.Members[c.Leader()-1].Address
-	post := func(path, body string) (int, string) {
-		resp, err := http.Post("http://"+at+path, "application/json", strings.NewReader(body))
+	address := c.Members[c.Leader()-1].Address
+	post := func(t *testing.T, path, body string) (int, string) {
+		t.Helper()
+		resp, err := http.Post("http://"+address+path, "application/json", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,27 +129,29 @@
 	for name, tt := range map[string]struct {
 		path, body string
 		status     int
-		says       string
+		message    string
 	}{
-		"another cluster":  {api.PathCommand, `{"cluster":"d","command":{"op":"renew"}}`, http.StatusConflict, "of cluster"},
-		"an unknown key":   {api.PathCommand, `{"cluster":"c","comand":{}}`, http.StatusBadRequest, "comand"},
-		"no command":       {api.PathCommand, `{"cluster":"c"}`, http.StatusBadRequest, "command"},
-		"no query":         {api.PathRead, `{"cluster":"c"}`, http.StatusBadRequest, "query"},
-		"two changes":      {api.PathMembers, `{"cluster":"c","leave":1,"join":{"id":4,"address":"a:1"}}`, http.StatusBadRequest, "one of them"},
-		"a vote at once":   {api.PathMembers, `{"cluster":"c","join":{"id":4,"address":"a:1"}}`, http.StatusConflict, "learner"},
-		"not a member":     {api.PathMembers, `{"cluster":"c","leave":9}`, http.StatusConflict, "no member"},
-		"a cut message":    {api.PathRaft, "\x00\x00\x00\x09\x01", http.StatusBadRequest, "cut off"},
-		"a newer message":  {api.PathRaft, "\x00\x00\x00\x01\x09", http.StatusBadRequest, "version 9"},
-		"another's member": {api.PathRaft, framed(replica.Envelope{Cluster: "d", From: 1, To: 2, Kind: replica.KindAnnounce}), http.StatusBadRequest, "of cluster"},
+		"another cluster":             {api.PathCommand, `{"cluster":"d","command":{"op":"renew"}}`, http.StatusConflict, "of cluster"},
+		"an unknown field":            {api.PathCommand, `{"cluster":"c","comand":{}}`, http.StatusBadRequest, "comand"},
+		"no command":                  {api.PathCommand, `{"cluster":"c"}`, http.StatusBadRequest, "command"},
+		"no query":                    {api.PathRead, `{"cluster":"c"}`, http.StatusBadRequest, "query"},
+		"two changes":                 {api.PathMembers, `{"cluster":"c","leave":1,"join":{"id":4,"address":"a:1"}}`, http.StatusBadRequest, "one of them"},
+		"a voter that was no learner": {api.PathMembers, `{"cluster":"c","join":{"id":4,"address":"a:1"}}`, http.StatusConflict, "learner"},
+		"not a member":                {api.PathMembers, `{"cluster":"c","leave":9}`, http.StatusConflict, "no member"},
+		"a truncated message":         {api.PathRaft, "\x00\x00\x00\x09\x01", http.StatusBadRequest, "cut off"},
+		"a newer message":             {api.PathRaft, "\x00\x00\x00\x01\x09", http.StatusBadRequest, "version 9"},
+		"a member of another cluster": {api.PathRaft, frame(replica.Envelope{Cluster: "d", From: 1, To: 2, Kind: replica.KindAnnounce}), http.StatusBadRequest, "of cluster"},
 	} {
-		if status, body := post(tt.path, tt.body); status != tt.status || !strings.Contains(body, tt.says) {
-			t.Errorf("%s: %d %s", name, status, body)
-		}
+		t.Run(name, func(t *testing.T) {
+			if status, body := post(t, tt.path, tt.body); status != tt.status || !strings.Contains(body, tt.message) {
+				t.Errorf("%d %s", status, body)
+			}
+		})
 	}
 }
 
-// framed is an envelope as members send it.
-func framed(e replica.Envelope) string {
+// frame returns the body with which members send an envelope.
+func frame(e replica.Envelope) string {
 	raw := e.Encode()
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(raw)))) + string(raw)
 }
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -4,7 +4,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -20,27 +19,34 @@
 	"frostlink/internal/coord/server"
 )
 
-// Within is how long anything may take that takes a second at most on a machine with nothing else to do.
-const Within = 30 * time.Second
-
-// Name is the cluster's.
-const Name = "c"
+const (
+	// Name is the cluster's name.
+	Name = "c"
+	// Timeout bounds whatever takes a second at most on a machine with nothing else to do.
+	Timeout = 30 * time.Second
+	// size is the number of members.
+	size = 3
+	// statusTimeout bounds a call for a member's status.
+	statusTimeout = time.Second
+	// pollInterval is between two looks of Eventually.
+	pollInterval = 10 * time.Millisecond
+)
 
-// Cluster is three members.
+// Cluster is a cluster of three members.
 type Cluster struct {
 	Members []coord.Member
 	Caller  *api.Caller
 	t       *testing.T
 	dir     string
-	stops   map[uint64]func()
+	stops   map[uint64]func() // by member
 }
 
-// New starts three members, and ends them with the test.
+// New starts three members, and stops them when the test ends.
 func New(t *testing.T) *Cluster {
 	t.Helper()
 	c := &Cluster{t: t, dir: t.TempDir(), Caller: api.NewCaller(Name), stops: map[uint64]func(){}}
 	listeners := map[uint64]net.Listener{}
-	for id := uint64(1); id <= 3; id++ {
+	for id := uint64(1); id <= size; id++ {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -64,7 +70,7 @@
 
 func (c *Cluster) folder(id uint64) string { return filepath.Join(c.dir, fmt.Sprint(id)) }
 
-// Start runs a member. Its listener is bound already, or is bound anew at its old address.
+// Start runs a member. Where no listener is given, it listens on its address again.
 func (c *Cluster) Start(id uint64, ln net.Listener) {
 	c.t.Helper()
 	var err error
@@ -73,7 +79,7 @@
 			c.t.Fatal(err)
 		}
 	}
-	node, err := server.New(c.folder(id), nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	node, err := server.New(c.folder(id), nil, slog.New(slog.DiscardHandler))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -90,35 +96,35 @@
 	c.stops[id] = sync.OnceFunc(func() { stop(); work.Wait() })
 }
 
-// Lead calls the member that leads.
-func (c *Cluster) Lead(path string, r api.Request) (api.Response, error) {
-	ctx, stop := context.WithTimeout(context.Background(), Within)
+// CallLeader calls whichever member leads.
+func (c *Cluster) CallLeader(path string, r api.Request) (api.Response, error) {
+	ctx, stop := context.WithTimeout(context.Background(), Timeout)
 	defer stop()
 	return c.Caller.CallLeader(ctx, c.Members, path, r)
 }
 
-// Eventually waits for what has to come.
-func Eventually(t *testing.T, what string, is func() bool) {
+// Eventually waits until a condition holds, and fails the test where it does not in time.
+func Eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Within); !is(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", Within, what)
+	for deadline := time.Now().Add(Timeout); !holds(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", Timeout, what)
 		}
 	}
 }
 
-// Leader gives the id of the member that says that it leads, or 0.
+// Leader returns the id of the member that reports that it leads, or 0.
 func (c *Cluster) Leader() uint64 {
 	for _, m := range c.Members {
-		ctx, stop := context.WithTimeout(context.Background(), time.Second)
+		ctx, stop := context.WithTimeout(context.Background(), statusTimeout)
 		s, err := c.Caller.Status(ctx, m.Address)
 		stop()
-		if err == nil && s.Member.Role == "leader" {
+		if err == nil && s.Member.Role == coord.RoleLeader {
 			return m.ID
 		}
 	}
 	return 0
 }
 
-// Stop ends a member.
+// Stop stops a member, and waits for its end.
 func (c *Cluster) Stop(id uint64) { c.stops[id]() }
