--- a/cmd/frostlinkctl/export.go
+++ b/cmd/frostlinkctl/export.go
@@ -33,10 +33,10 @@
 	}
 	for _, v := range a.Values {
 		if v.Key == fleettask.ExportKey {
-			return fleettask.ReadLedger(v.Value)
+			return fleettask.DecodeLedger(v.Value)
 		}
 	}
-	return fleettask.ReadLedger(nil)
+	return fleettask.DecodeLedger(nil)
 }
 
 // folderFlag adds the flag that names the export's folder.
@@ -66,13 +66,13 @@
 			return nil, err
 		}
 		v := checked{Ledger: l}
-		if _, err := l.Chain(func(name string) (fleettask.SliceHead, error) { return fleettask.ReadSlice(folder, name, nil) }); err != nil {
+		if _, err := l.VerifyChain(func(name string) (fleettask.SliceHeader, error) { return fleettask.ReadSlice(folder, name, nil) }); err != nil {
 			v.Fault = err.Error()
 		}
 		return v, nil
 	}, func(out io.Writer, v any) error {
 		e := v.(checked)
-		fmt.Fprintf(out, "%d records of %d relays in %d slices\n", e.Records, len(e.Places), e.Slices)
+		fmt.Fprintf(out, "%d records of %d relays in %d slices\n", e.Records, len(e.Positions), e.Slices)
 		if e.Fault != "" {
 			fmt.Fprintln(out, e.Fault)
 			return cli.ErrFound
@@ -98,7 +98,7 @@
 			if err != nil {
 				return err
 			}
-			chain, err := l.Chain(func(name string) (fleettask.SliceHead, error) { return fleettask.ReadSlice(folder, name, nil) })
+			chain, err := l.VerifyChain(func(name string) (fleettask.SliceHeader, error) { return fleettask.ReadSlice(folder, name, nil) })
 			if err != nil {
 				return err
 			}
--- a/internal/coord/doc.go
+++ b/internal/coord/doc.go
@@ -8,7 +8,7 @@
 //   - A lease has at most one holder. Each grant has a fencing token, higher than that of any grant before it. Sessions that
 //     ask for a lease that is held wait in its queue, first come, first served.
 //   - A lease is released by its holder, transferred by it to a queued session of its choice, ended with its session, or
-//     revoked by an operator. A revoked lease is granted anew only once its holder has released it, or once the last
+//     revoked by an operator. A revoked lease is granted again only once its holder has released it, or once the last
 //     renewal that may have told the holder otherwise has expired.
 //   - A value has the revision of the write that made it. A write names the revision that it expects, and may name a lease
 //     and token: it is rejected where that grant does not stand any more.
--- a/internal/fleettask/golden_test.go
+++ b/internal/fleettask/golden_test.go
@@ -6,7 +6,8 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenForms(t *testing.T) {
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "ledger", Value: &Ledger{}}, goldentest.Form{Name: "slice-head", Value: &SliceHead{}},
+func TestStoredForms_AreUnchanged(t *testing.T) {
+	goldentest.JSON(t, "forms.txt",
+		goldentest.Form{Name: "ledger", Value: &Ledger{}}, goldentest.Form{Name: "slice-head", Value: &SliceHeader{}},
 		goldentest.Form{Name: "slice-line", Value: &sliceLine{}})
 }
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -10,84 +10,93 @@
 	"frostlink/internal/lease"
 )
 
-// ResendLease is the lease under which a partner's undelivered messages are resent.
-func ResendLease(partner int) string { return fmt.Sprint("resend/", partner) }
+// ResendLease returns the lease under which the undelivered messages to a destination are resent.
+func ResendLease(destination int) string { return fmt.Sprint("resend/", destination) }
 
-// ResendGuard says why a resend that leaves late does no harm.
+// ResendGuard says why a late resend is harmless.
 var ResendGuard = lease.Idempotent("a resend is a message like any other: module, journal and rules see to it that it is never sent " +
 	"against its class, and a late one costs the partner one call more")
 
-// roundCost is how long a round of resends may take from its first look to its last offer.
-const roundCost = 300 * time.Millisecond
-
-// stepEvery is between looks at the turns.
-const stepEvery = 50 * time.Millisecond
+const (
+	// roundCost is how long a round of resends may take, from its first Begin to its End.
+	roundCost = 300 * time.Millisecond
+	// rotationInterval is between steps of the rotation.
+	rotationInterval = 50 * time.Millisecond
+)
 
-// Resend lets one relay of the fleet at a time resend towards a partner: the rate that a rule names is the fleet's then.
-// It is the undelivered.Gate of a relay whose operator wants that.
+// Resend is the gate for resends: it lets one relay of the fleet at a time resend towards a destination, so that the rate
+// that a rule names is the fleet's.
 type Resend struct {
 	client *lease.Client
 
-	mu    sync.Mutex
-	turns *Turns
-	acts  []*lease.Act // of this round, by partner
-	of    []int
+	mu       sync.Mutex // guards what is below
+	rotation *Rotation
+	acts     []resendAct // of this round
+}
+
+// resendAct is the act under which a round resends towards a destination.
+type resendAct struct {
+	destination int
+	act         *lease.Act
 }
 
-// Begin allows resends towards a partner until End, or refuses: then they stay where they are. The token is that of the
-// turn, another one each time.
-func (r *Resend) Begin(partner int) (token uint64, ok bool) {
+// Begin reports whether resends towards a destination are allowed until End. The token identifies the turn: each has
+// another.
+func (r *Resend) Begin(destination int) (token uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turns.Need(partner, clock.SinceBoot())
-	for i, p := range r.of {
-		if p == partner {
-			return r.acts[i].Token, r.acts[i].Ctx.Err() == nil
+	r.rotation.RecordDue(destination, clock.SinceBoot())
+	for _, a := range r.acts {
+		if a.destination == destination {
+			return a.act.Token, a.act.Ctx.Err() == nil
 		}
 	}
-	if !r.turns.May(partner) {
+	if !r.rotation.MayResend(destination) {
 		return 0, false
 	}
-	act, err := r.client.Act(context.Background(), ResendLease(partner), roundCost)
+	act, err := r.client.Act(context.Background(), ResendLease(destination), roundCost)
 	if err != nil {
 		return 0, false
 	}
-	r.acts, r.of = append(r.acts, act), append(r.of, partner)
+	r.acts = append(r.acts, resendAct{destination, act})
 	return act.Token, true
 }
 
-// End ends a round: what it decided has been offered.
+// End ends a round: what it has decided is submitted.
 func (r *Resend) End() {
 	r.mu.Lock()
 	acts := r.acts
-	r.acts, r.of = nil, nil
+	r.acts = nil
 	r.mu.Unlock()
 	for _, a := range acts {
-		a.End()
+		a.act.End()
 	}
 }
 
-// run asks for turns and gives them back until its context ends.
+// run requests and releases leases until its context ends.
 func (r *Resend) run(ctx context.Context) {
-	ticks := time.NewTicker(stepEvery)
-	defer ticks.Stop()
+	ticker := time.NewTicker(rotationInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ticks.C:
+		case <-ticker.C:
 		}
 		r.mu.Lock()
-		want, drop := r.turns.Step(clock.SinceBoot(), func(partner int) (uint64, int, bool) {
-			g, ok := r.client.Grant(ResendLease(partner))
-			return g.Token, g.QueueLength, ok
-		})
+		request, release := r.rotation.Step(clock.SinceBoot(), r.held)
 		r.mu.Unlock()
-		for _, partner := range want {
-			r.client.Request(ResendLease(partner), "resends what was not delivered; "+ResendGuard.String())
+		for _, destination := range request {
+			r.client.Request(ResendLease(destination), "resends what was not delivered; "+ResendGuard.String())
 		}
-		for _, partner := range drop {
-			r.client.Release(ResendLease(partner), "")
+		for _, destination := range release {
+			r.client.Release(ResendLease(destination), "")
 		}
 	}
 }
+
+// held returns the token under which a destination's lease is held, and how many others are queued for it.
+func (r *Resend) held(destination int) (token uint64, queueLength int, ok bool) {
+	grant, ok := r.client.Grant(ResendLease(destination))
+	return grant.Token, grant.QueueLength, ok
+}
--- a/internal/fleettask/rotation.go
+++ b/internal/fleettask/rotation.go
@@ -7,75 +7,74 @@
 )
 
 const (
-	// turnMost is how long a relay goes on with a partner's resends while others wait for their turn.
-	turnMost = 10 * time.Second
-	// idleMost is how long it keeps its turn while nothing is due.
-	idleMost = time.Second
+	// maxTurn is how long a relay goes on with a destination's resends while others are queued for its lease.
+	maxTurn = 10 * time.Second
+	// maxIdle is how long it keeps the lease while nothing is due.
+	maxIdle = time.Second
 )
 
-// Turns decides when a relay asks for the turn to resend towards each partner, and when it gives it back. Those who
-// ask get theirs in the order in which they asked, which is the order in which something became due at them. It has
-// no I/O and no clock.
-type Turns struct {
-	lanes map[int]*turn
+// Rotation decides when a relay requests the lease to resend towards each destination, and when it releases it. The queue of
+// the lease is first come, first served: relays get it in the order in which something became due at them. It has no I/O and
+// no clock.
+type Rotation struct {
+	turns map[int]*turn // by destination
 }
 
-// turn is a relay's turn towards one partner.
+// turn is a relay's turn towards one destination.
 type turn struct {
-	needed time.Duration // when something was last due
-	token  uint64        // under which it is held; 0: it is not
-	since  time.Duration
-	given  bool // back: it is asked for again only once it is gone
+	lastDue   time.Duration // when something was last due
+	token     uint64        // under which the lease is held; 0: it is not
+	heldSince time.Duration
+	releasing bool // it is requested again only once it is not held any more
 }
 
-// NewTurns makes turns of which none is asked for.
-func NewTurns() *Turns { return &Turns{lanes: map[int]*turn{}} }
+// NewRotation returns a rotation that requests nothing.
+func NewRotation() *Rotation { return &Rotation{turns: map[int]*turn{}} }
 
-// Need says that something is due towards a partner.
-func (t *Turns) Need(partner int, now time.Duration) {
-	l := t.lanes[partner]
-	if l == nil {
-		l = &turn{}
-		t.lanes[partner] = l
+// RecordDue notes that something is due towards a destination.
+func (r *Rotation) RecordDue(destination int, now time.Duration) {
+	t := r.turns[destination]
+	if t == nil {
+		t = &turn{}
+		r.turns[destination] = t
 	}
-	l.needed = now
+	t.lastDue = now
 }
 
-// Step looks at all partners, and gives those whose turn is to be asked for, and to be given back. held tells under which token the turn towards a
-// partner is held, and how many others wait for it.
-func (t *Turns) Step(now time.Duration, held func(partner int) (token uint64, wait int, ok bool)) (want, drop []int) {
-	for _, partner := range slices.Sorted(maps.Keys(t.lanes)) {
-		l := t.lanes[partner]
-		token, wait, ok := held(partner)
+// Step returns the destinations whose lease is to be requested, and those whose lease is to be released. held returns the
+// token under which a destination's lease is held, and how many others are queued for it.
+func (r *Rotation) Step(
+	now time.Duration, held func(destination int) (token uint64, queueLength int, ok bool),
+) (request, release []int) {
+	for _, destination := range slices.Sorted(maps.Keys(r.turns)) {
+		t := r.turns[destination]
+		token, queueLength, ok := held(destination)
 		if !ok {
 			token = 0
 		}
-		if token != l.token {
-			l.token, l.since = token, now
+		if token != t.token {
+			t.token, t.heldSince = token, now
 		}
-		idle := now-l.needed > idleMost
+		idle := now-t.lastDue > maxIdle
 		switch {
-		case token == 0 && l.given:
-			l.given = false
+		case t.releasing && token == 0:
+			t.releasing = false
 			if idle {
-				delete(t.lanes, partner)
+				delete(r.turns, destination)
 			}
-		case l.given:
-		case idle:
-			l.given = true
-			drop = append(drop, partner)
+		case t.releasing: // until it is not held any more
+		case idle, token != 0 && queueLength > 0 && now-t.heldSince >= maxTurn:
+			t.releasing = true
+			release = append(release, destination)
 		case token == 0:
-			want = append(want, partner)
-		case wait > 0 && now-l.since >= turnMost:
-			l.given = true
-			drop = append(drop, partner)
+			request = append(request, destination)
 		}
 	}
-	return want, drop
+	return request, release
 }
 
-// May tells whether a turn may be used: it is not being given back.
-func (t *Turns) May(partner int) bool {
-	l := t.lanes[partner]
-	return l != nil && !l.given
+// MayResend reports whether a lease may be used: it is not being released.
+func (r *Rotation) MayResend(destination int) bool {
+	t := r.turns[destination]
+	return t != nil && !t.releasing
 }
--- a/internal/fleettask/rotation_test.go
+++ b/internal/fleettask/rotation_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestTurns: a turn is asked for while something is due, kept while nobody waits, given back after a while when somebody
-// does or when nothing is due, and asked for again only once it is gone.
-func TestTurns(t *testing.T) {
-	turns := NewTurns()
-	token, wait := uint64(0), 0
+// TestRotation_RequestsAndReleases: a lease is requested while something is due, held while nobody is queued, released after a
+// while when somebody is or when nothing is due, and requested again only once it is not held any more.
+func TestRotation_RequestsAndReleases(t *testing.T) {
+	rotation := NewRotation()
+	token, queueLength := uint64(0), 0
 	now := time.Duration(0)
-	step := func(d time.Duration) string {
-		now += d
-		want, drop := turns.Step(now, func(int) (uint64, int, bool) { return token, wait, token != 0 })
-		return fmt.Sprint(want, drop)
+	step := func(elapsed time.Duration) string {
+		now += elapsed
+		request, release := rotation.Step(now, func(int) (uint64, int, bool) { return token, queueLength, token != 0 })
+		return fmt.Sprint(request, release)
 	}
 	expect := func(what, got, want string) {
 		t.Helper()
@@ -24,33 +24,33 @@
 		}
 	}
 	expect("nothing due", step(time.Second), "[] []")
-	turns.Need(3, now)
+	rotation.RecordDue(3, now)
 	expect("due", step(time.Millisecond), "[3] []")
 	token = 7
 	for range 30 {
-		turns.Need(3, now)
-		expect("held, nobody waits", step(time.Second), "[] []")
+		rotation.RecordDue(3, now)
+		expect("held, nobody queued", step(time.Second), "[] []")
 	}
-	wait = 1
-	expect("somebody waits, and it was held long", step(0), "[] [3]")
-	if turns.May(3) {
-		t.Error("it may be used although it is being given back")
+	queueLength = 1
+	expect("somebody queued, held long", step(0), "[] [3]")
+	if rotation.MayResend(3) {
+		t.Error("it may be used although it is being released")
 	}
-	expect("being given back", step(0), "[] []")
-	token, wait = 0, 0
-	turns.Need(3, now)
-	expect("gone", step(0), "[] []")
+	expect("being released", step(0), "[] []")
+	token, queueLength = 0, 0
+	rotation.RecordDue(3, now)
+	expect("not held any more", step(0), "[] []")
 	expect("due again", step(0), "[3] []")
 	token = 9
-	turns.Need(3, now)
-	expect("held anew", step(0), "[] []")
-	wait = 1
-	turns.Need(3, now)
-	expect("held for a moment, somebody waits", step(time.Second), "[] []")
-	expect("nothing was due for a while", step(idleMost+time.Millisecond), "[] [3]")
+	rotation.RecordDue(3, now)
+	expect("held again", step(0), "[] []")
+	queueLength = 1
+	rotation.RecordDue(3, now)
+	expect("held shortly, somebody queued", step(time.Second), "[] []")
+	expect("nothing due for a while", step(maxIdle+time.Millisecond), "[] [3]")
 	token = 0
-	expect("gone, nothing due", step(0), "[] []")
-	if len(turns.lanes) != 0 {
-		t.Errorf("%d turns are kept for nothing", len(turns.lanes))
+	expect("not held any more, nothing due", step(0), "[] []")
+	if len(rotation.turns) != 0 {
+		t.Errorf("%d turns are left", len(rotation.turns))
 	}
 }
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -1,4 +1,3 @@
-// Package fleettask is the work that is the whole fleet's: each task is done by one relay at a time, under a lease.
 package fleettask
 
 import (
@@ -12,34 +11,26 @@
 
 // Section is [coordination] of the operator's file.
 type Section struct {
-	Cluster string   `toml:"cluster"`
-	Members []string `toml:"members"` // ID=HOST:PORT
-	TTLMS   int      `toml:"ttl_ms"`  // of a relay's session; 0: DefaultTTL
-	GuardMS int      `toml:"guard_ms"`
-	Resend  bool     `toml:"resend"` // the rate of a rule for undelivered messages is the fleet's, not each relay's
-	Beat    *Beat    `toml:"beat"`
-	Export  *Export  `toml:"export"`
+	Cluster     string     `toml:"cluster"`
+	Members     []string   `toml:"members"` // ID=HOST:PORT
+	TTLMillis   int        `toml:"ttl_ms"`  // of a relay's session; 0: DefaultTTL
+	GuardMillis int        `toml:"guard_ms"`
+	Resend      bool       `toml:"resend"` // the rate of a rule for undelivered messages is the fleet's, not each relay's
+	Heartbeat   *Heartbeat `toml:"beat"`
+	Export      *Export    `toml:"export"`
 }
 
-// Beat is [coordination.beat]: one relay of the fleet tells a monitor that the fleet lives.
-type Beat struct {
-	URL      string  `toml:"url"`
-	EveryS   float64 `toml:"every_s"`   // between beats; 0: DefaultBeat
-	WithinMS int     `toml:"within_ms"` // that the monitor takes for one; 0: DefaultWithin
+// Heartbeat is [coordination.beat]: one relay of the fleet tells a monitor that the fleet is alive.
+type Heartbeat struct {
+	URL             string  `toml:"url"`
+	IntervalSeconds float64 `toml:"every_s"`   // 0: DefaultHeartbeatInterval
+	TimeoutMillis   int     `toml:"within_ms"` // of one heartbeat; 0: DefaultHeartbeatTimeout
 }
 
-// Export is [coordination.export]: what all relays keep as undelivered is collected into one folder that all of them see.
+// Export is [coordination.export]: the undelivered messages of all relays are collected in one folder that all of them see.
 type Export struct {
-	Folder string  `toml:"folder"`
-	EveryS float64 `toml:"every_s"` // between looks for something new; 0: DefaultExport
-}
-
-// Every is the time between looks.
-func (e *Export) Every() time.Duration {
-	if e.EveryS == 0 {
-		return DefaultExport
-	}
-	return time.Duration(e.EveryS * float64(time.Second))
+	Folder          string  `toml:"folder"`
+	IntervalSeconds float64 `toml:"every_s"` // between looks for new records; 0: DefaultExportInterval
 }
 
 // The defaults.
@@ -47,72 +38,100 @@
 	DefaultTTL   = 3 * time.Second
 	DefaultGuard = 50 * time.Millisecond
 
-	DefaultBeat   = 10 * time.Second
-	DefaultWithin = 500 * time.Millisecond
-	DefaultExport = time.Minute
+	DefaultHeartbeatInterval = 10 * time.Second
+	DefaultHeartbeatTimeout  = 500 * time.Millisecond
+	DefaultExportInterval    = time.Minute
+)
+
+// The bounds, in the settings' units.
+const (
+	maxHeartbeatSeconds = 3600
+	maxExportSeconds    = 24 * 3600
+	maxGuardShare       = 4 // of the time to live: one in so many
+	maxTimeoutShare     = 2 // of a lease's validity: one in so many
 )
 
-// TTL is the time to live of a relay's session.
-func (s *Section) TTL() time.Duration { return orElse(s.TTLMS, DefaultTTL) }
+// TTL returns the time to live of a relay's session.
+func (s *Section) TTL() time.Duration { return millisOr(s.TTLMillis, DefaultTTL) }
+
+// Guard returns how long before its end a lease is given up.
+func (s *Section) Guard() time.Duration { return millisOr(s.GuardMillis, DefaultGuard) }
+
+// Interval returns the time between heartbeats.
+func (h *Heartbeat) Interval() time.Duration {
+	return secondsOr(h.IntervalSeconds, DefaultHeartbeatInterval)
+}
+
+// Timeout returns how long one heartbeat may take.
+func (h *Heartbeat) Timeout() time.Duration {
+	return millisOr(h.TimeoutMillis, DefaultHeartbeatTimeout)
+}
+
+// Interval returns the time between looks for new records.
+func (e *Export) Interval() time.Duration { return secondsOr(e.IntervalSeconds, DefaultExportInterval) }
 
-// Guard is how long before its end a lease is given up.
-func (s *Section) Guard() time.Duration { return orElse(s.GuardMS, DefaultGuard) }
+func millisOr(millis int, defaultValue time.Duration) time.Duration {
+	if millis == 0 {
+		return defaultValue
+	}
+	return time.Duration(millis) * time.Millisecond
+}
+
+func secondsOr(seconds float64, defaultValue time.Duration) time.Duration {
+	if seconds == 0 {
+		return defaultValue
+	}
+	return time.Duration(seconds * float64(time.Second))
+}
 
-func orElse(ms int, other time.Duration) time.Duration {
-	if ms == 0 {
-		return other
+// Check adds to the document what is wrong in the section at a path.
+func (s *Section) Check(doc *strictconfig.Document, path string) {
+	s.checkService(doc, path)
+	if s.Export != nil {
+		s.Export.check(doc, path+".export")
+	}
+	if s.Heartbeat != nil {
+		s.Heartbeat.check(doc, path+".beat", s.TTL()-s.Guard())
 	}
-	return time.Duration(ms) * time.Millisecond
 }
 
-// Check tells what is wrong in the section.
-func (s *Section) Check(doc *strictconfig.Document, at string) {
+// checkService checks how the service is reached, and the relay's session.
+func (s *Section) checkService(doc *strictconfig.Document, path string) {
 	if s.Cluster == "" || len(s.Cluster) >= coord.MaxNameSize {
-		doc.AddError(at+".cluster", "is no name of 1 to %d bytes", coord.MaxNameSize-1)
+		doc.AddError(path+".cluster", "is no name of 1 to %d bytes", coord.MaxNameSize-1)
 	}
 	if members, err := api.ParseMembers(s.Members); err != nil {
-		doc.AddError(at+".members", "%v", err)
+		doc.AddError(path+".members", "%v", err)
 	} else if len(members) == 0 || len(members) > coord.MaxMembers {
-		doc.AddError(at+".members", "names %d members; 1 to %d are wanted", len(members), coord.MaxMembers)
+		doc.AddError(path+".members", "names %d members; 1 to %d are wanted", len(members), coord.MaxMembers)
 	}
 	if ttl := s.TTL(); ttl < coord.MinTTL || ttl > coord.MaxTTL {
-		doc.AddError(at+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMS, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
-	}
-	if guard := s.Guard(); guard < 0 || guard > s.TTL()/4 {
-		doc.AddError(at+".guard_ms", "is %d; 0 to a quarter of ttl_ms are wanted", s.GuardMS)
-	}
-	if s.Export != nil {
-		if s.Export.Folder == "" {
-			doc.AddError(at+".export.folder", "is missing")
-		}
-		if s.Export.EveryS < 0 || s.Export.EveryS > 24*3600 {
-			doc.AddError(at+".export.every_s", "is %v; 0 to 86400 are wanted", s.Export.EveryS)
-		}
+		doc.AddError(path+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMillis, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
 	}
-	if s.Beat != nil {
-		s.Beat.check(doc, at+".beat", s.TTL()-s.Guard())
+	if guard := s.Guard(); guard < 0 || guard > s.TTL()/maxGuardShare {
+		doc.AddError(path+".guard_ms", "is %d; 0 to a quarter of ttl_ms are wanted", s.GuardMillis)
 	}
 }
 
-// Every is the time between beats.
-func (b *Beat) Every() time.Duration {
-	if b.EveryS == 0 {
-		return DefaultBeat
+func (e *Export) check(doc *strictconfig.Document, path string) {
+	if e.Folder == "" {
+		doc.AddError(path+".folder", "is missing")
+	}
+	if e.IntervalSeconds < 0 || e.IntervalSeconds > maxExportSeconds {
+		doc.AddError(path+".every_s", "is %v; 0 to %d are wanted", e.IntervalSeconds, maxExportSeconds)
 	}
-	return time.Duration(b.EveryS * float64(time.Second))
 }
 
-// Within is how long one may take.
-func (b *Beat) Within() time.Duration { return orElse(b.WithinMS, DefaultWithin) }
-
-func (b *Beat) check(doc *strictconfig.Document, at string, lasts time.Duration) {
-	if u, err := url.Parse(b.URL); err != nil || u.Scheme != "http" || u.Host == "" {
-		doc.AddError(at+".url", "%q is no http:// address", b.URL)
+// check checks a heartbeat under a lease that is valid for so long after each renewal.
+func (h *Heartbeat) check(doc *strictconfig.Document, path string, validity time.Duration) {
+	if u, err := url.Parse(h.URL); err != nil || u.Scheme != "http" || u.Host == "" {
+		doc.AddError(path+".url", "%q is no http:// address", h.URL)
 	}
-	if b.EveryS < 0 || b.EveryS > 3600 {
-		doc.AddError(at+".every_s", "is %v; 0 to 3600 are wanted", b.EveryS)
+	if h.IntervalSeconds < 0 || h.IntervalSeconds > maxHeartbeatSeconds {
+		doc.AddError(path+".every_s", "is %v; 0 to %d are wanted", h.IntervalSeconds, maxHeartbeatSeconds)
 	}
-	if within := b.Within(); within <= 0 || within > lasts/2 {
-		doc.AddError(at+".within_ms", "is %d; 1 to half of what a lease lasts, %d, are wanted", b.WithinMS, (lasts / 2).Milliseconds())
+	longest := validity / maxTimeoutShare
+	if timeout := h.Timeout(); timeout <= 0 || timeout > longest {
+		doc.AddError(path+".within_ms", "is %d; 1 to half of what a lease lasts, %d, are wanted", h.TimeoutMillis, longest.Milliseconds())
 	}
 }
