--- a/cmd/frostlink-coord/golden_test.go
+++ b/cmd/frostlink-coord/golden_test.go
@@ -6,6 +6,8 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenForms(t *testing.T) {
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "proof", Value: &proof{}, WriteOnly: true}, goldentest.Form{Name: "verified", Value: &verified{}, WriteOnly: true})
+func TestJSONForms_AreUnchanged(t *testing.T) {
+	goldentest.JSON(t, "forms.txt",
+		goldentest.Form{Name: "proof", Value: &proof{}, WriteOnly: true},
+		goldentest.Form{Name: "verified", Value: &verified{}, WriteOnly: true})
 }
--- a/cmd/frostlink-coord/main.go
+++ b/cmd/frostlink-coord/main.go
@@ -1,5 +1,3 @@
-// Command frostlink-coord is the coordination service: three or five of its processes agree on who holds which
-// lease. It is the only program here that links consensus; relays and frostlinkctl only call it.
 package main
 
 import (
--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -194,7 +194,7 @@
 	if !slices.Contains(m.checks, violation.Check) {
 		t.Fatalf("caught by %s: %s", violation.Check, violation.What)
 	}
-	t.Logf("caught by %s after %d runs: %s", violation.Check, p.Plays, violation.What)
+	t.Logf("caught by %s after %d runs: %s", violation.Check, p.Runs, violation.What)
 }
 
 // build builds this program with the mutant's source in the place of the original, and returns its path.
--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -16,7 +16,10 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// service is members of the real program.
+// processTimeout bounds whatever the processes do within a few seconds on a machine with nothing else to do.
+const processTimeout = 30 * time.Second
+
+// service is a cluster of processes of the real program.
 type service struct {
 	t        *testing.T
 	program  string
@@ -27,34 +30,37 @@
 	caller   *api.Caller
 }
 
-func newService(t *testing.T, n int) *service {
+func newService(t *testing.T, members int) *service {
+	t.Helper()
 	s := &service{t: t, dir: t.TempDir(), launcher: faults.NewLauncher(), running: map[uint64]*faults.Process{}, caller: api.NewCaller("c")}
 	t.Cleanup(s.launcher.Close)
 	s.program = filepath.Join(s.dir, "frostlink-coord")
 	if out, err := exec.Command("go", "build", "-o", s.program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for i := range n {
-		s.members = append(s.members, coord.Member{ID: uint64(i + 1), Address: s.address()})
+	for i := range members {
+		s.members = append(s.members, coord.Member{ID: uint64(i + 1), Address: s.freeAddress()})
 	}
 	for _, m := range s.members {
-		s.must(s.initArgs(m.ID)...)
-		s.run(m.ID)
+		s.mustRun(s.initArgs(m.ID)...)
+		s.start(m.ID)
 	}
 	return s
 }
 
-func (s *service) address() string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// freeAddress returns an address that nothing listens on.
+func (s *service) freeAddress() string {
+	s.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-func (s *service) folder(id uint64) string { return filepath.Join(s.dir, fmt.Sprint(id)) }
-func (s *service) log(id uint64) string    { return s.folder(id) + ".log" }
+func (s *service) folder(id uint64) string  { return filepath.Join(s.dir, fmt.Sprint(id)) }
+func (s *service) logFile(id uint64) string { return s.folder(id) + ".log" }
 
 func (s *service) initArgs(id uint64) []string {
 	args := []string{"init", "--folder", s.folder(id), "--cluster", "c", "--id", fmt.Sprint(id)}
@@ -64,78 +70,81 @@
 	return args
 }
 
-// must runs the program to its end, which has to be good.
-func (s *service) must(args ...string) string {
+// mustRun runs the program to its end, and fails the test where that is not a success.
+func (s *service) mustRun(args ...string) {
 	s.t.Helper()
 	out, err := exec.Command(s.program, args...).CombinedOutput()
 	if err != nil {
 		s.t.Fatalf("%v: %v: %s", args, err, out)
 	}
-	return string(out)
 }
 
-func (s *service) run(id uint64) {
+// start starts a member, for the first time or again.
+func (s *service) start(id uint64) {
 	s.t.Helper()
 	if s.running[id] == nil {
-		s.running[id] = faults.NewProcess(fmt.Sprint("member-", id), s.log(id), s.launcher, s.program, "run", "--folder", s.folder(id))
+		s.running[id] = faults.NewProcess(fmt.Sprint("member-", id), s.logFile(id), s.launcher, s.program, "run", "--folder", s.folder(id))
 	}
 	if err := s.running[id].Start(); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *service) lead(path string, r api.Request) (api.Response, error) {
-	ctx, stop := context.WithTimeout(context.Background(), 30*time.Second)
+// callLeader calls whichever member leads.
+func (s *service) callLeader(path string, r api.Request) (api.Response, error) {
+	ctx, stop := context.WithTimeout(s.t.Context(), processTimeout)
 	defer stop()
 	return s.caller.CallLeader(ctx, s.members, path, r)
 }
 
-// eventually waits for what has to come.
-func (s *service) eventually(what string, is func() bool) {
+// eventually waits until a condition holds, and fails the test where it does not in time.
+func (s *service) eventually(what string, holds func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			s.t.Fatalf("not within 30 s: %s\n%s", what, s.logs())
+	for deadline := time.Now().Add(processTimeout); !holds(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			s.t.Fatalf("not within %v: %s\n%s", processTimeout, what, s.logs())
 		}
 	}
 }
 
-// logs is what the members said.
-func (s *service) logs() (text string) {
+// logs returns the members' status and logs.
+func (s *service) logs() string {
+	var text strings.Builder
 	for _, m := range s.members {
-		raw, _ := os.ReadFile(s.log(m.ID))
-		status, err := s.caller.Status(context.Background(), m.Address)
-		text += fmt.Sprintf("member %d: %+v, %v\n%s", m.ID, status, err, raw)
+		raw, _ := os.ReadFile(s.logFile(m.ID))
+		status, err := s.caller.Status(s.t.Context(), m.Address)
+		fmt.Fprintf(&text, "member %d: %+v, %v\n%s", m.ID, status, err, raw)
 	}
-	return text
+	return text.String()
 }
 
+// put writes a value as a session's command of a sequence number.
 func (s *service) put(seq uint64, key string) error {
-	open, err := s.lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", TTL: time.Minute}})
+	open, err := s.callLeader(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", TTL: time.Minute}})
 	if err != nil {
 		return err
 	}
-	a, err := s.lead(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpPut, Session: open.Result.Session, Seq: seq, Key: key}})
+	a, err := s.callLeader(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpPut, Session: open.Result.Session, Seq: seq, Key: key}})
 	if err == nil && a.Result.Code != coord.CodeOK {
 		err = fmt.Errorf("%s: %s", key, a.Result.Code)
 	}
 	return err
 }
 
-// TestReplaceMember: a member whose disk is lost is noticed when it comes back under its old id; another joins, gets its
-// vote, and the first is removed. What was written stays.
-func TestReplaceMember(t *testing.T) {
+// TestRun_ReplacesMemberWithLostDisk: a member whose disk was lost is noticed when it starts again under its old id. Another one
+// joins and becomes a voter, and the first is removed. What was written stays.
+func TestRun_ReplacesMemberWithLostDisk(t *testing.T) {
 	s := newService(t, 3)
 	if err := s.put(1, "before"); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("all know of one another", func() bool {
+	s.eventually("all have acknowledged one another", func() bool {
 		for _, m := range s.members {
-			st, err := s.caller.Status(context.Background(), m.Address)
+			status, err := s.caller.Status(s.t.Context(), m.Address)
 			if err != nil {
 				return false
 			}
-			for _, p := range st.Member.Peers {
+			for _, p := range status.Member.Peers {
 				if !p.Acknowledged {
 					return false
 				}
@@ -149,52 +158,53 @@
 	if err := os.RemoveAll(s.folder(1)); err != nil {
 		t.Fatal(err)
 	}
-	s.must(s.initArgs(1)...)
-	s.run(1)
+	s.mustRun(s.initArgs(1)...)
+	s.start(1)
 	s.eventually("the lost disk is noticed", func() bool {
-		raw, _ := os.ReadFile(s.log(1))
+		raw, _ := os.ReadFile(s.logFile(1))
 		return strings.Contains(string(raw), "disk is old or was lost")
 	})
-	fourth := coord.Member{ID: 4, Address: s.address(), Learner: true}
+	fourth := coord.Member{ID: 4, Address: s.freeAddress(), Learner: true}
 	s.members = append(s.members[1:], fourth)
-	s.must("join", "--folder", s.folder(4), "--cluster", "c", "--member", "4="+fourth.Address, "--via", s.members[0].Address)
-	s.run(4)
+	s.mustRun("join", "--folder", s.folder(4), "--cluster", "c", "--member", "4="+fourth.Address, "--via", s.members[0].Address)
+	s.start(4)
 	for _, step := range []api.Request{{AddMember: &fourth}, {RemoveMember: 1}, {AddMember: &coord.Member{ID: 4, Address: fourth.Address}}} {
-		s.eventually(fmt.Sprintf("%+v", step), func() bool { _, err := s.lead(api.PathMembers, step); return err == nil })
+		s.eventually(fmt.Sprintf("%+v", step), func() bool { _, err := s.callLeader(api.PathMembers, step); return err == nil })
 	}
-	// With the new one and one of the old there is a majority again.
+	// The new member and one of the others are a majority.
 	if err := s.running[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.put(2, "after"); err != nil {
 		t.Fatalf("%v\n%s", err, s.logs())
 	}
-	a, err := s.lead(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
+	a, err := s.callLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
 	if err != nil || len(a.Values) != 2 {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
 
-// TestKilledTogether: all members are killed together, and again while they come up: what was answered is there.
-func TestKilledTogether(t *testing.T) {
+// TestRun_KeepsValuesWhenAllAreKilled: all members are killed together, and again while they start. What was acknowledged is
+// there.
+func TestRun_KeepsValuesWhenAllAreKilled(t *testing.T) {
 	s := newService(t, 3)
 	for i := range 3 {
 		if err := s.put(uint64(i+1), fmt.Sprint("k", i)); err != nil {
 			t.Fatal(err)
 		}
-		for again := range 3 {
+		for round := range 3 {
 			for _, p := range s.running {
 				if err := p.Kill(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for _, m := range s.members {
-				s.run(m.ID)
+				s.start(m.ID)
 			}
-			time.Sleep(time.Duration(again) * 30 * time.Millisecond) // drawn moments of their start
+			time.Sleep(time.Duration(round) * 30 * time.Millisecond) // killed at different moments of their start
 		}
 	}
-	a, err := s.lead(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
+	a, err := s.callLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
 	if err != nil || len(a.Values) != 3 {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -204,12 +214,12 @@
 		}
 	}
 	for _, m := range s.members {
-		s.must("verify", "--folder", s.folder(m.ID))
+		s.mustRun("verify", "--folder", s.folder(m.ID))
 	}
 }
 
-// TestBadInput: one line that names what is wrong, and exit code 2.
-func TestBadInput(t *testing.T) {
+// TestCommands_ReportBadInput: a command prints what is wrong, without a stack trace, and ends with the code that it documents.
+func TestCommands_ReportBadInput(t *testing.T) {
 	s := newService(t, 1)
 	s.eventually("it leads", func() bool { return s.put(1, "k") == nil })
 	inUse, err := net.Listen("tcp", "127.0.0.1:0")
@@ -218,9 +228,9 @@
 	}
 	defer inUse.Close()
 	other := filepath.Join(s.dir, "other")
-	s.must("init", "--folder", other, "--cluster", "c", "--id", "1", "--member", "1="+inUse.Addr().String())
+	s.mustRun("init", "--folder", other, "--cluster", "c", "--id", "1", "--member", "1="+inUse.Addr().String())
 	damaged := filepath.Join(s.dir, "damaged")
-	s.must("init", "--folder", damaged, "--cluster", "c", "--id", "1", "--member", "1=127.0.0.1:1")
+	s.mustRun("init", "--folder", damaged, "--cluster", "c", "--id", "1", "--member", "1=127.0.0.1:1")
 	raw, err := os.ReadFile(filepath.Join(damaged, "coord.db"))
 	if err != nil {
 		t.Fatal(err)
@@ -230,9 +240,9 @@
 		t.Fatal(err)
 	}
 	for name, tt := range map[string]struct {
-		args []string
-		code int
-		says string
+		args    []string
+		code    int
+		message string
 	}{
 		"no folder":             {[]string{"run"}, 2, "folder"},
 		"an empty folder":       {[]string{"run", "--folder", s.dir}, 2, "no member's data"},
@@ -240,17 +250,19 @@
 		"an address in use":     {[]string{"run", "--folder", other}, 2, "address already in use"},
 		"a damaged folder":      {[]string{"run", "--folder", damaged}, 2, "damaged"},
 		"the same, verified":    {[]string{"verify", "--folder", damaged}, 1, "damaged"},
-		"made twice":            {s.initArgs(1), 2, "already"},
+		"a folder that exists":  {s.initArgs(1), 2, "already"},
 		"an even number":        {append(s.initArgs(1), "--member", "2=127.0.0.1:1"), 2, "--member"},
 		"no member at all":      {[]string{"init", "--folder", "x", "--cluster", "c", "--id", "1"}, 2, "--member"},
 		"joins another cluster": {[]string{"join", "--folder", "x", "--cluster", "d", "--member", "4=127.0.0.1:1", "--via", s.members[0].Address}, 2, "cluster"},
 		"an unknown flag":       {[]string{"run", "--fodler", "x"}, 2, "fodler"},
 	} {
-		cmd := exec.Command(s.program, tt.args...)
-		out, _ := cmd.CombinedOutput()
-		text := strings.TrimSpace(string(out))
-		if cmd.ProcessState.ExitCode() != tt.code || !strings.Contains(text, tt.says) || strings.Contains(text, "goroutine") {
-			t.Errorf("%s: exit code %d: %s", name, cmd.ProcessState.ExitCode(), text)
-		}
+		t.Run(name, func(t *testing.T) {
+			cmd := exec.Command(s.program, tt.args...)
+			out, _ := cmd.CombinedOutput()
+			text := strings.TrimSpace(string(out))
+			if cmd.ProcessState.ExitCode() != tt.code || !strings.Contains(text, tt.message) || strings.Contains(text, "goroutine") {
+				t.Errorf("exit code %d: %s", cmd.ProcessState.ExitCode(), text)
+			}
+		})
 	}
 }
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"maps"
@@ -15,26 +16,31 @@
 	"frostlink/internal/faultinjection/coordsim"
 )
 
-// mostSeeds bounds what is played at one call.
-const mostSeeds = 1_000_000
+// maxSeeds bounds the runs of one call.
+const maxSeeds = 1_000_000
 
-// proof is what a number of plays came to.
+// proveOptions are the flags of prove.
+type proveOptions struct {
+	seeds       int
+	firstSeed   uint64
+	stopAtFirst bool // run that fails
+	jsonFile    string
+}
+
+// proof is the result of a number of runs.
 type proof struct {
-	First   uint64            `json:"first_seed"`
-	Plays   int               `json:"plays"`
-	Acts    int               `json:"acts"`
-	Grants  int               `json:"grants"`
-	Values  int               `json:"values"`
-	Done    map[string]int    `json:"caused"`
-	Failing []coordsim.Result `json:"failing"`
-	Took    float64           `json:"took_s"`
+	FirstSeed   uint64            `json:"first_seed"`
+	Runs        int               `json:"plays"`
+	Acts        int               `json:"acts"`
+	Grants      int               `json:"grants"`
+	Values      int               `json:"values"` // writes and reads
+	Faults      map[string]int    `json:"caused"` // by kind
+	Failing     []coordsim.Result `json:"failing"`
+	TookSeconds float64           `json:"took_s"`
 }
 
 func proveCommand() *cobra.Command {
-	var seeds int
-	var first uint64
-	var stop bool
-	var asJSON string
+	var o proveOptions
 	c := &cobra.Command{
 		Use:   "prove",
 		Short: "Play drawn runs of whole quorums in virtual time, and judge them",
@@ -46,85 +52,105 @@
 			"Exit codes: 0 fine, 1 a run failed, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 10000\n  frostlink-coord prove --seeds 1 --seed 4711 --json -",
 		Args:    cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if seeds < 1 || seeds > mostSeeds {
-				return fmt.Errorf("--seeds: %d is not from 1 to %d", seeds, mostSeeds)
-			}
-			p, err := prove(c, first, seeds, stop)
-			if err != nil {
-				return err
-			}
-			if asJSON != "" {
-				err = cli.WriteJSON(c.OutOrStdout(), asJSON, p)
-			}
-			if asJSON != "-" {
-				printProof(c.OutOrStdout(), p)
-			}
-			if err == nil && len(p.Failing) > 0 {
-				return cli.ErrFound
-			}
-			return err
-		},
+		RunE:    func(c *cobra.Command, _ []string) error { return o.run(c.Context(), c.OutOrStdout()) },
 	}
 	f := c.Flags()
-	f.IntVar(&seeds, "seeds", 1000, "`runs` to play, by seeds one after the other")
-	f.Uint64Var(&first, "seed", 1, "first `seed`")
-	f.BoolVar(&stop, "stop", false, "stop at the first run that fails")
-	f.StringVar(&asJSON, "json", "", "write the result as JSON to this `file`; - is standard output, and nothing else then")
+	f.IntVar(&o.seeds, "seeds", 1000, "`runs` to play, by seeds one after the other")
+	f.Uint64Var(&o.firstSeed, "seed", 1, "first `seed`")
+	f.BoolVar(&o.stopAtFirst, "stop", false, "stop at the first run that fails")
+	f.StringVar(&o.jsonFile, "json", "", "write the result as JSON to this `file`; - is standard output, and nothing else then")
 	return c
 }
 
-// prove plays as many runs at once as there are processors.
-func prove(c *cobra.Command, first uint64, seeds int, stop bool) (*proof, error) {
+func (o *proveOptions) run(ctx context.Context, out io.Writer) error {
+	if o.seeds < 1 || o.seeds > maxSeeds {
+		return fmt.Errorf("--seeds: %d is not from 1 to %d", o.seeds, maxSeeds)
+	}
+	p := prove(ctx, o)
+	if err := ctx.Err(); err != nil {
+		return err //nolint:wrapcheck // an interrupted command prints it as it is
+	}
+	var err error
+	if o.jsonFile != "" {
+		err = cli.WriteJSON(out, o.jsonFile, p)
+	}
+	if o.jsonFile != stdout {
+		p.print(out)
+	}
+	if err == nil && len(p.Failing) > 0 {
+		return cli.ErrFound
+	}
+	return err
+}
+
+// prover runs the seeds of one call.
+type prover struct {
+	options *proveOptions
+
+	mu       sync.Mutex // guards what is below
+	nextSeed uint64
+	proof    *proof
+}
+
+// prove makes as many runs at once as there are processors.
+func prove(ctx context.Context, o *proveOptions) *proof {
 	begun := time.Now()
-	p := &proof{First: first, Done: map[string]int{}, Failing: []coordsim.Result{}}
-	var mu sync.Mutex
+	p := &prover{
+		options: o, nextSeed: o.firstSeed,
+		proof: &proof{FirstSeed: o.firstSeed, Faults: map[string]int{}, Failing: []coordsim.Result{}},
+	}
 	var work sync.WaitGroup
-	next := first
 	for range runtime.GOMAXPROCS(0) {
 		work.Go(func() {
-			for {
-				mu.Lock()
-				seed := next
-				over := seed >= first+uint64(seeds) || stop && len(p.Failing) > 0 || c.Context().Err() != nil
-				next++
-				mu.Unlock()
-				if over {
-					return
-				}
-				r := coordsim.Play(seed)
-				mu.Lock()
-				p.Plays++
-				p.Acts += r.Acts
-				p.Grants += r.Grants
-				p.Values += r.Values
-				for kind, n := range r.Done {
-					p.Done[kind] += n
-				}
-				if len(r.Faults) > 0 {
-					p.Failing = append(p.Failing, r)
-				}
-				mu.Unlock()
+			for seed, ok := p.takeSeed(ctx); ok; seed, ok = p.takeSeed(ctx) {
+				p.add(coordsim.Play(seed))
 			}
 		})
 	}
 	work.Wait()
-	slices.SortFunc(p.Failing, func(a, b coordsim.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
-	p.Took = time.Since(begun).Seconds()
-	return p, c.Context().Err()
+	slices.SortFunc(p.proof.Failing, func(a, b coordsim.Result) int { return int(int64(a.Seed) - int64(b.Seed)) })
+	p.proof.TookSeconds = time.Since(begun).Seconds()
+	return p.proof
+}
+
+// takeSeed returns the next seed, and false where there is none to be run any more.
+func (p *prover) takeSeed(ctx context.Context) (uint64, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	seed := p.nextSeed
+	p.nextSeed++
+	exhausted := seed >= p.options.firstSeed+uint64(p.options.seeds)
+	stopped := p.options.stopAtFirst && len(p.proof.Failing) > 0
+	return seed, !exhausted && !stopped && ctx.Err() == nil
+}
+
+// add adds a run's result.
+func (p *prover) add(r coordsim.Result) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.proof.Runs++
+	p.proof.Acts += r.Acts
+	p.proof.Grants += r.Grants
+	p.proof.Values += r.Values
+	for kind, n := range r.Done {
+		p.proof.Faults[kind] += n
+	}
+	if len(r.Faults) > 0 {
+		p.proof.Failing = append(p.proof.Failing, r)
+	}
 }
 
-func printProof(out io.Writer, p *proof) {
+func (p *proof) print(out io.Writer) {
 	for _, r := range p.Failing {
 		for _, f := range r.Faults {
 			fmt.Fprintf(out, "seed %d: %s: %s\n", r.Seed, f.Check, f.What)
 		}
 	}
-	fmt.Fprintf(out, "%d runs from seed %d in %.0f s: %d acts under %d grants, %d writes and reads of values\n", p.Plays, p.First, p.Took,
-		p.Acts, p.Grants, p.Values)
+	fmt.Fprintf(out, "%d runs from seed %d in %.0f s: %d acts under %d grants, %d writes and reads of values\n",
+		p.Runs, p.FirstSeed, p.TookSeconds, p.Acts, p.Grants, p.Values)
 	fmt.Fprint(out, "caused:")
-	for _, kind := range slices.Sorted(maps.Keys(p.Done)) {
-		fmt.Fprintf(out, " %s %d;", kind, p.Done[kind])
+	for _, kind := range slices.Sorted(maps.Keys(p.Faults)) {
+		fmt.Fprintf(out, " %s %d;", kind, p.Faults[kind])
 	}
 	fmt.Fprintf(out, "\n%d runs failed\n", len(p.Failing))
 }
--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -15,14 +15,31 @@
 
 	"frostlink/internal/coord/api"
 	"frostlink/internal/coord/server"
+	"frostlink/internal/logkey"
 )
 
-// headerWithin is how long a caller may take for a request's head.
-const headerWithin = 5 * time.Second
+const (
+	// headerTimeout is how long a caller may take for a request's header.
+	headerTimeout = 5 * time.Second
+	// idleTimeout is how long a connection without a request stays open.
+	idleTimeout = time.Minute
+)
+
+// The keys of log attributes that only the coordination service has.
+const (
+	keyCluster = "cluster"
+	keyMember  = "member"
+)
+
+// runOptions are the flags of run.
+type runOptions struct {
+	folder string
+	listen string
+	reach  []string // as ID=HOST:PORT
+}
 
 func runCommand() *cobra.Command {
-	var dir, listen string
-	var reach []string
+	var o runOptions
 	c := &cobra.Command{
 		Use:   "run",
 		Short: "Run a member",
@@ -31,55 +48,74 @@
 		Example: "  frostlink-coord run --folder coord-1",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			others := map[uint64]string{}
-			for _, text := range reach {
-				m, err := api.ParseMember(text)
-				if err != nil {
-					return fmt.Errorf("--reach: %w", err)
-				}
-				others[m.ID] = m.Address
-			}
-			return run(c.Context(), dir, listen, others, slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil)))
+			return o.run(c.Context(), slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil)))
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&dir, "folder", "", "`folder` of this member's data")
-	f.StringVar(&listen, "listen", "", "`address` to listen on, where it is not the member's own")
-	f.StringArrayVar(&reach, "reach", nil, "where this member reaches another one, as `ID=HOST:PORT`, if not at its own address")
-	_ = c.MarkFlagRequired("folder")
+	f.StringVar(&o.folder, "folder", "", "`folder` of this member's data")
+	f.StringVar(&o.listen, "listen", "", "`address` to listen on, where it is not the member's own")
+	f.StringArrayVar(&o.reach, "reach", nil, "where this member reaches another one, as `ID=HOST:PORT`, if not at its own address")
+	_ = c.MarkFlagRequired("folder") // it fails only for a flag that does not exist
 	return c
 }
 
-func run(ctx context.Context, dir, listen string, reach map[uint64]string, log *slog.Logger) error {
-	// A file that grows past a limit on its size is an error of the write, and not the process's end.
+func (o *runOptions) run(ctx context.Context, log *slog.Logger) error {
+	addressOverrides, err := o.addressOverrides()
+	if err != nil {
+		return err
+	}
+	// A file that grows past a limit on its size is then an error of the write, and does not end the process.
 	signal.Ignore(syscall.SIGXFSZ)
-	node, err := server.New(dir, reach, log)
+	node, err := server.New(o.folder, addressOverrides, log)
 	if err != nil {
 		return err
 	}
-	id := node.Identity()
-	if listen == "" {
-		listen = id.Address
+	address := o.listen
+	if address == "" {
+		address = node.Identity().Address
 	}
-	ln, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return err
+		return err //nolint:wrapcheck // it names the address, and is printed as it is
+	}
+	if err := serve(ctx, node, listener, log); err != nil {
+		return fmt.Errorf("member %d: %w", node.Identity().ID, err)
 	}
-	if a, ok := ln.Addr().(*net.TCPAddr); ok && !a.IP.IsLoopback() {
-		log.Warn("listens on more than loopback, without sign-in: who can reach it can take every lease", "address", ln.Addr().String())
+	return nil
+}
+
+// addressOverrides returns the addresses by member under which this one reaches others.
+func (o *runOptions) addressOverrides() (map[uint64]string, error) {
+	overrides := map[uint64]string{}
+	for _, text := range o.reach {
+		m, err := api.ParseMember(text)
+		if err != nil {
+			return nil, fmt.Errorf("--reach: %w", err)
+		}
+		overrides[m.ID] = m.Address
+	}
+	return overrides, nil
+}
+
+// serve runs a node behind a listener until the context ends or the node can't go on.
+func serve(ctx context.Context, node *server.Node, listener net.Listener, log *slog.Logger) error {
+	address := listener.Addr().String()
+	if tcp, ok := listener.Addr().(*net.TCPAddr); ok && !tcp.IP.IsLoopback() {
+		log.Warn("listening beyond loopback without sign-in: whoever can reach it can take every lease", logkey.Address, address)
+	}
+	// There is no write timeout: calls that wait for a hint last. Everything else is bounded by its handler.
+	srv := &http.Server{
+		Handler: node.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	// Calls that wait for a hint last; everything else is bounded by its own time.
-	srv := &http.Server{Handler: node.Handler(), ReadHeaderTimeout: headerWithin, IdleTimeout: time.Minute, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	served := make(chan error, 1)
-	go func() { served <- srv.Serve(ln) }()
-	log.Info("serves", "cluster", id.Cluster, "member", id.ID, "address", ln.Addr().String())
-	err = node.Run(ctx)
+	go func() { served <- srv.Serve(listener) }()
+	id := node.Identity()
+	log.Info("serving", keyCluster, id.Cluster, keyMember, id.ID, logkey.Address, address)
+	err := node.Run(ctx)
 	_ = srv.Close()
-	if e := <-served; err == nil && !errors.Is(e, http.ErrServerClosed) {
-		err = e
+	if serveErr := <-served; err == nil && !errors.Is(serveErr, http.ErrServerClosed) {
+		err = serveErr
 	}
-	if err != nil {
-		return fmt.Errorf("member %d: %w", id.ID, err)
-	}
-	return nil
+	return err
 }
