--- a/internal/coord/disk/store.go
+++ b/internal/coord/disk/store.go
@@ -44,10 +44,10 @@
 	if _, err := os.Stat(path); err == nil {
 		return fmt.Errorf("%s: there is a member's data already", path)
 	} else if !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("member's folder: %w", err)
+		return &FolderError{Err: err}
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return fmt.Errorf("member's folder: %w", err)
+		return &FolderError{Err: err}
 	}
 	return replaceStore(dir, id, state)
 }
@@ -96,7 +96,7 @@
 	}
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("lock: %w", err)
+		return nil, &FolderError{Err: err}
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = f.Close()
@@ -109,7 +109,7 @@
 func replaceStore(dir string, id Identity, state replica.PersistentState) error {
 	path, next := filepath.Join(dir, fileName), filepath.Join(dir, nextName)
 	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("new store: %w", err)
+		return &FolderError{Err: err}
 	}
 	db, err := boltfile.Open(next, boltfile.Options{})
 	if err != nil {
@@ -120,7 +120,7 @@
 		return fmt.Errorf("%s: %w", next, err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		return fmt.Errorf("new store: %w", err)
+		return &FolderError{Err: err}
 	}
 	return syncFolder(dir)
 }
@@ -150,7 +150,7 @@
 func syncFolder(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
-		return fmt.Errorf("member's folder: %w", err)
+		return &FolderError{Err: err}
 	}
 	return errors.Join(folder.Sync(), folder.Close())
 }
