--- a/cmd/frostlinkctl/coord.go
+++ b/cmd/frostlinkctl/coord.go
@@ -63,10 +63,10 @@
 }
 
 // lead sends a request to the member that leads.
-func (s *service) lead(ctx context.Context, path string, r api.Request) (api.Answer, error) {
+func (s *service) lead(ctx context.Context, path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(ctx, askWithin)
 	defer stop()
-	return s.caller.Lead(ctx, s.members, path, r)
+	return s.caller.CallLeader(ctx, s.members, path, r)
 }
 
 // command makes a command that calls the service and prints what it got, also as JSON.
@@ -150,20 +150,20 @@
 				m := a.Status.Member
 				var unreached []string
 				for _, p := range m.Peers {
-					if !p.Reached {
+					if !p.Acknowledged {
 						unreached = append(unreached, strconv.FormatUint(p.ID, 10))
 					}
 				}
 				wrong := a.Error
 				if wrong == "" {
-					wrong = m.Why
+					wrong = m.Detail
 				}
 				if m.Role == "leader" {
 					leads++
 				}
 				found = found || wrong != "" || len(unreached) > 0
-				fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", a.Member.ID, a.Member.Address, m.Role, m.Leader, m.Term, m.Life, m.Applied,
-					a.Counts.Sessions, a.Counts.Leases, a.Counts.Waiting, strings.Join(unreached, ","), wrong)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", a.Member.ID, a.Member.Address, m.Role, m.Leader, m.Term, m.Incarnation, m.Applied,
+					a.Counts.Sessions, a.Counts.Leases, a.Counts.QueuedRequests, strings.Join(unreached, ","), wrong)
 			}
 			_ = w.Flush()
 			if leads != 1 {
@@ -221,7 +221,7 @@
 			return nil, err
 		}
 		m.Learner = !vote
-		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{Join: &m}); err != nil {
+		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{AddMember: &m}); err != nil {
 			return nil, err
 		}
 		return fmt.Sprintf("member %d is in, learner: %v", m.ID, m.Learner), nil
@@ -241,7 +241,7 @@
 		if err != nil || id == 0 {
 			return nil, fmt.Errorf("%q is no member's id", args[0])
 		}
-		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{Leave: id}); err != nil {
+		if _, err = s.lead(c.Context(), api.PathMembers, api.Request{RemoveMember: id}); err != nil {
 			return nil, err
 		}
 		return fmt.Sprintf("member %d is out", id), nil
@@ -289,7 +289,7 @@
 			}
 			n := m.Counts()
 			fmt.Fprintf(c.OutOrStdout(), "cluster %s, entry %d: %d sessions, %d leases, %d values of %d bytes\n", m.Cluster(), m.Index(), n.Sessions,
-				n.Leases, n.Values, n.Bytes)
+				n.Leases, n.Values, n.ValueBytes)
 			return nil
 		},
 	}
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -9,11 +9,11 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestGoldenFolder: a member's folder that an earlier build has written holds what it held.
-func TestGoldenFolder(t *testing.T) {
-	_, want := filled(t)
+// TestRead_FolderOfEarlierBuild: a member's folder that an earlier build has written holds what it held.
+func TestRead_FolderOfEarlierBuild(t *testing.T) {
+	_, want := createFilled(t)
 	goldentest.File(t, "member.db", fileName, func(dir string) {
-		from, _ := filled(t)
+		from, _ := createFilled(t)
 		raw, err := os.ReadFile(filepath.Join(from, fileName))
 		if err != nil {
 			t.Fatal(err)
@@ -29,10 +29,11 @@
 	if id.Cluster != "c" || id.ID != 1 || id.Address != "a:1" {
 		t.Errorf("identity %+v", id)
 	}
-	if len(got.Lives) != 1 || got.Lives[0] != want.Lives[0] || len(got.Marks) != 2 || got.Marks[3] != want.Marks[3] || got.Hard.GetTerm() != want.Hard.GetTerm() ||
-		got.Snapshot.GetMetadata().GetIndex() != 4 || len(got.Entries) != len(want.Entries) {
+	if !matches(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "identity", Value: &Identity{}}, goldentest.Form{Name: "lives", Value: &[]replica.Life{}},
-		goldentest.Form{Name: "marks", Value: &map[uint64]replica.Life{}})
+	goldentest.JSON(t, "forms.txt",
+		goldentest.Form{Name: "identity", Value: &Identity{}},
+		goldentest.Form{Name: "lives", Value: &[]replica.Incarnation{}},
+		goldentest.Form{Name: "marks", Value: &map[uint64]replica.Incarnation{}})
 }
