--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -78,7 +78,7 @@
 		p.print(out)
 	}
 	if err == nil && len(p.Failing) > 0 {
-		return cli.ErrFound
+		return cli.ErrFindings
 	}
 	return err
 }
--- a/cmd/frostlink-coord/verify.go
+++ b/cmd/frostlink-coord/verify.go
@@ -60,7 +60,7 @@
 		v.print(out)
 	}
 	if v.Damage != "" {
-		return cli.ErrFound
+		return cli.ErrFindings
 	}
 	return nil
 }
--- a/cmd/frostlinkctl/coord.go
+++ b/cmd/frostlinkctl/coord.go
@@ -170,7 +170,7 @@
 				fmt.Fprintf(out, "%d members say that they lead\n", leads)
 			}
 			if found || leads != 1 {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return nil
 		})
@@ -285,7 +285,7 @@
 			m, err := coord.Restore(raw)
 			if err != nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s: %v\n", args[0], err)
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			n := m.Counts()
 			fmt.Fprintf(c.OutOrStdout(), "cluster %s, entry %d: %d sessions, %d leases, %d values of %d bytes\n", m.Cluster(), m.Index(), n.Sessions,
--- a/cmd/frostlinkctl/coordrehearse.go
+++ b/cmd/frostlinkctl/coordrehearse.go
@@ -75,7 +75,7 @@
 				out = io.Discard
 			}
 			if failed := printRuns(out, results); err == nil && failed > 0 {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return err
 		},
--- a/cmd/frostlinkctl/export.go
+++ b/cmd/frostlinkctl/export.go
@@ -75,7 +75,7 @@
 		fmt.Fprintf(out, "%d records of %d relays in %d slices\n", e.Records, len(e.Positions), e.Slices)
 		if e.Fault != "" {
 			fmt.Fprintln(out, e.Fault)
-			return cli.ErrFound
+			return cli.ErrFindings
 		}
 		return nil
 	})
--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -76,7 +76,7 @@
 				}
 			}
 			if err == nil && len(logs.Bad) > 0 {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return err
 		},
@@ -147,7 +147,7 @@
 				printRows(c.OutOrStdout(), days, rows)
 			}
 			if err == nil && found {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return err
 		},
--- a/cmd/frostlinkctl/fleet_test.go
+++ b/cmd/frostlinkctl/fleet_test.go
@@ -26,21 +26,21 @@
 		code int
 		out  string // in the output, or in the error's one line
 	}{
-		{"fleet count " + good, cli.ExitFine, "1 events of 1 relays"},
-		{"fleet count " + dir, cli.ExitFound, "n1.log:2: "},
-		{"fleet count " + filepath.Join(dir, "none"), cli.ExitFail, "none: no such file"},
-		{"fleet play --relays 2 --plays 1 --day calm", cli.ExitFine, "calm"},
-		{"fleet play --drawn --relays 12 --plays 2 --day split --seed 5", cli.ExitFine, "split"},
-		{"fleet play --drawn --relays 2 --plays 1 --day rush", cli.ExitFail, `"rush" is no kind`},
-		{"fleet play --day hurd", cli.ExitFail, `"hurd" is no day`},
-		{"fleet play --relays 0", cli.ExitFail, "--relays: 0"},
-		{"fleet play --plays 0", cli.ExitFail, "--plays: 0"},
+		{"fleet count " + good, cli.ExitOK, "1 events of 1 relays"},
+		{"fleet count " + dir, cli.ExitFindings, "n1.log:2: "},
+		{"fleet count " + filepath.Join(dir, "none"), cli.ExitError, "none: no such file"},
+		{"fleet play --relays 2 --plays 1 --day calm", cli.ExitOK, "calm"},
+		{"fleet play --drawn --relays 12 --plays 2 --day split --seed 5", cli.ExitOK, "split"},
+		{"fleet play --drawn --relays 2 --plays 1 --day rush", cli.ExitError, `"rush" is no kind`},
+		{"fleet play --day hurd", cli.ExitError, `"hurd" is no day`},
+		{"fleet play --relays 0", cli.ExitError, "--relays: 0"},
+		{"fleet play --plays 0", cli.ExitError, "--plays: 0"},
 	} {
 		var out, errs bytes.Buffer
 		if code := run(t.Context(), strings.Fields(tt.args), nil, &out, &errs); code != tt.code {
 			t.Errorf("%s: code %d, want %d: %s", tt.args, code, tt.code, errs.String())
 		}
-		if !strings.Contains(out.String()+errs.String(), tt.out) || tt.code == cli.ExitFail && strings.Count(errs.String(), "\n") != 1 {
+		if !strings.Contains(out.String()+errs.String(), tt.out) || tt.code == cli.ExitError && strings.Count(errs.String(), "\n") != 1 {
 			t.Errorf("%s: printed %q and %q, want %q", tt.args, out.String(), errs.String(), tt.out)
 		}
 	}
@@ -49,7 +49,7 @@
 		Relays int   `json:"relays"`
 		Bad    []any `json:"bad_lines"`
 	}
-	if code := run(t.Context(), []string{"fleet", "count", dir, "--json", "-"}, nil, &out, &errs); code != cli.ExitFound {
+	if code := run(t.Context(), []string{"fleet", "count", dir, "--json", "-"}, nil, &out, &errs); code != cli.ExitFindings {
 		t.Errorf("code %d", code)
 	}
 	if err := json.Unmarshal(out.Bytes(), &table); err != nil || table.Relays != 2 || len(table.Bad) != 1 {
--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -72,7 +72,7 @@
 			}
 			for _, course := range out.Courses {
 				if err == nil && len(course.Faults) > 0 {
-					return cli.ErrFound
+					return cli.ErrFindings
 				}
 			}
 			return err
@@ -144,8 +144,8 @@
 		if e.Deadline > 0 {
 			say(", %.3f s to go", (e.Deadline-e.At)/1000)
 		}
-		if e.Kind == trace.Rejected && e.Ms > 0 {
-			say(", told to stay away for %.3f s", e.Ms/1000)
+		if e.Kind == trace.Rejected && e.DurationMs > 0 {
+			say(", told to stay away for %.3f s", e.DurationMs/1000)
 		}
 		say("%s", retries(e.Retry))
 	case trace.Resubmitted:
@@ -153,15 +153,15 @@
 	case trace.AttemptStarted:
 		say("call %d to %s", e.Count, e.Endpoint)
 	case trace.AttemptEnded:
-		say("call %d to %s: %s after %.1f ms", e.Count, e.Endpoint, e.Outcome, e.Ms)
+		say("call %d to %s: %s after %.1f ms", e.Count, e.Endpoint, e.Outcome, e.DurationMs)
 		if e.NewConn {
 			say(", on a new connection")
 		}
-		if e.Limit > 0 {
-			say(", %.2f of %.1f a second left", e.Left, e.Limit)
+		if e.RateLimit > 0 {
+			say(", %.2f of %.1f a second left", e.RemainingFraction, e.RateLimit)
 		}
 	case trace.Completed:
-		say("%s, at an age of %.3f s", e.Outcome, e.Ms/1000)
+		say("%s, at an age of %.3f s", e.Outcome, e.DurationMs/1000)
 		if e.Late {
 			say(", late")
 		}
--- a/cmd/frostlinkctl/lease.go
+++ b/cmd/frostlinkctl/lease.go
@@ -72,7 +72,7 @@
 		}
 	}
 	fmt.Fprintf(c.OutOrStdout(), "%s is free\n", name)
-	return coord.Lease{}, cli.ErrFound
+	return coord.Lease{}, cli.ErrFindings
 }
 
 func (s *service) showCommand() *cobra.Command {
--- a/cmd/frostlinkctl/rehearse.go
+++ b/cmd/frostlinkctl/rehearse.go
@@ -97,7 +97,7 @@
 			case res.Void:
 				return fmt.Errorf("void: %.2f%% of the rig's events were later than 5 ms", 100*res.Late)
 			case !res.Good():
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return nil
 		},
@@ -138,7 +138,7 @@
 				fmt.Fprintln(c.OutOrStdout(), found.Error())
 			}
 			if len(found) > 0 {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return nil
 		},
@@ -193,7 +193,7 @@
 				err = t.Flush()
 			}
 			if err == nil && bad {
-				err = cli.ErrFound
+				err = cli.ErrFindings
 			}
 			return err
 		},
--- a/cmd/frostlinkctl/repeat.go
+++ b/cmd/frostlinkctl/repeat.go
@@ -80,7 +80,7 @@
 				}
 			}
 			if bad {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return nil
 		},
--- a/cmd/frostlinkctl/soak.go
+++ b/cmd/frostlinkctl/soak.go
@@ -85,7 +85,7 @@
 	}
 	switch {
 	case bad > 0:
-		return cli.ErrFound
+		return cli.ErrFindings
 	case void > 0:
 		return fmt.Errorf("the machine was too busy for %d runs", void)
 	}
--- a/cmd/frostlinkctl/undelivered.go
+++ b/cmd/frostlinkctl/undelivered.go
@@ -53,21 +53,21 @@
 }
 
 // reach finds the store: by the socket where a relay answers there, else in the folder.
-func (o *storeOptions) reach(write bool) (*deadletter.Access, error) {
+func (o *storeOptions) reach(write bool) (*deadletter.Client, error) {
 	socket, folder := o.socket, o.folder
 	if o.operator != "" {
 		own, err := operatorconfig.Read(o.operator)
 		switch {
 		case err != nil:
 			return nil, err
-		case own.Undelivered == nil:
+		case own.DeadLetter == nil:
 			return nil, fmt.Errorf("%s has no section [undelivered]: nothing is kept", o.operator)
 		}
 		if socket == "" {
-			socket = own.Undelivered.Socket
+			socket = own.DeadLetter.Socket
 		}
 		if folder == "" {
-			folder = own.Undelivered.Folder
+			folder = own.DeadLetter.Folder
 		}
 	}
 	if socket != "" {
@@ -83,7 +83,7 @@
 }
 
 // on runs a command on the store.
-func (o *storeOptions) on(write bool, do func(c *cobra.Command, a *deadletter.Access, args []string) error) func(*cobra.Command, []string) error {
+func (o *storeOptions) on(write bool, do func(c *cobra.Command, a *deadletter.Client, args []string) error) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, args []string) error {
 		a, err := o.reach(write)
 		if err != nil {
@@ -116,10 +116,10 @@
 func (f *filterFlags) filter(c *cobra.Command) *deadletter.Filter {
 	f.Reason, f.State = deadletter.Reason(f.reason), deadletter.State(f.state)
 	if c.Flags().Changed("partner") {
-		f.Partner = &f.partner
+		f.Destination = &f.partner
 	}
 	if c.Flags().Changed("may-have-run") {
-		f.MayHaveRun = &f.may
+		f.MayHaveExecuted = &f.may
 	}
 	return &f.Filter
 }
@@ -133,7 +133,7 @@
 		Short:   "List messages, a page at a time",
 		Example: "  frostlinkctl undelivered list --folder store --state held --may-have-run",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Client, _ []string) error {
 			l, err := a.List(c.Context(), f.filter(c), from, most)
 			if err != nil {
 				return err
@@ -145,11 +145,11 @@
 			fmt.Fprintln(t, "id\tclass\ttenant\tpartner\tgiven up\treason\tattempts\tmay have run\tstate\twhy")
 			for _, r := range l.Messages {
 				may := "no"
-				if r.MayHaveRun() != nil {
+				if r.MayHaveExecuted() != nil {
 					may = "yes"
 				}
-				fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", r.ID, r.Class, r.Tenant, r.Partner, when(r.Last().Over),
-					r.Last().Reason, r.Attempts(), may, r.State, r.Why)
+				fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", r.ID, r.Class, r.Tenant, r.Destination, when(r.Last().CompletedAt),
+					r.Last().Reason, r.Attempts(), may, r.State, r.Reason)
 			}
 			if err := t.Flush(); err != nil {
 				return err
@@ -178,7 +178,7 @@
 		Short:   "Show a message with its whole history; its body only when asked",
 		Example: "  frostlinkctl undelivered show 4f0c2a9d1b770000 --folder store --text",
 		Args:    cobra.ExactArgs(1),
-		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, args []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Client, args []string) error {
 			r, err := a.Get(c.Context(), args[0])
 			if err != nil {
 				return err
@@ -212,26 +212,26 @@
 }
 
 func printRecord(out io.Writer, r *deadletter.Record) {
-	fmt.Fprintf(out, "%s: %s to partner %d, tenant %q, key %q, %d bytes\n", r.ID, r.Class, r.Partner, r.Tenant, r.Key, r.BodySize)
-	fmt.Fprintf(out, "%s since %s: %s\n", r.State, when(r.Since), r.Why)
+	fmt.Fprintf(out, "%s: %s to partner %d, tenant %q, key %q, %d bytes\n", r.ID, r.Class, r.Destination, r.Tenant, r.IdempotencyKey, r.BodySize)
+	fmt.Fprintf(out, "%s since %s: %s\n", r.State, when(r.Since), r.Reason)
 	if r.Subject != "" {
 		fmt.Fprintf(out, "about %q\n", r.Subject)
 	}
-	for i, l := range r.Lives {
-		fmt.Fprintf(out, "life %d, id %s, at %s: taken on %s, until %s, given up %s: %s (%s)\n", i+1, l.ID, l.Relay, when(l.Taken),
-			when(l.Expires), when(l.Over), l.Reason, l.Status)
-		if l.Attest != nil {
-			fmt.Fprintf(out, "  resent on the word of %s: %s\n", l.Attest.By, l.Attest.Evidence)
+	for i, l := range r.Incarnations {
+		fmt.Fprintf(out, "life %d, id %s, at %s: taken on %s, until %s, given up %s: %s (%s)\n", i+1, l.ID, l.Relay, when(l.AcceptedAt),
+			when(l.Deadline), when(l.CompletedAt), l.Reason, l.Status)
+		if l.Attestation != nil {
+			fmt.Fprintf(out, "  resent on the word of %s: %s\n", l.Attestation.By, l.Attestation.Evidence)
 		}
 		for _, a := range l.Attempts {
 			ended := "no end"
-			if !a.Ended.IsZero() {
-				ended = when(a.Ended)
+			if !a.EndedAt.IsZero() {
+				ended = when(a.EndedAt)
 			}
-			fmt.Fprintf(out, "  call to %s, %s to %s: %s; ran: %s\n", a.Host, when(a.Begun), ended, or(a.Outcome, "unknown"), a.Ran)
+			fmt.Fprintf(out, "  call to %s, %s to %s: %s; ran: %s\n", a.Endpoint, when(a.StartedAt), ended, or(a.Outcome, "unknown"), a.Execution)
 		}
 	}
-	for _, a := range r.Attests {
+	for _, a := range r.Attestations {
 		used := "not used yet"
 		if a.Used {
 			used = "used"
@@ -253,7 +253,7 @@
 		Short:   "What the store holds, by class and tenant",
 		Example: "  frostlinkctl undelivered stats --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Client, _ []string) error {
 			s, err := a.Stats(c.Context())
 			if err != nil {
 				return err
@@ -262,7 +262,7 @@
 			if o.json {
 				return cli.WriteJSON(out, "-", s)
 			}
-			fmt.Fprintf(out, "%d messages, %d bytes of bodies, file of %d bytes; %d listed as not kept\n", s.Messages, s.Bytes, s.File, s.Unkept)
+			fmt.Fprintf(out, "%d messages, %d bytes of bodies, file of %d bytes; %d listed as not kept\n", s.Messages, s.Bytes, s.File, s.Dropped)
 			t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 			for state, n := range s.States {
 				fmt.Fprintf(t, "%s\t%d\n", state, n)
@@ -270,10 +270,10 @@
 			for _, g := range s.Groups {
 				fmt.Fprintf(t, "%s of %s\t%d\t%d bytes\n", g.Class, g.Tenant, g.Messages, g.Bytes)
 			}
-			for group, n := range s.Left {
+			for group, n := range s.RemovedByBound {
 				fmt.Fprintf(t, "%s, left by a bound\t%d\n", group, n)
 			}
-			for group, n := range s.Refused {
+			for group, n := range s.Rejected {
 				fmt.Fprintf(t, "%s, refused at arrival\t%d\n", group, n)
 			}
 			return t.Flush()
@@ -290,7 +290,7 @@
 			"class's allowance are refused. A running relay knows its classes; for a stopped one name its configuration.",
 		Example: "  frostlinkctl undelivered check --operator deploy/frostlink.toml --config config.json",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Client, _ []string) error {
 			if o.operator == "" {
 				return errors.New("--operator: which rules?")
 			}
@@ -298,9 +298,9 @@
 			if err != nil {
 				return err
 			}
-			order := deadletter.CheckOrder{Rules: own.Undelivered.Rules}
+			order := deadletter.DryRunRequest{Rules: own.DeadLetter.Rules}
 			if config != "" {
-				if order.Classes, err = classesOf(config, own.Undelivered); err != nil {
+				if order.Classes, err = classesOf(config, own.DeadLetter); err != nil {
 					return err
 				}
 			}
@@ -311,11 +311,11 @@
 			if o.json {
 				err = cli.WriteJSON(c.OutOrStdout(), "-", rules)
 			} else {
-				printChecks(c.OutOrStdout(), rules, own.Undelivered.Rules)
+				printChecks(c.OutOrStdout(), rules, own.DeadLetter.Rules)
 			}
 			for _, r := range rules {
 				if len(r.Faults) > 0 && err == nil {
-					err = cli.ErrFound
+					err = cli.ErrFindings
 				}
 			}
 			return err
@@ -335,7 +335,7 @@
 }
 
 // printChecks says in plain words what each rule would do.
-func printChecks(out io.Writer, checks []deadletter.RuleCheck, rules []deadletter.Rule) {
+func printChecks(out io.Writer, checks []deadletter.DryRunResult, rules []deadletter.Rule) {
 	for _, c := range append(checks[1:], checks[0]) {
 		if c.Rule == 0 {
 			fmt.Fprintf(out, "no rule: holds %d messages\n", c.Matches)
@@ -360,7 +360,7 @@
 		Short:   "Read all there is, and name what is damaged",
 		Example: "  frostlinkctl undelivered verify --folder store",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) error {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Client, _ []string) error {
 			v, err := a.Verify(c.Context())
 			if err != nil {
 				return err
@@ -376,7 +376,7 @@
 				fmt.Fprintf(c.OutOrStdout(), "%d messages are whole, %d faults\n", v.Good, len(v.Faults))
 			}
 			if len(v.Faults) > 0 {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return nil
 		}),
@@ -391,7 +391,7 @@
 		Short:   "Write messages with their bodies, a line of JSON each",
 		Example: "  frostlinkctl undelivered export --folder store --state held --to held.jsonl",
 		Args:    cobra.NoArgs,
-		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Access, _ []string) (err error) {
+		RunE: o.on(false, func(c *cobra.Command, a *deadletter.Client, _ []string) (err error) {
 			to := c.OutOrStdout()
 			if path != "-" {
 				file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600) // nothing is written over
@@ -431,7 +431,7 @@
 			}
 			fmt.Fprintf(c.ErrOrStderr(), "%d messages exported, %d damaged\n", n, damaged)
 			if damaged > 0 {
-				return cli.ErrFound
+				return cli.ErrFindings
 			}
 			return nil
 		}),
@@ -447,7 +447,7 @@
 		Short:   "Take in messages that were exported; they are held",
 		Example: "  frostlinkctl undelivered import held.jsonl --folder store",
 		Args:    cobra.ExactArgs(1),
-		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Access, args []string) error {
+		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Client, args []string) error {
 			file, err := os.Open(args[0])
 			if err != nil {
 				return err
@@ -484,12 +484,12 @@
 		Short:   short,
 		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", what),
 		Args:    cobra.MinimumNArgs(1),
-		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Access, ids []string) error {
+		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Client, ids []string) error {
 			return o.each(c, a, what, ids, order)
 		}),
 	}
 	c.Flags().StringVar(&order.By, "by", ownName(), "who wants it")
-	c.Flags().StringVar(&order.Why, "why", "", "why")
+	c.Flags().StringVar(&order.Reason, "why", "", "why")
 	if why {
 		_ = c.MarkFlagRequired("why") // fails for flags that are not there only
 	}
@@ -498,7 +498,7 @@
 
 // each does something to each message, and goes on where one is refused. The id - stands for those on standard input: a
 // list that staff have checked against a partner's ledger.
-func (o *storeOptions) each(c *cobra.Command, a *deadletter.Access, what string, ids []string, order deadletter.Command) error {
+func (o *storeOptions) each(c *cobra.Command, a *deadletter.Client, what string, ids []string, order deadletter.Command) error {
 	if len(ids) == 1 && ids[0] == "-" {
 		ids = nil
 		for words := bufio.NewScanner(c.InOrStdin()); words.Scan(); {
@@ -508,7 +508,7 @@
 	refused := false
 	done := []*deadletter.Record{}
 	for _, id := range ids {
-		r, err := a.Do(c.Context(), what, id, order)
+		r, err := a.Command(c.Context(), what, id, order)
 		if err != nil {
 			refused = true
 			fmt.Fprintln(c.ErrOrStderr(), err)
@@ -516,7 +516,7 @@
 		}
 		done = append(done, r)
 		if !o.json {
-			fmt.Fprintf(c.OutOrStdout(), "%s: %s, %s\n", r.ID, r.State, r.Why)
+			fmt.Fprintf(c.OutOrStdout(), "%s: %s, %s\n", r.ID, r.State, r.Reason)
 		}
 	}
 	if o.json {
@@ -525,7 +525,7 @@
 		}
 	}
 	if refused {
-		return cli.ErrFound
+		return cli.ErrFindings
 	}
 	return nil
 }
@@ -539,7 +539,7 @@
 			"allows one resend. - stands for ids on standard input, as from a list that was checked against a ledger.",
 		Example: "  frostlinkctl undelivered attest 4f0c2a9d1b770000 --folder store --by \"Amina Khan\" --evidence \"ledger of 30 June, page 7\"",
 		Args:    cobra.MinimumNArgs(1),
-		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Access, ids []string) error {
+		RunE: o.on(true, func(c *cobra.Command, a *deadletter.Client, ids []string) error {
 			return o.each(c, a, "attest", ids, order)
 		}),
 	}
--- a/cmd/frostlinkctl/undelivered_test.go
+++ b/cmd/frostlinkctl/undelivered_test.go
@@ -23,12 +23,12 @@
 	defer s.Close()
 	at := time.Now().Add(-time.Hour)
 	for _, id := range ids {
-		err := s.Put([]deadletter.Kept{{Body: []byte("body of " + id), Record: deadletter.Record{
+		err := s.Put([]deadletter.Message{{Body: []byte("body of " + id), Record: deadletter.Record{
 			ID: id, Class: "fee-payment", Tenant: "lahore",
-			Partner: 3, State: deadletter.Held, Since: at, Why: "no rule matches it", Lives: []deadletter.Life{{
-				ID: id, Relay: "r", Taken: at,
-				Expires: at, Over: at, Reason: deadletter.Doubtful, Status: "undeliverable",
-				Attempts: []deadletter.Attempt{{Host: "h", Begun: at, Ran: deadletter.May}},
+			Destination: 3, State: deadletter.Held, Since: at, Reason: "no rule matches it", Incarnations: []deadletter.Incarnation{{
+				ID: id, Relay: "r", AcceptedAt: at,
+				Deadline: at, CompletedAt: at, Reason: deadletter.OutcomeUnknown, Status: "undeliverable",
+				Attempts: []deadletter.Attempt{{Endpoint: "h", StartedAt: at, Execution: deadletter.ExecutionUnknown}},
 			}},
 		}}})
 		if err != nil {
@@ -61,30 +61,30 @@
 		out  string // a part of what is printed
 		errs string
 	}{
-		{"list --folder DIR --may-have-run --class fee-payment", "", cli.ExitFine, "no rule matches it", ""},
-		{"list --folder DIR --most 2", "", cli.ExitFine, "a  ", "there is more: --from 3"},
-		{"list --folder DIR --state gone", "", cli.ExitFail, "", `state: "gone" is none of`},
-		{"list --folder DIR/none", "", cli.ExitFail, "", "no store"},
-		{"list", "", cli.ExitFail, "", "which store?"},
-		{"list --operator OPERATOR --json", "", cli.ExitFine, `"id": "a"`, ""},
-		{"show a --folder DIR --text", "", cli.ExitFine, `"body of a"`, ""},
-		{"show a --folder DIR", "", cli.ExitFine, "ran: may", ""},
-		{"show z --folder DIR", "", cli.ExitFail, "", "no such message"},
-		{"stats --folder DIR", "", cli.ExitFine, "3 messages, 27 bytes", ""},
-		{"attest a --folder DIR --by Amina", "", cli.ExitFail, "", "evidence"},
-		{"attest - --folder DIR --by Amina --evidence ledger", "a b\nz\n", cli.ExitFound, "b: held", "no such message"},
-		{"attest a --folder DIR --by Amina --evidence ledger", "", cli.ExitFound, "", "an attest for it is there already"},
-		{"show a --folder DIR", "", cli.ExitFine, "attested by Amina", ""},
-		{"discard c --folder DIR", "", cli.ExitFail, "", "why"},
-		{"discard c --folder DIR --why booked --by Bilal", "", cli.ExitFine, "c: discarded, discarded by Bilal: booked", ""},
-		{"resend c --folder DIR", "", cli.ExitFound, "", "c: it is discarded already"},
-		{"hold b --folder DIR --by Bilal", "", cli.ExitFine, "b: held, held by Bilal", ""},
-		{"export --folder DIR --to EXPORT", "", cli.ExitFine, "", "3 messages exported, 0 damaged"},
-		{"export --folder DIR --to EXPORT", "", cli.ExitFail, "", "exists"},
-		{"import EXPORT --folder EMPTY", "", cli.ExitFine, "3 messages read, 3 of them news", ""},
-		{"import EXPORT --folder EMPTY", "", cli.ExitFine, "3 messages read, 0 of them news", ""},
-		{"verify --folder EMPTY", "", cli.ExitFine, "3 messages are whole, 0 faults", ""},
-		{"list --folder EMPTY --state discarded", "", cli.ExitFine, "c  ", ""},
+		{"list --folder DIR --may-have-run --class fee-payment", "", cli.ExitOK, "no rule matches it", ""},
+		{"list --folder DIR --most 2", "", cli.ExitOK, "a  ", "there is more: --from 3"},
+		{"list --folder DIR --state gone", "", cli.ExitError, "", `state: "gone" is none of`},
+		{"list --folder DIR/none", "", cli.ExitError, "", "no store"},
+		{"list", "", cli.ExitError, "", "which store?"},
+		{"list --operator OPERATOR --json", "", cli.ExitOK, `"id": "a"`, ""},
+		{"show a --folder DIR --text", "", cli.ExitOK, `"body of a"`, ""},
+		{"show a --folder DIR", "", cli.ExitOK, "ran: may", ""},
+		{"show z --folder DIR", "", cli.ExitError, "", "no such message"},
+		{"stats --folder DIR", "", cli.ExitOK, "3 messages, 27 bytes", ""},
+		{"attest a --folder DIR --by Amina", "", cli.ExitError, "", "evidence"},
+		{"attest - --folder DIR --by Amina --evidence ledger", "a b\nz\n", cli.ExitFindings, "b: held", "no such message"},
+		{"attest a --folder DIR --by Amina --evidence ledger", "", cli.ExitFindings, "", "an attest for it is there already"},
+		{"show a --folder DIR", "", cli.ExitOK, "attested by Amina", ""},
+		{"discard c --folder DIR", "", cli.ExitError, "", "why"},
+		{"discard c --folder DIR --why booked --by Bilal", "", cli.ExitOK, "c: discarded, discarded by Bilal: booked", ""},
+		{"resend c --folder DIR", "", cli.ExitFindings, "", "c: it is discarded already"},
+		{"hold b --folder DIR --by Bilal", "", cli.ExitOK, "b: held, held by Bilal", ""},
+		{"export --folder DIR --to EXPORT", "", cli.ExitOK, "", "3 messages exported, 0 damaged"},
+		{"export --folder DIR --to EXPORT", "", cli.ExitError, "", "exists"},
+		{"import EXPORT --folder EMPTY", "", cli.ExitOK, "3 messages read, 3 of them news", ""},
+		{"import EXPORT --folder EMPTY", "", cli.ExitOK, "3 messages read, 0 of them news", ""},
+		{"verify --folder EMPTY", "", cli.ExitOK, "3 messages are whole, 0 faults", ""},
+		{"list --folder EMPTY --state discarded", "", cli.ExitOK, "c  ", ""},
 	} {
 		words := strings.Fields("undelivered " + strings.NewReplacer("OPERATOR", operator, "EXPORT", export, "EMPTY", empty, "DIR", dir).Replace(c.args))
 		code, out, errs := ctl(t, c.in, words...)
@@ -94,8 +94,8 @@
 	}
 	_, out, _ := ctl(t, "", "undelivered", "show", "a", "--folder", empty, "--json")
 	var r deadletter.Record
-	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Attests) != 1 || !r.Attests[0].Used {
-		t.Errorf("an attest that came with an import serves here: %+v, %v", r.Attests, err)
+	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Attestations) != 1 || !r.Attestations[0].Used {
+		t.Errorf("an attest that came with an import serves here: %+v, %v", r.Attestations, err)
 	}
 }
 
@@ -108,12 +108,12 @@
 	}
 	for _, args := range []string{"list", "discard a --why booked"} {
 		code, out, errs := ctl(t, "", append(append([]string{"undelivered"}, strings.Fields(args)...), "--folder", dir)...)
-		if code != cli.ExitFail || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
+		if code != cli.ExitError || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
 			t.Errorf("%s: exit %d, %s%s", args, code, out, errs)
 		}
 	}
 	_ = s.Close()
-	if code, out, errs := ctl(t, "", "undelivered", "list", "--folder", dir); code != cli.ExitFine || !strings.Contains(out, "held") {
+	if code, out, errs := ctl(t, "", "undelivered", "list", "--folder", dir); code != cli.ExitOK || !strings.Contains(out, "held") {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
 }
--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -44,7 +44,7 @@
 	}
 	err = f.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketName).ForEach(func(_, value []byte) error {
-			_ = Sum(value) // touches all of it
+			_ = Checksum(value) // touches all of it
 			return nil
 		})
 	})
@@ -53,7 +53,7 @@
 
 func TestOpen_ReadsWhatWasWritten(t *testing.T) {
 	path := createFile(t)
-	if err := Whole(path); err != nil {
+	if err := CheckMetaPages(path); err != nil {
 		t.Errorf("meta pages: %v", err)
 	}
 	if err := readAll(path); err != nil {
@@ -138,7 +138,7 @@
 			if err := os.WriteFile(path, damage(raw), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := Whole(path); !errors.Is(err, ErrDamaged) {
+			if err := CheckMetaPages(path); !errors.Is(err, ErrDamaged) {
 				t.Errorf("err %v, want %v", err, ErrDamaged)
 			}
 		})
@@ -146,7 +146,7 @@
 }
 
 func TestMetaPages_ReportsMissingFile(t *testing.T) {
-	if err := Whole(filepath.Join(t.TempDir(), "file")); !errors.Is(err, os.ErrNotExist) {
+	if err := CheckMetaPages(filepath.Join(t.TempDir(), "file")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("err %v, want %v", err, os.ErrNotExist)
 	}
 }
--- a/internal/boltfile/errors.go
+++ b/internal/boltfile/errors.go
@@ -14,5 +14,5 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum returns the checksum of a record's content: CRC-32C (Castagnoli).
-func Sum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
+// Checksum returns the checksum of a record's content: CRC-32C (Castagnoli).
+func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
--- a/internal/boltfile/meta.go
+++ b/internal/boltfile/meta.go
@@ -47,11 +47,11 @@
 		binary.LittleEndian.Uint64(m[metaChecksumAt:]) == sum.Sum64()
 }
 
-// Whole checks that both meta pages can be read. bbolt uses the older one where the newer can't be: a
+// CheckMetaPages checks that both meta pages can be read. bbolt uses the older one where the newer can't be: a
 // file that has lost its last transaction then looks like one that never had it, which matters where
 // that transaction was acknowledged. A page that was torn when the machine lost power can't be told from
 // one that was damaged later.
-func Whole(path string) error {
+func CheckMetaPages(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("check meta pages: %w", err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,13 +14,13 @@
 
 // The exit codes of every command.
 const (
-	ExitFine  = 0
-	ExitFound = 1 // the command did its work and found something wrong
-	ExitFail  = 2 // the command could not do its work
+	ExitOK       = 0
+	ExitFindings = 1 // the command did its work and found something wrong
+	ExitError    = 2 // the command could not do its work
 )
 
-// ErrFound is returned by a command that did its work, found something wrong and has printed it.
-var ErrFound = errors.New("found something")
+// ErrFindings is returned by a command that did its work, found something wrong and has printed it.
+var ErrFindings = errors.New("found something")
 
 // stdout is the path that stands for standard output.
 const stdout = "-"
@@ -34,12 +34,12 @@
 	root.SetErr(errs)
 	switch err := root.ExecuteContext(ctx); {
 	case err == nil:
-		return ExitFine
-	case errors.Is(err, ErrFound):
-		return ExitFound
+		return ExitOK
+	case errors.Is(err, ErrFindings):
+		return ExitFindings
 	default:
 		fmt.Fprintln(errs, err)
-		return ExitFail
+		return ExitError
 	}
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,9 +19,9 @@
 		code   int
 		stderr string
 	}{
-		{"done", nil, ExitFine, ""},
-		{"found something", fmt.Errorf("audit: %w", ErrFound), ExitFound, ""},
-		{"could not run", errors.New("no such relay"), ExitFail, "no such relay\n"},
+		{"done", nil, ExitOK, ""},
+		{"found something", fmt.Errorf("audit: %w", ErrFindings), ExitFindings, ""},
+		{"could not run", errors.New("no such relay"), ExitError, "no such relay\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			root := &cobra.Command{Use: "x", RunE: func(*cobra.Command, []string) error { return tt.err }}
--- a/internal/clock/step_detector.go
+++ b/internal/clock/step_detector.go
@@ -9,6 +9,12 @@
 // by less between two checks a second apart.
 const minStep = 100 * time.Millisecond
 
+// Keys of log attributes that only clocks have.
+const (
+	keyStep   = "by"    // by how much the wall clock was stepped
+	keyOffset = "ahead" // by how much it is ahead of the timeline since its start
+)
+
 // StepDetector detects steps of the wall clock, so that log lines from before and after one can be put
 // in order. It is not safe for concurrent use.
 type StepDetector struct {
@@ -28,6 +34,6 @@
 		return 0, false
 	}
 	d.offset = offset
-	slog.Warn("the wall clock was stepped; deadlines, waits and windows go on unchanged", "by", step, "ahead", offset)
+	slog.Warn("the wall clock was stepped; deadlines, waits and windows go on unchanged", keyStep, step, keyOffset, offset)
 	return step, true
 }
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -12,7 +12,7 @@
 // TestRead_FolderOfEarlierBuild: a member's folder that an earlier build has written holds what it held.
 func TestRead_FolderOfEarlierBuild(t *testing.T) {
 	_, want := createFilled(t)
-	goldentest.File(t, "member.db", fileName, func(dir string) {
+	goldentest.Regenerate(t, "member.db", fileName, func(dir string) {
 		from, _ := createFilled(t)
 		raw, err := os.ReadFile(filepath.Join(from, fileName))
 		if err != nil {
--- a/internal/coord/disk/read.go
+++ b/internal/coord/disk/read.go
@@ -21,7 +21,7 @@
 	if err := hasStore(dir); err != nil {
 		return id, state, err
 	}
-	if err := boltfile.Whole(path); err != nil {
+	if err := boltfile.CheckMetaPages(path); err != nil {
 		return id, state, fmt.Errorf("%s: %w", path, err)
 	}
 	db, err := boltfile.Open(path, boltfile.Options{ReadOnly: true})
--- a/internal/coord/disk/record.go
+++ b/internal/coord/disk/record.go
@@ -38,7 +38,7 @@
 
 // seal puts the checksum in front of a value.
 func seal(raw []byte) []byte {
-	sealed := binary.BigEndian.AppendUint32(make([]byte, 0, checksumSize+len(raw)), boltfile.Sum(raw))
+	sealed := binary.BigEndian.AppendUint32(make([]byte, 0, checksumSize+len(raw)), boltfile.Checksum(raw))
 	return append(sealed, raw...)
 }
 
@@ -47,7 +47,7 @@
 	switch {
 	case sealed == nil:
 		return nil, errMissing
-	case len(sealed) < checksumSize || binary.BigEndian.Uint32(sealed) != boltfile.Sum(sealed[checksumSize:]):
+	case len(sealed) < checksumSize || binary.BigEndian.Uint32(sealed) != boltfile.Checksum(sealed[checksumSize:]):
 		return nil, errChecksum
 	}
 	return append([]byte{}, sealed[checksumSize:]...), nil
--- a/internal/deadletter/access_test.go
+++ b/internal/deadletter/access_test.go
@@ -18,7 +18,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- Serve(ctx, socket, &Admin{Store: s, Now: time.Now}) }()
-	var a *Access
+	var a *Client
 	var err error
 	for end := time.Now().Add(10 * time.Second); a == nil && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		a, err = Connect(socket)
@@ -35,7 +35,7 @@
 	if _, err := OpenFolder(folder, false); !errors.Is(err, ErrInUse) {
 		t.Errorf("the folder of a running relay: %v", err)
 	}
-	look := func(a *Access) {
+	look := func(a *Client) {
 		t.Helper()
 		l, err := a.List(t.Context(), &Filter{Class: "fee-payment"}, 0, 2)
 		if err != nil || len(l.Messages) != 2 || l.Next != 3 {
@@ -55,7 +55,7 @@
 		}
 	}
 	look(a)
-	if r, err := a.Do(t.Context(), "hold", "a", Command{By: "Amina"}); err != nil || !r.Kept {
+	if r, err := a.Command(t.Context(), "hold", "a", Command{By: "Amina"}); err != nil || !r.HeldByOperator {
 		t.Errorf("hold: %+v, %v", r, err)
 	}
 	stop()
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	look(read)
-	if _, err := read.Do(t.Context(), "hold", "b", Command{By: "Amina"}); err == nil {
+	if _, err := read.Command(t.Context(), "hold", "b", Command{By: "Amina"}); err == nil {
 		t.Error("a reader may change")
 	}
 	_ = read.Close()
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer write.Close()
-	if r, err := write.Do(t.Context(), "hold", "b", Command{By: "Amina"}); err != nil || !r.Kept {
+	if r, err := write.Command(t.Context(), "hold", "b", Command{By: "Amina"}); err != nil || !r.HeldByOperator {
 		t.Errorf("hold in the folder: %+v, %v", r, err)
 	}
 	if _, err := OpenFolder(filepath.Join(dir, "elsewhere"), true); !errors.Is(err, os.ErrNotExist) {
--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/admin.go
@@ -55,8 +55,8 @@
 	Changed func()
 }
 
-// Reclass has the classes be others from now on.
-func (a *Admin) Reclass(classes []Class) { a.newClasses.Store(&classes) }
+// SetClasses has the classes be others from now on.
+func (a *Admin) SetClasses(classes []Class) { a.newClasses.Store(&classes) }
 
 // Handler answers the tool's requests.
 func (a *Admin) Handler() http.Handler {
@@ -108,7 +108,7 @@
 		}
 	}
 	l := &Listing{}
-	l.Messages, l.Next, l.Damaged, err = a.Store.Page(from, most, maxScanned, f.Passes)
+	l.Messages, l.Next, l.Damaged, err = a.Store.Page(from, most, maxScanned, f.Matches)
 	if l.Messages == nil {
 		l.Messages = []*Record{}
 	}
@@ -130,19 +130,19 @@
 	switch {
 	case e.Version > Version:
 		return nil, fmt.Errorf("%w: version %d is newer than this program's, %d", errBadRequest, e.Version, Version)
-	case e.ID == "" || len(e.Lives) == 0 || e.Lives[0].ID != e.ID:
+	case e.ID == "" || len(e.Incarnations) == 0 || e.Incarnations[0].ID != e.ID:
 		return nil, fmt.Errorf("%w: no message with a history", errBadRequest)
 	}
 	e.Due = time.Time{}
 	if _, err := a.Store.Get(e.ID); err == nil {
 		return map[string]bool{"kept": false}, nil
 	}
-	for i := range e.Attests {
-		e.Attests[i].Used = true
+	for i := range e.Attestations {
+		e.Attestations[i].Used = true
 	}
 	if !e.State.Ended() {
-		e.State, e.Why, e.Since = Held, "imported", a.Now()
+		e.State, e.Reason, e.Since = Held, "imported", a.Now()
 		e.Due = e.Since
 	}
-	return map[string]bool{"kept": true}, a.Store.Put([]Kept{{e.Record, e.Body}})
+	return map[string]bool{"kept": true}, a.Store.Put([]Message{{e.Record, e.Body}})
 }
--- a/internal/deadletter/admin_test.go
+++ b/internal/deadletter/admin_test.go
@@ -55,18 +55,18 @@
 			t.Errorf("%s %s: %d, state %q; want %d, %q", c.path, c.body, code, r.State, c.status, c.state)
 		}
 	}
-	if r, _ := a.Store.Get("b"); len(r.Attests) != 1 || r.Attests[0].By != "Amina" || r.Attests[0].Used {
-		t.Errorf("attests %+v", r.Attests)
+	if r, _ := a.Store.Get("b"); len(r.Attestations) != 1 || r.Attestations[0].By != "Amina" || r.Attestations[0].Used {
+		t.Errorf("attests %+v", r.Attestations)
 	}
-	if r, _ := a.Store.Get("a"); !strings.Contains(r.Why, "Amina") || !strings.Contains(r.Why, "booked by hand") {
-		t.Errorf("why: %q", r.Why)
+	if r, _ := a.Store.Get("a"); !strings.Contains(r.Reason, "Amina") || !strings.Contains(r.Reason, "booked by hand") {
+		t.Errorf("why: %q", r.Reason)
 	}
 	// What an operator holds no rule resends.
 	if ask(t, a, "POST", "/messages/c/hold", `{"by":"Amina"}`, nil) != 200 {
 		t.Fatal("not held")
 	}
 	rec, _ := a.Store.Get("c")
-	if p := Decide([]Rule{{Action: Resend, Most: 9, Rate: 1}}, class(Safe), rec, nil, noon.Add(time.Hour)); p.Action != Hold {
+	if p := Decide([]Rule{{Action: Redeliver, MaxIncarnations: 9, Rate: 1}}, class(Idempotent), rec, nil, noon.Add(time.Hour)); p.Action != Hold {
 		t.Errorf("a rule makes of it %+v", p)
 	}
 }
@@ -75,8 +75,8 @@
 	a := newAdmin(t)
 	put(t, a.Store, "a", "b")
 	other := kept("o")
-	other.Class, other.Partner, other.Lives[0].Attempts = "parcel-status", 4, nil
-	if err := a.Store.Put([]Kept{other}); err != nil {
+	other.Class, other.Destination, other.Incarnations[0].Attempts = "parcel-status", 4, nil
+	if err := a.Store.Put([]Message{other}); err != nil {
 		t.Fatal(err)
 	}
 	for query, want := range map[string]string{
@@ -134,7 +134,7 @@
 		}
 	}
 	got, err := b.Store.Get("a")
-	if err != nil || got.Lives[0].ID != "a" || len(got.Lives[0].Attempts) != 1 || !got.Attests[0].Used || got.State != Held {
+	if err != nil || got.Incarnations[0].ID != "a" || len(got.Incarnations[0].Attempts) != 1 || !got.Attestations[0].Used || got.State != Held {
 		t.Errorf("imported %+v, %v", got, err)
 	}
 	if body, _ := b.Store.Body("a"); !bytes.Equal(body, []byte("body of a")) {
@@ -153,28 +153,28 @@
 	put(t, a.Store, "a", "b")
 	safe := kept("s")
 	safe.Class = "parcel-status"
-	if err := a.Store.Put([]Kept{safe}); err != nil {
+	if err := a.Store.Put([]Message{safe}); err != nil {
 		t.Fatal(err)
 	}
 	yes := true
-	classes := []Class{{Name: "fee-payment", Effect: Keyed, Memory: 15 * time.Second, Attempts: 12}, {Name: "parcel-status", Attempts: 12}}
-	order, err := json.Marshal(CheckOrder{Classes: classes, Rules: []Rule{
-		{Action: Resend, Class: "fee-payment", MayHaveRun: &yes, Most: 3, Rate: 1, After: 60}, {Action: Resend, Most: 3, Rate: 1},
+	classes := []Class{{Name: "fee-payment", Idempotency: IdempotentByKey, KeyTTL: 15 * time.Second, MaxAttempts: 12}, {Name: "parcel-status", MaxAttempts: 12}}
+	order, err := json.Marshal(DryRunRequest{Classes: classes, Rules: []Rule{
+		{Action: Redeliver, Class: "fee-payment", MayHaveExecuted: &yes, MaxIncarnations: 3, Rate: 1, Delay: 60}, {Action: Redeliver, MaxIncarnations: 3, Rate: 1},
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []RuleCheck
+	var got []DryRunResult
 	if code := ask(t, a, "POST", "/check", string(order), &got); code != 200 || len(got) != 3 {
 		t.Fatalf("%d, %+v", code, got)
 	}
 	if got[1].Matches != 2 || got[1].Actions[Hold] != 2 || len(got[1].Faults) != 1 || len(got[1].Samples) != 2 {
 		t.Errorf("a rule that its class forbids: %+v", got[1])
 	}
-	if got[2].Matches != 1 || got[2].Actions[Resend] != 1 || len(got[2].Faults) != 0 {
+	if got[2].Matches != 1 || got[2].Actions[Redeliver] != 1 || len(got[2].Faults) != 0 {
 		t.Errorf("a rule that resends: %+v", got[2])
 	}
-	if r, _ := a.Store.Get("s"); r.State != Held || len(r.Lives) != 1 {
+	if r, _ := a.Store.Get("s"); r.State != Held || len(r.Incarnations) != 1 {
 		t.Errorf("a dry run left %+v", r)
 	}
 	if code := ask(t, a, "POST", "/check", "{}", nil); code != 400 {
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -27,21 +27,21 @@
 	return &Bounds{store: store, section: s, dir: s.Folder, cursors: make([]uint64, len(s.Bounds)+1)}
 }
 
-// Keep drops what the bounds do not allow, a bounded number at once, and tells how many left. full says that the store
+// Enforce drops what the bounds do not allow, a bounded number at once, and tells how many left. full says that the store
 // takes no more: then also messages that have ended leave, the oldest first.
-func (b *Bounds) Keep(now time.Time, full bool) (left int, err error) {
+func (b *Bounds) Enforce(now time.Time, full bool) (left int, err error) {
 	totals, groups, err := b.store.Totals()
 	if err != nil {
 		return 0, err
 	}
-	own := Bound{Age: b.section.Age}
+	own := Bound{MaxAge: b.section.MaxAge}
 	for i := -1; i < len(b.section.Bounds); i++ {
 		bound, over := own, 0
 		if i >= 0 {
 			bound = b.section.Bounds[i]
 			over = bound.excess(groups)
 		}
-		ended := i < 0 && (full || totals.Messages >= b.section.Messages)
+		ended := i < 0 && (full || totals.Messages >= b.section.MaxMessages)
 		n, err := b.enforce(i+1, bound, over, ended, now)
 		left += n
 		if err != nil {
@@ -61,10 +61,10 @@
 		}
 	}
 	over := 0
-	if b.Messages > 0 {
-		over = max(over, messages-b.Messages)
+	if b.MaxMessages > 0 {
+		over = max(over, messages-b.MaxMessages)
 	}
-	if excess := float64(bytes) - b.MB*1e6; b.MB > 0 && excess > 0 && bytes > 0 {
+	if excess := float64(bytes) - b.MaxMB*1e6; b.MaxMB > 0 && excess > 0 && bytes > 0 {
 		over = max(over, int(excess/float64(bytes)*float64(messages))+1)
 	}
 	return over
@@ -73,7 +73,7 @@
 // enforce drops what one bound does not allow: too old ones, over of the oldest, and where ended is set those that have
 // ended. A message that is being resent stays.
 func (b *Bounds) enforce(n int, bound Bound, over int, ended bool, now time.Time) (left int, err error) {
-	if over == 0 && bound.Age == 0 && !ended {
+	if over == 0 && bound.MaxAge == 0 && !ended {
 		return 0, nil
 	}
 	from := b.cursors[n]
@@ -101,10 +101,10 @@
 // ones, and where ended is set those that have ended.
 func (b *Bound) exceeded(over int, ended bool, now time.Time) func(r *Record) bool {
 	return func(r *Record) bool {
-		if r.State == Out || b.Class != "" && b.Class != r.Class || b.Tenant != "" && b.Tenant != r.Tenant {
+		if r.State == Redelivering || b.Class != "" && b.Class != r.Class || b.Tenant != "" && b.Tenant != r.Tenant {
 			return false
 		}
-		old := b.Age > 0 && now.Sub(r.Lives[0].Taken) > seconds(b.Age)
+		old := b.MaxAge > 0 && now.Sub(r.Incarnations[0].AcceptedAt) > seconds(b.MaxAge)
 		if !old && over > 0 {
 			over--
 			return true
--- a/internal/deadletter/bounds_test.go
+++ b/internal/deadletter/bounds_test.go
@@ -16,8 +16,8 @@
 	for i := range n {
 		k := kept(fmt.Sprint("m", i))
 		k.Class, k.Tenant = []string{"fee-payment", "parcel-status"}[i%2], []string{"lahore", "sahiwal"}[i/2%2]
-		k.Lives[0].Taken = noon.Add(time.Duration(i-n) * time.Minute)
-		if err := s.Put([]Kept{k}); err != nil {
+		k.Incarnations[0].AcceptedAt = noon.Add(time.Duration(i-n) * time.Minute)
+		if err := s.Put([]Message{k}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -42,14 +42,14 @@
 		full    bool
 		want    string
 	}{
-		"none":                 {Section{Messages: 99}, false, "m0 m1 m2 m3 m4 m5 m6 m7"},
-		"age":                  {Section{Messages: 99, Age: 5.5 * 60}, false, "m3 m4 m5 m6 m7"},
-		"a class":              {Section{Messages: 99, Bounds: []Bound{{Class: "fee-payment", Messages: 1}}}, false, "m1 m3 m5 m6 m7"},
-		"a tenant":             {Section{Messages: 99, Bounds: []Bound{{Tenant: "sahiwal", Messages: 3}}}, false, "m0 m1 m3 m4 m5 m6 m7"},
-		"a class of a tenant":  {Section{Messages: 99, Bounds: []Bound{{Class: "parcel-status", Tenant: "lahore", Age: 60}}}, false, "m0 m2 m3 m4 m6 m7"},
-		"bytes":                {Section{Messages: 99, Bounds: []Bound{{Class: "fee-payment", MB: 25e-6}}}, false, "m1 m3 m4 m5 m6 m7"},
-		"full: what has ended": {Section{Messages: 99}, true, "m0 m1 m2 m4 m5 m6 m7"},
-		"many: what has ended": {Section{Messages: 8}, false, "m0 m1 m2 m4 m5 m6 m7"},
+		"none":                 {Section{MaxMessages: 99}, false, "m0 m1 m2 m3 m4 m5 m6 m7"},
+		"age":                  {Section{MaxMessages: 99, MaxAge: 5.5 * 60}, false, "m3 m4 m5 m6 m7"},
+		"a class":              {Section{MaxMessages: 99, Bounds: []Bound{{Class: "fee-payment", MaxMessages: 1}}}, false, "m1 m3 m5 m6 m7"},
+		"a tenant":             {Section{MaxMessages: 99, Bounds: []Bound{{Tenant: "sahiwal", MaxMessages: 3}}}, false, "m0 m1 m3 m4 m5 m6 m7"},
+		"a class of a tenant":  {Section{MaxMessages: 99, Bounds: []Bound{{Class: "parcel-status", Tenant: "lahore", MaxAge: 60}}}, false, "m0 m2 m3 m4 m6 m7"},
+		"bytes":                {Section{MaxMessages: 99, Bounds: []Bound{{Class: "fee-payment", MaxMB: 25e-6}}}, false, "m1 m3 m4 m5 m6 m7"},
+		"full: what has ended": {Section{MaxMessages: 99}, true, "m0 m1 m2 m4 m5 m6 m7"},
+		"many: what has ended": {Section{MaxMessages: 8}, false, "m0 m1 m2 m4 m5 m6 m7"},
 	} {
 		s := openStore(t, t.TempDir())
 		fillStore(t, s, 8)
@@ -58,7 +58,7 @@
 		}
 		b := NewBounds(s, &c.section)
 		for range 2 { // a second round finds nothing more
-			if _, err := b.Keep(noon, c.full); err != nil {
+			if _, err := b.Enforce(noon, c.full); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -73,7 +73,7 @@
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	fillStore(t, s, 4)
-	if n, err := NewBounds(s, &Section{Folder: dir, Messages: 99, Age: 150, Export: true}).Keep(noon, false); err != nil || n != 2 {
+	if n, err := NewBounds(s, &Section{Folder: dir, MaxMessages: 99, MaxAge: 150, Export: true}).Enforce(noon, false); err != nil || n != 2 {
 		t.Fatalf("%d left, %v", n, err)
 	}
 	path := filepath.Join(dir, "left-20260630.jsonl")
@@ -107,16 +107,16 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	b := NewBounds(s, &Section{Folder: dir, Messages: 1 << 30})
+	b := NewBounds(s, &Section{Folder: dir, MaxMessages: 1 << 30})
 	fulls := 0
 	for i := range 4000 {
 		k := kept(fmt.Sprint("m", i))
 		k.State, k.Body = Delivered, make([]byte, 1000)
-		for err = s.Put([]Kept{k}); errors.Is(err, ErrFull); err = s.Put([]Kept{k}) {
+		for err = s.Put([]Message{k}); errors.Is(err, ErrFull); err = s.Put([]Message{k}) {
 			if fulls++; fulls > 4000 {
 				t.Fatal("nothing makes room")
 			}
-			if _, err := b.Keep(noon, true); err != nil {
+			if _, err := b.Enforce(noon, true); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/deadletter/checksum.go
+++ b/internal/deadletter/checksum.go
@@ -8,12 +8,12 @@
 
 // addChecksum puts a checksum before a value.
 func addChecksum(v []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(v)+4), boltfile.Sum(v)), v...)
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(v)+4), boltfile.Checksum(v)), v...)
 }
 
 // verifyChecksum checks a value and gives it without its checksum. It is valid within its transaction only.
 func verifyChecksum(v []byte) ([]byte, error) {
-	if len(v) < 4 || boltfile.Sum(v[4:]) != binary.BigEndian.Uint32(v) {
+	if len(v) < 4 || boltfile.Checksum(v[4:]) != binary.BigEndian.Uint32(v) {
 		return nil, ErrDamaged
 	}
 	return v[4:], nil
--- a/internal/deadletter/client.go
+++ b/internal/deadletter/client.go
@@ -20,20 +20,20 @@
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Access is the tool's way to a store: to a running relay's by its socket, or to a stopped one's folder.
-type Access struct {
+// Client is the tool's way to a store: to a running relay's by its socket, or to a stopped one's folder.
+type Client struct {
 	client http.Client
 	store  *Store
 }
 
 // Connect reaches a running relay.
-func Connect(socket string) (*Access, error) {
+func Connect(socket string) (*Client, error) {
 	c, err := net.Dial("unix", socket)
 	if err != nil {
 		return nil, fmt.Errorf("no relay answers at %s: %w", socket, err)
 	}
 	_ = c.Close()
-	return &Access{client: http.Client{Timeout: requestTimeout, Transport: &http.Transport{
+	return &Client{client: http.Client{Timeout: requestTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 		},
@@ -41,7 +41,7 @@
 }
 
 // OpenFolder reaches the store of a relay that is not running; write says whether anything is to be changed.
-func OpenFolder(dir string, write bool) (*Access, error) {
+func OpenFolder(dir string, write bool) (*Client, error) {
 	s, err := OpenToRead(dir) // also where it will be written: a wrong folder is not to be made
 	if err == nil && write {
 		_ = s.Close()
@@ -54,11 +54,11 @@
 		return nil, err
 	}
 	a := &Admin{Store: s, Now: time.Now}
-	return &Access{store: s, client: http.Client{Transport: handlerTransport{a.Handler()}}}, nil
+	return &Client{store: s, client: http.Client{Transport: handlerTransport{a.Handler()}}}, nil
 }
 
 // Close lets go of a folder.
-func (a *Access) Close() error {
+func (a *Client) Close() error {
 	if a.store != nil {
 		return a.store.Close()
 	}
@@ -66,7 +66,7 @@
 }
 
 // request makes one request and decodes its answer.
-func (a *Access) request(ctx context.Context, method, path string, body, into any) error {
+func (a *Client) request(ctx context.Context, method, path string, body, into any) error {
 	var in io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
@@ -106,7 +106,7 @@
 }
 
 // List gives a page of messages from a number on.
-func (a *Access) List(ctx context.Context, f *Filter, from uint64, most int) (l Listing, err error) {
+func (a *Client) List(ctx context.Context, f *Filter, from uint64, most int) (l Listing, err error) {
 	q := f.Query()
 	q.Set("from", fmt.Sprint(from))
 	q.Set("most", fmt.Sprint(most))
@@ -115,42 +115,42 @@
 }
 
 // Get gives a message by the id of any of its lives.
-func (a *Access) Get(ctx context.Context, id string) (r *Record, err error) {
+func (a *Client) Get(ctx context.Context, id string) (r *Record, err error) {
 	r = &Record{}
 	return r, a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id), nil, r)
 }
 
 // Body gives a message's body.
-func (a *Access) Body(ctx context.Context, id string) ([]byte, error) {
+func (a *Client) Body(ctx context.Context, id string) ([]byte, error) {
 	var b struct{ Body []byte }
 	err := a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id)+"/body", nil, &b)
 	return b.Body, err
 }
 
-// Do has something done with a message: hold, resend, discard or attest.
-func (a *Access) Do(ctx context.Context, what, id string, c Command) (r *Record, err error) {
+// Command has something done with a message: hold, resend, discard or attest.
+func (a *Client) Command(ctx context.Context, what, id string, c Command) (r *Record, err error) {
 	r = &Record{}
 	return r, a.request(ctx, http.MethodPost, "/messages/"+url.PathEscape(id)+"/"+what, c, r)
 }
 
 // Import hands a message in that was exported, and tells whether it was news.
-func (a *Access) Import(ctx context.Context, e *Exported) (kept bool, err error) {
+func (a *Client) Import(ctx context.Context, e *Exported) (kept bool, err error) {
 	var got struct{ Kept bool }
 	err = a.request(ctx, http.MethodPost, "/import", e, &got)
 	return got.Kept, err
 }
 
 // Stats gives what the store holds.
-func (a *Access) Stats(ctx context.Context) (s Stats, err error) {
+func (a *Client) Stats(ctx context.Context) (s Stats, err error) {
 	return s, a.request(ctx, http.MethodGet, "/stats", nil, &s)
 }
 
 // Check tells what rules would do with what is in the store now.
-func (a *Access) Check(ctx context.Context, o CheckOrder) (out []RuleCheck, err error) {
+func (a *Client) Check(ctx context.Context, o DryRunRequest) (out []DryRunResult, err error) {
 	return out, a.request(ctx, http.MethodPost, "/check", o, &out)
 }
 
 // Verify reads all there is.
-func (a *Access) Verify(ctx context.Context) (v Verified, err error) {
+func (a *Client) Verify(ctx context.Context) (v Verified, err error) {
 	return v, a.request(ctx, http.MethodGet, "/verify", nil, &v)
 }
--- a/internal/deadletter/command.go
+++ b/internal/deadletter/command.go
@@ -10,7 +10,7 @@
 // Command is what an operator wants done with a message, and who wants it.
 type Command struct {
 	By       string `json:"by"`
-	Why      string `json:"why,omitempty"`
+	Reason   string `json:"why,omitempty"`
 	Evidence string `json:"evidence,omitempty"`
 }
 
@@ -45,26 +45,26 @@
 		return r.Due, conflictError{fmt.Errorf("%s: "+format, append([]any{r.ID}, args...)...)}
 	}
 	if r.State.Ended() {
-		return refuse("it is %s already: %s", r.State, r.Why)
+		return refuse("it is %s already: %s", r.State, r.Reason)
 	}
-	if r.State == Out {
+	if r.State == Redelivering {
 		return refuse("it is being resent at this moment")
 	}
-	set := func(s State, why string) { r.State, r.Why, r.Since = s, why, now }
+	set := func(s State, why string) { r.State, r.Reason, r.Since = s, why, now }
 	switch what {
 	case "hold":
-		r.Kept, r.Asked = true, false
-		set(Held, "held by "+o.By+suffix(o.Why))
+		r.HeldByOperator, r.RequestedByOperator = true, false
+		set(Held, "held by "+o.By+suffix(o.Reason))
 		return time.Time{}, nil
 	case "discard":
-		if o.Why == "" {
+		if o.Reason == "" {
 			return refuse("a discard says why")
 		}
-		set(Discarded, "discarded by "+o.By+suffix(o.Why))
+		set(Discarded, "discarded by "+o.By+suffix(o.Reason))
 		return time.Time{}, nil
 	case "resend":
-		r.Kept, r.Asked = false, true
-		set(Due, "to be resent, asked for by "+o.By+suffix(o.Why))
+		r.HeldByOperator, r.RequestedByOperator = false, true
+		set(Due, "to be resent, asked for by "+o.By+suffix(o.Reason))
 		return now, nil
 	case "attest":
 		if o.Evidence == "" {
@@ -73,7 +73,7 @@
 		if r.unusedAttestation() != nil {
 			return refuse("an attest for it is there already, and serves for one resend")
 		}
-		r.Attests = append(r.Attests, Attest{By: o.By, Evidence: o.Evidence, At: now})
+		r.Attestations = append(r.Attestations, Attestation{By: o.By, Evidence: o.Evidence, At: now})
 		return now, nil // a rule may want it now
 	}
 	return r.Due, fmt.Errorf("%w: nothing is called %q", errBadRequest, what)
--- a/internal/deadletter/dry_run.go
+++ b/internal/deadletter/dry_run.go
@@ -13,14 +13,14 @@
 	maxRules = 1 << 20
 )
 
-// CheckOrder asks what rules would do. Where the relay is not running, the classes come with it.
-type CheckOrder struct {
+// DryRunRequest asks what rules would do. Where the relay is not running, the classes come with it.
+type DryRunRequest struct {
 	Rules   []Rule  `json:"rules"`
 	Classes []Class `json:"classes,omitempty"`
 }
 
-// RuleCheck is what one rule would do with what is in the store now; rule 0 stands for messages that none matches.
-type RuleCheck struct {
+// DryRunResult is what one rule would do with what is in the store now; rule 0 stands for messages that none matches.
+type DryRunResult struct {
 	Rule    int            `json:"rule"`
 	Faults  []string       `json:"faults,omitempty"` // why the rule is refused
 	Matches int            `json:"matches"`
@@ -30,7 +30,7 @@
 
 // check is a dry run: it changes nothing.
 func (a *Admin) check(r *http.Request) (any, error) {
-	var o CheckOrder
+	var o DryRunRequest
 	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRules)).Decode(&o); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
@@ -46,7 +46,7 @@
 }
 
 // classesFor returns the relay's classes, or those that come with a check where the relay is not running.
-func (a *Admin) classesFor(o *CheckOrder) ([]Class, error) {
+func (a *Admin) classesFor(o *DryRunRequest) ([]Class, error) {
 	classes := a.Classes
 	if changed := a.newClasses.Load(); changed != nil {
 		classes = *changed
@@ -61,8 +61,8 @@
 }
 
 // prepare reads the rules' hours, and returns what is wrong with each rule; no message is counted yet.
-func (o *CheckOrder) prepare(classes []Class) ([]RuleCheck, error) {
-	out := make([]RuleCheck, len(o.Rules)+1)
+func (o *DryRunRequest) prepare(classes []Class) ([]DryRunResult, error) {
+	out := make([]DryRunResult, len(o.Rules)+1)
 	for i := range o.Rules {
 		rule := &o.Rules[i]
 		if rule.Hours != "" {
@@ -71,13 +71,13 @@
 				return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 			}
 		}
-		out[i+1].Rule, out[i+1].Faults = i+1, rule.Against(classes)
+		out[i+1].Rule, out[i+1].Faults = i+1, rule.Conflicts(classes)
 	}
 	return out, nil
 }
 
 // applyRules counts what the rules would do with each message that has not ended.
-func (a *Admin) applyRules(o *CheckOrder, classes []Class, out []RuleCheck) error {
+func (a *Admin) applyRules(o *DryRunRequest, classes []Class, out []DryRunResult) error {
 	byName := map[string]*Class{}
 	for i := range classes {
 		byName[classes[i].Name] = &classes[i]
@@ -98,13 +98,13 @@
 }
 
 // count counts a message for which a rule has a plan.
-func (c *RuleCheck) count(id string, p Plan) {
+func (c *DryRunResult) count(id string, p Plan) {
 	if c.Actions == nil {
 		c.Actions = map[string]int{}
 	}
 	c.Matches++
 	c.Actions[p.Action]++
 	if len(c.Samples) < samples {
-		c.Samples = append(c.Samples, id+": "+p.Action+", "+p.Why)
+		c.Samples = append(c.Samples, id+": "+p.Action+", "+p.Reason)
 	}
 }
--- a/internal/deadletter/filter.go
+++ b/internal/deadletter/filter.go
@@ -9,22 +9,22 @@
 
 // Filter says which messages are meant. What it leaves out matches anything.
 type Filter struct {
-	Class, Tenant string
-	Partner       *int
-	Reason        Reason
-	State         State
-	MayHaveRun    *bool
+	Class, Tenant   string
+	Destination     *int
+	Reason          Reason
+	State           State
+	MayHaveExecuted *bool
 }
 
-// Passes tells whether a message is meant.
-func (f *Filter) Passes(r *Record) bool {
+// Matches tells whether a message is meant.
+func (f *Filter) Matches(r *Record) bool {
 	switch {
 	case f.Class != "" && f.Class != r.Class,
 		f.Tenant != "" && f.Tenant != r.Tenant,
-		f.Partner != nil && *f.Partner != r.Partner,
+		f.Destination != nil && *f.Destination != r.Destination,
 		f.Reason != "" && f.Reason != r.Last().Reason,
 		f.State != "" && f.State != r.State,
-		f.MayHaveRun != nil && *f.MayHaveRun != (r.MayHaveRun() != nil):
+		f.MayHaveExecuted != nil && *f.MayHaveExecuted != (r.MayHaveExecuted() != nil):
 		return false
 	}
 	return true
@@ -42,11 +42,11 @@
 	set("tenant", f.Tenant)
 	set("reason", string(f.Reason))
 	set("state", string(f.State))
-	if f.Partner != nil {
-		set("partner", strconv.Itoa(*f.Partner))
+	if f.Destination != nil {
+		set("partner", strconv.Itoa(*f.Destination))
 	}
-	if f.MayHaveRun != nil {
-		set("may_have_run", strconv.FormatBool(*f.MayHaveRun))
+	if f.MayHaveExecuted != nil {
+		set("may_have_run", strconv.FormatBool(*f.MayHaveExecuted))
 	}
 	return q
 }
@@ -57,7 +57,7 @@
 	if f.Reason != "" && !slices.Contains(reasons, f.Reason) {
 		return nil, fmt.Errorf("reason: %q is none of %v", f.Reason, reasons)
 	}
-	if states := []State{Held, Due, Out, Delivered, Superseded, Discarded}; f.State != "" && !slices.Contains(states, f.State) {
+	if states := []State{Held, Due, Redelivering, Delivered, Superseded, Discarded}; f.State != "" && !slices.Contains(states, f.State) {
 		return nil, fmt.Errorf("state: %q is none of %v", f.State, states)
 	}
 	if v := q.Get("partner"); v != "" {
@@ -65,14 +65,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("partner: %q is no number", v)
 		}
-		f.Partner = &n
+		f.Destination = &n
 	}
 	if v := q.Get("may_have_run"); v != "" {
 		b, err := strconv.ParseBool(v)
 		if err != nil {
 			return nil, fmt.Errorf("may_have_run: %q is neither true nor false", v)
 		}
-		f.MayHaveRun = &b
+		f.MayHaveExecuted = &b
 	}
 	return f, nil
 }
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -13,13 +13,13 @@
 		goldentest.Form{Name: "newest", Value: &newestMessage{}}, goldentest.Form{Name: "era", Value: &trackingEpoch{}},
 		goldentest.Form{Name: "listing", Value: &Listing{}}, goldentest.Form{Name: "stats", Value: &Stats{}},
 		goldentest.Form{Name: "verified", Value: &Verified{}}, goldentest.Form{Name: "command", Value: &Command{}},
-		goldentest.Form{Name: "check-order", Value: &CheckOrder{}}, goldentest.Form{Name: "rule-check", Value: &RuleCheck{}},
+		goldentest.Form{Name: "check-order", Value: &DryRunRequest{}}, goldentest.Form{Name: "rule-check", Value: &DryRunResult{}},
 		goldentest.Form{Name: "fault", Value: &Fault{}}, goldentest.Form{Name: "subject", Value: &Subject{}})
 }
 
 // TestGoldenStore: a store that an earlier build has written is opened, and holds what it held.
 func TestGoldenStore(t *testing.T) {
-	goldentest.File(t, "store.db", fileName, func(dir string) {
+	goldentest.Regenerate(t, "store.db", fileName, func(dir string) {
 		s := openStore(t, dir)
 		put(t, s, "a", "b", "c")
 		if err := s.Close(); err != nil {
--- a/internal/deadletter/inflight.go
+++ b/internal/deadletter/inflight.go
@@ -1,12 +1,12 @@
 package deadletter
 
-// Underway knows the messages of each topic that were taken on and have not ended.
-type Underway struct {
+// InFlightMessages knows the messages of each topic that were taken on and have not ended.
+type InFlightMessages struct {
 	orders map[Topic]map[string]Order
 }
 
-// Taken notes a message that was taken on, and Ended that it has ended.
-func (u *Underway) Taken(id string, t Topic, order Order) {
+// Add notes a message that was taken on, and Ended that it has ended.
+func (u *InFlightMessages) Add(id string, t Topic, order Order) {
 	if u.orders == nil {
 		u.orders = map[Topic]map[string]Order{}
 	}
@@ -16,27 +16,27 @@
 	u.orders[t][id] = order
 }
 
-// Ended notes that a message has ended, and is known to Newest where it should be.
-func (u *Underway) Ended(id string, t Topic) {
+// Remove notes that a message has ended, and is known to Newest where it should be.
+func (u *InFlightMessages) Remove(id string, t Topic) {
 	if delete(u.orders[t], id); len(u.orders[t]) == 0 {
 		delete(u.orders, t)
 	}
 }
 
-// After gives the newest message of a topic that is newer than a place in its order, or "". known is false where one is
+// NewestAfter gives the newest message of a topic that is newer than a place in its order, or "". known is false where one is
 // out whose subject can't be read: it may be of any topic of its class and partner.
-func (u *Underway) After(t Topic, order Order) (newest string, known bool) {
+func (u *InFlightMessages) NewestAfter(t Topic, order Order) (newest string, known bool) {
 	best := order
 	for id, at := range u.orders[t] {
 		if at.compare(best) > 0 {
 			newest, best = id, at
 		}
 	}
-	return newest, newest != "" || len(u.orders[Topic{Class: t.Class, Partner: t.Partner}]) == 0
+	return newest, newest != "" || len(u.orders[Topic{Class: t.Class, Destination: t.Destination}]) == 0
 }
 
-// Before gives the messages of a topic that come before a place in its order.
-func (u *Underway) Before(t Topic, order Order) (older []string) {
+// OlderThan gives the messages of a topic that come before a place in its order.
+func (u *InFlightMessages) OlderThan(t Topic, order Order) (older []string) {
 	for id, at := range u.orders[t] {
 		if at.compare(order) < 0 {
 			older = append(older, id)
--- a/internal/deadletter/messages.go
+++ b/internal/deadletter/messages.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// Kept is a message as it is handed over.
-type Kept struct {
+// Message is a message as it is handed over.
+type Message struct {
 	Record
 	Body []byte
 }
@@ -20,7 +20,7 @@
 
 // Put keeps messages. One whose id is there already changes nothing: after a crash the journal hands it over again.
 // Where there is no room for all, none is kept, and the error is ErrFull.
-func (s *Store) Put(messages []Kept) error {
+func (s *Store) Put(messages []Message) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		t, err := readTotals(tx)
 		if err != nil {
@@ -36,7 +36,7 @@
 }
 
 // putMessage stores one message.
-func (s *Store) putMessage(tx *bbolt.Tx, t *Totals, m *Kept) error {
+func (s *Store) putMessage(tx *bbolt.Tx, t *Totals, m *Message) error {
 	if stored, err := s.replaceRejected(tx, t, m); stored || err != nil {
 		return err
 	}
@@ -55,10 +55,10 @@
 	if err := tx.Bucket(bodiesBucket).Put(recordKey(n), addChecksum(m.Body)); err != nil {
 		return fmt.Errorf("body of %s: %w", m.ID, err)
 	}
-	if err := indexIDs(tx, n, m.Lives); err != nil {
+	if err := indexIDs(tx, n, m.Incarnations); err != nil {
 		return err
 	}
-	if err := updateDue(tx, m.Partner, n, time.Time{}, m.Due); err != nil {
+	if err := updateDue(tx, m.Destination, n, time.Time{}, m.Due); err != nil {
 		return err
 	}
 	if err := s.updateSubject(tx, &m.Record, n, false, !m.State.Ended() && !m.neverAccepted()); err != nil {
@@ -72,8 +72,8 @@
 
 // replaceRejected looks for a message that is stored under one of the ids already, and reports true if it stays. One that was
 // rejected at its arrival, and was accepted later under its old id, makes room.
-func (s *Store) replaceRejected(tx *bbolt.Tx, t *Totals, m *Kept) (stored bool, err error) {
-	for _, life := range m.Lives {
+func (s *Store) replaceRejected(tx *bbolt.Tx, t *Totals, m *Message) (stored bool, err error) {
+	for _, life := range m.Incarnations {
 		k := tx.Bucket(idsBucket).Get([]byte(life.ID))
 		if k == nil {
 			continue
@@ -90,7 +90,7 @@
 }
 
 // indexIDs has a record found by the ids of its lives.
-func indexIDs(tx *bbolt.Tx, n uint64, lives []Life) error {
+func indexIDs(tx *bbolt.Tx, n uint64, lives []Incarnation) error {
 	ids := tx.Bucket(idsBucket)
 	for _, life := range lives {
 		if err := ids.Put([]byte(life.ID), recordKey(n)); err != nil {
@@ -194,10 +194,10 @@
 	if err := writeRecord(tx.Bucket(recordsBucket), n, r); err != nil {
 		return err
 	}
-	if err := indexIDs(tx, n, r.Lives[min(len(before.Lives), len(r.Lives)):]); err != nil {
+	if err := indexIDs(tx, n, r.Incarnations[min(len(before.Incarnations), len(r.Incarnations)):]); err != nil {
 		return err
 	}
-	if err := updateDue(tx, r.Partner, n, before.Due, r.Due); err != nil {
+	if err := updateDue(tx, r.Destination, n, before.Due, r.Due); err != nil {
 		return err
 	}
 	if before.State == r.State {
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -95,13 +95,13 @@
 // deliveredUnreadable notes a delivered message whose subject could not be read: it may be of any subject of its class and
 // destination.
 func (n *Newest) deliveredUnreadable(e *trackingEpoch, t Topic, o Order) {
-	if o.Arrival <= e.Unreadable[t.Partner] {
+	if o.Arrival <= e.Unreadable[t.Destination] {
 		return
 	}
 	if e.Unreadable == nil {
 		e.Unreadable = map[int]int64{}
 	}
-	e.Unreadable[t.Partner] = o.Arrival
+	e.Unreadable[t.Destination] = o.Arrival
 	n.storage.setEpoch(t.Class, e)
 }
 
@@ -123,8 +123,8 @@
 	}
 }
 
-// After gives the id of a newer message of the same topic, or "". known says whether an empty answer can be relied on.
-func (n *Newest) After(r *Record) (id string, known bool) {
+// NewerThan gives the id of a newer message of the same topic, or "". known says whether an empty answer can be relied on.
+func (n *Newest) NewerThan(r *Record) (id string, known bool) {
 	if r.Subject == "" || r.Order == nil {
 		return "", false // nobody can say what it would overwrite
 	}
@@ -144,6 +144,6 @@
 	if l := n.storage.waiting(t, e.Version); l != nil && l.Order.compare(best.Order) > 0 {
 		best = *l
 	}
-	known = known && n.exclusive && !r.Lives[0].Taken.Before(e.Since.Add(n.settlingTime)) && r.Order.Arrival >= e.Unreadable[t.Partner]
+	known = known && n.exclusive && !r.Incarnations[0].AcceptedAt.Before(e.Since.Add(n.settlingTime)) && r.Order.Arrival >= e.Unreadable[t.Destination]
 	return best.ID, known || best.ID != ""
 }
--- a/internal/deadletter/newest_test.go
+++ b/internal/deadletter/newest_test.go
@@ -66,8 +66,8 @@
 
 // about is a message of a topic of partner 3, first taken on a minute before noon.
 func about(subject string, o Order) *Record {
-	r := record(life("a", OutOfTime))
-	r.Subject, r.Order, r.Partner = subject, &o, 3
+	r := record(life("a", DeadlineExceeded))
+	r.Subject, r.Order, r.Destination = subject, &o, 3
 	return r
 }
 
@@ -79,8 +79,8 @@
 }
 
 func TestSuperseded(t *testing.T) {
-	c := class(Safe)
-	c.Subject = true
+	c := class(Idempotent)
+	c.HasSubject = true
 	s := Topic{"c", 3, "s"}
 	for name, x := range map[string]struct {
 		tell    func(n *Newest, shelf *memorySubjects)
@@ -101,7 +101,7 @@
 			func(n *Newest, _ *memorySubjects) { n.exclusive = false; n.Delivered("b", s, at(6)) },
 			about("s", at(5)), "b", false,
 		},
-		"no subject in the message":  {func(*Newest, *memorySubjects) {}, record(life("a", OutOfTime)), "", false},
+		"no subject in the message":  {func(*Newest, *memorySubjects) {}, record(life("a", DeadlineExceeded)), "", false},
 		"its class is not read":      {func(_ *Newest, p *memorySubjects) { p.eras["c"] = nil }, about("s", at(5)), "", false},
 		"a newer one was forgotten":  {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n) }, about("s", at(5)), "", false},
 		"newer than all forgotten":   {func(n *Newest, _ *memorySubjects) { n.Delivered("b", s, at(6)); fill(n) }, about("s", at(7)), "", true},
@@ -139,7 +139,7 @@
 	} {
 		n, shelf := known(4)
 		x.tell(n, shelf)
-		if v := Allowed(c, x.rec, n.After, noon); v.Superseded != x.by || v.Allowed != x.allowed || v.Why == "" {
+		if v := Allowed(c, x.rec, n.NewerThan, noon); v.Superseded != x.by || v.Allowed != x.allowed || v.Reason == "" {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
@@ -148,8 +148,8 @@
 // Whatever is delivered in whatever order, and whatever is forgotten: no message is let through that a newer one of its
 // topic was delivered before. The shelf of the store tells the same as one in memory.
 func TestNoNewerOneIsOverwritten(t *testing.T) {
-	c := class(Safe)
-	c.Subject = true
+	c := class(Idempotent)
+	c.HasSubject = true
 	through := 0
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
@@ -159,7 +159,7 @@
 			t.Fatal(err)
 		}
 		defer s.Close()
-		if err := s.Topics(parcels(func(s *Section) { s.SubjectsMost = most }), false, noon.Add(-time.Hour)); err != nil {
+		if err := s.TrackSubjects(parcels(func(s *Section) { s.MaxSubjects = most }), false, noon.Add(-time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		best := map[Topic]Order{}
@@ -167,7 +167,7 @@
 			topic := Topic{"c", rapid.IntRange(1, 2).Draw(t, "partner"), fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "subject"))}
 			o := at(int64(rapid.IntRange(0, 30).Draw(t, "order")))
 			n.Delivered(fmt.Sprint(i), topic, o)
-			if err := s.Delivered([]Note{{fmt.Sprint(i), topic, o}}); err != nil {
+			if err := s.RecordDelivered([]Delivery{{fmt.Sprint(i), topic, o}}); err != nil {
 				t.Fatal(err)
 			}
 			if was, ok := best[topic]; !ok || o.compare(was) > 0 {
@@ -175,8 +175,8 @@
 			}
 		}
 		r := about(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "of")), at(int64(rapid.IntRange(0, 30).Draw(t, "at"))))
-		r.Partner = rapid.IntRange(1, 2).Draw(t, "to")
-		v := Allowed(c, r, n.After, noon)
+		r.Destination = rapid.IntRange(1, 2).Draw(t, "to")
+		v := Allowed(c, r, n.NewerThan, noon)
 		if w := Allowed(c, r, s.Newer, noon); w != v {
 			t.Fatalf("in the store %+v, in memory %+v", w, v)
 		}
@@ -193,31 +193,31 @@
 }
 
 func TestUnderway(t *testing.T) {
-	var u Underway
+	var u InFlightMessages
 	s := Topic{"c", 3, "s"}
 	after := func(o Order, want string, known bool) {
 		t.Helper()
-		if got, ok := u.After(s, o); got != want || ok != known {
+		if got, ok := u.NewestAfter(s, o); got != want || ok != known {
 			t.Errorf("after %v: %q, %v", o.Whole, got, ok)
 		}
 	}
 	after(at(1), "", true)
-	u.Taken("b", s, at(4))
-	u.Taken("d", s, at(6))
-	u.Taken("e", Topic{"c", 4, "s"}, at(9))
+	u.Add("b", s, at(4))
+	u.Add("d", s, at(6))
+	u.Add("e", Topic{"c", 4, "s"}, at(9))
 	after(at(5), "d", true)
 	after(at(6), "", true)
-	if got := u.Before(s, at(5)); len(got) != 1 || got[0] != "b" {
+	if got := u.OlderThan(s, at(5)); len(got) != 1 || got[0] != "b" {
 		t.Errorf("before 5: %v", got)
 	}
-	u.Taken("x", Topic{"c", 3, ""}, Order{})
+	u.Add("x", Topic{"c", 3, ""}, Order{})
 	after(at(6), "", false)
 	after(at(3), "d", true)
-	u.Ended("d", s)
-	u.Ended("x", Topic{"c", 3, ""})
+	u.Remove("d", s)
+	u.Remove("x", Topic{"c", 3, ""})
 	after(at(5), "", true)
-	u.Ended("b", s)
-	u.Ended("e", Topic{"c", 4, "s"})
+	u.Remove("b", s)
+	u.Remove("e", Topic{"c", 4, "s"})
 	if len(u.orders) != 0 {
 		t.Errorf("left: %v", u.orders)
 	}
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -7,14 +7,14 @@
 // Version is the form of records as they are written; older ones are still read.
 const Version = 1
 
-// Ran says what is known of whether an attempt had its effect.
-type Ran string
+// Execution says what is known of whether an attempt had its effect.
+type Execution string
 
 // What may be known. An attempt of which nothing is known may have run.
 const (
-	Never Ran = "never"
-	May   Ran = "may"
-	Did   Ran = "did"
+	NotExecuted      Execution = "never"
+	ExecutionUnknown Execution = "may"
+	Executed         Execution = "did"
 )
 
 // Reason says why a message was not delivered.
@@ -22,43 +22,43 @@
 
 // The reasons.
 const (
-	RefusedLate  Reason = "refused-late"     // handed back after it had been taken on
-	OutOfTime    Reason = "out-of-time"      // its time was up
-	Spent        Reason = "attempts-spent"   // it had all its attempts
-	Doubtful     Reason = "may-have-run"     // it may have run, and may not be repeated
-	Settings     Reason = "settings-changed" // its class or partner is no longer known
-	ProcessEnded Reason = "process-ended"    // it was over when a later process took it up
-	Overtaken    Reason = "overtaken"        // a newer message came before its resend, or while that was out
-	AtArrival    Reason = "refused"          // never taken on: refused at its arrival
+	ShedAfterAcceptance Reason = "refused-late"     // handed back after it had been taken on
+	DeadlineExceeded    Reason = "out-of-time"      // its time was up
+	AttemptsExhausted   Reason = "attempts-spent"   // it had all its attempts
+	OutcomeUnknown      Reason = "may-have-run"     // it may have run, and may not be repeated
+	SettingsChanged     Reason = "settings-changed" // its class or partner is no longer known
+	ProcessEnded        Reason = "process-ended"    // it was over when a later process took it up
+	OvertakenByNewer    Reason = "overtaken"        // a newer message came before its resend, or while that was out
+	RejectedOnArrival   Reason = "refused"          // never taken on: refused at its arrival
 )
 
 // reasons are all of them, as rules may name them.
-var reasons = []Reason{RefusedLate, OutOfTime, Spent, Doubtful, Settings, ProcessEnded, Overtaken, AtArrival}
+var reasons = []Reason{ShedAfterAcceptance, DeadlineExceeded, AttemptsExhausted, OutcomeUnknown, SettingsChanged, ProcessEnded, OvertakenByNewer, RejectedOnArrival}
 
 // Attempt is one call that was made for a message.
 type Attempt struct {
-	Host    string    `json:"host"`
-	Begun   time.Time `json:"begun"`
-	Ended   time.Time `json:"ended,omitzero"`
-	Outcome string    `json:"outcome,omitempty"`
-	Ran     Ran       `json:"ran"`
+	Endpoint  string    `json:"host"`
+	StartedAt time.Time `json:"begun"`
+	EndedAt   time.Time `json:"ended,omitzero"`
+	Outcome   string    `json:"outcome,omitempty"`
+	Execution Execution `json:"ran"`
 }
 
-// Life is one time that a message was taken on, from the first to the last resend.
-type Life struct {
-	ID       string    `json:"id"`
-	Relay    string    `json:"relay"`
-	Taken    time.Time `json:"taken"`
-	Expires  time.Time `json:"expires"` // the client's deadline, or the resend's
-	Over     time.Time `json:"over"`
-	Reason   Reason    `json:"reason"`
-	Status   string    `json:"status"` // of the notice
-	Attempts []Attempt `json:"attempts"`
-	Attest   *Attest   `json:"attest,omitempty"` // on which it was resent
+// Incarnation is one time that a message was taken on, from the first to the last resend.
+type Incarnation struct {
+	ID          string       `json:"id"`
+	Relay       string       `json:"relay"`
+	AcceptedAt  time.Time    `json:"taken"`
+	Deadline    time.Time    `json:"expires"` // the client's deadline, or the resend's
+	CompletedAt time.Time    `json:"over"`
+	Reason      Reason       `json:"reason"`
+	Status      string       `json:"status"` // of the notice
+	Attempts    []Attempt    `json:"attempts"`
+	Attestation *Attestation `json:"attest,omitempty"` // on which it was resent
 }
 
-// Attest is a named operator's word that a partner does not have a message. It serves for one resend.
-type Attest struct {
+// Attestation is a named operator's word that a partner does not have a message. It serves for one resend.
+type Attestation struct {
 	By       string    `json:"by"`
 	Evidence string    `json:"evidence"`
 	At       time.Time `json:"at"`
@@ -70,12 +70,12 @@
 
 // The states. Held, Due and Out are open; the rest are ends.
 const (
-	Held       State = "held"
-	Due        State = "due" // by a rule, or because an operator asked
-	Out        State = "out" // being resent
-	Delivered  State = "delivered"
-	Superseded State = "superseded"
-	Discarded  State = "discarded"
+	Held         State = "held"
+	Due          State = "due" // by a rule, or because an operator asked
+	Redelivering State = "out" // being resent
+	Delivered    State = "delivered"
+	Superseded   State = "superseded"
+	Discarded    State = "discarded"
 )
 
 // Ended tells whether nothing more will be done for a message.
@@ -83,52 +83,52 @@
 
 // Record is a message as it is kept. The first life's id is its name for good.
 type Record struct {
-	Version  int       `json:"version"`
-	ID       string    `json:"id"`
-	Class    string    `json:"class"`
-	Tenant   string    `json:"tenant,omitempty"`
-	Partner  int       `json:"partner"`
-	Key      string    `json:"key,omitempty"`
-	Item     string    `json:"item,omitempty"`    // what its class keeps order by
-	Subject  string    `json:"subject,omitempty"` // what it is about, where the operator names that
-	Order    *Order    `json:"order,omitempty"`
-	Lives    []Life    `json:"lives"`
-	State    State     `json:"state"`
-	Why      string    `json:"why,omitempty"`   // of its state, in words
-	Since    time.Time `json:"since"`           // of its state
-	Due      time.Time `json:"due,omitzero"`    // when to look at it again by itself
-	Asked    bool      `json:"asked,omitempty"` // an operator wants it resent
-	Kept     bool      `json:"kept,omitempty"`  // by an operator: no rule resends it
-	Attests  []Attest  `json:"attests,omitempty"`
-	BodySize int       `json:"body_size"`
+	Version             int           `json:"version"`
+	ID                  string        `json:"id"`
+	Class               string        `json:"class"`
+	Tenant              string        `json:"tenant,omitempty"`
+	Destination         int           `json:"partner"`
+	IdempotencyKey      string        `json:"key,omitempty"`
+	OrderKey            string        `json:"item,omitempty"`    // what its class keeps order by
+	Subject             string        `json:"subject,omitempty"` // what it is about, where the operator names that
+	Order               *Order        `json:"order,omitempty"`
+	Incarnations        []Incarnation `json:"lives"`
+	State               State         `json:"state"`
+	Reason              string        `json:"why,omitempty"`   // of its state, in words
+	Since               time.Time     `json:"since"`           // of its state
+	Due                 time.Time     `json:"due,omitzero"`    // when to look at it again by itself
+	RequestedByOperator bool          `json:"asked,omitempty"` // an operator wants it resent
+	HeldByOperator      bool          `json:"kept,omitempty"`  // by an operator: no rule resends it
+	Attestations        []Attestation `json:"attests,omitempty"`
+	BodySize            int           `json:"body_size"`
 }
 
 // topic is what a message is about.
-func (r *Record) topic() Topic { return Topic{r.Class, r.Partner, r.Subject} }
+func (r *Record) topic() Topic { return Topic{r.Class, r.Destination, r.Subject} }
 
 // Last is the latest life.
-func (r *Record) Last() *Life { return &r.Lives[len(r.Lives)-1] }
+func (r *Record) Last() *Incarnation { return &r.Incarnations[len(r.Incarnations)-1] }
 
 // Attempts counts the attempts of the whole lineage.
 func (r *Record) Attempts() (n int) {
-	for i := range r.Lives {
-		n += len(r.Lives[i].Attempts)
+	for i := range r.Incarnations {
+		n += len(r.Incarnations[i].Attempts)
 	}
 	return n
 }
 
-// MayHaveRun gives the first attempt of the whole lineage that may have had its effect, or nil. An attempt before a
+// MayHaveExecuted gives the first attempt of the whole lineage that may have had its effect, or nil. An attempt before a
 // life that was resent on an attest does not count: a person has said that the partner does not have it.
-func (r *Record) MayHaveRun() *Attempt {
+func (r *Record) MayHaveExecuted() *Attempt {
 	from := 0
-	for i := range r.Lives {
-		if r.Lives[i].Attest != nil {
+	for i := range r.Incarnations {
+		if r.Incarnations[i].Attestation != nil {
 			from = i
 		}
 	}
-	for i := from; i < len(r.Lives); i++ {
-		for j := range r.Lives[i].Attempts {
-			if a := &r.Lives[i].Attempts[j]; a.Ran != Never {
+	for i := from; i < len(r.Incarnations); i++ {
+		for j := range r.Incarnations[i].Attempts {
+			if a := &r.Incarnations[i].Attempts[j]; a.Execution != NotExecuted {
 				return a
 			}
 		}
@@ -139,11 +139,11 @@
 // wasReturnedToClient tells whether the client was told that it may come again with the message, and nobody has vouched since
 // that it did not.
 func (r *Record) wasReturnedToClient() bool {
-	if r.Lives[0].Status != deferred && r.Lives[0].Reason != AtArrival {
+	if r.Incarnations[0].Status != deferred && r.Incarnations[0].Reason != RejectedOnArrival {
 		return false
 	}
-	for i := range r.Lives {
-		if r.Lives[i].Attest != nil {
+	for i := range r.Incarnations {
+		if r.Incarnations[i].Attestation != nil {
 			return false
 		}
 	}
@@ -151,7 +151,9 @@
 }
 
 // neverAccepted tells whether a message was never taken on.
-func (r *Record) neverAccepted() bool { return len(r.Lives) == 1 && r.Lives[0].Reason == AtArrival }
+func (r *Record) neverAccepted() bool {
+	return len(r.Incarnations) == 1 && r.Incarnations[0].Reason == RejectedOnArrival
+}
 
 // deferred is the status of a notice that hands a message back.
 const deferred = "deferred"
@@ -159,19 +161,19 @@
 // latest is the last time that the record knows of.
 func (r *Record) latest() time.Time {
 	t := r.Since
-	for i := range r.Lives {
-		if l := &r.Lives[i]; l.Over.After(t) {
-			t = l.Over
+	for i := range r.Incarnations {
+		if l := &r.Incarnations[i]; l.CompletedAt.After(t) {
+			t = l.CompletedAt
 		}
 	}
 	return t
 }
 
 // unusedAttestation gives an attest that was not used yet, or nil.
-func (r *Record) unusedAttestation() *Attest {
-	for i := range r.Attests {
-		if !r.Attests[i].Used {
-			return &r.Attests[i]
+func (r *Record) unusedAttestation() *Attestation {
+	for i := range r.Attestations {
+		if !r.Attestations[i].Used {
+			return &r.Attestations[i]
 		}
 	}
 	return nil
--- a/internal/deadletter/redelivery.go
+++ b/internal/deadletter/redelivery.go
@@ -22,20 +22,20 @@
 
 // Result is what became of a resend.
 type Result struct {
-	Life      Life // with the id under which it went
-	Delivered bool
-	Overtaken string // by this newer message, which was taken on before the resend left
+	Incarnation Incarnation // with the id under which it went
+	Delivered   bool
+	Overtaken   string // by this newer message, which was taken on before the resend left
 }
 
 // Offer is a message that is to be handed to the decision module as a background message.
 type Offer struct {
-	Record *Record
-	Life   *Life // its new one
+	Record      *Record
+	Incarnation *Incarnation // its new one
 }
 
-// Resender decides what of a store is resent when: which messages the rules want, in which order, and at which pace.
+// Redeliverer decides what of a store is resent when: which messages the rules want, in which order, and at which pace.
 // It is not safe for concurrent use; times come in as arguments.
-type Resender struct {
+type Redeliverer struct {
 	store     *Store
 	rules     []Rule
 	classes   map[string]*Class
@@ -47,21 +47,21 @@
 	sweepFrom uint64
 }
 
-// NewResender decides for a store. newID makes ids that nobody else uses.
-func NewResender(store *Store, rules []Rule, classes []Class, relay string, newID func() string) *Resender {
-	r := &Resender{
+// NewRedeliverer decides for a store. newID makes ids that nobody else uses.
+func NewRedeliverer(store *Store, rules []Rule, classes []Class, relay string, newID func() string) *Redeliverer {
+	r := &Redeliverer{
 		store: store, rules: rules, classes: map[string]*Class{}, relay: relay, newID: newID,
 		throttles: map[int]*throttle{},
 	}
-	r.Reclass(classes)
+	r.SetClasses(classes)
 	return r
 }
 
-// Through has resends go through a gate from now on.
-func (r *Resender) Through(g Gate) { r.gate = g }
+// SetGate has resends go through a gate from now on.
+func (r *Redeliverer) SetGate(g Gate) { r.gate = g }
 
-// Reclass has the classes be others from now on.
-func (r *Resender) Reclass(classes []Class) {
+// SetClasses has the classes be others from now on.
+func (r *Redeliverer) SetClasses(classes []Class) {
 	clear(r.classes)
 	for i := range classes {
 		r.classes[classes[i].Name] = &classes[i]
@@ -69,10 +69,10 @@
 }
 
 // Sweep has every message that is held looked at again: the rules are others than before.
-func (r *Resender) Sweep() { r.sweepFrom = 1 }
+func (r *Redeliverer) Sweep() { r.sweepFrom = 1 }
 
 // continueSweep goes on with a sweep.
-func (r *Resender) continueSweep(now time.Time) error {
+func (r *Redeliverer) continueSweep(now time.Time) error {
 	page, next, _, err := r.store.Page(r.sweepFrom, sweepBatch, 10*sweepBatch, func(rec *Record) bool { return rec.State == Held && rec.Due.IsZero() })
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 
 // Round looks at what is due, writes down what the rules make of it, and gives what is to be offered to the module.
 // holds says whether the relay still has a message under an id.
-func (r *Resender) Round(now time.Time, holds func(id string) bool) (offers []Offer, err error) {
+func (r *Redeliverer) Round(now time.Time, holds func(id string) bool) (offers []Offer, err error) {
 	if r.sweepFrom > 0 {
 		if err := r.continueSweep(now); err != nil {
 			return nil, err
@@ -116,36 +116,36 @@
 }
 
 // decide decides on one message.
-func (r *Resender) decide(rec *Record, now time.Time, holds func(id string) bool) (offer *Offer, err error) {
-	if rec.State == Out {
+func (r *Redeliverer) decide(rec *Record, now time.Time, holds func(id string) bool) (offer *Offer, err error) {
+	if rec.State == Redelivering {
 		return nil, r.handleLost(rec, now, holds)
 	}
-	l := r.throttle(rec.Partner, now)
+	l := r.throttle(rec.Destination, now)
 	newer := r.newerOf(rec)
 	err = r.store.Change(rec.ID, func(rec *Record) (time.Time, error) {
 		p := r.plan(rec, newer, now)
-		if p.Action != Resend {
+		if p.Action != Redeliver {
 			return r.applyPlan(rec, p, now), nil
 		}
-		if l.inFlight != "" || !r.passGate(l, rec.Partner, now) || !l.takeToken(p.Rate, now) {
+		if l.inFlight != "" || !r.passGate(l, rec.Destination, now) || !l.takeToken(p.Rate, now) {
 			return rec.Due, errLater
 		}
-		life := Life{ID: r.newID(), Relay: r.relay, Taken: now, Expires: now.Add(r.timeToLive(rec))}
-		if p.Use != nil {
-			p.Use.Used = true
-			used := *p.Use
-			life.Attest = &used
+		life := Incarnation{ID: r.newID(), Relay: r.relay, AcceptedAt: now, Deadline: now.Add(r.timeToLive(rec))}
+		if p.Attestation != nil {
+			p.Attestation.Used = true
+			used := *p.Attestation
+			life.Attestation = &used
 		}
-		rec.Lives = append(rec.Lives, life)
-		rec.State, rec.Since, rec.Why = Out, now, p.Why
-		offer = &Offer{Record: rec, Life: rec.Last()}
-		return life.Expires.Add(lostAfter), nil
+		rec.Incarnations = append(rec.Incarnations, life)
+		rec.State, rec.Since, rec.Reason = Redelivering, now, p.Reason
+		offer = &Offer{Record: rec, Incarnation: rec.Last()}
+		return life.Deadline.Add(lostAfter), nil
 	})
 	if errors.Is(err, errLater) {
 		return nil, nil
 	}
 	if err == nil && offer != nil {
-		l.inFlight, l.lostAt = offer.Life.ID, offer.Life.Expires.Add(lostAfter)
+		l.inFlight, l.lostAt = offer.Incarnation.ID, offer.Incarnation.Deadline.Add(lostAfter)
 	}
 	return offer, err
 }
@@ -155,8 +155,8 @@
 
 // newerOf looks up what has overtaken a message: before the transaction that changes it, as a store can't be read by
 // another one within that.
-func (r *Resender) newerOf(rec *Record) Newer {
-	if c := r.classes[rec.Class]; c == nil || !c.Subject {
+func (r *Redeliverer) newerOf(rec *Record) Newer {
+	if c := r.classes[rec.Class]; c == nil || !c.HasSubject {
 		return nil // nobody will ask
 	}
 	by, known := r.store.Newer(rec)
@@ -164,18 +164,18 @@
 }
 
 // plan is what the rules, or an operator who asked for it, make of a message.
-func (r *Resender) plan(rec *Record, newer Newer, now time.Time) Plan {
+func (r *Redeliverer) plan(rec *Record, newer Newer, now time.Time) Plan {
 	c := r.classes[rec.Class]
-	if rec.State == Due && rec.Asked {
-		rule := Rule{Action: Resend, Most: len(rec.Lives) + 1, Rate: 1}
+	if rec.State == Due && rec.RequestedByOperator {
+		rule := Rule{Action: Redeliver, MaxIncarnations: len(rec.Incarnations) + 1, Rate: 1}
 		return rule.resend(c, rec, newer, now)
 	}
 	return Decide(r.rules, c, rec, newer, now)
 }
 
 // applyPlan writes down a plan other than a resend, and gives when to look again.
-func (r *Resender) applyPlan(rec *Record, p Plan, now time.Time) time.Time {
-	rec.Why, rec.Since, rec.Asked = p.Why, now, false
+func (r *Redeliverer) applyPlan(rec *Record, p Plan, now time.Time) time.Time {
+	rec.Reason, rec.Since, rec.RequestedByOperator = p.Reason, now, false
 	switch p.Action {
 	case Discard:
 		rec.State = Discarded
@@ -189,6 +189,6 @@
 }
 
 // timeToLive is how long a resend may take: as long as the message had when it was first taken on.
-func (r *Resender) timeToLive(rec *Record) time.Duration {
-	return max(time.Second, rec.Lives[0].Expires.Sub(rec.Lives[0].Taken))
+func (r *Redeliverer) timeToLive(rec *Record) time.Duration {
+	return max(time.Second, rec.Incarnations[0].Deadline.Sub(rec.Incarnations[0].AcceptedAt))
 }
--- a/internal/deadletter/redelivery_result.go
+++ b/internal/deadletter/redelivery_result.go
@@ -8,26 +8,26 @@
 
 // handleLost looks at a resend whose time is long over. Where the relay does not have it, it can't be told whether it went:
 // its process was killed before it was journalled, or its machine was lost with the journal.
-func (r *Resender) handleLost(rec *Record, now time.Time, holds func(id string) bool) error {
+func (r *Redeliverer) handleLost(rec *Record, now time.Time, holds func(id string) bool) error {
 	if holds(rec.Last().ID) {
 		return r.store.Change(rec.ID, func(*Record) (time.Time, error) { return now.Add(lostAfter), nil })
 	}
 	life := *rec.Last()
-	life.Over, life.Reason, life.Status = now, ProcessEnded, "unknown"
-	life.Attempts = append(life.Attempts, Attempt{Begun: life.Taken, Outcome: "unknown", Ran: May})
-	return r.Return([]Result{{Life: life}}, now)
+	life.CompletedAt, life.Reason, life.Status = now, ProcessEnded, "unknown"
+	life.Attempts = append(life.Attempts, Attempt{StartedAt: life.AcceptedAt, Outcome: "unknown", Execution: ExecutionUnknown})
+	return r.HandleResults([]Result{{Incarnation: life}}, now)
 }
 
-// Return takes in what became of resends. One that is told again changes nothing.
-func (r *Resender) Return(results []Result, now time.Time) error {
+// HandleResults takes in what became of resends. One that is told again changes nothing.
+func (r *Redeliverer) HandleResults(results []Result, now time.Time) error {
 	for i := range results {
 		res := &results[i]
 		partner, news := 0, false
-		err := r.store.Change(res.Life.ID, func(rec *Record) (time.Time, error) {
-			if rec.State != Out || rec.Last().ID != res.Life.ID {
+		err := r.store.Change(res.Incarnation.ID, func(rec *Record) (time.Time, error) {
+			if rec.State != Redelivering || rec.Last().ID != res.Incarnation.ID {
 				return rec.Due, nil // told before
 			}
-			partner, news = rec.Partner, true
+			partner, news = rec.Destination, true
 			return rec.applyResult(res, now), nil
 		})
 		if errors.Is(err, ErrUnknown) {
@@ -45,29 +45,29 @@
 
 // applyResult changes a record by the result of its redelivery, and returns when to look at it again.
 func (r *Record) applyResult(res *Result, now time.Time) time.Time {
-	r.Since, r.Asked = now, r.Asked && len(res.Life.Attempts) == 0
+	r.Since, r.RequestedByOperator = now, r.RequestedByOperator && len(res.Incarnation.Attempts) == 0
 	switch {
 	case res.Delivered:
 		r.endLife(res)
-		r.State, r.Why = Delivered, "delivered as "+r.Last().ID
+		r.State, r.Reason = Delivered, "delivered as "+r.Last().ID
 		return time.Time{}
-	case res.Overtaken != "" && len(res.Life.Attempts) > 0: // in flight already: whether it had its effect is not known
+	case res.Overtaken != "" && len(res.Incarnation.Attempts) > 0: // in flight already: whether it had its effect is not known
 		r.endLife(res)
-		r.State, r.Why = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", res.Overtaken, r.Subject)
+		r.State, r.Reason = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", res.Overtaken, r.Subject)
 		return time.Time{}
-	case len(res.Life.Attempts) == 0:
+	case len(res.Incarnation.Attempts) == 0:
 		r.cancelLife()
-		r.Why = "the relay had no room for it"
+		r.Reason = "the relay had no room for it"
 		if res.Overtaken != "" {
-			r.State, r.Why = Superseded, fmt.Sprintf("a newer message of %q, %s, has overtaken it", r.Subject, res.Overtaken)
+			r.State, r.Reason = Superseded, fmt.Sprintf("a newer message of %q, %s, has overtaken it", r.Subject, res.Overtaken)
 			return time.Time{}
 		}
 	default:
 		r.endLife(res)
-		r.Why = fmt.Sprintf("its resend %s was not delivered: %s", r.Last().ID, r.Last().Reason)
+		r.Reason = fmt.Sprintf("its resend %s was not delivered: %s", r.Last().ID, r.Last().Reason)
 	}
 	r.State = Held
-	if r.Asked {
+	if r.RequestedByOperator {
 		r.State = Due
 	}
 	return now
@@ -75,20 +75,20 @@
 
 // endLife replaces the latest life by what a redelivery has made of it.
 func (r *Record) endLife(res *Result) {
-	attest := r.Last().Attest
-	*r.Last() = res.Life
-	r.Last().Attest = attest
+	attest := r.Last().Attestation
+	*r.Last() = res.Incarnation
+	r.Last().Attestation = attest
 }
 
 // cancelLife drops the latest life: it never left the relay, and no attestation is used up by it.
 func (r *Record) cancelLife() {
-	attest := r.Last().Attest
-	r.Lives = r.Lives[:len(r.Lives)-1]
+	attest := r.Last().Attestation
+	r.Incarnations = r.Incarnations[:len(r.Incarnations)-1]
 	if attest == nil {
 		return
 	}
-	for i := range r.Attests {
-		if a := &r.Attests[i]; a.At.Equal(attest.At) && a.By == attest.By {
+	for i := range r.Attestations {
+		if a := &r.Attestations[i]; a.At.Equal(attest.At) && a.By == attest.By {
 			a.Used = false
 		}
 	}
--- a/internal/deadletter/removal.go
+++ b/internal/deadletter/removal.go
@@ -37,10 +37,10 @@
 	if err != nil {
 		return err
 	}
-	if t.Left == nil {
-		t.Left = map[string]int{}
+	if t.RemovedByBound == nil {
+		t.RemovedByBound = map[string]int{}
 	}
-	t.Left[r.Class+" of "+r.Tenant]++
+	t.RemovedByBound[r.Class+" of "+r.Tenant]++
 	return s.deleteRecord(tx, t, k, r)
 }
 
@@ -49,10 +49,10 @@
 	if err := s.updateSubject(tx, r, binary.BigEndian.Uint64(k), !r.State.Ended(), false); err != nil {
 		return err
 	}
-	if err := updateDue(tx, r.Partner, binary.BigEndian.Uint64(k), r.Due, time.Time{}); err != nil {
+	if err := updateDue(tx, r.Destination, binary.BigEndian.Uint64(k), r.Due, time.Time{}); err != nil {
 		return err
 	}
-	for _, l := range r.Lives {
+	for _, l := range r.Incarnations {
 		if err := tx.Bucket(idsBucket).Delete([]byte(l.ID)); err != nil {
 			return fmt.Errorf("id %s: %w", l.ID, err)
 		}
@@ -66,8 +66,8 @@
 	return changeGroup(tx, r.Class, r.Tenant, -1, -int64(r.BodySize))
 }
 
-// Unkept lists by id what could not be kept, with the reason.
-func (s *Store) Unkept(ids []string, why string, at time.Time) error {
+// MarkDropped lists by id what could not be kept, with the reason.
+func (s *Store) MarkDropped(ids []string, why string, at time.Time) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		t, err := readTotals(tx)
 		if err != nil {
@@ -81,14 +81,14 @@
 			if err := b.Put([]byte(id), []byte(at.UTC().Format(time.RFC3339)+" "+why)); err != nil {
 				return fmt.Errorf("id %s: %w", id, err)
 			}
-			t.Unkept++
+			t.Dropped++
 		}
 		return writeTotals(tx, t)
 	})
 }
 
-// UnkeptIDs lists what could not be kept.
-func (s *Store) UnkeptIDs() (ids []string, err error) {
+// DroppedIDs lists what could not be kept.
+func (s *Store) DroppedIDs() (ids []string, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		return tx.Bucket(droppedBucket).ForEach(func(k, _ []byte) error {
 			ids = append(ids, string(k))
--- a/internal/deadletter/resend_test.go
+++ b/internal/deadletter/resend_test.go
@@ -8,29 +8,29 @@
 
 // desk is a resender with a store and a relay that the test plays.
 type desk struct {
-	*Resender
+	*Redeliverer
 	t    *testing.T
 	now  time.Time
 	held map[string]bool
 }
 
-func newDesk(t *testing.T, effect Effect, rules ...Rule) *desk {
+func newDesk(t *testing.T, effect Idempotency, rules ...Rule) *desk {
 	t.Helper()
 	n := 0
 	id := func() string { n++; return fmt.Sprint("r", n) }
-	classes := []Class{{Name: "fee-payment", Effect: effect, Memory: 15 * time.Second, Attempts: 12}}
-	return &desk{NewResender(openStore(t, t.TempDir()), rules, classes, "relay", id), t, noon, map[string]bool{}}
+	classes := []Class{{Name: "fee-payment", Idempotency: effect, KeyTTL: 15 * time.Second, MaxAttempts: 12}}
+	return &desk{NewRedeliverer(openStore(t, t.TempDir()), rules, classes, "relay", id), t, noon, map[string]bool{}}
 }
 
-var always = Rule{Action: Resend, Most: 9, Rate: 1000}
+var always = Rule{Action: Redeliver, MaxIncarnations: 9, Rate: 1000}
 
 // keep puts messages in that were given up at noon without having run.
 func (d *desk) keep(ids ...string) {
 	d.t.Helper()
 	for _, id := range ids {
 		k := kept(id)
-		k.Lives[0].Attempts[0].Ran, k.Due = Never, noon
-		if err := d.store.Put([]Kept{k}); err != nil {
+		k.Incarnations[0].Attempts[0].Execution, k.Due = NotExecuted, noon
+		if err := d.store.Put([]Message{k}); err != nil {
 			d.t.Fatal(err)
 		}
 	}
@@ -45,16 +45,16 @@
 		d.t.Fatal(err)
 	}
 	for _, o := range offers {
-		ids += o.Record.ID + "=" + o.Life.ID + " "
+		ids += o.Record.ID + "=" + o.Incarnation.ID + " "
 	}
 	return ids
 }
 
 func (d *desk) returns(id string, delivered bool, attempts ...Attempt) {
 	d.t.Helper()
-	r := Result{Life: Life{ID: id, Reason: Spent, Over: d.now, Attempts: attempts}, Delivered: delivered}
+	r := Result{Incarnation: Incarnation{ID: id, Reason: AttemptsExhausted, CompletedAt: d.now, Attempts: attempts}, Delivered: delivered}
 	for range 2 { // told twice, as after a crash
-		if err := d.Return([]Result{r}, d.now); err != nil {
+		if err := d.HandleResults([]Result{r}, d.now); err != nil {
 			d.t.Fatal(err)
 		}
 	}
@@ -63,23 +63,23 @@
 func (d *desk) is(id string, s State, lives int) *Record {
 	d.t.Helper()
 	r, err := d.store.Get(id)
-	if err != nil || r.State != s || len(r.Lives) != lives {
-		d.t.Errorf("%s is %s with %d lives (%s), want %s with %d; %v", id, r.State, len(r.Lives), r.Why, s, lives, err)
+	if err != nil || r.State != s || len(r.Incarnations) != lives {
+		d.t.Errorf("%s is %s with %d lives (%s), want %s with %d; %v", id, r.State, len(r.Incarnations), r.Reason, s, lives, err)
 	}
 	return r
 }
 
 func TestAResendIsDelivered(t *testing.T) {
-	d := newDesk(t, Unsafe, always)
+	d := newDesk(t, NotIdempotent, always)
 	d.keep("a", "b")
 	if got := d.round(0); got != "a=r1 " {
 		t.Fatalf("offered %q", got)
 	}
-	d.is("a", Out, 2)
+	d.is("a", Redelivering, 2)
 	if got := d.round(10 * time.Second); got != "" {
 		t.Errorf("offered %q while one is out there", got)
 	}
-	d.returns("r1", true, Attempt{Host: "h", Begun: d.now, Ran: Did})
+	d.returns("r1", true, Attempt{Endpoint: "h", StartedAt: d.now, Execution: Executed})
 	r := d.is("a", Delivered, 2)
 	if r.Last().ID != "r1" || len(r.Last().Attempts) != 1 {
 		t.Errorf("its last life: %+v", r.Last())
@@ -91,21 +91,21 @@
 
 // A resend for which the relay had no room is no life, takes no attest, and is tried again after a short pause.
 func TestAResendWithoutRoom(t *testing.T) {
-	d := newDesk(t, Unsafe, always)
+	d := newDesk(t, NotIdempotent, always)
 	k := kept("a") // it may have run
-	k.Due, k.Attests = noon, []Attest{{By: "Amina", Evidence: "ledger", At: noon}}
-	if err := d.store.Put([]Kept{k}); err != nil {
+	k.Due, k.Attestations = noon, []Attestation{{By: "Amina", Evidence: "ledger", At: noon}}
+	if err := d.store.Put([]Message{k}); err != nil {
 		t.Fatal(err)
 	}
 	for n := 1; n <= 3; n++ {
 		if got := d.round(10 * time.Second); got != fmt.Sprintf("a=r%d ", n) {
 			t.Fatalf("round %d: %q", n, got)
 		}
-		if r := d.is("a", Out, 2); !r.Attests[0].Used || r.Last().Attest == nil {
+		if r := d.is("a", Redelivering, 2); !r.Attestations[0].Used || r.Last().Attestation == nil {
 			t.Errorf("it went without its attest: %+v", r)
 		}
 		d.returns(fmt.Sprint("r", n), false)
-		if r := d.is("a", Held, 1); r.Attests[0].Used {
+		if r := d.is("a", Held, 1); r.Attestations[0].Used {
 			t.Error("its attest is used up by nothing")
 		}
 	}
@@ -113,7 +113,7 @@
 		t.Errorf("offered %q at once", got)
 	}
 	d.round(10 * time.Second)
-	d.returns("r4", false, Attempt{Host: "h", Begun: d.now, Ran: May})
+	d.returns("r4", false, Attempt{Endpoint: "h", StartedAt: d.now, Execution: ExecutionUnknown})
 	if got := d.round(time.Hour); got != "" {
 		t.Errorf("offered %q again, though it may have run and the attest is used", got)
 	}
@@ -122,7 +122,7 @@
 
 // While the partner is still down a few go, further and further apart, and no allowance is burnt.
 func TestAPartnerThatIsStillDown(t *testing.T) {
-	d := newDesk(t, Safe, always)
+	d := newDesk(t, Idempotent, always)
 	for i := range 50 {
 		d.keep(fmt.Sprint("m", i))
 	}
@@ -133,7 +133,7 @@
 			continue
 		}
 		went++
-		d.returns(fmt.Sprint("r", went), false, Attempt{Host: "h", Begun: d.now, Ran: Never})
+		d.returns(fmt.Sprint("r", went), false, Attempt{Endpoint: "h", StartedAt: d.now, Execution: NotExecuted})
 	}
 	if went < 10 || went > 25 {
 		t.Errorf("%d resends in an hour to a partner that is down", went)
@@ -142,34 +142,34 @@
 
 // A resend that comes back undelivered keeps its lineage, counts against the allowance, and does not loop for ever.
 func TestAResendThatComesBack(t *testing.T) {
-	d := newDesk(t, Safe, Rule{Action: Resend, Most: 3, Rate: 1000})
+	d := newDesk(t, Idempotent, Rule{Action: Redeliver, MaxIncarnations: 3, Rate: 1000})
 	d.keep("a")
 	for n := 1; n <= 2; n++ {
 		if got := d.round(time.Hour); got != fmt.Sprintf("a=r%d ", n) {
 			t.Fatalf("round %d: %q", n, got)
 		}
-		d.returns(fmt.Sprint("r", n), false, Attempt{Host: "h", Begun: d.now, Ran: Never})
+		d.returns(fmt.Sprint("r", n), false, Attempt{Endpoint: "h", StartedAt: d.now, Execution: NotExecuted})
 	}
 	if got := d.round(time.Hour); got != "" {
 		t.Errorf("offered %q beyond the rule's lives", got)
 	}
-	if r := d.is("a", Held, 3); r.Attempts() != 3 || r.Lives[1].ID != "r1" {
-		t.Errorf("lineage %+v", r.Lives)
+	if r := d.is("a", Held, 3); r.Attempts() != 3 || r.Incarnations[1].ID != "r1" {
+		t.Errorf("lineage %+v", r.Incarnations)
 	}
 }
 
 // A resend of which the relay knows nothing, long after its time, may have run.
 func TestALostResend(t *testing.T) {
-	d := newDesk(t, Unsafe, always)
+	d := newDesk(t, NotIdempotent, always)
 	d.keep("a")
 	d.round(0)
 	d.held["r1"] = true
 	d.round(time.Hour)
-	d.is("a", Out, 2)                 // the relay still has it
+	d.is("a", Redelivering, 2)        // the relay still has it
 	d.throttles = map[int]*throttle{} // another process
 	delete(d.held, "r1")
 	d.round(time.Hour)
-	if r := d.is("a", Held, 2); r.MayHaveRun() == nil || r.Last().Reason != ProcessEnded {
+	if r := d.is("a", Held, 2); r.MayHaveExecuted() == nil || r.Last().Reason != ProcessEnded {
 		t.Errorf("%+v", r)
 	}
 	if got := d.round(time.Hour); got != "" {
@@ -178,11 +178,11 @@
 }
 
 func TestRatesAndOtherPartners(t *testing.T) {
-	d := newDesk(t, Safe, Rule{Action: Resend, Most: 9, Rate: 0.5})
+	d := newDesk(t, Idempotent, Rule{Action: Redeliver, MaxIncarnations: 9, Rate: 0.5})
 	d.keep("a", "b", "c")
 	other := kept("o")
-	other.Partner, other.Due = 8, noon
-	if err := d.store.Put([]Kept{other}); err != nil {
+	other.Destination, other.Due = 8, noon
+	if err := d.store.Put([]Message{other}); err != nil {
 		t.Fatal(err)
 	}
 	if got := d.round(0); got != "a=r1 o=r2 " {
@@ -190,8 +190,8 @@
 	}
 	went := 1
 	for range 60 { // half a minute
-		d.returns(fmt.Sprint("r", len(d.held)+1), true, Attempt{Ran: Did})
-		d.returns("r3", true, Attempt{Ran: Did})
+		d.returns(fmt.Sprint("r", len(d.held)+1), true, Attempt{Execution: Executed})
+		d.returns("r3", true, Attempt{Execution: Executed})
 		if d.round(500*time.Millisecond) != "" {
 			went++
 		}
@@ -203,13 +203,13 @@
 
 // What an operator asks for goes once, by the same judge; new rules look at what was held under the old ones.
 func TestAskedForAndNewRules(t *testing.T) {
-	d := newDesk(t, Unsafe)
+	d := newDesk(t, NotIdempotent)
 	d.keep("a", "b")
 	if got := d.round(0); got != "" {
 		t.Fatalf("offered %q without a rule", got)
 	}
 	ran := kept("ran")
-	if err := d.store.Put([]Kept{ran}); err != nil {
+	if err := d.store.Put([]Message{ran}); err != nil {
 		t.Fatal(err)
 	}
 	admin := &Admin{Store: d.store, Now: func() time.Time { return d.now }}
@@ -221,13 +221,13 @@
 	if got := d.round(time.Second); got != "a=r1 " {
 		t.Errorf("asked for: %q", got)
 	}
-	d.returns("r1", true, Attempt{Ran: Did})
+	d.returns("r1", true, Attempt{Execution: Executed})
 	d.round(time.Second)
 	d.is("ran", Held, 1) // it may have run, whoever asks
-	if changed, err := d.store.RulesAre([]byte("new")); err != nil || !changed {
+	if changed, err := d.store.SetRules([]byte("new")); err != nil || !changed {
 		t.Errorf("changed %v, %v", changed, err)
 	}
-	if changed, _ := d.store.RulesAre([]byte("new")); changed {
+	if changed, _ := d.store.SetRules([]byte("new")); changed {
 		t.Error("the same rules are others")
 	}
 	d.rules = []Rule{always}
@@ -244,8 +244,8 @@
 // the pace of a partner that is down, and the few messages of another partner are not behind it.
 func TestAllOfOnePartnerDueAtOnce(t *testing.T) {
 	const all, rate, minute = 5_000, 5.0, 300 // rounds of 200 ms
-	d := newDesk(t, Safe, Rule{Action: Resend, Most: 9, Rate: rate})
-	var batch []Kept
+	d := newDesk(t, Idempotent, Rule{Action: Redeliver, MaxIncarnations: 9, Rate: rate})
+	var batch []Message
 	for i := range all {
 		k := kept(fmt.Sprint("m", i))
 		k.Due = noon
@@ -255,8 +255,8 @@
 		t.Fatal(err)
 	}
 	other := kept("o")
-	other.Partner, other.Due = 8, noon
-	if err := d.store.Put([]Kept{other}); err != nil {
+	other.Destination, other.Due = 8, noon
+	if err := d.store.Put([]Message{other}); err != nil {
 		t.Fatal(err)
 	}
 	play := func(delivered bool) (went int, others bool) {
@@ -268,17 +268,17 @@
 			}
 			mine := 0
 			for _, o := range offers {
-				ran := Attempt{Begun: d.now, Ran: Did}
-				if o.Record.Partner == 8 {
+				ran := Attempt{StartedAt: d.now, Execution: Executed}
+				if o.Record.Destination == 8 {
 					others = true
-					d.returns(o.Life.ID, true, ran)
+					d.returns(o.Incarnation.ID, true, ran)
 					continue
 				}
 				mine++
 				if !delivered {
-					ran.Ran = Never
+					ran.Execution = NotExecuted
 				}
-				d.returns(o.Life.ID, delivered, ran)
+				d.returns(o.Incarnation.ID, delivered, ran)
 			}
 			if went += mine; mine > 1 {
 				t.Fatalf("%d are out at once", mine)
@@ -308,9 +308,9 @@
 func TestResendsInTurns(t *testing.T) {
 	rule := always
 	rule.Rate = 1
-	d := newDesk(t, Safe, rule)
+	d := newDesk(t, Idempotent, rule)
 	gate := &turns{}
-	d.Through(gate)
+	d.SetGate(gate)
 	d.keep("a", "b", "c")
 	if got := d.round(time.Minute); got != "" {
 		t.Fatalf("offered %q without a turn", got)
--- a/internal/deadletter/rule.go
+++ b/internal/deadletter/rule.go
@@ -10,37 +10,37 @@
 
 // The actions of a rule.
 const (
-	Hold    = "hold"
-	Resend  = "resend"
-	Discard = "discard"
+	Hold      = "hold"
+	Redeliver = "resend"
+	Discard   = "discard"
 )
 
 // Rule says what becomes of messages that match it. What a rule leaves out matches anything.
 type Rule struct {
-	Class      string  `json:"Class" toml:"class"`
-	Tenant     string  `json:"Tenant" toml:"tenant"`
-	Partner    *int    `json:"Partner" toml:"partner"`
-	Reason     string  `json:"Reason" toml:"reason"`
-	MayHaveRun *bool   `json:"MayHaveRun" toml:"may_have_run"`
-	OlderThan  float64 `json:"OlderThan" toml:"older_than_s"` // since it was given up
-	Action     string  `json:"Action" toml:"action,required"`
-	After      float64 `json:"After" toml:"after_s"`   // resend: since it was last given up
-	Most       int     `json:"Most" toml:"most"`       // resend: lives in all, the first one counted
-	Rate       float64 `json:"Rate" toml:"rate"`       // resend: a second and partner
-	Hours      string  `json:"Hours" toml:"hours"`     // resend: of the day, as "08:00-18:30", local time
-	Age        float64 `json:"Age" toml:"after_age_s"` // discard: since it was first taken on
-	hours      [2]time.Duration
+	Class           string  `json:"Class" toml:"class"`
+	Tenant          string  `json:"Tenant" toml:"tenant"`
+	Destination     *int    `json:"Partner" toml:"partner"`
+	Reason          string  `json:"Reason" toml:"reason"`
+	MayHaveExecuted *bool   `json:"MayHaveRun" toml:"may_have_run"`
+	OlderThan       float64 `json:"OlderThan" toml:"older_than_s"` // since it was given up
+	Action          string  `json:"Action" toml:"action,required"`
+	Delay           float64 `json:"After" toml:"after_s"`   // resend: since it was last given up
+	MaxIncarnations int     `json:"Most" toml:"most"`       // resend: lives in all, the first one counted
+	Rate            float64 `json:"Rate" toml:"rate"`       // resend: a second and partner
+	Hours           string  `json:"Hours" toml:"hours"`     // resend: of the day, as "08:00-18:30", local time
+	DiscardAge      float64 `json:"Age" toml:"after_age_s"` // discard: since it was first taken on
+	hours           [2]time.Duration
 }
 
 // Check reports what is wrong with a rule at a key of the file.
 func (r *Rule) Check(d *strictconfig.Document, at string) {
-	if r.Action != "" && !slices.Contains([]string{Hold, Resend, Discard}, r.Action) {
+	if r.Action != "" && !slices.Contains([]string{Hold, Redeliver, Discard}, r.Action) {
 		d.AddError(at+".action", "%q is none of hold, resend, discard", r.Action)
 	}
 	if r.Reason != "" && !slices.Contains(reasons, Reason(r.Reason)) {
 		d.AddError(at+".reason", "%q is none of %v", r.Reason, reasons)
 	}
-	for key, v := range map[string]float64{"older_than_s": r.OlderThan, "after_s": r.After, "rate": r.Rate, "after_age_s": r.Age} {
+	for key, v := range map[string]float64{"older_than_s": r.OlderThan, "after_s": r.Delay, "rate": r.Rate, "after_age_s": r.DiscardAge} {
 		if v < 0 {
 			d.AddError(at+"."+key, "%v is below 0", v)
 		}
@@ -62,18 +62,18 @@
 			d.AddError(at+"."+key, "has no meaning for %q", r.Action)
 		}
 	}
-	only("after_s", Resend)
-	only("most", Resend)
-	only("rate", Resend)
-	only("hours", Resend)
+	only("after_s", Redeliver)
+	only("most", Redeliver)
+	only("rate", Redeliver)
+	only("hours", Redeliver)
 	only("after_age_s", Discard)
 	switch {
-	case r.Action == Discard && !(r.Age > 0):
+	case r.Action == Discard && !(r.DiscardAge > 0):
 		d.AddError(at+".after_age_s", "is missing: nothing is discarded without an age")
-	case r.Action == Resend && r.Most < minLives:
-		d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.Most)
+	case r.Action == Redeliver && r.MaxIncarnations < minLives:
+		d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.MaxIncarnations)
 	}
-	if r.Action == Resend && !(r.Rate > 0) {
+	if r.Action == Redeliver && !(r.Rate > 0) {
 		d.AddError(at+".rate", "is missing: how many a second a partner gets at most")
 	}
 }
@@ -83,7 +83,7 @@
 
 // matches tells whether a rule is for a message, old as it is.
 func (r *Rule) matches(rec *Record, now time.Time) bool {
-	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().Over) >= seconds(r.OlderThan))
+	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().CompletedAt) >= seconds(r.OlderThan))
 }
 
 // matchesAttributes tells whether a rule is for a message once that is old enough.
@@ -92,9 +92,9 @@
 	switch {
 	case r.Class != "" && r.Class != rec.Class,
 		r.Tenant != "" && r.Tenant != rec.Tenant,
-		r.Partner != nil && *r.Partner != rec.Partner,
+		r.Destination != nil && *r.Destination != rec.Destination,
 		r.Reason != "" && Reason(r.Reason) != last.Reason,
-		r.MayHaveRun != nil && *r.MayHaveRun != (rec.MayHaveRun() != nil):
+		r.MayHaveExecuted != nil && *r.MayHaveExecuted != (rec.MayHaveExecuted() != nil):
 		return false
 	}
 	return true
@@ -102,9 +102,9 @@
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// Against reports in plain words what in a rule can never be: a resend that the classes it is for do not allow.
-func (r *Rule) Against(classes []Class) (faults []string) {
-	if r.Action != Resend {
+// Conflicts reports in plain words what in a rule can never be: a resend that the classes it is for do not allow.
+func (r *Rule) Conflicts(classes []Class) (faults []string) {
+	if r.Action != Redeliver {
 		return nil
 	}
 	found := false
@@ -114,15 +114,15 @@
 		}
 		found = true
 		named := r.Class != "" // a rule for all classes is held where a class forbids; one that names it is a mistake
-		may := r.MayHaveRun != nil && *r.MayHaveRun || r.Reason == string(Doubtful)
+		may := r.MayHaveExecuted != nil && *r.MayHaveExecuted || r.Reason == string(OutcomeUnknown)
 		switch {
-		case named && may && c.Effect == Unsafe:
+		case named && may && c.Idempotency == NotIdempotent:
 			faults = append(faults, fmt.Sprintf("resends %s messages that may have run, and that class may not be repeated: only an attest allows it", c.Name))
-		case named && may && c.Effect == Keyed && seconds(max(r.After, r.OlderThan))+keyMargin >= c.Memory:
-			faults = append(faults, fmt.Sprintf("resends %s messages that may have run after %v s, and partners remember a key for %v only", c.Name, max(r.After, r.OlderThan), c.Memory))
+		case named && may && c.Idempotency == IdempotentByKey && seconds(max(r.Delay, r.OlderThan))+keyMargin >= c.KeyTTL:
+			faults = append(faults, fmt.Sprintf("resends %s messages that may have run after %v s, and partners remember a key for %v only", c.Name, max(r.Delay, r.OlderThan), c.KeyTTL))
 		}
-		if named && r.Most > c.Attempts {
-			faults = append(faults, fmt.Sprintf("allows %d lives, and class %s is allowed %d attempts in all", r.Most, c.Name, c.Attempts))
+		if named && r.MaxIncarnations > c.MaxAttempts {
+			faults = append(faults, fmt.Sprintf("allows %d lives, and class %s is allowed %d attempts in all", r.MaxIncarnations, c.Name, c.MaxAttempts))
 		}
 	}
 	if !found {
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -9,35 +9,35 @@
 
 // Section is [undelivered] of the operator's file.
 type Section struct {
-	Folder   string  `toml:"folder,required"` // of the store; mode 0700
-	QuotaMB  float64 `toml:"quota_mb"`        // of the store's file
-	Messages int     `toml:"messages"`        // kept at most
-	Age      float64 `toml:"age_s"`           // since they were first taken on
-	Export   bool    `toml:"export"`          // what leaves by a bound goes into a file of the folder first
-	Refused  bool    `toml:"refused"`         // keep also what was refused at arrival; else it is counted
-	Socket   string  `toml:"socket"`          // Unix socket of the running relay's tool; empty: none
-	Bounds   []Bound `toml:"bound"`
-	Rules    []Rule  `toml:"rule"`
+	Folder       string  `toml:"folder,required"` // of the store; mode 0700
+	QuotaMB      float64 `toml:"quota_mb"`        // of the store's file
+	MaxMessages  int     `toml:"messages"`        // kept at most
+	MaxAge       float64 `toml:"age_s"`           // since they were first taken on
+	Export       bool    `toml:"export"`          // what leaves by a bound goes into a file of the folder first
+	KeepRejected bool    `toml:"refused"`         // keep also what was refused at arrival; else it is counted
+	Socket       string  `toml:"socket"`          // Unix socket of the running relay's tool; empty: none
+	Bounds       []Bound `toml:"bound"`
+	Rules        []Rule  `toml:"rule"`
 
-	// ClientsReturn says that clients come again with what was handed back to them. Then payments and what else may not
+	// ClientsResubmit says that clients come again with what was handed back to them. Then payments and what else may not
 	// be repeated at will are resent only where they were given up for good, or on an attest. True where it is left out.
-	ClientsReturn *bool `toml:"clients_return"`
+	ClientsResubmit *bool `toml:"clients_return"`
 
-	Subjects      []Subject `toml:"subject"`
-	SubjectsMost  int       `toml:"subjects_most"`  // whose newest is known
-	SubjectsStick bool      `toml:"subjects_stick"` // a subject always comes to the same relay
-	// SubjectsSettle is how long after a subject's messages were first read a newer one may still have been delivered
+	Subjects       []Subject `toml:"subject"`
+	MaxSubjects    int       `toml:"subjects_most"`  // whose newest is known
+	StickySubjects bool      `toml:"subjects_stick"` // a subject always comes to the same relay
+	// SubjectSettlingTime is how long after a subject's messages were first read a newer one may still have been delivered
 	// before, in seconds: how far out of their order clients hand them in at most.
-	SubjectsSettle float64 `toml:"subjects_settle_s"`
+	SubjectSettlingTime float64 `toml:"subjects_settle_s"`
 }
 
 // Bound is a further bound, on a class, a tenant, or a class of a tenant.
 type Bound struct {
-	Class    string  `toml:"class"`
-	Tenant   string  `toml:"tenant"`
-	Messages int     `toml:"messages"`
-	MB       float64 `toml:"mb"`
-	Age      float64 `toml:"age_s"`
+	Class       string  `toml:"class"`
+	Tenant      string  `toml:"tenant"`
+	MaxMessages int     `toml:"messages"`
+	MaxMB       float64 `toml:"mb"`
+	MaxAge      float64 `toml:"age_s"`
 }
 
 // Subject says where a class's messages tell what they are about, and which of two is the newer.
@@ -73,13 +73,13 @@
 		s.QuotaMB = defaultQuotaMB
 	}
 	if !d.Has(at + ".messages") {
-		s.Messages = defaultMessages
+		s.MaxMessages = defaultMessages
 	}
 	if !d.Has(at + ".subjects_most") {
-		s.SubjectsMost = defaultSubjects
+		s.MaxSubjects = defaultSubjects
 	}
 	if !d.Has(at + ".subjects_settle_s") {
-		s.SubjectsSettle = defaultSettle
+		s.SubjectSettlingTime = defaultSettle
 	}
 	s.checkValues(d, at)
 	for i := range s.Bounds {
@@ -101,8 +101,8 @@
 
 // checkValues reports values out of range.
 func (s *Section) checkValues(d *strictconfig.Document, at string) {
-	if s.SubjectsSettle < 0 {
-		d.AddError(at+".subjects_settle_s", "%v is below 0", s.SubjectsSettle)
+	if s.SubjectSettlingTime < 0 {
+		d.AddError(at+".subjects_settle_s", "%v is below 0", s.SubjectSettlingTime)
 	}
 	if d.Has(at+".folder") && s.Folder == "" {
 		d.AddError(at+".folder", "is empty")
@@ -110,14 +110,14 @@
 	if s.QuotaMB < leastQuotaMB {
 		d.AddError(at+".quota_mb", "%v is below %v", s.QuotaMB, leastQuotaMB)
 	}
-	if s.Messages < 1 {
-		d.AddError(at+".messages", "%d keeps none: leave the section out to keep none", s.Messages)
+	if s.MaxMessages < 1 {
+		d.AddError(at+".messages", "%d keeps none: leave the section out to keep none", s.MaxMessages)
 	}
-	if s.Age < 0 {
-		d.AddError(at+".age_s", "%v is below 0", s.Age)
+	if s.MaxAge < 0 {
+		d.AddError(at+".age_s", "%v is below 0", s.MaxAge)
 	}
-	if s.SubjectsMost < 1 {
-		d.AddError(at+".subjects_most", "%d is below 1", s.SubjectsMost)
+	if s.MaxSubjects < 1 {
+		d.AddError(at+".subjects_most", "%d is below 1", s.MaxSubjects)
 	}
 }
 
@@ -126,10 +126,10 @@
 	if b.Class == "" && b.Tenant == "" {
 		d.AddError(at, "names neither a class nor a tenant")
 	}
-	if b.Messages <= 0 && b.MB <= 0 && b.Age <= 0 {
+	if b.MaxMessages <= 0 && b.MaxMB <= 0 && b.MaxAge <= 0 {
 		d.AddError(at, "bounds nothing: messages, mb or age_s, above 0")
 	}
-	if b.Messages < 0 || b.MB < 0 || b.Age < 0 {
+	if b.MaxMessages < 0 || b.MaxMB < 0 || b.MaxAge < 0 {
 		d.AddError(at, "messages, mb and age_s are above 0 where they are given")
 	}
 }
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// RulesAre notes which rules are used, and tells whether they differ from those that were used last.
-func (s *Store) RulesAre(digest []byte) (changed bool, err error) {
+// SetRules notes which rules are used, and tells whether they differ from those that were used last.
+func (s *Store) SetRules(digest []byte) (changed bool, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		changed = !bytes.Equal(tx.Bucket(metaBucket).Get(rulesKey), digest)
 		return tx.Bucket(metaBucket).Put(rulesKey, digest)
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -26,17 +26,17 @@
 	return s
 }
 
-func kept(id string) Kept {
-	return Kept{Record: Record{
-		ID: id, Class: "fee-payment", Tenant: "lahore", Partner: 3, State: Held, Since: noon,
-		Lives: []Life{life(id, OutOfTime, attempt(20*time.Second, May))},
+func kept(id string) Message {
+	return Message{Record: Record{
+		ID: id, Class: "fee-payment", Tenant: "lahore", Destination: 3, State: Held, Since: noon,
+		Incarnations: []Incarnation{life(id, DeadlineExceeded, attempt(20*time.Second, ExecutionUnknown))},
 	}, Body: []byte("body of " + id)}
 }
 
 func put(tb testing.TB, s *Store, ids ...string) {
 	tb.Helper()
 	for _, id := range ids {
-		if err := s.Put([]Kept{kept(id)}); err != nil {
+		if err := s.Put([]Message{kept(id)}); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -46,7 +46,7 @@
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	put(t, s, "a", "b", "a")
-	if err := s.Put([]Kept{kept("b"), kept("c")}); err != nil {
+	if err := s.Put([]Message{kept("b"), kept("c")}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Close(); err != nil {
@@ -100,8 +100,8 @@
 		t.Errorf("at most two: %q", got)
 	}
 	other := kept("o")
-	other.Partner, other.Due = 9, noon.Add(time.Minute)
-	if err := s.Put([]Kept{other}); err != nil {
+	other.Destination, other.Due = 9, noon.Add(time.Minute)
+	if err := s.Put([]Message{other}); err != nil {
 		t.Fatal(err)
 	}
 	if got := by(noon.Add(time.Hour), 1); got != "co" {
@@ -112,17 +112,17 @@
 	}
 	// A resend takes a new id; the message is found by either.
 	err := s.Change("a", func(r *Record) (time.Time, error) {
-		r.State, r.Lives = Out, append(r.Lives, Life{ID: "a2"})
+		r.State, r.Incarnations = Redelivering, append(r.Incarnations, Incarnation{ID: "a2"})
 		return time.Time{}, nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := s.Get("a2"); err != nil || r.ID != "a" || r.State != Out {
+	if r, err := s.Get("a2"); err != nil || r.ID != "a" || r.State != Redelivering {
 		t.Errorf("by its second id: %+v, %v", r, err)
 	}
 	put(t, s, "a2") // handed over once more after a crash: no second record
-	if totals, _, _ := s.Totals(); totals.Messages != 3 || totals.States[Out] != 1 || totals.States[Held] != 2 {
+	if totals, _, _ := s.Totals(); totals.Messages != 3 || totals.States[Redelivering] != 1 || totals.States[Held] != 2 {
 		t.Errorf("%+v", totals)
 	}
 	if got := by(noon.Add(time.Hour), 9); got != "cb" {
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	totals, groups, _ := s.Totals()
-	if totals.Messages != 1 || totals.Left["fee-payment of lahore"] != 3 || groups[0].Messages != 1 || groups[0].Bytes != int64(len("body of c")) {
+	if totals.Messages != 1 || totals.RemovedByBound["fee-payment of lahore"] != 3 || groups[0].Messages != 1 || groups[0].Bytes != int64(len("body of c")) {
 		t.Errorf("%+v %+v", totals, groups)
 	}
 	if got := by(noon.Add(time.Hour), 9); got != "c" {
@@ -179,7 +179,7 @@
 	}
 	defer s.Close()
 	put(t, s, "a", "b", "c")
-	if err := s.Put([]Kept{kept("d"), kept("e")}); !errors.Is(err, ErrFull) {
+	if err := s.Put([]Message{kept("d"), kept("e")}); !errors.Is(err, ErrFull) {
 		t.Errorf("more than its messages: %v", err)
 	}
 	if totals, _, _ := s.Totals(); totals.Messages != 3 {
@@ -187,14 +187,14 @@
 	}
 	big := kept("big")
 	big.Body = make([]byte, 300<<10)
-	if err := s.Put([]Kept{big}); !errors.Is(err, ErrFull) {
+	if err := s.Put([]Message{big}); !errors.Is(err, ErrFull) {
 		t.Errorf("more than its bytes: %v", err)
 	}
-	if err := s.Unkept([]string{"d", "e", "d"}, "full", noon); err != nil {
+	if err := s.MarkDropped([]string{"d", "e", "d"}, "full", noon); err != nil {
 		t.Fatal(err)
 	}
-	if totals, _, _ := s.Totals(); totals.Unkept != 2 {
-		t.Errorf("%d listed as not kept", totals.Unkept)
+	if totals, _, _ := s.Totals(); totals.Dropped != 2 {
+		t.Errorf("%d listed as not kept", totals.Dropped)
 	}
 }
 
@@ -216,7 +216,7 @@
 	if _, err := r.Get("a"); err != nil {
 		t.Error(err)
 	}
-	if err := r.Put([]Kept{kept("b")}); err == nil {
+	if err := r.Put([]Message{kept("b")}); err == nil {
 		t.Error("a reader may write")
 	}
 	_ = r.Close()
@@ -267,15 +267,15 @@
 		do   func(s *Store) error
 		done func(s *Store) bool
 	}{
-		{"put", func(s *Store) error { return s.Put([]Kept{kept("d")}) }, func(s *Store) bool { _, err := s.Get("d"); return err == nil }},
+		{"put", func(s *Store) error { return s.Put([]Message{kept("d")}) }, func(s *Store) bool { _, err := s.Get("d"); return err == nil }},
 		{"resend", func(s *Store) error {
 			return s.Change("b", func(r *Record) (time.Time, error) {
-				r.State, r.Lives = Out, append(r.Lives, Life{ID: "b2"})
+				r.State, r.Incarnations = Redelivering, append(r.Incarnations, Incarnation{ID: "b2"})
 				return noon, nil
 			})
-		}, func(s *Store) bool { r, err := s.Get("b2"); return err == nil && r.State == Out }},
+		}, func(s *Store) bool { r, err := s.Get("b2"); return err == nil && r.State == Redelivering }},
 		{"a newer one delivered", func(s *Store) error {
-			return s.Delivered([]Note{{"new", Topic{"c", 3, "s"}, Order{Whole: 9}}})
+			return s.RecordDelivered([]Delivery{{"new", Topic{"c", 3, "s"}, Order{Whole: 9}}})
 		}, func(s *Store) bool { by, _ := s.Newer(about("s", Order{Whole: 5})); return by == "new" }},
 		{"remove", func(s *Store) error { return s.Remove([]string{"a"}) }, func(s *Store) bool { _, err := s.Get("a"); return err != nil }},
 	} {
@@ -397,7 +397,7 @@
 	const n, batch = 1_000_000, 50
 	begun := time.Now()
 	for i := 0; i < n; i += batch {
-		var list []Kept
+		var list []Message
 		for j := range batch {
 			k := kept(fmt.Sprintf("%012x0000", (i+j)*2654435761%(1<<44)))
 			k.Body = make([]byte, 400)
--- a/internal/deadletter/subject.go
+++ b/internal/deadletter/subject.go
@@ -23,9 +23,9 @@
 // Topic is what a message is about, of its class and partner: each partner keeps a status of its own. A message whose
 // subject can't be read has the empty one.
 type Topic struct {
-	Class   string
-	Partner int
-	Subject string
+	Class       string
+	Destination int
+	Subject     string
 }
 
 // Read finds out what a message is about, and its place in the order but for its arrival. The error says why
--- a/internal/deadletter/subject_buckets.go
+++ b/internal/deadletter/subject_buckets.go
@@ -26,7 +26,7 @@
 const topicKeySize = 16
 
 func topicKey(t Topic) []byte {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s", t.Class, t.Partner, t.Subject))
+	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s", t.Class, t.Destination, t.Subject))
 	return sum[:topicKeySize]
 }
 
--- a/internal/deadletter/subject_store.go
+++ b/internal/deadletter/subject_store.go
@@ -15,12 +15,12 @@
 	if known == nil {
 		known = &Section{}
 	}
-	return &Newest{storage: on, maxSubjects: known.SubjectsMost, exclusive: known.SubjectsStick, settlingTime: seconds(known.SubjectsSettle)}
+	return &Newest{storage: on, maxSubjects: known.MaxSubjects, exclusive: known.StickySubjects, settlingTime: seconds(known.SubjectSettlingTime)}
 }
 
-// Topics has the store know the newest message of each topic for the classes of a section whose subjects are read. anew
+// TrackSubjects has the store know the newest message of each topic for the classes of a section whose subjects are read. anew
 // says that messages may have been delivered of which the store was not told.
-func (s *Store) Topics(section *Section, anew bool, now time.Time) error {
+func (s *Store) TrackSubjects(section *Section, anew bool, now time.Time) error {
 	s.section.Store(section)
 	subjects := section.Subjects
 	reading := map[string]string{}
@@ -52,15 +52,15 @@
 	})
 }
 
-// Note is a message that was delivered, and is about something.
-type Note struct {
+// Delivery is a message that was delivered, and is about something.
+type Delivery struct {
 	ID string
 	Topic
 	Order Order
 }
 
-// Delivered notes messages of a topic that were delivered. One that is noted again changes nothing.
-func (s *Store) Delivered(notes []Note) error {
+// RecordDelivered notes messages of a topic that were delivered. One that is noted again changes nothing.
+func (s *Store) RecordDelivered(notes []Delivery) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		on := newBoltSubjects(tx)
 		n := s.newestIn(on)
@@ -76,7 +76,7 @@
 func (s *Store) Newer(r *Record) (by string, known bool) {
 	err := s.view(func(tx *bbolt.Tx) error {
 		on := newBoltSubjects(tx)
-		by, known = s.newestIn(on).After(r)
+		by, known = s.newestIn(on).NewerThan(r)
 		return on.err
 	})
 	if err != nil {
@@ -90,7 +90,7 @@
 	on := newBoltSubjects(tx)
 	if r.Subject == "" || r.Order == nil {
 		// Whatever it is about, it may have been delivered.
-		if !was && r.Order != nil && r.MayHaveRun() != nil {
+		if !was && r.Order != nil && r.MayHaveExecuted() != nil {
 			s.newestIn(on).Delivered(r.ID, r.topic(), *r.Order)
 		}
 		return on.commit()
@@ -105,7 +105,7 @@
 		on.recordError(waiting.Put(k, on.encode(l)))
 	case was && !is:
 		on.recordError(waiting.Delete(k))
-		if r.State == Delivered || r.MayHaveRun() != nil {
+		if r.State == Delivered || r.MayHaveExecuted() != nil {
 			s.newestIn(on).Delivered(r.ID, r.topic(), *r.Order)
 		}
 	}
--- a/internal/deadletter/subjects_test.go
+++ b/internal/deadletter/subjects_test.go
@@ -11,7 +11,7 @@
 // parcels is a section that reads class c's subjects; change makes it another.
 func parcels(change func(s *Section)) *Section {
 	s := &Section{
-		SubjectsMost: 100, SubjectsStick: true, SubjectsSettle: defaultSettle,
+		MaxSubjects: 100, StickySubjects: true, SubjectSettlingTime: defaultSettle,
 		Subjects: []Subject{{Class: "c", Header: "Parcel", Order: byNumber, OrderHeader: "Seq"}},
 	}
 	change(s)
@@ -21,16 +21,16 @@
 // topics has a store know of 100 topics since some time before noon.
 func topics(t *testing.T, s *Store, ago time.Duration) {
 	t.Helper()
-	if err := s.Topics(parcels(func(*Section) {}), false, noon.Add(-ago)); err != nil {
+	if err := s.TrackSubjects(parcels(func(*Section) {}), false, noon.Add(-ago)); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // statusOf is a kept message of topic s.
-func statusOf(id string, order int64, attempts ...Attempt) Kept {
+func statusOf(id string, order int64, attempts ...Attempt) Message {
 	r := about("s", at(order))
-	r.ID, r.Lives = id, []Life{life(id, OutOfTime, attempts...)}
-	return Kept{Record: *r, Body: []byte(id)}
+	r.ID, r.Incarnations = id, []Incarnation{life(id, DeadlineExceeded, attempts...)}
+	return Message{Record: *r, Body: []byte(id)}
 }
 
 func TestTopicsInTheStore(t *testing.T) {
@@ -52,27 +52,27 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		newer Kept
+		newer Message
 		then  func(t *testing.T, s *Store)
 		by    string
 	}{
 		"both wait":                      {statusOf("b", 6), func(*testing.T, *Store) {}, "b"},
-		"the newer one is out":           {statusOf("b", 6), end("b", Out), "b"},
+		"the newer one is out":           {statusOf("b", 6), end("b", Redelivering), "b"},
 		"it was delivered":               {statusOf("b", 6), end("b", Delivered), "b"},
-		"it was discarded and never ran": {statusOf("b", 6, attempt(time.Minute, Never)), end("b", Discarded), ""},
-		"discarded, it may have run":     {statusOf("b", 6, attempt(time.Minute, May)), end("b", Discarded), "b"},
+		"it was discarded and never ran": {statusOf("b", 6, attempt(time.Minute, NotExecuted)), end("b", Discarded), ""},
+		"discarded, it may have run":     {statusOf("b", 6, attempt(time.Minute, ExecutionUnknown)), end("b", Discarded), "b"},
 		"it left by a bound":             {statusOf("b", 6), remove("b"), ""},
-		"it left, and may have run":      {statusOf("b", 6, attempt(time.Minute, May)), remove("b"), "b"},
+		"it left, and may have run":      {statusOf("b", 6, attempt(time.Minute, ExecutionUnknown)), remove("b"), "b"},
 		"the older one was delivered":    {statusOf("b", 4), end("b", Delivered), ""},
 		"it has no subject, and never ran": {
-			func() Kept { k := statusOf("b", 6); k.Subject, k.Order = "", nil; return k }(),
+			func() Message { k := statusOf("b", 6); k.Subject, k.Order = "", nil; return k }(),
 			func(*testing.T, *Store) {}, "",
 		},
 	} {
 		dir := t.TempDir()
 		s := openStore(t, dir)
 		topics(t, s, time.Hour)
-		if err := s.Put([]Kept{statusOf("a", 5), c.newer}); err != nil {
+		if err := s.Put([]Message{statusOf("a", 5), c.newer}); err != nil {
 			t.Fatal(err)
 		}
 		c.then(t, s)
@@ -92,20 +92,22 @@
 func TestWhatTheStoreCantTell(t *testing.T) {
 	for name, spoil := range map[string]func(s *Store) error{
 		"a message that can't be read was delivered": func(s *Store) error {
-			return s.Delivered([]Note{{"x", Topic{"c", 3, ""}, Order{Arrival: 9}}})
+			return s.RecordDelivered([]Delivery{{"x", Topic{"c", 3, ""}, Order{Arrival: 9}}})
 		},
 		"one that can't be read waits, and may have run": func(s *Store) error {
-			k := statusOf("x", 1, attempt(time.Second, May))
+			k := statusOf("x", 1, attempt(time.Second, ExecutionUnknown))
 			k.Subject, k.Order = "", &Order{Arrival: 9}
-			return s.Put([]Kept{k})
+			return s.Put([]Message{k})
 		},
-		"something may be missing": func(s *Store) error { return s.Topics(parcels(func(*Section) {}), true, noon) },
+		"something may be missing": func(s *Store) error { return s.TrackSubjects(parcels(func(*Section) {}), true, noon) },
 		"other relays deliver too": func(s *Store) error {
-			return s.Topics(parcels(func(s *Section) { s.SubjectsStick = false }), false, noon)
+			return s.TrackSubjects(parcels(func(s *Section) { s.StickySubjects = false }), false, noon)
+		},
+		"not read for a while": func(s *Store) error {
+			return s.TrackSubjects(parcels(func(s *Section) { s.Subjects = nil }), false, noon)
 		},
-		"not read for a while": func(s *Store) error { return s.Topics(parcels(func(s *Section) { s.Subjects = nil }), false, noon) },
 		"read otherwise than before": func(s *Store) error {
-			return s.Topics(parcels(func(s *Section) { s.Subjects[0].Order = byTime }), false, noon)
+			return s.TrackSubjects(parcels(func(s *Section) { s.Subjects[0].Order = byTime }), false, noon)
 		},
 		"a bucket can't be read": func(s *Store) error {
 			return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(epochsBucket).Put([]byte("c"), []byte("{")) })
@@ -113,7 +115,7 @@
 	} {
 		s := openStore(t, t.TempDir())
 		topics(t, s, time.Hour)
-		if err := s.Put([]Kept{statusOf("a", 5)}); err != nil {
+		if err := s.Put([]Message{statusOf("a", 5)}); err != nil {
 			t.Fatal(err)
 		}
 		r, err := s.Get("a")
@@ -164,7 +166,7 @@
 	_ = s.Close()
 	s = openStore(t, dir)
 	topics(t, s, time.Hour)
-	if err := s.Put([]Kept{statusOf("d", 5), statusOf("e", 6)}); err != nil {
+	if err := s.Put([]Message{statusOf("d", 5), statusOf("e", 6)}); err != nil {
 		t.Fatal(err)
 	}
 	r, err = s.Get("d")
--- a/internal/deadletter/throttle.go
+++ b/internal/deadletter/throttle.go
@@ -28,7 +28,7 @@
 const gatePause = 100 * time.Millisecond
 
 // passGate asks the gate. A turn begins without tokens: another relay may just have used the partner's rate.
-func (r *Resender) passGate(l *throttle, partner int, now time.Time) bool {
+func (r *Redeliverer) passGate(l *throttle, partner int, now time.Time) bool {
 	if r.gate == nil {
 		return true
 	}
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (r *Resender) throttle(partner int, now time.Time) *throttle {
+func (r *Redeliverer) throttle(partner int, now time.Time) *throttle {
 	l := r.throttles[partner]
 	if l == nil {
 		l = &throttle{tokens: tokenBurst, updatedAt: now}
@@ -65,7 +65,7 @@
 
 // handleResult paces a lane by what became of a resend.
 func (l *throttle) handleResult(res *Result, now time.Time) {
-	if l.inFlight == res.Life.ID {
+	if l.inFlight == res.Incarnation.ID {
 		l.inFlight = ""
 	}
 	grow := func(d *time.Duration, least, most time.Duration) {
@@ -76,7 +76,7 @@
 	case res.Overtaken != "": // that says nothing of the partner
 	case res.Delivered:
 		l.busyBackoff, l.failureBackoff = 0, 0
-	case len(res.Life.Attempts) == 0:
+	case len(res.Incarnation.Attempts) == 0:
 		grow(&l.busyBackoff, minBusyBackoff, maxBusyBackoff)
 	default:
 		grow(&l.failureBackoff, minFailureBackoff, maxFailureBackoff)
--- a/internal/deadletter/totals.go
+++ b/internal/deadletter/totals.go
@@ -9,12 +9,12 @@
 
 // Totals are what the store holds in all.
 type Totals struct {
-	Messages int            `json:"messages"`
-	Bytes    int64          `json:"bytes"` // of bodies
-	States   map[State]int  `json:"states"`
-	Left     map[string]int `json:"left_by_a_bound"` // by class and tenant
-	Unkept   int            `json:"not_kept"`
-	Refused  map[string]int `json:"refused_at_arrival,omitempty"` // by class and tenant
+	Messages       int            `json:"messages"`
+	Bytes          int64          `json:"bytes"` // of bodies
+	States         map[State]int  `json:"states"`
+	RemovedByBound map[string]int `json:"left_by_a_bound"` // by class and tenant
+	Dropped        int            `json:"not_kept"`
+	Rejected       map[string]int `json:"refused_at_arrival,omitempty"` // by class and tenant
 }
 
 // Group is what the store holds of one class and tenant.
@@ -56,18 +56,18 @@
 	return nil
 }
 
-// Refused counts messages that were refused at their arrival, by class and tenant as Totals name them.
-func (s *Store) Refused(counts map[string]int) error {
+// CountRejected counts messages that were refused at their arrival, by class and tenant as Totals name them.
+func (s *Store) CountRejected(counts map[string]int) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		t, err := readTotals(tx)
 		if err != nil {
 			return err
 		}
-		if t.Refused == nil {
-			t.Refused = map[string]int{}
+		if t.Rejected == nil {
+			t.Rejected = map[string]int{}
 		}
 		for group, n := range counts {
-			t.Refused[group] += n
+			t.Rejected[group] += n
 		}
 		return writeTotals(tx, t)
 	})
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -37,7 +37,7 @@
 	for _, endpoint := range l.Endpoints {
 		e.Endpoints = append(e.Endpoints, policy.Endpoint{
 			ID: endpoint.ID, Destination: endpoint.Destination,
-			Kind: slices.Index(s.Shapes, endpoint.Kind), Zone: slices.Index(s.Localities, endpoint.Zone),
+			Kind: slices.Index(s.DestinationKinds, endpoint.Kind), Zone: slices.Index(s.Zones, endpoint.Zone),
 			Weight:   endpoint.Weight,
 			Draining: endpoint.Health == Draining, Removed: endpoint.Health == Deleted,
 		})
--- a/internal/faultinjection/checker/audit_test.go
+++ b/internal/faultinjection/checker/audit_test.go
@@ -461,7 +461,7 @@
 func TestWorth(t *testing.T) {
 	f := figures()
 	f.Settings.Tenants = []settings.Tenant{{Name: "x"}, {Name: "y"}}
-	f.Settings.OverShare = 0.2
+	f.Settings.OverQuotaFraction = 0.2
 	var asked []Request
 	n := &notes{}
 	for i := range 30 {
--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -34,7 +34,7 @@
 
 // count counts what no rule needs: in all, by relay and by destination.
 func (h *history) count(r *Report, log []Event) {
-	r.Relays = make([]Counts, h.Settings.NInstances)
+	r.Relays = make([]Counts, h.Settings.Instances)
 	r.Partners = make([]Counts, len(h.Destinations))
 	r.Counts.Outcomes = map[string]int{}
 	for i := range r.Relays {
--- a/internal/faultinjection/checker/figures_test.go
+++ b/internal/faultinjection/checker/figures_test.go
@@ -72,8 +72,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := Terms{Settings: settings.Settings{
-				NInstances: 1, Categories: []settings.Category{{Name: "status", Idempotency: "retryable"}},
-				Rules: settings.Rules{AnswerSlackS: 0.3, AskWithinS: 10},
+				Instances: 1, Classes: []settings.Class{{Name: "status", Idempotency: "retryable"}},
+				Rules: settings.Rules{AnswerSlackS: 0.3, PollWithinS: 10},
 			}, Destinations: []Destination{{Name: "p", Capacity: 100, ColdShare: 1}}}
 			rules := map[Rule]bool{}
 			for _, b := range Judge(f, c.log, at(40)).Breaches {
--- a/internal/faultinjection/checker/notes_test.go
+++ b/internal/faultinjection/checker/notes_test.go
@@ -20,19 +20,19 @@
 )
 
 func figures() Terms {
-	class := func(name, effect string) settings.Category {
-		return settings.Category{Name: name, Idempotency: effect, AimS: 2, DeadlineS: 10, LateShare: 0.5, Points: 1, MemorySpanS: 5}
+	class := func(name, effect string) settings.Class {
+		return settings.Class{Name: name, Idempotency: effect, LatencyObjectiveS: 2, DeadlineS: 10, LateFraction: 0.5, PriorityWeight: 1, KeyTTLS: 5}
 	}
-	s := settings.Settings{NInstances: 2, Categories: []settings.Category{
+	s := settings.Settings{Instances: 2, Classes: []settings.Class{
 		class("status", "retryable"), class("payment", "dedup"),
 		class("order", "fragile"), class("lined", "retryable"),
 	}}
-	s.Categories[lined].FifoByKey = true
+	s.Classes[lined].Ordered = true
 	s.Rules = settings.Rules{
-		AnswerSlackS: 0.3, AskWithinS: 10, ColdShare: 0.2, DrainGraceS: 1, OverloadFactor: 2.5,
-		OverloadForS: 1.5, RampTimeS: 10, OrderPauseS: 0.5,
+		AnswerSlackS: 0.3, PollWithinS: 10, ColdCapacity: 0.2, DrainGraceS: 1, OverloadFactor: 2.5,
+		OverloadWindowS: 1.5, SlowStartTimeS: 10, OrderKeyCooldownS: 0.5,
 	}
-	s.Limits.ConnTimeoutS = 1
+	s.Limits.ConnectTimeoutS = 1
 	return Terms{Settings: s, TellWithin: 6 * time.Second, Destinations: []Destination{
 		{Name: "bank", Capacity: 20, ColdShare: 0.2, Warm: 10 * time.Second}, {Name: "dealer", Capacity: 20, ColdShare: 0.2},
 	}}
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -57,7 +57,7 @@
 		if e.Kind != EndpointShown || e.State == Serving {
 			continue
 		}
-		for relay := range h.Settings.NInstances {
+		for relay := range h.Settings.Instances {
 			note(relayEndpoint{relay, e.Endpoint}, h.countsAsNotified(changes, relay, e.At))
 		}
 	}
@@ -132,7 +132,7 @@
 // countsAsNotified is when a relay counts as notified of what discovery showed at a time: once discovery was up for long enough
 // since, or the relay neither watched nor asked for as long as the settings allow.
 func (h *history) countsAsNotified(log []Event, relay int, shown time.Duration) time.Duration {
-	within := settings.Seconds(h.Settings.Rules.AskWithinS)
+	within := settings.Seconds(h.Settings.Rules.PollWithinS)
 	w := &watchState{
 		shown: shown, tellWithin: h.TellWithin, askWithin: within,
 		up: true, upSince: shown, silentSince: never, patience: within,
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -15,7 +15,7 @@
 
 // checkIdempotency checks that no effect can have happened twice, and that no two attempts of a request were in flight at once.
 func (h *history) checkIdempotency(r *request) {
-	class := &h.Settings.Categories[r.class]
+	class := &h.Settings.Classes[r.class]
 	var first *attempt // that may have been executed
 	reported := false
 	for i, a := range r.attempts {
@@ -42,7 +42,7 @@
 // concurrent returns an earlier attempt that was still in flight when a later one was sent, or nil; where hedged requests are
 // allowed there is none to find.
 func (h *history) concurrent(earlier []*attempt, a *attempt) *attempt {
-	if h.Settings.Limits.SecondCopies {
+	if h.Settings.Limits.Hedging {
 		return nil
 	}
 	for _, b := range earlier {
@@ -55,7 +55,7 @@
 
 // checkRepeat checks an attempt after one that may have been executed, and reports whether it is a breach.
 func (h *history) checkRepeat(r *request, first, a *attempt) bool {
-	class := &h.Settings.Categories[r.class]
+	class := &h.Settings.Classes[r.class]
 	switch class.Idempotency {
 	case fragile:
 		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s sent to %s again, though the call to %s at %s (%s) may have run",
@@ -67,15 +67,15 @@
 		}
 		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination,
 			"%s sent to %s again %s after the call at %s (%s) that may have run; its key is kept for %v s", class.Name,
-			a.endpoint, formatTime(a.lastByte-first.lastByte), formatTime(first.lastByte), first.outcome, class.MemorySpanS)
+			a.endpoint, formatTime(a.lastByte-first.lastByte), formatTime(first.lastByte), first.outcome, class.KeyTTLS)
 		return true
 	}
 	return false
 }
 
 // keyRememberedUntil is how long after an attempt its destination drops repeats of its key.
-func keyRememberedUntil(a *attempt, class *settings.Category) time.Duration {
-	return a.lastByte + settings.Seconds(class.MemorySpanS) + socketSlack
+func keyRememberedUntil(a *attempt, class *settings.Class) time.Duration {
+	return a.lastByte + settings.Seconds(class.KeyTTLS) + socketSlack
 }
 
 // checkReturned checks that a request which must not be repeated, and may have been executed, was not returned to its client
@@ -84,7 +84,7 @@
 	for _, n := range r.notices {
 		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
 			h.reportRequest(ExecutedTwice, n.At, r, "%s handed back as safe to repeat, though the call at %s (%s) may have run",
-				h.Settings.Categories[r.class].Name, formatTime(first.lastByte), first.outcome)
+				h.Settings.Classes[r.class].Name, formatTime(first.lastByte), first.outcome)
 			return true
 		}
 	}
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -119,7 +119,7 @@
 	}
 	for _, r := range h.requests {
 		if r.relay == relay && !r.redelivery && !r.fromStore {
-			a.add(r, h.Settings.Categories[r.class].Name)
+			a.add(r, h.Settings.Classes[r.class].Name)
 		}
 	}
 	for _, at := range h.attempts {
--- a/internal/faultinjection/checker/rule_order.go
+++ b/internal/faultinjection/checker/rule_order.go
@@ -14,7 +14,7 @@
 	}
 	byKey := map[key][]*request{}
 	for _, r := range h.requests {
-		if r.accepted && r.orderKey != "" && h.Settings.Categories[r.class].FifoByKey {
+		if r.accepted && r.orderKey != "" && h.Settings.Classes[r.class].Ordered {
 			k := key{r.relay, r.orderKey}
 			byKey[k] = append(byKey[k], r)
 		}
@@ -35,7 +35,7 @@
 		return nil
 	}
 	sent := r.attempts[0].firstByte
-	cooldown := settings.Seconds(h.Settings.Rules.OrderPauseS)
+	cooldown := settings.Seconds(h.Settings.Rules.OrderKeyCooldownS)
 	for _, e := range earlier {
 		// Only where one answer came before the other request is it known which was accepted first.
 		if e.answeredAt >= r.submittedAt || h.restarted(e.relay, e.answeredAt, sent) {
--- a/internal/faultinjection/checker/rule_redelivery.go
+++ b/internal/faultinjection/checker/rule_redelivery.go
@@ -58,7 +58,7 @@
 // checkRedelivery checks an attempt of a redelivery against those before it, and reports whether it is a breach.
 func (h *history) checkRedelivery(l lineage, a, mayHaveExecuted, delivered *attempt) bool {
 	r := l.of[a]
-	class := &h.Settings.Categories[r.class]
+	class := &h.Settings.Classes[r.class]
 	switch {
 	case delivered != nil && class.Idempotency != retryable:
 		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s resent, though it was delivered at %s", class.Name, formatTime(delivered.endedAt))
@@ -70,7 +70,7 @@
 		return true
 	}
 	for _, b := range l.attempts {
-		if b != a && b.lastByte < a.lastByte && b.overlaps(a) && !h.Settings.Limits.SecondCopies {
+		if b != a && b.lastByte < a.lastByte && b.overlaps(a) && !h.Settings.Limits.Hedging {
 			h.report(ConcurrentAttempts, a.lastByte, r.id, a.relay, r.destination, "resent to %s while a call to %s was out", a.endpoint, b.endpoint)
 			return true
 		}
--- a/internal/faultinjection/checker/rule_slow_start.go
+++ b/internal/faultinjection/checker/rule_slow_start.go
@@ -60,9 +60,9 @@
 
 // checkRecovery checks the recovery from one outage. It reports the first overload only: from there on the destination is out.
 func (h *history) checkRecovery(o outage, until time.Duration) {
-	window := settings.Seconds(h.Settings.Rules.OverloadForS)
+	window := settings.Seconds(h.Settings.Rules.OverloadWindowS)
 	observed := map[int]bool{}
-	for relay := range h.Settings.NInstances {
+	for relay := range h.Settings.Instances {
 		observed[relay] = h.observedOutage(relay, o)
 	}
 	var recent []*attempt
@@ -81,7 +81,7 @@
 		guilty, worst := countGuilty(recent, observed)
 		if float64(guilty) >= overloadShare*float64(len(recent)) {
 			h.report(DestinationOverloaded, a.lastByte, "", worst, o.destination, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
-				len(recent), h.Settings.Rules.OverloadForS, formatTime(a.lastByte-o.to), budget, guilty)
+				len(recent), h.Settings.Rules.OverloadWindowS, formatTime(a.lastByte-o.to), budget, guilty)
 		}
 		return
 	}
@@ -91,7 +91,7 @@
 func (h *history) recoveryBudget(o outage, at time.Duration) float64 {
 	rules, d := &h.Settings.Rules, h.Destinations[o.destination]
 	warmth := d.ColdShare + (1-d.ColdShare)*min(1, float64(at-o.to)/float64(max(1, d.Warm)))
-	return rules.OverloadFactor*d.Capacity*warmth*rules.OverloadForS + overloadSlack
+	return rules.OverloadFactor*d.Capacity*warmth*rules.OverloadWindowS + overloadSlack
 }
 
 // countGuilty counts the attempts of relays that had observed an outage, and names the relay that made most of them.
@@ -122,7 +122,7 @@
 	need := observedAfter
 	switch o.how {
 	case "gone":
-		need += settings.Seconds(h.Settings.Limits.ConnTimeoutS)
+		need += settings.Seconds(h.Settings.Limits.ConnectTimeoutS)
 	case "refuse", "fell":
 	default:
 		return false
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -37,12 +37,12 @@
 	r.Waits = map[string]Quantile{}
 	r.Counts.Asked = len(asked)
 	for n, want := range asked {
-		r.countWant(served, n, want, &f.Settings.Categories[want.Class])
+		r.countWant(served, n, want, &f.Settings.Classes[want.Class])
 		w.add(served, n, want)
 	}
 	r.Worth = w.worth()
 	for i, times := range w.times {
-		r.Waits[f.Settings.Categories[i].Name] = Quantiles(times)
+		r.Waits[f.Settings.Classes[i].Name] = Quantiles(times)
 	}
 }
 
@@ -121,7 +121,7 @@
 }
 
 // countWant counts what came of a message, in all and by destination.
-func (r *Report) countWant(s *served, n int, want Request, class *settings.Category) {
+func (r *Report) countWant(s *served, n int, want Request, class *settings.Class) {
 	for _, c := range []*Counts{&r.Counts, &r.Partners[want.Dest]} {
 		if c != &r.Counts {
 			c.Asked++
@@ -162,19 +162,19 @@
 	}
 	return &weighing{
 		settings:  &f.Settings,
-		classes:   make([]fraction, len(f.Settings.Categories)),
+		classes:   make([]fraction, len(f.Settings.Classes)),
 		tenants:   make([]fraction, len(f.Settings.Tenants)),
 		stretches: make([]fraction, int(max(0, last+worstStep-worstSpan)/worstStep)+1),
-		times:     make([][]float64, len(f.Settings.Categories)),
+		times:     make([][]float64, len(f.Settings.Classes)),
 	}
 }
 
 // add adds a message.
 func (w *weighing) add(s *served, n int, want Request) {
-	class := &w.settings.Categories[want.Class]
-	full, got := class.Points, 0.0
+	class := &w.settings.Classes[want.Class]
+	full, got := class.PriorityWeight, 0.0
 	if want.OverShare {
-		full *= w.settings.OverShare
+		full *= w.settings.OverQuotaFraction
 	}
 	if at, delivered := s.deliveredAt[n]; delivered {
 		got = full * WorthLeft(class, at-want.At)
@@ -201,7 +201,7 @@
 		}
 	}
 	for i, class := range w.classes {
-		result.Classes[w.settings.Categories[i].Name] = class.share()
+		result.Classes[w.settings.Classes[i].Name] = class.share()
 		result.WorstClass = min(result.WorstClass, class.share())
 	}
 	if len(w.tenants) > 0 {
@@ -239,13 +239,13 @@
 
 // WorthLeft is the share of its worth that a message has at an age: all of it up to the aim, then evenly less down to
 // the late share at the deadline, nothing after.
-func WorthLeft(k *settings.Category, age time.Duration) float64 {
-	aim, deadline := settings.Seconds(k.AimS), settings.Seconds(k.DeadlineS)
+func WorthLeft(k *settings.Class, age time.Duration) float64 {
+	aim, deadline := settings.Seconds(k.LatencyObjectiveS), settings.Seconds(k.DeadlineS)
 	switch {
 	case age <= aim:
 		return 1
 	case age > deadline:
 		return 0
 	}
-	return 1 - (1-k.LateShare)*float64(age-aim)/float64(deadline-aim)
+	return 1 - (1-k.LateFraction)*float64(age-aim)/float64(deadline-aim)
 }
--- a/internal/faultinjection/coordsim/members.go
+++ b/internal/faultinjection/coordsim/members.go
@@ -27,11 +27,11 @@
 	// saving is on its way to the disk until the moment it is: a crash before leaves it there, or not.
 	saving   *replica.WriteBatch
 	savedAt  time.Duration
-	full     bool          // the disk takes nothing
-	slow     time.Duration // the longest that a write takes
-	usual    time.Duration // the same, without a fault
+	full     bool                     // the disk takes nothing
+	slow     time.Duration            // the longest that a write takes
+	usual    time.Duration            // the same, without a fault
 	earlier  *replica.PersistentState // a copy to be set back to
-	stopped  error         // for good
+	stopped  error                    // for good
 	answers  map[uint64]func(replica.Completion)
 	nextTag  uint64
 	sessions map[uint64]*client // of hints
--- a/internal/faultinjection/faults/fleet.go
+++ b/internal/faultinjection/faults/fleet.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"frostlink/internal/coord/api"
+	"frostlink/internal/logkey"
 	"frostlink/internal/settings"
 )
 
@@ -192,13 +193,13 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 128, "disk_mb": 3},
 		"known":  map[string]any{"seq": 0, "whole": true, "hosts": []any{}},
 		"settings": settings.Settings{
-			Discovery: "subscribe", NInstances: f.o.Relays, Ordinal: number, QuantumS: 0.002, Weights: "nominal",
-			Limits:     settings.Limits{ConnIdleS: 5, ConnTimeoutS: 1, MaxAttempts: 3, MaxOpen: 100, MaxRetryAfterS: 3, RetryAfter: true},
-			Rules:      settings.Rules{AnswerSlackS: 0.1, AskWithinS: 4, ColdShare: 0.3, DrainGraceS: 2, OverloadFactor: 2, OverloadForS: 1, RampTimeS: 5},
-			Report:     settings.Report{Columns: []string{}, Via: "off"},
-			Specifics:  settings.Specifics{LosesWorth: "linear", MaxCalls: 4, BundleMax: []int{1}, SeparateRoutes: []bool{false}, RouteFee: []float64{0}},
-			Categories: []settings.Category{{Name: "C", AimS: 1, DeadlineS: 5, Idempotency: "retryable", Group: "all", LateShare: 0.5, Points: 1}},
-			Shapes:     []string{"A"}, Localities: []string{"L"},
+			Discovery: "subscribe", Instances: f.o.Relays, Ordinal: number, BatchIntervalS: 0.002, Weights: "nominal",
+			Limits:           settings.Limits{IdleConnTimeoutS: 5, ConnectTimeoutS: 1, MaxAttempts: 3, MaxHeld: 100, MaxRetryAfterS: 3, RetryAfter: true},
+			Rules:            settings.Rules{AnswerSlackS: 0.1, PollWithinS: 4, ColdCapacity: 0.3, DrainGraceS: 2, OverloadFactor: 2, OverloadWindowS: 1, SlowStartTimeS: 5},
+			Report:           settings.Report{Columns: []string{}, Via: "off"},
+			Specifics:        settings.Specifics{WeightDecay: "linear", MaxInFlight: 4, MaxBatch: []int{1}, SeparateRoutes: []bool{false}, ZoneCost: []float64{0}},
+			Classes:          []settings.Class{{Name: "C", LatencyObjectiveS: 1, DeadlineS: 5, Idempotency: "retryable", KeyScope: "all", LateFraction: 0.5, PriorityWeight: 1}},
+			DestinationKinds: []string{"A"}, Zones: []string{"L"},
 		},
 	})
 	if err != nil {
@@ -249,7 +250,7 @@
 	}
 	if f.loopback != nil {
 		if err := f.loopback.Close(); err != nil {
-			slog.Error("a loopback network stays reserved", "err", err)
+			slog.Error("a loopback network stays reserved", logkey.Err, err)
 		}
 	}
 }
@@ -396,6 +397,6 @@
 		time.Sleep(s.For)
 		f.again(m.Process, 0)
 	default:
-		slog.Error("unknown fault", "kind", s.Kind)
+		slog.Error("unknown fault", logkey.Kind, s.Kind)
 	}
 }
--- a/internal/faultinjection/harness/book.go
+++ b/internal/faultinjection/harness/book.go
@@ -167,7 +167,7 @@
 }
 
 // sum is how the run stands: messages sent and delivered, ids held, worth got and asked for.
-func (b *book) sum(classes []settings.Category, messages []*scenario.Message, now time.Duration) (sent, delivered, held int, got, asked float64) {
+func (b *book) sum(classes []settings.Class, messages []*scenario.Message, now time.Duration) (sent, delivered, held int, got, asked float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, m := range messages {
@@ -176,10 +176,10 @@
 		}
 		sent++
 		c := &classes[m.Class]
-		asked += c.Points
+		asked += c.PriorityWeight
 		if at, ok := b.served[m.No]; ok {
 			delivered++
-			got += c.Points * checker.WorthLeft(c, at-m.At)
+			got += c.PriorityWeight * checker.WorthLeft(c, at-m.At)
 		}
 	}
 	return sent, delivered, b.open, got, asked
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -415,7 +415,7 @@
 	if r.o.Progress == nil {
 		return
 	}
-	classes := r.s.Settings(0).Categories
+	classes := r.s.Settings(0).Classes
 	for tick := 1; r.until(ctx, time.Duration(tick)*time.Second); tick++ {
 		sent, delivered, held, got, asked := r.book.sum(classes, messages, r.now())
 		fmt.Fprintf(r.o.Progress, "%3d s  sent %6d  delivered %6d  held %5d  worth %.3f\n", tick, sent, delivered, held, got/max(1e-9, asked))
--- a/internal/faultinjection/harness/stores.go
+++ b/internal/faultinjection/harness/stores.go
@@ -33,10 +33,10 @@
 		if err != nil {
 			return err
 		}
-		if own.Undelivered == nil {
+		if own.DeadLetter == nil {
 			return errors.New("relay.backlog: the operator's file keeps no undelivered messages")
 		}
-		s, err := deadletter.Open(own.Undelivered.Folder, 0, 0)
+		s, err := deadletter.Open(own.DeadLetter.Folder, 0, 0)
 		if err != nil {
 			return err
 		}
@@ -53,14 +53,14 @@
 	const batch = 500
 	at := time.Now().Add(-beforeRun)
 	for part := range slices.Chunk(list, batch) {
-		var all []deadletter.Kept
+		var all []deadletter.Message
 		for _, m := range part {
 			id, class := fmt.Sprintf("before-%d", m.No), &rel.r.s.Classes[m.Class]
-			k := deadletter.Kept{Body: bodyOf(&charge{m: m}), Record: deadletter.Record{
-				ID: id, Class: class.Name, Partner: m.Partner, Key: m.Key,
-				State: deadletter.Held, Since: at, Due: at, Lives: []deadletter.Life{{
-					ID: id, Relay: rel.name, Taken: at.Add(-scenario.Seconds(class.Deadline)),
-					Expires: at, Over: at, Reason: deadletter.OutOfTime, Status: "undeliverable",
+			k := deadletter.Message{Body: bodyOf(&charge{m: m}), Record: deadletter.Record{
+				ID: id, Class: class.Name, Destination: m.Partner, IdempotencyKey: m.Key,
+				State: deadletter.Held, Since: at, Due: at, Incarnations: []deadletter.Incarnation{{
+					ID: id, Relay: rel.name, AcceptedAt: at.Add(-scenario.Seconds(class.Deadline)),
+					Deadline: at, CompletedAt: at, Reason: deadletter.DeadlineExceeded, Status: "undeliverable",
 				}},
 			}}
 			if m.Tenant >= 0 {
@@ -89,10 +89,10 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if own.Undelivered == nil {
+		if own.DeadLetter == nil {
 			continue
 		}
-		s, err := deadletter.OpenToRead(own.Undelivered.Folder)
+		s, err := deadletter.OpenToRead(own.DeadLetter.Folder)
 		if errors.Is(err, os.ErrNotExist) {
 			continue // nothing was ever kept, which the auditor will judge
 		}
@@ -102,7 +102,7 @@
 		kept, err = rel.stored(s, kept)
 		if err == nil {
 			var lost []string
-			lost, err = s.UnkeptIDs()
+			lost, err = s.DroppedIDs()
 			unkept = append(unkept, lost...)
 		}
 		if err = errors.Join(err, s.Close()); err != nil {
@@ -115,13 +115,13 @@
 // keepStore copies a relay's store, so that the tool can be tried on it.
 func (rel *relay) keepStore(to string) error {
 	own, err := operatorconfig.Read(rel.operatorPath())
-	if errors.Is(err, os.ErrNotExist) || err == nil && own.Undelivered == nil {
+	if errors.Is(err, os.ErrNotExist) || err == nil && own.DeadLetter == nil {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	err = os.CopyFS(to, os.DirFS(own.Undelivered.Folder))
+	err = os.CopyFS(to, os.DirFS(own.DeadLetter.Folder))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil // nothing was ever kept
 	}
@@ -140,13 +140,13 @@
 			rel.r.fault("%s: %d records of its store can't be read", rel.name, damaged)
 		}
 		for _, rec := range list {
-			k := checker.DeadLetter{Relay: rel.number, State: string(rec.State), Why: rec.Why + string(rec.Last().Reason)}
-			for i, l := range rec.Lives {
+			k := checker.DeadLetter{Relay: rel.number, State: string(rec.State), Why: rec.Reason + string(rec.Last().Reason)}
+			for i, l := range rec.Incarnations {
 				k.IDs = append(k.IDs, l.ID)
 				// Of a resend that is out the store knows nothing yet: what came of it is in the relay's journal.
-				never := rec.State != deadletter.Out || i < len(rec.Lives)-1
+				never := rec.State != deadletter.Redelivering || i < len(rec.Incarnations)-1
 				for _, a := range l.Attempts {
-					never = never && a.Ran == deadletter.Never
+					never = never && a.Execution == deadletter.NotExecuted
 				}
 				if never {
 					k.NeverRan = append(k.NeverRan, l.ID)
--- a/internal/faultinjection/scenario/scenario.go
+++ b/internal/faultinjection/scenario/scenario.go
@@ -448,20 +448,20 @@
 // SettingsAt gives it under given terms.
 func (s *Script) SettingsAt(relay int, terms Terms) settings.Settings {
 	out := settings.Settings{
-		Discovery: "subscribe", NInstances: s.Relays, Ordinal: relay, QuantumS: s.Relay.TickMS / 1000, Weights: "nominal",
+		Discovery: "subscribe", Instances: s.Relays, Ordinal: relay, BatchIntervalS: s.Relay.TickMS / 1000, Weights: "nominal",
 		Limits: settings.Limits{
-			Cancel: s.Limits.Cancel, ConnIdleS: s.Limits.ConnIdle,
-			ConnTimeoutS: s.Limits.ConnectTimeout, MaxAttempts: terms.Attempts, MaxOpen: s.Relay.Hold,
-			MaxRetryAfterS: s.Limits.RetryAfter, Peers: s.Limits.Peers, Probing: s.Limits.Probes,
+			Cancel: s.Limits.Cancel, IdleConnTimeoutS: s.Limits.ConnIdle,
+			ConnectTimeoutS: s.Limits.ConnectTimeout, MaxAttempts: terms.Attempts, MaxHeld: s.Relay.Hold,
+			MaxRetryAfterS: s.Limits.RetryAfter, Gossip: s.Limits.Peers, Probing: s.Limits.Probes,
 			RetryAfter: s.Limits.RetryAfter > 0,
 		},
 		Rules: settings.Rules{
-			AnswerSlackS: s.Rules.AnswerSlack, AskWithinS: s.Rules.AskWithin,
-			ColdShare: s.Rules.ColdShare, DrainGraceS: s.Rules.DrainGrace, OverloadFactor: s.Rules.OverloadFactor,
-			OverloadForS: s.Rules.OverloadFor, RampTimeS: s.Rules.Ramp, OrderPauseS: s.Rules.OrderPause,
+			AnswerSlackS: s.Rules.AnswerSlack, PollWithinS: s.Rules.AskWithin,
+			ColdCapacity: s.Rules.ColdShare, DrainGraceS: s.Rules.DrainGrace, OverloadFactor: s.Rules.OverloadFactor,
+			OverloadWindowS: s.Rules.OverloadFor, SlowStartTimeS: s.Rules.Ramp, OrderKeyCooldownS: s.Rules.OrderPause,
 		},
 		Report:    settings.Report{Columns: []string{}, Via: "off"},
-		Specifics: settings.Specifics{LosesWorth: "linear", MaxCalls: s.Relay.Slots},
+		Specifics: settings.Specifics{WeightDecay: "linear", MaxInFlight: s.Relay.Slots},
 	}
 	if s.Report != nil {
 		out.Report = settings.Report{Columns: []string{"x0", "x1"}, Via: "inline"}
@@ -470,24 +470,24 @@
 		if !terms.has(c.Name) {
 			continue
 		}
-		out.Categories = append(out.Categories, settings.Category{
-			Name: c.Name, AimS: c.Aim, DeadlineS: c.Deadline,
-			Idempotency: effects[c.Effect], Group: "all", FifoByKey: c.Ordered, LateShare: c.LateShare,
-			MemorySpanS: c.Memory, Points: c.Worth,
+		out.Classes = append(out.Classes, settings.Class{
+			Name: c.Name, LatencyObjectiveS: c.Aim, DeadlineS: c.Deadline,
+			Idempotency: effects[c.Effect], KeyScope: "all", Ordered: c.Ordered, LateFraction: c.LateShare,
+			KeyTTLS: c.Memory, PriorityWeight: c.Worth,
 		})
 	}
 	for _, t := range s.Tenants {
 		out.Tenants = append(out.Tenants, settings.Tenant{Name: t.Name, QuotaRPS: t.Quota, Share: t.Share})
-		out.OverShare = t.Over
+		out.OverQuotaFraction = t.Over
 	}
 	for _, kind := range s.Kinds() {
-		out.Shapes = append(out.Shapes, kind)
-		out.Specifics.BundleMax = append(out.Specifics.BundleMax, 1)
+		out.DestinationKinds = append(out.DestinationKinds, kind)
+		out.Specifics.MaxBatch = append(out.Specifics.MaxBatch, 1)
 		out.Specifics.SeparateRoutes = append(out.Specifics.SeparateRoutes, false)
 	}
 	for _, site := range s.Sites() {
-		out.Localities = append(out.Localities, site)
-		out.Specifics.RouteFee = append(out.Specifics.RouteFee, 0)
+		out.Zones = append(out.Zones, site)
+		out.Specifics.ZoneCost = append(out.Specifics.ZoneCost, 0)
 	}
 	return out
 }
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -532,11 +532,11 @@
 	mem := r.d.Snapshot()
 	for i := range mem.Endpoints {
 		e := &mem.Endpoints[i]
-		e.Unhealthy, e.SlowStart, e.Failures = false, false, 0
+		e.Unhealthy, e.SlowStart, e.ConsecutiveFailures = false, false, 0
 	}
 	for i := range mem.Queues {
 		q := &mem.Queues[i]
-		q.Unhealthy, q.Rejections, q.HoldUntil = false, 0, 0
+		q.Unhealthy, q.Rejections, q.BackoffUntil = false, 0, 0
 	}
 	r.put(policy.SnapshotRestored{Snapshot: mem})
 }
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -74,7 +74,7 @@
 
 // newConn returns a connection of which some bytes were read before.
 func newConn(raw *net.TCPConn, read []byte) *conn {
-	patient := socket.Patient{Conn: raw}
+	patient := socket.RetryConn{Conn: raw}
 	received := &recorder{from: patient}
 	if len(read) > 0 {
 		received.from = io.MultiReader(bytes.NewReader(read), patient)
@@ -135,7 +135,7 @@
 		return false
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, err := socket.Patient{Conn: c.TCPConn}.Write(out.Bytes())
+	_, err := socket.RetryConn{Conn: c.TCPConn}.Write(out.Bytes())
 	return err == nil
 }
 
--- a/internal/frontend/http1/handover.go
+++ b/internal/frontend/http1/handover.go
@@ -53,7 +53,7 @@
 // interrupt ends the reading of a connection. The server's lock is held.
 func (c *conn) interrupt() {
 	c.interrupted = true
-	_ = c.SetReadDeadline(socket.Past)
+	_ = c.SetReadDeadline(socket.PastDeadline)
 }
 
 // isInterrupted reports whether a connection could not be read only since the server is quiesced.
@@ -107,7 +107,7 @@
 	defer s.mu.Unlock()
 	s.handover.resumed = make(chan struct{})
 	if s.listener != nil {
-		_ = s.listener.SetDeadline(socket.Past)
+		_ = s.listener.SetDeadline(socket.PastDeadline)
 	}
 	for c := range s.conns {
 		if c.state != connAwaitingResponse && c.state != connLingering {
--- a/internal/goldentest/files.go
+++ b/internal/goldentest/files.go
@@ -39,9 +39,9 @@
 	return raw
 }
 
-// File writes a golden file anew with -update-golden, and else does nothing. generate writes the file under the given name into a
+// Regenerate writes a golden file anew with -update-golden, and else does nothing. generate writes the file under the given name into a
 // folder.
-func File(tb testing.TB, file, name string, generate func(folder string)) {
+func Regenerate(tb testing.TB, file, name string, generate func(folder string)) {
 	tb.Helper()
 	if !*update {
 		return
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -197,7 +197,7 @@
 		}
 	}
 	stop()
-	if got := waittest.Receive(t, outcomes); got != Ended {
+	if got := waittest.Receive(t, outcomes); got != StopRequested {
 		t.Errorf("outcome %d", got)
 	}
 }
--- a/internal/handover/owner.go
+++ b/internal/handover/owner.go
@@ -33,8 +33,8 @@
 
 // The outcomes of Serve.
 const (
-	// Ended: the platform wants this process to stop. It is still the owner, and has to shut down.
-	Ended Outcome = iota
+	// StopRequested: the platform wants this process to stop. It is still the owner, and has to shut down.
+	StopRequested Outcome = iota
 	// HandedOver: the successor owns the folder, and this process has nothing left to do.
 	HandedOver
 	// SuccessorDied: the successor owned the folder and has died. The process has to lock the folder and
@@ -50,7 +50,7 @@
 		case <-stop:
 			o.machine.handle(eventStopRequested)
 			o.stopListening()
-			return Ended
+			return StopRequested
 		case l := <-o.successors:
 			t := &transfer{owner: o, link: l, relay: relay}
 			if outcome, ended := t.run(stop); ended {
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -83,7 +83,7 @@
 		case actionExit:
 			return eventNone, HandedOver, true
 		case actionShutDown:
-			return eventNone, Ended, true
+			return eventNone, StopRequested, true
 		case actionReclaim:
 			slog.Warn("successor died")
 			return eventNone, SuccessorDied, true
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -6,8 +6,8 @@
 	"frostlink/policy"
 )
 
-// Message is what the checks have to know of an accepted request.
-type Message struct {
+// Request is what the checks have to know of an accepted request.
+type Request struct {
 	*journal.Entry               // its attempts are those before the one that is checked
 	Terms          *policy.Class // of its class, as it was accepted; nil: not known
 	Completed      bool          // its terminal outcome is decided
@@ -16,7 +16,7 @@
 
 // CheckSend reports whether another attempt of a request may be sent now, or which invariant that would
 // violate.
-func CheckSend(m Message, now clock.Instant) (k Kind, ok bool) {
+func CheckSend(m Request, now clock.Instant) (k Kind, ok bool) {
 	switch {
 	case m.Completed:
 		return SendAfterCompletion, false
@@ -29,7 +29,7 @@
 }
 
 // checkRepeat reports whether an attempt may be sent after those before it.
-func checkRepeat(m Message, now clock.Instant) (k Kind, ok bool) {
+func checkRepeat(m Request, now clock.Instant) (k Kind, ok bool) {
 	if m.Terms == nil || m.Terms.Idempotency == policy.Idempotent {
 		return 0, true
 	}
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -21,31 +21,31 @@
 	notIdempotent := &policy.Class{Idempotency: policy.NotIdempotent}
 	none := Kind(-1)
 	for name, test := range map[string]struct {
-		message  Message
+		message  Request
 		timeLeft time.Duration
 		want     Kind
 	}{
-		"first attempt":             {Message{Terms: notIdempotent}, time.Second, none},
-		"after completion":          {Message{Terms: idempotent, Completed: true}, time.Second, SendAfterCompletion},
-		"at the deadline":           {Message{Terms: idempotent}, 0, SendAfterDeadline},
-		"after the deadline":        {Message{Terms: idempotent}, -time.Second, SendAfterDeadline},
-		"another attempt in flight": {Message{Terms: idempotent, InFlight: true}, time.Second, SecondAttempt},
+		"first attempt":             {Request{Terms: notIdempotent}, time.Second, none},
+		"after completion":          {Request{Terms: idempotent, Completed: true}, time.Second, SendAfterCompletion},
+		"at the deadline":           {Request{Terms: idempotent}, 0, SendAfterDeadline},
+		"after the deadline":        {Request{Terms: idempotent}, -time.Second, SendAfterDeadline},
+		"another attempt in flight": {Request{Terms: idempotent, InFlight: true}, time.Second, SecondAttempt},
 		"not idempotent, not executed": {
-			Message{Terms: notIdempotent, Entry: entryWith(notExecuted, notExecuted)}, time.Second, none,
+			Request{Terms: notIdempotent, Entry: entryWith(notExecuted, notExecuted)}, time.Second, none,
 		},
 		"not idempotent, outcome unknown": {
-			Message{Terms: notIdempotent, Entry: entryWith(notExecuted, outcomeUnknown)}, time.Second, NonIdempotentRepeat,
+			Request{Terms: notIdempotent, Entry: entryWith(notExecuted, outcomeUnknown)}, time.Second, NonIdempotentRepeat,
 		},
 		"not idempotent, in flight at a restart": {
-			Message{Terms: notIdempotent, Entry: entryWith(inFlight)}, time.Second, NonIdempotentRepeat,
+			Request{Terms: notIdempotent, Entry: entryWith(inFlight)}, time.Second, NonIdempotentRepeat,
 		},
-		"idempotent, outcome unknown": {Message{Terms: idempotent, Entry: entryWith(outcomeUnknown)}, time.Second, none},
-		"key valid":                   {Message{Terms: longTTL, Entry: entryWith(outcomeUnknown)}, time.Second, none},
+		"idempotent, outcome unknown": {Request{Terms: idempotent, Entry: entryWith(outcomeUnknown)}, time.Second, none},
+		"key valid":                   {Request{Terms: longTTL, Entry: entryWith(outcomeUnknown)}, time.Second, none},
 		"key expired": {
-			Message{Terms: shortTTL, Entry: entryWith(outcomeUnknown)}, time.Second, ExpiredKeyRepeat,
+			Request{Terms: shortTTL, Entry: entryWith(outcomeUnknown)}, time.Second, ExpiredKeyRepeat,
 		},
-		"key expired, not executed": {Message{Terms: shortTTL, Entry: entryWith(notExecuted)}, time.Second, none},
-		"class not known":           {Message{Entry: entryWith(outcomeUnknown)}, time.Second, none},
+		"key expired, not executed": {Request{Terms: shortTTL, Entry: entryWith(notExecuted)}, time.Second, none},
+		"class not known":           {Request{Entry: entryWith(outcomeUnknown)}, time.Second, none},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := test.message
--- a/internal/journal/completed_test.go
+++ b/internal/journal/completed_test.go
@@ -91,11 +91,11 @@
 	dir := t.TempDir()
 	raw := appendRecord(nil, record{Kind: kindCompletedRequests, Body: []byte{200, 'x'}})
 	raw = appendRecord(raw, record{Kind: kindAccepted, Entry: &Entry{ID: "a"}})
-	if err := os.WriteFile(filepath.Join(dir, Name), raw, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, FileName), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if j := openJournal(t, dir, 3); len(j.CompletedRequests()) != 0 || j.Get("a") == nil {
-		t.Errorf("completed requests %v, entry %v", j.CompletedRequests(), j.Get("a"))
+	if j := openJournal(t, dir, 3); len(j.CompletedRequests()) != 0 || j.Entry("a") == nil {
+		t.Errorf("completed requests %v, entry %v", j.CompletedRequests(), j.Entry("a"))
 	}
 }
 
--- a/internal/journal/dead_letter_test.go
+++ b/internal/journal/dead_letter_test.go
@@ -32,7 +32,7 @@
 	}
 	for range 2 { // as written, and as compacted
 		j = open(true)
-		e := j.Get("b")
+		e := j.Entry("b")
 		if j.lastArrival != 900 || j.store != "store" || e == nil || !e.Delivered || e.Subject != "k-1" || *e.Order != *delivered.Order {
 			t.Errorf("last arrival %d, store %q, %+v", j.lastArrival, j.store, e)
 		}
--- a/internal/journal/failure_test.go
+++ b/internal/journal/failure_test.go
@@ -57,7 +57,7 @@
 				t.Fatalf("%d bytes written: failed %v, may hold uncommitted %v", written, j.Failed(), j.MayHoldUncommitted())
 			}
 			later, err := Inspect(dir)
-			if err != nil || later.Get("before") == nil || truncateErr == nil && len(later.Entries()) != 1 {
+			if err != nil || later.Entry("before") == nil || truncateErr == nil && len(later.Entries()) != 1 {
 				t.Fatalf("%d bytes written: a later process finds %d entries, %v", written, len(later.Entries()), err)
 			}
 			commit(t, j)
@@ -76,14 +76,14 @@
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	fill(t, j, j.Timeline().Now())
-	old, err := os.ReadFile(filepath.Join(dir, Name))
+	old, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := j.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	compacted, err := os.ReadFile(filepath.Join(dir, Name))
+	compacted, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,11 +94,11 @@
 		if cut > len(compacted) { // renamed
 			current, temporary = compacted, nil
 		}
-		if err := os.WriteFile(filepath.Join(dir, Name), current, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, FileName), current, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if temporary != nil {
-			if err := os.WriteFile(filepath.Join(dir, Name+".new"), temporary, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, FileName+".new"), temporary, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -73,7 +73,7 @@
 		{"journal-anchored.bin", true},
 	} {
 		t.Run(test.file, func(t *testing.T) {
-			j, corrupt, err := load(goldentest.Copy(t, test.file, Name))
+			j, corrupt, err := load(goldentest.Copy(t, test.file, FileName))
 			if err != nil || corrupt != nil {
 				t.Fatalf("corrupt: %v, err: %v", corrupt, err)
 			}
@@ -91,17 +91,17 @@
 	if got := len(j.Entries()); got != 4 {
 		t.Errorf("%d entries, want 4", got)
 	}
-	tried := j.Get("tried")
+	tried := j.Entry("tried")
 	if tried == nil || string(tried.Body) != "body of tried" || len(tried.Attempts) != 2 ||
 		!tried.Attempts[0].NotExecuted || tried.Attempts[1].Ended ||
 		tried.Attempts[0].Outcome != "queue-full" || tried.OrderKey != "i-tried" {
 		t.Errorf("request with attempts: %+v", tried)
 	}
-	if owed := j.Get("owed"); owed == nil || owed.PendingNotice == nil ||
+	if owed := j.Entry("owed"); owed == nil || owed.PendingNotice == nil ||
 		owed.PendingNotice.RetryAfterMS != 250 || owed.Reason != "refused-late" {
 		t.Errorf("request with a pending notice: %+v", owed)
 	}
-	if d := j.Get("delivered"); d == nil || !d.Delivered {
+	if d := j.Entry("delivered"); d == nil || !d.Delivered {
 		t.Errorf("delivered request: %+v", d)
 	}
 	if !j.IsCompleted("over") || !j.IsCompleted("old-1") || !j.IsCompleted("old-2") {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -16,8 +16,8 @@
 	"frostlink/policy"
 )
 
-// Name is the name of the file in the relay's folder.
-const Name = "journal"
+// FileName is the name of the file in the relay's folder.
+const FileName = "journal"
 
 // openFile is the journal's file, as far as it is written in place.
 type openFile interface {
@@ -145,8 +145,8 @@
 	return slices.DeleteFunc(slices.Clone(j.accepted), func(e *Entry) bool { return j.entries[e.ID] != e })
 }
 
-// Get returns an open request, or nil.
-func (j *Journal) Get(id string) *Entry { return j.entries[id] }
+// Entry returns an open request, or nil.
+func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
 // Terms returns the terms of a request's class at its acceptance; nil: they are not known.
 func (j *Journal) Terms(e *Entry) *policy.Class {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -39,12 +39,12 @@
 		})
 	}
 	commit(t, j)
-	j.Complete(j.Get("completed"), at)
-	e := j.Get("attempted")
+	j.Complete(j.Entry("completed"), at)
+	e := j.Entry("attempted")
 	j.BeginAttempt(e, "h1", at)
 	j.EndAttempt(e, true, "", 0)
 	j.BeginAttempt(e, "h2", at.Add(time.Second))
-	j.DecideOutcome(j.Get("pending"), notification.Notice{ID: "pending", Status: notification.Deferred, RetryAfterMS: 30}, "", 0)
+	j.DecideOutcome(j.Entry("pending"), notification.Notice{ID: "pending", Status: notification.Deferred, RetryAfterMS: 30}, "", 0)
 	j.SetHealth("h2", Health{Unhealthy: true, At: at})
 	commit(t, j)
 }
@@ -86,7 +86,7 @@
 	firstSize := j.fileSize
 	j.Accept(&Entry{ID: "b", Body: []byte("2")})
 	commit(t, j)
-	raw, err := os.ReadFile(filepath.Join(dir, Name))
+	raw, err := os.ReadFile(filepath.Join(dir, FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 		}
 		for i, tail := range damaged {
 			other := t.TempDir()
-			if err := os.WriteFile(filepath.Join(other, Name), tail, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(other, FileName), tail, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			want := 1
@@ -112,7 +112,7 @@
 			}
 			j.Accept(&Entry{ID: "c"})
 			commit(t, j)
-			if reopened := openJournal(t, other, 3); reopened.Get("c") == nil {
+			if reopened := openJournal(t, other, 3); reopened.Entry("c") == nil {
 				t.Fatalf("cut %d at byte %d: a later record is lost", i, end)
 			}
 		}
@@ -204,11 +204,11 @@
 	ahead := clock.New().Now().Add(time.Hour) // the wall clock was an hour ahead when this was written
 	unanchored := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "a", Deadline: ahead.Add(time.Minute)}})
 	unanchored = appendRecord(unanchored, record{Kind: kindAttemptStarted, ID: "a", Endpoint: "h", At: ahead})
-	if err := os.WriteFile(filepath.Join(dir, Name), unanchored, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, FileName), unanchored, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j = openJournal(t, dir, 3)
-	e := j.Get("a")
+	e := j.Entry("a")
 	if e == nil || e.Attempts[0].StartedAt != ahead || j.Timeline().SameBoot() {
 		t.Fatalf("%+v, continued: %v", e, j.Timeline().SameBoot())
 	}
--- a/internal/journal/record_test.go
+++ b/internal/journal/record_test.go
@@ -29,7 +29,7 @@
 			if corrupt.Offset != len(first) || corrupt.Skipped != len(test.tail) {
 				t.Errorf("at offset %d, %d bytes skipped; want %d, %d", corrupt.Offset, corrupt.Skipped, len(first), len(test.tail))
 			}
-			if j.Get("a") == nil || j.Get("b") != nil {
+			if j.Entry("a") == nil || j.Entry("b") != nil {
 				t.Errorf("entries: %v", j.Entries())
 			}
 		})
@@ -41,7 +41,7 @@
 	j := &Journal{entries: map[string]*Entry{}}
 	raw := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "a"}})
 	raw = appendRecord(raw, record{Kind: "later", ID: "a"})
-	if corrupt := j.replay(raw); corrupt != nil || j.Get("a") == nil {
+	if corrupt := j.replay(raw); corrupt != nil || j.Entry("a") == nil {
 		t.Errorf("corrupt: %v, entries: %v", corrupt, j.Entries())
 	}
 }
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -16,7 +16,7 @@
 // error is empty. corrupt reports a tail that was skipped; nil: the whole file was read.
 func load(dir string) (j *Journal, corrupt *CorruptRecordError, err error) {
 	j = &Journal{
-		path:    filepath.Join(dir, Name),
+		path:    filepath.Join(dir, FileName),
 		entries: map[string]*Entry{},
 		health:  map[string]Health{},
 		terms:   map[int]policy.Class{},
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -14,9 +14,9 @@
 
 // File is the operator's file. A section is a pointer, and nil is off.
 type File struct {
-	Version     int                 `toml:"version"`
-	Undelivered *deadletter.Section `toml:"undelivered"` // the dead-letter store
-	Trace       *trace.Section      `toml:"trace"`
+	Version    int                 `toml:"version"`
+	DeadLetter *deadletter.Section `toml:"undelivered"` // the dead-letter store
+	Trace      *trace.Section      `toml:"trace"`
 
 	// Coordination names the service by which relays agree on who does the fleet's tasks.
 	Coordination *fleettask.Section `toml:"coordination"`
@@ -44,8 +44,8 @@
 	if f.Version != Version {
 		doc.AddError("version", "is %d; this program reads version %d", f.Version, Version)
 	}
-	if f.Undelivered != nil {
-		f.Undelivered.Check(doc, "undelivered")
+	if f.DeadLetter != nil {
+		f.DeadLetter.Check(doc, "undelivered")
 	}
 	if f.Coordination != nil {
 		f.Coordination.Check(doc, "coordination")
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -73,7 +73,7 @@
 	respondAll(r.responses, response)
 	l.traceRejected(r.Entry, r.retryInfo, rejectedUnrecorded, response.RetryAfter)
 	l.countCompleted(r, admin.Shed)
-	l.wakeDispatcher(policy.Cancelled{ID: r.ID})
+	l.wakeDispatcher(policy.MessageCanceled{ID: r.ID})
 }
 
 // dropUnrecorded drops a candidate whose record was not written.
--- a/internal/relay/assemble.go
+++ b/internal/relay/assemble.go
@@ -52,7 +52,7 @@
 		timeline: j.Timeline(), clockSteps: clock.NewStepDetector(j.Timeline()),
 		metrics: n.metrics, violations: n.violations, mode: n.mode, detached: map[string]*net.TCPConn{},
 		requests: map[string]*request{}, endpoints: map[string]discovery.Endpoint{}, destinations: map[int]bool{},
-		pool: http1.New(settings.Seconds(n.cfg.Settings.Limits.ConnTimeoutS), n.cfg.policy.IdleConnTimeout, n.cfg.maxEndpointConns()),
+		pool: http1.New(settings.Seconds(n.cfg.Settings.Limits.ConnectTimeoutS), n.cfg.policy.IdleConnTimeout, n.cfg.maxEndpointConns()),
 	}
 	l.pool.OnWritten = func() { l.metrics.AttemptsSent.Add(1) }
 	return l
@@ -62,7 +62,7 @@
 	watch := discovery.NewWatcher(l.cfg.Discovery,
 		func(list discovery.EndpointList, from string) { l.send(endpointsUpdated{list, from}) },
 		func(lists int) { l.send(watchEnded{lists}) })
-	relays := l.cfg.Settings.NInstances
+	relays := l.cfg.Settings.Instances
 	if l.cfg.hasOwnEndpointList() {
 		relays = 1 // nobody else polls it
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -84,7 +84,7 @@
 	r.attemptStarted = time.Now()
 	l.traceEvent(trace.Event{
 		Kind: trace.AttemptStarted, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: p.endpoint.ID, Count: p.index + 1,
-		LeftMs: milliseconds(r.Deadline.Sub(l.timeline.Now())),
+		TimeLeftMs: milliseconds(r.Deadline.Sub(l.timeline.Now())),
 	})
 	l.runAttempt(ctx, p, l.pool.Call)
 }
@@ -122,7 +122,7 @@
 	}
 	r.cancel, r.attemptInFlight = nil, false
 	l.traceAttemptEnded(r, e)
-	if l.journal.Get(r.ID) == r.Entry {
+	if l.journal.Entry(r.ID) == r.Entry {
 		l.journal.EndAttempt(r.Entry, e.NotExecuted(), outcomeNames[e.Outcome], l.timeline.Now())
 	}
 	l.events = append(l.events, policy.AttemptEnded{
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -69,7 +69,7 @@
 	if c.OperatorFile == nil {
 		return nil
 	}
-	return c.OperatorFile.Undelivered
+	return c.OperatorFile.DeadLetter
 }
 
 // traceSection returns the operator's section on the trace; nil: there is no trace.
--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -79,7 +79,7 @@
 	}
 	var errs []error
 	for i, rule := range section.Rules {
-		for _, fault := range rule.Against(c.RedeliveryClasses(section)) {
+		for _, fault := range rule.Conflicts(c.RedeliveryClasses(section)) {
 			errs = append(errs, fmt.Errorf("the operator's file: undelivered.rule[%d]: %s", i+1, fault))
 		}
 	}
--- a/internal/relay/deadletter_batch.go
+++ b/internal/relay/deadletter_batch.go
@@ -43,12 +43,12 @@
 	if len(results) == 0 {
 		return nil
 	}
-	if err := w.resender.Return(results, w.now()); err != nil {
+	if err := w.resender.HandleResults(results, w.now()); err != nil {
 		return err
 	}
 	ids := make([]string, len(results))
 	for i := range results {
-		ids[i] = results[i].Life.ID
+		ids[i] = results[i].Incarnation.ID
 	}
 	w.queue.removeResults(len(results))
 	w.send(requestsStored{ids})
@@ -56,11 +56,11 @@
 }
 
 // writeDelivered writes which requests with a subject were delivered.
-func (w *deadLetterWriter) writeDelivered(notes []deadletter.Note) error {
+func (w *deadLetterWriter) writeDelivered(notes []deadletter.Delivery) error {
 	if len(notes) == 0 {
 		return nil
 	}
-	if err := w.deadLetters.Delivered(notes); err != nil {
+	if err := w.deadLetters.RecordDelivered(notes); err != nil {
 		return err
 	}
 	ids := make([]string, len(notes))
@@ -77,7 +77,7 @@
 	if len(ids) == 0 {
 		return nil
 	}
-	if err := w.deadLetters.Unkept(ids, lostReason, w.now()); err != nil {
+	if err := w.deadLetters.MarkDropped(ids, lostReason, w.now()); err != nil {
 		return err
 	}
 	w.queue.removeLost(len(ids))
@@ -85,7 +85,7 @@
 }
 
 // writeRecords writes requests that were accepted and not delivered.
-func (w *deadLetterWriter) writeRecords(records []deadletter.Kept) error {
+func (w *deadLetterWriter) writeRecords(records []deadletter.Message) error {
 	if len(records) == 0 {
 		return nil
 	}
@@ -109,7 +109,7 @@
 // writeRejected writes requests that were never accepted.
 func (w *deadLetterWriter) writeRejected(b *deadLetterBatch) error {
 	if len(b.rejectedCounts) > 0 {
-		if err := w.deadLetters.Refused(b.rejectedCounts); err != nil {
+		if err := w.deadLetters.CountRejected(b.rejectedCounts); err != nil {
 			return err
 		}
 		w.queue.removeRejectedCounts(b.rejectedCounts)
--- a/internal/relay/deadletter_helpers_test.go
+++ b/internal/relay/deadletter_helpers_test.go
@@ -87,7 +87,7 @@
 
 // parcelSection is the same, in the store's terms.
 var parcelSection = deadletter.Section{
-	SubjectsMost: 200_000, SubjectsStick: true, SubjectsSettle: 600,
+	MaxSubjects: 200_000, StickySubjects: true, SubjectSettlingTime: 600,
 	Subjects: []deadletter.Subject{{Class: "status", Header: "Parcel", Order: "number", OrderHeader: "Seq"}},
 }
 
@@ -107,7 +107,7 @@
 		p.t.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Topics(&parcelSection, false, time.Now().Add(-time.Hour)); err != nil {
+	if err := s.TrackSubjects(&parcelSection, false, time.Now().Add(-time.Hour)); err != nil {
 		p.t.Fatal(err)
 	}
 	id, err := s.ID()
--- a/internal/relay/deadletter_kill_test.go
+++ b/internal/relay/deadletter_kill_test.go
@@ -150,7 +150,7 @@
 				t.Errorf("%s is stored twice", r.ID)
 			}
 			stored[r.ID] = r
-			redelivered += len(r.Lives) - 1
+			redelivered += len(r.Incarnations) - 1
 			if body, err := s.Body(r.ID); err != nil || string(body) != "body of "+r.ID {
 				t.Errorf("%s: body %q, %v", r.ID, body, err)
 			}
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -21,8 +21,8 @@
 	lastArrival   int64      // the last Order.Arrival
 
 	// Requests with a subject whose outcome the store does not know yet.
-	inFlightSubmissions  deadletter.Underway
-	inFlightRedeliveries deadletter.Underway
+	inFlightSubmissions  deadletter.InFlightMessages
+	inFlightRedeliveries deadletter.InFlightMessages
 }
 
 var _ subsystem = (*deadLetterLink)(nil)
@@ -59,7 +59,7 @@
 
 func (d *deadLetterLink) settingsChanged(cfg *Config) {
 	if d.writer != nil {
-		d.writer.queue.setClasses(cfg.RedeliveryClasses(cfg.OperatorFile.Undelivered))
+		d.writer.queue.setClasses(cfg.RedeliveryClasses(cfg.OperatorFile.DeadLetter))
 	}
 }
 
@@ -85,9 +85,9 @@
 	switch {
 	case r.Order == nil || d.writer == nil:
 	case r.Redelivery:
-		d.inFlightRedeliveries.Taken(r.ID, r.topic(), *r.Order)
+		d.inFlightRedeliveries.Add(r.ID, r.topic(), *r.Order)
 	default:
-		d.inFlightSubmissions.Taken(r.ID, r.topic(), *r.Order)
+		d.inFlightSubmissions.Add(r.ID, r.topic(), *r.Order)
 	}
 }
 
@@ -123,7 +123,7 @@
 		d.decideRedelivery(r, expiredAtEndpoint, "")
 	case now > r.Deadline.Add(-deadlineMargin):
 		l.decideOutcome(r, expiredAtEndpoint)
-		l.recordOutcome(r, notification.Notice{ID: r.ID, Status: expiredAtEndpoint}, deadletter.OutOfTime, now)
+		l.recordOutcome(r, notification.Notice{ID: r.ID, Status: expiredAtEndpoint}, deadletter.DeadlineExceeded, now)
 		l.afterCommitOrBy(r.Deadline, func() { l.publishOutcome(r) })
 	default: // its client has withdrawn it
 		l.evict(r)
@@ -145,7 +145,7 @@
 		return false
 	case r.PendingNotice == nil: // delivered
 		d.awaitingStore = append(d.awaitingStore, r)
-		d.writer.queue.addDelivered(deadletter.Note{ID: r.ID, Topic: r.topic(), Order: *r.Order})
+		d.writer.queue.addDelivered(deadletter.Delivery{ID: r.ID, Topic: r.topic(), Order: *r.Order})
 	case r.Redelivery:
 		d.writer.queue.addResult(d.result(r))
 	default:
@@ -170,7 +170,7 @@
 // requestStored notes that the store has a request, or knows of its delivery.
 func (d *deadLetterLink) requestStored(r *request) {
 	r.inDeadLetters = true
-	d.inFlightSubmissions.Ended(r.ID, r.topic()) // from now on the store says what waits
+	d.inFlightSubmissions.Remove(r.ID, r.topic()) // from now on the store says what waits
 	if r.state == stateNotified || r.Redelivery || r.Delivered {
 		d.loop.evict(r)
 	}
@@ -179,8 +179,8 @@
 
 func (d *deadLetterLink) evicted(r *request) {
 	if r.Order != nil {
-		d.inFlightSubmissions.Ended(r.ID, r.topic())
-		d.inFlightRedeliveries.Ended(r.ID, r.topic())
+		d.inFlightSubmissions.Remove(r.ID, r.topic())
+		d.inFlightRedeliveries.Remove(r.ID, r.topic())
 	}
 }
 
--- a/internal/relay/deadletter_queue.go
+++ b/internal/relay/deadletter_queue.go
@@ -19,12 +19,12 @@
 
 // deadLetterBatch is what is to be written to the store.
 type deadLetterBatch struct {
-	records         []deadletter.Kept
-	results         []deadletter.Result // of redeliveries
-	lost            []string            // ids, to be listed as lost
-	delivered       []deadletter.Note   // of topics
-	rejectedCounts  map[string]int      // requests that were never accepted, by class and tenant
-	rejectedRecords []deadletter.Kept   // the same, where they are kept: in no journal, so that the loop needs no acknowledgement
+	records         []deadletter.Message
+	results         []deadletter.Result   // of redeliveries
+	lost            []string              // ids, to be listed as lost
+	delivered       []deadletter.Delivery // of topics
+	rejectedCounts  map[string]int        // requests that were never accepted, by class and tenant
+	rejectedRecords []deadletter.Message  // the same, where they are kept: in no journal, so that the loop needs no acknowledgement
 }
 
 // deadLetterQueue holds what waits for the writer. The loop adds to it and is never held up; the writer removes what the
@@ -59,7 +59,7 @@
 }
 
 // addRecord adds a request that was not delivered.
-func (q *deadLetterQueue) addRecord(record deadletter.Kept) {
+func (q *deadLetterQueue) addRecord(record deadletter.Message) {
 	q.update(func() { q.waiting.records = append(q.waiting.records, record) })
 }
 
@@ -69,13 +69,13 @@
 }
 
 // addDelivered adds a request with a subject that was delivered.
-func (q *deadLetterQueue) addDelivered(n deadletter.Note) {
+func (q *deadLetterQueue) addDelivered(n deadletter.Delivery) {
 	q.update(func() { q.waiting.delivered = append(q.waiting.delivered, n) })
 }
 
 // addRejected adds a request that was never accepted: it is counted, and its record is kept where the operator wants that.
 // As many are kept as fit, since rejections are most frequent where there is least room for them.
-func (q *deadLetterQueue) addRejected(record deadletter.Kept) {
+func (q *deadLetterQueue) addRejected(record deadletter.Message) {
 	q.update(func() {
 		if q.keepRejected && len(q.waiting.rejectedRecords) < maxWaitingRejected {
 			q.waiting.rejectedRecords = append(q.waiting.rejectedRecords, record)
@@ -94,7 +94,7 @@
 	q.mu.Lock()
 	q.unrecorded++
 	if r.Delivered {
-		q.waiting.delivered = slices.DeleteFunc(q.waiting.delivered, func(n deadletter.Note) bool { return n.ID == r.ID })
+		q.waiting.delivered = slices.DeleteFunc(q.waiting.delivered, func(n deadletter.Delivery) bool { return n.ID == r.ID })
 		q.mu.Unlock()
 		return
 	}
@@ -165,13 +165,13 @@
 }
 
 func (q *deadLetterQueue) removeRecordsLocked(ids []string) {
-	q.waiting.records = slices.DeleteFunc(q.waiting.records, func(m deadletter.Kept) bool { return slices.Contains(ids, m.ID) })
+	q.waiting.records = slices.DeleteFunc(q.waiting.records, func(m deadletter.Message) bool { return slices.Contains(ids, m.ID) })
 }
 
 // removeDelivered removes notes by id. Some may have been removed meanwhile.
 func (q *deadLetterQueue) removeDelivered(ids []string) {
 	q.update(func() {
-		q.waiting.delivered = slices.DeleteFunc(q.waiting.delivered, func(n deadletter.Note) bool { return slices.Contains(ids, n.ID) })
+		q.waiting.delivered = slices.DeleteFunc(q.waiting.delivered, func(n deadletter.Delivery) bool { return slices.Contains(ids, n.ID) })
 	})
 }
 
