--- a/internal/relay/deadletter_record.go
+++ b/internal/relay/deadletter_record.go
@@ -6,43 +6,43 @@
 )
 
 // life returns what this relay knows of one time that a request was accepted.
-func (d *deadLetterLink) life(r *request) deadletter.Life {
-	life := deadletter.Life{
-		ID: r.ID, Relay: d.loop.cfg.Name, Taken: r.AcceptedAt.Time(), Expires: r.Deadline.Time(), Over: r.CompletedAt.Time(),
+func (d *deadLetterLink) life(r *request) deadletter.Incarnation {
+	life := deadletter.Incarnation{
+		ID: r.ID, Relay: d.loop.cfg.Name, AcceptedAt: r.AcceptedAt.Time(), Deadline: r.Deadline.Time(), CompletedAt: r.CompletedAt.Time(),
 		Reason: deadletter.Reason(r.Reason), Status: r.PendingNotice.Status,
 	}
-	if life.Taken.IsZero() { // accepted by a process without a dead-letter store
-		life.Taken = life.Over
+	if life.AcceptedAt.IsZero() { // accepted by a process without a dead-letter store
+		life.AcceptedAt = life.CompletedAt
 	}
 	for _, a := range r.Attempts {
-		executed := deadletter.May // also of one that was in flight when a process ended
+		executed := deadletter.ExecutionUnknown // also of one that was in flight when a process ended
 		switch {
 		case a.Ended && a.NotExecuted:
-			executed = deadletter.Never
+			executed = deadletter.NotExecuted
 		case a.Outcome == outcomeNames[policy.Succeeded]:
-			executed = deadletter.Did
+			executed = deadletter.Executed
 		}
 		life.Attempts = append(life.Attempts, deadletter.Attempt{
-			Host: a.Endpoint, Begun: a.StartedAt.Time(), Ended: a.EndedAt.Time(), Outcome: a.Outcome, Ran: executed,
+			Endpoint: a.Endpoint, StartedAt: a.StartedAt.Time(), EndedAt: a.EndedAt.Time(), Outcome: a.Outcome, Execution: executed,
 		})
 	}
 	return life
 }
 
 // rejectedLife returns what the store records of a request that was never accepted.
-func (d *deadLetterLink) rejectedLife(r *request, status string) deadletter.Life {
-	return deadletter.Life{
-		ID: r.ID, Relay: d.loop.cfg.Name, Taken: r.AcceptedAt.Time(), Expires: r.Deadline.Time(), Over: d.loop.timeline.Now().Time(),
-		Reason: deadletter.AtArrival, Status: status,
+func (d *deadLetterLink) rejectedLife(r *request, status string) deadletter.Incarnation {
+	return deadletter.Incarnation{
+		ID: r.ID, Relay: d.loop.cfg.Name, AcceptedAt: r.AcceptedAt.Time(), Deadline: r.Deadline.Time(), CompletedAt: d.loop.timeline.Now().Time(),
+		Reason: deadletter.RejectedOnArrival, Status: status,
 	}
 }
 
 // record returns the store's record of a request that was not delivered.
-func (r *request) record(life deadletter.Life) deadletter.Kept {
-	return deadletter.Kept{
+func (r *request) record(life deadletter.Incarnation) deadletter.Message {
+	return deadletter.Message{
 		Record: deadletter.Record{
-			ID: r.ID, Class: r.Class, Tenant: r.Tenant, Partner: r.Destination, Key: r.IdempotencyKey, Item: r.OrderKey,
-			Subject: r.Subject, Order: r.Order, Lives: []deadletter.Life{life}, State: deadletter.Held, Since: life.Over, Due: life.Over,
+			ID: r.ID, Class: r.Class, Tenant: r.Tenant, Destination: r.Destination, IdempotencyKey: r.IdempotencyKey, OrderKey: r.OrderKey,
+			Subject: r.Subject, Order: r.Order, Incarnations: []deadletter.Incarnation{life}, State: deadletter.Held, Since: life.CompletedAt, Due: life.CompletedAt,
 		},
 		Body: r.Body,
 	}
@@ -50,9 +50,9 @@
 
 // result returns what the store records of a redelivery whose outcome is decided.
 func (d *deadLetterLink) result(r *request) deadletter.Result {
-	result := deadletter.Result{Life: d.life(r), Delivered: r.PendingNotice.Status == redeliveryDelivered}
+	result := deadletter.Result{Incarnation: d.life(r), Delivered: r.PendingNotice.Status == redeliveryDelivered}
 	if r.PendingNotice.Status == redeliverySuperseded {
-		result.Life.Reason, result.Overtaken = deadletter.Overtaken, r.Reason // the newer request's id
+		result.Incarnation.Reason, result.Overtaken = deadletter.OvertakenByNewer, r.Reason // the newer request's id
 	}
 	return result
 }
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -38,16 +38,16 @@
 		t.Errorf("totals %+v", totals)
 	}
 	l := r.Last()
-	if r.Class != "order" || r.Tenant != "acme" || r.Partner != 7 || r.Key != "key-executed" || l.Reason != deadletter.Doubtful ||
-		l.Status != notification.Undeliverable || l.Relay != "n1" || len(l.Attempts) != 1 || l.Taken.IsZero() || !l.Over.After(l.Taken) {
+	if r.Class != "order" || r.Tenant != "acme" || r.Destination != 7 || r.IdempotencyKey != "key-executed" || l.Reason != deadletter.OutcomeUnknown ||
+		l.Status != notification.Undeliverable || l.Relay != "n1" || len(l.Attempts) != 1 || l.AcceptedAt.IsZero() || !l.CompletedAt.After(l.AcceptedAt) {
 		t.Errorf("record %+v", r)
 	}
-	if a := l.Attempts[0]; a.Host != "h1" || a.Ran != deadletter.May || a.Outcome != "error" || a.Ended.Before(a.Begun) {
+	if a := l.Attempts[0]; a.Endpoint != "h1" || a.Execution != deadletter.ExecutionUnknown || a.Outcome != "error" || a.EndedAt.Before(a.StartedAt) {
 		t.Errorf("attempt %+v", a)
 	}
 	r, _ = p.deadLetter(folder, "rejected")
 	l = r.Last()
-	if l.Reason != deadletter.OutOfTime || l.Status != notification.Deferred || r.MayHaveRun() != nil || len(l.Attempts) == 0 {
+	if l.Reason != deadletter.DeadlineExceeded || l.Status != notification.Deferred || r.MayHaveExecuted() != nil || len(l.Attempts) == 0 {
 		t.Errorf("record %+v", r)
 	}
 }
@@ -67,7 +67,7 @@
 	p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, _ := p.deadLetter(folder, "a")
-	if len(r.Last().Attempts) != 1 || r.MayHaveRun() == nil || r.Last().Reason != deadletter.Doubtful {
+	if len(r.Last().Attempts) != 1 || r.MayHaveExecuted() == nil || r.Last().Reason != deadletter.OutcomeUnknown {
 		t.Errorf("record %+v", r)
 	}
 }
@@ -96,7 +96,7 @@
 	p.kill(c)
 	for _, id := range []string{"a", "b"} {
 		r, _ := p.deadLetter(folder, id)
-		if r.State != deadletter.Held || r.Lives[0].Reason != deadletter.OutOfTime || r.MayHaveRun() != nil {
+		if r.State != deadletter.Held || r.Incarnations[0].Reason != deadletter.DeadlineExceeded || r.MayHaveExecuted() != nil {
 			t.Errorf("%s: %+v", id, r)
 		}
 	}
@@ -123,11 +123,11 @@
 			p.kill(c)
 			p.readDeadLetters(folder, func(s *deadletter.Store) {
 				totals, _, err := s.Totals()
-				if err != nil || totals.Refused["order of acme"] != 1 {
+				if err != nil || totals.Rejected["order of acme"] != 1 {
 					t.Errorf("%+v, %v", totals, err)
 				}
 				r, err := s.Get("a")
-				if keep != (err == nil) || keep && (r.Last().Reason != deadletter.AtArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
+				if keep != (err == nil) || keep && (r.Last().Reason != deadletter.RejectedOnArrival || r.Last().Status != notification.Deferred || len(r.Last().Attempts) > 0) {
 					t.Errorf("stored %v: %+v, %v", keep, r, err)
 				}
 			})
@@ -156,7 +156,7 @@
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
-	if totals.Messages != 1 || r.Last().Reason == deadletter.AtArrival || len(r.Last().Attempts) == 0 {
+	if totals.Messages != 1 || r.Last().Reason == deadletter.RejectedOnArrival || len(r.Last().Attempts) == 0 {
 		t.Errorf("%+v, %+v", totals, r)
 	}
 }
@@ -174,12 +174,12 @@
 		}
 		defer s.Close()
 		now := time.Now()
-		if err := s.Topics(&parcelSection, false, now); err != nil {
+		if err := s.TrackSubjects(&parcelSection, false, now); err != nil {
 			t.Fatal(err)
 		}
 		_, known = s.Newer(&deadletter.Record{
-			Class: "status", Partner: 7, Subject: "k-9", Order: &deadletter.Order{Arrival: now.UnixNano()},
-			Lives: []deadletter.Life{{Taken: now}},
+			Class: "status", Destination: 7, Subject: "k-9", Order: &deadletter.Order{Arrival: now.UnixNano()},
+			Incarnations: []deadletter.Incarnation{{AcceptedAt: now}},
 		})
 		return known
 	}
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -32,7 +32,7 @@
 	queue       *deadLetterQueue
 	send        func(deadLetterEvent) // hands the loop an event
 	timeline    *clock.Timeline
-	newResender func(*deadletter.Store) *deadletter.Resender
+	newResender func(*deadletter.Store) *deadletter.Redeliverer
 	gate        deadletter.Gate                  // of redeliveries; nil: none
 	openStore   atomic.Pointer[deadletter.Store] // once it is open, for those who only read
 
@@ -41,7 +41,7 @@
 	journalledStore  string            // the store that, by the journal, has recorded all that was delivered
 	deadLetters      *deadletter.Store // nil until it could be opened
 	bounds           *deadletter.Bounds
-	resender         *deadletter.Resender
+	resender         *deadletter.Redeliverer
 	admin            *deadletter.Admin
 	boundsEnforcedAt time.Time
 	unrecordedAtSync int            // the queue's count when the store's topics last began anew
@@ -51,10 +51,10 @@
 // newDeadLetterWriter returns a writer; journalledStore is the store that, by the journal, has recorded all that was
 // delivered.
 func newDeadLetterWriter(cfg *Config, journalledStore string, timeline *clock.Timeline, send func(deadLetterEvent)) *deadLetterWriter {
-	section := cfg.OperatorFile.Undelivered
+	section := cfg.OperatorFile.DeadLetter
 	return &deadLetterWriter{
-		section: section, queue: newDeadLetterQueue(section.Refused), send: send, timeline: timeline,
-		newResender: func(store *deadletter.Store) *deadletter.Resender { return newResender(cfg, store) },
+		section: section, queue: newDeadLetterQueue(section.KeepRejected), send: send, timeline: timeline,
+		newResender: func(store *deadletter.Store) *deadletter.Redeliverer { return newResender(cfg, store) },
 		classes:     cfg.RedeliveryClasses(section), journalledStore: journalledStore,
 	}
 }
@@ -123,14 +123,14 @@
 func (w *deadLetterWriter) applyClasses(classes []deadletter.Class) {
 	w.classes = classes
 	for i := range w.section.Rules {
-		for _, fault := range w.section.Rules[i].Against(classes) {
+		for _, fault := range w.section.Rules[i].Conflicts(classes) {
 			// Nothing is redelivered that its class forbids: what the rule is for is held. The next start wants the file mended.
 			slog.Warn("redelivery rule conflicts with the new settings", logkey.Rule, i+1, logkey.Reason, fault)
 		}
 	}
 	if w.deadLetters != nil {
-		w.resender.Reclass(classes)
-		w.admin.Reclass(classes)
+		w.resender.SetClasses(classes)
+		w.admin.SetClasses(classes)
 		w.resender.Sweep() // what was held under the old classes is looked at again
 	}
 }
@@ -140,7 +140,7 @@
 	if w.deadLetters != nil {
 		return nil
 	}
-	w.deadLetters, err = deadletter.Open(w.section.Folder, int64(w.section.QuotaMB*1e6), w.section.Messages)
+	w.deadLetters, err = deadletter.Open(w.section.Folder, int64(w.section.QuotaMB*1e6), w.section.MaxMessages)
 	if err != nil {
 		w.deadLetters = nil
 		return err
@@ -153,8 +153,8 @@
 	w.bounds = deadletter.NewBounds(w.deadLetters, w.section)
 	w.openStore.Store(w.deadLetters)
 	w.resender = w.newResender(w.deadLetters)
-	w.resender.Through(w.gate)
-	w.resender.Reclass(w.classes)
+	w.resender.SetGate(w.gate)
+	w.resender.SetClasses(w.classes)
 	w.admin = &deadletter.Admin{Store: w.deadLetters, Now: w.now, Classes: w.classes}
 	if w.section.Socket != "" {
 		w.helpers.Go(func() { w.serveTool(ctx) })
@@ -178,7 +178,7 @@
 	}
 	unrecorded := w.queue.unrecordedCount()
 	beginAnew := unrecorded > w.unrecordedAtSync || id != w.journalledStore
-	if err := w.deadLetters.Topics(w.section, beginAnew, w.now()); err != nil {
+	if err := w.deadLetters.TrackSubjects(w.section, beginAnew, w.now()); err != nil {
 		return err
 	}
 	w.journalledStore, w.unrecordedAtSync = id, unrecorded
@@ -192,7 +192,7 @@
 		return
 	}
 	w.boundsEnforcedAt = time.Now()
-	removed, err := w.bounds.Keep(w.now(), full)
+	removed, err := w.bounds.Enforce(w.now(), full)
 	if err != nil {
 		slog.Error("enforcing the bounds of the dead-letter store failed", logkey.Err, err)
 	} else if removed > 0 {
--- a/internal/relay/deadletter_writer_test.go
+++ b/internal/relay/deadletter_writer_test.go
@@ -27,16 +27,16 @@
 	const n = 3*maxBatch + 7
 	for i := range n {
 		id := fmt.Sprint("m", i)
-		k.queue.addRejected(deadletter.Kept{Record: deadletter.Record{
-			ID: id, Class: "order", Tenant: "acme", Partner: 7, State: deadletter.Held,
-			Lives: []deadletter.Life{{ID: id, Reason: deadletter.AtArrival}},
+		k.queue.addRejected(deadletter.Message{Record: deadletter.Record{
+			ID: id, Class: "order", Tenant: "acme", Destination: 7, State: deadletter.Held,
+			Incarnations: []deadletter.Incarnation{{ID: id, Reason: deadletter.RejectedOnArrival}},
 		}, Body: []byte("body of " + id)})
 	}
 	stop() // at once: hardly a batch can have been written
 	waittest.Receive(t, done)
 	_, totals := p.deadLetter(folder, "m0")
-	if totals.Refused["order of acme"] != n || totals.Messages != n {
-		t.Errorf("%d counted and %d stored of %d", totals.Refused["order of acme"], totals.Messages, n)
+	if totals.Rejected["order of acme"] != n || totals.Messages != n {
+		t.Errorf("%d counted and %d stored of %d", totals.Rejected["order of acme"], totals.Messages, n)
 	}
 }
 
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if totals, _, err := s.Totals(); err != nil || totals.Unkept == 0 || totals.Messages == 0 || totals.Unkept+totals.Messages != n {
-		t.Errorf("%d stored and %d listed as lost of %d, %v", totals.Messages, totals.Unkept, n, err)
+	if totals, _, err := s.Totals(); err != nil || totals.Dropped == 0 || totals.Messages == 0 || totals.Dropped+totals.Messages != n {
+		t.Errorf("%d stored and %d listed as lost of %d, %v", totals.Messages, totals.Dropped, n, err)
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -187,7 +187,7 @@
 	}
 	p.kill(next)
 	for _, id := range []string{"stored", "waits"} {
-		if r, totals := p.deadLetter(folder, id); totals.Messages != 2 || len(r.Lives) != 1 || r.MayHaveRun() != nil {
+		if r, totals := p.deadLetter(folder, id); totals.Messages != 2 || len(r.Incarnations) != 1 || r.MayHaveExecuted() != nil {
 			t.Errorf("%s: %+v of %+v", id, r, totals)
 		}
 	}
--- a/internal/relay/invariants.go
+++ b/internal/relay/invariants.go
@@ -14,11 +14,11 @@
 const overdueMargin = 20 * time.Millisecond
 
 // invariantFacts are what the checks of package invariant have to know of a request.
-func (l *loop) invariantFacts(r *request) invariant.Message {
+func (l *loop) invariantFacts(r *request) invariant.Request {
 	if r.acceptedTerms == nil {
 		r.acceptedTerms = l.journal.Terms(r.Entry)
 	}
-	return invariant.Message{Entry: r.Entry, Terms: r.acceptedTerms, Completed: r.completed(), InFlight: r.attemptInFlight}
+	return invariant.Request{Entry: r.Entry, Terms: r.acceptedTerms, Completed: r.completed(), InFlight: r.attemptInFlight}
 }
 
 // failOverdue fails requests whose outcome the dispatcher should have decided.
@@ -37,7 +37,7 @@
 
 // cancelRequest takes a request from the dispatcher, and cancels the attempt that is in flight for it.
 func (l *loop) cancelRequest(r *request) {
-	l.wakeDispatcher(policy.Cancelled{ID: r.ID})
+	l.wakeDispatcher(policy.MessageCanceled{ID: r.ID})
 	if r.cancel != nil {
 		l.immediately(r.cancel)
 	}
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -116,7 +116,7 @@
 func (l *loop) housekeep() {
 	l.pool.Sweep()
 	if step, stepped := l.clockSteps.Check(); stepped {
-		l.traceEvent(trace.Event{Kind: trace.ClockStepped, Ms: milliseconds(step)})
+		l.traceEvent(trace.Event{Kind: trace.ClockStepped, DurationMs: milliseconds(step)})
 	}
 	l.checkMixedClocks()
 	l.expireCompleted()
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -112,7 +112,7 @@
 	case handover.HandedOver:
 		n.flushResponses(ctx)
 		return nil
-	case handover.Ended:
+	case handover.StopRequested:
 	}
 	n.drain(ctx)
 	n.stop()
--- a/internal/relay/ordered_class_test.go
+++ b/internal/relay/ordered_class_test.go
@@ -87,7 +87,7 @@
 		j.Accept(&journal.Entry{ID: id, Class: "status", Destination: 7, OrderKey: id[:1], Deadline: j.Timeline().Now().Add(time.Minute)})
 	}
 	mustCommit(t, j)
-	j.DecideOutcome(j.Get("a1"), notification.Notice{ID: "a1", Status: notification.Deferred}, "", j.Timeline().Now())
+	j.DecideOutcome(j.Entry("a1"), notification.Notice{ID: "a1", Status: notification.Deferred}, "", j.Timeline().Now())
 	mustCommit(t, j)
 	p.failingPosts = 1 << 30
 	p.start()
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -18,7 +18,7 @@
 func (l *loop) restore(ctx context.Context, predecessor *handoverState) {
 	list := l.latestEndpointList()
 	list.Full = true
-	l.traceEvent(trace.Event{Kind: trace.RelayStarted, Relay: l.cfg.Name, Count: l.cfg.Settings.NInstances})
+	l.traceEvent(trace.Event{Kind: trace.RelayStarted, Relay: l.cfg.Name, Count: l.cfg.Settings.Instances})
 	l.updateEndpoints(list)
 	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // what the watch brings from here on may be changes of it only
 	l.watch.Seq = list.Seq
--- a/internal/relay/redelivery.go
+++ b/internal/relay/redelivery.go
@@ -17,7 +17,7 @@
 	}
 	if r.Order != nil {
 		// What came since the store decided on the redelivery is known here alone.
-		newer, known := d.inFlightSubmissions.After(r.topic(), *r.Order)
+		newer, known := d.inFlightSubmissions.NewestAfter(r.topic(), *r.Order)
 		if newer != "" || !known {
 			d.returnRedelivery(r, newer)
 			return
@@ -35,12 +35,12 @@
 func (d *deadLetterLink) returnRedelivery(r *request, newer string) {
 	r.transition(stateEvicted)
 	if r.Order != nil {
-		d.inFlightRedeliveries.Ended(r.ID, r.topic())
+		d.inFlightRedeliveries.Remove(r.ID, r.topic())
 	}
 	if d.loop.requests[r.ID] == r {
 		delete(d.loop.requests, r.ID)
 	}
-	d.writer.queue.addResult(deadletter.Result{Life: deadletter.Life{ID: r.ID}, Overtaken: newer})
+	d.writer.queue.addResult(deadletter.Result{Incarnation: deadletter.Incarnation{ID: r.ID}, Overtaken: newer})
 	d.loop.acknowledged(r)
 }
 
@@ -48,7 +48,7 @@
 // the id of the request that has superseded it, for that outcome.
 func (d *deadLetterLink) decideRedelivery(r *request, status, newer string) {
 	l := d.loop
-	if l.journal.Get(r.ID) != r.Entry { // rejected before it was accepted
+	if l.journal.Entry(r.ID) != r.Entry { // rejected before it was accepted
 		d.returnRedelivery(r, newer)
 		return
 	}
@@ -75,7 +75,7 @@
 		if newer.Order == nil || newer.Redelivery || newer.completed() {
 			continue
 		}
-		for _, id := range d.inFlightRedeliveries.Before(newer.topic(), *newer.Order) {
+		for _, id := range d.inFlightRedeliveries.OlderThan(newer.topic(), *newer.Order) {
 			if r := d.loop.requests[id]; r != nil && !r.completed() {
 				d.supersede(r, newer)
 			}
--- a/internal/relay/redelivery_rules.go
+++ b/internal/relay/redelivery_rules.go
@@ -18,9 +18,9 @@
 
 // RedeliveryClasses returns the settings' classes in the terms of the dead-letter store.
 func (c *Config) RedeliveryClasses(section *deadletter.Section) (classes []deadletter.Class) {
-	effects := map[policy.Idempotency]deadletter.Effect{
-		policy.Idempotent: deadletter.Safe, policy.IdempotentByKey: deadletter.Keyed,
-		policy.NotIdempotent: deadletter.Unsafe,
+	effects := map[policy.Idempotency]deadletter.Idempotency{
+		policy.Idempotent: deadletter.Idempotent, policy.IdempotentByKey: deadletter.IdempotentByKey,
+		policy.NotIdempotent: deadletter.NotIdempotent,
 	}
 	for _, class := range c.policy.Classes {
 		if class.Retired {
@@ -28,8 +28,8 @@
 		}
 		hasSubject := slices.ContainsFunc(section.Subjects, func(s deadletter.Subject) bool { return s.Class == class.Name })
 		classes = append(classes, deadletter.Class{
-			Name: class.Name, Effect: effects[class.Idempotency], Memory: class.KeyTTL,
-			Attempts: c.policy.MaxAttempts, Subject: hasSubject, Returns: section.ClientsReturn == nil || *section.ClientsReturn,
+			Name: class.Name, Idempotency: effects[class.Idempotency], KeyTTL: class.KeyTTL,
+			MaxAttempts: c.policy.MaxAttempts, HasSubject: hasSubject, ClientsResubmit: section.ClientsResubmit == nil || *section.ClientsResubmit,
 		})
 	}
 	return classes
@@ -37,16 +37,16 @@
 
 // newResender returns the core that decides what is redelivered. Where the rules differ from those that the store was used
 // with last, it looks at all requests again.
-func newResender(cfg *Config, store *deadletter.Store) *deadletter.Resender {
-	section := cfg.OperatorFile.Undelivered
+func newResender(cfg *Config, store *deadletter.Store) *deadletter.Redeliverer {
+	section := cfg.OperatorFile.DeadLetter
 	classes := cfg.RedeliveryClasses(section)
-	r := deadletter.NewResender(store, section.Rules, classes, cfg.Name, newRedeliveryID)
-	rules, err := json.Marshal([]any{section.Rules, section.Subjects, section.SubjectsStick, section.SubjectsSettle, classes})
+	r := deadletter.NewRedeliverer(store, section.Rules, classes, cfg.Name, newRedeliveryID)
+	rules, err := json.Marshal([]any{section.Rules, section.Subjects, section.StickySubjects, section.SubjectSettlingTime, classes})
 	if err != nil {
 		panic(err) // no rule that was read can fail
 	}
 	digest := sha256.Sum256(rules)
-	if changed, err := store.RulesAre(digest[:]); err != nil {
+	if changed, err := store.SetRules(digest[:]); err != nil {
 		slog.Error("comparing the redelivery rules with the last ones failed", logkey.Err, err)
 	} else if changed {
 		r.Sweep()
@@ -71,7 +71,7 @@
 		body, bodyErr := w.deadLetters.Body(o.Record.ID)
 		if bodyErr != nil {
 			slog.Error("dead letter not redelivered: its body can't be read", logkey.Err, bodyErr)
-			w.queue.addResult(deadletter.Result{Life: deadletter.Life{ID: o.Life.ID}})
+			w.queue.addResult(deadletter.Result{Incarnation: deadletter.Incarnation{ID: o.Incarnation.ID}})
 			continue
 		}
 		w.send(redeliveryOffered{redeliveryEntry(o, body)})
@@ -94,9 +94,9 @@
 // redeliveryEntry returns the journal entry of a redelivery.
 func redeliveryEntry(o deadletter.Offer, body []byte) *journal.Entry {
 	return &journal.Entry{
-		ID: o.Life.ID, Class: o.Record.Class, Destination: o.Record.Partner, Tenant: o.Record.Tenant,
-		IdempotencyKey: o.Record.Key, OrderKey: o.Record.Item, Subject: o.Record.Subject, Order: o.Record.Order,
-		AcceptedAt: clock.FromTime(o.Life.Taken), Deadline: clock.FromTime(o.Life.Expires),
+		ID: o.Incarnation.ID, Class: o.Record.Class, Destination: o.Record.Destination, Tenant: o.Record.Tenant,
+		IdempotencyKey: o.Record.IdempotencyKey, OrderKey: o.Record.OrderKey, Subject: o.Record.Subject, Order: o.Record.Order,
+		AcceptedAt: clock.FromTime(o.Incarnation.AcceptedAt), Deadline: clock.FromTime(o.Incarnation.Deadline),
 		Body: body, Redelivery: true,
 	}
 }
--- a/internal/relay/redelivery_test.go
+++ b/internal/relay/redelivery_test.go
@@ -35,7 +35,7 @@
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
-	if totals.States[deadletter.Delivered] != 1 || len(r.Lives) != 2 || r.Last().ID != p.redeliveries()[0] || r.Last().Attempts[0].Ran != deadletter.Did {
+	if totals.States[deadletter.Delivered] != 1 || len(r.Incarnations) != 2 || r.Last().ID != p.redeliveries()[0] || r.Last().Attempts[0].Execution != deadletter.Executed {
 		t.Errorf("%+v, %+v", totals, r)
 	}
 	close(attempts)
@@ -75,7 +75,7 @@
 	p.waitFor("the other one too", func() bool { return len(p.receivedNotices()) == 2 })
 	p.waitFor("the other one is redelivered", func() bool { return len(p.redeliveries()) > 0 })
 	p.kill(c)
-	if r, _ := p.deadLetter(folder, "executed"); len(r.Lives) != 1 || r.State != deadletter.Held || !strings.Contains(r.Why, "may have run") {
+	if r, _ := p.deadLetter(folder, "executed"); len(r.Incarnations) != 1 || r.State != deadletter.Held || !strings.Contains(r.Reason, "may have run") {
 		t.Errorf("%+v", r)
 	}
 }
@@ -103,7 +103,7 @@
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
-	if totals.Messages != 1 || r.State != deadletter.Held || r.MayHaveRun() == nil || len(p.redeliveries()) != before {
+	if totals.Messages != 1 || r.State != deadletter.Held || r.MayHaveExecuted() == nil || len(p.redeliveries()) != before {
 		t.Errorf("%+v, %d more attempts", r, len(p.redeliveries())-before)
 	}
 }
@@ -152,7 +152,7 @@
 			"waits": {deadletter.Superseded, `a newer message of "k-3", newer, has overtaken it`}, "newer": {deadletter.Delivered, "delivered as again-"},
 		} {
 			r, err := s.Get(id)
-			if err != nil || r.State != want.state || !strings.HasPrefix(r.Why, want.why) {
+			if err != nil || r.State != want.state || !strings.HasPrefix(r.Reason, want.why) {
 				t.Errorf("%s: %+v, %v", id, r, err)
 			}
 		}
@@ -198,7 +198,7 @@
 	p.kill(c)
 	p.readDeadLetters(folder, func(s *deadletter.Store) {
 		r, err := s.Get("old")
-		if err != nil || r.State != deadletter.Superseded || !strings.HasPrefix(r.Why, "new, newer of") {
+		if err != nil || r.State != deadletter.Superseded || !strings.HasPrefix(r.Reason, "new, newer of") {
 			t.Errorf("%+v, %v", r, err)
 		}
 	})
@@ -236,7 +236,7 @@
 				t.Errorf("%s: it was redelivered", name)
 			}
 			p.readDeadLetters(folder, func(s *deadletter.Store) {
-				if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Why, c.why) {
+				if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Reason, c.why) {
 					t.Errorf("%s: %+v, %v", name, r, err)
 				}
 			})
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -36,5 +36,5 @@
 
 // topic is what a request is about.
 func (r *request) topic() deadletter.Topic {
-	return deadletter.Topic{Class: r.Class, Partner: r.Destination, Subject: r.Subject}
+	return deadletter.Topic{Class: r.Class, Destination: r.Destination, Subject: r.Subject}
 }
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -141,7 +141,7 @@
 	for _, s := range l.subsystems {
 		s.evicted(r)
 	}
-	if l.journal.Get(r.ID) == r.Entry {
+	if l.journal.Entry(r.ID) == r.Entry {
 		l.journal.Complete(r.Entry, l.timeline.Now())
 	}
 	r.PendingNotice = nil
@@ -163,17 +163,17 @@
 	now := l.timeline.Now()
 	switch {
 	case l.class(r.Class) < 0:
-		return deadletter.Settings
+		return deadletter.SettingsChanged
 	case now > r.Deadline && r.recovered:
 		return deadletter.ProcessEnded
 	case now > r.Deadline:
-		return deadletter.OutOfTime
+		return deadletter.DeadlineExceeded
 	case len(r.Attempts) >= l.cfg.policy.MaxAttempts:
-		return deadletter.Spent
+		return deadletter.AttemptsExhausted
 	case status == notification.Undeliverable:
-		return deadletter.Doubtful
+		return deadletter.OutcomeUnknown
 	case now > r.Deadline.Add(-deadlineMargin):
-		return deadletter.OutOfTime
+		return deadletter.DeadlineExceeded
 	}
-	return deadletter.RefusedLate
+	return deadletter.ShedAfterAcceptance
 }
--- a/internal/relay/tracing.go
+++ b/internal/relay/tracing.go
@@ -23,10 +23,10 @@
 	t := trace.Event{
 		Kind: trace.AttemptEnded, ID: r.ID, Class: r.Class, Destination: r.Destination, Endpoint: e.endpoint,
 		Outcome: outcomeNames[e.Outcome], Count: e.index + 1,
-		Ms: milliseconds(e.latency), NewConn: e.NewConn, WaitMs: milliseconds(e.RetryAfter),
+		DurationMs: milliseconds(e.latency), NewConn: e.NewConn, RetryAfterMs: milliseconds(e.RetryAfter),
 	}
 	if e.LoadReport != nil {
-		t.Left, t.Limit = e.LoadReport.Remaining, e.LoadReport.RateLimit
+		t.RemainingFraction, t.RateLimit = e.LoadReport.Remaining, e.LoadReport.RateLimit
 	}
 	l.traceEvent(t)
 }
@@ -42,7 +42,7 @@
 		return
 	}
 	t.Kind, t.ID, t.Class, t.Destination = kind, entry.ID, entry.Class, entry.Destination
-	t.LeftMs = milliseconds(entry.Deadline.Sub(l.timeline.Now()))
+	t.TimeLeftMs = milliseconds(entry.Deadline.Sub(l.timeline.Now()))
 	t.Key, t.Retry, t.Deadline = trace.Digest(entry.IdempotencyKey), retryInfo, float64(entry.Deadline)/float64(time.Millisecond)
 	terms := l.journal.Terms(entry)
 	if class := l.class(entry.Class); terms == nil && class >= 0 {
@@ -71,7 +71,7 @@
 
 // traceRejected records a request that is rejected before it is accepted, why, and after how long its client may retry.
 func (l *loop) traceRejected(entry *journal.Entry, retryInfo, reason string, retryAfter time.Duration) {
-	l.traceRequest(trace.Rejected, entry, retryInfo, trace.Event{Ms: float64(retryAfter.Milliseconds()), Reason: reason})
+	l.traceRequest(trace.Rejected, entry, retryInfo, trace.Event{DurationMs: float64(retryAfter.Milliseconds()), Reason: reason})
 }
 
 // traceRecovered records a request that was recovered from the journal.
@@ -98,7 +98,7 @@
 	if class := l.class(r.Class); class >= 0 {
 		terms := &l.cfg.policy.Classes[class]
 		age := l.timeline.Now().Sub(r.Deadline) + terms.Deadline
-		t.Ms, t.Late = float64(age.Milliseconds()), age > terms.LatencyObjective
+		t.DurationMs, t.Late = float64(age.Milliseconds()), age > terms.LatencyObjective
 	}
 	l.traceEvent(t)
 }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -11,7 +11,7 @@
 var (
 	watchesEndpoints  = map[string]bool{"subscribe": true, "automatic": false} // by discovery mode
 	idempotencyByWord = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NotIdempotent}
-	weightsByWord     = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal, "rough": policy.WeightsRough}
+	weightsByWord     = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal, "rough": policy.WeightsApproximate}
 )
 
 const (
@@ -25,57 +25,57 @@
 		return policy.Settings{}, err
 	}
 	p := policy.Settings{
-		Instances:        s.NInstances,
-		Zone:             s.Az,
-		ZoneCost:         s.Specifics.RouteFee,
+		Instances:        s.Instances,
+		Zone:             s.Zone,
+		ZoneCost:         s.Specifics.ZoneCost,
 		Weights:          weightsByWord[s.Weights],
 		WatchEndpoints:   watchesEndpoints[s.Discovery],
-		BatchInterval:    Seconds(s.QuantumS),
-		MaxInFlight:      s.Specifics.MaxCalls,
-		MaxQueued:        s.Limits.MaxOpen,
+		BatchInterval:    Seconds(s.BatchIntervalS),
+		MaxInFlight:      s.Specifics.MaxInFlight,
+		MaxQueued:        s.Limits.MaxHeld,
 		MaxAttempts:      s.Limits.MaxAttempts,
-		Hedging:          s.Limits.SecondCopies,
+		Hedging:          s.Limits.Hedging,
 		CanCancel:        s.Limits.Cancel,
-		IdleConnTimeout:  Seconds(s.Limits.ConnIdleS),
-		ColdCapacity:     s.Rules.ColdShare,
-		SlowStartTime:    Seconds(s.Rules.RampTimeS),
+		IdleConnTimeout:  Seconds(s.Limits.IdleConnTimeoutS),
+		ColdCapacity:     s.Rules.ColdCapacity,
+		SlowStartTime:    Seconds(s.Rules.SlowStartTimeS),
 		OverloadFactor:   s.Rules.OverloadFactor,
-		OverloadWindow:   Seconds(s.Rules.OverloadForS),
-		OrderKeyCooldown: Seconds(s.Rules.OrderPauseS),
+		OverloadWindow:   Seconds(s.Rules.OverloadWindowS),
+		OrderKeyCooldown: Seconds(s.Rules.OrderKeyCooldownS),
 	}
 	if s.Limits.RetryAfter {
 		p.MaxRetryAfter = Seconds(s.Limits.MaxRetryAfterS)
 	}
-	for i := range s.Categories {
-		p.Classes = append(p.Classes, s.class(&s.Categories[i]))
+	for i := range s.Classes {
+		p.Classes = append(p.Classes, s.class(&s.Classes[i]))
 	}
-	for i := range s.Shapes {
+	for i := range s.DestinationKinds {
 		p.Kinds = append(p.Kinds, s.Specifics.kind(i))
 	}
 	return p, nil
 }
 
 // class translates a category that Validate has passed.
-func (s *Settings) class(c *Category) policy.Class {
+func (s *Settings) class(c *Class) policy.Class {
 	return policy.Class{
 		Name:             c.Name,
-		LatencyObjective: Seconds(c.AimS),
+		LatencyObjective: Seconds(c.LatencyObjectiveS),
 		Deadline:         Seconds(c.DeadlineS),
-		PriorityWeight:   c.Points,
-		LateFraction:     c.LateShare,
-		ExponentialDecay: s.Specifics.LosesWorth == exponentialDecay,
+		PriorityWeight:   c.PriorityWeight,
+		LateFraction:     c.LateFraction,
+		ExponentialDecay: s.Specifics.WeightDecay == exponentialDecay,
 		Idempotency:      idempotencyByWord[c.Idempotency],
-		KeyPerZone:       c.Group != allZones,
-		KeyTTL:           Seconds(c.MemorySpanS),
-		Ordered:          c.FifoByKey,
+		KeyPerZone:       c.KeyScope != allZones,
+		KeyTTL:           Seconds(c.KeyTTLS),
+		Ordered:          c.Ordered,
 	}
 }
 
 // kind returns the kind of destination with an index in Shapes. The object's lists may be shorter than Shapes.
 func (s *Specifics) kind(i int) policy.DestinationKind {
 	k := policy.DestinationKind{MaxBatch: 1}
-	if i < len(s.BundleMax) {
-		k.MaxBatch = s.BundleMax[i]
+	if i < len(s.MaxBatch) {
+		k.MaxBatch = s.MaxBatch[i]
 	}
 	if i < len(s.SeparateRoutes) {
 		k.SeparateRoutes = s.SeparateRoutes[i]
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -37,7 +37,7 @@
 	if err := s.validateCounts(); err != nil {
 		return err
 	}
-	for i, c := range s.Categories {
+	for i, c := range s.Classes {
 		if _, ok := idempotencyByWord[c.Idempotency]; !ok {
 			return invalid(fmt.Sprintf("categories[%d].idempotency", i), "unknown effect %q", c.Idempotency)
 		}
@@ -48,8 +48,8 @@
 // validateCategories checks the names and numbers of all categories.
 func (s *Settings) validateCategories() error {
 	names := map[string]bool{}
-	for i := range s.Categories {
-		c, key := &s.Categories[i], fmt.Sprintf("categories[%d]", i)
+	for i := range s.Classes {
+		c, key := &s.Classes[i], fmt.Sprintf("categories[%d]", i)
 		if c.Name != "" && names[c.Name] {
 			return invalid(key+".name", "%q is there twice", c.Name)
 		}
@@ -62,18 +62,18 @@
 }
 
 // validateNumbers checks a category's numbers. The conditions are negated so that NaN fails them.
-func (c *Category) validateNumbers(key string) error {
+func (c *Class) validateNumbers(key string) error {
 	switch {
 	case !(c.DeadlineS > 0 && c.DeadlineS <= maxSeconds):
 		return invalid(key+".deadline_s", "%v is not above 0 and up to a day", c.DeadlineS)
-	case !(c.AimS >= 0 && c.AimS <= maxSeconds):
-		return invalid(key+".aim_s", "%v is not from 0 to a day", c.AimS)
-	case !(c.MemorySpanS >= 0 && c.MemorySpanS <= maxSeconds):
-		return invalid(key+".memory_span_s", "%v is not from 0 to a day", c.MemorySpanS)
-	case !(c.Points >= 0) || math.IsInf(c.Points, 0):
-		return invalid(key+".points", "%v is negative or no number", c.Points)
-	case !(c.LateShare >= 0 && c.LateShare <= 1):
-		return invalid(key+".late_share", "%v is not from 0 to 1", c.LateShare)
+	case !(c.LatencyObjectiveS >= 0 && c.LatencyObjectiveS <= maxSeconds):
+		return invalid(key+".aim_s", "%v is not from 0 to a day", c.LatencyObjectiveS)
+	case !(c.KeyTTLS >= 0 && c.KeyTTLS <= maxSeconds):
+		return invalid(key+".memory_span_s", "%v is not from 0 to a day", c.KeyTTLS)
+	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
+		return invalid(key+".points", "%v is negative or no number", c.PriorityWeight)
+	case !(c.LateFraction >= 0 && c.LateFraction <= 1):
+		return invalid(key+".late_share", "%v is not from 0 to 1", c.LateFraction)
 	}
 	return nil
 }
@@ -85,8 +85,8 @@
 		value int
 	}{
 		{"limits.max_attempts", s.Limits.MaxAttempts},
-		{"limits.max_open", s.Limits.MaxOpen},
-		{"specifics.max_calls", s.Specifics.MaxCalls},
+		{"limits.max_open", s.Limits.MaxHeld},
+		{"specifics.max_calls", s.Specifics.MaxInFlight},
 	} {
 		if count.value < 1 || count.value > maxCount {
 			return invalid(count.key, "%d is not from 1 to %d", count.value, maxCount)
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -45,7 +45,7 @@
 	case "answer":
 		return attemptEnded(f)
 	case "left":
-		return policy.Cancelled{ID: f.text(2)}
+		return policy.MessageCanceled{ID: f.text(2)}
 	case "update":
 		return s.endpointsChanged(f)
 	case "wakeup":
--- a/internal/socket/retry_conn.go
+++ b/internal/socket/retry_conn.go
@@ -14,13 +14,13 @@
 	ioRetryPause  = 2 * time.Millisecond
 )
 
-// Patient is a connection whose reads and writes are repeated where one fails for a shortage on this
+// RetryConn is a connection whose reads and writes are repeated where one fails for a shortage on this
 // machine, as with ENOMEM or ENOBUFS (recv(2), send(2)): the connection itself is intact. Its deadlines
 // hold.
-type Patient struct{ net.Conn }
+type RetryConn struct{ net.Conn }
 
 // Read reads what has come.
-func (p Patient) Read(b []byte) (n int, err error) {
+func (p RetryConn) Read(b []byte) (n int, err error) {
 	for range maxIOAttempts {
 		n, err = p.Conn.Read(b)
 		if n > 0 || !isLocal(syserr.Read, err) {
@@ -32,7 +32,7 @@
 }
 
 // Write writes all of b.
-func (p Patient) Write(b []byte) (written int, err error) {
+func (p RetryConn) Write(b []byte) (written int, err error) {
 	for range maxIOAttempts {
 		var n int
 		n, err = p.Conn.Write(b[written:])
--- a/internal/socket/retry_conn_test.go
+++ b/internal/socket/retry_conn_test.go
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := &flakyConn{errs: test.errs}
 			b := make([]byte, 10)
-			n, err := Patient{c}.Read(b)
+			n, err := RetryConn{c}.Read(b)
 			if string(b[:n]) != test.want || !errors.Is(err, test.wantErr) || c.calls != test.wantCalls {
 				t.Errorf("%q, err %v, %d calls", b[:n], err, c.calls)
 			}
@@ -70,7 +70,7 @@
 // What a write that fails has written is not written again.
 func TestRetryConn_ContinuesWriteAfterShortage(t *testing.T) {
 	c := &flakyConn{errs: []error{syscall.ENOBUFS, syscall.ENOBUFS}}
-	n, err := Patient{c}.Write([]byte("data"))
+	n, err := RetryConn{c}.Write([]byte("data"))
 	if n != 4 || err != nil || c.written.String() != "data" {
 		t.Errorf("%d bytes, err %v, %q on the wire", n, err, c.written.String())
 	}
@@ -81,7 +81,7 @@
 	for range maxIOAttempts + 1 {
 		c.errs = append(c.errs, syscall.ENOMEM)
 	}
-	if _, err := (Patient{c}).Read(nil); !errors.Is(err, syscall.ENOMEM) || c.calls != maxIOAttempts {
+	if _, err := (RetryConn{c}).Read(nil); !errors.Is(err, syscall.ENOMEM) || c.calls != maxIOAttempts {
 		t.Errorf("err %v after %d calls", err, c.calls)
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/syserr"
 )
 
-// Past is a deadline that has passed. Set on a connection, it ends the calls that wait there.
-var Past = time.Unix(1, 0)
+// PastDeadline is a deadline that has passed. Set on a connection, it ends the calls that wait there.
+var PastDeadline = time.Unix(1, 0)
 
 // minBackoff and maxBackoff bound the backoff before a connection is attempted again for which this
 // machine was short of something: ports, buffers and routes come back in milliseconds, and a request
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -48,25 +48,25 @@
 
 // Event is one line.
 type Event struct {
-	Version     int     `json:"trace"`
-	At          float64 `json:"at"` // Unix time in milliseconds
-	Kind        Kind    `json:"ev"`
-	Relay       string  `json:"relay,omitempty"`
-	ID          string  `json:"id,omitempty"` // the request's
-	Class       string  `json:"class,omitempty"`
-	Destination int     `json:"dest"`
-	Endpoint    string  `json:"host,omitempty"`
-	Outcome     string  `json:"how,omitempty"`
-	Count       int     `json:"n,omitempty"`
-	Ms          float64 `json:"ms,omitempty"`      // a duration in milliseconds; which one is in the table of kinds
-	Left        float64 `json:"left,omitempty"`    // fraction of the destination's rate limit that is left, by its load report
-	Limit       float64 `json:"limit,omitempty"`   // the rate limit in requests a second, by its load report
-	NewConn     bool    `json:"fresh,omitempty"`   // a connection was opened for the attempt, or the opening of one failed
-	Full        bool    `json:"whole,omitempty"`   // the endpoint list is complete, and no change of it
-	Late        bool    `json:"late,omitempty"`    // after its class's latency objective
-	WaitMs      float64 `json:"wait_ms,omitempty"` // with AttemptEnded: the Retry-After
-	LeftMs      float64 `json:"left_ms,omitempty"` // with AttemptStarted, and a term: the time to the request's deadline
-	Reason      string  `json:"why,omitempty"`     // with Rejected, Completed and ConnClosed
+	Version           int     `json:"trace"`
+	At                float64 `json:"at"` // Unix time in milliseconds
+	Kind              Kind    `json:"ev"`
+	Relay             string  `json:"relay,omitempty"`
+	ID                string  `json:"id,omitempty"` // the request's
+	Class             string  `json:"class,omitempty"`
+	Destination       int     `json:"dest"`
+	Endpoint          string  `json:"host,omitempty"`
+	Outcome           string  `json:"how,omitempty"`
+	Count             int     `json:"n,omitempty"`
+	DurationMs        float64 `json:"ms,omitempty"`      // a duration in milliseconds; which one is in the table of kinds
+	RemainingFraction float64 `json:"left,omitempty"`    // fraction of the destination's rate limit that is left, by its load report
+	RateLimit         float64 `json:"limit,omitempty"`   // the rate limit in requests a second, by its load report
+	NewConn           bool    `json:"fresh,omitempty"`   // a connection was opened for the attempt, or the opening of one failed
+	Full              bool    `json:"whole,omitempty"`   // the endpoint list is complete, and no change of it
+	Late              bool    `json:"late,omitempty"`    // after its class's latency objective
+	RetryAfterMs      float64 `json:"wait_ms,omitempty"` // with AttemptEnded: the Retry-After
+	TimeLeftMs        float64 `json:"left_ms,omitempty"` // with AttemptStarted, and a term: the time to the request's deadline
+	Reason            string  `json:"why,omitempty"`     // with Rejected, Completed and ConnClosed
 
 	// The terms of a request, with Accepted, Rejected and Recovered.
 
--- a/internal/trace/fleet/fleet.go
+++ b/internal/trace/fleet/fleet.go
@@ -179,7 +179,7 @@
 		switch {
 		case e.Outcome == trace.Delivered:
 			c.Delivered++
-		case e.Outcome == turnedAway && (!e.NewConn || e.Limit > 0):
+		case e.Outcome == turnedAway && (!e.NewConn || e.RateLimit > 0):
 			c.Limit++
 		case e.Outcome == turnedAway:
 			c.Door++
@@ -213,9 +213,9 @@
 		d.sends = append(d.sends, e)
 	case trace.AttemptEnded:
 		d.answers = append(d.answers, e)
-		if e.Limit > 0 {
-			d.limits = append(d.limits, e.Limit)
-			d.left += e.Left
+		if e.RateLimit > 0 {
+			d.limits = append(d.limits, e.RateLimit)
+			d.left += e.RemainingFraction
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		last = e.At
 		if e.Outcome != trace.Delivered {
 			if failed++; failed == 1 {
-				from = e.At - e.Ms // it was sent while the destination was out already
+				from = e.At - e.DurationMs // it was sent while the destination was out already
 			}
 		}
 		if end := i == len(d.answers)-1; e.Outcome == trace.Delivered || end {
--- a/internal/trace/fleet/fleet_test.go
+++ b/internal/trace/fleet/fleet_test.go
@@ -30,7 +30,7 @@
 func TestCount(t *testing.T) {
 	dir := t.TempDir()
 	answer := func(at float64, how string, fresh bool, limit float64) trace.Event {
-		return trace.Event{At: at, Kind: trace.AttemptEnded, Destination: 1, Endpoint: "h", Outcome: how, NewConn: fresh, Limit: limit, Left: limit / 20}
+		return trace.Event{At: at, Kind: trace.AttemptEnded, Destination: 1, Endpoint: "h", Outcome: how, NewConn: fresh, RateLimit: limit, RemainingFraction: limit / 20}
 	}
 	logOf(t, dir, "n0", trace.Event{At: 100, Kind: trace.RelayStarted, Count: 80}, trace.Event{At: 100, Kind: trace.WatchRequested},
 		trace.Event{At: 100.5, Kind: trace.Accepted, Destination: 1}, trace.Event{At: 100.5, Kind: trace.AttemptStarted, Destination: 1, Endpoint: "h", Count: 1},
@@ -75,7 +75,7 @@
 	var events []Logged
 	call := func(relay string, at float64, how string) {
 		events = append(events, Logged{relay, trace.Event{At: at * 1000, Kind: trace.AttemptStarted, Destination: 3, Count: 1}},
-			Logged{relay, trace.Event{At: at*1000 + 50, Kind: trace.AttemptEnded, Destination: 3, Outcome: how, Ms: 50}})
+			Logged{relay, trace.Event{At: at*1000 + 50, Kind: trace.AttemptEnded, Destination: 3, Outcome: how, DurationMs: 50}})
 	}
 	call("a", 0, "delivered")
 	for i := range 12 {
--- a/internal/trace/fleet/follow.go
+++ b/internal/trace/fleet/follow.go
@@ -340,7 +340,7 @@
 	call := s.out
 	if call == nil {
 		s.unsure("call %d to %s ended (%s), and no line that it was made", e.Count, e.Endpoint, e.Outcome)
-		call = &Logged{e.Relay, trace.Event{At: e.At - e.Ms, Endpoint: e.Endpoint, Count: e.Count}}
+		call = &Logged{e.Relay, trace.Event{At: e.At - e.DurationMs, Endpoint: e.Endpoint, Count: e.Count}}
 	}
 	s.out = nil
 	if unrun[e.Outcome] {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -10,7 +10,7 @@
 func TestParse_ReadsWhatRecordWrote(t *testing.T) {
 	var log bytes.Buffer
 	r := New(&Section{Log: true}, &log)
-	want := Event{Kind: AttemptEnded, ID: "a", Destination: 3, Endpoint: "h", Outcome: Delivered, Count: 1, Ms: 41.5, Left: 0.4, Limit: 25, NewConn: true}
+	want := Event{Kind: AttemptEnded, ID: "a", Destination: 3, Endpoint: "h", Outcome: Delivered, Count: 1, DurationMs: 41.5, RemainingFraction: 0.4, RateLimit: 25, NewConn: true}
 	r.Record(1500*time.Millisecond, want)
 	want.Version, want.At = Version, 1500
 	got, ok, err := Parse(append([]byte("0.014 "), log.Bytes()...)) // a platform puts its own time in front
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -84,7 +84,7 @@
 // establish makes a connection that was dialed idle. No other goroutine has it yet.
 func (c *conn) establish(raw net.Conn, rejectionGrace time.Duration) {
 	c.Conn = raw
-	c.limit = &io.LimitedReader{R: socket.Patient{Conn: raw}, N: maxResponseSize}
+	c.limit = &io.LimitedReader{R: socket.RetryConn{Conn: raw}, N: maxResponseSize}
 	c.in = bufio.NewReader(c.limit)
 	c.rejectionGrace = rejectionGrace
 	c.setState(connIdle)
@@ -141,9 +141,9 @@
 	case c.state == connReadingResponse:
 	case time.Now().Before(c.awaitUntil):
 		_ = c.SetReadDeadline(c.awaitUntil)
-		_ = c.SetWriteDeadline(socket.Past)
+		_ = c.SetWriteDeadline(socket.PastDeadline)
 	default:
-		_ = c.SetDeadline(socket.Past)
+		_ = c.SetDeadline(socket.PastDeadline)
 	}
 }
 
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -132,7 +132,7 @@
 		return broken(policy.ConnectError), false
 	}
 	c.extendAwait(&r)
-	if n, _ := (socket.Patient{Conn: c.Conn}).Write(out); n < len(out) {
+	if n, _ := (socket.RetryConn{Conn: c.Conn}).Write(out); n < len(out) {
 		return broken(policy.ConnectError), false
 	}
 	if p.OnWritten != nil {
--- a/internal/upstream/http1/handover.go
+++ b/internal/upstream/http1/handover.go
@@ -53,7 +53,7 @@
 		return false
 	}
 	if p.quiesced {
-		_ = c.SetReadDeadline(socket.Past)
+		_ = c.SetReadDeadline(socket.PastDeadline)
 	} else {
 		_ = c.SetReadDeadline(time.Time{})
 	}
@@ -90,7 +90,7 @@
 		cancel()
 	}
 	for c := range p.active {
-		_ = c.SetReadDeadline(socket.Past)
+		_ = c.SetReadDeadline(socket.PastDeadline)
 	}
 }
 
--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -56,7 +56,7 @@
 func failOne(d *Dispatcher, e AttemptEnded) {
 	e.ID, e.Endpoint = fmt.Sprint("x", d.lastSeq), "a"
 	d.Handle(d.now+ms, []Event{Arrived{ID: e.ID, TimeLeft: 10 * time.Second}})
-	d.Handle(d.now+2*ms, []Event{e, Cancelled{ID: e.ID}})
+	d.Handle(d.now+2*ms, []Event{e, MessageCanceled{ID: e.ID}})
 }
 
 // A background message has one attempt: after that it goes back to where it waited, whatever the
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -101,7 +101,7 @@
 		d.deadlineExceeded(e.ID)
 	case Acknowledged:
 		d.acknowledge(e.ID)
-	case Cancelled:
+	case MessageCanceled:
 		d.cancelMessage(e.ID)
 	case EndpointsChanged:
 		d.applyEndpoints(e)
--- a/policy/dispatcher_test.go
+++ b/policy/dispatcher_test.go
@@ -14,7 +14,7 @@
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	got := d.Handle(time.Second, []Event{
 		AttemptEnded{ID: "x"},
-		Cancelled{ID: "x"},
+		MessageCanceled{ID: "x"},
 		Arrived{ID: "y", Class: 99},
 		EndpointsChanged{Endpoints: []Endpoint{{ID: "z", Removed: true}}},
 	})
--- a/policy/events.go
+++ b/policy/events.go
@@ -81,8 +81,8 @@
 // Acknowledged says that the terminal outcome of a message has reached the party it was owed to.
 type Acknowledged struct{ ID string }
 
-// Cancelled says that nobody wants a message any more; no outcome is owed.
-type Cancelled struct{ ID string }
+// MessageCanceled says that nobody wants a message any more; no outcome is owed.
+type MessageCanceled struct{ ID string }
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
@@ -130,7 +130,7 @@
 func (AttemptEnded) event()     {}
 func (DeadlineExceeded) event() {}
 func (Acknowledged) event()     {}
-func (Cancelled) event()        {}
+func (MessageCanceled) event()  {}
 func (EndpointsChanged) event() {}
 func (WatchFailed) event()      {}
 func (HealthRecovered) event()  {}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -124,7 +124,7 @@
 				now += latency
 				d.Handle(now, []Event{
 					AttemptEnded{ID: id, Endpoint: to, Outcome: outcomes[end], Final: end == 'o', Latency: latency},
-					Cancelled{ID: id},
+					MessageCanceled{ID: id},
 				})
 			}
 			unhealthy := 0
@@ -155,7 +155,7 @@
 					end.Outcome, end.Final = Succeeded, true
 				}
 				now += 40 * ms
-				d.Handle(now, []Event{end, Cancelled{ID: id}})
+				d.Handle(now, []Event{end, MessageCanceled{ID: id}})
 			}
 		}
 	}
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -15,7 +15,7 @@
 		d.Handle(0, []Event{arrival("m", 0)})
 		d.Handle(ms, []Event{
 			AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: time.Second},
-			Cancelled{ID: "m"},
+			MessageCanceled{ID: "m"},
 		})
 		wantActions(t, fmt.Sprint("kind ", tt.kind), d.Handle(500*ms, []Event{arrival("n", 0)}), tt.want)
 	}
@@ -179,7 +179,7 @@
 				if m := d.messages[id]; m != nil && m.openAttempts > 0 {
 					d.Handle(now+40*ms, []Event{
 						AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report},
-						Cancelled{id},
+						MessageCanceled{id},
 					})
 					if i == 0 && (q.sendRate < before) != tt.cut {
 						t.Errorf("send rate %v after %v", q.sendRate, before)
@@ -188,7 +188,7 @@
 						t.Error("no backoff")
 					}
 				} else {
-					d.Handle(now+40*ms, []Event{Cancelled{id}})
+					d.Handle(now+40*ms, []Event{MessageCanceled{id}})
 				}
 				now += 300 * ms
 			}
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -140,7 +140,7 @@
 			c.order = append(c.order, m)
 		case policy.AttemptEnded:
 			c.ended(e)
-		case policy.Cancelled:
+		case policy.MessageCanceled:
 			if m := c.messages[e.ID]; m != nil && !m.completed {
 				m.completed, m.cancelledAt = true, now
 			}
--- a/policy/rules_generator_test.go
+++ b/policy/rules_generator_test.go
@@ -172,7 +172,7 @@
 			}
 		}
 		if !m.completed && g.random.Intn(400) == 0 {
-			events = append(events, policy.Cancelled{ID: m.ID})
+			events = append(events, policy.MessageCanceled{ID: m.ID})
 		}
 	}
 	return events
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -10,9 +10,9 @@
 
 // The meanings of a weight.
 const (
-	WeightsOff     Weights = iota // none
-	WeightsNominal                // calls per second that the destination (or route) takes from all relays
-	WeightsRough                  // the same, up to half too high or too low
+	WeightsOff         Weights = iota // none
+	WeightsNominal                    // calls per second that the destination (or route) takes from all relays
+	WeightsApproximate                // the same, up to half too high or too low
 )
 
 // DestinationKind is one kind of destination.
@@ -93,7 +93,7 @@
 		return settingError("HoldRoom", "%d is less than 1", s.MaxQueued)
 	case s.MaxAttempts < 1:
 		return settingError("MaxAttempts", "%d is less than 1", s.MaxAttempts)
-	case s.Weights < WeightsOff || s.Weights > WeightsRough:
+	case s.Weights < WeightsOff || s.Weights > WeightsApproximate:
 		return settingError("Weights", "%d is unknown", s.Weights)
 	case s.BatchInterval < 0:
 		return settingError("Tick", "%v is negative", s.BatchInterval)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -44,7 +44,7 @@
 	Route              string          `json:"route,omitempty"`
 	Latency            LatencySnapshot `json:"latency"`
 	RetryAfterUntil    time.Duration   `json:"wait_until,omitempty"`
-	HoldUntil          time.Duration   `json:"hold_until,omitempty"`
+	BackoffUntil       time.Duration   `json:"hold_until,omitempty"`
 	ConnHoldUntil      time.Duration   `json:"door_until,omitempty"`
 	BackoffStart       time.Duration   `json:"paused_at,omitempty"`
 	LastLimitRejection time.Duration   `json:"limit_at,omitempty"`
@@ -66,20 +66,20 @@
 
 // EndpointSnapshot is what is known of a listed endpoint.
 type EndpointSnapshot struct {
-	ID                string        `json:"id"`
-	Failures          float64       `json:"failures,omitempty"`
-	ClassFailures     []float64     `json:"strikes,omitempty"`
-	Unhealthy         bool          `json:"sick,omitempty"`
-	UnhealthySince    time.Duration `json:"sick_at,omitempty"`
-	RecoveredAt       time.Duration `json:"recovered,omitempty"`
-	SlowStart         bool          `json:"ramping,omitempty"`
-	Tokens            float64       `json:"tokens,omitempty"`
-	RefilledAt        time.Duration `json:"tokens_at,omitempty"`
-	LastSuccess       time.Duration `json:"last_ok,omitempty"`
-	LastUsed          time.Duration `json:"last_used,omitempty"`
-	LatestSuccessSent time.Duration `json:"last_begun,omitempty"`
-	LastLatency       float64       `json:"last_took,omitempty"`
-	ConnLimit         float64       `json:"conn_cap,omitempty"`
+	ID                  string        `json:"id"`
+	ConsecutiveFailures float64       `json:"failures,omitempty"`
+	ClassFailures       []float64     `json:"strikes,omitempty"`
+	Unhealthy           bool          `json:"sick,omitempty"`
+	UnhealthySince      time.Duration `json:"sick_at,omitempty"`
+	RecoveredAt         time.Duration `json:"recovered,omitempty"`
+	SlowStart           bool          `json:"ramping,omitempty"`
+	Tokens              float64       `json:"tokens,omitempty"`
+	RefilledAt          time.Duration `json:"tokens_at,omitempty"`
+	LastSuccess         time.Duration `json:"last_ok,omitempty"`
+	LastUsed            time.Duration `json:"last_used,omitempty"`
+	LatestSuccessSent   time.Duration `json:"last_begun,omitempty"`
+	LastLatency         float64       `json:"last_took,omitempty"`
+	ConnLimit           float64       `json:"conn_cap,omitempty"`
 }
 
 // Snapshot returns what this dispatcher has learned.
@@ -119,7 +119,7 @@
 		Destination:        destination,
 		Latency:            q.latency.snapshot(),
 		RetryAfterUntil:    q.retryAfterUntil,
-		HoldUntil:          q.backoffUntil,
+		BackoffUntil:       q.backoffUntil,
 		ConnHoldUntil:      q.connHoldUntil,
 		BackoffStart:       q.backoffStart,
 		LastLimitRejection: q.lastLimitRejection,
@@ -147,20 +147,20 @@
 // snapshot returns what is known of an endpoint.
 func (ep *endpoint) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
-		ID:                ep.ID,
-		Failures:          ep.consecutiveFailures,
-		ClassFailures:     slices.Clone(ep.classFailures),
-		Unhealthy:         ep.health.isUnhealthy(),
-		UnhealthySince:    ep.unhealthySince,
-		RecoveredAt:       ep.recoveredAt,
-		SlowStart:         ep.health.hasRecovery(),
-		Tokens:            ep.recoveryBucket.tokens,
-		RefilledAt:        ep.recoveryBucket.refilledAt,
-		LastSuccess:       ep.lastSuccess,
-		LastUsed:          ep.lastUsed,
-		LatestSuccessSent: ep.latestSuccessSent,
-		LastLatency:       ep.lastLatency,
-		ConnLimit:         ep.connLimit,
+		ID:                  ep.ID,
+		ConsecutiveFailures: ep.consecutiveFailures,
+		ClassFailures:       slices.Clone(ep.classFailures),
+		Unhealthy:           ep.health.isUnhealthy(),
+		UnhealthySince:      ep.unhealthySince,
+		RecoveredAt:         ep.recoveredAt,
+		SlowStart:           ep.health.hasRecovery(),
+		Tokens:              ep.recoveryBucket.tokens,
+		RefilledAt:          ep.recoveryBucket.refilledAt,
+		LastSuccess:         ep.lastSuccess,
+		LastUsed:            ep.lastUsed,
+		LatestSuccessSent:   ep.latestSuccessSent,
+		LastLatency:         ep.lastLatency,
+		ConnLimit:           ep.connLimit,
 	}
 }
 
@@ -209,7 +209,7 @@
 		q = ep.queue
 	}
 	q.latency.restore(s.Latency)
-	q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = s.RetryAfterUntil, s.HoldUntil, s.ConnHoldUntil
+	q.retryAfterUntil, q.backoffUntil, q.connHoldUntil = s.RetryAfterUntil, s.BackoffUntil, s.ConnHoldUntil
 	q.backoffStart, q.lastLimitRejection = s.BackoffStart, s.LastLimitRejection
 	q.rejections, q.firstRejection = s.Rejections, s.FirstRejection
 	q.lastSuccess, q.connFailures, q.unhealthy = s.LastSuccess, s.ConnFailures, s.Unhealthy
@@ -236,7 +236,7 @@
 	}
 	ep.health, ep.unhealthySince, ep.recoveredAt = s.health(), s.UnhealthySince, s.RecoveredAt
 	ep.recoveryBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.RefilledAt}
-	ep.consecutiveFailures = s.Failures
+	ep.consecutiveFailures = s.ConsecutiveFailures
 	copy(ep.classFailures, s.ClassFailures)
 	ep.lastUsed, ep.lastSuccess = s.LastUsed, s.LastSuccess
 	ep.latestSuccessSent, ep.lastLatency, ep.connLimit = s.LatestSuccessSent, s.LastLatency, s.ConnLimit
