--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -41,3 +41,36 @@
 	wantActions(t, "decided", next.Handle(ms, []Event{decided, arrival("n", 2)}), "")
 	wantActions(t, "acknowledged", next.Handle(2*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
 }
+
+// A process that took the place of another can be replaced itself while an order key still cools down that its predecessor
+// told it of.
+func TestSnapshot_AfterRestoredKeyCooldown(t *testing.T) {
+	settings := Settings{
+		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, OrderKeyCooldown: 2 * time.Second,
+		Classes: []Class{{
+			LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1,
+			Idempotency: NotIdempotent, Ordered: true,
+		}},
+		Kinds: []DestinationKind{{MaxBatch: 1}},
+	}
+	list := EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a"}}}
+	first, err := New(settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first.Handle(0, []Event{list, Arrived{ID: "m", TimeLeft: 10 * time.Second, OrderKey: "k"}})
+	first.Handle(time.Second, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: ConnectionReset}})
+	second, err := New(settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	second.Handle(1500*time.Millisecond, []Event{list, SnapshotRestored{Snapshot: first.Snapshot()}})
+	defer func() {
+		if p := recover(); p != nil {
+			t.Fatalf("the second hand-over panics: %v", p)
+		}
+	}()
+	if cooldowns := second.Snapshot().KeyCooldowns; len(cooldowns) != 1 || cooldowns[0].Key != "k" {
+		t.Errorf("key cooldowns %v, want that of k", cooldowns)
+	}
+}
