--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// mutant is a fault planted in the cores by replacing pieces of their source. One of its checks has to catch it.
+// mutant is a fault planted in the cores by replacing pieces of their source. One of its checks has
+// to catch it.
 type mutant struct {
 	file     string
 	edits    []edit
@@ -43,7 +44,8 @@
 	incarnations = "internal/coord/replica/incarnation.go"
 )
 
-// persistSource is the step of ProcessReady that saves a batch, and advanceSource the one after everything was sent.
+// persistSource is the step of ProcessReady that saves a batch, and advanceSource the one after
+// everything was sent.
 const (
 	persistSource = "	if err := c.persist(batch, save); err != nil {\n		return false, err\n	}\n"
 	advanceSource = "	if hasReady {\n		c.node.Advance(ready)\n"
@@ -165,8 +167,8 @@
 	},
 }
 
-// TestProve_CatchesMutants builds this program with each fault planted, and has prove find it. The cores themselves have no
-// hooks.
+// TestProve_CatchesMutants builds this program with each fault planted, and has prove find it. The
+// cores themselves have no hooks.
 func TestProve_CatchesMutants(t *testing.T) {
 	for _, mutants := range []map[string]mutant{clientMutants, machineMutants, replicaMutants} {
 		for name, m := range mutants {
@@ -197,7 +199,8 @@
 	t.Logf("caught by %s after %d runs: %s", violation.Check, p.Runs, violation.What)
 }
 
-// build builds this program with the mutant's source in the place of the original, and returns its path.
+// build builds this program with the mutant's source in the place of the original, and returns its
+// path.
 func (m mutant) build(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -16,7 +16,8 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// processTimeout bounds whatever the processes do within a few seconds on a machine with nothing else to do.
+// processTimeout bounds whatever the processes do within a few seconds on a machine with nothing
+// else to do.
 const processTimeout = 30 * time.Second
 
 // service is a cluster of processes of the real program.
@@ -131,8 +132,9 @@
 	return err
 }
 
-// TestRun_ReplacesMemberWithLostDisk: a member whose disk was lost is noticed when it starts again under its old id. Another one
-// joins and becomes a voter, and the first is removed. What was written stays.
+// TestRun_ReplacesMemberWithLostDisk: a member whose disk was lost is noticed when it starts again
+// under its old id. Another one joins and becomes a voter, and the first is removed. What was
+// written stays.
 func TestRun_ReplacesMemberWithLostDisk(t *testing.T) {
 	s := newService(t, 3)
 	if err := s.put(1, "before"); err != nil {
@@ -184,8 +186,8 @@
 	}
 }
 
-// TestRun_KeepsValuesWhenAllAreKilled: all members are killed together, and again while they start. What was acknowledged is
-// there.
+// TestRun_KeepsValuesWhenAllAreKilled: all members are killed together, and again while they start.
+// What was acknowledged is there.
 func TestRun_KeepsValuesWhenAllAreKilled(t *testing.T) {
 	s := newService(t, 3)
 	for i := range 3 {
@@ -218,7 +220,8 @@
 	}
 }
 
-// TestCommands_ReportBadInput: a command prints what is wrong, without a stack trace, and ends with the code that it documents.
+// TestCommands_ReportBadInput: a command prints what is wrong, without a stack trace, and ends with
+// the code that it documents.
 func TestCommands_ReportBadInput(t *testing.T) {
 	s := newService(t, 1)
 	s.eventually("it leads", func() bool { return s.put(1, "k") == nil })
--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -64,7 +64,8 @@
 	if err != nil {
 		return err
 	}
-	// A file that grows past a limit on its size is then an error of the write, and does not end the process.
+	// A file that grows past a limit on its size is then an error of the write, and does not end
+	// the process.
 	signal.Ignore(syscall.SIGXFSZ)
 	node, err := server.New(o.folder, addressOverrides, log)
 	if err != nil {
@@ -103,7 +104,8 @@
 	if tcp, ok := listener.Addr().(*net.TCPAddr); ok && !tcp.IP.IsLoopback() {
 		log.Warn("listening beyond loopback without sign-in: whoever can reach it can take every lease", logkey.Address, address)
 	}
-	// There is no write timeout: calls that wait for a hint last. Everything else is bounded by its handler.
+	// There is no write timeout: calls that wait for a hint last. Everything else is bounded by its
+	// handler.
 	srv := &http.Server{
 		Handler: node.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
--- a/cmd/frostlink-coord/verify.go
+++ b/cmd/frostlink-coord/verify.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// verify reads a folder. Damage is part of the result; an error means that there is no folder to be read.
+// verify reads a folder. Damage is part of the result; an error means that there is no folder to be
+// read.
 func verify(folder string) (*verified, error) {
 	if _, err := os.Stat(folder); err != nil {
 		return nil, err //nolint:wrapcheck // it names the folder, and is printed as it is
--- a/internal/coord/api/doc.go
+++ b/internal/coord/api/doc.go
@@ -1,10 +1,12 @@
-// Package api is the coordination service's HTTP interface: its paths, its bodies and a caller. Only the member that leads
-// answers commands and reads; each body names the cluster, so that a caller of another one is rejected.
+// Package api is the coordination service's HTTP interface: its paths, its bodies and a caller.
+// Only the member that leads answers commands and reads; each body names the cluster, so that a
+// caller of another one is rejected.
 //
 // # Paths
 //
-// All bodies are JSON but those of PathRaft and the answer of PathSnapshot, which is the state machine's own form
-// (coord.Machine.Snapshot). The request of every POST of a client is a Request with the field that is named here.
+// All bodies are JSON but those of PathRaft and the answer of PathSnapshot, which is the state
+// machine's own form (coord.Machine.Snapshot). The request of every POST of a client is a Request
+// with the field that is named here.
 //
 //	POST /v1/command   command        Response with result
 //	POST /v1/read      query          Response with at and what the query asks for; no older than the call
@@ -21,7 +23,8 @@
 //	421  the member does not lead: leader and address name the one that does, if it is known (ErrNotLeader)
 //	503  the outcome is unknown: a command may be applied or not
 //
-// A command whose outcome is unknown is retried under its sequence number, which makes it idempotent.
+// A command whose outcome is unknown is retried under its sequence number, which makes it
+// idempotent.
 //
 // # Files
 //
--- a/internal/coord/api/errors.go
+++ b/internal/coord/api/errors.go
@@ -24,7 +24,8 @@
 	return fmt.Sprintf("%s: status %d: %s", e.Address, e.Status, e.Message)
 }
 
-// CallError says that a call has failed without an answer. Its text is the cause's, which names the address.
+// CallError says that a call has failed without an answer. Its text is the cause's, which names the
+// address.
 type CallError struct {
 	Address string
 	Err     error
--- a/internal/coord/api/leader.go
+++ b/internal/coord/api/leader.go
@@ -19,8 +19,8 @@
 	maxKnownMembers = 4 * coord.MaxMembers
 )
 
-// CallLeader sends a request to whichever member leads, until the context ends. The request may be sent, and applied, more
-// than once: it has to be idempotent.
+// CallLeader sends a request to whichever member leads, until the context ends. The request may be
+// sent, and applied, more than once: it has to be idempotent.
 func (c *Caller) CallLeader(ctx context.Context, members []coord.Member, path string, r Request) (Response, error) {
 	for next := 0; len(members) > 0; {
 		m := members[next%len(members)]
@@ -50,8 +50,8 @@
 	return c.Post(ctx, address, path, r)
 }
 
-// AddLeader adds the leader that a response names, where it is not known yet: it has joined since the list was written. One
-// that is known keeps its address: the list may name another way to it.
+// AddLeader adds the leader that a response names, where it is not known yet: it has joined since
+// the list was written. One that is known keeps its address: the list may name another way to it.
 func AddLeader(members []coord.Member, r Response) []coord.Member {
 	unnamed := r.Leader == 0 || r.Address == ""
 	if unnamed || len(members) >= maxKnownMembers || indexOfMember(members, r.Leader) >= 0 {
--- a/internal/coord/api/protocol.go
+++ b/internal/coord/api/protocol.go
@@ -53,7 +53,7 @@
 	History   []coord.Event  `json:"history,omitempty"`
 	Values    []coord.Value  `json:"values,omitempty"`
 	Changes   []coord.Change `json:"changes,omitempty"`
-	Compacted bool           `json:"gone,omitempty"` // the changes are not retained: the values have to be read anew
+	Compacted bool           `json:"gone,omitempty"` // the changes are not retained: the values have to be read again
 	Revision  uint64         `json:"at,omitempty"`   // of the state that was read
 }
 
--- a/internal/coord/command.go
+++ b/internal/coord/command.go
@@ -18,8 +18,8 @@
 	OpDelete   Op = "delete"   // delete a value if its revision is the expected one
 )
 
-// Command is what a client asks of the state machine. Those with an effect carry the session's next sequence number, so
-// that a retry is not applied again.
+// Command is what a client asks of the state machine. Those with an effect carry the session's next
+// sequence number, so that a retry is not applied again.
 type Command struct {
 	Op               Op            `json:"op"`
 	Session          uint64        `json:"session,omitempty"`
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -15,8 +15,9 @@
 	"frostlink/internal/coord/replica"
 )
 
-// TestRead_DetectsFlippedBytes: a byte that is flipped anywhere in the store either has no effect or is an error. It never ends
-// the process, and what is read is never anything else than what was written.
+// TestRead_DetectsFlippedBytes: a byte that is flipped anywhere in the store either has no effect
+// or is an error. It never ends the process, and what is read is never anything else than what was
+// written.
 func TestRead_DetectsFlippedBytes(t *testing.T) {
 	dir, want := createFilled(t)
 	path := filepath.Join(dir, fileName)
--- a/internal/coord/disk/doc.go
+++ b/internal/coord/disk/doc.go
@@ -1,5 +1,5 @@
-// Package disk stores what a member of the coordination service must not forget: a replica.PersistentState and the member's
-// identity.
+// Package disk stores what a member of the coordination service must not forget: a
+// replica.PersistentState and the member's identity.
 //
 // # The folder
 //
@@ -19,14 +19,15 @@
 //	log     index, 8 bytes,        sealed raftpb.Entry
 //	        big-endian
 //
-// A sealed value is its checksum (CRC-32C, 4 bytes, big-endian) and the value itself. The log is consecutive, and begins at
-// most one entry past the snapshot.
+// A sealed value is its checksum (CRC-32C, 4 bytes, big-endian) and the value itself. The log is
+// consecutive, and begins at most one entry past the snapshot.
 //
 // # Durability
 //
-// Save writes a replica.WriteBatch in one transaction that is synced before it returns: after a crash all of it is there, or
-// nothing. Open relies only on what checksums vouch for. It copies that into a new store and renames it over the old one, since
-// bbolt's own pages, such as its list of free ones, have no checksums.
+// Save writes a replica.WriteBatch in one transaction that is synced before it returns: after a
+// crash all of it is there, or nothing. Open relies only on what checksums vouch for. It copies
+// that into a new store and renames it over the old one, since bbolt's own pages, such as its list
+// of free ones, have no checksums.
 //
 // # Files
 //
--- a/internal/coord/disk/errors.go
+++ b/internal/coord/disk/errors.go
@@ -32,8 +32,8 @@
 	return &EntryError{Index: index, Err: fmt.Errorf(format, args...)}
 }
 
-// FolderError says that a file of the folder can't be opened, created or replaced. Its text is the cause's, which names the
-// file.
+// FolderError says that a file of the folder can't be opened, created or replaced. Its text is the
+// cause's, which names the file.
 type FolderError struct{ Err error }
 
 func (e *FolderError) Error() string { return e.Err.Error() }
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -9,7 +9,8 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestRead_FolderOfEarlierBuild: a member's folder that an earlier build has written holds what it held.
+// TestRead_FolderOfEarlierBuild: a member's folder that an earlier build has written holds what it
+// held.
 func TestRead_FolderOfEarlierBuild(t *testing.T) {
 	_, want := createFilled(t)
 	goldentest.File(t, "member.db", fileName, func(dir string) {
--- a/internal/coord/disk/record.go
+++ b/internal/coord/disk/record.go
@@ -42,7 +42,8 @@
 	return append(sealed, raw...)
 }
 
-// unseal checks a sealed value, and returns a copy of the value. bbolt's bytes are valid in their transaction only.
+// unseal checks a sealed value, and returns a copy of the value. bbolt's bytes are valid in their
+// transaction only.
 func unseal(sealed []byte) ([]byte, error) {
 	switch {
 	case sealed == nil:
--- a/internal/coord/disk/store.go
+++ b/internal/coord/disk/store.go
@@ -38,7 +38,8 @@
 	lock *os.File
 }
 
-// Create creates the folder of a new member. One that is there already is left as it is, and is an error.
+// Create creates the folder of a new member. One that is there already is left as it is, and is an
+// error.
 func Create(dir string, id Identity, state replica.PersistentState) error {
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); err == nil {
@@ -52,8 +53,8 @@
 	return replaceStore(dir, id, state)
 }
 
-// Open opens a member's folder and returns what it holds. All of that is copied into a new store first: nothing of the old
-// one is relied on but what its checksums vouch for.
+// Open opens a member's folder and returns what it holds. All of that is copied into a new store
+// first: nothing of the old one is relied on but what its checksums vouch for.
 func Open(dir string) (s *Store, id Identity, state replica.PersistentState, err error) {
 	lock, err := lockFolder(dir)
 	if err != nil {
--- a/internal/coord/disk/store_test.go
+++ b/internal/coord/disk/store_test.go
@@ -59,7 +59,8 @@
 		got.Snapshot.GetMetadata().GetIndex() == 4 && len(got.Entries) == len(want.Entries)
 }
 
-// TestStore_ReadsWhatWasSaved: what is read is what replica.PersistentState, the simulation's model of a disk, holds.
+// TestStore_ReadsWhatWasSaved: what is read is what replica.PersistentState, the simulation's model
+// of a disk, holds.
 func TestStore_ReadsWhatWasSaved(t *testing.T) {
 	dir, want := createFilled(t)
 	got, err := readState(dir)
--- a/internal/coord/entry.go
+++ b/internal/coord/entry.go
@@ -12,15 +12,19 @@
 // Entry is one entry of the log.
 type Entry struct {
 	Version int `json:"v"`
-	// Elapsed is the time since the leader's previous entry, on the leader's clock. It is 0 in a leader's first entry.
+	// Elapsed is the time since the leader's previous entry, on the leader's clock. It is 0 in a
+	// leader's first entry.
 	Elapsed time.Duration `json:"elapsed,omitempty"`
-	// WallMillis is the leader's wall clock in milliseconds since 1970, for people who read the history.
+	// WallMillis is the leader's wall clock in milliseconds since 1970, for people who read the
+	// history.
 	WallMillis int64 `json:"wall,omitempty"`
-	// Proposer, Incarnation and ProposalID tell the member that proposed the entry which of its proposals it was.
+	// Proposer, Incarnation and ProposalID tell the member that proposed the entry which of its
+	// proposals it was.
 	Proposer    uint64 `json:"from"`
 	Incarnation uint64 `json:"life"`
 	ProposalID  uint64 `json:"n"`
-	// NewTerm is the term of a new leader in its first entry, which renews all sessions; 0 in any other.
+	// NewTerm is the term of a new leader in its first entry, which renews all sessions; 0 in any
+	// other.
 	NewTerm  uint64    `json:"begin,omitempty"`
 	Commands []Command `json:"commands,omitempty"`
 }
@@ -35,8 +39,8 @@
 	return raw
 }
 
-// DecodeEntry decodes an entry. An error means another version's entry or damage: the member must stop, since the other
-// members have applied what it would skip.
+// DecodeEntry decodes an entry. An error means another version's entry or damage: the member must
+// stop, since the other members have applied what it would skip.
 func DecodeEntry(raw []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(raw, &e); err != nil {
--- a/internal/coord/history.go
+++ b/internal/coord/history.go
@@ -34,7 +34,7 @@
 // record adds an event of a lease to the history.
 func (m *Machine) record(l *leaseState, holder string, kind EventKind, reason string) {
 	if len(m.history) >= MaxRetainedEvents {
-		m.history = slices.Clone(m.history[MaxRetainedEvents/compactedShare:])
+		m.history = slices.Clone(m.history[MaxRetainedEvents/compactionDivisor:])
 	}
 	m.history = append(m.history, Event{
 		Index: m.index, At: m.now, WallMillis: m.wallMillis, Lease: l.Name, Token: l.Token, Holder: holder,
@@ -42,7 +42,8 @@
 	})
 }
 
-// History returns the retained events of a lease, the latest last; those of all leases where the name is empty.
+// History returns the retained events of a lease, the latest last; those of all leases where the
+// name is empty.
 func (m *Machine) History(lease string) []Event {
 	var list []Event
 	for _, e := range m.history {
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -25,8 +25,8 @@
 	Queue        []queuedRequest `json:"queue,omitempty"`   // the next holder first
 }
 
-// acquire grants a lease that is free, and queues the session for one that is not. A session that holds it, or is queued
-// for it, is told so: asking again does not lose its place.
+// acquire grants a lease that is free, and queues the session for one that is not. A session that
+// holds it, or is queued for it, is told so: asking again does not lose its place.
 func (m *Machine) acquire(s *session, c *Command) Result {
 	l := m.leases[c.Lease]
 	switch {
@@ -85,8 +85,8 @@
 	m.grant(l, s, next.Reason)
 }
 
-// release ends the session's grant of a lease, or takes the session out of the lease's queue. A release names the grant's
-// token: one that arrives after the lease has passed on changes nothing.
+// release ends the session's grant of a lease, or takes the session out of the lease's queue. A
+// release names the grant's token: one that arrives after the lease has passed on changes nothing.
 func (m *Machine) release(s *session, c *Command) Result {
 	if queued := s.queued[c.Lease]; c.Token == 0 && queued != nil {
 		m.leaveQueue(s, queued)
@@ -100,7 +100,8 @@
 	return Result{Code: CodeOK}
 }
 
-// transfer ends the session's grant of a lease in favour of the first queued session of a given name.
+// transfer ends the session's grant of a lease in favour of the first queued session of a given
+// name.
 func (m *Machine) transfer(s *session, c *Command) Result {
 	l := m.leases[c.Lease]
 	if !l.isHeldBy(s, c.Token) {
@@ -121,8 +122,8 @@
 	return l != nil && l.Holder == s.ID && l.Token == token
 }
 
-// revoke revokes a grant. The grant ends when its holder has released it, or else at the holder's present deadline: until
-// then the holder may not have received a result that says so, and may act.
+// revoke revokes a grant. The grant ends when its holder has released it, or else at the holder's
+// present deadline: until then the holder may not have received a result that says so, and may act.
 func (m *Machine) revoke(c *Command) Result {
 	l := m.leases[c.Lease]
 	if l == nil || l.Token != c.Token {
--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// The bounds of every table. A command that would exceed one gets CodeLimitExceeded; nothing is evicted to make room.
+// The bounds of every table. A command that would exceed one gets CodeLimitExceeded; nothing is
+// evicted to make room.
 const (
 	MaxSessions         = 4096
 	MaxLeases           = 16384
@@ -14,7 +15,8 @@
 	MaxValueBytes       = 16 << 20 // of all values
 	MaxNameSize         = 256      // bytes of a name, key, reason or nonce
 
-	// MaxMembers bounds the cluster: consensus gets slower with each member, and not safer beyond five.
+	// MaxMembers bounds the cluster: consensus gets slower with each member, and not safer beyond
+	// five.
 	MaxMembers = 9
 )
 
@@ -23,9 +25,9 @@
 	MaxRetainedChanges = 1024 // writes of values, for watches
 	MaxRetainedEvents  = 4096 // events of leases
 
-	// compactedShare is the part of either that goes at once (one in so many), so that the rest is not moved at every
-	// addition.
-	compactedShare = 4
+	// compactionDivisor divides either bound: so much goes at once, so that the rest is
+	// not moved at every addition.
+	compactionDivisor = 4
 )
 
 // The bounds of a session's time to live.
--- a/internal/coord/machine.go
+++ b/internal/coord/machine.go
@@ -36,8 +36,8 @@
 	members        map[uint64]Member
 	removedMembers []uint64 // ids, which are not used twice
 
-	// changedSessions are those whose leases have changed. They are for hints alone: no result depends on them, and
-	// snapshots are without them.
+	// changedSessions are those whose leases have changed. They are for hints alone: no result
+	// depends on them, and snapshots are without them.
 	changedSessions map[uint64]bool
 }
 
@@ -137,8 +137,8 @@
 	}
 }
 
-// TakeChangedSessions returns the sessions that were granted a lease, or whose lease was revoked, since the last call. It
-// is for hints alone.
+// TakeChangedSessions returns the sessions that were granted a lease, or whose lease was revoked,
+// since the last call. It is for hints alone.
 func (m *Machine) TakeChangedSessions() []uint64 {
 	if len(m.changedSessions) == 0 {
 		return nil
@@ -148,7 +148,8 @@
 	return list
 }
 
-// NextExpiry returns how much time may pass before a session or a revoked lease can expire. It is a lower bound.
+// NextExpiry returns how much time may pass before a session or a revoked lease can expire. It is a
+// lower bound.
 func (m *Machine) NextExpiry() time.Duration {
 	next := m.earliestDeadline
 	for _, l := range m.revoked {
--- a/internal/coord/machine_test.go
+++ b/internal/coord/machine_test.go
@@ -222,8 +222,9 @@
 	}
 }
 
-// TestMachine_InvariantsOfAnyLog: whatever a log holds, a state that was restored from a snapshot at any entry goes on as the
-// one that was not, tokens only grow, every holder and queued request has a session, and no session is in a queue twice.
+// TestMachine_InvariantsOfAnyLog: whatever a log holds, a state that was restored from a snapshot
+// at any entry goes on as the one that was not, tokens only grow, every holder and queued request
+// has a session, and no session is in a queue twice.
 func TestMachine_InvariantsOfAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, index, last := New("c"), uint64(0), uint64(0)
--- a/internal/coord/members.go
+++ b/internal/coord/members.go
@@ -30,8 +30,8 @@
 // Members returns the members by id.
 func (m *Machine) Members() []Member { return valuesByKey(m.members) }
 
-// ValidateAdd returns a FieldError where a member can't be added. Members change one at a time: one is added as a learner
-// first, and made a voter later.
+// ValidateAdd returns a FieldError where a member can't be added. Members change one at a time: one
+// is added as a learner first, and made a voter later.
 func (m *Machine) ValidateAdd(member Member) error {
 	current, known := m.members[member.ID]
 	switch {
--- a/internal/coord/replica/config.go
+++ b/internal/coord/replica/config.go
@@ -15,23 +15,25 @@
 }
 
 const (
-	// maxQueuedProposals bounds the commands, and the reads, that wait for their round; more are rejected.
+	// maxQueuedProposals bounds the commands, and the reads, that wait for their round; more are
+	// rejected.
 	maxQueuedProposals = 8192
 	// maxBatchCommands bounds the commands of one entry.
 	maxBatchCommands = 512
 	// maxMessageBytes bounds the entries of one message, about.
 	maxMessageBytes = 1 << 20
-	// maxReadyMessages and maxUncommittedMessages bound, in such messages, what one round applies and what is in flight
-	// without being committed.
+	// maxReadyMessages and maxUncommittedMessages bound, in such messages, what one round applies
+	// and what is in flight without being committed.
 	maxReadyMessages, maxUncommittedMessages = 4, 64
 	// maxInFlightMessages bounds the messages to one member that are not acknowledged.
 	maxInFlightMessages = 256
 	// maxVoterLag is how many entries a learner may lag behind to become a voter.
 	maxVoterLag = 100
-	// announceTicks is between announcements to a member that has not acknowledged this incarnation.
+	// announceTicks is between announcements to a member that has not acknowledged this
+	// incarnation.
 	announceTicks = 5
 )
 
-// MaxIncarnations bounds the incarnations that a member remembers. A peer that was unreachable during more starts than that
-// takes the member's disk for an old one.
+// MaxIncarnations bounds the incarnations that a member remembers. A peer that was unreachable
+// during more starts than that takes the member's disk for an old one.
 const MaxIncarnations = 1024
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -42,7 +42,8 @@
 	confState     *raftpb.ConfState
 	applied       uint64
 	snapshotIndex uint64
-	// membersChanged asks for a snapshot: one in which a member is missing is of no use to that member.
+	// membersChanged asks for a snapshot: one in which a member is missing is of no use to that
+	// member.
 	membersChanged bool
 
 	incarnations incarnationTracker
@@ -114,11 +115,12 @@
 	return nil
 }
 
-// Machine returns the state machine, as far as the log is applied. It must be read between calls only: a snapshot from
-// another member replaces it.
+// Machine returns the state machine, as far as the log is applied. It must be read between calls
+// only: a snapshot from another member replaces it.
 func (c *Core) Machine() *coord.Machine { return c.machine }
 
-// Leadership reports whether this member believes to lead, and whom else it believes to lead (0: nobody).
+// Leadership reports whether this member believes to lead, and whom else it believes to lead (0:
+// nobody).
 func (c *Core) Leadership() (leading bool, leader uint64) { return c.leading, c.leader }
 
 // Tick advances the member's clock by a tick.
@@ -134,7 +136,8 @@
 		c.node.Tick()
 		return
 	}
-	// Not Tick: the library would time elections by the machine's randomness, which no seed can replay.
+	// Not Tick: the library would time elections by the machine's randomness, which no seed can
+	// replay.
 	c.node.TickQuiesced()
 	if c.ticksSinceLeader++; c.ticksSinceLeader >= c.electionTimeout {
 		c.resetElectionTimer()
--- a/internal/coord/replica/doc.go
+++ b/internal/coord/replica/doc.go
@@ -1,29 +1,32 @@
-// Package replica is one member of the coordination service without its I/O: etcd's Raft round the state machine of package
-// coord. It has no clock and no goroutine, and its randomness comes from a seed, so that a whole cluster can be simulated in
-// virtual time and a failing run replayed (docs/design/coordination.md).
+// Package replica is one member of the coordination service without its I/O: etcd's Raft round the
+// state machine of package coord. It has no clock and no goroutine, and its randomness comes from a
+// seed, so that a whole cluster can be simulated in virtual time and a failing run replayed
+// (docs/design/coordination.md).
 //
 // # What must be durable before what may be sent
 //
-// Events go in by Tick, Receive, Propose, ReadIndex, AdvanceTime and the calls that change members. ProcessReady then does
-// one round, in an order that it alone keeps:
+// Events go in by Tick, Receive, Propose, ReadIndex, AdvanceTime and the calls that change members.
+// ProcessReady then does one round, in an order that it alone keeps:
 //
 //  1. It proposes the queued commands and takes what Raft has ready (raft.Ready).
-//  2. It saves a WriteBatch: entries, term and vote, snapshot, and the incarnations of this member and its peers. All of the
-//     batch is on disk, or nothing, and save returns only then.
+//  2. It saves a WriteBatch: entries, term and vote, snapshot, and the incarnations of this member
+//     and its peers. All of the batch is on disk, or nothing, and save returns only then.
 //  3. It applies the committed entries to the state machine.
-//  4. It sends the Output: messages to other members, completions of commands and reads, sessions to be notified.
+//  4. It sends the Output: messages to other members, completions of commands and reads, sessions
+//     to be notified.
 //
-// So no vote, no acknowledgement of an entry and no result leaves a member that could forget it in a crash. A failed save
-// ends the member: what it has in memory is not on disk.
+// So no vote, no acknowledgement of an entry and no result leaves a member that could forget it in
+// a crash. A failed save ends the member: what it has in memory is not on disk.
 //
 // # Incarnations
 //
-// A member whose disk was lost, or set back to an old copy, has forgotten votes and entries that it has promised. Raft does
-// not survive that, so it must be noticed. Each run of a member is an incarnation: a number, one higher than that of the run
-// before, and a random nonce. A member announces its incarnation, with the list of those before it, and takes part in
-// elections and replication only once so many others have it on disk that they and it are a majority. A peer that knows an
-// incarnation which is missing from the announced list answers with it, and the member stops for good. It has to be removed,
-// and a new one added under another id.
+// A member whose disk was lost, or set back to an old copy, has forgotten votes and entries that it
+// has promised. Raft does not survive that, so it must be noticed. Each run of a member is an
+// incarnation: a number, one higher than that of the run before, and a random nonce. A member
+// announces its incarnation, with the list of those before it, and takes part in elections and
+// replication only once so many others have it on disk that they and it are a majority. A peer that
+// knows an incarnation which is missing from the announced list answers with it, and the member
+// stops for good. It has to be removed, and a new one added under another id.
 //
 // # States of a member
 //
@@ -43,9 +46,10 @@
 //
 // # Commands and reads
 //
-// Only a leader accepts commands and reads. When it stops leading, those without a result complete as OutcomeUnknown: they
-// may be applied by the next leader, or never. Clients retry under the same sequence number. Reads use Raft's ReadIndex:
-// a majority confirms the leader, and the read completes when the entries up to that moment are applied.
+// Only a leader accepts commands and reads. When it stops leading, those without a result complete
+// as OutcomeUnknown: they may be applied by the next leader, or never. Clients retry under the same
+// sequence number. Reads use Raft's ReadIndex: a majority confirms the leader, and the read
+// completes when the entries up to that moment are applied.
 //
 // # Files
 //
--- a/internal/coord/replica/envelope.go
+++ b/internal/coord/replica/envelope.go
@@ -32,7 +32,7 @@
 //	to           8 bytes, the receiver's id
 //	incarnation  8 bytes number and 8 bytes nonce, of the sender
 //	subject      8 bytes number and 8 bytes nonce
-//	cluster      1 byte length, and so many bytes
+//	cluster      1 byte length, and length bytes
 //	body         the rest
 type Envelope struct {
 	Cluster     string
--- a/internal/coord/replica/errors.go
+++ b/internal/coord/replica/errors.go
@@ -8,8 +8,8 @@
 // ErrNotLeader is returned by proposals to a member that does not lead.
 var ErrNotLeader = errors.New("this member does not lead")
 
-// StaleDiskError says that a member's disk lacks an incarnation that another member knows: the disk was lost or set back,
-// and the member has forgotten what it promised.
+// StaleDiskError says that a member's disk lacks an incarnation that another member knows: the disk
+// was lost or set back, and the member has forgotten what it promised.
 type StaleDiskError struct {
 	Peer  uint64 // the member that knows the other incarnation
 	Known uint64 // the number of that incarnation
--- a/internal/coord/replica/incarnation.go
+++ b/internal/coord/replica/incarnation.go
@@ -6,14 +6,16 @@
 	"slices"
 )
 
-// Incarnation identifies one run of a member. Its number is one more than that of the run before, by the member's own disk.
-// The nonce tells apart two runs that were started from copies of the same disk.
+// Incarnation identifies one run of a member. Its number is one more than that of the run before,
+// by the member's own disk. The nonce tells apart two runs that were started from copies of the
+// same disk.
 type Incarnation struct {
 	Number uint64 `json:"number"`
 	Nonce  uint64 `json:"nonce"`
 }
 
-// after reports whether an incarnation is a later one than another of the same member, by their numbers.
+// after reports whether an incarnation is a later one than another of the same member, by their
+// numbers.
 func (i Incarnation) after(other Incarnation) bool { return i.Number > other.Number }
 
 // incarnationBytes is the size of an encoded incarnation.
@@ -67,8 +69,8 @@
 	return t
 }
 
-// announcementTargets returns the other members, which are to know this one's incarnation, and how many voters of them
-// have to before it takes part in consensus.
+// announcementTargets returns the other members, which are to know this one's incarnation, and how
+// many voters of them have to before it takes part in consensus.
 func (c *Core) announcementTargets() (ids []uint64, needed int) {
 	voters := slices.Concat(c.confState.GetVoters(), c.confState.GetVotersOutgoing())
 	if len(voters) == 0 {
@@ -114,8 +116,8 @@
 	}
 }
 
-// acceptIncarnation reports whether an envelope's sender is in the incarnation that is known of it, or announces a later one
-// that follows on that. It answers a sender that does neither.
+// acceptIncarnation reports whether an envelope's sender is in the incarnation that is known of it,
+// or announces a later one that follows on that. It answers a sender that does neither.
 func (c *Core) acceptIncarnation(e Envelope) bool {
 	known := c.incarnations.peers[e.From]
 	switch {
@@ -127,7 +129,8 @@
 		c.rememberPeer(e.From, e.Incarnation)
 		return true
 	}
-	// The message is of an earlier incarnation, or the sender's disk does not know the one that is known here.
+	// The message is of an earlier incarnation, or the sender's disk does not know the one that is
+	// known here.
 	c.send(Envelope{To: e.From, Kind: KindStale, Subject: known})
 	return false
 }
@@ -141,8 +144,8 @@
 	c.pendingWrite.PeerIncarnations[id] = incarnation
 }
 
-// handleIncarnationReply handles another member's reply about this one's incarnations. It counts whatever the other's own
-// incarnation is: a member whose disk was set back does not know that one.
+// handleIncarnationReply handles another member's reply about this one's incarnations. It counts
+// whatever the other's own incarnation is: a member whose disk was set back does not know that one.
 func (c *Core) handleIncarnationReply(e Envelope) {
 	switch {
 	case e.Kind == KindAcknowledge && e.Subject == c.incarnations.own:
--- a/internal/coord/replica/leadership.go
+++ b/internal/coord/replica/leadership.go
@@ -13,8 +13,9 @@
 	c.ticksSinceLeader, c.electionTimeout = 0, c.cfg.ElectionTicks+c.rand.IntN(c.cfg.ElectionTicks)
 }
 
-// updateLeadership notes who leads. A new leader's time begins with its term, and its first entry renews all sessions. A
-// member that leads no more can't know what becomes of the commands that it has accepted.
+// updateLeadership notes who leads. A new leader's time begins with its term, and its first entry
+// renews all sessions. A member that leads no more can't know what becomes of the commands that it
+// has accepted.
 func (c *Core) updateLeadership(ready *raft.Ready, now time.Duration, wallMillis int64) {
 	if ready.HardState != nil && ready.GetTerm() != c.term {
 		c.term = ready.GetTerm()
--- a/internal/coord/replica/membership.go
+++ b/internal/coord/replica/membership.go
@@ -9,8 +9,8 @@
 	"frostlink/internal/coord"
 )
 
-// memberChange is the context of an entry that changes the members: what the state machine has to know beside Raft's own
-// part of it.
+// memberChange is the context of an entry that changes the members: what the state machine has to
+// know beside Raft's own part of it.
 type memberChange struct {
 	Add    *coord.Member `json:"join,omitempty"`
 	Remove uint64        `json:"leave,omitempty"`
--- a/internal/coord/replica/proposal.go
+++ b/internal/coord/replica/proposal.go
@@ -20,8 +20,8 @@
 	index uint64 // to be applied before the read completes; 0: no majority has confirmed the leader yet
 }
 
-// Propose accepts a command for the log. It reports false, and does nothing, where the member does not lead or has too many
-// queued.
+// Propose accepts a command for the log. It reports false, and does nothing, where the member does
+// not lead or has too many queued.
 func (c *Core) Propose(tag uint64, command coord.Command) bool {
 	if !c.leading || c.failed != nil || len(c.queue) >= maxQueuedProposals {
 		return false
@@ -30,8 +30,8 @@
 	return true
 }
 
-// ReadIndex asks for a moment at which the state is no older than this call. It reports false where the member does not
-// lead or has too many reads pending.
+// ReadIndex asks for a moment at which the state is no older than this call. It reports false where
+// the member does not lead or has too many reads pending.
 func (c *Core) ReadIndex(tag uint64) bool {
 	if !c.leading || c.failed != nil || len(c.reads) >= maxQueuedProposals {
 		return false
@@ -41,8 +41,9 @@
 	return true
 }
 
-// proposeQueued proposes the queued commands with the time elapsed since the entry before. The clock was read after the
-// commands were received: a renewal counts from no earlier than it was sent.
+// proposeQueued proposes the queued commands with the time elapsed since the entry before. The
+// clock was read after the commands were received: a renewal counts from no earlier than it was
+// sent.
 func (c *Core) proposeQueued(now time.Duration, wallMillis int64) {
 	for c.leading && len(c.queue) > 0 {
 		batch := c.queue[:min(len(c.queue), maxBatchCommands)]
@@ -68,8 +69,8 @@
 	return c.node.Propose(e.Encode()) == nil
 }
 
-// AdvanceTime lets time pass in the state machine although no command has come, where a session may expire by it. It is to
-// be called several times a second.
+// AdvanceTime lets time pass in the state machine although no command has come, where a session may
+// expire by it. It is to be called several times a second.
 func (c *Core) AdvanceTime(now time.Duration, wallMillis int64) {
 	elapsed := now - c.lastProposal
 	if !c.leading || len(c.queue) > 0 || elapsed < c.machine.NextExpiry() {
@@ -80,7 +81,8 @@
 	}
 }
 
-// completeAllUnknown completes all commands and reads that are pending: the commands may be applied or not.
+// completeAllUnknown completes all commands and reads that are pending: the commands may be applied
+// or not.
 func (c *Core) completeAllUnknown() {
 	var tags []uint64
 	for _, list := range c.proposed {
--- a/internal/coord/replica/raftlog.go
+++ b/internal/coord/replica/raftlog.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// silentLogger is the Raft library's logger. What the library would log is in Status; what it can't go on after ends the
-// process.
+// silentLogger is the Raft library's logger. What the library would log is in Status; what it can't
+// go on after ends the process.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)            {}
--- a/internal/coord/replica/ready.go
+++ b/internal/coord/replica/ready.go
@@ -9,11 +9,12 @@
 	"go.etcd.io/raft/v3"
 )
 
-// ProcessReady does one round: it saves what the member has decided, and only then sends what depends on it. It reports
-// false where there was nothing to do. A failed save ends the member: what it has in memory is not on disk.
+// ProcessReady does one round: it saves what the member has decided, and only then sends what
+// depends on it. It reports false where there was nothing to do. A failed save ends the member:
+// what it has in memory is not on disk.
 //
-// now is the time on the boot-time clock, read after the events were received: a renewal counts from no earlier than it
-// was sent. wallMillis is for people.
+// now is the time on the boot-time clock, read after the events were received: a renewal counts
+// from no earlier than it was sent. wallMillis is for people.
 func (c *Core) ProcessReady(now time.Duration, wallMillis int64, save func(WriteBatch) error, send func(Output)) (bool, error) {
 	if c.failed != nil {
 		return false, c.failed
--- a/internal/coord/replica/receive.go
+++ b/internal/coord/replica/receive.go
@@ -27,7 +27,8 @@
 	c.stepRaft(e)
 }
 
-// stepRaft passes a message of Raft to the library. It is ignored while this incarnation is not announced.
+// stepRaft passes a message of Raft to the library. It is ignored while this incarnation is not
+// announced.
 func (c *Core) stepRaft(e Envelope) {
 	var m raftpb.Message
 	if !c.incarnations.announced || proto.Unmarshal(e.Body, &m) != nil || m.GetFrom() != e.From || m.GetTo() != c.cfg.ID {
@@ -52,7 +53,8 @@
 		panic(fmt.Sprintf("replica: a message that can't be encoded: %v", err)) // the library made it
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		// Whether it arrives is not watched: the library goes on probing, and sends another one if need be.
+		// Whether it arrives is not watched: the library goes on probing, and sends another one if
+		// need be.
 		c.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 	c.send(Envelope{To: m.GetTo(), Kind: KindRaft, Body: raw})
--- a/internal/coord/replica/snapshot.go
+++ b/internal/coord/replica/snapshot.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// createSnapshotIfDue creates a snapshot, for the next round to save, when enough was applied since the last one or the
-// members have changed.
+// createSnapshotIfDue creates a snapshot, for the next round to save, when enough was applied since
+// the last one or the members have changed.
 func (c *Core) createSnapshotIfDue() {
 	if c.applied < c.snapshotIndex+c.cfg.SnapshotInterval && !c.membersChanged {
 		return
@@ -43,7 +43,8 @@
 	c.compactLog()
 }
 
-// compactLog drops the entries before the snapshot, but for those that are retained for members that lag.
+// compactLog drops the entries before the snapshot, but for those that are retained for members
+// that lag.
 func (c *Core) compactLog() {
 	if c.applied <= c.cfg.RetainedEntries {
 		return
--- a/internal/coord/replica/state.go
+++ b/internal/coord/replica/state.go
@@ -34,7 +34,8 @@
 		len(b.Entries) == 0 && b.FirstIndex == 0
 }
 
-// Bootstrap returns the disk of a member with which a cluster begins: a snapshot that names the members.
+// Bootstrap returns the disk of a member with which a cluster begins: a snapshot that names the
+// members.
 func Bootstrap(cluster string, members []coord.Member) PersistentState {
 	machine := coord.New(cluster)
 	confState := &raftpb.ConfState{}
@@ -51,8 +52,9 @@
 	}
 }
 
-// Apply does to the state what a batch says. It is the model of a disk for simulations and tests. What the state shares with
-// copies of it is not changed, so that a copy of the struct stays as it was.
+// Apply does to the state what a batch says. It is the model of a disk for simulations and tests.
+// What the state shares with copies of it is not changed, so that a copy of the struct stays as it
+// was.
 func (s *PersistentState) Apply(b WriteBatch) {
 	if len(b.Incarnations) > 0 {
 		s.Incarnations = b.Incarnations
@@ -90,7 +92,8 @@
 	}
 }
 
-// Replay returns the state machine to which a disk leads, as far as its log is known to be committed.
+// Replay returns the state machine to which a disk leads, as far as its log is known to be
+// committed.
 func Replay(cluster string, state PersistentState) (*coord.Machine, error) {
 	c, err := New(Config{Cluster: cluster, ID: 1, ElectionTicks: 2, HeartbeatTicks: 1}, state)
 	if err != nil {
--- a/internal/coord/result.go
+++ b/internal/coord/result.go
@@ -5,7 +5,8 @@
 // Code says how a command completed.
 type Code string
 
-// The codes. All but CodeOK and CodeQueued leave the state as it was, except that a session's command renews the session.
+// The codes. All but CodeOK and CodeQueued leave the state as it was, except that a session's
+// command renews the session.
 const (
 	CodeOK            Code = "done"
 	CodeQueued        Code = "waiting"    // in the lease's queue
--- a/internal/coord/server/clients.go
+++ b/internal/coord/server/clients.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// readState waits for a moment at which the state is no older than the call, and has it read there. Where it reports false,
-// the caller was answered with why that was not possible.
+// readState waits for a moment at which the state is no older than the call, and has it read there.
+// Where it reports false, the caller was answered with why that was not possible.
 func (n *Node) readState(w http.ResponseWriter, r *http.Request, read func(*coord.Machine)) bool {
 	ctx, stop := context.WithTimeout(r.Context(), requestTimeout)
 	defer stop()
--- a/internal/coord/server/doc.go
+++ b/internal/coord/server/doc.go
@@ -1,21 +1,24 @@
-// Package server is the I/O round a member of the coordination service: its loop, its disk and its connections.
+// Package server is the I/O round a member of the coordination service: its loop, its disk and its
+// connections.
 //
-// One goroutine, that of Node.Run, owns the replica's core and everything else of the node. HTTP handlers send it functions
-// to run (do) and commands to propose (await). After each batch of events it runs the core's rounds, in which what the core
-// has decided is saved before what depends on it is sent (package replica).
+// One goroutine, that of Node.Run, owns the replica's core and everything else of the node. HTTP
+// handlers send it functions to run (do) and commands to propose (await). After each batch of
+// events it runs the core's rounds, in which what the core has decided is saved before what depends
+// on it is sent (package replica).
 //
-// Messages to other members go through one goroutine a member, in order. A queue that is full drops them, as a network would:
-// Raft repeats what matters.
+// Messages to other members go through one goroutine a member, in order. A queue that is full drops
+// them, as a network would: Raft repeats what matters.
 //
-// Clients may wait for a hint that something became of a session's leases. A hint carries nothing and may be lost; the
-// client renews its session to learn more.
+// Clients may wait for a hint that something became of a session's leases. A hint carries nothing
+// and may be lost; the client renews its session to learn more.
 //
 // # Frames
 //
-// The body of a POST to api.PathRaft is any number of frames, each an envelope of package replica behind its length:
+// The body of a POST to api.PathRaft is any number of frames, each an envelope of package replica
+// behind its length:
 //
 //	length    4 bytes, big-endian
-//	envelope  so many bytes
+//	envelope  length bytes
 //
 // # Files
 //
--- a/internal/coord/server/handler.go
+++ b/internal/coord/server/handler.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// requestTimeout is how long a command, read or change of members may take before its caller is told that the
-	// outcome is unknown.
+	// requestTimeout is how long a command, read or change of members may take before its caller is
+	// told that the outcome is unknown.
 	requestTimeout = 5 * time.Second
 	// hintTimeout is how long a caller waits for a hint.
 	hintTimeout = 10 * time.Second
@@ -45,7 +45,8 @@
 	writeJSON(w, status, api.Response{Error: message})
 }
 
-// decodeRequest decodes a request's body. Where it reports false, the caller was answered with what is wrong.
+// decodeRequest decodes a request's body. Where it reports false, the caller was answered with what
+// is wrong.
 func (n *Node) decodeRequest(w http.ResponseWriter, r *http.Request) (api.Request, bool) {
 	var request api.Request
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestSize))
--- a/internal/coord/server/hints.go
+++ b/internal/coord/server/hints.go
@@ -13,7 +13,8 @@
 	}
 }
 
-// hintChannel returns the channel of a session's hints. It holds one hint until somebody waits for it.
+// hintChannel returns the channel of a session's hints. It holds one hint until somebody waits for
+// it.
 func (n *Node) hintChannel(session uint64) chan struct{} {
 	c := n.hints[session]
 	if c == nil {
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -19,7 +19,8 @@
 	snapshotInterval = 10000 // entries: a restart reads at most so many
 	retainedEntries  = 2000
 	inboxSize        = 4096
-	// maxBatchEvents bounds the events that are handled before what they led to is saved: one sync serves all of them.
+	// maxBatchEvents bounds the events that are handled before what they led to is saved: one sync
+	// serves all of them.
 	maxBatchEvents = 1024
 	// transferTimeout is how long a leader that stops waits for another one to lead.
 	transferTimeout = 500 * time.Millisecond
@@ -46,8 +47,8 @@
 	hints   map[uint64]chan struct{} // by session
 }
 
-// New opens a member's folder and starts its core. What the folder holds stays the same until Run. addressOverrides are
-// addresses by member that go before those that the cluster knows.
+// New opens a member's folder and starts its core. What the folder holds stays the same until Run.
+// addressOverrides are addresses by member that go before those that the cluster knows.
 func New(dir string, addressOverrides map[uint64]string, log *slog.Logger) (*Node, error) {
 	store, identity, state, err := disk.Open(dir)
 	if err != nil {
@@ -115,7 +116,8 @@
 	}
 }
 
-// processReady runs the core's rounds until there is nothing to do. The clock is read after the events were handled.
+// processReady runs the core's rounds until there is nothing to do. The clock is read after the
+// events were handled.
 func (n *Node) processReady() error {
 	for {
 		more, err := n.core.ProcessReady(clock.SinceBoot(), clock.WallMilliseconds(), n.store.Save, n.send)
--- a/internal/coord/server/receive.go
+++ b/internal/coord/server/receive.go
@@ -10,8 +10,8 @@
 	"frostlink/internal/logkey"
 )
 
-// handleRaft receives messages of other members. Those of another cluster or version are rejected as a whole, with one line
-// in the log.
+// handleRaft receives messages of other members. Those of another cluster or version are rejected
+// as a whole, with one line in the log.
 func (n *Node) handleRaft(w http.ResponseWriter, r *http.Request) {
 	envelopes, err := n.decodeEnvelopes(w, r)
 	if err != nil {
--- a/internal/coord/server/request.go
+++ b/internal/coord/server/request.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/coord/replica"
 )
 
-// do has the loop run a function, and waits until it has. It reports false where the node has stopped, or the context has
-// ended before the loop accepted the function.
+// do has the loop run a function, and waits until it has. It reports false where the node has
+// stopped, or the context has ended before the loop accepted the function.
 func (n *Node) do(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -25,8 +25,9 @@
 	}
 }
 
-// await submits a command or read to the core under a new tag, and waits for its completion. It reports false where the
-// member does not lead. Where the context or the node ends first, the outcome is unknown.
+// await submits a command or read to the core under a new tag, and waits for its completion. It
+// reports false where the member does not lead. Where the context or the node ends first, the
+// outcome is unknown.
 func (n *Node) await(ctx context.Context, submit func(tag uint64) bool) (replica.Completion, bool) {
 	completion := make(chan replica.Completion, 1)
 	accepted := false
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -1,4 +1,5 @@
-// Package servertest runs members of the coordination service in a test's own process, on real sockets and disks.
+// Package servertest runs members of the coordination service in a test's own process, on real
+// sockets and disks.
 package servertest
 
 import (
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -47,11 +47,12 @@
 	m.earliestDeadline = min(m.earliestDeadline, s.Deadline)
 }
 
-// expire ends the sessions whose deadline has passed, and the grants of revoked leases that their holders can't believe to
-// hold any more.
+// expire ends the sessions whose deadline has passed, and the grants of revoked leases that their
+// holders can't believe to hold any more.
 func (m *Machine) expire() {
 	expired := m.expiredSessions()
-	// All of them leave their queues before any lease is granted anew: none of them may be the next holder.
+	// All of them leave their queues before any lease is granted again: none of them may be the
+	// next holder.
 	for _, id := range expired {
 		m.leaveAllQueues(m.sessions[id])
 	}
@@ -65,8 +66,8 @@
 	}
 }
 
-// expiredSessions returns the ids of the sessions whose deadline has passed, in their order: the members' states must not
-// differ by the order of a map.
+// expiredSessions returns the ids of the sessions whose deadline has passed, in their order: the
+// members' states must not differ by the order of a map.
 func (m *Machine) expiredSessions() []uint64 {
 	if m.now < m.earliestDeadline {
 		return nil
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -12,8 +12,8 @@
 // SnapshotVersion is the version of a snapshot's form.
 const SnapshotVersion = 1
 
-// snapshotData is the form of a snapshot: all that the result of later entries depends on. Changes for watches are not part
-// of it: a watch from before a snapshot is told to read the values anew.
+// snapshotData is the form of a snapshot: all that the result of later entries depends on. Changes
+// for watches are not part of it: a watch from before a snapshot has to read the values again.
 type snapshotData struct {
 	Version        int           `json:"version"`
 	Cluster        string        `json:"cluster"`
@@ -55,8 +55,8 @@
 	return raw
 }
 
-// Restore returns the state of a snapshot. It fails with a VersionError or a SnapshotError, or where the snapshot is not
-// JSON.
+// Restore returns the state of a snapshot. It fails with a VersionError or a SnapshotError, or
+// where the snapshot is not JSON.
 func Restore(raw []byte) (*Machine, error) {
 	var data snapshotData
 	if err := json.Unmarshal(raw, &data); err != nil {
--- a/internal/coord/values.go
+++ b/internal/coord/values.go
@@ -22,8 +22,9 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// write puts or deletes a value if its revision is the expected one and, where the command names a lease, if the session
-// holds that lease under that token: a holder that was paused can't write after its successor.
+// write puts or deletes a value if its revision is the expected one and, where the command names a
+// lease, if the session holds that lease under that token: a holder that was paused can't write
+// after its successor.
 func (m *Machine) write(s *session, c *Command) Result {
 	if c.Lease != "" {
 		if l := s.held[c.Lease]; l == nil || l.Token != c.Token || l.Revoked {
@@ -70,7 +71,7 @@
 	m.revision++
 	change.Revision = m.revision
 	if len(m.changes) >= MaxRetainedChanges {
-		compacted := MaxRetainedChanges / compactedShare
+		compacted := MaxRetainedChanges / compactionDivisor
 		m.compactedRevision = m.changes[compacted-1].Revision
 		m.changes = slices.Clone(m.changes[compacted:])
 	}
@@ -92,8 +93,8 @@
 	return list
 }
 
-// Changes returns the writes after a revision to keys with a prefix. It reports false where they are compacted, or where
-// the revision was never reached: then the values have to be read anew.
+// Changes returns the writes after a revision to keys with a prefix. It reports false where they
+// are compacted, or where the revision was never reached: then the values have to be read again.
 func (m *Machine) Changes(after uint64, prefix string) ([]Change, bool) {
 	if after < m.compactedRevision || after > m.revision {
 		return nil, false
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -15,15 +15,17 @@
 	ExportLease = "export"
 	// ExportKey is the key of its ledger.
 	ExportKey = "export/ledger"
-	// maxSliceRecords bounds the records of a slice: a change of the holder loses the work on one slice.
+	// maxSliceRecords bounds the records of a slice: a change of the holder loses the work on one
+	// slice.
 	maxSliceRecords = 500
-	// sliceTTLShare is the part of the session's time to live (one in so many) that one slice may take.
-	sliceTTLShare = 4
+	// sliceTTLDivisor divides the session's time to live: one slice may take that long.
+	sliceTTLDivisor = 4
 	// callTimeout bounds each call to the service for a slice.
 	callTimeout = 5 * time.Second
 )
 
-// exporter collects the undelivered messages of all relays: each adds its own, slice by slice, while it holds the lease.
+// exporter collects the undelivered messages of all relays: each adds its own, slice by slice,
+// while it holds the lease.
 type exporter struct {
 	section *Export
 	relay   string
@@ -33,7 +35,7 @@
 }
 
 func newExporter(s *Export, relay string, client *lease.Client, store func() *deadletter.Store) *exporter {
-	return &exporter{section: s, relay: relay, client: client, store: store, cost: client.TTL() / sliceTTLShare}
+	return &exporter{section: s, relay: relay, client: client, store: store, cost: client.TTL() / sliceTTLDivisor}
 }
 
 func (e *exporter) task() lease.Task {
@@ -59,7 +61,8 @@
 	records    []*deadletter.Record
 }
 
-// nextSlice returns this relay's next slice, of so many records at most, or nil where there is none.
+// nextSlice returns this relay's next slice, of maxRecords records at most, or nil where there is
+// none.
 func (e *exporter) nextSlice(ctx context.Context, maxRecords int) (*exportSlice, error) {
 	store := e.store()
 	if store == nil {
@@ -108,8 +111,8 @@
 	}
 }
 
-// addSlice writes a slice, and then puts it on the ledger. One that is written and does not get there remains as a file that
-// nothing names.
+// addSlice writes a slice, and then puts it on the ledger. One that is written and does not get
+// there remains as a file that nothing names.
 func (e *exporter) addSlice(ctx context.Context, token uint64, slice *exportSlice) error {
 	header, ledger := slice.ledger.PlanSlice(e.relay, slice.storeID, token, slice.first, slice.end, len(slice.records))
 	if err := writeSlice(e.section.Folder, header, slice); err != nil {
--- a/internal/fleettask/export_test.go
+++ b/internal/fleettask/export_test.go
@@ -74,8 +74,9 @@
 	return l, counts
 }
 
-// TestExporter_ExportsEachRecordOnce: three relays add their undelivered messages to one export, in turns. One relay restarts
-// in between, and the service's leader stops, too. No record is missing, and none is there twice.
+// TestExporter_ExportsEachRecordOnce: three relays add their undelivered messages to one export, in
+// turns. One relay restarts in between, and the service's leader stops, too. No record is missing,
+// and none is there twice.
 func TestExporter_ExportsEachRecordOnce(t *testing.T) {
 	c := servertest.New(t)
 	folder := t.TempDir()
@@ -121,7 +122,8 @@
 	}
 }
 
-// TestExporter_FencesPausedHolder: a holder that was paused with its slice written, until another has added one, adds nothing.
+// TestExporter_FencesPausedHolder: a holder that was paused with its slice written, until another
+// has added one, adds nothing.
 func TestExporter_FencesPausedHolder(t *testing.T) {
 	c := servertest.New(t)
 	folder := t.TempDir()
@@ -162,8 +164,8 @@
 	if err != nil || next == nil {
 		t.Fatalf("%v, %v", next, err)
 	}
-	// The ledger is as the paused holder has read it: only its token shows that it is late. Its context is not cancelled: it
-	// does not know that its lease has passed on.
+	// The ledger is as the paused holder has read it: only its token shows that it is late. Its
+	// context is not cancelled: it does not know that its lease has passed on.
 	if err := a.addSlice(ctx, first.Token, paused); err == nil {
 		t.Error("the slice of a paused holder counts")
 	}
--- a/internal/fleettask/fleet.go
+++ b/internal/fleettask/fleet.go
@@ -23,8 +23,8 @@
 	store   func() *deadletter.Store
 }
 
-// New returns a relay's part of the tasks that a section turns on. It begins with Run. store returns the relay's dead-letter
-// store, or nil while it has none.
+// New returns a relay's part of the tasks that a section turns on. It begins with Run. store
+// returns the relay's dead-letter store, or nil while it has none.
 func New(s *Section, relay string, store func() *deadletter.Store) (*Fleet, error) {
 	members, err := api.ParseMembers(s.Members)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return f, nil
 }
 
-// Resend returns the gate that lets resends through, one relay of the fleet at a time. It is nil where the section does not
-// want that.
+// Resend returns the gate that lets resends through, one relay of the fleet at a time. It is nil
+// where the section does not want that.
 func (f *Fleet) Resend() *Resend { return f.resend }
 
 // Run does the relay's part until its context ends.
--- a/internal/fleettask/heartbeat.go
+++ b/internal/fleettask/heartbeat.go
@@ -16,8 +16,8 @@
 // HeartbeatLease is the lease of the heartbeat.
 const HeartbeatLease = "beat"
 
-// The headers of a heartbeat. A monitor that remembers the highest token it has seen rejects what a relay sends that was
-// paused until after another had taken its place.
+// The headers of a heartbeat. A monitor that remembers the highest token it has seen rejects what a
+// relay sends that was paused until after another had taken its place.
 const (
 	HeaderToken = "Fencing-Token"
 	HeaderRelay = "Relay"
@@ -27,13 +27,16 @@
 var ErrFenced = errors.New("the monitor has seen a later holder")
 
 const (
-	// actRetryDelay is the wait after an act was not allowed, since the lease is about to be renewed.
+	// actRetryDelay is the wait after an act was not allowed, since the lease is about to be
+	// renewed.
 	actRetryDelay = 20 * time.Millisecond
-	// maxDiscarded is how much of the monitor's answer is read, so that the connection can be reused.
+	// maxDiscarded is how much of the monitor's answer is read, so that the connection can be
+	// reused.
 	maxDiscarded = 4096
 )
 
-// heartbeat tells a monitor that the fleet is alive: one relay at a time, by a POST with its fencing token.
+// heartbeat tells a monitor that the fleet is alive: one relay at a time, by a POST with its
+// fencing token.
 type heartbeat struct {
 	section *Heartbeat
 	relay   string
--- a/internal/fleettask/ledger.go
+++ b/internal/fleettask/ledger.go
@@ -11,7 +11,8 @@
 // LedgerVersion is the version of the ledger's form and of the slices' headers.
 const LedgerVersion = 1
 
-// Ledger says which slices count: one value at the coordination service, written under the export's lease and token.
+// Ledger says which slices count: one value at the coordination service, written under the export's
+// lease and token.
 type Ledger struct {
 	Version   int                 `json:"version"`
 	LastSlice string              `json:"head,omitempty"` // its name; the header of each slice names the one before
@@ -75,7 +76,8 @@
 	return header, next
 }
 
-// sliceName returns a slice's name. It holds the fencing token, so that no two holders write the same file.
+// sliceName returns a slice's name. It holds the fencing token, so that no two holders write the
+// same file.
 func sliceName(token uint64, number int, relay string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
@@ -86,9 +88,9 @@
 	return fmt.Sprintf("slice-%016x-%08d-%s.jsonl", token, number, safe)
 }
 
-// VerifyChain checks slices against the ledger, from its last slice back: each is there, follows the one before it of the
-// same relay's store without a gap or an overlap, and their numbers add up to the ledger's. It returns their headers in the
-// order in which they were added.
+// VerifyChain checks slices against the ledger, from its last slice back: each is there, follows
+// the one before it of the same relay's store without a gap or an overlap, and their numbers add up
+// to the ledger's. It returns their headers in the order in which they were added.
 func (l *Ledger) VerifyChain(readHeader func(name string) (SliceHeader, error)) ([]SliceHeader, error) {
 	var chain []SliceHeader
 	begins := map[string]uint64{} // by relay and store: first record of the slice that follows
@@ -124,8 +126,9 @@
 	return chain, nil
 }
 
-// endOf returns the number past the last exported record of the store of a slice, which is that store's last slice. The
-// position of a store that its relay has replaced is not on the ledger any more.
+// endOf returns the number past the last exported record of the store of a slice, which is that
+// store's last slice. The position of a store that its relay has replaced is not on the ledger any
+// more.
 func (l *Ledger) endOf(last SliceHeader) uint64 {
 	if p := l.Positions[last.Relay]; p.Store == last.Store {
 		return p.NextRecord
@@ -133,7 +136,8 @@
 	return last.EndRecord
 }
 
-// verifyTotals checks the numbers of the whole chain, and that each store is exported from its first record on.
+// verifyTotals checks the numbers of the whole chain, and that each store is exported from its
+// first record on.
 func (l *Ledger) verifyTotals(sliceCount, records int, begins map[string]uint64) error {
 	if sliceCount != l.Slices || records != l.Records {
 		return fmt.Errorf("export: %d slices with %d records, and the ledger has %d with %d", sliceCount, records, l.Slices, l.Records)
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -24,8 +24,8 @@
 	rotationInterval = 50 * time.Millisecond
 )
 
-// Resend is the gate for resends: it lets one relay of the fleet at a time resend towards a destination, so that the rate
-// that a rule names is the fleet's.
+// Resend is the gate for resends: it lets one relay of the fleet at a time resend towards a
+// destination, so that the rate that a rule names is the fleet's.
 type Resend struct {
 	client *lease.Client
 
@@ -40,8 +40,8 @@
 	act         *lease.Act
 }
 
-// Begin reports whether resends towards a destination are allowed until End. The token identifies the turn: each has
-// another.
+// Begin reports whether resends towards a destination are allowed until End. The token identifies
+// the turn: each has another.
 func (r *Resend) Begin(destination int) (token uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,8 @@
 	}
 }
 
-// held returns the token under which a destination's lease is held, and how many others are queued for it.
+// held returns the token under which a destination's lease is held, and how many others are queued
+// for it.
 func (r *Resend) held(destination int) (token uint64, queueLength int, ok bool) {
 	grant, ok := r.client.Grant(ResendLease(destination))
 	return grant.Token, grant.QueueLength, ok
--- a/internal/fleettask/rotation.go
+++ b/internal/fleettask/rotation.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// maxTurn is how long a relay goes on with a destination's resends while others are queued for its lease.
+	// maxTurn is how long a relay goes on with a destination's resends while others are queued for
+	// its lease.
 	maxTurn = 10 * time.Second
 	// maxIdle is how long it keeps the lease while nothing is due.
 	maxIdle = time.Second
 )
 
-// Rotation decides when a relay requests the lease to resend towards each destination, and when it releases it. The queue of
-// the lease is first come, first served: relays get it in the order in which something became due at them. It has no I/O and
-// no clock.
+// Rotation decides when a relay requests the lease to resend towards each destination, and when it
+// releases it. The queue of the lease is first come, first served: relays get it in the order in
+// which something became due at them. It has no I/O and no clock.
 type Rotation struct {
 	turns map[int]*turn // by destination
 }
@@ -41,8 +42,9 @@
 	t.lastDue = now
 }
 
-// Step returns the destinations whose lease is to be requested, and those whose lease is to be released. held returns the
-// token under which a destination's lease is held, and how many others are queued for it.
+// Step returns the destinations whose lease is to be requested, and those whose lease is to be
+// released. held returns the token under which a destination's lease is held, and how many others
+// are queued for it.
 func (r *Rotation) Step(
 	now time.Duration, held func(destination int) (token uint64, queueLength int, ok bool),
 ) (request, release []int) {
--- a/internal/fleettask/rotation_test.go
+++ b/internal/fleettask/rotation_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestRotation_RequestsAndReleases: a lease is requested while something is due, held while nobody is queued, released after a
-// while when somebody is or when nothing is due, and requested again only once it is not held any more.
+// TestRotation_RequestsAndReleases: a lease is requested while something is due, held while nobody
+// is queued, released after a while when somebody is or when nothing is due, and requested again
+// only once it is not held any more.
 func TestRotation_RequestsAndReleases(t *testing.T) {
 	rotation := NewRotation()
 	token, queueLength := uint64(0), 0
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -27,7 +27,8 @@
 	TimeoutMillis   int     `toml:"within_ms"` // of one heartbeat; 0: DefaultHeartbeatTimeout
 }
 
-// Export is [coordination.export]: the undelivered messages of all relays are collected in one folder that all of them see.
+// Export is [coordination.export]: the undelivered messages of all relays are collected in one
+// folder that all of them see.
 type Export struct {
 	Folder          string  `toml:"folder"`
 	IntervalSeconds float64 `toml:"every_s"` // between looks for new records; 0: DefaultExportInterval
@@ -47,8 +48,8 @@
 const (
 	maxHeartbeatSeconds = 3600
 	maxExportSeconds    = 24 * 3600
-	maxGuardShare       = 4 // of the time to live: one in so many
-	maxTimeoutShare     = 2 // of a lease's validity: one in so many
+	guardDivisor        = 4 // a guard is at most the time to live, divided by this
+	timeoutDivisor      = 2 // a timeout is at most the validity of a lease, divided by this
 )
 
 // TTL returns the time to live of a relay's session.
@@ -108,7 +109,7 @@
 	if ttl := s.TTL(); ttl < coord.MinTTL || ttl > coord.MaxTTL {
 		doc.AddError(path+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMillis, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
 	}
-	if guard := s.Guard(); guard < 0 || guard > s.TTL()/maxGuardShare {
+	if guard := s.Guard(); guard < 0 || guard > s.TTL()/guardDivisor {
 		doc.AddError(path+".guard_ms", "is %d; 0 to a quarter of ttl_ms are wanted", s.GuardMillis)
 	}
 }
@@ -130,7 +131,7 @@
 	if h.IntervalSeconds < 0 || h.IntervalSeconds > maxHeartbeatSeconds {
 		doc.AddError(path+".every_s", "is %v; 0 to %d are wanted", h.IntervalSeconds, maxHeartbeatSeconds)
 	}
-	longest := validity / maxTimeoutShare
+	longest := validity / timeoutDivisor
 	if timeout := h.Timeout(); timeout <= 0 || timeout > longest {
 		doc.AddError(path+".within_ms", "is %d; 1 to half of what a lease lasts, %d, are wanted", h.TimeoutMillis, longest.Milliseconds())
 	}
--- a/internal/fleettask/slice.go
+++ b/internal/fleettask/slice.go
@@ -81,7 +81,8 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// ReadSlice reads a slice's header, and passes each of its further lines to a function, which may be nil.
+// ReadSlice reads a slice's header, and passes each of its further lines to a function, which may
+// be nil.
 func ReadSlice(folder, name string, line func(raw []byte) error) (SliceHeader, error) {
 	var header SliceHeader
 	if !fs.ValidPath(name) || filepath.Base(name) != name {
