--- a/internal/fleettask/fleet.go
+++ b/internal/fleettask/fleet.go
@@ -19,7 +19,7 @@
 	section *Section
 	relay   string
 	client  *lease.Client
-	resend  *Resend // nil: each relay resends by itself
+	resendGate  *ResendGate // nil: each relay resends by itself
 	store   func() *deadletter.Store
 }
 
@@ -33,14 +33,14 @@
 	client := lease.NewClient(relay, s.Cluster, members, s.TTL(), s.Guard(), slog.Default())
 	f := &Fleet{section: s, relay: relay, store: store, client: client}
 	if s.Resend {
-		f.resend = &Resend{client: client, rotation: NewRotation()}
+		f.resendGate = &ResendGate{client: client, rotation: NewRotation()}
 	}
 	return f, nil
 }
 
 // Resend returns the gate that lets resends through, one relay of the fleet at a time. It is nil
 // where the section does not want that.
-func (f *Fleet) Resend() *Resend { return f.resend }
+func (f *Fleet) Resend() *ResendGate { return f.resendGate }
 
 // Run does the relay's part until its context ends.
 func (f *Fleet) Run(ctx context.Context) {
@@ -53,8 +53,8 @@
 			}
 		})
 	}
-	if f.resend != nil {
-		work.Go(func() { f.resend.run(ctx) })
+	if f.resendGate != nil {
+		work.Go(func() { f.resendGate.run(ctx) })
 	}
 	f.client.Run(ctx)
 }
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -24,9 +24,9 @@
 	rotationInterval = 50 * time.Millisecond
 )
 
-// Resend is the gate for resends: it lets one relay of the fleet at a time resend towards a
+// ResendGate is the gate for resends: it lets one relay of the fleet at a time resend towards a
 // destination, so that the rate that a rule names is the fleet's.
-type Resend struct {
+type ResendGate struct {
 	client *lease.Client
 
 	mu       sync.Mutex // guards what is below
@@ -42,7 +42,7 @@
 
 // Begin reports whether resends towards a destination are allowed until End. The token identifies
 // the turn: each has another.
-func (r *Resend) Begin(destination int) (token uint64, ok bool) {
+func (r *ResendGate) Begin(destination int) (token uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rotation.RecordDue(destination, clock.SinceBoot())
@@ -63,7 +63,7 @@
 }
 
 // End ends a round: what it has decided is submitted.
-func (r *Resend) End() {
+func (r *ResendGate) End() {
 	r.mu.Lock()
 	acts := r.acts
 	r.acts = nil
@@ -74,7 +74,7 @@
 }
 
 // run requests and releases leases until its context ends.
-func (r *Resend) run(ctx context.Context) {
+func (r *ResendGate) run(ctx context.Context) {
 	ticker := time.NewTicker(rotationInterval)
 	defer ticker.Stop()
 	for {
@@ -97,7 +97,7 @@
 
 // held returns the token under which a destination's lease is held, and how many others are queued
 // for it.
-func (r *Resend) held(destination int) (token uint64, queueLength int, ok bool) {
+func (r *ResendGate) held(destination int) (token uint64, queueLength int, ok bool) {
 	grant, ok := r.client.Grant(ResendLease(destination))
 	return grant.Token, grant.QueueLength, ok
 }
