--- a/internal/fleettask/fleet.go
+++ b/internal/fleettask/fleet.go
@@ -16,11 +16,11 @@
 
 // Fleet is a relay's part of the fleet's tasks.
 type Fleet struct {
-	section *Section
-	relay   string
-	client  *lease.Client
-	resendGate  *ResendGate // nil: each relay resends by itself
-	store   func() *deadletter.Store
+	section    *Section
+	relay      string
+	client     *lease.Client
+	resendGate *ResendGate // nil: each relay resends by itself
+	store      func() *deadletter.Store
 }
 
 // New returns a relay's part of the tasks that a section turns on. It begins with Run. store
