--- a/internal/fleettask/fleet.go
+++ b/internal/fleettask/fleet.go
@@ -38,9 +38,9 @@
 	return f, nil
 }
 
-// Resend returns the gate that lets resends through, one relay of the fleet at a time. It is nil
+// ResendGate returns the gate that lets resends through, one relay of the fleet at a time. It is nil
 // where the section does not want that.
-func (f *Fleet) Resend() *ResendGate { return f.resendGate }
+func (f *Fleet) ResendGate() *ResendGate { return f.resendGate }
 
 // Run does the relay's part until its context ends.
 func (f *Fleet) Run(ctx context.Context) {
--- a/internal/relay/assemble.go
+++ b/internal/relay/assemble.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if gate := n.fleet.Resend(); gate != nil && deadLetters.writer != nil {
+	if gate := n.fleet.ResendGate(); gate != nil && deadLetters.writer != nil {
 		deadLetters.writer.gate = gate
 	}
 	return nil
