--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/admin.go
@@ -51,7 +51,7 @@
 	Classes []Class
 	// newClasses are those of new settings.
 	newClasses atomic.Pointer[[]Class]
-	// Changed tells the relay that a message was given to it to resend; nil on a stopped one's folder.
+	// Changed tells the relay that a message was given to it to redeliver; nil on a stopped one's folder.
 	Changed func()
 }
 
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -71,7 +71,7 @@
 }
 
 // enforce drops what one bound does not allow: too old ones, over of the oldest, and where ended is set those that have
-// ended. A message that is being resent stays.
+// ended. A message that is being redelivered stays.
 func (b *Bounds) enforce(n int, bound Bound, over int, ended bool, now time.Time) (left int, err error) {
 	if over == 0 && bound.MaxAge == 0 && !ended {
 		return 0, nil
--- a/internal/deadletter/client.go
+++ b/internal/deadletter/client.go
@@ -114,7 +114,7 @@
 	return l, err
 }
 
-// Get gives a message by the id of any of its lives.
+// Get gives a message by the id of any of its incarnations.
 func (a *Client) Get(ctx context.Context, id string) (r *Record, err error) {
 	r = &Record{}
 	return r, a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id), nil, r)
--- a/internal/deadletter/due.go
+++ b/internal/deadletter/due.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// dueKey is when to look at a record again. The partner comes first: the many of one that is down are not to stand
+// dueKey is when to look at a record again. The destination comes first: the many of one that is down are not to stand
 // before the few of another.
 func dueKey(partner int, at time.Time, n uint64) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(partner))
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Due gives messages that are to be looked at by a time: of each partner the first so many as most says for it.
+// Due gives messages that are to be looked at by a time: of each destination the first so many as most says for it.
 func (s *Store) Due(at time.Time, most func(partner int) int) (due []*Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(dueBucket).Cursor()
--- a/internal/deadletter/inflight.go
+++ b/internal/deadletter/inflight.go
@@ -1,11 +1,11 @@
 package deadletter
 
-// InFlightMessages knows the messages of each topic that were taken on and have not ended.
+// InFlightMessages tracks the accepted messages of each topic that have not ended.
 type InFlightMessages struct {
 	orders map[Topic]map[string]Order
 }
 
-// Add notes a message that was taken on, and Ended that it has ended.
+// Add notes a message that was accepted, and Ended that it has ended.
 func (u *InFlightMessages) Add(id string, t Topic, order Order) {
 	if u.orders == nil {
 		u.orders = map[Topic]map[string]Order{}
@@ -24,7 +24,7 @@
 }
 
 // NewestAfter gives the newest message of a topic that is newer than a place in its order, or "". known is false where one is
-// out whose subject can't be read: it may be of any topic of its class and partner.
+// out whose subject can't be read: it may be of any topic of its class and destination.
 func (u *InFlightMessages) NewestAfter(t Topic, order Order) (newest string, known bool) {
 	best := order
 	for id, at := range u.orders[t] {
--- a/internal/deadletter/json_pointer.go
+++ b/internal/deadletter/json_pointer.go
@@ -26,7 +26,7 @@
 }
 
 // resolvePointer gives the string or number that a JSON pointer leads to (RFC 6901). It is written by hand on the standard
-// decoder's tokens: what works on decoded values takes the last of two members of one name, where a partner may take
+// decoder's tokens: what works on decoded values takes the last of two members of one name, where a destination may take
 // the first, and turns numbers into floats.
 func resolvePointer(body []byte, pointer string) (v string, err error) {
 	names, err := pointerTokens(pointer)
--- a/internal/deadletter/messages.go
+++ b/internal/deadletter/messages.go
@@ -89,7 +89,7 @@
 	return false, nil
 }
 
-// indexIDs has a record found by the ids of its lives.
+// indexIDs has a record found by the ids of its incarnations.
 func indexIDs(tx *bbolt.Tx, n uint64, lives []Incarnation) error {
 	ids := tx.Bucket(idsBucket)
 	for _, life := range lives {
@@ -125,7 +125,7 @@
 	return r, nil
 }
 
-// findKey gives the key of a message by the id of any of its lives.
+// findKey gives the key of a message by the id of any of its incarnations.
 func findKey(tx *bbolt.Tx, id string) ([]byte, error) {
 	k := tx.Bucket(idsBucket).Get([]byte(id))
 	if k == nil {
@@ -134,7 +134,7 @@
 	return k, nil
 }
 
-// Get gives a message by the id of any of its lives.
+// Get gives a message by the id of any of its incarnations.
 func (s *Store) Get(id string) (r *Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		k, err := findKey(tx, id)
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -21,7 +21,7 @@
 	Definition    string        `json:"reading"`           // how its subjects are read
 	Version       int           `json:"version,omitempty"` // how often that has changed
 	NewestEvicted *Order        `json:"horizon,omitempty"` // the newest that was forgotten since, of whatever topic
-	Unreadable    map[int]int64 `json:"unread,omitempty"`  // by partner: arrival of the last one delivered whose subject can't be read
+	Unreadable    map[int]int64 `json:"unread,omitempty"`  // by destination: arrival of the last one delivered whose subject can't be read
 }
 
 // active tells whether the class's subjects are read at present.
@@ -45,7 +45,7 @@
 type Newest struct {
 	storage     subjectStorage
 	maxSubjects int // 0: any number, for a tool that ends a message of a stopped relay's
-	// settlingTime after a class's subjects were first read, what can be told of them begins to be relied on: until then a
+	// settlingTime after a class's subjects were first read, what is known of them begins to be relied on: until then a
 	// message may have a newer one that was delivered before. No client hands messages of one topic in so far out of
 	// their order.
 	settlingTime time.Duration
--- a/internal/deadletter/permission.go
+++ b/internal/deadletter/permission.go
@@ -19,20 +19,20 @@
 type Class struct {
 	Name            string        `json:"Name"`
 	Idempotency     Idempotency   `json:"Effect"`
-	KeyTTL          time.Duration `json:"Memory"`   // keyed: how long partners drop a repeat
+	KeyTTL          time.Duration `json:"Memory"`   // keyed: how long destinations drop a repeat
 	MaxAttempts     int           `json:"Attempts"` // allowed, over the whole lineage
 	ClientsResubmit bool          `json:"Returns"`  // clients come again with what was handed back to them, to this relay or another
 	HasSubject      bool          `json:"Subject"`  // its messages have a subject, and the newest of one is not to be overwritten
 }
 
-// keyMargin of a key's memory is not used: the attempt that begins now reaches the partner later, and clocks differ.
+// keyMargin of a key's memory is not used: the attempt that begins now reaches the destination later, and clocks differ.
 const keyMargin = 2 * time.Second
 
 // Permission says whether a message may be sent again.
 type Permission struct {
 	Allowed     bool
 	Superseded  string       // by this newer one; then it is over
-	Attestation *Attestation // the one that is used up by the resend; nil: none is needed
+	Attestation *Attestation // the one that is used up by the redelivery; nil: none is needed
 	Reason      string       // in plain words
 	RetryAt     time.Time    // not allowed: when to look at it again; zero: time alone changes nothing
 }
@@ -57,7 +57,7 @@
 	case len(r.Incarnations) == 0:
 		return denied("its record has no history")
 	case now.Before(r.latest()):
-		// Guards against a clock that was set back: how long ago an attempt was can't be told.
+		// Guards against a clock that was set back: how long ago an attempt was is not known.
 		v := denied("the clock stands before the last that is known of it, %s", r.latest().Format(time.RFC3339))
 		v.RetryAt = r.latest()
 		return v
--- a/internal/deadletter/plan.go
+++ b/internal/deadletter/plan.go
@@ -10,12 +10,12 @@
 	Action      string
 	Rule        int       // from 1; 0: no rule matched
 	At          time.Time // when to act, or to look again; zero: never by itself
-	Rate        float64   // resend: a second and partner
+	Rate        float64   // resend: a second and destination
 	Reason      string
 	Attestation *Attestation // resend: the attest that it takes
 }
 
-// Decide says what the rules make of a message: the first that matches decides, and none that does is hold. A resend
+// Decide says what the rules make of a message: the first that matches decides, and none that does is hold. A redelivery
 // that its class forbids is held, whatever the rule says.
 func Decide(rules []Rule, c *Class, rec *Record, newer Newer, now time.Time) Plan {
 	if rec.HeldByOperator {
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -1,5 +1,3 @@
-// Package deadletter keeps messages that were taken on and not delivered, and decides which of them may be sent
-// again. Its decisions (Allowed, Rules, Newest) know neither the clock nor a file: times come in as arguments.
 package deadletter
 
 import "time"
@@ -22,14 +20,14 @@
 
 // The reasons.
 const (
-	ShedAfterAcceptance Reason = "refused-late"     // handed back after it had been taken on
+	ShedAfterAcceptance Reason = "refused-late"     // handed back after it had been accepted
 	DeadlineExceeded    Reason = "out-of-time"      // its time was up
 	AttemptsExhausted   Reason = "attempts-spent"   // it had all its attempts
 	OutcomeUnknown      Reason = "may-have-run"     // it may have run, and may not be repeated
-	SettingsChanged     Reason = "settings-changed" // its class or partner is no longer known
+	SettingsChanged     Reason = "settings-changed" // its class or destination is no longer known
 	ProcessEnded        Reason = "process-ended"    // it was over when a later process took it up
-	OvertakenByNewer    Reason = "overtaken"        // a newer message came before its resend, or while that was out
-	RejectedOnArrival   Reason = "refused"          // never taken on: refused at its arrival
+	OvertakenByNewer    Reason = "overtaken"        // a newer message came before its redelivery, or while that was out
+	RejectedOnArrival   Reason = "refused"          // never accepted: rejected on arrival
 )
 
 // reasons are all of them, as rules may name them.
@@ -44,20 +42,20 @@
 	Execution Execution `json:"ran"`
 }
 
-// Incarnation is one time that a message was taken on, from the first to the last resend.
+// Incarnation is one time that a message was accepted, from the first to the last redelivery.
 type Incarnation struct {
 	ID          string       `json:"id"`
 	Relay       string       `json:"relay"`
 	AcceptedAt  time.Time    `json:"taken"`
-	Deadline    time.Time    `json:"expires"` // the client's deadline, or the resend's
+	Deadline    time.Time    `json:"expires"` // the client's deadline, or the redelivery's
 	CompletedAt time.Time    `json:"over"`
 	Reason      Reason       `json:"reason"`
 	Status      string       `json:"status"` // of the notice
 	Attempts    []Attempt    `json:"attempts"`
-	Attestation *Attestation `json:"attest,omitempty"` // on which it was resent
+	Attestation *Attestation `json:"attest,omitempty"` // on which it was redelivered
 }
 
-// Attestation is a named operator's word that a partner does not have a message. It serves for one resend.
+// Attestation is a named operator's word that a destination does not have a message. It serves for one redelivery.
 type Attestation struct {
 	By       string    `json:"by"`
 	Evidence string    `json:"evidence"`
@@ -72,7 +70,7 @@
 const (
 	Held         State = "held"
 	Due          State = "due" // by a rule, or because an operator asked
-	Redelivering State = "out" // being resent
+	Redelivering State = "out" // being redelivered
 	Delivered    State = "delivered"
 	Superseded   State = "superseded"
 	Discarded    State = "discarded"
@@ -81,7 +79,7 @@
 // Ended tells whether nothing more will be done for a message.
 func (s State) Ended() bool { return s == Delivered || s == Superseded || s == Discarded }
 
-// Record is a message as it is kept. The first life's id is its name for good.
+// Record is a message as it is kept. The first incarnation's id is its name for good.
 type Record struct {
 	Version             int           `json:"version"`
 	ID                  string        `json:"id"`
@@ -97,8 +95,8 @@
 	Reason              string        `json:"why,omitempty"`   // of its state, in words
 	Since               time.Time     `json:"since"`           // of its state
 	Due                 time.Time     `json:"due,omitzero"`    // when to look at it again by itself
-	RequestedByOperator bool          `json:"asked,omitempty"` // an operator wants it resent
-	HeldByOperator      bool          `json:"kept,omitempty"`  // by an operator: no rule resends it
+	RequestedByOperator bool          `json:"asked,omitempty"` // an operator wants it redelivered
+	HeldByOperator      bool          `json:"kept,omitempty"`  // by an operator: no rule redelivers it
 	Attestations        []Attestation `json:"attests,omitempty"`
 	BodySize            int           `json:"body_size"`
 }
@@ -106,7 +104,7 @@
 // topic is what a message is about.
 func (r *Record) topic() Topic { return Topic{r.Class, r.Destination, r.Subject} }
 
-// Last is the latest life.
+// Last is the latest incarnation.
 func (r *Record) Last() *Incarnation { return &r.Incarnations[len(r.Incarnations)-1] }
 
 // Attempts counts the attempts of the whole lineage.
@@ -118,7 +116,7 @@
 }
 
 // MayHaveExecuted gives the first attempt of the whole lineage that may have had its effect, or nil. An attempt before a
-// life that was resent on an attest does not count: a person has said that the partner does not have it.
+// incarnation that was redelivered on an attest does not count: a person has said that the destination does not have it.
 func (r *Record) MayHaveExecuted() *Attempt {
 	from := 0
 	for i := range r.Incarnations {
@@ -136,7 +134,7 @@
 	return nil
 }
 
-// wasReturnedToClient tells whether the client was told that it may come again with the message, and nobody has vouched since
+// wasReturnedToClient tells whether the client was told to retry the message, and no operator has attested since
 // that it did not.
 func (r *Record) wasReturnedToClient() bool {
 	if r.Incarnations[0].Status != deferred && r.Incarnations[0].Reason != RejectedOnArrival {
@@ -150,7 +148,7 @@
 	return true
 }
 
-// neverAccepted tells whether a message was never taken on.
+// neverAccepted tells whether a message was never accepted.
 func (r *Record) neverAccepted() bool {
 	return len(r.Incarnations) == 1 && r.Incarnations[0].Reason == RejectedOnArrival
 }
--- a/internal/deadletter/redelivery.go
+++ b/internal/deadletter/redelivery.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// minBusyBackoff and busyMost bound the pause of a partner's resends after the relay had no room for one, failLeast and
-	// failMost after one that failed: each in a row doubles it, so that a partner that is down sees a few.
+	// The pause of a destination's redeliveries after the relay had no room for one (busy) or one failed (failure): each
+	// in a row doubles it, so that a destination that is down sees few.
 	minBusyBackoff, maxBusyBackoff       = 200 * time.Millisecond, 5 * time.Second
 	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
-	// tokenBurst is how many resends a partner may get at once after a rest: its rate is kept in the mean.
+	// tokenBurst is how many redeliveries a destination may get at once after a rest: its rate is kept in the mean.
 	tokenBurst = 1.0
-	// maxPerRound is how many messages of a partner are looked at in one round.
+	// maxPerRound is how many messages of a destination are looked at in one round.
 	maxPerRound = 20
 	// sweepBatch is how many messages one round of a sweep has looked at again.
 	sweepBatch = 500
-	// lostAfter its time a message that was to be resent and of which the relay knows nothing counts as returned.
+	// lostAfter its time a message that was to be redelivered and of which the relay knows nothing counts as returned.
 	lostAfter = 30 * time.Second
 )
 
-// Result is what became of a resend.
+// Result is what became of a redelivery.
 type Result struct {
 	Incarnation Incarnation // with the id under which it went
 	Delivered   bool
-	Overtaken   string // by this newer message, which was taken on before the resend left
+	Overtaken   string // by this newer message, which was accepted before the redelivery left
 }
 
 // Offer is a message that is to be handed to the decision module as a background message.
@@ -33,7 +33,8 @@
 	Incarnation *Incarnation // its new one
 }
 
-// Redeliverer decides what of a store is resent when: which messages the rules want, in which order, and at which pace.
+// Redeliverer decides what of a store is redelivered when: which messages the rules want, in which order, and at which
+// rate.
 // It is not safe for concurrent use; times come in as arguments.
 type Redeliverer struct {
 	store     *Store
@@ -57,7 +58,7 @@
 	return r
 }
 
-// SetGate has resends go through a gate from now on.
+// SetGate has redeliveries go through a gate from now on.
 func (r *Redeliverer) SetGate(g Gate) { r.gate = g }
 
 // SetClasses has the classes be others from now on.
@@ -173,7 +174,7 @@
 	return Decide(r.rules, c, rec, newer, now)
 }
 
-// applyPlan writes down a plan other than a resend, and gives when to look again.
+// applyPlan writes down a plan other than a redelivery, and gives when to look again.
 func (r *Redeliverer) applyPlan(rec *Record, p Plan, now time.Time) time.Time {
 	rec.Reason, rec.Since, rec.RequestedByOperator = p.Reason, now, false
 	switch p.Action {
@@ -188,7 +189,7 @@
 	return p.At
 }
 
-// timeToLive is how long a resend may take: as long as the message had when it was first taken on.
+// timeToLive is how long a redelivery may take: as long as the message had when it was first accepted.
 func (r *Redeliverer) timeToLive(rec *Record) time.Duration {
 	return max(time.Second, rec.Incarnations[0].Deadline.Sub(rec.Incarnations[0].AcceptedAt))
 }
--- a/internal/deadletter/redelivery_result.go
+++ b/internal/deadletter/redelivery_result.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// handleLost looks at a resend whose time is long over. Where the relay does not have it, it can't be told whether it went:
+// handleLost looks at a redelivery whose time is long over. Where the relay does not have it, it is not known whether it was sent:
 // its process was killed before it was journalled, or its machine was lost with the journal.
 func (r *Redeliverer) handleLost(rec *Record, now time.Time, holds func(id string) bool) error {
 	if holds(rec.Last().ID) {
@@ -18,14 +18,14 @@
 	return r.HandleResults([]Result{{Incarnation: life}}, now)
 }
 
-// HandleResults takes in what became of resends. One that is told again changes nothing.
+// HandleResults takes in what became of redeliveries. A repeated one changes nothing.
 func (r *Redeliverer) HandleResults(results []Result, now time.Time) error {
 	for i := range results {
 		res := &results[i]
 		partner, news := 0, false
 		err := r.store.Change(res.Incarnation.ID, func(rec *Record) (time.Time, error) {
 			if rec.State != Redelivering || rec.Last().ID != res.Incarnation.ID {
-				return rec.Due, nil // told before
+				return rec.Due, nil // known already
 			}
 			partner, news = rec.Destination, true
 			return rec.applyResult(res, now), nil
@@ -48,22 +48,22 @@
 	r.Since, r.RequestedByOperator = now, r.RequestedByOperator && len(res.Incarnation.Attempts) == 0
 	switch {
 	case res.Delivered:
-		r.endLife(res)
+		r.endIncarnation(res)
 		r.State, r.Reason = Delivered, "delivered as "+r.Last().ID
 		return time.Time{}
 	case res.Overtaken != "" && len(res.Incarnation.Attempts) > 0: // in flight already: whether it had its effect is not known
-		r.endLife(res)
+		r.endIncarnation(res)
 		r.State, r.Reason = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", res.Overtaken, r.Subject)
 		return time.Time{}
 	case len(res.Incarnation.Attempts) == 0:
-		r.cancelLife()
+		r.cancelIncarnation()
 		r.Reason = "the relay had no room for it"
 		if res.Overtaken != "" {
 			r.State, r.Reason = Superseded, fmt.Sprintf("a newer message of %q, %s, has overtaken it", r.Subject, res.Overtaken)
 			return time.Time{}
 		}
 	default:
-		r.endLife(res)
+		r.endIncarnation(res)
 		r.Reason = fmt.Sprintf("its resend %s was not delivered: %s", r.Last().ID, r.Last().Reason)
 	}
 	r.State = Held
@@ -73,15 +73,15 @@
 	return now
 }
 
-// endLife replaces the latest life by what a redelivery has made of it.
-func (r *Record) endLife(res *Result) {
+// endIncarnation replaces the latest incarnation by what a redelivery has made of it.
+func (r *Record) endIncarnation(res *Result) {
 	attest := r.Last().Attestation
 	*r.Last() = res.Incarnation
 	r.Last().Attestation = attest
 }
 
-// cancelLife drops the latest life: it never left the relay, and no attestation is used up by it.
-func (r *Record) cancelLife() {
+// cancelIncarnation drops the latest incarnation: it never left the relay, and no attestation is used up by it.
+func (r *Record) cancelIncarnation() {
 	attest := r.Last().Attestation
 	r.Incarnations = r.Incarnations[:len(r.Incarnations)-1]
 	if attest == nil {
--- a/internal/deadletter/rule.go
+++ b/internal/deadletter/rule.go
@@ -25,10 +25,10 @@
 	OlderThan       float64 `json:"OlderThan" toml:"older_than_s"` // since it was given up
 	Action          string  `json:"Action" toml:"action,required"`
 	Delay           float64 `json:"After" toml:"after_s"`   // resend: since it was last given up
-	MaxIncarnations int     `json:"Most" toml:"most"`       // resend: lives in all, the first one counted
-	Rate            float64 `json:"Rate" toml:"rate"`       // resend: a second and partner
+	MaxIncarnations int     `json:"Most" toml:"most"`       // resend: incarnations in all, the first one counted
+	Rate            float64 `json:"Rate" toml:"rate"`       // resend: a second and destination
 	Hours           string  `json:"Hours" toml:"hours"`     // resend: of the day, as "08:00-18:30", local time
-	DiscardAge      float64 `json:"Age" toml:"after_age_s"` // discard: since it was first taken on
+	DiscardAge      float64 `json:"Age" toml:"after_age_s"` // discard: since it was first accepted
 	hours           [2]time.Duration
 }
 
@@ -70,7 +70,7 @@
 	switch {
 	case r.Action == Discard && !(r.DiscardAge > 0):
 		d.AddError(at+".after_age_s", "is missing: nothing is discarded without an age")
-	case r.Action == Redeliver && r.MaxIncarnations < minLives:
+	case r.Action == Redeliver && r.MaxIncarnations < minIncarnations:
 		d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.MaxIncarnations)
 	}
 	if r.Action == Redeliver && !(r.Rate > 0) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// minLives is the least number of lives that leaves room for a redelivery: the first one counts.
-const minLives = 2
+// minIncarnations is the least number of incarnations that leaves room for a redelivery: the first one counts.
+const minIncarnations = 2
 
 // matches tells whether a rule is for a message, old as it is.
 func (r *Rule) matches(rec *Record, now time.Time) bool {
@@ -102,7 +102,7 @@
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// Conflicts reports in plain words what in a rule can never be: a resend that the classes it is for do not allow.
+// Conflicts reports in plain words what in a rule can never be: a redelivery that the classes it is for do not allow.
 func (r *Rule) Conflicts(classes []Class) (faults []string) {
 	if r.Action != Redeliver {
 		return nil
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -12,7 +12,7 @@
 	Folder       string  `toml:"folder,required"` // of the store; mode 0700
 	QuotaMB      float64 `toml:"quota_mb"`        // of the store's file
 	MaxMessages  int     `toml:"messages"`        // kept at most
-	MaxAge       float64 `toml:"age_s"`           // since they were first taken on
+	MaxAge       float64 `toml:"age_s"`           // since they were first accepted
 	Export       bool    `toml:"export"`          // what leaves by a bound goes into a file of the folder first
 	KeepRejected bool    `toml:"refused"`         // keep also what was refused at arrival; else it is counted
 	Socket       string  `toml:"socket"`          // Unix socket of the running relay's tool; empty: none
@@ -20,7 +20,7 @@
 	Rules        []Rule  `toml:"rule"`
 
 	// ClientsResubmit says that clients come again with what was handed back to them. Then payments and what else may not
-	// be repeated at will are resent only where they were given up for good, or on an attest. True where it is left out.
+	// be repeated at will are redelivered only where they were given up for good, or on an attest. True where it is left out.
 	ClientsResubmit *bool `toml:"clients_return"`
 
 	Subjects       []Subject `toml:"subject"`
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -21,8 +21,8 @@
 //	meta      "version" -> 4 bytes; "totals" -> Totals as JSON; "rules" -> a digest of the rules last used
 //	records   number (8 bytes, big endian, rising) -> checksum (4 bytes, CRC-32C of the rest) + Record as JSON
 //	bodies    number -> checksum + body
-//	ids       id of any life -> number
-//	due       partner (4 bytes) + time (8 bytes, Unix milliseconds) + number -> nothing: when to look at a record again
+//	ids       id of any incarnation -> number
+//	due       destination (4 bytes) + time (8 bytes, Unix milliseconds) + number -> nothing: when to look at a record again
 //	groups    class 0x00 tenant -> Group as JSON
 //	unkept    id -> why and when, of what could not be kept or left by a bound without an export
 //
--- a/internal/deadletter/subject.go
+++ b/internal/deadletter/subject.go
@@ -20,7 +20,7 @@
 	perWhole = 1_000_000_000_000_000_000
 )
 
-// Topic is what a message is about, of its class and partner: each partner keeps a status of its own. A message whose
+// Topic is what a message is about, of its class and destination: each destination keeps a status of its own. A message whose
 // subject can't be read has the empty one.
 type Topic struct {
 	Class       string
@@ -29,7 +29,7 @@
 }
 
 // Read finds out what a message is about, and its place in the order but for its arrival. The error says why
-// that can't be told.
+// that is not known.
 func (s *Subject) Read(h http.Header, body []byte) (subject string, o Order, err error) {
 	value, err := valueOf(h, s.Header, s.Pointer, body)
 	if err != nil {
--- a/internal/deadletter/subject_buckets.go
+++ b/internal/deadletter/subject_buckets.go
@@ -30,7 +30,7 @@
 	return sum[:topicKeySize]
 }
 
-// boltSubjects is a shelf within one transaction. Its first error ends what it was used for.
+// boltSubjects is a subjectStorage within one transaction. Its first error ends what it was used for.
 type boltSubjects struct {
 	tx     *bbolt.Tx
 	epochs map[string]*trackingEpoch
--- a/internal/deadletter/subject_store.go
+++ b/internal/deadletter/subject_store.go
@@ -19,7 +19,7 @@
 }
 
 // TrackSubjects has the store know the newest message of each topic for the classes of a section whose subjects are read. anew
-// says that messages may have been delivered of which the store was not told.
+// says that messages may have been delivered of which the store was not informed.
 func (s *Store) TrackSubjects(section *Section, anew bool, now time.Time) error {
 	s.section.Store(section)
 	subjects := section.Subjects
--- a/internal/deadletter/throttle.go
+++ b/internal/deadletter/throttle.go
@@ -4,30 +4,30 @@
 	"time"
 )
 
-// throttle is the pace of one partner's resends.
+// throttle is the pace of one destination's redeliveries.
 type throttle struct {
 	tokens         float64
 	updatedAt      time.Time // as of when
 	pausedUntil    time.Time // paused
 	busyBackoff    time.Duration
 	failureBackoff time.Duration
-	inFlight       string    // the life that is out; empty: none
+	inFlight       string    // the incarnation that is out; empty: none
 	lostAt         time.Time // when that counts as lost
 	gateToken      uint64    // the gate's token under which it goes
 }
 
-// Gate lets resends through where one relay of a fleet at a time is to resend towards a partner.
+// Gate lets redeliveries through where one relay of a fleet at a time is to redeliver towards a destination.
 type Gate interface {
-	// Begin allows resends towards a partner until End, or refuses. The token is another one for each turn.
+	// Begin allows redeliveries towards a destination until End, or refuses. The token is another one for each turn.
 	Begin(partner int) (token uint64, ok bool)
 	// End says that what was decided since has been offered.
 	End()
 }
 
-// gatePause is before the gate is asked again for a partner for which it refused.
+// gatePause is before the gate is asked again for a destination for which it refused.
 const gatePause = 100 * time.Millisecond
 
-// passGate asks the gate. A turn begins without tokens: another relay may just have used the partner's rate.
+// passGate asks the gate. A turn begins without tokens: another relay may just have used the destination's rate.
 func (r *Redeliverer) passGate(l *throttle, partner int, now time.Time) bool {
 	if r.gate == nil {
 		return true
@@ -52,7 +52,7 @@
 	return l
 }
 
-// takeToken takes a resend out of a lane's pace.
+// takeToken takes a redelivery out of a throttle's tokens.
 func (l *throttle) takeToken(rate float64, now time.Time) bool {
 	l.tokens = min(tokenBurst, l.tokens+max(0, now.Sub(l.updatedAt).Seconds())*rate)
 	l.updatedAt = now
@@ -63,7 +63,7 @@
 	return true
 }
 
-// handleResult paces a lane by what became of a resend.
+// handleResult adjusts a throttle by what became of a redelivery.
 func (l *throttle) handleResult(res *Result, now time.Time) {
 	if l.inFlight == res.Incarnation.ID {
 		l.inFlight = ""
@@ -73,7 +73,7 @@
 		l.pausedUntil = now.Add(*d)
 	}
 	switch {
-	case res.Overtaken != "": // that says nothing of the partner
+	case res.Overtaken != "": // that says nothing of the destination
 	case res.Delivered:
 		l.busyBackoff, l.failureBackoff = 0, 0
 	case len(res.Incarnation.Attempts) == 0:
--- a/internal/faultinjection/checker/log.go
+++ b/internal/faultinjection/checker/log.go
@@ -1,7 +1,7 @@
 // Package checker judges relays by the six rules, from nothing but what the stand-ins round them wrote down. It shares
 // no code with the relay or its decisions but the types of the settings. All times are since the start of the run.
 //
-// The rules are those of the protocol: every message that was taken on has exactly one end, in time; no effect
+// The rules are those of the protocol: every message that was accepted has exactly one end, in time; no effect
 // happens twice; drains are kept; a destination that returns is not pushed over; order is kept where a class asks
 // for it; waits are heeded.
 package checker
@@ -47,11 +47,11 @@
 	FolderFails      Kind = "folder-fails"  // Relay: writes to its folder fail from now on, some or all
 	FolderWorks      Kind = "folder-works"  // Relay: none does any more
 	OutageBegan      Kind = "out"           // Dest Host State: an outage begins; Host empty: of all endpoints
-	OutageEnded      Kind = "back"          // Dest Host OK: it ends; OK: the partner is cold
+	OutageEnded      Kind = "back"          // Dest Host OK: it ends; OK: the destination starts cold
 	DiscoveryDown    Kind = "reg-down"      // the register does not answer
 	DiscoveryUp      Kind = "reg-up"        //
 	Connected        Kind = "connected"     // Relay Dest Host: a connection to an endpoint
-	DiscoveryMoved   Kind = "moved"         // Relay: told to go to another register
+	DiscoveryMoved   Kind = "moved"         // Relay: told to use another discovery service
 	MetricsRead      Kind = "scraped"       // Relay Process Figures: what a process's door showed
 	LateEvent        Kind = "late-event"    // For: the rig itself was late by so long
 )
@@ -108,11 +108,11 @@
 // Terms are what the rules are judged by.
 type Terms struct {
 	Settings     settings.Settings
-	TellWithin   time.Duration // what the register shows counts as told after this, while it is up
+	TellWithin   time.Duration // what discovery shows counts as known after this, while it is up
 	Destinations []Destination
 }
 
-// Destination is what the script says of a partner.
+// Destination is what the scenario says of a destination.
 type Destination struct {
 	Name      string
 	Capacity  float64       // calls a second when warm and whole
