--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -35,10 +35,10 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case logs.Foreign != nil:
-		return nil, errors.New(logs.Foreign.String())
-	case len(logs.Events) == 0 && len(logs.Bad) == 0:
-		return nil, fmt.Errorf("%s: no trace in %d lines; turn it on with [trace] log = true in the operator's file", paths[0], logs.Other)
+	case logs.OtherVersion != nil:
+		return nil, errors.New(logs.OtherVersion.String())
+	case len(logs.Events) == 0 && len(logs.BadLines) == 0:
+		return nil, fmt.Errorf("%s: no trace in %d lines; turn it on with [trace] log = true in the operator's file", paths[0], logs.OtherLines)
 	}
 	return logs, nil
 }
@@ -58,24 +58,24 @@
 			if err != nil {
 				return err
 			}
-			table := fleet.Count(logs.Events)
+			summary := fleet.Summarize(logs.Events)
 			out := c.OutOrStdout()
 			if asJSON != "" {
 				err = cli.WriteJSON(out, asJSON, struct {
-					*fleet.Table
+					*fleet.Summary
 					Bad   []fleet.BadLine `json:"bad_lines"`
 					Other int             `json:"other_lines"`
-				}{table, logs.Bad, logs.Other})
+				}{summary, logs.BadLines, logs.OtherLines})
 			}
 			if asJSON != "-" {
-				printFleet(out, table)
+				printFleet(out, summary)
 				fmt.Fprintf(out, "\n%d events of %d relays (%d in the fleet by their settings), %d other lines, %d that could not be used\n",
-					len(logs.Events), table.Relays, table.Told, logs.Other, len(logs.Bad))
-				for _, b := range logs.Bad[:min(len(logs.Bad), mostNamed)] {
+					len(logs.Events), summary.Relays, summary.FleetSize, logs.OtherLines, len(logs.BadLines))
+				for _, b := range logs.BadLines[:min(len(logs.BadLines), mostNamed)] {
 					fmt.Fprintln(out, b)
 				}
 			}
-			if err == nil && len(logs.Bad) > 0 {
+			if err == nil && len(logs.BadLines) > 0 {
 				return cli.ErrFindings
 			}
 			return err
@@ -198,17 +198,17 @@
 const countsHead = "first\tagain\tdelivered\tlimit\tdoor\tunmade\tother\tfresh\ttaken\trefused\tlate\tback\tfailed\t"
 
 func printCounts(w io.Writer, c *fleet.Counts) {
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", c.First, c.Again, c.Delivered, c.Limit, c.Door, c.Unmade, c.Other,
-		c.Fresh, c.Taken, c.Refused, c.Late, c.Back, c.Failed)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", c.FirstAttempts, c.Retries, c.Delivered, c.OverLimit,
+		c.ConnectionsRejected, c.ConnectFailures, c.OtherFailures, c.NewConnections, c.Accepted, c.Rejected, c.DeliveredLate, c.Deferred, c.Undeliverable)
 }
 
 // printFleet prints the table by second, by destination, and the outages.
-func printFleet(out io.Writer, t *fleet.Table) {
+func printFleet(out io.Writer, t *fleet.Summary) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "second\tstarts\tasks\tturned\ttold\t"+countsHead)
 	for i := range t.Seconds {
 		s := &t.Seconds[i]
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t", s.At, s.Starts, s.Asks, s.Turned, s.Told)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t", s.At, s.Starts, s.WatchRequests, s.EmptyWatches, s.EndpointUpdates)
 		printCounts(w, &s.Counts)
 	}
 	_ = w.Flush()
@@ -216,7 +216,7 @@
 	fmt.Fprintln(w, "dest\thosts\trelays\tlimit/s\tleft\t"+countsHead)
 	for i := range t.Destinations {
 		d := &t.Destinations[i]
-		fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.2f\t", d.Dest, d.Hosts, d.Relays, d.Limit, d.Left)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%.1f\t%.2f\t", d.Number, d.Endpoints, d.Relays, d.RateLimit, d.RemainingFraction)
 		printCounts(w, &d.Counts)
 	}
 	fmt.Fprint(w, "all\t\t\t\t\t")
@@ -225,7 +225,7 @@
 	for _, d := range t.Destinations {
 		for _, o := range d.Outages {
 			fmt.Fprintf(out, "\ndestination %d out from %.1f to %.1f s: %d calls by %d relays; within 3 s of its return %d calls by %d, %d of them without word of it\n",
-				d.Dest, o.From, o.To, o.Calls, o.Relays, o.Knocks, o.Knockers, o.Unwarned)
+				d.Number, o.From, o.To, o.Attempts, o.Relays, o.RecoveryAttempts, o.RecoveryRelays, o.UnawareRelays)
 		}
 	}
 }
--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -16,10 +16,10 @@
 
 // followed is what fleet follow writes as JSON.
 type followed struct {
-	Courses  []*fleet.Course `json:"courses"`
-	Messages int             `json:"messages"` // ids that the logs name
-	Unsure   []string        `json:"unsure"`   // what is wrong with the logs as a whole
-	Bad      []fleet.BadLine `json:"bad_lines"`
+	Histories []*fleet.History `json:"courses"`
+	Messages  int              `json:"messages"` // ids that the logs name
+	Gaps      []string         `json:"unsure"`   // what is wrong with the logs as a whole
+	Bad       []fleet.BadLine  `json:"bad_lines"`
 }
 
 func fleetFollow() *cobra.Command {
@@ -52,17 +52,17 @@
 			if err != nil {
 				return err
 			}
-			trail := fleet.NewTrail(logs)
+			index := fleet.NewIndex(logs)
 			out := followed{
-				Courses: []*fleet.Course{}, Messages: trail.Messages(), Unsure: append([]string{}, trail.Unsure...),
-				Bad: append([]fleet.BadLine{}, logs.Bad...),
+				Histories: []*fleet.History{}, Messages: index.MessageCount(), Gaps: append([]string{}, index.Gaps...),
+				Bad: append([]fleet.BadLine{}, logs.BadLines...),
 			}
 			if wrong {
-				out.Courses = append(out.Courses, trail.Wrong()...)
-			} else if course := trail.Follow(id); course != nil {
-				out.Courses = append(out.Courses, course)
+				out.Histories = append(out.Histories, index.Violating()...)
+			} else if history := index.History(id); history != nil {
+				out.Histories = append(out.Histories, history)
 			} else {
-				return fmt.Errorf("%s: none of %d messages in the logs has that id", id, trail.Messages())
+				return fmt.Errorf("%s: none of %d messages in the logs has that id", id, index.MessageCount())
 			}
 			if asJSON != "" {
 				err = cli.WriteJSON(c.OutOrStdout(), asJSON, out)
@@ -70,8 +70,8 @@
 			if asJSON != "-" {
 				printFollowed(c.OutOrStdout(), &out, wrong)
 			}
-			for _, course := range out.Courses {
-				if err == nil && len(course.Faults) > 0 {
+			for _, history := range out.Histories {
+				if err == nil && len(history.Violations) > 0 {
 					return cli.ErrFindings
 				}
 			}
@@ -84,20 +84,20 @@
 }
 
 func printFollowed(out io.Writer, f *followed, wrong bool) {
-	for _, c := range f.Courses[:min(len(f.Courses), mostNamed)] {
+	for _, c := range f.Histories[:min(len(f.Histories), mostNamed)] {
 		if wrong {
-			fmt.Fprintf(out, "%s  %s to destination %d, at %s: %s, %s\n", c.ID, c.Class, c.Dest, c.Faults[0].Relay, c.Faults[0].What, c.Faults[0].Text)
+			fmt.Fprintf(out, "%s  %s to destination %d, at %s: %s, %s\n", c.ID, c.Class, c.Destination, c.Violations[0].Relay, c.Violations[0].Kind, c.Violations[0].Detail)
 			continue
 		}
-		printCourse(out, c)
+		printHistory(out, c)
 	}
-	if more := len(f.Courses) - mostNamed; more > 0 {
+	if more := len(f.Histories) - mostNamed; more > 0 {
 		fmt.Fprintf(out, "and %d more, which --json has\n", more)
 	}
 	if wrong {
-		fmt.Fprintf(out, "%d of %d messages have something wrong\n", len(f.Courses), f.Messages)
+		fmt.Fprintf(out, "%d of %d messages have something wrong\n", len(f.Histories), f.Messages)
 	}
-	for _, u := range f.Unsure {
+	for _, u := range f.Gaps {
 		fmt.Fprintln(out, "unsure:", u)
 	}
 	for _, b := range f.Bad[:min(len(f.Bad), mostNamed)] {
@@ -105,24 +105,24 @@
 	}
 }
 
-// printCourse prints one message's course, with times since its first line.
-func printCourse(out io.Writer, c *fleet.Course) {
+// printHistory prints one message's history, with times since its first line.
+func printHistory(out io.Writer, c *fleet.History) {
 	began := c.Events[0].At
-	fmt.Fprintf(out, "%s  %s to destination %d", c.ID, c.Class, c.Dest)
-	if c.Effect != "" {
-		fmt.Fprintf(out, " (%s)", c.Effect)
+	fmt.Fprintf(out, "%s  %s to destination %d", c.ID, c.Class, c.Destination)
+	if c.Idempotency != "" {
+		fmt.Fprintf(out, " (%s)", c.Idempotency)
 	}
 	fmt.Fprintf(out, ", from %s on\n", time.UnixMilli(int64(began)).UTC().Format("2006-01-02 15:04:05.000"))
 	for _, e := range c.Events {
 		fmt.Fprintf(out, "%9.3f s  %-6s %s\n", (e.At-began)/1000, e.Relay, says(&e.Event))
 	}
-	for _, k := range c.Kin {
-		fmt.Fprintf(out, "%9.3f s  %-6s %s with the same key as %s%s\n", (k.At-began)/1000, k.Relay, k.How, k.ID, retries(k.Retry))
+	for _, k := range c.Related {
+		fmt.Fprintf(out, "%9.3f s  %-6s %s with the same key as %s%s\n", (k.At-began)/1000, k.Relay, k.Decision, k.ID, retries(k.Retry))
 	}
-	for _, w := range c.Faults {
-		fmt.Fprintf(out, "wrong: %s: %s (%s)\n", w.What, w.Text, w.Relay)
+	for _, w := range c.Violations {
+		fmt.Fprintf(out, "wrong: %s: %s (%s)\n", w.Kind, w.Detail, w.Relay)
 	}
-	for _, u := range c.Unsure {
+	for _, u := range c.Gaps {
 		fmt.Fprintln(out, "unsure:", u)
 	}
 }
--- a/internal/relay/tracing_test.go
+++ b/internal/relay/tracing_test.go
@@ -52,8 +52,8 @@
 				t.Fatal(err)
 			}
 			logs := &fleet.Logs{}
-			if err := logs.Read("n1.log", c.Stderr.(*bytes.Buffer)); err != nil || len(logs.Bad) > 0 {
-				t.Fatal(err, logs.Bad)
+			if err := logs.Read("n1.log", c.Stderr.(*bytes.Buffer)); err != nil || len(logs.BadLines) > 0 {
+				t.Fatal(err, logs.BadLines)
 			}
 			if !on {
 				if len(logs.Events) > 0 {
@@ -61,25 +61,25 @@
 				}
 				return
 			}
-			table := fleet.Count(logs.Events)
+			summary := fleet.Summarize(logs.Events)
 			var sum fleet.Second
-			for _, s := range table.Seconds {
+			for _, s := range summary.Seconds {
 				sum.Starts += s.Starts
-				sum.Asks += s.Asks
-				sum.Told += s.Told
+				sum.WatchRequests += s.WatchRequests
+				sum.EndpointUpdates += s.EndpointUpdates
 			}
-			if table.Told < 1 || sum.Starts != 1 || sum.Asks < 1 || sum.Told < 1 {
-				t.Errorf("start, polls or lists are missing: %d in the fleet, %+v", table.Told, sum)
+			if summary.FleetSize < 1 || sum.Starts != 1 || sum.WatchRequests < 1 || sum.EndpointUpdates < 1 {
+				t.Errorf("start, polls or lists are missing: %d in the fleet, %+v", summary.FleetSize, sum)
 			}
-			got := table.Total
-			if got.Fresh < 1 || got.Fresh > 3 {
-				t.Errorf("%d connections made for 3 attempts", got.Fresh)
+			got := summary.Total
+			if got.NewConnections < 1 || got.NewConnections > 3 {
+				t.Errorf("%d connections made for 3 attempts", got.NewConnections)
 			}
-			if got.Fresh = 0; got != (fleet.Counts{Taken: 2, First: 2, Again: 1, Limit: 1, Delivered: 2, Refused: 1, Late: 2}) {
+			if got.NewConnections = 0; got != (fleet.Counts{Accepted: 2, FirstAttempts: 2, Retries: 1, OverLimit: 1, Delivered: 2, Rejected: 1, DeliveredLate: 2}) {
 				t.Errorf("counted %+v", got)
 			}
-			for _, d := range table.Destinations {
-				if d.Dest == 7 && (d.Limit != 25 || d.Left != 0.5 || d.Hosts != 1) {
+			for _, d := range summary.Destinations {
+				if d.Number == 7 && (d.RateLimit != 25 || d.RemainingFraction != 0.5 || d.Endpoints != 1) {
 					t.Errorf("destination 7: %+v", d)
 				}
 			}
--- a/internal/trace/fleet/follow_test.go
+++ b/internal/trace/fleet/history_test.go
@@ -10,7 +10,7 @@
 )
 
 // logged is a relay's log in short: each line "AT KIND ARGS" with times in milliseconds, for message m unless one is named.
-func logged(relay, text string) (out []Logged) {
+func logged(relay, text string) (out []RelayEvent) {
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		var at float64
 		var kind, arg string
@@ -37,68 +37,69 @@
 			e.Outcome = arg
 		case "other": // the relay runs on
 			e = trace.Event{Version: trace.Version, At: at, Kind: trace.WatchRequested}
+		default: // has no argument
 		}
-		out = append(out, Logged{relay, e})
+		out = append(out, RelayEvent{relay, e})
 	}
 	return out
 }
 
-// Each thing that can be wrong with a message is planted in a log and named, and what is in order is not.
-func TestFollow(t *testing.T) {
+// Each kind of violation is planted in a log and named, and what is in order is not.
+func TestHistory_NamesEachViolation(t *testing.T) {
 	for _, tt := range []struct {
-		name, log string
-		wrong     []Wrong
-		unsure    string // a part of what is said
+		name, log  string
+		violations []ViolationKind
+		gap        string // a part of one
 	}{
 		{"delivered", "0 start\n1 take keyed\n2 send 1\n9 answer delivered\n9 end delivered\n20000 other", nil, ""},
 		{"refused at its arrival", "0 start\n1 turn keyed\n20000 other", nil, ""},
 		{"repeated in time", "0 start\n1 take keyed\n2 send 1\n9 answer reset\n5900 send 2\n5950 answer delivered\n5950 end delivered\n20000 other", nil, ""},
-		{"repeated once its key is forgotten", "0 start\n1 take keyed\n2 send 1\n9 answer reset\n6100 send 2\n6200 answer delivered\n6200 end delivered", []Wrong{Twice}, ""},
+		{"repeated once its key is forgotten", "0 start\n1 take keyed\n2 send 1\n9 answer reset\n6100 send 2\n6200 answer delivered\n6200 end delivered", []ViolationKind{PossibleDuplicate}, ""},
 		{"repeated at the last moment over a connection that came late", "0 start\n1 take keyed\n2 send 1\n9 answer error\n5990 send 2\n7200 answer delivered\n7200 end delivered", nil, "left in time"},
 		{"repeated late, but never run", "0 start\n1 take keyed\n2 send 1\n9 answer turned-away\n9000 send 2\n9100 answer delivered\n9100 end delivered", nil, ""},
-		{"unsafe, repeated after a reset", "0 start\n1 take unsafe\n2 send 1\n9 answer reset\n20 send 2\n30 answer delivered\n30 end delivered", []Wrong{Twice}, ""},
-		{"unsafe, out at a kill and sent again", "0 start\n1 take unsafe\n2 send 1\n1000 start\n1000 resume 1\n1010 send 2\n1100 answer delivered\n1100 end delivered", []Wrong{Twice}, ""},
+		{"unsafe, repeated after a reset", "0 start\n1 take unsafe\n2 send 1\n9 answer reset\n20 send 2\n30 answer delivered\n30 end delivered", []ViolationKind{PossibleDuplicate}, ""},
+		{"unsafe, out at a kill and sent again", "0 start\n1 take unsafe\n2 send 1\n1000 start\n1000 resume 1\n1010 send 2\n1100 answer delivered\n1100 end delivered", []ViolationKind{PossibleDuplicate}, ""},
 		{"unsafe, never run and repeated", "0 start\n1 take unsafe\n2 send 1\n9 answer no-connection\n20 send 2\n30 answer delivered\n30 end delivered", nil, ""},
 		{"safe, repeated at will", "0 start\n1 take safe\n2 send 1\n9 answer timed-out\n9000 send 2\n9100 answer delivered\n9100 end delivered", nil, ""},
-		{"two copies out", "0 start\n1 take safe\n2 send 1\n3 send 2\n9 answer delivered\n9 end delivered", []Wrong{TwoCopies}, ""},
+		{"two copies out", "0 start\n1 take safe\n2 send 1\n3 send 2\n9 answer delivered\n9 end delivered", []ViolationKind{ConcurrentAttempts}, ""},
 		{"out at a kill, sent again", "0 start\n1 take safe\n2 send 1\n1000 start\n1000 resume 1\n1010 send 2\n1100 answer delivered\n1100 end delivered", nil, ""},
-		{"two ends", "0 start\n1 take safe\n2 send 1\n9 answer delivered\n9 end delivered\n30 end deferred", []Wrong{TwoEnds}, ""},
+		{"two ends", "0 start\n1 take safe\n2 send 1\n9 answer delivered\n9 end delivered\n30 end deferred", []ViolationKind{TwoOutcomes}, ""},
 		{"an end that the process did not live to journal", "0 start\n1 take safe\n2 send 1\n9 answer delivered\n9 end delivered\n1000 start\n1000 resume 1\n1010 send 2\n1100 answer delivered\n1100 end delivered", nil, ""},
-		{"two ends over a restart", "0 start\n1 take safe\n2 send 1\n9 answer delivered\n9 end delivered\n1000 start\n1000 resume 1\n1100 end deferred", []Wrong{TwoEnds}, ""},
-		{"sent after its end", "0 start\n1 take safe\n2 end deferred\n3 send 1\n9 answer delivered\n50 notice", []Wrong{AfterEnd}, ""},
-		{"no end", "0 start\n1 take safe\n2 send 1\n9 answer reset\n20000 other", []Wrong{Lost}, ""},
+		{"two ends over a restart", "0 start\n1 take safe\n2 send 1\n9 answer delivered\n9 end delivered\n1000 start\n1000 resume 1\n1100 end deferred", []ViolationKind{TwoOutcomes}, ""},
+		{"sent after its end", "0 start\n1 take safe\n2 end deferred\n3 send 1\n9 answer delivered\n50 notice", []ViolationKind{AttemptAfterOutcome}, ""},
+		{"no end", "0 start\n1 take safe\n2 send 1\n9 answer reset\n20000 other", []ViolationKind{MissingOutcome}, ""},
 		{"no end yet", "0 start\n1 take safe\n2 send 1\n9 answer reset\n9000 other", nil, "3000 ms before its time was up"},
 		{"no end, and its relay was told to end", "0 start\n1 take safe\n9000 stop\n14000 other", nil, "no end yet"},
-		{"late", "0 start\n1 take safe\n12400 end deferred\n12410 notice", []Wrong{LateEnd}, ""},
-		{"delivered late", "0 start\n1 take safe\n11000 send 1\n12400 answer delivered\n12400 end delivered", []Wrong{LateEnd}, ""},
+		{"late", "0 start\n1 take safe\n12400 end deferred\n12410 notice", []ViolationKind{LateOutcome}, ""},
+		{"delivered late", "0 start\n1 take safe\n11000 send 1\n12400 answer delivered\n12400 end delivered", []ViolationKind{LateOutcome}, ""},
 		{"in the slack", "0 start\n1 take safe\n12300 end deferred\n12310 notice", nil, ""},
 		{"late after a restart", "0 start\n1 take safe\n12500 start\n12500 resume 0\n13000 end deferred\n13010 notice", nil, ""},
-		{"late long after a restart", "0 start\n1 take safe\n9000 start\n9000 resume 0\n13000 end deferred\n13010 notice", []Wrong{LateEnd}, ""},
-		{"lost and sent again: the worst is first", "0 start\n1 take unsafe\n2 send 1\n9 answer reset\n20 send 2\n30 answer reset\n20000 other", []Wrong{Lost, Twice}, ""},
+		{"late long after a restart", "0 start\n1 take safe\n9000 start\n9000 resume 0\n13000 end deferred\n13010 notice", []ViolationKind{LateOutcome}, ""},
+		{"lost and sent again: the worst is first", "0 start\n1 take unsafe\n2 send 1\n9 answer reset\n20 send 2\n30 answer reset\n20000 other", []ViolationKind{MissingOutcome, PossibleDuplicate}, ""},
 		{"its lines begin in the middle", "9 answer delivered\n9 end delivered", nil, "no line that it was made"},
 		{"its journal knows more", "0 start\n1 take safe\n1000 start\n1000 resume 2\n1010 send 3\n1100 answer delivered\n1100 end delivered", nil, "the journal knows of 2 calls"},
 		{"no notice", "0 start\n1 take safe\n2 end deferred\n20000 other", nil, "no line that the platform"},
 	} {
-		trail := NewTrail(&Logs{Events: logged("n0", tt.log)})
-		c := trail.Follow("m")
-		var got []Wrong
-		for _, f := range c.Faults {
-			got = append(got, f.What)
+		index := NewIndex(&Logs{Events: logged("n0", tt.log)})
+		h := index.History("m")
+		var got []ViolationKind
+		for _, v := range h.Violations {
+			got = append(got, v.Kind)
 		}
-		if !slices.Equal(got, tt.wrong) {
-			t.Errorf("%s: wrong %v, want %q", tt.name, c.Faults, tt.wrong)
+		if !slices.Equal(got, tt.violations) {
+			t.Errorf("%s: violations %v, want %q", tt.name, h.Violations, tt.violations)
 		}
-		if all := strings.Join(c.Unsure, "; "); (all == "") != (tt.unsure == "") || !strings.Contains(all, tt.unsure) {
-			t.Errorf("%s: unsure %q, want %q", tt.name, all, tt.unsure)
+		if all := strings.Join(h.Gaps, "; "); (all == "") != (tt.gap == "") || !strings.Contains(all, tt.gap) {
+			t.Errorf("%s: gaps %q, want %q", tt.name, all, tt.gap)
 		}
-		if named := len(trail.Wrong()) == 1; named != (len(tt.wrong) > 0) {
-			t.Errorf("%s: among the wrong ones: %v", tt.name, named)
+		if named := len(index.Violating()) == 1; named != (len(tt.violations) > 0) {
+			t.Errorf("%s: among the violating ones: %v", tt.name, named)
 		}
 	}
 }
 
-// A course goes over all relays, by time, with their restarts; the same message's other ids are named, and what the logs lack is said.
-func TestFollowOverRelays(t *testing.T) {
+// A history goes over all relays, by time, with their restarts; the same message's other ids are named, and gaps of the logs are named.
+func TestHistory_SpansRelays(t *testing.T) {
 	other := logged("n1", "0 start\n500 take keyed\n510 send 1\n600 answer delivered\n600 end delivered\n30000 other\n29900 other")
 	for i := range other {
 		if other[i].ID != "" {
@@ -107,29 +108,29 @@
 	}
 	events := append(logged("n0", "0 start\n1 take keyed\n700 start\n700 resume 0\n12100 end deferred\n12101 notice\n30000 other"), other...)
 	events[0].Count = 5
-	trail := NewTrail(&Logs{Events: events, Bad: []BadLine{{"n0.log", 3, "torn"}}})
-	c := trail.Follow("m")
+	index := NewIndex(&Logs{Events: events, BadLines: []BadLine{{"n0.log", 3, "torn"}}})
+	h := index.History("m")
 	var kinds []string
-	for _, e := range c.Events {
+	for _, e := range h.Events {
 		kinds = append(kinds, string(e.Kind))
 	}
 	if got := strings.Join(kinds, " "); got != "take resume start end notice" && got != "take start resume end notice" {
-		t.Errorf("course %s", got)
+		t.Errorf("history %s", got)
 	}
-	if len(c.Kin) != 1 || c.Kin[0].ID != "m2" || c.Kin[0].How != "taken on" || c.Kin[0].Retry != "again" || len(c.Faults) > 0 {
-		t.Errorf("kin %+v, faults %v", c.Kin, c.Faults)
+	if len(h.Related) != 1 || h.Related[0].ID != "m2" || h.Related[0].Decision != "taken on" || h.Related[0].Retry != "again" || len(h.Violations) > 0 {
+		t.Errorf("related %+v, violations %v", h.Related, h.Violations)
 	}
-	said := strings.Join(trail.Unsure, "; ")
+	gaps := strings.Join(index.Gaps, "; ")
 	for _, want := range []string{"the other 3 did", "clock of n1 steps back by up to 100 ms", "1 lines can't be used"} {
-		if !strings.Contains(said, want) {
-			t.Errorf("said %q, want %q", said, want)
+		if !strings.Contains(gaps, want) {
+			t.Errorf("gaps %q, want %q", gaps, want)
 		}
 	}
-	if trail.Follow("x") != nil || trail.Messages() != 2 {
+	if index.History("x") != nil || index.MessageCount() != 2 {
 		t.Error("an id that no log names is followed")
 	}
 	// Without the first relay's log the hand-in that says "again" is the earliest.
-	if c := NewTrail(&Logs{Events: other}).Follow("m2"); len(c.Unsure) != 1 || !strings.Contains(c.Unsure[0], "handed in before") {
-		t.Errorf("unsure %q", c.Unsure)
+	if h := NewIndex(&Logs{Events: other}).History("m2"); len(h.Gaps) != 1 || !strings.Contains(h.Gaps[0], "handed in before") {
+		t.Errorf("gaps %q", h.Gaps)
 	}
 }
--- a/internal/trace/fleet/fleet_test.go
+++ b/internal/trace/fleet/summary_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,8 +14,8 @@
 	"frostlink/internal/trace"
 )
 
-// logOf writes a relay's log as a relay does.
-func logOf(t *testing.T, dir, relay string, events ...trace.Event) {
+// writeLog writes a relay's log as a relay does.
+func writeLog(t *testing.T, dir, relay string, events ...trace.Event) {
 	t.Helper()
 	var b bytes.Buffer
 	r := trace.New(&trace.Section{Log: true}, &b)
@@ -27,42 +28,42 @@
 }
 
 // Each thing is counted once, in its second and at its destination, over all relays.
-func TestCount(t *testing.T) {
+func TestSummarize_CountsEachEventOnce(t *testing.T) {
 	dir := t.TempDir()
 	answer := func(at float64, how string, fresh bool, limit float64) trace.Event {
 		return trace.Event{At: at, Kind: trace.AttemptEnded, Destination: 1, Endpoint: "h", Outcome: how, NewConn: fresh, RateLimit: limit, RemainingFraction: limit / 20}
 	}
-	logOf(t, dir, "n0", trace.Event{At: 100, Kind: trace.RelayStarted, Count: 80}, trace.Event{At: 100, Kind: trace.WatchRequested},
+	writeLog(t, dir, "n0", trace.Event{At: 100, Kind: trace.RelayStarted, Count: 80}, trace.Event{At: 100, Kind: trace.WatchRequested},
 		trace.Event{At: 100.5, Kind: trace.Accepted, Destination: 1}, trace.Event{At: 100.5, Kind: trace.AttemptStarted, Destination: 1, Endpoint: "h", Count: 1},
 		answer(100.6, "turned away", true, 0), trace.Event{At: 101, Kind: trace.AttemptStarted, Destination: 1, Endpoint: "g", Count: 2},
 		answer(101.2, "delivered", true, 10), trace.Event{At: 101.2, Kind: trace.Completed, Destination: 1, Outcome: trace.Delivered, Late: true},
 		trace.Event{At: 102, Kind: trace.WatchEnded})
-	logOf(t, dir, "n1", trace.Event{At: 100.7, Kind: trace.EndpointsReceived, Count: 4}, trace.Event{At: 101.3, Kind: trace.Rejected, Destination: 0},
+	writeLog(t, dir, "n1", trace.Event{At: 100.7, Kind: trace.EndpointsReceived, Count: 4}, trace.Event{At: 101.3, Kind: trace.Rejected, Destination: 0},
 		answer(101.4, "turned away", true, 10), answer(101.5, "turned away", false, 0), answer(101.5, "no connection", true, 0),
 		answer(101.6, "timed out", false, 0), trace.Event{At: 101.7, Kind: trace.Completed, Destination: 1, Outcome: trace.Deferred},
 		trace.Event{At: 101.7, Kind: trace.Completed, Destination: 1, Outcome: trace.Undeliverable}, trace.Event{At: 102.5, Kind: trace.WatchEnded, Count: 3})
 	logs, err := ReadFiles([]string{dir})
-	if err != nil || len(logs.Bad) > 0 {
-		t.Fatal(err, logs.Bad)
+	if err != nil || len(logs.BadLines) > 0 {
+		t.Fatal(err, logs.BadLines)
 	}
-	got := Count(logs.Events)
-	want := &Table{
-		Relays: 2, Told: 80,
+	got := Summarize(logs.Events)
+	want := &Summary{
+		Relays: 2, FleetSize: 80,
 		Seconds: []Second{
-			{At: 0, Starts: 1, Asks: 1, Told: 1, Counts: Counts{First: 1, Door: 1, Fresh: 1, Taken: 1}},
-			{At: 1, Counts: Counts{Again: 1, Delivered: 1, Limit: 2, Unmade: 1, Other: 1, Fresh: 3, Refused: 1, Late: 1, Back: 1, Failed: 1}},
-			{At: 2, Turned: 1},
+			{At: 0, Starts: 1, WatchRequests: 1, EndpointUpdates: 1, Counts: Counts{FirstAttempts: 1, ConnectionsRejected: 1, NewConnections: 1, Accepted: 1}},
+			{At: 1, Counts: Counts{Retries: 1, Delivered: 1, OverLimit: 2, ConnectFailures: 1, OtherFailures: 1, NewConnections: 3, Rejected: 1, DeliveredLate: 1, Deferred: 1, Undeliverable: 1}},
+			{At: 2, EmptyWatches: 1},
 		},
 		Destinations: []Destination{
-			{Dest: 0, Relays: 1, Counts: Counts{Refused: 1}},
-			{Dest: 1, Hosts: 2, Relays: 1, Limit: 10, Left: 0.5, Counts: Counts{
-				First: 1, Again: 1, Delivered: 1, Limit: 2, Door: 1, Unmade: 1,
-				Other: 1, Fresh: 4, Taken: 1, Late: 1, Back: 1, Failed: 1,
+			{Number: 0, Relays: 1, Counts: Counts{Rejected: 1}},
+			{Number: 1, Endpoints: 2, Relays: 1, RateLimit: 10, RemainingFraction: 0.5, Counts: Counts{
+				FirstAttempts: 1, Retries: 1, Delivered: 1, OverLimit: 2, ConnectionsRejected: 1, ConnectFailures: 1,
+				OtherFailures: 1, NewConnections: 4, Accepted: 1, DeliveredLate: 1, Deferred: 1, Undeliverable: 1,
 			}},
 		},
 		Total: Counts{
-			First: 1, Again: 1, Delivered: 1, Limit: 2, Door: 1, Unmade: 1, Other: 1, Fresh: 4, Taken: 1, Refused: 1, Late: 1,
-			Back: 1, Failed: 1,
+			FirstAttempts: 1, Retries: 1, Delivered: 1, OverLimit: 2, ConnectionsRejected: 1, ConnectFailures: 1, OtherFailures: 1, NewConnections: 4, Accepted: 1, Rejected: 1, DeliveredLate: 1,
+			Deferred: 1, Undeliverable: 1,
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -70,12 +71,12 @@
 	}
 }
 
-// An outage is what no call got through, and its return is looked at for who knocked without word of it.
-func TestOutages(t *testing.T) {
-	var events []Logged
+// An outage is a time in which no attempt got through, and its return is looked at for relays that sent to it without having seen the outage.
+func TestSummarize_FindsOutages(t *testing.T) {
+	var events []RelayEvent
 	call := func(relay string, at float64, how string) {
-		events = append(events, Logged{relay, trace.Event{At: at * 1000, Kind: trace.AttemptStarted, Destination: 3, Count: 1}},
-			Logged{relay, trace.Event{At: at*1000 + 50, Kind: trace.AttemptEnded, Destination: 3, Outcome: how, DurationMs: 50}})
+		events = append(events, RelayEvent{relay, trace.Event{At: at * 1000, Kind: trace.AttemptStarted, Destination: 3, Count: 1}},
+			RelayEvent{relay, trace.Event{At: at*1000 + 50, Kind: trace.AttemptEnded, Destination: 3, Outcome: how, DurationMs: 50}})
 	}
 	call("a", 0, "delivered")
 	for i := range 12 {
@@ -87,31 +88,32 @@
 	for i := range 9 { // too few for an outage
 		call("a", 10+0.2*float64(i), "turned away")
 	}
-	got := Count(events).Destinations[0].Outages
-	want := []Outage{{From: 1, To: 5.05, Calls: 13, Relays: 2, Knocks: 1, Knockers: 1, Unwarned: 1}}
+	got := Summarize(events).Destinations[0].Outages
+	want := []Outage{{From: 1, To: 5.05, Attempts: 13, Relays: 2, RecoveryAttempts: 1, RecoveryRelays: 1, UnawareRelays: 1}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
 // Torn, foreign and endless lines are named with their place, and what is no trace is counted.
-func TestBadLines(t *testing.T) {
+func TestRead_NamesBadLines(t *testing.T) {
 	text := "0.1 2026/12/01 WARN watch ended\n" + `0.2 {"trace":1,"at":1,"ev":"ask","dest":0}` + "\n" + `{"trace":9,"at":1}` + "\n" +
 		`{"trace":1,"x":"` + strings.Repeat("y", maxLine) + "\"}\n" + `{"trace":1,"at":1,"ev":"se`
 	l := &Logs{}
 	if err := l.Read("n7.log", strings.NewReader(text)); err != nil {
 		t.Fatal(err)
 	}
-	if len(l.Events) != 1 || l.Events[0].Relay != "n7" || l.Other != 1 || len(l.Bad) != 3 {
-		t.Fatalf("%d events, %d other lines, bad: %v", len(l.Events), l.Other, l.Bad)
+	if len(l.Events) != 1 || l.Events[0].Relay != "n7" || l.OtherLines != 1 || len(l.BadLines) != 3 {
+		t.Fatalf("%d events, %d other lines, bad: %v", len(l.Events), l.OtherLines, l.BadLines)
 	}
 	for i, line := range []int{3, 4, 5} {
-		if got := l.Bad[i]; got.Line != line || !strings.HasPrefix(got.String(), fmt.Sprintf("n7.log:%d: ", line)) {
+		if got := l.BadLines[i]; got.Line != line || !strings.HasPrefix(got.String(), fmt.Sprintf("n7.log:%d: ", line)) {
 			t.Errorf("bad line %d is %v", i, got)
 		}
 	}
-	if _, err := ReadFiles([]string{t.TempDir()}); err == nil {
-		t.Error("an empty folder is no error")
+	folder := t.TempDir()
+	if _, err := ReadFiles([]string{folder}); !errors.Is(err, EmptyFolderError{folder}) {
+		t.Errorf("an empty folder: %v", err)
 	}
 }
 
@@ -127,9 +129,9 @@
 		if !strings.HasSuffix(text, "\n") && strings.TrimRight(text[strings.LastIndex(text, "\n")+1:], "\r") != "" {
 			lines++
 		}
-		if got := len(l.Events) + len(l.Bad) + l.Other; got != lines {
+		if got := len(l.Events) + len(l.BadLines) + l.OtherLines; got != lines {
 			t.Fatalf("%d lines read, %d there", got, lines)
 		}
-		Count(l.Events)
+		Summarize(l.Events)
 	})
 }
