--- a/internal/faultinjection/checker/audit_test.go
+++ b/internal/faultinjection/checker/audit_test.go
@@ -99,6 +99,19 @@
 			n.crash(3 * sec)
 			n.notice(5*sec, "a", Undeliverable)
 		}},
+		"a notice after delivery and a kill, its folder failed when the response had been read": {OutcomeTwice, func(n *notes) {
+			n.take(sec, "a", status)
+			n.call(2*sec, "a", "h", OK, ms)
+			n.add(Event{At: 2*sec + 52*ms, Kind: FolderFails})
+			n.crash(3 * sec)
+			n.notice(5*sec, "a", Undeliverable)
+		}},
+		"a notice after delivery, its folder failed while the response was in transit and nothing ended": {OutcomeTwice, func(n *notes) {
+			n.take(sec, "a", status)
+			n.call(2*sec, "a", "h", OK, ms)
+			n.add(Event{At: 2*sec + 2*ms, Kind: FolderFails})
+			n.notice(3*sec, "a", Undeliverable)
+		}},
 		"delivered after its notice": {OutcomeTwice, func(n *notes) {
 			n.take(sec, "a", status)
 			n.notice(2*sec, "a", Deferred)
@@ -251,6 +264,14 @@
 			n.add(Event{At: 3500 * ms, Kind: FolderWorks})
 			n.notice(5*sec, "a", Undeliverable)
 		},
+		"a delivery that its relay could not record: its folder failed while the response was in transit": func(n *notes) {
+			n.take(sec, "a", status)
+			n.call(2*sec, "a", "h", OK, ms)
+			n.add(Event{At: 2*sec + 2*ms, Kind: FolderFails})
+			n.crash(3 * sec)
+			n.add(Event{At: 3500 * ms, Kind: FolderWorks})
+			n.notice(5*sec, "a", Undeliverable)
+		},
 		"sent before the clock of silence": func(n *notes) {
 			n.silence()
 			n.take(7*sec, "a", status)
