--- a/internal/upstream/http1/pool_test.go
+++ b/internal/upstream/http1/pool_test.go
@@ -65,11 +65,12 @@
 				return
 			}
 			requests.Add(1)
-			if mode.Load() == "reset" {
+			current := mode.Load() // before the response: the next step may set another once it has that
+			if current == "reset" {
 				return
 			}
 			_, _ = io.WriteString(c, okResponse)
-			if mode.Load() == "close" {
+			if current == "close" {
 				_ = c.Close()
 				closed <- true
 				return
