--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -192,11 +192,11 @@
 	if run.ProcessState.ExitCode() != 1 || json.Unmarshal(out, &p) != nil {
 		t.Fatalf("not caught: %v\n%.2000s%.3000s", err, out, stderrOf(err))
 	}
-	violation := p.Failing[0].Faults[0]
+	violation := p.Failing[0].Violations[0]
 	if !slices.Contains(m.checks, violation.Check) {
-		t.Fatalf("caught by %s: %s", violation.Check, violation.What)
+		t.Fatalf("caught by %s: %s", violation.Check, violation.Detail)
 	}
-	t.Logf("caught by %s after %d runs: %s", violation.Check, p.Runs, violation.What)
+	t.Logf("caught by %s after %d runs: %s", violation.Check, p.Runs, violation.Detail)
 }
 
 // build builds this program with the mutant's source in the place of the original, and returns its
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -129,21 +129,21 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.proof.Runs++
-	p.proof.Acts += r.Acts
+	p.proof.Acts += r.Executions
 	p.proof.Grants += r.Grants
-	p.proof.Values += r.Values
-	for kind, n := range r.Done {
+	p.proof.Values += r.Operations
+	for kind, n := range r.InjectedFaults {
 		p.proof.Faults[kind] += n
 	}
-	if len(r.Faults) > 0 {
+	if len(r.Violations) > 0 {
 		p.proof.Failing = append(p.proof.Failing, r)
 	}
 }
 
 func (p *proof) print(out io.Writer) {
 	for _, r := range p.Failing {
-		for _, f := range r.Faults {
-			fmt.Fprintf(out, "seed %d: %s: %s\n", r.Seed, f.Check, f.What)
+		for _, f := range r.Violations {
+			fmt.Fprintf(out, "seed %d: %s: %s\n", r.Seed, f.Check, f.Detail)
 		}
 	}
 	fmt.Fprintf(out, "%d runs from seed %d in %.0f s: %d acts under %d grants, %d writes and reads of values\n",
--- a/cmd/frostlink/build_test.go
+++ b/cmd/frostlink/build_test.go
@@ -144,7 +144,7 @@
 	_ = free.Close()
 	config, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": address, "discovery": strings.TrimPrefix(discovery.URL, "http://"),
-		"seed": "1f", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, "settings": s.Settings(0),
+		"seed": "1f", "limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384, "disk_mb": 3}, "settings": s.RelaySettings(0),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/frostlinkctl/clocksteps.go
+++ b/cmd/frostlinkctl/clocksteps.go
@@ -55,8 +55,8 @@
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 				fmt.Fprintln(w, "script\tstep s\tworth\toff\tworst 10 s\tbreaches\tfaults\tlate %\t")
 				for _, r := range runs {
-					fmt.Fprintf(w, "%s\t%+v\t%.3f\t%+.3f\t%.3f\t%d\t%d\t%.2f\t\n", r.Script, r.Step, r.Worth.Whole, r.Off, r.Worth.Worst10s, len(r.Breaches),
-						len(r.Faults), 100*r.Late)
+					fmt.Fprintf(w, "%s\t%+v\t%.3f\t%+.3f\t%.3f\t%d\t%d\t%.2f\t\n", r.Scenario, r.Step, r.DeliveredWeight.Total, r.Off, r.DeliveredWeight.WorstWindow, len(r.Violations),
+						len(r.Failures), 100*r.LateShare)
 				}
 				_ = w.Flush()
 			}
@@ -102,7 +102,7 @@
 		return err
 	}
 	for try := 0; try < soakTries && (try == 0 || r.Void); try++ {
-		if r.Result, err = harness.Run(c.Context(), s, harness.Options{Seed: s.Seed, Command: command}); err != nil {
+		if r.Result, err = harness.Run(c.Context(), s, harness.Options{Seed: s.Seed, RelayCommand: command}); err != nil {
 			return err
 		}
 	}
@@ -115,13 +115,13 @@
 	baseline := 0.0
 	for _, r := range runs {
 		if r.Step == 0 {
-			baseline = r.Worth.Whole
+			baseline = r.DeliveredWeight.Total
 		}
-		r.Off = r.Worth.Whole - baseline
+		r.Off = r.DeliveredWeight.Total - baseline
 		switch {
 		case r.Void:
 			void++
-		case !r.Good() || r.Off < -most:
+		case !r.Passed() || r.Off < -most:
 			bad++
 		}
 	}
--- a/cmd/frostlinkctl/coordrehearse.go
+++ b/cmd/frostlinkctl/coordrehearse.go
@@ -53,8 +53,8 @@
 			if err != nil {
 				return err
 			}
-			o.Relay, o.Coord = filepath.Join(filepath.Dir(self), "frostlink"), filepath.Join(filepath.Dir(self), "frostlink-coord")
-			for _, program := range []string{o.Relay, o.Coord} {
+			o.RelayPath, o.CoordinatorPath = filepath.Join(filepath.Dir(self), "frostlink"), filepath.Join(filepath.Dir(self), "frostlink-coord")
+			for _, program := range []string{o.RelayPath, o.CoordinatorPath} {
 				if _, err := os.Stat(program); err != nil {
 					return fmt.Errorf("the program beside this one: %w", err)
 				}
@@ -132,17 +132,17 @@
 		switch {
 		case r.Void:
 			verdict = "void"
-		case len(r.Faults) > 0:
+		case len(r.Violations) > 0:
 			verdict = "failed"
 			failed++
 		}
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%s\t\n", r.Seed, r.Members, r.Relays, r.Acts, r.Accepted, r.Grants, r.Late, verdict)
-		takeovers = append(takeovers, r.Takeover...)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%s\t\n", r.Seed, r.Members, r.Relays, r.Executions, r.Accepted, r.Grants, r.MaxLatenessSeconds, verdict)
+		takeovers = append(takeovers, r.TakeoverSeconds...)
 	}
 	_ = w.Flush()
 	for _, r := range results {
-		for _, f := range r.Faults {
-			fmt.Fprintf(out, "seed %d: %s: %s (%s)\n", r.Seed, f.Check, f.What, r.Folder)
+		for _, f := range r.Violations {
+			fmt.Fprintf(out, "seed %d: %s: %s (%s)\n", r.Seed, f.Check, f.Detail, r.Dir)
 		}
 	}
 	if slices.Sort(takeovers); len(takeovers) > 0 {
--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -99,9 +99,9 @@
 		Use:   "play",
 		Short: "Play whole fleets in virtual time, and table cost and benefit by their size",
 		Long: "Play days of whole fleets in virtual time: the relays' real decisions among models of partners and of an overbooked\n" +
-			"register, judged by the auditor that judges rehearsals. The days: " + strings.Join(simulation.Names, ", ") + ". Traffic, limits and\n" +
+			"register, judged by the auditor that judges rehearsals. The days: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
 			"hosts grow with the relays; what one host takes does not. With --drawn each seed draws its own sizes, shares, limits and times\n" +
-			"of trouble, by kind: " + strings.Join(simulation.DrawnNames, ", ") + ". A play in which something is wrong is named by its seed.\n" +
+			"of trouble, by kind: " + strings.Join(simulation.DrawnDayNames, ", ") + ". A play in which something is wrong is named by its seed.\n" +
 			"Exit codes: 0 fine, 1 a rule was broken (without --drawn also: a partner was pushed over), 2 could not run.",
 		Example: "  frostlinkctl fleet play --relays 1,3,12,80 --day herd --plays 3\n" +
 			"  frostlinkctl fleet play --drawn --relays 300 --plays 17             # a hundred drawn days, about 6 minutes on 6 cores\n" +
@@ -118,12 +118,12 @@
 			}
 			maker := simulation.NewDay
 			if drawn {
-				maker = simulation.Drawn
+				maker = simulation.NewDrawnDay
 				if !c.Flags().Changed("day") {
-					days = simulation.DrawnNames
+					days = simulation.DrawnDayNames
 				}
 			}
-			rows := []simulation.Row{}
+			rows := []simulation.Summary{}
 			found := false
 			for _, day := range days {
 				for _, n := range sizes {
@@ -135,7 +135,7 @@
 						return fmt.Errorf("--day: %w", err)
 					}
 					// On drawn days a partner may be pushed over by relays that had not seen it out, which breaks no rule.
-					found = found || row.Faults > 0 || row.Falls > 0 && !drawn
+					found = found || row.Failures > 0 || row.Overloads > 0 && !drawn
 					rows = append(rows, row)
 				}
 			}
@@ -154,7 +154,7 @@
 	}
 	f := c.Flags()
 	f.IntSliceVar(&sizes, "relays", []int{1, 2, 3, 12, 80, 160}, "numbers of `relays`")
-	f.StringSliceVar(&days, "day", simulation.Names, "`days` to play")
+	f.StringSliceVar(&days, "day", simulation.DayNames, "`days` to play")
 	f.IntVar(&plays, "plays", 3, "`plays` of each, by seeds one after the other; figures are their means")
 	f.Int64Var(&first, "seed", 1, "first `seed`")
 	f.BoolVar(&drawn, "drawn", false, "draw each day from its seed")
@@ -163,32 +163,32 @@
 }
 
 // printRows prints the plays, and how their figures grow with the number of relays.
-func printRows(out io.Writer, days []string, rows []simulation.Row) {
+func printRows(out io.Writer, days []string, rows []simulation.Summary) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "day\trelays\tworth\tspread\trefused/msg\tdoor/msg\tconnections/msg\tasks/relay\tasks/s most\tfalls\tfaults\t")
 	for _, r := range rows {
-		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.0f\t%d\t%d\t\n", r.Day, r.Relays, r.Worth, r.Spread, r.Refused, r.Door,
-			r.Connections, r.Asks, r.AskPeak, r.Falls, r.Faults)
+		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.0f\t%d\t%d\t\n", r.Day, r.Relays, r.DeliveredWeight, r.StdDev, r.Rejected, r.ConnectionRejected,
+			r.Connections, r.Polls, r.PeakPolls, r.Overloads, r.Failures)
 	}
 	_ = w.Flush()
 	for _, r := range rows {
-		for _, p := range r.Found {
-			fmt.Fprintf(out, "%s of %d, seed %d: %d partners pushed over, %d rules broken\n", r.Day, r.Relays, p.Seed, p.Falls, len(p.Faults))
-			for _, f := range p.Faults {
+		for _, p := range r.FailedRuns {
+			fmt.Fprintf(out, "%s of %d, seed %d: %d partners pushed over, %d rules broken\n", r.Day, r.Relays, p.Seed, p.Overloads, len(p.Failures))
+			for _, f := range p.Failures {
 				fmt.Fprintf(out, "  %s\n", f)
 			}
 		}
 	}
 	for _, day := range days {
-		var of []simulation.Row
+		var of []simulation.Summary
 		for _, r := range rows {
 			if r.Day == day {
 				of = append(of, r)
 			}
 		}
-		asks := simulation.Growth(of, func(r simulation.Row) float64 { return r.Asks * float64(r.Relays) })
-		peak := simulation.Growth(of, func(r simulation.Row) float64 { return r.AskPeak })
-		made := simulation.Growth(of, func(r simulation.Row) float64 { return r.Connections })
+		asks := simulation.GrowthExponent(of, func(r simulation.Summary) float64 { return r.Polls * float64(r.Relays) })
+		peak := simulation.GrowthExponent(of, func(r simulation.Summary) float64 { return r.PeakPolls })
+		made := simulation.GrowthExponent(of, func(r simulation.Summary) float64 { return r.Connections })
 		if !math.IsNaN(asks) {
 			fmt.Fprintf(out, "%s: asks grow as relays^%.2f, their peak as relays^%.2f, connections a message as relays^%.2f\n", day, asks, peak, made)
 		}
--- a/cmd/frostlinkctl/rehearse.go
+++ b/cmd/frostlinkctl/rehearse.go
@@ -48,7 +48,7 @@
 }
 
 // prepare reads the script and finds the relay.
-func (o *runOptions) prepare(c *cobra.Command, path string) (*scenario.Script, harness.Options, error) {
+func (o *runOptions) prepare(c *cobra.Command, path string) (*scenario.Scenario, harness.Options, error) {
 	s, err := readScript(path)
 	if err != nil {
 		return nil, harness.Options{}, err
@@ -57,7 +57,7 @@
 		o.seed = s.Seed
 	}
 	command, err := relayCommand(o.relays)
-	return s, harness.Options{Seed: o.seed, Command: command, Keep: o.keep}, err
+	return s, harness.Options{Seed: o.seed, RelayCommand: command, KeepDir: o.keep}, err
 }
 
 func rehearseRun() *cobra.Command {
@@ -82,7 +82,7 @@
 				options.Progress = c.ErrOrStderr()
 			}
 			fmt.Fprintf(out, "%s, seed %d: %s\n%d relays, %d partners, %.0f messages a second for %.0f s\n", s.Name, o.seed, s.About,
-				s.Relays, len(s.Partners), s.Load.Rate, s.Length)
+				s.Relays, len(s.Destinations), s.Load.Rate, s.Length)
 			res, err := harness.Run(c.Context(), s, options)
 			if err != nil {
 				return err
@@ -95,8 +95,8 @@
 			}
 			switch {
 			case res.Void:
-				return fmt.Errorf("void: %.2f%% of the rig's events were later than 5 ms", 100*res.Late)
-			case !res.Good():
+				return fmt.Errorf("void: %.2f%% of the rig's events were later than 5 ms", 100*res.LateShare)
+			case !res.Passed():
 				return cli.ErrFindings
 			}
 			return nil
@@ -127,7 +127,7 @@
 					return err
 				case !asJSON:
 					fmt.Fprintf(c.OutOrStdout(), "%s: fine; %.0f messages, %d relays, %d partners, %d events\n", path, s.Load.Rate*s.Length,
-						s.Relays, len(s.Partners), len(s.Events))
+						s.Relays, len(s.Destinations), len(s.Faults))
 				}
 			}
 			if asJSON {
@@ -203,7 +203,7 @@
 }
 
 // readScript reads a script by its path, or by its name alone.
-func readScript(path string) (*scenario.Script, error) {
+func readScript(path string) (*scenario.Scenario, error) {
 	if _, err := os.Stat(path); err != nil && !strings.ContainsAny(path, "/.") {
 		if named := filepath.Join(scriptsDir, path+".toml"); fileThere(named) {
 			path = named
--- a/cmd/frostlinkctl/repeat.go
+++ b/cmd/frostlinkctl/repeat.go
@@ -51,8 +51,8 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.ErrOrStderr(), "run %d of %d: worth %.4f, %d breaches, %d faults, %.2f%% late\n", n+1, runs, res.Worth.Whole,
-					len(res.Breaches), len(res.Faults), 100*res.Late)
+				fmt.Fprintf(c.ErrOrStderr(), "run %d of %d: worth %.4f, %d breaches, %d faults, %.2f%% late\n", n+1, runs, res.DeliveredWeight.Total,
+					len(res.Violations), len(res.Failures), 100*res.LateShare)
 				if res.Void { // it says nothing: once more
 					if voids++; voids > mostVoids {
 						return fmt.Errorf("%d runs are void: the machine is too busy", voids)
@@ -60,7 +60,7 @@
 					continue
 				}
 				n++
-				bad = bad || !res.Good()
+				bad = bad || !res.Passed()
 				results = append(results, res)
 			}
 			rows := spreads(results)
@@ -96,25 +96,25 @@
 		name string
 		of   func(r *harness.Result) float64
 	}{
-		{"worth", func(r *harness.Result) float64 { return r.Worth.Whole }},
-		{"worst 10 s", func(r *harness.Result) float64 { return r.Worth.Worst10s }},
-		{"worst class", func(r *harness.Result) float64 { return r.Worth.WorstClass }},
-		{"worst tenant", func(r *harness.Result) float64 { return r.Worth.WorstTenant }},
-		{"asked", func(r *harness.Result) float64 { return float64(r.Counts.Asked) }},
+		{"worth", func(r *harness.Result) float64 { return r.DeliveredWeight.Total }},
+		{"worst 10 s", func(r *harness.Result) float64 { return r.DeliveredWeight.WorstWindow }},
+		{"worst class", func(r *harness.Result) float64 { return r.DeliveredWeight.WorstClass }},
+		{"worst tenant", func(r *harness.Result) float64 { return r.DeliveredWeight.WorstTenant }},
+		{"asked", func(r *harness.Result) float64 { return float64(r.Counts.Requested) }},
 		{"delivered", func(r *harness.Result) float64 { return float64(r.Counts.Delivered) }},
 		{"in time", func(r *harness.Result) float64 { return float64(r.Counts.InTime) }},
-		{"refused", func(r *harness.Result) float64 { return float64(r.Counts.Refused) }},
+		{"refused", func(r *harness.Result) float64 { return float64(r.Counts.Rejected) }},
 		{"failed", func(r *harness.Result) float64 { return float64(r.Counts.Failed) }},
 		{"unserved", func(r *harness.Result) float64 { return float64(r.Counts.Unserved) }},
-		{"hand-ins", func(r *harness.Result) float64 { return float64(r.Counts.HandIns) }},
-		{"taken on", func(r *harness.Result) float64 { return float64(r.Counts.Taken) }},
-		{"calls", func(r *harness.Result) float64 { return float64(r.Counts.Calls) }},
+		{"hand-ins", func(r *harness.Result) float64 { return float64(r.Counts.Submissions) }},
+		{"taken on", func(r *harness.Result) float64 { return float64(r.Counts.Accepted) }},
+		{"calls", func(r *harness.Result) float64 { return float64(r.Counts.Attempts) }},
 	}
 	for _, outcome := range []string{checker.OK, checker.Error, checker.Rejected, checker.RetryAfter, checker.Reset, checker.Interrupted, checker.Abandoned} {
 		figures = append(figures, struct {
 			name string
 			of   func(r *harness.Result) float64
-		}{"calls " + outcome, func(r *harness.Result) float64 { return float64(r.Counts.Outcomes[outcome]) }})
+		}{"calls " + outcome, func(r *harness.Result) float64 { return float64(r.Counts.AttemptsByOutcome[outcome]) }})
 	}
 	var rows []spread
 	for _, f := range figures {
--- a/cmd/frostlinkctl/soak.go
+++ b/cmd/frostlinkctl/soak.go
@@ -56,7 +56,7 @@
 				switch {
 				case run.Void:
 					void++
-				case !run.Good():
+				case !run.Passed():
 					bad++
 				}
 				printSoak(out, &run)
@@ -98,7 +98,7 @@
 // playSoak plays a seed.
 func playSoak(c *cobra.Command, seed int64, relays int, length float64, command []string, keep string) (soakRun, error) {
 	run := soakRun{Seed: seed}
-	text := scenario.SoakText(seed, relays, length)
+	text := scenario.SoakScenario(seed, relays, length)
 	s, err := scenario.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 	if err != nil {
 		return run, err
@@ -110,11 +110,11 @@
 	defer os.RemoveAll(kept)
 	for run.Tries < soakTries && (run.Tries == 0 || run.Void) {
 		run.Tries++
-		if run.Result, err = harness.Run(c.Context(), s, harness.Options{Seed: seed, Command: command, Keep: kept}); err != nil {
+		if run.Result, err = harness.Run(c.Context(), s, harness.Options{Seed: seed, RelayCommand: command, KeepDir: kept}); err != nil {
 			return run, err
 		}
 	}
-	if keep == "" || run.Good() {
+	if keep == "" || run.Passed() {
 		return run, nil
 	}
 	run.Script = filepath.Join(keep, fmt.Sprintf("soak-%d.toml", seed))
@@ -130,18 +130,18 @@
 	switch {
 	case run.Void:
 		verdict = "void"
-	case !run.Good():
+	case !run.Passed():
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(out, "seed %4d  %-6s  worth %.3f  %4d messages  %3d breaches  %3d faults  %.2f%% late  %d tries\n", run.Seed, verdict, run.Worth.Whole,
-		run.Counts.Asked, len(run.Breaches), len(run.Faults), 100*run.Late, run.Tries)
-	if run.Good() {
+	fmt.Fprintf(out, "seed %4d  %-6s  worth %.3f  %4d messages  %3d breaches  %3d faults  %.2f%% late  %d tries\n", run.Seed, verdict, run.DeliveredWeight.Total,
+		run.Counts.Requested, len(run.Violations), len(run.Failures), 100*run.LateShare, run.Tries)
+	if run.Passed() {
 		return
 	}
-	for _, b := range run.Breaches {
+	for _, b := range run.Violations {
 		fmt.Fprintf(out, "      %v\n", b)
 	}
-	for _, f := range run.Faults {
+	for _, f := range run.Failures {
 		fmt.Fprintf(out, "      %s\n", f)
 	}
 }
--- a/internal/faultinjection/checker/audit_test.go
+++ b/internal/faultinjection/checker/audit_test.go
@@ -225,10 +225,10 @@
 			n.add(Event{Kind: Ready})
 			c.run(n)
 			r := Judge(figures(), n.log, 60*sec)
-			if len(r.Breaches) != 1 || r.Breaches[0].Rule != c.rule {
-				t.Errorf("want %q once, got %+v", c.rule, r.Breaches)
+			if len(r.Violations) != 1 || r.Violations[0].Rule != c.rule {
+				t.Errorf("want %q once, got %+v", c.rule, r.Violations)
 			}
-			for _, b := range r.Breaches {
+			for _, b := range r.Violations {
 				if b.Relay != 1 || b.Text == "" || b.At <= 0 {
 					t.Errorf("the report names too little: %+v", b)
 				}
@@ -472,8 +472,8 @@
 			n := &notes{}
 			n.add(Event{Kind: Ready})
 			run(n)
-			if r := Judge(figures(), n.log, 60*sec); len(r.Breaches) != 0 {
-				t.Errorf("got %+v", r.Breaches)
+			if r := Judge(figures(), n.log, 60*sec); len(r.Violations) != 0 {
+				t.Errorf("got %+v", r.Violations)
 			}
 		})
 	}
@@ -487,7 +487,7 @@
 	n := &notes{}
 	for i := range 30 {
 		at := time.Duration(i) * sec
-		asked = append(asked, Request{At: at, Class: status, Tenant: i % 2, OverShare: i == 29})
+		asked = append(asked, Request{At: at, Class: status, Tenant: i % 2, OverQuota: i == 29})
 		id := fmt.Sprint(i)
 		n.add(Event{At: at, Kind: Submitted, ID: id, Message: i, Duration: 10 * sec})
 		switch {
@@ -505,18 +505,18 @@
 		}
 	}
 	r := Judge(f, n.log, 60*sec)
-	r.Weigh(f, asked, n.log)
+	r.MeasureWeight(f, asked, n.log)
 	near := func(what string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
 			t.Errorf("%s %v, want %v", what, got, want)
 		}
 	}
-	near("whole", r.Worth.Whole, (10+7.5)/29.2)
-	near("worst 10 s", r.Worth.Worst10s, 0)
-	near("its begin", r.Worth.WorstFrom.Seconds(), 20)
-	near("tenant", r.Worth.WorstTenant, (5+3.75)/15)
-	if r.Counts.Delivered != 20 || r.Counts.InTime != 10 || r.Counts.Refused != 10 || r.Counts.Taken != 20 {
+	near("whole", r.DeliveredWeight.Total, (10+7.5)/29.2)
+	near("worst 10 s", r.DeliveredWeight.WorstWindow, 0)
+	near("its begin", r.DeliveredWeight.WorstWindowStart.Seconds(), 20)
+	near("tenant", r.DeliveredWeight.WorstTenant, (5+3.75)/15)
+	if r.Counts.Delivered != 20 || r.Counts.InTime != 10 || r.Counts.Rejected != 10 || r.Counts.Accepted != 20 {
 		t.Errorf("counts %+v", r.Counts)
 	}
 }
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -63,14 +63,14 @@
 }
 
 // Judge checks a run that ended at a time against all rules, and counts what came of it.
-func Judge(f Terms, log []Event, end time.Duration) *Report {
+func Judge(f Parameters, log []Event, end time.Duration) *Report {
 	log = byTime(log)
 	h := readHistory(f, log, end)
 	for _, check := range rules {
 		check(h, log)
 	}
-	slices.SortStableFunc(h.breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	r := &Report{Breaches: append([]Breach{}, h.breaches...)} // never null in JSON
+	slices.SortStableFunc(h.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	r := &Report{Violations: append([]Violation{}, h.violations...)} // never null in JSON
 	h.count(r, log)
 	return r
 }
@@ -81,7 +81,7 @@
 	if destination >= 0 && destination < len(h.Destinations) {
 		name = h.Destinations[destination].Name
 	}
-	h.breaches = append(h.breaches, Breach{rule, at, id, relay + 1, name, fmt.Sprintf(format, args...)})
+	h.violations = append(h.violations, Violation{rule, at, id, relay + 1, name, fmt.Sprintf(format, args...)})
 }
 
 // reportRequest reports a breach that concerns a request.
--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -2,46 +2,46 @@
 
 // Counts are what came of all messages. A message is counted once, however often its client came with it.
 type Counts struct {
-	Asked     int `json:"asked"`
-	Delivered int `json:"delivered"`
-	InTime    int `json:"in_time"` // within its class's latency objective
-	Refused   int `json:"refused"` // not delivered; the last answer was to come again
-	Failed    int `json:"failed"`  // not delivered; the last answer was that it failed
-	Unserved  int `json:"unserved"`
-	HandIns   int `json:"hand_ins"`
-	Taken     int `json:"taken_on"`
-	Unheard   int `json:"unheard"` // submissions without an answer
-	Deferred  int `json:"notices_deferred"`
-	GivenUp   int `json:"notices_undeliverable"`
+	Requested     int `json:"asked"`
+	Delivered     int `json:"delivered"`
+	InTime        int `json:"in_time"` // within its class's latency objective
+	Rejected      int `json:"refused"` // not delivered; the last answer was to come again
+	Failed        int `json:"failed"`  // not delivered; the last answer was that it failed
+	Unserved      int `json:"unserved"`
+	Submissions   int `json:"hand_ins"`
+	Accepted      int `json:"taken_on"`
+	Unanswered    int `json:"unheard"` // submissions without an answer
+	Deferred      int `json:"notices_deferred"`
+	Undeliverable int `json:"notices_undeliverable"`
 
-	Calls       int            `json:"calls"`
-	Outcomes    map[string]int `json:"calls_by_outcome"`
-	Probes      int            `json:"probes"`
-	Connections int            `json:"connections"`
-	Effects     int            `json:"effects"`
-	Wasted      int            `json:"effects_for_nothing"` // of messages that had it already, or had ended
+	Attempts          int            `json:"calls"`
+	AttemptsByOutcome map[string]int `json:"calls_by_outcome"`
+	Probes            int            `json:"probes"`
+	Connections       int            `json:"connections"`
+	Executions        int            `json:"effects"`
+	WastedExecutions  int            `json:"effects_for_nothing"` // of messages that had it already, or had ended
 }
 
 // Report is what came of a run.
 type Report struct {
-	Breaches []Breach            `json:"breaches"`
-	Worth    Worth               `json:"worth"`
-	Counts   Counts              `json:"counts"`
-	Relays   []Counts            `json:"relays"`
-	Partners []Counts            `json:"partners"`
-	Waits    map[string]Quantile `json:"time_to_delivery_s"` // by class
+	Violations      []Violation          `json:"breaches"`
+	DeliveredWeight DeliveredWeight      `json:"worth"`
+	Counts          Counts               `json:"counts"`
+	Relays          []Counts             `json:"relays"`
+	Destinations    []Counts             `json:"partners"`
+	TimeToDelivery  map[string]Quantiles `json:"time_to_delivery_s"` // by class
 }
 
 // count counts what no rule needs: in all, by relay and by destination.
 func (h *history) count(r *Report, log []Event) {
 	r.Relays = make([]Counts, h.Settings.Instances)
-	r.Partners = make([]Counts, len(h.Destinations))
-	r.Counts.Outcomes = map[string]int{}
+	r.Destinations = make([]Counts, len(h.Destinations))
+	r.Counts.AttemptsByOutcome = map[string]int{}
 	for i := range r.Relays {
-		r.Relays[i].Outcomes = map[string]int{}
+		r.Relays[i].AttemptsByOutcome = map[string]int{}
 	}
-	for i := range r.Partners {
-		r.Partners[i].Outcomes = map[string]int{}
+	for i := range r.Destinations {
+		r.Destinations[i].AttemptsByOutcome = map[string]int{}
 	}
 	for _, e := range log {
 		if e, counted := h.attributed(e); counted {
@@ -89,8 +89,8 @@
 	if e.Kind != Executed && e.Relay < len(r.Relays) {
 		r.Relays[e.Relay].add(e)
 	}
-	if e.Destination < len(r.Partners) {
-		r.Partners[e.Destination].add(e)
+	if e.Destination < len(r.Destinations) {
+		r.Destinations[e.Destination].add(e)
 	}
 }
 
@@ -98,27 +98,27 @@
 func (c *Counts) add(e Event) {
 	switch e.Kind {
 	case Submitted:
-		c.HandIns++
+		c.Submissions++
 	case Answered:
-		c.Taken++
+		c.Accepted++
 	case AnswerMissed:
-		c.Unheard++
+		c.Unanswered++
 	case Notified:
 		if e.State == Deferred {
 			c.Deferred++
 		} else {
-			c.GivenUp++
+			c.Undeliverable++
 		}
 	case AttemptSent:
-		c.Calls++
+		c.Attempts++
 	case Probed:
 		c.Probes++
 	case Connected:
 		c.Connections++
 	case AttemptEnded:
-		c.Outcomes[e.Outcome]++
+		c.AttemptsByOutcome[e.Outcome]++
 	case Executed:
-		c.Effects++
+		c.Executions++
 	default:
 	}
 }
--- a/internal/faultinjection/checker/figures_test.go
+++ b/internal/faultinjection/checker/figures_test.go
@@ -27,7 +27,7 @@
 // Two processes of which one takes the other's place are one relay: what one has out, or was told, binds the other.
 func TestTwoProcessesAreOneRelay(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	ok := Event{At: at(13), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: OK, Ran: true}
+	ok := Event{At: at(13), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: OK, Executed: true}
 	shows := func(p int, success, calls, inflight int) Event {
 		return Event{At: at(14), Kind: MetricsRead, Process: p, Metrics: &Scrape{
 			Success:      map[string]int{"status": success},
@@ -39,7 +39,7 @@
 			id := "n" + strings.Repeat("x", i)
 			log = append(log, Event{At: at(11), Kind: Submitted, ID: id, Duration: at(9)}, Event{At: at(11.01), Kind: Answered, ID: id, Status: 202},
 				Event{At: at(11.1), Kind: AttemptSent, ID: id, Endpoint: "h", Attempt: 100 + i, FirstByte: at(11.1)},
-				Event{At: at(11.2), Kind: AttemptEnded, ID: id, Attempt: 100 + i, Outcome: OK, Ran: true})
+				Event{At: at(11.2), Kind: AttemptEnded, ID: id, Attempt: 100 + i, Outcome: OK, Executed: true})
 		}
 		return log
 	}
@@ -54,11 +54,11 @@
 		{"the new one forgets a wait", replaced(
 			Event{At: at(9.5), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: RetryAfter, Duration: at(5)},
 			Event{At: at(11), Kind: AttemptSent, ID: "m", Endpoint: "h", Attempt: 2, FirstByte: at(11)},
-			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: OK, Ran: true}), RetryAfterIgnored},
+			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: OK, Executed: true}), RetryAfterIgnored},
 		{"the wait is heeded", replaced(
 			Event{At: at(9.5), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: RetryAfter, Duration: at(1)},
 			Event{At: at(11), Kind: AttemptSent, ID: "m", Endpoint: "h", Attempt: 2, FirstByte: at(11)},
-			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: OK, Ran: true}), ""},
+			Event{At: at(11.5), Kind: AttemptEnded, ID: "m", Attempt: 2, Outcome: OK, Executed: true}), ""},
 		{"no end, and no restart that excuses it", replaced(), OutcomeMissing},
 		{"figures agree", append(replaced(ok), append(many(40), shows(2, 41, 40, 0))...), ""},
 		{"figures off by three", append(replaced(ok), append(many(40), shows(2, 44, 43, 3))...), ""},
@@ -71,12 +71,12 @@
 			Event{At: at(33), Kind: MetricsRead, Process: 3, Metrics: &Scrape{Success: map[string]int{"status": 41}}})...), MetricsWrong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := Terms{Settings: settings.Settings{
+			f := Parameters{Settings: settings.Settings{
 				Instances: 1, Classes: []settings.Class{{Name: "status", Idempotency: "retryable"}},
 				Rules: settings.Rules{AnswerSlackS: 0.3, PollWithinS: 10},
-			}, Destinations: []Destination{{Name: "p", Capacity: 100, ColdShare: 1}}}
+			}, Destinations: []Destination{{Name: "p", Capacity: 100, ColdCapacity: 1}}}
 			rules := map[Rule]bool{}
-			for _, b := range Judge(f, c.log, at(40)).Breaches {
+			for _, b := range Judge(f, c.log, at(40)).Violations {
 				rules[b.Rule] = true
 			}
 			if c.want == "" && len(rules) > 0 || c.want != "" && (len(rules) != 1 || !rules[c.want]) {
--- a/internal/faultinjection/checker/history.go
+++ b/internal/faultinjection/checker/history.go
@@ -77,7 +77,7 @@
 
 // history is a run, put together by request, attempt and relay.
 type history struct {
-	Terms
+	Parameters
 	end              time.Duration // of the run
 	requestsByID     map[string]*request
 	requests         []*request // in order of submission
@@ -89,14 +89,14 @@
 	folderFailures   relayIntervals          // when each relay's folder failed
 	socketFailures   relayIntervals          // when connections of each were made to look broken
 	halts            relayIntervals          // when each did not run
-	breaches         []Breach
+	violations       []Violation
 }
 
 // readHistory puts a log together, whose events are in order of time. Attempts that belong to no request, or to one of another
 // destination, are breaches.
-func readHistory(f Terms, log []Event, end time.Duration) *history {
+func readHistory(f Parameters, log []Event, end time.Duration) *history {
 	h := &history{
-		Terms: f, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
+		Parameters: f, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
 		processEnds: map[int][]time.Duration{}, machineLosses: map[int][]time.Duration{},
 		folderFailures: newRelayIntervals(), socketFailures: newRelayIntervals(), halts: newRelayIntervals(),
 	}
--- a/internal/faultinjection/checker/log.go
+++ b/internal/faultinjection/checker/log.go
@@ -99,25 +99,25 @@
 	Status      int           `json:"status,omitempty"`
 	Outcome     string        `json:"outcome,omitempty"`
 	State       string        `json:"state,omitempty"`
-	Ran         bool          `json:"ran,omitempty"`
+	Executed    bool          `json:"ran,omitempty"`
 	OK          bool          `json:"ok,omitempty"`
 	Process     int           `json:"process,omitempty"` // of the relay, from 1
 	Metrics     *Scrape       `json:"figures,omitempty"`
 }
 
-// Terms are what the rules are judged by.
-type Terms struct {
+// Parameters are what the rules are judged by.
+type Parameters struct {
 	Settings     settings.Settings
-	TellWithin   time.Duration // what discovery shows counts as known after this, while it is up
+	NotifyWithin time.Duration // what discovery shows counts as known after this, while it is up
 	Destinations []Destination
 }
 
 // Destination is what the scenario says of a destination.
 type Destination struct {
-	Name      string
-	Capacity  float64       // calls a second when warm and whole
-	ColdShare float64       // of it right after an outage
-	Warm      time.Duration // until all of it is back
+	Name          string
+	Capacity      float64       // calls a second when warm and whole
+	ColdCapacity  float64       // of it right after an outage
+	SlowStartTime time.Duration // until all of it is back
 }
 
 // Rule is one of the rules, as breaches are reported.
@@ -145,8 +145,8 @@
 	DeadLetterWrong       Rule = "undelivered message kept wrongly"
 )
 
-// Breach is a rule that was broken.
-type Breach struct {
+// Violation is a rule that was broken.
+type Violation struct {
 	Rule        Rule          `json:"rule"`
 	At          time.Duration `json:"at"`
 	ID          string        `json:"id,omitempty"`
--- a/internal/faultinjection/checker/notes_test.go
+++ b/internal/faultinjection/checker/notes_test.go
@@ -19,7 +19,7 @@
 	lined          // safe, in order
 )
 
-func figures() Terms {
+func figures() Parameters {
 	class := func(name, effect string) settings.Class {
 		return settings.Class{Name: name, Idempotency: effect, LatencyObjectiveS: 2, DeadlineS: 10, LateFraction: 0.5, PriorityWeight: 1, KeyTTLS: 5}
 	}
@@ -33,8 +33,8 @@
 		OverloadWindowS: 1.5, SlowStartTimeS: 10, OrderKeyCooldownS: 0.5,
 	}
 	s.Limits.ConnectTimeoutS = 1
-	return Terms{Settings: s, TellWithin: 6 * time.Second, Destinations: []Destination{
-		{Name: "bank", Capacity: 20, ColdShare: 0.2, Warm: 10 * time.Second}, {Name: "dealer", Capacity: 20, ColdShare: 0.2},
+	return Parameters{Settings: s, NotifyWithin: 6 * time.Second, Destinations: []Destination{
+		{Name: "bank", Capacity: 20, ColdCapacity: 0.2, SlowStartTime: 10 * time.Second}, {Name: "dealer", Capacity: 20, ColdCapacity: 0.2},
 	}}
 }
 
--- a/internal/faultinjection/checker/resends_test.go
+++ b/internal/faultinjection/checker/resends_test.go
@@ -67,8 +67,8 @@
 		n.add(Event{Kind: Ready})
 		c.run(n)
 		r := Judge(figures(), n.log, 60*sec)
-		if c.rule == "" && len(r.Breaches) > 0 || c.rule != "" && (len(r.Breaches) != 1 || r.Breaches[0].Rule != c.rule) {
-			t.Errorf("%s: want %q, got %+v", name, c.rule, r.Breaches)
+		if c.rule == "" && len(r.Violations) > 0 || c.rule != "" && (len(r.Violations) != 1 || r.Violations[0].Rule != c.rule) {
+			t.Errorf("%s: want %q, got %+v", name, c.rule, r.Violations)
 		}
 	}
 }
@@ -109,8 +109,8 @@
 		n.parcel(StoredBefore, 0, "old", 3)
 		c.run(n)
 		r := Judge(figures(), n.log, 60*sec)
-		if c.rule == "" && len(r.Breaches) > 0 || c.rule != "" && (len(r.Breaches) != 1 || r.Breaches[0].Rule != c.rule) {
-			t.Errorf("%s: want %q, got %+v", name, c.rule, r.Breaches)
+		if c.rule == "" && len(r.Violations) > 0 || c.rule != "" && (len(r.Violations) != 1 || r.Violations[0].Rule != c.rule) {
+			t.Errorf("%s: want %q, got %+v", name, c.rule, r.Violations)
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	}
 	whole := func() []DeadLetter {
 		return []DeadLetter{
-			{IDs: []string{"a", "r"}, State: "delivered", Why: "delivered", NeverRan: []string{"a"}},
-			{IDs: []string{"b"}, State: "held", Why: "may have run"},
+			{IDs: []string{"a", "r"}, State: "delivered", Reason: "delivered", NotExecuted: []string{"a"}},
+			{IDs: []string{"b"}, State: "held", Reason: "may have run"},
 		}
 	}
 	for name, c := range map[string]struct {
@@ -146,15 +146,15 @@
 		"one is listed as lost":    {"", func(k []DeadLetter) []DeadLetter { return k[:1] }, []string{"b"}, map[string]int{"delivered": 1, "not kept": 1}},
 		"one is missing":           {DeadLetterMissing, func(k []DeadLetter) []DeadLetter { return k[:1] }, nil, map[string]int{"delivered": 1}},
 		"one is there twice":       {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { return append(k, k[1]) }, nil, map[string]int{"delivered": 1, "held": 2}},
-		"never run, but it did":    {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].NeverRan = []string{"b"}; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
+		"never run, but it did":    {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].NotExecuted = []string{"b"}; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
 		"delivered, but it wasn't": {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].State = "delivered"; return k }, nil, map[string]int{"delivered": 2}},
 		"it was not given up": {DeadLetterWrong, func(k []DeadLetter) []DeadLetter {
-			return append(k, DeadLetter{IDs: []string{"on"}, State: "held", Why: "y"})
+			return append(k, DeadLetter{IDs: []string{"on"}, State: "held", Reason: "y"})
 		}, nil, map[string]int{"delivered": 1, "held": 2}},
 		"one of before is gone": {DeadLetterMissing, func(k []DeadLetter) []DeadLetter { return k }, nil, map[string]int{"delivered": 1, "held": 1}},
-		"without a reason":      {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].Why = ""; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
+		"without a reason":      {DeadLetterWrong, func(k []DeadLetter) []DeadLetter { k[1].Reason = ""; return k }, nil, map[string]int{"delivered": 1, "held": 1}},
 		"made up": {DeadLetterWrong, func(k []DeadLetter) []DeadLetter {
-			return append(k, DeadLetter{IDs: []string{"x"}, State: "held", Why: "y"})
+			return append(k, DeadLetter{IDs: []string{"x"}, State: "held", Reason: "y"})
 		}, nil, map[string]int{"delivered": 1, "held": 2}},
 	} {
 		n := base()
@@ -166,15 +166,15 @@
 			n.add(Event{Kind: StoredBefore, ID: "early", Message: 9})
 		}
 		r := Judge(figures(), n.log, 60*sec)
-		if len(r.Breaches) > 0 {
-			t.Fatalf("%s: %+v", name, r.Breaches)
+		if len(r.Violations) > 0 {
+			t.Fatalf("%s: %+v", name, r.Violations)
 		}
-		states := r.Stores(figures(), n.log, c.change(whole()), c.unkept, 60*sec)
+		states := r.CheckStores(figures(), n.log, c.change(whole()), c.unkept, 60*sec)
 		if !reflect.DeepEqual(states, c.states) {
 			t.Errorf("%s: states %v, want %v", name, states, c.states)
 		}
-		if c.rule == "" && len(r.Breaches) > 0 || c.rule != "" && (len(r.Breaches) != 1 || r.Breaches[0].Rule != c.rule) {
-			t.Errorf("%s: want %q, got %+v", name, c.rule, r.Breaches)
+		if c.rule == "" && len(r.Violations) > 0 || c.rule != "" && (len(r.Violations) != 1 || r.Violations[0].Rule != c.rule) {
+			t.Errorf("%s: want %q, got %+v", name, c.rule, r.Violations)
 		}
 	}
 }
--- a/internal/faultinjection/checker/rule_dead_letters.go
+++ b/internal/faultinjection/checker/rule_dead_letters.go
@@ -7,26 +7,26 @@
 
 // DeadLetter is a message as a relay's dead-letter store has it at the end of a run.
 type DeadLetter struct {
-	Relay    int
-	IDs      []string // of all its incarnations
-	State    string   // held, due, out, delivered, superseded or discarded
-	Why      string
-	NeverRan []string // ids of its incarnations in which it states that no attempt can have been executed
+	Relay       int
+	IDs         []string // of all its incarnations
+	State       string   // held, due, out, delivered, superseded or discarded
+	Reason      string
+	NotExecuted []string // ids of its incarnations in which it states that no attempt can have been executed
 }
 
-// Stores checks the dead-letter stores against the log: each request that was accepted and given up is in the store of its relay,
+// CheckStores checks the dead-letter stores against the log: each request that was accepted and given up is in the store of its relay,
 // once; what is stored as never executed was not; what is stored as delivered was. unkept are ids that a store lists as not
 // kept. It returns the count of each state.
-func (r *Report) Stores(f Terms, log []Event, kept []DeadLetter, unkept []string, end time.Duration) map[string]int {
+func (r *Report) CheckStores(f Parameters, log []Event, kept []DeadLetter, unkept []string, end time.Duration) map[string]int {
 	h := readHistory(f, byTime(log), end)
-	h.breaches = nil // those of reading are Judge's
+	h.violations = nil // those of reading are Judge's
 	states, stored := map[string]int{}, map[string]int{}
 	for _, k := range kept {
 		states[k.State]++
 		for _, id := range k.IDs {
 			stored[id]++
 		}
-		h.checkKept(k)
+		h.checkStored(k)
 	}
 	for _, id := range unkept {
 		stored[id]++
@@ -35,12 +35,12 @@
 	for _, request := range h.requests {
 		h.checkStoredOnce(request, stored[request.id])
 	}
-	r.Breaches = append(r.Breaches, h.breaches...)
+	r.Violations = append(r.Violations, h.violations...)
 	return states
 }
 
-// checkKept checks what a store says of one message.
-func (h *history) checkKept(k DeadLetter) {
+// checkStored checks what a store says of one message.
+func (h *history) checkStored(k DeadLetter) {
 	delivered := false
 	for _, id := range k.IDs {
 		r := h.requestsByID[id]
@@ -48,7 +48,7 @@
 			continue // it was rejected before its first attempt
 		}
 		delivered = delivered || r.deliveredAt >= 0
-		if slices.Contains(k.NeverRan, id) && r.effects > 0 {
+		if slices.Contains(k.NotExecuted, id) && r.effects > 0 {
 			h.report(DeadLetterWrong, h.end, id, k.Relay, r.destination, "kept as never run, and it had its effect")
 		}
 	}
@@ -65,7 +65,7 @@
 		wrong("kept as delivered, and no partner answered so")
 	case first.accepted && !first.redelivery && len(first.notices) == 0 && first.machineLostAt < 0:
 		wrong("kept as %s, and it was not given up", k.State)
-	case k.Why == "":
+	case k.Reason == "":
 		wrong("kept as %s without a reason", k.State)
 	}
 }
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -134,7 +134,7 @@
 func (h *history) countsAsNotified(log []Event, relay int, shown time.Duration) time.Duration {
 	within := settings.Seconds(h.Settings.Rules.PollWithinS)
 	w := &watchState{
-		shown: shown, tellWithin: h.TellWithin, askWithin: within,
+		shown: shown, tellWithin: h.NotifyWithin, askWithin: within,
 		up: true, upSince: shown, silentSince: never, patience: within,
 	}
 	for _, e := range log {
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -13,12 +13,12 @@
 // The margins within which a relay's metrics have to agree with the account: they may lag, and differ by a few or by a share.
 // Attempts are written by other goroutines than the one that counts outcomes, and get a larger share.
 const (
-	metricsLag        = 500 * time.Millisecond
-	minDifference     = 3.0
-	differenceShare   = 0.01
-	attemptsShare     = 0.02
-	inFlightShare     = 0.1
-	maxMetricBreaches = 3 // a relay that counts wrongly once is wrong from there on
+	metricsLag          = 500 * time.Millisecond
+	minDifference       = 3.0
+	differenceShare     = 0.01
+	attemptsShare       = 0.02
+	inFlightShare       = 0.1
+	maxMetricViolations = 3 // a relay that counts wrongly once is wrong from there on
 )
 
 // The metrics under which each request is counted once.
@@ -62,15 +62,15 @@
 
 // metricsCheck compares the metrics of all relays with the log.
 type metricsCheck struct {
-	history   *history
-	accounts  map[int]*account
-	processes map[int]map[int]*process // by relay and number
-	breaches  map[int]int              // by relay
+	history    *history
+	accounts   map[int]*account
+	processes  map[int]map[int]*process // by relay and number
+	violations map[int]int              // by relay
 }
 
 // checkMetrics checks what each admin endpoint showed against the account of its relay.
 func (h *history) checkMetrics(log []Event) {
-	c := &metricsCheck{history: h, accounts: map[int]*account{}, processes: map[int]map[int]*process{}, breaches: map[int]int{}}
+	c := &metricsCheck{history: h, accounts: map[int]*account{}, processes: map[int]map[int]*process{}, violations: map[int]int{}}
 	for _, e := range log {
 		switch e.Kind {
 		case Started:
@@ -102,11 +102,11 @@
 		c.accounts[e.Relay] = a
 	}
 	p := c.processes[e.Relay][e.Process]
-	if p == nil || c.breaches[e.Relay] >= maxMetricBreaches {
+	if p == nil || c.violations[e.Relay] >= maxMetricViolations {
 		return
 	}
 	for _, text := range a.differences(e.At, p, e.Metrics) {
-		c.breaches[e.Relay]++
+		c.violations[e.Relay]++
 		c.history.report(MetricsWrong, e.At, "", e.Relay, -1, "%s", text)
 	}
 }
--- a/internal/faultinjection/checker/rule_slow_start.go
+++ b/internal/faultinjection/checker/rule_slow_start.go
@@ -49,7 +49,7 @@
 
 // warmingUntil is when a destination is warm after an outage, or out again.
 func warmingUntil(d Destination, o outage, all []outage) time.Duration {
-	until := o.to + d.Warm
+	until := o.to + d.SlowStartTime
 	for _, later := range all {
 		if later.destination == o.destination && later.from >= o.to {
 			until = min(until, later.from)
@@ -90,7 +90,7 @@
 // recoveryBudget is how many attempts in the window of the settings a destination bears at a time after an outage.
 func (h *history) recoveryBudget(o outage, at time.Duration) float64 {
 	rules, d := &h.Settings.Rules, h.Destinations[o.destination]
-	warmth := d.ColdShare + (1-d.ColdShare)*min(1, float64(at-o.to)/float64(max(1, d.Warm)))
+	warmth := d.ColdCapacity + (1-d.ColdCapacity)*min(1, float64(at-o.to)/float64(max(1, d.SlowStartTime)))
 	return rules.OverloadFactor*d.Capacity*warmth*rules.OverloadWindowS + overloadSlack
 }
 
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -12,37 +12,37 @@
 
 // Request is a message as the script drew it.
 type Request struct {
-	At        time.Duration
-	Dest      int
-	Class     int
-	Tenant    int // -1: none
-	OverShare bool
-}
-
-// Worth is worth delivered over worth asked for, from 0 to 1.
-type Worth struct {
-	Whole       float64            `json:"whole"`
-	Worst10s    float64            `json:"worst_10_s"`
-	WorstFrom   time.Duration      `json:"worst_from"`
-	Classes     map[string]float64 `json:"classes"`
-	WorstClass  float64            `json:"worst_class"`
-	Tenants     map[string]float64 `json:"tenants_within_share,omitempty"`
-	WorstTenant float64            `json:"worst_tenant"`
-}
-
-// Weigh adds what was asked for, and how much of its worth was delivered.
-func (r *Report) Weigh(f Terms, asked []Request, log []Event) {
+	At          time.Duration
+	Destination int
+	Class       int
+	Tenant      int // -1: none
+	OverQuota   bool
+}
+
+// DeliveredWeight is worth delivered over worth asked for, from 0 to 1.
+type DeliveredWeight struct {
+	Total            float64            `json:"whole"`
+	WorstWindow      float64            `json:"worst_10_s"`
+	WorstWindowStart time.Duration      `json:"worst_from"`
+	ByClass          map[string]float64 `json:"classes"`
+	WorstClass       float64            `json:"worst_class"`
+	ByTenant         map[string]float64 `json:"tenants_within_share,omitempty"`
+	WorstTenant      float64            `json:"worst_tenant"`
+}
+
+// MeasureWeight adds what was asked for, and how much of its worth was delivered.
+func (r *Report) MeasureWeight(f Parameters, asked []Request, log []Event) {
 	served := readServed(log)
-	w := newWeighing(f, asked)
-	r.Waits = map[string]Quantile{}
-	r.Counts.Asked = len(asked)
+	w := newWeightTotals(f, asked)
+	r.TimeToDelivery = map[string]Quantiles{}
+	r.Counts.Requested = len(asked)
 	for n, want := range asked {
 		r.countWant(served, n, want, &f.Settings.Classes[want.Class])
 		w.add(served, n, want)
 	}
-	r.Worth = w.worth()
+	r.DeliveredWeight = w.deliveredWeight()
 	for i, times := range w.times {
-		r.Waits[f.Settings.Classes[i].Name] = Quantiles(times)
+		r.TimeToDelivery[f.Settings.Classes[i].Name] = QuantilesOf(times)
 	}
 }
 
@@ -122,22 +122,22 @@
 
 // countWant counts what came of a message, in all and by destination.
 func (r *Report) countWant(s *served, n int, want Request, class *settings.Class) {
-	for _, c := range []*Counts{&r.Counts, &r.Partners[want.Dest]} {
+	for _, c := range []*Counts{&r.Counts, &r.Destinations[want.Destination]} {
 		if c != &r.Counts {
-			c.Asked++
+			c.Requested++
 		}
 		if effects := s.effects[n]; effects > 1 {
-			c.Wasted += effects - 1
+			c.WastedExecutions += effects - 1
 		}
 		at, delivered := s.deliveredAt[n]
 		switch {
 		case delivered:
 			c.Delivered++
-			if WorthLeft(class, at-want.At) == 1 {
+			if RemainingWeight(class, at-want.At) == 1 {
 				c.InTime++
 			}
 		case s.lastStatus[n] == Deferred:
-			c.Refused++
+			c.Rejected++
 		case s.lastStatus[n] == Undeliverable:
 			c.Failed++
 		default:
@@ -146,21 +146,21 @@
 	}
 }
 
-// weighing adds up worth delivered and worth asked for.
-type weighing struct {
+// weightTotals adds up worth delivered and worth asked for.
+type weightTotals struct {
 	settings         *settings.Settings
-	whole            fraction
+	total            fraction
 	classes, tenants []fraction
 	stretches        []fraction  // of worstSpan, worstStep apart
 	times            [][]float64 // to delivery in seconds, by class
 }
 
-func newWeighing(f Terms, asked []Request) *weighing {
+func newWeightTotals(f Parameters, asked []Request) *weightTotals {
 	var last time.Duration
 	for _, want := range asked {
 		last = max(last, want.At)
 	}
-	return &weighing{
+	return &weightTotals{
 		settings:  &f.Settings,
 		classes:   make([]fraction, len(f.Settings.Classes)),
 		tenants:   make([]fraction, len(f.Settings.Tenants)),
@@ -170,19 +170,19 @@
 }
 
 // add adds a message.
-func (w *weighing) add(s *served, n int, want Request) {
+func (w *weightTotals) add(s *served, n int, want Request) {
 	class := &w.settings.Classes[want.Class]
 	full, got := class.PriorityWeight, 0.0
-	if want.OverShare {
+	if want.OverQuota {
 		full *= w.settings.OverQuotaFraction
 	}
 	if at, delivered := s.deliveredAt[n]; delivered {
-		got = full * WorthLeft(class, at-want.At)
+		got = full * RemainingWeight(class, at-want.At)
 		w.times[want.Class] = append(w.times[want.Class], (at - want.At).Seconds())
 	}
-	w.whole.add(got, full)
+	w.total.add(got, full)
 	w.classes[want.Class].add(got, full)
-	if want.Tenant >= 0 && !want.OverShare {
+	if want.Tenant >= 0 && !want.OverQuota {
 		w.tenants[want.Tenant].add(got, full)
 	}
 	for i := range w.stretches {
@@ -192,23 +192,23 @@
 	}
 }
 
-// worth returns the result.
-func (w *weighing) worth() Worth {
-	result := Worth{Whole: w.whole.share(), Classes: map[string]float64{}, WorstClass: 1, WorstTenant: 1, Worst10s: 1}
+// deliveredWeight returns the result.
+func (w *weightTotals) deliveredWeight() DeliveredWeight {
+	result := DeliveredWeight{Total: w.total.share(), ByClass: map[string]float64{}, WorstClass: 1, WorstTenant: 1, WorstWindow: 1}
 	for i, stretch := range w.stretches {
-		if share := stretch.share(); share < result.Worst10s {
-			result.Worst10s, result.WorstFrom = share, time.Duration(i)*worstStep
+		if share := stretch.share(); share < result.WorstWindow {
+			result.WorstWindow, result.WorstWindowStart = share, time.Duration(i)*worstStep
 		}
 	}
 	for i, class := range w.classes {
-		result.Classes[w.settings.Classes[i].Name] = class.share()
+		result.ByClass[w.settings.Classes[i].Name] = class.share()
 		result.WorstClass = min(result.WorstClass, class.share())
 	}
 	if len(w.tenants) > 0 {
-		result.Tenants = map[string]float64{}
+		result.ByTenant = map[string]float64{}
 	}
 	for i, tenant := range w.tenants {
-		result.Tenants[w.settings.Tenants[i].Name] = tenant.share()
+		result.ByTenant[w.settings.Tenants[i].Name] = tenant.share()
 		result.WorstTenant = min(result.WorstTenant, tenant.share())
 	}
 	return result
@@ -237,9 +237,9 @@
 	return p.got / p.asked
 }
 
-// WorthLeft is the share of its worth that a message has at an age: all of it up to the aim, then evenly less down to
+// RemainingWeight is the share of its worth that a message has at an age: all of it up to the aim, then evenly less down to
 // the late share at the deadline, nothing after.
-func WorthLeft(k *settings.Class, age time.Duration) float64 {
+func RemainingWeight(k *settings.Class, age time.Duration) float64 {
 	aim, deadline := settings.Seconds(k.LatencyObjectiveS), settings.Seconds(k.DeadlineS)
 	switch {
 	case age <= aim:
--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -28,15 +28,15 @@
 	end     time.Duration
 }
 
-// Fault is a broken promise.
-type Fault struct {
-	Check string `json:"check"` // overlap, token, queue, linear, held, same, members, disk, start, panic
-	What  string `json:"what"`
+// Violation is a broken promise.
+type Violation struct {
+	Check  string `json:"check"` // overlap, token, queue, linear, held, same, members, disk, start, panic
+	Detail string `json:"what"`
 }
 
 func (r *run) fault(check, format string, args ...any) {
 	if len(r.faults) < 20 {
-		r.faults = append(r.faults, Fault{check, fmt.Sprintf(format, args...)})
+		r.faults = append(r.faults, Violation{check, fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/faultinjection/coordsim/quorum_test.go
+++ b/internal/faultinjection/coordsim/quorum_test.go
@@ -15,7 +15,7 @@
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			for seed := shard + 1; seed <= seeds; seed += shards {
-				if r := Play(seed); len(r.Faults) > 0 {
+				if r := Play(seed); len(r.Violations) > 0 {
 					raw, _ := json.Marshal(r)
 					t.Errorf("%s", raw)
 				}
--- a/internal/faultinjection/coordsim/run.go
+++ b/internal/faultinjection/coordsim/run.go
@@ -31,21 +31,21 @@
 	grants  []grant
 	handed  []handed
 	history []operation
-	faults  []Fault
+	faults  []Violation
 	counts  map[string]int
 	nextID  uint64
 }
 
 // Result is what a play came to.
 type Result struct {
-	Seed    uint64         `json:"seed"`
-	Members int            `json:"members"`
-	TTL     time.Duration  `json:"ttl"`
-	Acts    int            `json:"acts"`
-	Grants  int            `json:"grants"`
-	Values  int            `json:"values"` // writes and reads
-	Faults  []Fault        `json:"faults,omitempty"`
-	Done    map[string]int `json:"done"` // faults that were caused, by kind
+	Seed           uint64         `json:"seed"`
+	Members        int            `json:"members"`
+	TTL            time.Duration  `json:"ttl"`
+	Executions     int            `json:"acts"`
+	Grants         int            `json:"grants"`
+	Operations     int            `json:"values"` // writes and reads
+	Violations     []Violation    `json:"faults,omitempty"`
+	InjectedFaults map[string]int `json:"done"` // faults that were caused, by kind
 }
 
 // Play plays the run of a seed.
@@ -54,8 +54,8 @@
 	r.play()
 	r.check()
 	return Result{
-		Seed: seed, Members: len(r.members), TTL: r.ttl, Acts: len(r.acts), Grants: len(r.grants), Values: len(r.history),
-		Faults: r.faults, Done: r.counts,
+		Seed: seed, Members: len(r.members), TTL: r.ttl, Executions: len(r.acts), Grants: len(r.grants), Operations: len(r.history),
+		Violations: r.faults, InjectedFaults: r.counts,
 	}
 }
 
--- a/internal/faultinjection/destination/destination.go
+++ b/internal/faultinjection/destination/destination.go
@@ -20,12 +20,12 @@
 
 // The modes. What lies between Refusing and Gone answers no call.
 const (
-	Serving  Mode = iota
-	Shut          // answers "full" to all
-	Failing       // answers a share of its calls with an error
-	Refusing      // connections are refused, open ones were reset
-	Silent        // takes connections and says nothing
-	Gone          // as a machine that vanished: nothing comes up
+	ModeServing      Mode = iota
+	ModeOverloaded        // answers "full" to all
+	ModeFailing           // answers a share of its calls with an error
+	ModeRefusing          // connections are refused, open ones were reset
+	ModeUnresponsive      // takes connections and says nothing
+	ModeUnreachable       // as a machine that vanished: nothing comes up
 )
 
 // Outcome is what becomes of a call.
@@ -33,24 +33,24 @@
 
 // The outcomes.
 const (
-	Delivered Outcome = iota // 200
-	Errored                  // 500; it may have run
-	Full                     // 503
-	Wait                     // 429 with a wait
-	Dropped                  // the connection is reset after the body; it has run
+	OutcomeDelivered   Outcome = iota // 200
+	OutcomeError                      // 500; it may have run
+	OutcomeUnavailable                // 503
+	OutcomeRetryAfter                 // 429 with a wait
+	OutcomeReset                      // the connection is reset after the body; it has run
 )
 
-// Call is one call that has come whole.
-type Call struct {
-	ID       string
-	Relay    int
-	Key      string        // keyed classes: a repeat within Memory is dropped
-	Memory   time.Duration // how long the key is kept
-	Work     time.Duration // at a partner of pace 1
-	Chance   float64       // 0 to 1: decides between what happens to a share of calls
-	New      bool          // the first on its connection
-	Overfull bool          // its connection is one more than the endpoint takes
-	Probe    bool
+// Attempt is one call that has come whole.
+type Attempt struct {
+	ID                  string
+	Relay               int
+	Key                 string        // keyed classes: a repeat within Memory is dropped
+	KeyTTL              time.Duration // how long the key is kept
+	ServiceTime         time.Duration // at a partner of pace 1
+	Draw                float64       // 0 to 1: decides between what happens to a share of calls
+	NewConnection       bool          // the first on its connection
+	OverConnectionLimit bool          // its connection is one more than the endpoint takes
+	Probe               bool
 
 	endpoint int
 	left     time.Duration // of the work
@@ -59,18 +59,18 @@
 	repeat   bool
 }
 
-// Done is the end of a call.
-type Done struct {
-	Call    *Call
-	At      time.Duration // when it was due
-	Outcome Outcome
-	Wait    time.Duration // with Wait
-	Ran     bool          // it had its effect
-	Report  *Report       // or nil
+// Completion is the end of a call.
+type Completion struct {
+	Attempt    *Attempt
+	At         time.Duration // when it was due
+	Outcome    Outcome
+	RetryAfter time.Duration // with Wait
+	Executed   bool          // it had its effect
+	LoadReport *LoadReport   // or nil
 }
 
-// Change is a change of an endpoint's mode that the partner made by itself: it fell over, or is back.
-type Change struct {
+// ModeChange is a change of an endpoint's mode that the partner made by itself: it fell over, or is back.
+type ModeChange struct {
 	Endpoint int
 	Mode     Mode
 	At       time.Duration
@@ -78,12 +78,12 @@
 
 // Action is something to be done: one of the two is set.
 type Action struct {
-	Done   *Done
-	Change *Change
+	Completion *Completion
+	ModeChange *ModeChange
 }
 
-// Report is what a partner tells of its limit.
-type Report struct{ Left, Limit float64 }
+// LoadReport is what a partner tells of its limit.
+type LoadReport struct{ Left, Limit float64 }
 
 // endpoint is one endpoint.
 type endpoint struct {
@@ -100,14 +100,14 @@
 	draining bool
 	removed  bool
 	conns    int
-	running  []*Call
-	queue    []*Call
+	running  []*Attempt
+	queue    []*Attempt
 }
 
-// Partner is the model of one partner.
-type Partner struct {
-	spec      *scenario.Partner
-	script    *scenario.Script
+// Model is the model of one partner.
+type Model struct {
+	spec      *scenario.Destination
+	script    *scenario.Scenario
 	endpoints []*endpoint
 	now       time.Duration
 	actions   []Action
@@ -125,68 +125,68 @@
 	reports  *rand.Rand
 	refresh  time.Duration
 	upcoming []shown
-	report   *Report
+	report   *LoadReport
 }
 
 // shown is a report on its way.
 type shown struct {
 	at time.Duration
-	Report
+	LoadReport
 }
 
-// Slack is how many calls above the rule's budget a cold partner bears: the rule's "little slack for chance".
-const Slack = 3
+// OverloadSlack is how many calls above the rule's budget a cold partner bears: the rule's "little slack for chance".
+const OverloadSlack = 3
 
-// New gives a partner as it is at the start: warm and well.
-func New(s *scenario.Script, number int, d scenario.Draws) *Partner {
-	p := &Partner{
-		script: s, spec: &s.Partners[number], keys: map[string]time.Duration{}, refresh: never, lowered: 1,
-		reports: d.For("report", number),
+// NewConnection gives a partner as it is at the start: warm and well.
+func New(s *scenario.Scenario, number int, d scenario.RandomStreams) *Model {
+	p := &Model{
+		script: s, spec: &s.Destinations[number], keys: map[string]time.Duration{}, refresh: never, lowered: 1,
+		reports: d.Stream("report", number),
 	}
 	for i := range p.spec.Endpoints {
-		p.add(d.For("pause", number, i))
+		p.add(d.Stream("pause", number, i))
 	}
 	if l := p.spec.Limit; l != nil {
 		p.tokens = l.Burst
 	}
-	if s.Report != nil {
-		p.refresh = scenario.Millis(s.Report.Every.In(p.reports))
+	if s.LoadReport != nil {
+		p.refresh = scenario.Milliseconds(s.LoadReport.Every.Draw(p.reports))
 	}
 	return p
 }
 
-func (p *Partner) add(turns *rand.Rand) int {
+func (p *Model) add(turns *rand.Rand) int {
 	e := &endpoint{slow: 1, turns: turns, nextTurn: never}
 	if p.spec.Pause.High > 0 {
-		e.nextTurn = p.now + scenario.Seconds(p.spec.PauseEvery.In(turns))
+		e.nextTurn = p.now + scenario.Seconds(p.spec.PauseEvery.Draw(turns))
 	}
 	p.endpoints = append(p.endpoints, e)
 	return len(p.endpoints) - 1
 }
 
-// Add gives the partner a further endpoint, and its number.
-func (p *Partner) Add(now time.Duration, turns *rand.Rand) (int, []Action) {
+// AddEndpoint gives the partner a further endpoint, and its number.
+func (p *Model) AddEndpoint(now time.Duration, turns *rand.Rand) (int, []Action) {
 	p.advance(now)
 	return p.add(turns), p.flush()
 }
 
 // Mode tells how an endpoint stands.
-func (p *Partner) Mode(e int) Mode { return p.endpoints[e].mode }
+func (p *Model) Mode(e int) Mode { return p.endpoints[e].mode }
 
-// Falls is how often the partner was pushed over.
-func (p *Partner) Falls() int { return p.falls }
+// Overloads is how often the partner was pushed over.
+func (p *Model) Overloads() int { return p.falls }
 
 // Connect counts a connection to an endpoint, and tells whether it is one more than that takes.
-func (p *Partner) Connect(e int) (overfull bool) {
+func (p *Model) Connect(e int) (overfull bool) {
 	p.endpoints[e].conns++
-	return p.spec.Connections > 0 && p.endpoints[e].conns > p.spec.Connections
+	return p.spec.MaxConnections > 0 && p.endpoints[e].conns > p.spec.MaxConnections
 }
 
 // Disconnect counts a connection's end.
-func (p *Partner) Disconnect(e int) { p.endpoints[e].conns-- }
+func (p *Model) Disconnect(e int) { p.endpoints[e].conns-- }
 
-// Next is when something is due by itself.
-func (p *Partner) Next() time.Duration {
+// NextDue is when something is due by itself.
+func (p *Model) NextDue() time.Duration {
 	next := p.refresh
 	if len(p.upcoming) > 0 {
 		next = min(next, p.upcoming[0].at)
@@ -204,22 +204,22 @@
 }
 
 // Advance brings the partner to a time.
-func (p *Partner) Advance(now time.Duration) []Action {
+func (p *Model) Advance(now time.Duration) []Action {
 	p.advance(now)
 	return p.flush()
 }
 
 // flush gives what is to be done, calls that took no time included.
-func (p *Partner) flush() []Action {
+func (p *Model) flush() []Action {
 	p.advance(p.now)
 	out := p.actions
 	p.actions = nil
 	return out
 }
 
-func (p *Partner) advance(now time.Duration) {
+func (p *Model) advance(now time.Duration) {
 	for {
-		at := p.Next()
+		at := p.NextDue()
 		if at > now {
 			break
 		}
@@ -230,7 +230,7 @@
 }
 
 // turn does what is due now.
-func (p *Partner) turn() {
+func (p *Model) turn() {
 	for i, e := range p.endpoints {
 		for _, c := range slices.Clone(e.running) {
 			if p.due(e, c) <= p.now {
@@ -241,9 +241,9 @@
 			p.settle(e)
 			e.paused = !e.paused
 			if e.paused {
-				e.nextTurn = p.now + scenario.Millis(p.spec.Pause.In(e.turns))
+				e.nextTurn = p.now + scenario.Milliseconds(p.spec.Pause.Draw(e.turns))
 			} else {
-				e.nextTurn = p.now + scenario.Seconds(p.spec.PauseEvery.In(e.turns))
+				e.nextTurn = p.now + scenario.Seconds(p.spec.PauseEvery.Draw(e.turns))
 			}
 		}
 		if p.fallen > 0 && p.fallen <= p.now {
@@ -254,7 +254,7 @@
 		p.fallen = 0
 	}
 	for len(p.upcoming) > 0 && p.upcoming[0].at <= p.now {
-		r := p.upcoming[0].Report
+		r := p.upcoming[0].LoadReport
 		p.report = &r
 		p.upcoming = p.upcoming[1:]
 	}
@@ -264,23 +264,23 @@
 }
 
 // tell draws up a report, which is seen after a while.
-func (p *Partner) tell() {
-	rep := p.script.Report
+func (p *Model) tell() {
+	rep := p.script.LoadReport
 	noise := func() float64 { return max(0, 1+rep.Noise*p.reports.NormFloat64()) }
 	n1, n2 := noise(), noise()
-	at := p.now + scenario.Millis(rep.Delay.In(p.reports))
-	p.refresh = p.now + scenario.Millis(rep.Every.In(p.reports))
+	at := p.now + scenario.Milliseconds(rep.Delay.Draw(p.reports))
+	p.refresh = p.now + scenario.Milliseconds(rep.Every.Draw(p.reports))
 	if p.spec.Limit == nil {
 		return
 	}
 	if k := len(p.upcoming); k > 0 {
 		at = max(at, p.upcoming[k-1].at) // an older one does not overtake
 	}
-	p.upcoming = append(p.upcoming, shown{at, Report{min(1, p.allowance()*n1), p.spec.Limit.PerSecond() * p.lowered * n2}})
+	p.upcoming = append(p.upcoming, shown{at, LoadReport{min(1, p.allowance()*n1), p.spec.Limit.PerSecond() * p.lowered * n2}})
 }
 
 // allowance is the share of the limit that is left.
-func (p *Partner) allowance() float64 {
+func (p *Model) allowance() float64 {
 	l := p.spec.Limit
 	p.refill()
 	if l.Rate > 0 {
@@ -290,10 +290,10 @@
 }
 
 // most is the count that the limit allows in a span at present.
-func (p *Partner) most() int { return int(float64(p.spec.Limit.Count) * p.lowered) }
+func (p *Model) most() int { return int(float64(p.spec.Limit.Count) * p.lowered) }
 
-// Lower has the partner take a share of its limit from now on.
-func (p *Partner) Lower(now time.Duration, share float64) []Action {
+// LowerLimit has the partner take a share of its limit from now on.
+func (p *Model) LowerLimit(now time.Duration, share float64) []Action {
 	p.advance(now)
 	if l := p.spec.Limit; l != nil {
 		p.refill()
@@ -303,20 +303,20 @@
 }
 
 // refill brings the limit to the present time.
-func (p *Partner) refill() {
+func (p *Model) refill() {
 	l := p.spec.Limit
 	if l.Rate > 0 {
 		p.tokens = min(l.Burst, p.tokens+l.Rate*p.lowered*(p.now-p.filled).Seconds())
 		p.filled = p.now
 		return
 	}
-	if n := int64(p.now / scenario.Seconds(l.Span)); n != p.span {
+	if n := int64(p.now / scenario.Seconds(l.Window)); n != p.span {
 		p.span, p.count = n, 0
 	}
 }
 
 // use takes a call out of the limit, if it has room for it; else it gives the wait until it has.
-func (p *Partner) use() (ok bool, wait time.Duration) {
+func (p *Model) use() (ok bool, wait time.Duration) {
 	l := p.spec.Limit
 	if l == nil {
 		return true, 0
@@ -327,7 +327,7 @@
 			p.tokens--
 			return true, 0
 		}
-		if p.spec.RefusedCounted {
+		if p.spec.CountsRejected {
 			p.tokens = max(-l.Burst, p.tokens-1)
 		}
 		return false, scenario.Seconds((1 - p.tokens) / max(l.Rate*p.lowered, 1e-3))
@@ -336,14 +336,14 @@
 		p.count++
 		return true, 0
 	}
-	return false, scenario.Seconds(l.Span*float64(p.span+1)) - p.now
+	return false, scenario.Seconds(l.Window*float64(p.span+1)) - p.now
 }
 
 // giveBack undoes use for a call that was refused for another reason, where refused calls do not count.
-func (p *Partner) giveBack() {
+func (p *Model) giveBack() {
 	l := p.spec.Limit
 	switch {
-	case l == nil || p.spec.RefusedCounted:
+	case l == nil || p.spec.CountsRejected:
 	case l.Rate > 0:
 		p.tokens++
 	default:
@@ -352,20 +352,20 @@
 }
 
 // Arrive takes in a call whose last byte has come.
-func (p *Partner) Arrive(now time.Duration, at int, c *Call) []Action {
+func (p *Model) Arrive(now time.Duration, at int, c *Attempt) []Action {
 	p.advance(now)
 	p.arrive(at, c)
 	return p.flush()
 }
 
-func (p *Partner) arrive(at int, c *Call) {
+func (p *Model) arrive(at int, c *Attempt) {
 	e := p.endpoints[at]
 	c.endpoint = at
 	p.push()
 	switch {
-	case e.mode >= Refusing:
+	case e.mode >= ModeRefusing:
 		return // nothing comes back
-	case e.mode == Shut || e.draining || e.removed || c.Overfull:
+	case e.mode == ModeOverloaded || e.draining || e.removed || c.OverConnectionLimit:
 		p.refuse(c, 0)
 		return
 	}
@@ -375,15 +375,15 @@
 		return
 	}
 	if c.Probe {
-		p.actions = append(p.actions, Action{Done: &Done{Call: c, At: p.now, Outcome: Delivered, Report: p.report}})
+		p.actions = append(p.actions, Action{Completion: &Completion{Attempt: c, At: p.now, Outcome: OutcomeDelivered, LoadReport: p.report}})
 		return
 	}
 	if until, known := p.keys[c.Key]; known && c.Key != "" && p.now < until {
-		c.repeat, c.Work = true, 0
+		c.repeat, c.ServiceTime = true, 0
 	}
 	c.doomed = p.doom(e, c)
-	if len(e.running) >= p.spec.Slots {
-		if len(e.queue) >= p.spec.Queue {
+	if len(e.running) >= p.spec.Concurrency {
+		if len(e.queue) >= p.spec.QueueLength {
 			p.giveBack()
 			p.refuse(c, p.soonest(e))
 			return
@@ -396,37 +396,37 @@
 	p.begin(e, c)
 }
 
-func (p *Partner) remember(c *Call) {
+func (p *Model) remember(c *Attempt) {
 	if c.Key != "" && !c.repeat {
-		p.keys[c.Key] = p.now + c.Memory
+		p.keys[c.Key] = p.now + c.KeyTTL
 	}
 }
 
 // doom draws what a call that is served ends as.
-func (p *Partner) doom(e *endpoint, c *Call) Outcome {
+func (p *Model) doom(e *endpoint, c *Attempt) Outcome {
 	failing := p.spec.ErrorRate
-	if e.mode == Failing {
+	if e.mode == ModeFailing {
 		failing = max(failing, e.share)
 	}
 	switch {
-	case c.Chance < failing:
-		return Errored
-	case c.Chance < failing+(1-failing)*e.resets:
-		return Dropped
+	case c.Draw < failing:
+		return OutcomeError
+	case c.Draw < failing+(1-failing)*e.resets:
+		return OutcomeReset
 	}
-	return Delivered
+	return OutcomeDelivered
 }
 
-func (p *Partner) refuse(c *Call, wait time.Duration) {
-	d := &Done{Call: c, At: p.now, Outcome: Full, Report: p.report}
-	if wait > 0 && p.spec.Tells == "wait" {
-		d.Outcome, d.Wait = Wait, wait
+func (p *Model) refuse(c *Attempt, wait time.Duration) {
+	d := &Completion{Attempt: c, At: p.now, Outcome: OutcomeUnavailable, LoadReport: p.report}
+	if wait > 0 && p.spec.RejectionInfo == "wait" {
+		d.Outcome, d.RetryAfter = OutcomeRetryAfter, wait
 	}
-	p.actions = append(p.actions, Action{Done: d})
+	p.actions = append(p.actions, Action{Completion: d})
 }
 
 // soonest is the time until an endpoint's next call is done.
-func (p *Partner) soonest(e *endpoint) time.Duration {
+func (p *Model) soonest(e *endpoint) time.Duration {
 	next := never
 	for _, c := range e.running {
 		next = min(next, p.due(e, c))
@@ -437,52 +437,52 @@
 	return max(time.Millisecond, next-p.now)
 }
 
-func (p *Partner) begin(e *endpoint, c *Call) {
-	c.left = time.Duration(float64(c.Work) * p.spec.Pace)
-	if c.New {
-		c.left += scenario.Millis(p.spec.HandshakeMS)
+func (p *Model) begin(e *endpoint, c *Attempt) {
+	c.left = time.Duration(float64(c.ServiceTime) * p.spec.ServiceTimeFactor)
+	if c.NewConnection {
+		c.left += scenario.Milliseconds(p.spec.HandshakeMS)
 	}
 	c.since = p.now
 	e.running = append(e.running, c)
 }
 
 // finish ends a call and begins the next that waits.
-func (p *Partner) finish(e *endpoint, c *Call) {
-	e.running = slices.DeleteFunc(e.running, func(o *Call) bool { return o == c })
+func (p *Model) finish(e *endpoint, c *Attempt) {
+	e.running = slices.DeleteFunc(e.running, func(o *Attempt) bool { return o == c })
 	// Half of the errors come after the effect: nobody can tell from outside.
-	ran := !c.repeat && (c.doomed != Errored || c.Chance < p.errorShare(e)/2)
-	if c.doomed == Errored && !ran && !c.repeat {
+	ran := !c.repeat && (c.doomed != OutcomeError || c.Draw < p.errorShare(e)/2)
+	if c.doomed == OutcomeError && !ran && !c.repeat {
 		delete(p.keys, c.Key)
 	}
-	p.actions = append(p.actions, Action{Done: &Done{Call: c, At: p.now, Outcome: c.doomed, Ran: ran, Report: p.report}})
+	p.actions = append(p.actions, Action{Completion: &Completion{Attempt: c, At: p.now, Outcome: c.doomed, Executed: ran, LoadReport: p.report}})
 	p.fill(e)
 }
 
-func (p *Partner) errorShare(e *endpoint) float64 {
-	if e.mode == Failing {
+func (p *Model) errorShare(e *endpoint) float64 {
+	if e.mode == ModeFailing {
 		return max(p.spec.ErrorRate, e.share)
 	}
 	return p.spec.ErrorRate
 }
 
-func (p *Partner) fill(e *endpoint) {
-	for len(e.queue) > 0 && len(e.running) < p.spec.Slots {
+func (p *Model) fill(e *endpoint) {
+	for len(e.queue) > 0 && len(e.running) < p.spec.Concurrency {
 		c := e.queue[0]
 		e.queue = e.queue[1:]
 		p.begin(e, c)
 	}
 }
 
-// Leave says that nobody waits for a call's answer any more: it is cancelled, timed out, or its connection broke.
-func (p *Partner) Leave(now time.Duration, c *Call) []Action {
+// Cancel says that nobody waits for a call's answer any more: it is cancelled, timed out, or its connection broke.
+func (p *Model) Cancel(now time.Duration, c *Attempt) []Action {
 	p.advance(now)
 	e := p.endpoints[c.endpoint]
-	is := func(o *Call) bool { return o == c }
-	if p.spec.Cancelled != "runs-on" && slices.ContainsFunc(e.queue, is) {
+	is := func(o *Attempt) bool { return o == c }
+	if p.spec.CancelBehavior != "runs-on" && slices.ContainsFunc(e.queue, is) {
 		e.queue = slices.DeleteFunc(e.queue, is)
 		p.forget(c)
 	}
-	if p.spec.Cancelled == "stops" && slices.ContainsFunc(e.running, is) {
+	if p.spec.CancelBehavior == "stops" && slices.ContainsFunc(e.running, is) {
 		e.running = slices.DeleteFunc(e.running, is)
 		p.forget(c)
 		p.fill(e)
@@ -491,14 +491,14 @@
 }
 
 // forget drops the key of a call that will not have its effect.
-func (p *Partner) forget(c *Call) {
+func (p *Model) forget(c *Attempt) {
 	if !c.repeat {
 		delete(p.keys, c.Key)
 	}
 }
 
-// Sweep forgets keys whose time is over.
-func (p *Partner) Sweep(now time.Duration) {
+// ExpireKeys forgets keys whose time is over.
+func (p *Model) ExpireKeys(now time.Duration) {
 	for k, until := range p.keys {
 		if until <= now {
 			delete(p.keys, k)
--- a/internal/faultinjection/destination/destination_test.go
+++ b/internal/faultinjection/destination/destination_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { testseed.Main(m) }
 
 // parse makes a script with one class of mean service time 100 ms and one partner with the lines given.
-func parse(t testing.TB, partnerLines string) *scenario.Script {
+func parse(t testing.TB, partnerLines string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse("t", []byte(`version=1
 name="t"
@@ -40,31 +40,31 @@
 	return s
 }
 
-func newPartner(t testing.TB, lines string) *Partner {
-	return New(parse(t, lines), 0, scenario.NewDraws(1))
+func newPartner(t testing.TB, lines string) *Model {
+	return New(parse(t, lines), 0, scenario.NewRandomStreams(1))
 }
 
 // play lets calls come at a mean rate for so many and sums up what became of them.
-func play(p *Partner, rate float64, calls int) (served, full int, meanTime float64) {
+func play(p *Model, rate float64, calls int) (served, full int, meanTime float64) {
 	chance := rand.New(rand.NewPCG(7, 7))
-	began := map[*Call]time.Duration{}
+	began := map[*Attempt]time.Duration{}
 	now, sum := time.Duration(0), 0.0
 	count := func(actions []Action) {
 		for _, a := range actions {
-			switch d := a.Done; d.Outcome {
-			case Delivered:
+			switch d := a.Completion; d.Outcome {
+			case OutcomeDelivered:
 				served++
-				sum += (d.At - began[d.Call]).Seconds()
-			case Full:
+				sum += (d.At - began[d.Attempt]).Seconds()
+			case OutcomeUnavailable:
 				full++
 			}
-			delete(began, a.Done.Call)
+			delete(began, a.Completion.Attempt)
 		}
 	}
 	for range calls {
 		now += scenario.Seconds(chance.ExpFloat64() / rate)
 		count(p.Advance(now))
-		c := &Call{Work: scenario.Seconds(0.1 * chance.ExpFloat64()), Chance: chance.Float64()}
+		c := &Attempt{ServiceTime: scenario.Seconds(0.1 * chance.ExpFloat64()), Draw: chance.Float64()}
 		began[c] = now
 		count(p.Arrive(now, 0, c))
 	}
@@ -120,9 +120,9 @@
 			at := 300 * time.Millisecond
 			var wait time.Duration
 			for range 3 {
-				for _, a := range p.Arrive(at, 0, &Call{Work: 200 * time.Millisecond, Chance: 1}) {
-					if a.Done.Outcome == Wait {
-						wait = a.Done.Wait
+				for _, a := range p.Arrive(at, 0, &Attempt{ServiceTime: 200 * time.Millisecond, Draw: 1}) {
+					if a.Completion.Outcome == OutcomeRetryAfter {
+						wait = a.Completion.RetryAfter
 					}
 				}
 			}
@@ -130,8 +130,8 @@
 				t.Fatalf("%q: no wait was told", lines)
 			}
 			refused := false
-			for _, a := range p.Arrive(at+wait-early, 0, &Call{Chance: 1}) {
-				refused = refused || a.Done.Outcome == Wait
+			for _, a := range p.Arrive(at+wait-early, 0, &Attempt{Draw: 1}) {
+				refused = refused || a.Completion.Outcome == OutcomeRetryAfter
 			}
 			if refused != (early > 0) {
 				t.Errorf("%q: %v before the wait's end: refused %v", lines, early, refused)
@@ -145,7 +145,7 @@
 func TestColdReturn(t *testing.T) {
 	const lines = "slots=40\nqueue=100\ncold_share=0.2\nwarm_s=10\nfallen_for_s=7\n"
 	p := newPartner(t, lines)
-	p.Fail(0, -1, Refusing, 0)
+	p.Fail(0, -1, ModeRefusing, 0)
 	if got := p.Capacity(); got != 0 {
 		t.Errorf("capacity %v while down", got)
 	}
@@ -158,23 +158,23 @@
 			t.Errorf("capacity at %v is %v, want %v", at, got, want)
 		}
 	}
-	budget := int(2.5*80*1.5) + Slack
+	budget := int(2.5*80*1.5) + OverloadSlack
 	for i := range budget {
-		if p.Arrive(time.Second, 0, &Call{Work: time.Millisecond, Chance: 1}); p.Falls() > 0 {
+		if p.Arrive(time.Second, 0, &Attempt{ServiceTime: time.Millisecond, Draw: 1}); p.Overloads() > 0 {
 			t.Fatalf("fell over at call %d of %d", i+1, budget)
 		}
 	}
 	changes := 0
-	for _, a := range p.Arrive(time.Second, 0, &Call{Chance: 1}) {
-		if a.Change != nil && a.Change.Mode == Refusing {
+	for _, a := range p.Arrive(time.Second, 0, &Attempt{Draw: 1}) {
+		if a.ModeChange != nil && a.ModeChange.Mode == ModeRefusing {
 			changes++
 		}
 	}
-	if p.Falls() != 1 || changes != 1 || p.Mode(0) != Refusing {
-		t.Errorf("%d falls, %d changes after one call too many", p.Falls(), changes)
+	if p.Overloads() != 1 || changes != 1 || p.Mode(0) != ModeRefusing {
+		t.Errorf("%d falls, %d changes after one call too many", p.Overloads(), changes)
 	}
 	back := p.Advance(8 * time.Second)
-	if len(back) != 1 || back[0].Change == nil || back[0].Change.Mode != Serving || !p.Cold() {
+	if len(back) != 1 || back[0].ModeChange == nil || back[0].ModeChange.Mode != ModeServing || !p.Cold() {
 		t.Errorf("after its fall: %+v", back)
 	}
 }
@@ -183,17 +183,17 @@
 func TestWorkIsKept(t *testing.T) {
 	p := newPartner(t, "slots=1\ncold_share=0.2\nwarm_s=10\n")
 	p.Recover(0, -1, true) // cold: 0.2 + 0.08 t
-	p.Arrive(0, 0, &Call{Work: 2 * time.Second, Chance: 1})
-	p.Slow(time.Second, -1, 2)             // done: 0.24
-	p.Stop(2*time.Second, -1, true)        // + (0.28+0.36)/2/2 = 0.16
-	p.Stop(5*time.Second, -1, false)       // + 0
-	p.Slow(5*time.Second, -1, 1)           // from here 0.6 + 0.08 t, 1.6 to do: t = 2.337 s
+	p.Arrive(0, 0, &Attempt{ServiceTime: 2 * time.Second, Draw: 1})
+	p.SetSlowdown(time.Second, -1, 2)      // done: 0.24
+	p.SetStopped(2*time.Second, -1, true)  // + (0.28+0.36)/2/2 = 0.16
+	p.SetStopped(5*time.Second, -1, false) // + 0
+	p.SetSlowdown(5*time.Second, -1, 1)    // from here 0.6 + 0.08 t, 1.6 to do: t = 2.337 s
 	done := p.Advance(7 * time.Second)     // too early
 	done = append(done, p.Advance(8e9)...) // 8 s
-	if len(done) != 1 || math.Abs(done[0].Done.At.Seconds()-7.31) > 0.03 {
+	if len(done) != 1 || math.Abs(done[0].Completion.At.Seconds()-7.31) > 0.03 {
 		t.Errorf("done %+v", done)
 		for _, d := range done {
-			t.Error(d.Done.At)
+			t.Error(d.Completion.At)
 		}
 	}
 }
@@ -202,8 +202,8 @@
 func TestKeysAreRemembered(t *testing.T) {
 	p := newPartner(t, "slots=5\n")
 	ran := func(at time.Duration) (n int) {
-		for _, a := range append(p.Arrive(at, 0, &Call{Key: "k", Memory: 15 * time.Second, Work: time.Second, Chance: 1}), p.Advance(at+2*time.Second)...) {
-			if a.Done.Ran {
+		for _, a := range append(p.Arrive(at, 0, &Attempt{Key: "k", KeyTTL: 15 * time.Second, ServiceTime: time.Second, Draw: 1}), p.Advance(at+2*time.Second)...) {
+			if a.Completion.Executed {
 				n++
 			}
 		}
@@ -212,7 +212,7 @@
 	if a, b, c := ran(0), ran(14*time.Second), ran(17*time.Second); a != 1 || b != 0 || c != 1 {
 		t.Errorf("ran %d, %d, %d times; want once, not, once", a, b, c)
 	}
-	p.Sweep(time.Hour)
+	p.ExpireKeys(time.Hour)
 	if len(p.keys) != 0 {
 		t.Error("keys are kept for good")
 	}
@@ -230,21 +230,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := New(s, 0, scenario.NewDraws(1))
-		ended, now := map[*Call]bool{}, time.Duration(0)
-		var out []*Call
+		p := New(s, 0, scenario.NewRandomStreams(1))
+		ended, now := map[*Attempt]bool{}, time.Duration(0)
+		var out []*Attempt
 		take := func(actions []Action) {
 			for _, a := range actions {
-				if a.Done == nil {
+				if a.Completion == nil {
 					continue
 				}
-				if ended[a.Done.Call] {
+				if ended[a.Completion.Attempt] {
 					t.Fatal("a call ended twice")
 				}
-				if a.Done.At > now {
-					t.Fatalf("done at %v before it is due, at %v", now, a.Done.At)
+				if a.Completion.At > now {
+					t.Fatalf("done at %v before it is due, at %v", now, a.Completion.At)
 				}
-				ended[a.Done.Call] = true
+				ended[a.Completion.Attempt] = true
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -256,15 +256,15 @@
 			case 1:
 				take(p.Recover(now, at, true))
 			case 2:
-				take(p.Slow(now, at, float64(rapid.IntRange(1, 20).Draw(t, "slow"))))
+				take(p.SetSlowdown(now, at, float64(rapid.IntRange(1, 20).Draw(t, "slow"))))
 			case 3:
 				if len(out) > 0 {
-					take(p.Leave(now, out[rapid.IntRange(0, len(out)-1).Draw(t, "leaves")]))
+					take(p.Cancel(now, out[rapid.IntRange(0, len(out)-1).Draw(t, "leaves")]))
 				}
 			case 4:
-				take(p.Stop(now, at, rapid.Bool().Draw(t, "stop")))
+				take(p.SetStopped(now, at, rapid.Bool().Draw(t, "stop")))
 			default:
-				c := &Call{Work: time.Duration(rapid.IntRange(0, 500).Draw(t, "work")) * time.Millisecond, Chance: rapid.Float64Range(0, 1).Draw(t, "chance")}
+				c := &Attempt{ServiceTime: time.Duration(rapid.IntRange(0, 500).Draw(t, "work")) * time.Millisecond, Draw: rapid.Float64Range(0, 1).Draw(t, "chance")}
 				out = append(out, c)
 				take(p.Arrive(now, at, c))
 			}
@@ -274,7 +274,7 @@
 					t.Fatalf("%d run and %d wait", len(e.running), len(e.queue))
 				}
 			}
-			if next := p.Next(); next <= now {
+			if next := p.NextDue(); next <= now {
 				t.Fatalf("something is due at %v, and it is %v", next, now)
 			}
 		}
@@ -287,13 +287,13 @@
 		p := newPartner(t, limit+"\nslots = 50")
 		for i, share := range []float64{1, 0.25, 0, 1} {
 			from := time.Duration(i) * 10 * time.Second
-			p.Lower(from, share)
+			p.LowerLimit(from, share)
 			taken := 0
 			for n := range 500 { // 50 a second
-				c := &Call{ID: fmt.Sprint(i, n), Work: time.Millisecond}
+				c := &Attempt{ID: fmt.Sprint(i, n), ServiceTime: time.Millisecond}
 				refused := false
 				for _, a := range p.Arrive(from+time.Duration(n)*20*time.Millisecond, 0, c) {
-					refused = refused || a.Done != nil && a.Done.Call == c && a.Done.Outcome == Full
+					refused = refused || a.Completion != nil && a.Completion.Attempt == c && a.Completion.Outcome == OutcomeUnavailable
 				}
 				if !refused {
 					taken++
--- a/internal/faultinjection/faults/check.go
+++ b/internal/faultinjection/faults/check.go
@@ -12,30 +12,30 @@
 	From, To time.Duration
 }
 
-// Fault is a broken promise.
-type Fault struct {
-	Check string `json:"check"` // overlap, token, unpaused, idle, process
-	What  string `json:"what"`
+// Violation is a broken promise.
+type Violation struct {
+	Check  string `json:"check"` // overlap, token, unpaused, idle, process
+	Detail string `json:"what"`
 }
 
 // Check judges what the resource has written down. It knows nothing of leases but their promises:
 // accepted acts of two holders never overlap (overlap); accepted acts go by growing tokens, and a token is one relay's (token);
 // acts never overlap, accepted or not, where neither relay stood still from shortly before to its end (unpaused).
-func Check(acts []Act, pauses []Pause) (faults []Fault) {
+func Check(acts []Execution, pauses []Pause) (faults []Violation) {
 	add := func(check, format string, args ...any) {
-		faults = append(faults, Fault{check, fmt.Sprintf(format, args...)})
+		faults = append(faults, Violation{check, fmt.Sprintf(format, args...)})
 	}
 	acts = slices.Clone(acts)
-	slices.SortStableFunc(acts, func(a, b Act) int { return int(a.Begin - b.Begin) })
+	slices.SortStableFunc(acts, func(a, b Execution) int { return int(a.Begin - b.Begin) })
 	owner := map[uint64]string{}
-	var open []Act // that had not ended when the one before began
+	var open []Execution // that had not ended when the one before began
 	highest := uint64(0)
 	for _, a := range acts {
 		if by, ok := owner[a.Token]; ok && by != a.Relay {
 			add("token", "token %d: of %s, and of %s from %v on", a.Token, by, a.Relay, a.Begin)
 		}
 		owner[a.Token] = a.Relay
-		open = slices.DeleteFunc(open, func(b Act) bool { return b.End <= a.Begin })
+		open = slices.DeleteFunc(open, func(b Execution) bool { return b.End <= a.Begin })
 		for _, b := range open {
 			if b.Token == a.Token {
 				continue
@@ -64,7 +64,7 @@
 const before = 100 * time.Millisecond
 
 // still tells whether an act's relay stood still in it, or right before.
-func still(pauses []Pause, a Act) bool {
+func still(pauses []Pause, a Execution) bool {
 	return slices.ContainsFunc(pauses, func(p Pause) bool {
 		return p.Relay == a.Relay && p.From < a.End && p.To > a.Begin-before
 	})
--- a/internal/faultinjection/faults/faults_test.go
+++ b/internal/faultinjection/faults/faults_test.go
@@ -44,7 +44,7 @@
 // play plays a run, again where the machine was too busy for a verdict.
 func play(t *testing.T, o Options) Result {
 	t.Helper()
-	o.Relay, o.Coord = filepath.Join(programs, "frostlink"), filepath.Join(programs, "frostlink-coord")
+	o.RelayPath, o.CoordinatorPath = filepath.Join(programs, "frostlink"), filepath.Join(programs, "frostlink-coord")
 	for range 4 {
 		r, err := RunIn(context.Background(), t.TempDir(), o)
 		if err != nil {
@@ -65,8 +65,8 @@
 			t.Parallel()
 			o.TTL, o.Length, o.Fenced = time.Second, 10*time.Second, true
 			r := play(t, o)
-			for _, f := range r.Faults {
-				t.Errorf("%s: %s", f.Check, f.What)
+			for _, f := range r.Violations {
+				t.Errorf("%s: %s", f.Check, f.Detail)
 			}
 			if !r.Void && (r.Grants < 2 || r.Accepted < 20) {
 				t.Errorf("%d acts accepted under %d grants: the run says nothing", r.Accepted, r.Grants)
@@ -87,12 +87,12 @@
 			t.Parallel()
 			r := play(t, Options{Seed: 7, Members: 3, Relays: 4, TTL: time.Second, Fenced: fenced, Steps: steps})
 			overlaps, others := 0, 0
-			for _, f := range r.Faults {
+			for _, f := range r.Violations {
 				if f.Check == "overlap" {
 					overlaps++
 				} else if fenced || f.Check != "token" { // without fencing an older token is accepted after a newer one, too
 					others++
-					t.Errorf("%s: %s", f.Check, f.What)
+					t.Errorf("%s: %s", f.Check, f.Detail)
 				}
 			}
 			if !r.Void && fenced != (overlaps == 0) {
@@ -103,22 +103,22 @@
 }
 
 func TestCheck(t *testing.T) {
-	act := func(relay string, token uint64, begin, end int, accepted bool) Act {
-		return Act{relay, token, time.Duration(begin) * time.Millisecond, time.Duration(end) * time.Millisecond, accepted}
+	act := func(relay string, token uint64, begin, end int, accepted bool) Execution {
+		return Execution{relay, token, time.Duration(begin) * time.Millisecond, time.Duration(end) * time.Millisecond, accepted}
 	}
 	pause := []Pause{{"a", 100 * time.Millisecond, 900 * time.Millisecond}}
 	tests := map[string]struct {
-		acts   []Act
+		acts   []Execution
 		pauses []Pause
 		want   []string
 	}{
-		"in turn":                          {[]Act{act("a", 1, 0, 10, true), act("b", 2, 10, 20, true)}, nil, nil},
-		"two at once":                      {[]Act{act("a", 1, 0, 15, true), act("b", 2, 10, 20, true)}, nil, []string{"overlap", "unpaused"}},
-		"an old one refused at its end":    {[]Act{act("a", 1, 150, 250, false), act("b", 2, 200, 260, true)}, pause, nil},
-		"the same, and nobody stood still": {[]Act{act("a", 1, 150, 250, false), act("b", 2, 200, 260, true)}, nil, []string{"unpaused"}},
-		"an old one accepted afterwards":   {[]Act{act("b", 2, 0, 10, true), act("a", 1, 20, 30, true)}, nil, []string{"token"}},
-		"a token of two":                   {[]Act{act("b", 2, 0, 10, true), act("a", 2, 20, 30, true)}, nil, []string{"token"}},
-		"a long one under several":         {[]Act{act("a", 1, 0, 100, true), act("b", 2, 150, 160, true), act("c", 3, 155, 158, true)}, nil, []string{"overlap", "unpaused"}},
+		"in turn":                          {[]Execution{act("a", 1, 0, 10, true), act("b", 2, 10, 20, true)}, nil, nil},
+		"two at once":                      {[]Execution{act("a", 1, 0, 15, true), act("b", 2, 10, 20, true)}, nil, []string{"overlap", "unpaused"}},
+		"an old one refused at its end":    {[]Execution{act("a", 1, 150, 250, false), act("b", 2, 200, 260, true)}, pause, nil},
+		"the same, and nobody stood still": {[]Execution{act("a", 1, 150, 250, false), act("b", 2, 200, 260, true)}, nil, []string{"unpaused"}},
+		"an old one accepted afterwards":   {[]Execution{act("b", 2, 0, 10, true), act("a", 1, 20, 30, true)}, nil, []string{"token"}},
+		"a token of two":                   {[]Execution{act("b", 2, 0, 10, true), act("a", 2, 20, 30, true)}, nil, []string{"token"}},
+		"a long one under several":         {[]Execution{act("a", 1, 0, 100, true), act("b", 2, 150, 160, true), act("c", 3, 155, 158, true)}, nil, []string{"overlap", "unpaused"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/faultinjection/faults/fleet.go
+++ b/internal/faultinjection/faults/fleet.go
@@ -19,16 +19,16 @@
 
 // Options says what is started.
 type Options struct {
-	Dir     string // of the run: logs and folders stay in it
-	Relay   string // the relay's program
-	Coord   string // the coordination service's
-	Members int
-	Relays  int
-	TTL     time.Duration
-	Seed    uint64
-	Length  time.Duration // of trouble; calm follows
-	Fenced  bool
-	Steps   []Step // in place of those drawn from the seed; nil: those
+	Dir             string // of the run: logs and folders stay in it
+	RelayPath       string // the relay's program
+	CoordinatorPath string // the coordination service's
+	Members         int
+	Relays          int
+	TTL             time.Duration
+	Seed            uint64
+	Length          time.Duration // of trouble; calm follows
+	Fenced          bool
+	Steps           []Step // in place of those drawn from the seed; nil: those
 }
 
 // fleet is members, relays, and the proxies between them.
@@ -45,7 +45,7 @@
 
 	mu      sync.Mutex
 	pauses  []Pause
-	faults  []Fault
+	faults  []Violation
 	deaths  []time.Duration // of holders that were killed
 	latest  time.Duration   // the rig's own greatest lateness
 	causing map[string]int
@@ -70,7 +70,7 @@
 func (f *fleet) fault(check, format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = append(f.faults, Fault{check, fmt.Sprintf(format, args...)})
+	f.faults = append(f.faults, Violation{check, fmt.Sprintf(format, args...)})
 }
 
 var nextRun atomic.Int64
@@ -116,7 +116,7 @@
 
 func (f *fleet) makeMember(m *member, first []string) error {
 	dir := filepath.Join(f.o.Dir, fmt.Sprint("member-", m.id))
-	args := []string{f.o.Coord, "init", "--folder", dir, "--cluster", f.cluster, "--id", fmt.Sprint(m.id)}
+	args := []string{f.o.CoordinatorPath, "init", "--folder", dir, "--cluster", f.cluster, "--id", fmt.Sprint(m.id)}
 	for _, text := range first {
 		args = append(args, "--member", text)
 	}
@@ -126,7 +126,7 @@
 		return err
 	}
 	<-init.exited
-	args = []string{f.o.Coord, "run", "--folder", dir}
+	args = []string{f.o.CoordinatorPath, "run", "--folder", dir}
 	for _, other := range f.members {
 		if other == m {
 			m.links = append(m.links, nil)
@@ -210,7 +210,7 @@
 			return nil, err
 		}
 	}
-	r.Process = NewProcess(name, filepath.Join(f.o.Dir, name+".log"), f.launcher, f.o.Relay, "-config", filepath.Join(dir, "config.json"),
+	r.Process = NewProcess(name, filepath.Join(f.o.Dir, name+".log"), f.launcher, f.o.RelayPath, "-config", filepath.Join(dir, "config.json"),
 		"-state", filepath.Join(dir, "state"), "-operator", filepath.Join(dir, "frostlink.toml"))
 	r.ended = f.noteEnd(r.Process)
 	return r, nil
--- a/internal/faultinjection/faults/golden_test.go
+++ b/internal/faultinjection/faults/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestGoldenForms(t *testing.T) {
-	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "result", Value: &Result{}, WriteOnly: true}, goldentest.Form{Name: "act", Value: &Act{}})
+	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "result", Value: &Result{}, WriteOnly: true}, goldentest.Form{Name: "act", Value: &Execution{}})
 }
--- a/internal/faultinjection/faults/resource.go
+++ b/internal/faultinjection/faults/resource.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/fleettask"
 )
 
-// Act is one act upon the resource, on the rig's clock.
-type Act struct {
+// Execution is one act upon the resource, on the rig's clock.
+type Execution struct {
 	Relay      string        `json:"relay"`
 	Token      uint64        `json:"token"`
 	Begin, End time.Duration `json:"-"`
@@ -33,7 +33,7 @@
 	low     time.Duration // of an act
 	high    time.Duration
 	highest uint64
-	acts    []*Act
+	acts    []*Execution
 	last    string // the relay that acted last
 }
 
@@ -56,10 +56,10 @@
 func (r *Resource) Close() { _ = r.srv.Close() }
 
 // Acts gives the acts so far, by their begin.
-func (r *Resource) Acts() []Act {
+func (r *Resource) Acts() []Execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]Act, 0, len(r.acts))
+	list := make([]Execution, 0, len(r.acts))
 	for _, a := range r.acts {
 		one := *a
 		if one.End == 0 {
@@ -98,17 +98,17 @@
 	}
 }
 
-func (r *Resource) begin(relay string, token uint64) (*Act, time.Duration) {
+func (r *Resource) begin(relay string, token uint64) (*Execution, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := &Act{Relay: relay, Token: token, Begin: r.now(), Accepted: !r.Fenced || token >= r.highest}
+	a := &Execution{Relay: relay, Token: token, Begin: r.now(), Accepted: !r.Fenced || token >= r.highest}
 	r.highest = max(r.highest, token)
 	r.acts = append(r.acts, a)
 	r.last = relay
 	return a, r.low + time.Duration(r.rand.Int64N(int64(r.high-r.low)))
 }
 
-func (r *Resource) end(a *Act) bool {
+func (r *Resource) end(a *Execution) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.End = r.now()
--- a/internal/faultinjection/faults/run.go
+++ b/internal/faultinjection/faults/run.go
@@ -23,19 +23,19 @@
 
 // Result is what a run came to.
 type Result struct {
-	Seed     uint64         `json:"seed"`
-	Members  int            `json:"members"`
-	Relays   int            `json:"relays"`
-	Fenced   bool           `json:"fenced"`
-	Acts     int            `json:"acts"`
-	Accepted int            `json:"accepted"`
-	Grants   int            `json:"grants"` // tokens seen
-	Caused   map[string]int `json:"caused"`
-	Takeover []float64      `json:"takeover_s"`       // from a holder's death to another's next act
-	Late     float64        `json:"rig_late_s"`       // the most
-	Void     bool           `json:"void"`             // the machine was too busy: no verdict
-	Faults   []Fault        `json:"faults,omitempty"` //
-	Folder   string         `json:"folder,omitempty"` // of a run that failed: logs and data
+	Seed               uint64         `json:"seed"`
+	Members            int            `json:"members"`
+	Relays             int            `json:"relays"`
+	Fenced             bool           `json:"fenced"`
+	Executions         int            `json:"acts"`
+	Accepted           int            `json:"accepted"`
+	Grants             int            `json:"grants"` // tokens seen
+	InjectedFaults     map[string]int `json:"caused"`
+	TakeoverSeconds    []float64      `json:"takeover_s"`       // from a holder's death to another's next act
+	MaxLatenessSeconds float64        `json:"rig_late_s"`       // the most
+	Void               bool           `json:"void"`             // the machine was too busy: no verdict
+	Violations         []Violation    `json:"faults,omitempty"` //
+	Dir                string         `json:"folder,omitempty"` // of a run that failed: logs and data
 }
 
 // Run plays one run with real processes, and judges it.
@@ -133,20 +133,20 @@
 			res.Accepted++
 		}
 	}
-	res.Acts, res.Grants, res.Caused, res.Late = len(acts), len(tokens), f.causing, f.latest.Seconds()
-	res.Faults = append(f.faults, Check(acts, f.pauses)...)
+	res.Executions, res.Grants, res.InjectedFaults, res.MaxLatenessSeconds = len(acts), len(tokens), f.causing, f.latest.Seconds()
+	res.Violations = append(f.faults, Check(acts, f.pauses)...)
 	if len(acts) == 0 || f.now()-acts[len(acts)-1].Begin > 2*time.Second {
-		res.Faults = append(res.Faults, Fault{"idle", "nobody acts at the end of the calm"})
+		res.Violations = append(res.Violations, Violation{"idle", "nobody acts at the end of the calm"})
 	}
 	for _, at := range f.deaths {
-		i := slices.IndexFunc(acts, func(a Act) bool { return a.Begin > at && a.Accepted })
+		i := slices.IndexFunc(acts, func(a Execution) bool { return a.Begin > at && a.Accepted })
 		if i >= 0 {
-			res.Takeover = append(res.Takeover, (acts[i].Begin - at).Seconds())
+			res.TakeoverSeconds = append(res.TakeoverSeconds, (acts[i].Begin - at).Seconds())
 		}
 	}
 	res.Void = f.latest > lateMost
-	if len(res.Faults) > 0 {
-		res.Folder = f.o.Dir
+	if len(res.Violations) > 0 {
+		res.Dir = f.o.Dir
 	}
 }
 
@@ -160,7 +160,7 @@
 		return Result{}, err
 	}
 	res, err := Run(ctx, o)
-	if err == nil && len(res.Faults) == 0 {
+	if err == nil && len(res.Violations) == 0 {
 		err = os.RemoveAll(dir)
 	}
 	return res, err
--- a/internal/faultinjection/faults/syscalls.go
+++ b/internal/faultinjection/faults/syscalls.go
@@ -25,25 +25,25 @@
 	short = 0xffff
 )
 
-// Call is a kind of system call that can be made to fail.
-type Call int
+// Syscall is a kind of system call that can be made to fail.
+type Syscall int
 
 // The kinds of call, as the library numbers them. Those on files are of the process's own folder only.
 const (
-	Accept Call = iota + 1
+	Accept Syscall = iota + 1
 	Connect
 	Socket
 	SocketRead
 	SocketWrite
-	Wait
+	PollWait
 	FileWrite
 	FileSync
 	FileOpen
 	FileRename
 )
 
-// Short has a read or write take only a part of what it is given, in place of an error.
-const Short syscall.Errno = short
+// ShortTransfer has a read or write take only a part of what it is given, in place of an error.
+const ShortTransfer syscall.Errno = short
 
 // SyscallErrors makes system calls of processes fail that are started with its Env: of each kind a share of the calls, drawn
 // from a seed by the number of the call. The processes have to be linked dynamically against the C library.
@@ -82,7 +82,7 @@
 func (s *SyscallErrors) Library() string { return s.library }
 
 // Fail has a share of the calls of a kind fail with an error from now on, in running processes and later ones.
-func (s *SyscallErrors) Fail(call Call, with syscall.Errno, share float64) (Rule, error) {
+func (s *SyscallErrors) Fail(call Syscall, with syscall.Errno, share float64) (Rule, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.used {
@@ -95,8 +95,8 @@
 	return 0, fmt.Errorf("more than %d rules on system calls at once", mostRules)
 }
 
-// Mend takes a rule back, and tells how often it was applied.
-func (s *SyscallErrors) Mend(rule Rule) (hits int, err error) {
+// Clear takes a rule back, and tells how often it was applied.
+func (s *SyscallErrors) Clear(rule Rule) (hits int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	raw, err := os.ReadFile(s.path)
--- a/internal/faultinjection/faults/syscalls_test.go
+++ b/internal/faultinjection/faults/syscalls_test.go
@@ -89,18 +89,18 @@
 	all := []string{"file-write", "file-write-outside", "file-sync", "file-open", "file-rename", "connect", "accept"}
 	for _, c := range []struct {
 		kind string
-		call Call
+		call Syscall
 		with syscall.Errno
 	}{
 		{"", 0, 0},
 		{"file-write", FileWrite, syscall.ENOSPC},
-		{"file-write", FileWrite, Short}, // the runtime goes on with the rest: none fails
+		{"file-write", FileWrite, ShortTransfer}, // the runtime goes on with the rest: none fails
 		{"file-sync", FileSync, syscall.EIO},
 		{"file-open", FileOpen, syscall.EROFS},
 		{"file-rename", FileRename, syscall.EIO},
 		{"connect", Connect, syscall.ENETUNREACH},
 		{"accept", Accept, syscall.ENOBUFS},
-		{"", Wait, syscall.EINTR}, // the runtime asks again
+		{"", PollWait, syscall.EINTR}, // the runtime asks again
 	} {
 		name := fmt.Sprint(c.kind, c.call, c.with)
 		dir := t.TempDir()
@@ -134,19 +134,19 @@
 		}
 		hits := 0
 		if c.call != 0 {
-			if hits, err = failing.Mend(rule); err != nil || c.call != Wait && (hits < callsOfAKind/4 || hits > 2*callsOfAKind) {
+			if hits, err = failing.Clear(rule); err != nil || c.call != PollWait && (hits < callsOfAKind/4 || hits > 2*callsOfAKind) {
 				t.Errorf("%s: applied %d times, %v", name, hits, err)
 			}
 		}
 		for _, kind := range all {
 			line := lineOf(out.String(), kind+" ")
-			wanted := kind == c.kind && c.with != Short
+			wanted := kind == c.kind && c.with != ShortTransfer
 			if failed := line != "map[]"; failed != wanted || wanted && !strings.Contains(line, c.with.Error()) &&
 				kind != "file-rename" { // there a rename that failed has the next ones find no file
 				t.Errorf("%s: %s failed with %s", name, kind, line)
 			}
 		}
-		if raw, err := os.ReadFile(filepath.Join(folder, "in")); c.with == Short && (err != nil || !bytes.Equal(raw, bytes.Repeat([]byte("0123456789"), callsOfAKind))) {
+		if raw, err := os.ReadFile(filepath.Join(folder, "in")); c.with == ShortTransfer && (err != nil || !bytes.Equal(raw, bytes.Repeat([]byte("0123456789"), callsOfAKind))) {
 			t.Errorf("%s: %d bytes were written, %v", name, len(raw), err)
 		}
 	}
--- a/internal/faultinjection/harness/clients.go
+++ b/internal/faultinjection/harness/clients.go
@@ -21,54 +21,54 @@
 )
 
 const (
-	// frontDrains is how long the front still deals to a relay that was told to end.
-	frontDrains = 300 * time.Millisecond
-	// mostHandIns bounds how often one message is handed in, whatever happens to its relays.
-	mostHandIns = 12
-	// idleKept bounds clients' idle connections to one relay: a third of its descriptors is for requests at most.
-	idleKept = 1.0 / 3
+	// balancerDrainTime is how long the front still deals to a relay that was told to end.
+	balancerDrainTime = 300 * time.Millisecond
+	// maxSubmissions bounds how often one message is handed in, whatever happens to its relays.
+	maxSubmissions = 12
+	// idleConnShare bounds clients' idle connections to one relay: a third of its descriptors is for requests at most.
+	idleConnShare = 1.0 / 3
 )
 
-// front deals clients' messages out to the relays that it holds to be alive.
-type front struct {
-	r  *rig
+// loadBalancer deals clients' messages out to the relays that it holds to be alive.
+type loadBalancer struct {
+	h  *harness
 	mu sync.Mutex
 	up []bool
-	// since tells news of a relay from what is older: a relay that is ready again is not taken for dead.
-	since []int
+	// generation tells news of a relay from what is older: a relay that is ready again is not taken for dead.
+	generation []int
 }
 
-func newFront(r *rig) *front {
-	return &front{r: r, up: make([]bool, r.s.Relays), since: make([]int, r.s.Relays)}
+func newLoadBalancer(r *harness) *loadBalancer {
+	return &loadBalancer{h: r, up: make([]bool, r.scenario.Relays), generation: make([]int, r.scenario.Relays)}
 }
 
-// ready says that a relay may be used.
-func (f *front) ready(relay int) {
+// relayReady says that a relay may be used.
+func (f *loadBalancer) relayReady(relay int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.up[relay] = true
-	f.since[relay]++
+	f.generation[relay]++
 }
 
-// leaves says that a relay is not to be used after a time.
-func (f *front) leaves(relay int, after time.Duration) {
+// relayLeaving says that a relay is not to be used after a time.
+func (f *loadBalancer) relayLeaving(relay int, after time.Duration) {
 	f.mu.Lock()
-	news := f.since[relay]
+	news := f.generation[relay]
 	f.mu.Unlock()
-	f.r.work.Go(func() {
-		if !wait.For(f.r.ctx, after) {
+	f.h.background.Go(func() {
+		if !wait.For(f.h.ctx, after) {
 			return
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.since[relay] == news {
+		if f.generation[relay] == news {
 			f.up[relay] = false
 		}
 	})
 }
 
-// deal gives the relay for a message's n-th hand-in, or -1.
-func (f *front) deal(m *scenario.Message, n int) int {
+// pick gives the relay for a message's n-th hand-in, or -1.
+func (f *loadBalancer) pick(m *scenario.Message, n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var alive []int
@@ -80,156 +80,156 @@
 	if len(alive) == 0 {
 		return -1
 	}
-	_, part := math.Modf(m.Deal + float64(n)*math.Phi)
+	_, part := math.Modf(m.RelayDraw + float64(n)*math.Phi)
 	return alive[int(part*float64(len(alive)))]
 }
 
-// clients hand messages in.
-type clients struct {
-	r        *rig
+// clientPool hand messages in.
+type clientPool struct {
+	h        *harness
 	messages []*scenario.Message
 	busy     atomic.Int64 // messages whose client has something to do
 
-	mu    sync.Mutex
-	kept  map[string][]*link // idle connections, by relay's address
-	ended bool
+	mu        sync.Mutex
+	idleConns map[string][]*clientConn // idle connections, by relay's address
+	closed    bool
 }
 
-// link is a client's connection.
-type link struct {
+// clientConn is a client's connection.
+type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	reused bool
 }
 
-func newClients(r *rig, messages []*scenario.Message) *clients {
-	return &clients{r: r, messages: messages, kept: map[string][]*link{}}
+func newClientPool(r *harness, messages []*scenario.Message) *clientPool {
+	return &clientPool{h: r, messages: messages, idleConns: map[string][]*clientConn{}}
 }
 
 // idle tells whether no client has anything to do.
-func (c *clients) idle() bool { return c.busy.Load() == 0 }
+func (c *clientPool) idle() bool { return c.busy.Load() == 0 }
 
-// first hands a message in for the first time.
-func (c *clients) first(m *scenario.Message) {
+// submitFirst hands a message in for the first time.
+func (c *clientPool) submitFirst(m *scenario.Message) {
 	c.busy.Add(1)
 	defer c.busy.Add(-1)
-	c.handIn(m, 0, 0, "")
+	c.submit(m, 0, 0, "")
 }
 
-// later hands a message in again after a time.
-func (c *clients) later(m *scenario.Message, after time.Duration, try, refusals int, mark string) {
+// submitLater hands a message in again after a time.
+func (c *clientPool) submitLater(m *scenario.Message, after time.Duration, try, refusals int, mark string) {
 	c.busy.Add(1)
-	c.r.work.Go(func() {
+	c.h.background.Go(func() {
 		defer c.busy.Add(-1)
-		if wait.For(c.r.ctx, after) {
-			c.handIn(m, try, refusals, mark)
+		if wait.For(c.h.ctx, after) {
+			c.submit(m, try, refusals, mark)
 		}
 	})
 }
 
-// left is how long a message may still be delivered.
-func (c *clients) left(m *scenario.Message) time.Duration {
-	return m.At + scenario.Seconds(c.r.s.Classes[m.Class].Deadline) - c.r.now()
+// timeLeft is how long a message may still be delivered.
+func (c *clientPool) timeLeft(m *scenario.Message) time.Duration {
+	return m.At + scenario.Seconds(c.h.scenario.Classes[m.Class].Deadline) - c.h.now()
 }
 
-// handIn hands a message in once, and does what its client then does.
-func (c *clients) handIn(m *scenario.Message, try, refusals int, mark string) {
-	left := c.left(m)
-	if left <= 0 || try >= mostHandIns {
+// submit hands a message in once, and does what its client then does.
+func (c *clientPool) submit(m *scenario.Message, try, refusals int, mark string) {
+	left := c.timeLeft(m)
+	if left <= 0 || try >= maxSubmissions {
 		return
 	}
-	relay := c.r.front.deal(m, try)
+	relay := c.h.balancer.pick(m, try)
 	if relay < 0 {
-		c.later(m, m.Again, try+1, refusals, "again")
+		c.submitLater(m, m.ResubmitDelay, try+1, refusals, "again")
 		return
 	}
-	k := &charge{m: m, try: try, refusals: refusals, id: c.r.d.ID(m.No, try), relay: relay, expires: c.r.now() + left}
+	k := &submission{message: m, number: try, rejections: refusals, id: c.h.random.RequestID(m.Number, try), relay: relay, expiresAt: c.h.now() + left}
 	status, after, err := c.exchange(k, left, mark)
 	switch {
-	case errors.Is(err, errNotHanded):
-		c.later(m, m.Again, try+1, refusals, "again")
+	case errors.Is(err, errNotSubmitted):
+		c.submitLater(m, m.ResubmitDelay, try+1, refusals, "again")
 	case err != nil:
-		c.r.note(checker.Event{Kind: checker.AnswerMissed, ID: k.id, Relay: relay, State: err.Error(), OK: errors.Is(err, errEmpty)})
-		c.r.book.withdraw(k)
-		if c.mayComeAgain(k, m.Again) {
-			c.later(m, m.Again, try+1, refusals, "again")
+		c.h.record(checker.Event{Kind: checker.AnswerMissed, ID: k.id, Relay: relay, State: err.Error(), OK: errors.Is(err, errNoResponse)})
+		c.h.ledger.withdraw(k)
+		if c.mayResubmit(k, m.ResubmitDelay) {
+			c.submitLater(m, m.ResubmitDelay, try+1, refusals, "again")
 		}
 	case status == http.StatusAccepted, status == http.StatusOK:
-		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status})
-		c.r.book.taken(k)
+		c.h.record(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status})
+		c.h.ledger.accepted(k)
 	default:
-		c.r.note(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status, Duration: after})
+		c.h.record(checker.Event{Kind: checker.Answered, ID: k.id, Relay: relay, Status: status, Duration: after})
 		if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
-			c.comeAgain(k, after)
+			c.retryRejected(k, after)
 		}
 	}
 }
 
-// comeAgain has a client that was refused hand its message in again, by its habits.
-func (c *clients) comeAgain(k *charge, after time.Duration) {
-	m := k.m
-	if k.refusals >= len(m.Backoff) {
+// retryRejected has a client that was refused hand its message in again, by its habits.
+func (c *clientPool) retryRejected(k *submission, after time.Duration) {
+	m := k.message
+	if k.rejections >= len(m.Backoff) {
 		return
 	}
-	wait := m.Backoff[k.refusals]
-	if m.Honours {
-		wait = max(wait, min(after, scenario.Seconds(c.r.s.Limits.RetryAfter)))
+	wait := m.Backoff[k.rejections]
+	if m.HonoursRetryAfter {
+		wait = max(wait, min(after, scenario.Seconds(c.h.scenario.Limits.MaxRetryAfter)))
 	}
-	if !c.mayComeAgain(k, wait) {
+	if !c.mayResubmit(k, wait) {
 		return
 	}
 	mark := ""
-	if c.r.s.Clients.MarkRetries {
+	if c.h.scenario.Clients.MarkRetries {
 		mark = "1"
 	}
-	c.later(m, wait, k.try+1, k.refusals+1, mark)
+	c.submitLater(m, wait, k.number+1, k.rejections+1, mark)
 }
 
-// mayComeAgain tells whether a message may be handed in once more after a time: one that may have had its effect
+// mayResubmit tells whether a message may be handed in once more after a time: one that may have had its effect
 // only where that does no harm.
-func (c *clients) mayComeAgain(k *charge, after time.Duration) bool {
-	now := c.r.book.state(k)
-	ran := now.mayRun
-	if ran == 0 && now.out > 0 {
-		ran = c.r.now()
+func (c *clientPool) mayResubmit(k *submission, after time.Duration) bool {
+	now := c.h.ledger.state(k)
+	ran := now.mayHaveRunAt
+	if ran == 0 && now.inFlight > 0 {
+		ran = c.h.now()
 	}
 	if ran == 0 {
 		return true
 	}
-	switch class := &c.r.s.Classes[k.m.Class]; class.Effect {
+	switch class := &c.h.scenario.Classes[k.message.Class]; class.Idempotency {
 	case "keyed":
-		return c.r.now()+after < ran+scenario.Seconds(class.Memory)
+		return c.h.now()+after < ran+scenario.Seconds(class.KeyTTL)
 	case "unsafe":
 		return false
 	}
 	return true
 }
 
-// lost hands in again what a relay held that is gone with its folder.
-func (c *clients) lost(relay int) {
-	for _, k := range c.r.book.heldBy(relay) {
-		if c.mayComeAgain(k, k.m.Again) {
-			c.later(k.m, k.m.Again, k.try+1, k.refusals, "again")
+// resubmitLost hands in again what a relay held that is gone with its folder.
+func (c *clientPool) resubmitLost(relay int) {
+	for _, k := range c.h.ledger.takeHeldBy(relay) {
+		if c.mayResubmit(k, k.message.ResubmitDelay) {
+			c.submitLater(k.message, k.message.ResubmitDelay, k.number+1, k.rejections, "again")
 		}
 	}
 }
 
-// errNotHanded says that a relay could not be reached, or closed a connection on which it had read nothing.
-var errNotHanded = errors.New("not handed in")
+// errNotSubmitted says that a relay could not be reached, or closed a connection on which it had read nothing.
+var errNotSubmitted = errors.New("not handed in")
 
 // exchange hands a message in and waits for the answer.
-func (c *clients) exchange(k *charge, left time.Duration, mark string) (status int, after time.Duration, err error) {
-	addr := c.r.relays[k.relay].listen
+func (c *clientPool) exchange(k *submission, left time.Duration, mark string) (status int, after time.Duration, err error) {
+	addr := c.h.relays[k.relay].listen
 	for fresh := false; ; fresh = true {
 		l, err := c.get(addr, fresh)
 		if err != nil {
-			return 0, 0, fmt.Errorf("%w: %w", errNotHanded, err)
+			return 0, 0, fmt.Errorf("%w: %w", errNotSubmitted, err)
 		}
-		if !fresh || k.handed == 0 {
-			c.hand(k, left)
+		if !fresh || k.submittedAt == 0 {
+			c.recordSubmission(k, left)
 		}
-		_ = l.SetDeadline(time.Now().Add(scenario.Millis(c.r.s.Clients.AnswerWithin)))
-		status, after, keep, err := c.ask(l, k, left, mark)
+		_ = l.SetDeadline(time.Now().Add(scenario.Milliseconds(c.h.scenario.Clients.ResponseTimeoutMS)))
+		status, after, keep, err := c.roundTrip(l, k, left, mark)
 		if err == nil {
 			if keep {
 				c.put(addr, l)
@@ -239,45 +239,45 @@
 			return status, after, nil
 		}
 		_ = l.Close()
-		if crossed := l.used && errors.Is(err, errEmpty); !crossed {
+		if crossed := l.reused && errors.Is(err, errNoResponse); !crossed {
 			return 0, 0, err
 		}
 		// The relay closed a connection that had stood idle: once more on a new one.
 	}
 }
 
-// hand notes that a message is being handed in, once.
-func (c *clients) hand(k *charge, left time.Duration) {
-	if k.handed != 0 {
+// recordSubmission notes that a message is being handed in, once.
+func (c *clientPool) recordSubmission(k *submission, left time.Duration) {
+	if k.submittedAt != 0 {
 		return
 	}
-	c.r.book.handedIn(k)
-	k.handed = c.r.note(checker.Event{
-		Kind: checker.Submitted, ID: k.id, Message: k.m.No, Relay: k.relay, Destination: k.m.Partner,
-		Class: k.m.Class, OrderKey: k.m.Item, Subject: k.m.Subject, Duration: left,
+	c.h.ledger.submitted(k)
+	k.submittedAt = c.h.record(checker.Event{
+		Kind: checker.Submitted, ID: k.id, Message: k.message.Number, Relay: k.relay, Destination: k.message.Destination,
+		Class: k.message.Class, OrderKey: k.message.OrderKey, Subject: k.message.Subject, Duration: left,
 	})
 }
 
-// errEmpty says that a connection ended with nothing on it.
-var errEmpty = errors.New("closed without an answer")
+// errNoResponse says that a connection ended with nothing on it.
+var errNoResponse = errors.New("closed without an answer")
 
-// ask writes the request and reads the answer.
-func (c *clients) ask(l *link, k *charge, left time.Duration, mark string) (status int, after time.Duration, keep bool, err error) {
-	body := bodyOf(k)
+// roundTrip writes the request and reads the answer.
+func (c *clientPool) roundTrip(l *clientConn, k *submission, left time.Duration, mark string) (status int, after time.Duration, keep bool, err error) {
+	body := messageBody(k)
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "POST /%s HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %s\r\nRequest-Timeout: %.3f\r\nX-Envelope: dest=%d",
-		c.r.s.Classes[k.m.Class].Name, k.id, left.Seconds(), k.m.Partner)
-	if k.m.Item != "" {
-		fmt.Fprintf(&out, "\r\nCookie: subject=%s", k.m.Item)
+		c.h.scenario.Classes[k.message.Class].Name, k.id, left.Seconds(), k.message.Destination)
+	if k.message.OrderKey != "" {
+		fmt.Fprintf(&out, "\r\nCookie: subject=%s", k.message.OrderKey)
 	}
-	if k.m.Tenant >= 0 {
-		fmt.Fprintf(&out, "\r\nTenant: %s", c.r.s.Tenants[k.m.Tenant].Name)
+	if k.message.Tenant >= 0 {
+		fmt.Fprintf(&out, "\r\nTenant: %s", c.h.scenario.Tenants[k.message.Tenant].Name)
 	}
-	if k.m.Subject != "" {
-		fmt.Fprintf(&out, "\r\nSubject: %s\r\nSequence: %d", k.m.Subject, k.m.No)
+	if k.message.Subject != "" {
+		fmt.Fprintf(&out, "\r\nSubject: %s\r\nSequence: %d", k.message.Subject, k.message.Number)
 	}
-	if k.m.Key != "" {
-		fmt.Fprintf(&out, "\r\nIdempotency-Key: %s", k.m.Key)
+	if k.message.Key != "" {
+		fmt.Fprintf(&out, "\r\nIdempotency-Key: %s", k.message.Key)
 	}
 	if mark != "" {
 		fmt.Fprintf(&out, "\r\nClient-Retry: %s", mark)
@@ -285,19 +285,19 @@
 	fmt.Fprintf(&out, "\r\nContent-Length: %d\r\n\r\n", len(body))
 	out.Write(body)
 	if _, err := l.Write(out.Bytes()); err != nil {
-		return 0, 0, false, fmt.Errorf("%w: %w", errEmpty, err)
+		return 0, 0, false, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	if _, err := l.in.Peek(1); err != nil {
+	if _, err := l.reader.Peek(1); err != nil {
 		if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
 			return 0, 0, false, err
 		}
-		return 0, 0, false, fmt.Errorf("%w: %w", errEmpty, err)
+		return 0, 0, false, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	resp, err := http.ReadResponse(l.in, &http.Request{Method: http.MethodPost})
+	resp, err := http.ReadResponse(l.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
 		return 0, 0, false, err
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodySize)); err != nil {
 		return 0, 0, false, err
 	}
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
@@ -307,60 +307,60 @@
 }
 
 // get gives an idle connection to a relay, or a new one.
-func (c *clients) get(addr string, fresh bool) (*link, error) {
+func (c *clientPool) get(addr string, fresh bool) (*clientConn, error) {
 	if !fresh {
 		c.mu.Lock()
-		if list := c.kept[addr]; len(list) > 0 {
+		if list := c.idleConns[addr]; len(list) > 0 {
 			l := list[len(list)-1]
-			c.kept[addr] = list[:len(list)-1]
+			c.idleConns[addr] = list[:len(list)-1]
 			c.mu.Unlock()
 			return l, nil
 		}
 		c.mu.Unlock()
 	}
-	raw, err := net.DialTimeout("tcp", addr, scenario.Millis(c.r.s.Clients.AnswerWithin))
+	raw, err := net.DialTimeout("tcp", addr, scenario.Milliseconds(c.h.scenario.Clients.ResponseTimeoutMS))
 	if err != nil {
 		return nil, err
 	}
-	return &link{Conn: raw, in: bufio.NewReader(raw)}, nil
+	return &clientConn{Conn: raw, reader: bufio.NewReader(raw)}, nil
 }
 
 // put keeps a connection for the next message.
-func (c *clients) put(addr string, l *link) {
-	l.used = true
+func (c *clientPool) put(addr string, l *clientConn) {
+	l.reused = true
 	_ = l.SetDeadline(time.Time{})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended || len(c.kept[addr]) >= int(idleKept*float64(c.r.s.Relay.Sockets)) {
+	if c.closed || len(c.idleConns[addr]) >= int(idleConnShare*float64(c.h.scenario.Relay.Sockets)) {
 		_ = l.Close()
 		return
 	}
-	c.kept[addr] = append(c.kept[addr], l)
+	c.idleConns[addr] = append(c.idleConns[addr], l)
 }
 
-// openAt counts the clients' idle connections to a relay that this has not closed; the closed ones are dropped.
-func (c *clients) openAt(addr string) int {
+// openConns counts the clients' idle connections to a relay that this has not closed; the closed ones are dropped.
+func (c *clientPool) openConns(addr string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var open []*link
-	for _, l := range c.kept[addr] {
+	var open []*clientConn
+	for _, l := range c.idleConns[addr] {
 		_ = l.SetReadDeadline(time.Now().Add(time.Millisecond))
-		if _, err := l.in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := l.reader.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) {
 			_ = l.SetReadDeadline(time.Time{})
 			open = append(open, l)
 			continue
 		}
 		_ = l.Close()
 	}
-	c.kept[addr] = open
+	c.idleConns[addr] = open
 	return len(open)
 }
 
-func (c *clients) close() {
+func (c *clientPool) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
-	for _, list := range c.kept {
+	c.closed = true
+	for _, list := range c.idleConns {
 		for _, l := range list {
 			_ = l.Close()
 		}
--- a/internal/faultinjection/harness/coordination.go
+++ b/internal/faultinjection/harness/coordination.go
@@ -23,13 +23,13 @@
 const coordCluster = "rehearsal"
 
 // openCoordination starts the members that the script wants. Their program lies beside the relay's.
-func (r *rig) openCoordination() error {
-	if r.s.Coordination.Members == 0 {
+func (r *harness) openCoordination() error {
+	if r.scenario.Coordination.Members == 0 {
 		return nil
 	}
-	program := filepath.Join(filepath.Dir(r.o.Command[0]), "frostlink-coord")
+	program := filepath.Join(filepath.Dir(r.options.RelayCommand[0]), "frostlink-coord")
 	var list []string
-	for i := range r.s.Coordination.Members {
+	for i := range r.scenario.Coordination.Members {
 		at, err := r.loopback.Address()
 		if err != nil {
 			return err
@@ -38,7 +38,7 @@
 	}
 	r.coordination.text = fmt.Sprintf("cluster = %q\nmembers = [\"%s\"]", coordCluster, strings.Join(list, "\", \""))
 	for i := range list {
-		dir := filepath.Join(r.dir, fmt.Sprint("coord-", i+1))
+		dir := filepath.Join(r.workDir, fmt.Sprint("coord-", i+1))
 		args := []string{"init", "--folder", dir, "--cluster", coordCluster, "--id", fmt.Sprint(i + 1)}
 		for _, m := range list {
 			args = append(args, "--member", m)
@@ -55,21 +55,21 @@
 	return nil
 }
 
-// Resends are the calls that a partner got for messages under ids of relays' own making.
-type Resends struct {
-	Partner string        `json:"partner"`
-	Calls   int           `json:"calls"`
-	Relays  int           `json:"relays"` // that made them
-	Turns   int           `json:"turns"`  // so often another relay made the next one, and the first
-	Most    int           `json:"most"`   // in any second
-	From    time.Duration `json:"from"`
-	To      time.Duration `json:"to"`
+// Redeliveries are the calls that a partner got for messages under ids of relays' own making.
+type Redeliveries struct {
+	Destination  string        `json:"partner"`
+	Attempts     int           `json:"calls"`
+	Relays       int           `json:"relays"` // that made them
+	Turns        int           `json:"turns"`  // so often another relay made the next one, and the first
+	MaxPerSecond int           `json:"most"`   // in any second
+	From         time.Duration `json:"from"`
+	To           time.Duration `json:"to"`
 }
 
 // resends counts them, from what the partners themselves have written down.
-func resends(log []checker.Event, s *scenario.Script) (list []Resends) {
+func resends(log []checker.Event, s *scenario.Scenario) (list []Redeliveries) {
 	resent := map[string]bool{}
-	by := make([][]checker.Event, len(s.Partners))
+	by := make([][]checker.Event, len(s.Destinations))
 	for _, e := range log {
 		switch {
 		case e.Kind == checker.Redelivered:
@@ -84,14 +84,14 @@
 			continue
 		}
 		slices.SortFunc(calls, func(a, b checker.Event) int { return int(a.FirstByte - b.FirstByte) })
-		r := Resends{Partner: s.Partners[dest].Name, Calls: len(calls), From: calls[0].FirstByte, To: calls[len(calls)-1].FirstByte}
+		r := Redeliveries{Destination: s.Destinations[dest].Name, Attempts: len(calls), From: calls[0].FirstByte, To: calls[len(calls)-1].FirstByte}
 		relays := map[int]bool{}
 		first := 0
 		for i, e := range calls {
 			for e.FirstByte-calls[first].FirstByte >= time.Second {
 				first++
 			}
-			r.Most = max(r.Most, i-first+1)
+			r.MaxPerSecond = max(r.MaxPerSecond, i-first+1)
 			relays[e.Relay] = true
 			if i == 0 || e.Relay != calls[i-1].Relay {
 				r.Turns++
--- a/internal/faultinjection/harness/duty.go
+++ b/internal/faultinjection/harness/duty.go
@@ -22,26 +22,26 @@
 // replace processes.
 
 const (
-	// answerWithin is how long a door may take, and scrapeEvery the time between reads.
-	answerWithin, scrapeEvery = time.Second, 100 * time.Millisecond
-	// silentFor is how long a caller that says nothing stays.
-	silentFor = 4 * time.Second
-	// awayWithin after it was told to send clients away a relay has none of them left, and backWithin after it was told
+	// adminTimeout is how long a door may take, and scrapeEvery the time between reads.
+	adminTimeout, scrapeInterval = time.Second, 100 * time.Millisecond
+	// idleCallerTime is how long a caller that says nothing stays.
+	idleCallerTime = 4 * time.Second
+	// standbyTimeout after it was told to send clients away a relay has none of them left, and backWithin after it was told
 	// to take them again its health is well.
-	awayWithin, backWithin = 4 * time.Second, 2 * time.Second
-	// yesWithin a new process has taken the place of the one before.
-	yesWithin = 6 * time.Second
-	// takenWithin a file is taken or turned down after the signal.
-	takenWithin = 1200 * time.Millisecond
-	// askEvery is between looks at a door that is to change its mind.
-	askEvery = 20 * time.Millisecond
+	standbyTimeout, activeTimeout = 4 * time.Second, 2 * time.Second
+	// takeoverTimeout a new process has taken the place of the one before.
+	takeoverTimeout = 6 * time.Second
+	// reloadTimeout a file is taken or turned down after the signal.
+	reloadTimeout = 1200 * time.Millisecond
+	// pollInterval is between looks at a door that is to change its mind.
+	pollInterval = 20 * time.Millisecond
 )
 
-// ask calls a process's door.
-func (p *process) ask(method, path string) (body []byte, err error) {
-	ctx, cancel := context.WithTimeout(p.rel.r.ctx, answerWithin)
+// adminRequest calls a process's door.
+func (p *process) adminRequest(method, path string) (body []byte, err error) {
+	ctx, cancel := context.WithTimeout(p.relay.h.ctx, adminTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.door+path, nil)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.adminAddr+path, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -59,9 +59,9 @@
 	return body, nil
 }
 
-// figures reads a process's figures.
-func (p *process) figures() (*checker.Scrape, error) {
-	body, err := p.ask(http.MethodGet, "/status/metrics")
+// metrics reads a process's figures.
+func (p *process) metrics() (*checker.Scrape, error) {
+	body, err := p.adminRequest(http.MethodGet, "/status/metrics")
 	if err != nil {
 		return nil, err
 	}
@@ -72,50 +72,50 @@
 
 // scrape reads a relay's figures for a while, beside callers that say nothing.
 func (rel *relay) scrape(d time.Duration, silent int) {
-	ctx, cancel := context.WithTimeout(rel.r.ctx, d)
+	ctx, cancel := context.WithTimeout(rel.h.ctx, d)
 	defer cancel()
 	for range silent {
-		rel.r.work.Go(func() { rel.sayNothing(ctx) })
+		rel.h.background.Go(func() { rel.holdIdleConn(ctx) })
 	}
 	for ctx.Err() == nil {
 		if p := rel.serving(); p != nil {
 			begun := time.Now()
-			f, err := p.figures()
+			f, err := p.metrics()
 			rel.mu.Lock()
-			rel.took = append(rel.took, time.Since(begun).Seconds())
+			rel.adminLatencies = append(rel.adminLatencies, time.Since(begun).Seconds())
 			rel.mu.Unlock()
 			switch {
 			case err == nil:
-				rel.r.note(checker.Event{Kind: checker.MetricsRead, Relay: rel.number, Process: p.number, Metrics: f})
+				rel.h.record(checker.Event{Kind: checker.MetricsRead, Relay: rel.number, Process: p.number, Metrics: f})
 			case rel.serving() == p && ctx.Err() == nil: // it did not end meanwhile
-				rel.r.fault("%s: the door, after %v: %v", rel.name, time.Since(begun), err)
+				rel.h.recordFailure("%s: the door, after %v: %v", rel.name, time.Since(begun), err)
 			}
 		}
-		wait.For(ctx, scrapeEvery)
+		wait.For(ctx, scrapeInterval)
 	}
 }
 
-// sayNothing calls a door and says nothing, again and again.
-func (rel *relay) sayNothing(ctx context.Context) {
+// holdIdleConn calls a door and says nothing, again and again.
+func (rel *relay) holdIdleConn(ctx context.Context) {
 	for ctx.Err() == nil {
 		p := rel.serving()
 		if p == nil {
-			wait.For(ctx, askEvery)
+			wait.For(ctx, pollInterval)
 			continue
 		}
-		c, err := net.DialTimeout("tcp", p.door, answerWithin)
+		c, err := net.DialTimeout("tcp", p.adminAddr, adminTimeout)
 		if err != nil {
-			wait.For(ctx, askEvery)
+			wait.For(ctx, pollInterval)
 			continue
 		}
-		wait.For(ctx, silentFor)
+		wait.For(ctx, idleCallerTime)
 		_ = c.Close()
 	}
 }
 
 // health asks a relay for its health as the front does.
 func (rel *relay) health() (int, error) {
-	ctx, cancel := context.WithTimeout(rel.r.ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(rel.h.ctx, adminTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+rel.listen+"/_health", nil)
 	if err != nil {
@@ -132,92 +132,92 @@
 func (rel *relay) standby(d time.Duration) {
 	p := rel.serving()
 	if p == nil {
-		rel.r.fault("%s: standby: it does not run", rel.name)
+		rel.h.recordFailure("%s: standby: it does not run", rel.name)
 		return
 	}
-	if _, err := p.ask(http.MethodPost, "/standby"); err != nil {
-		rel.r.fault("%s: %v", rel.name, err)
+	if _, err := p.adminRequest(http.MethodPost, "/standby"); err != nil {
+		rel.h.recordFailure("%s: %v", rel.name, err)
 		return
 	}
 	if status, err := rel.health(); err == nil && status == http.StatusOK {
-		rel.r.fault("%s: its health is well, though it was told to send clients away", rel.name)
+		rel.h.recordFailure("%s: its health is well, though it was told to send clients away", rel.name)
 	}
-	rel.r.front.leaves(rel.number, frontDrains)
-	if wait.For(rel.r.ctx, min(d, awayWithin)); d >= awayWithin {
-		if n := rel.r.clients.openAt(rel.listen); n > 0 {
-			rel.r.fault("%s: %d idle connections of clients are open %v after standby", rel.name, n, awayWithin)
+	rel.h.balancer.relayLeaving(rel.number, balancerDrainTime)
+	if wait.For(rel.h.ctx, min(d, standbyTimeout)); d >= standbyTimeout {
+		if n := rel.h.clients.openConns(rel.listen); n > 0 {
+			rel.h.recordFailure("%s: %d idle connections of clients are open %v after standby", rel.name, n, standbyTimeout)
 		}
-		wait.For(rel.r.ctx, d-awayWithin)
+		wait.For(rel.h.ctx, d-standbyTimeout)
 	}
 	if p = rel.serving(); p == nil { // replaced, and it ended
 		return
 	}
-	if _, err := p.ask(http.MethodPost, "/active"); err != nil {
-		rel.r.fault("%s: %v", rel.name, err)
+	if _, err := p.adminRequest(http.MethodPost, "/active"); err != nil {
+		rel.h.recordFailure("%s: %v", rel.name, err)
 	}
-	if !rel.within(backWithin, func() bool { status, err := rel.health(); return err == nil && status == http.StatusOK }) {
-		rel.r.fault("%s: its health is not well %v after it was told to take clients again", rel.name, backWithin)
+	if !rel.within(activeTimeout, func() bool { status, err := rel.health(); return err == nil && status == http.StatusOK }) {
+		rel.h.recordFailure("%s: its health is not well %v after it was told to take clients again", rel.name, activeTimeout)
 		return
 	}
-	rel.r.front.ready(rel.number)
+	rel.h.balancer.relayReady(rel.number)
 }
 
 // within waits for something to come true.
 func (rel *relay) within(d time.Duration, holds func() bool) bool {
 	until := time.Now().Add(d)
 	for !holds() {
-		if time.Now().After(until) || !wait.For(rel.r.ctx, askEvery) {
+		if time.Now().After(until) || !wait.For(rel.h.ctx, pollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// settings brings a relay new settings, or a file that can't be used.
-func (rel *relay) settings(e *scenario.Event) {
+// applySettings brings a relay new settings, or a file that can't be used.
+func (rel *relay) applySettings(e *scenario.Fault) {
 	p := rel.serving()
 	if p == nil {
 		return // its next process reads what there is then
 	}
-	before, err := p.figures()
+	before, err := p.metrics()
 	if err != nil {
-		rel.r.fault("%s: %v", rel.name, err)
+		rel.h.recordFailure("%s: %v", rel.name, err)
 		return
 	}
 	rel.mu.Lock()
-	old := rel.terms
-	rel.terms = old.After(e)
+	old := rel.settingsInForce
+	rel.settingsInForce = old.With(e)
 	rel.mu.Unlock()
 	if err := rel.configure(); err != nil {
-		rel.r.fault("%s: %v", rel.name, err)
+		rel.h.recordFailure("%s: %v", rel.name, err)
 		return
 	}
-	if e.Broken != "" {
-		if err := spoil(rel.configPath(), e.Broken); err != nil {
-			rel.r.fault("%s: %v", rel.name, err)
+	if e.Corruption != "" {
+		if err := corruptConfig(rel.configPath(), e.Corruption); err != nil {
+			rel.h.recordFailure("%s: %v", rel.name, err)
 		}
 	}
 	rel.signal(syscall.SIGHUP, false)
 	want, of := before.ReconfigOK+1, func(f *checker.Scrape) int { return f.ReconfigOK }
-	if e.Broken != "" {
+	if e.Corruption != "" {
 		want, of = before.ReconfigFailed+1, func(f *checker.Scrape) int { return f.ReconfigFailed }
 	}
-	if !rel.within(takenWithin, func() bool { f, err := p.figures(); return err == nil && of(f) == want }) && rel.serving() == p {
-		rel.r.fault("%s: its figures do not say that a file (broken: %q) was read", rel.name, e.Broken)
+	if !rel.within(reloadTimeout, func() bool { f, err := p.metrics(); return err == nil && of(f) == want }) && rel.serving() == p {
+		rel.h.recordFailure("%s: its figures do not say that a file (broken: %q) was read", rel.name, e.Corruption)
 	}
-	if e.Broken == "" {
+	if e.Corruption == "" {
 		return
 	}
 	rel.mu.Lock()
-	rel.terms = old
+	rel.settingsInForce = old
 	rel.mu.Unlock()
 	if err := rel.configure(); err != nil { // for the next process
-		rel.r.fault("%s: %v", rel.name, err)
+		rel.h.recordFailure("%s: %v", rel.name, err)
 	}
 }
 
-// spoil breaks a configuration file.
-func spoil(path, how string) error {
+// corruptConfig breaks a configuration file.
+func corruptConfig(path, how string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -241,33 +241,33 @@
 func (rel *relay) upgrade() {
 	old := rel.serving()
 	if old == nil {
-		rel.r.fault("%s: upgrade: it does not run", rel.name)
+		rel.h.recordFailure("%s: upgrade: it does not run", rel.name)
 		return
 	}
 	if err := rel.configure(); err != nil {
-		rel.r.fault("%v", err)
+		rel.h.recordFailure("%v", err)
 		return
 	}
 	next, err := rel.launch(true)
 	if err != nil {
-		rel.r.fault("%v", err)
+		rel.h.recordFailure("%v", err)
 		return
 	}
-	takes := func() bool { _, err := next.ask(http.MethodGet, "/status"); return err == nil }
-	if !rel.within(yesWithin, takes) {
-		rel.r.fault("%s: the process that is to take over does not say yes; its log ends: %s", rel.name, rel.lastWords())
+	takes := func() bool { _, err := next.adminRequest(http.MethodGet, "/status"); return err == nil }
+	if !rel.within(takeoverTimeout, takes) {
+		rel.h.recordFailure("%s: the process that is to take over does not say yes; its log ends: %s", rel.name, rel.logTail())
 		next.signal(syscall.SIGKILL, true)
 		return
 	}
-	rel.r.note(checker.Event{Kind: checker.Ready, Relay: rel.number, Process: next.number})
+	rel.h.record(checker.Event{Kind: checker.Ready, Relay: rel.number, Process: next.number})
 	rel.mu.Lock()
-	rel.process, next.beside, old.replaced = next, false, true
+	rel.process, next.standingBy, old.replaced = next, false, true
 	rel.mu.Unlock()
 	old.signal(syscall.SIGTERM, true)
 	select {
 	case <-old.exited:
-	case <-time.After(killAfter):
+	case <-time.After(shutdownGrace):
 		old.signal(syscall.SIGKILL, true)
-	case <-rel.r.ctx.Done():
+	case <-rel.h.ctx.Done():
 	}
 }
--- a/internal/faultinjection/harness/faults_test.go
+++ b/internal/faultinjection/harness/faults_test.go
@@ -176,14 +176,14 @@
 			places <- struct{}{}
 			defer func() { <-places }()
 			res := playFaults(t, command, events)
-			for _, b := range res.Breaches {
+			for _, b := range res.Violations {
 				t.Errorf("%+v", b)
 			}
-			for _, f := range res.Faults {
+			for _, f := range res.Failures {
 				t.Error(f)
 			}
-			if served, least := res.Worth.Whole, kept*baseline.Worth.Whole; served < least {
-				t.Errorf("served %.3f, and %.3f without a fault", served, baseline.Worth.Whole)
+			if served, least := res.DeliveredWeight.Total, kept*baseline.DeliveredWeight.Total; served < least {
+				t.Errorf("served %.3f, and %.3f without a fault", served, baseline.DeliveredWeight.Total)
 			}
 		})
 	}
@@ -206,11 +206,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return playScript(t, s, Options{Seed: 1, Command: command})
+	return playScript(t, s, Options{Seed: 1, RelayCommand: command})
 }
 
 // playScript plays a script, again where the machine was too busy for the run to say anything.
-func playScript(t *testing.T, s *scenario.Script, o Options) *Result {
+func playScript(t *testing.T, s *scenario.Scenario, o Options) *Result {
 	t.Helper()
 	var res *Result
 	for range 3 {
@@ -222,6 +222,6 @@
 			return res
 		}
 	}
-	t.Fatalf("the machine was too busy: %.2f%% of events late", 100*res.Late)
+	t.Fatalf("the machine was too busy: %.2f%% of events late", 100*res.LateShare)
 	return nil
 }
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	// lateBy is how much later than due an event of the rig counts as late, and voidShare the share of late ones
+	// lateThreshold is how much later than due an event of the rig counts as late, and voidShare the share of late ones
 	// from which a run says more of the machine than of the relays.
-	lateBy, voidShare = 5 * time.Millisecond, 0.01
+	lateThreshold, voidLateShare = 5 * time.Millisecond, 0.01
 	// settleTime after the last deadline a run ends, whatever is still open.
 	settleTime = 2500 * time.Millisecond
 	// gcPercent lets the heap grow fivefold between collections: the log only grows, and marking it takes the core
@@ -35,50 +35,50 @@
 	gcPercent = 400
 	// logBlock is how many events a block of the log holds.
 	logBlock = 4096
-	// sampleEvery is between looks at the relays' memory and descriptors.
-	sampleEvery = 500 * time.Millisecond
+	// sampleInterval is between looks at the relays' memory and descriptors.
+	sampleInterval = 500 * time.Millisecond
 )
 
 // Options are what a run needs beside its script.
 type Options struct {
-	Seed     int64
-	Command  []string  // starts one relay
-	Env      []string  // further environment of it
-	Keep     string    // folder to keep logs in; empty: none are kept
-	Progress io.Writer // a line a second; nil: none
+	Seed         int64
+	RelayCommand []string  // starts one relay
+	Env          []string  // further environment of it
+	KeepDir      string    // folder to keep logs in; empty: none are kept
+	Progress     io.Writer // a line a second; nil: none
 }
 
 // Result is what a run showed.
 type Result struct {
-	Script   string        `json:"script"`
-	Seed     int64         `json:"seed"`
-	Took     time.Duration `json:"took"`
-	Void     bool          `json:"void"`       // the rig itself was late: no verdict on the relays
-	Late     float64       `json:"late_share"` // of the rig's events, more than 5 ms after they were due
-	Events   int           `json:"rig_events"`
-	LateMost time.Duration `json:"late_most"`
-	Faults   []string      `json:"faults"` // crashes, datagrams that are too long, and the like
+	Scenario    string        `json:"script"`
+	Seed        int64         `json:"seed"`
+	Duration    time.Duration `json:"took"`
+	Void        bool          `json:"void"`       // the rig itself was late: no verdict on the relays
+	LateShare   float64       `json:"late_share"` // of the rig's events, more than 5 ms after they were due
+	Events      int           `json:"rig_events"`
+	MaxLateness time.Duration `json:"late_most"`
+	Failures    []string      `json:"faults"` // crashes, datagrams that are too long, and the like
 	*checker.Report
-	Processes                []Process      `json:"processes"`
-	Notes                    Datagrams      `json:"datagrams"`
-	Undelivered              map[string]int `json:"undelivered,omitempty"` // messages in the relays' stores, by state
-	Falls                    map[string]int `json:"falls,omitempty"`       // partners pushed over, by whomever
-	Resends                  []Resends      `json:"resends,omitempty"`     // by partner, where there were any
-	Timeline                 []string       `json:"timeline"`
-	PartnerNames, RelayNames []string       `json:"-"`
+	Processes                    []ProcessUsage `json:"processes"`
+	Datagrams                    Datagrams      `json:"datagrams"`
+	Undelivered                  map[string]int `json:"undelivered,omitempty"` // messages in the relays' stores, by state
+	Overloads                    map[string]int `json:"falls,omitempty"`       // destinations pushed over, by whomever
+	Redeliveries                 []Redeliveries `json:"resends,omitempty"`     // by partner, where there were any
+	Timeline                     []string       `json:"timeline"`
+	DestinationNames, RelayNames []string       `json:"-"`
 }
 
-// Good tells whether the relays kept all rules and none crashed.
-func (r *Result) Good() bool { return len(r.Breaches) == 0 && len(r.Faults) == 0 }
+// Passed tells whether the relays kept all rules and none crashed.
+func (r *Result) Passed() bool { return len(r.Violations) == 0 && len(r.Failures) == 0 }
 
-// rig is one run.
-type rig struct {
-	s       *scenario.Script
-	d       scenario.Draws
-	o       Options
-	dir     string
-	started time.Time // the run's time 0
-	ctx     context.Context
+// harness is one run.
+type harness struct {
+	scenario *scenario.Scenario
+	random   scenario.RandomStreams
+	options  Options
+	workDir  string
+	started  time.Time // the run's time 0
+	ctx      context.Context
 
 	*recorder
 	launcher     *faults.Launcher
@@ -86,77 +86,79 @@
 	clockLibrary string           // steps relays' wall clocks; empty: no clock is stepped
 	callLibrary  string           // has relays' system calls fail; empty: none is to
 	coordination
-	book     *book
-	partners []*live
-	register *register
-	relays   []*relay
-	front    *front
-	clients  *clients
-	network  *network
-	timeline []string
-	work     sync.WaitGroup // what must end before the run does
+	ledger       *ledger
+	destinations []*destinationServer
+	discovery    *discoveryServer
+	relays       []*relay
+	balancer     *loadBalancer
+	clients      *clientPool
+	network      *network
+	timeline     []string
+	background   sync.WaitGroup // what must end before the run does
 }
 
 // recorder keeps the log and the rig's own punctuality.
 type recorder struct {
-	start time.Time    // of the program's part in the run
-	zero  atomic.Int64 // the run's time 0, in nanoseconds since start
+	start      time.Time    // of the program's part in the run
+	zeroOffset atomic.Int64 // the run's time 0, in nanoseconds since start
 
-	mu     sync.Mutex
-	log    [][]checker.Event // in blocks: a slice that grows as a whole would hold all up while it is copied
-	events int
-	late   int
-	most   time.Duration
-	faults []string
+	mu          sync.Mutex
+	blocks      [][]checker.Event // in blocks: a slice that grows as a whole would hold all up while it is copied
+	events      int
+	lateEvents  int
+	maxLateness time.Duration
+	failures    []string
 }
 
 // now is the time of the run.
-func (r *recorder) now() time.Duration { return time.Since(r.start) - time.Duration(r.zero.Load()) }
+func (r *recorder) now() time.Duration {
+	return time.Since(r.start) - time.Duration(r.zeroOffset.Load())
+}
 
-// note writes an event down, at the present time.
-func (r *recorder) note(e checker.Event) time.Duration {
+// record writes an event down, at the present time.
+func (r *recorder) record(e checker.Event) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.At = r.now()
-	last := len(r.log) - 1
-	if last < 0 || len(r.log[last]) == logBlock {
-		r.log = append(r.log, make([]checker.Event, 0, logBlock))
+	last := len(r.blocks) - 1
+	if last < 0 || len(r.blocks[last]) == logBlock {
+		r.blocks = append(r.blocks, make([]checker.Event, 0, logBlock))
 		last++
 	}
-	r.log[last] = append(r.log[last], e)
+	r.blocks[last] = append(r.blocks[last], e)
 	return e.At
 }
 
-// written is the log so far.
-func (r *recorder) written() []checker.Event {
+// eventLog is the log so far.
+func (r *recorder) eventLog() []checker.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Concat(r.log...)
+	return slices.Concat(r.blocks...)
 }
 
-// punctual counts an event of the rig that was due at a time.
-func (r *recorder) punctual(due time.Duration) {
+// recordTiming counts an event of the rig that was due at a time.
+func (r *recorder) recordTiming(due time.Duration) {
 	by := r.now() - due
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events++
-	if by > lateBy {
-		r.late++
+	if by > lateThreshold {
+		r.lateEvents++
 	}
-	r.most = max(r.most, by)
+	r.maxLateness = max(r.maxLateness, by)
 }
 
-// fault notes something that voids trust in a relay, whatever the rules say.
-func (r *recorder) fault(format string, args ...any) {
+// recordFailure notes something that voids trust in a relay, whatever the rules say.
+func (r *recorder) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf("%.3f s: ", r.now().Seconds())+fmt.Sprintf(format, args...))
+	r.failures = append(r.failures, fmt.Sprintf("%.3f s: ", r.now().Seconds())+fmt.Sprintf(format, args...))
 }
 
 // Run plays a script and judges it. It ends by itself, also where relays crash, hang or hold connections, and leaves
 // no process and, but for Keep, no file behind. An error says that the run could not be played.
-func Run(ctx context.Context, s *scenario.Script, o Options) (*Result, error) {
-	if len(o.Command) == 0 {
+func Run(ctx context.Context, s *scenario.Scenario, o Options) (*Result, error) {
+	if len(o.RelayCommand) == 0 {
 		return nil, errors.New("no command for a relay")
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
@@ -165,7 +167,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{s: s, d: scenario.NewDraws(o.Seed), o: o, dir: dir, recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher()}
+	r := &harness{scenario: s, random: scenario.NewRandomStreams(o.Seed), options: o, workDir: dir, recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher()}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	r.ctx = ctx
@@ -173,9 +175,9 @@
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	messages := s.Messages(r.d)
-	before := s.Before(r.d, len(messages), s.Relays*s.Relay.Backlog)
-	r.clients = newClients(r, append(slices.Clone(messages), before...))
+	messages := s.Messages(r.random)
+	before := s.BacklogMessages(r.random, len(messages), s.Relays*s.Relay.DeadLetterBacklog)
+	r.clients = newClientPool(r, append(slices.Clone(messages), before...))
 	if err := r.fillStores(before); err != nil {
 		return nil, err
 	}
@@ -189,18 +191,18 @@
 		return nil, fmt.Errorf("stopped: %w", err)
 	}
 	if s.Relay.Operator != "" {
-		wait.For(ctx, storesWithin)
+		wait.For(ctx, storeSettleTime)
 		for _, rel := range r.relays { // the stores are read when nothing changes any more
 			rel.finish()
 		}
 	}
-	res, err := r.judge(messages)
+	res, err := r.check(messages)
 	if err != nil {
 		return nil, err
 	}
-	res.Took = time.Since(begun)
-	if o.Keep != "" {
-		if err := r.keep(); err != nil {
+	res.Duration = time.Since(begun)
+	if o.KeepDir != "" {
+		if err := r.saveLogs(); err != nil {
 			return res, err
 		}
 	}
@@ -208,45 +210,45 @@
 }
 
 // open makes all stand-ins ready.
-func (r *rig) open() error {
-	r.book = newBook()
-	r.front = newFront(r)
+func (r *harness) open() error {
+	r.ledger = newLedger()
+	r.balancer = newLoadBalancer(r)
 	var err error
 	if r.loopback, err = faults.NewLoopback(); err != nil {
 		return err
 	}
-	if r.s.StepsClocks() {
-		if r.clockLibrary, err = faults.BuildWallClockLibrary(r.dir); err != nil {
+	if r.scenario.StepsClocks() {
+		if r.clockLibrary, err = faults.BuildWallClockLibrary(r.workDir); err != nil {
 			return err
 		}
 	}
-	if r.s.FailsCalls() {
-		if r.callLibrary, err = faults.BuildSyscallLibrary(r.dir); err != nil {
+	if r.scenario.FailsSyscalls() {
+		if r.callLibrary, err = faults.BuildSyscallLibrary(r.workDir); err != nil {
 			return err
 		}
 	}
-	for i := range r.s.Relays {
+	for i := range r.scenario.Relays {
 		rel, err := newRelay(r, i)
 		if err != nil {
 			return err
 		}
 		r.relays = append(r.relays, rel)
 	}
-	for i := range r.s.Partners {
-		l := newLive(r, i)
-		r.partners = append(r.partners, l)
-		for n := range r.s.Partners[i].Endpoints {
-			h, err := l.addHost(n, nil)
+	for i := range r.scenario.Destinations {
+		l := newDestinationServer(r, i)
+		r.destinations = append(r.destinations, l)
+		for n := range r.scenario.Destinations[i].Endpoints {
+			h, err := l.newEndpoint(n, nil)
 			if err != nil {
 				return err
 			}
-			l.hosts = append(l.hosts, h)
+			l.endpoints = append(l.endpoints, h)
 		}
 	}
 	if err := r.openCoordination(); err != nil {
 		return err
 	}
-	if r.register, err = newRegister(r); err != nil {
+	if r.discovery, err = newDiscoveryServer(r); err != nil {
 		return err
 	}
 	if r.network, err = newNetwork(r); err != nil {
@@ -256,46 +258,46 @@
 }
 
 // begin sets the run's time 0. What was logged before has times below it.
-func (r *rig) begin() {
+func (r *harness) begin() {
 	r.mu.Lock()
 	shift := r.now()
-	r.zero.Add(int64(shift))
-	for _, block := range r.log {
+	r.zeroOffset.Add(int64(shift))
+	for _, block := range r.blocks {
 		for i := range block {
 			block[i].At -= shift
 			block[i].FirstByte -= shift
 		}
 	}
 	r.mu.Unlock()
-	for _, l := range r.partners {
+	for _, l := range r.destinations {
 		l.start()
 	}
 }
 
 // play sends what the script asks for, lets happen what is to go wrong, and waits for the ends.
-func (r *rig) play(messages []*scenario.Message) {
+func (r *harness) play(messages []*scenario.Message) {
 	ctx, stop := context.WithCancel(r.ctx)
 	defer stop()
 	var side sync.WaitGroup
 	defer side.Wait()
 	defer stop()
-	side.Go(func() { r.happenings(ctx) })
+	side.Go(func() { r.runTimeline(ctx) })
 	side.Go(func() { r.sample(ctx) })
 	side.Go(func() { r.progress(ctx, messages) })
 	for _, m := range messages {
 		if !r.until(ctx, m.At) {
 			return
 		}
-		r.punctual(m.At)
-		r.work.Go(func() { r.clients.first(m) })
+		r.recordTiming(m.At)
+		r.background.Go(func() { r.clients.submitFirst(m) })
 	}
 	longest := 0.0
-	for _, c := range r.s.Classes {
+	for _, c := range r.scenario.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	r.until(ctx, scenario.Seconds(r.s.Length))
-	last := scenario.Seconds(r.s.Length+longest+r.s.Rules.AnswerSlack) + settleTime
-	for r.now() < last && ctx.Err() == nil && !(r.clients.idle() && r.book.settled()) {
+	r.until(ctx, scenario.Seconds(r.scenario.Length))
+	last := scenario.Seconds(r.scenario.Length+longest+r.scenario.Rules.AnswerSlack) + settleTime
+	for r.now() < last && ctx.Err() == nil && !(r.clients.idle() && r.ledger.allCompleted()) {
 		wait.For(ctx, 20*time.Millisecond)
 	}
 	// What relays still send for messages that are over belongs to the run.
@@ -303,140 +305,140 @@
 }
 
 // until waits for a time of the run, and tells whether it came.
-func (r *rig) until(ctx context.Context, at time.Duration) bool { return wait.For(ctx, at-r.now()) }
+func (r *harness) until(ctx context.Context, at time.Duration) bool { return wait.For(ctx, at-r.now()) }
 
 // close ends all that the run started.
-func (r *rig) close(stop context.CancelFunc) {
+func (r *harness) close(stop context.CancelFunc) {
 	stop()
 	for _, rel := range r.relays {
 		rel.finish()
 	}
-	if r.register != nil {
-		r.register.close()
+	if r.discovery != nil {
+		r.discovery.close()
 	}
 	if r.network != nil {
 		r.network.close()
 	}
-	for _, l := range r.partners {
+	for _, l := range r.destinations {
 		l.close()
 	}
 	if r.clients != nil {
 		r.clients.close()
 	}
-	r.work.Wait()
+	r.background.Wait()
 	for _, rel := range r.relays { // one may have been on its way up
 		rel.finish()
 	}
 	for _, p := range r.coordination.members {
 		if err := p.Kill(); err != nil {
-			r.fault("%v", err)
+			r.recordFailure("%v", err)
 		}
 	}
 	r.launcher.Close()
 	if r.loopback != nil {
 		if err := r.loopback.Close(); err != nil {
-			r.fault("%v", err)
+			r.recordFailure("%v", err)
 		}
 	}
 }
 
-// figures are what the auditor judges by.
-func (r *rig) figures() checker.Terms {
-	f := checker.Terms{Settings: r.s.Settings(0), TellWithin: scenario.Seconds(r.s.Register.TellWithin)}
-	for i := range r.s.Partners {
-		p := &r.s.Partners[i]
+// parameters are what the auditor judges by.
+func (r *harness) parameters() checker.Parameters {
+	f := checker.Parameters{Settings: r.scenario.RelaySettings(0), NotifyWithin: scenario.Seconds(r.scenario.Discovery.NotifyWithin)}
+	for i := range r.scenario.Destinations {
+		p := &r.scenario.Destinations[i]
 		f.Destinations = append(f.Destinations, checker.Destination{
-			Name: p.Name, Capacity: r.s.Capacity(p),
-			ColdShare: p.ColdShare, Warm: scenario.Seconds(p.Warm),
+			Name: p.Name, Capacity: r.scenario.Capacity(p),
+			ColdCapacity: p.ColdCapacity, SlowStartTime: scenario.Seconds(p.SlowStartTime),
 		})
 	}
 	return f
 }
 
-func wants(s *scenario.Script, messages []*scenario.Message) []checker.Request {
+func requestsOf(s *scenario.Scenario, messages []*scenario.Message) []checker.Request {
 	out := make([]checker.Request, len(messages))
 	for i, m := range messages {
-		out[i] = checker.Request{At: m.At, Dest: m.Partner, Class: m.Class, Tenant: m.Tenant, OverShare: m.OverShare}
+		out[i] = checker.Request{At: m.At, Destination: m.Destination, Class: m.Class, Tenant: m.Tenant, OverQuota: m.OverQuota}
 	}
 	return out
 }
 
-// judge has the run audited.
-func (r *rig) judge(messages []*scenario.Message) (*Result, error) {
+// check has the run audited.
+func (r *harness) check(messages []*scenario.Message) (*Result, error) {
 	r.mu.Lock()
 	res := &Result{
-		Script: r.s.Name, Seed: r.o.Seed, Events: r.events, LateMost: r.most, Faults: append([]string{}, r.faults...),
-		Late: float64(r.late) / math.Max(1, float64(r.events)), Timeline: r.timeline,
+		Scenario: r.scenario.Name, Seed: r.options.Seed, Events: r.events, MaxLateness: r.maxLateness, Failures: append([]string{}, r.failures...),
+		LateShare: float64(r.lateEvents) / math.Max(1, float64(r.events)), Timeline: r.timeline,
 	}
 	over := r.now()
 	r.mu.Unlock()
 	for _, rel := range r.relays {
-		res.Faults = append(res.Faults, rel.violations()...)
+		res.Failures = append(res.Failures, rel.violations()...)
 	}
-	log := r.written()
-	f := r.figures()
+	log := r.eventLog()
+	f := r.parameters()
 	res.Report = checker.Judge(f, log, over)
-	res.Weigh(f, wants(r.s, messages), log)
-	res.Notes = r.network.sum()
-	res.Void = res.Late > voidShare
+	res.MeasureWeight(f, requestsOf(r.scenario, messages), log)
+	res.Datagrams = r.network.sum()
+	res.Void = res.LateShare > voidLateShare
 	for _, rel := range r.relays {
 		rel.mu.Lock()
-		rel.usage.Reads, rel.usage.Door = len(rel.took), checker.Quantiles(rel.took)
+		rel.usage.AdminReads, rel.usage.AdminLatency = len(rel.adminLatencies), checker.QuantilesOf(rel.adminLatencies)
 		res.Processes = append(res.Processes, rel.usage)
 		rel.mu.Unlock()
 	}
-	for i, l := range r.partners {
-		res.PartnerNames = append(res.PartnerNames, r.s.Partners[i].Name)
+	for i, l := range r.destinations {
+		res.DestinationNames = append(res.DestinationNames, r.scenario.Destinations[i].Name)
 		l.mu.Lock()
-		if n := l.p.Falls(); n > 0 {
-			if res.Falls == nil {
-				res.Falls = map[string]int{}
+		if n := l.model.Overloads(); n > 0 {
+			if res.Overloads == nil {
+				res.Overloads = map[string]int{}
 			}
-			res.Falls[r.s.Partners[i].Name] = n
+			res.Overloads[r.scenario.Destinations[i].Name] = n
 		}
 		l.mu.Unlock()
 	}
-	res.Resends = resends(log, r.s)
-	if r.s.Relay.Operator == "" {
+	res.Redeliveries = resends(log, r.scenario)
+	if r.scenario.Relay.Operator == "" {
 		return res, nil
 	}
-	kept, unkept, err := r.stores()
+	kept, unkept, err := r.deadLetters()
 	if err != nil {
 		return nil, err
 	}
 	if len(kept)+len(unkept) > 0 {
-		res.Undelivered = res.Stores(f, log, kept, unkept, over)
+		res.Undelivered = res.CheckStores(f, log, kept, unkept, over)
 	}
 	return res, nil
 }
 
 // progress prints how the run goes, once a second.
-func (r *rig) progress(ctx context.Context, messages []*scenario.Message) {
-	if r.o.Progress == nil {
+func (r *harness) progress(ctx context.Context, messages []*scenario.Message) {
+	if r.options.Progress == nil {
 		return
 	}
-	classes := r.s.Settings(0).Classes
+	classes := r.scenario.RelaySettings(0).Classes
 	for tick := 1; r.until(ctx, time.Duration(tick)*time.Second); tick++ {
-		sent, delivered, held, got, asked := r.book.sum(classes, messages, r.now())
-		fmt.Fprintf(r.o.Progress, "%3d s  sent %6d  delivered %6d  held %5d  worth %.3f\n", tick, sent, delivered, held, got/max(1e-9, asked))
+		sent, delivered, held, got, asked := r.ledger.progress(classes, messages, r.now())
+		fmt.Fprintf(r.options.Progress, "%3d s  sent %6d  delivered %6d  held %5d  worth %.3f\n", tick, sent, delivered, held, got/max(1e-9, asked))
 	}
 }
 
-// keep writes the log and the relays' own into the folder asked for.
-func (r *rig) keep() error {
-	if err := os.MkdirAll(r.o.Keep, 0o755); err != nil {
+// saveLogs writes the log and the relays' own into the folder asked for.
+func (r *harness) saveLogs() error {
+	if err := os.MkdirAll(r.options.KeepDir, 0o755); err != nil {
 		return err
 	}
-	if err := r.writeLog(filepath.Join(r.o.Keep, "events.jsonl")); err != nil {
+	if err := r.writeLog(filepath.Join(r.options.KeepDir, "events.jsonl")); err != nil {
 		return err
 	}
 	for _, rel := range r.relays {
 		raw, err := os.ReadFile(rel.logPath())
 		if err == nil {
-			err = os.WriteFile(filepath.Join(r.o.Keep, rel.name+".log"), raw, 0o644)
+			err = os.WriteFile(filepath.Join(r.options.KeepDir, rel.name+".log"), raw, 0o644)
 		}
 		if err == nil {
-			err = rel.keepStore(filepath.Join(r.o.Keep, rel.name+"-undelivered"))
+			err = rel.saveStore(filepath.Join(r.options.KeepDir, rel.name+"-undelivered"))
 		}
 		if err != nil {
 			return err
--- a/internal/faultinjection/harness/harness_test.go
+++ b/internal/faultinjection/harness/harness_test.go
@@ -134,7 +134,7 @@
 		t.Fatal(err)
 	}
 	keep := t.TempDir()
-	res, err := Run(t.Context(), s, Options{Seed: 1, Command: []string{own}, Env: []string{standInEnv + "=" + kind}, Keep: keep})
+	res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{own}, Env: []string{standInEnv + "=" + kind}, KeepDir: keep})
 	t.Cleanup(func() {
 		if t.Failed() {
 			raw, _ := os.ReadFile(filepath.Join(keep, "relay-1.log"))
@@ -170,23 +170,23 @@
 				t.Fatal(err)
 			}
 			found := map[checker.Rule]int{}
-			for _, b := range res.Breaches {
+			for _, b := range res.Violations {
 				found[b.Rule]++
 			}
 			switch {
 			case rule == "" && len(found) > 0:
-				t.Errorf("rules kept, reported %v, first %+v", found, res.Breaches[0])
+				t.Errorf("rules kept, reported %v, first %+v", found, res.Violations[0])
 			case rule != "" && (found[rule] == 0 || len(found) != 1):
 				t.Errorf("broken: %q; reported %v", rule, found)
-				for _, b := range res.Breaches {
+				for _, b := range res.Violations {
 					if b.Rule != rule {
 						t.Errorf("first other: %+v", b)
 						break
 					}
 				}
 			}
-			if len(res.Faults) > 0 {
-				t.Errorf("faults %v", res.Faults)
+			if len(res.Failures) > 0 {
+				t.Errorf("faults %v", res.Failures)
 			}
 			if res.Counts.Delivered < 20 {
 				t.Errorf("only %d delivered: the stand-in did not do its job", res.Counts.Delivered)
@@ -235,8 +235,8 @@
 			if took := time.Since(begun); took > 30*time.Second {
 				t.Errorf("took %v", took)
 			}
-			if crashed := strings.Contains(strings.Join(res.Faults, "\n"), "ended without being asked to"); crashed != (kind == "crashes") {
-				t.Errorf("faults %v", res.Faults)
+			if crashed := strings.Contains(strings.Join(res.Failures, "\n"), "ended without being asked to"); crashed != (kind == "crashes") {
+				t.Errorf("faults %v", res.Failures)
 			}
 			if left, _ := filepath.Glob(filepath.Join(dir, "rehearsal-*")); len(left) > 0 {
 				t.Errorf("left behind: %v", left)
@@ -270,7 +270,7 @@
 	}
 	for _, command := range [][]string{{"/bin/sleep", "60"}, {"/bin/false"}, {"/does/not/exist"}} {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
-		if _, err := Run(ctx, s, Options{Command: command}); err == nil || ctx.Err() != nil {
+		if _, err := Run(ctx, s, Options{RelayCommand: command}); err == nil || ctx.Err() != nil {
 			t.Errorf("%v: error %v", command, err)
 		}
 		cancel()
--- a/internal/faultinjection/harness/loopback_test.go
+++ b/internal/faultinjection/harness/loopback_test.go
@@ -50,13 +50,13 @@
 }
 
 // openAtOnce opens runs at once, and has their relays' addresses bound when each run has chosen its own, the worst order of the two.
-func openAtOnce(t *testing.T, s *scenario.Script) {
+func openAtOnce(t *testing.T, s *scenario.Scenario) {
 	t.Helper()
 	var opening, binding sync.WaitGroup
-	runs := make([]*rig, concurrentRuns)
+	runs := make([]*harness, concurrentRuns)
 	for i := range runs {
-		runs[i] = &rig{
-			s: s, d: scenario.NewDraws(1), dir: t.TempDir(), ctx: t.Context(),
+		runs[i] = &harness{
+			scenario: s, random: scenario.NewRandomStreams(1), workDir: t.TempDir(), ctx: t.Context(),
 			recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher(),
 		}
 		t.Cleanup(func() { runs[i].close(func() {}) })
--- a/internal/faultinjection/harness/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -23,7 +23,7 @@
 var measure = flag.Bool("measure", false, "measure the rig: model on sockets, capacity, punctuality")
 
 // loadScript has one class of service time ms and so many partners without a limit.
-func loadScript(t *testing.T, rate, length float64, relays, partners, slots, queue int, ms float64) *scenario.Script {
+func loadScript(t *testing.T, rate, length float64, relays, partners, slots, queue int, ms float64) *scenario.Scenario {
 	t.Helper()
 	text := fmt.Sprintf("version=1\nname=\"load\"\nlength_s=%v\nrelays=%d\n[relay]\nsockets=20000\nslots=4000\nhold=20000\n[load]\nrate=%v\n"+
 		"[clients]\nbody_bytes=200\n[[class]]\nname=\"c\"\naim_s=1\ndeadline_s=3\neffect=\"safe\"\nservice_ms=%v\n", length, relays, rate, ms)
@@ -46,18 +46,18 @@
 	for _, load := range []float64{0.5, 0.9, 1.3} {
 		rate := load * slots / (ms / 1000.0)
 		s := loadScript(t, rate, 30, 1, 1, slots, queue, ms)
-		r, messages := bare(t, s), s.Messages(scenario.NewDraws(1))
-		url := "http://" + r.partners[0].hosts[0].addrs[0] + "/inbox"
+		r, messages := bare(t, s), s.Messages(scenario.NewRandomStreams(1))
+		url := "http://" + r.destinations[0].endpoints[0].addrs[0] + "/inbox"
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 		var mu sync.Mutex
 		var work sync.WaitGroup
 		full, served, total := 0, 0, 0.0
 		for _, m := range messages {
 			r.until(t.Context(), m.At)
-			r.punctual(m.At)
+			r.recordTiming(m.At)
 			work.Go(func() {
-				k := r.handed(m.No)
-				req, _ := http.NewRequest(http.MethodPost, url, bytes.NewReader(bodyOf(k)))
+				k := r.handed(m.Number)
+				req, _ := http.NewRequest(http.MethodPost, url, bytes.NewReader(messageBody(k)))
 				req.Header.Set("Request-Id", k.id)
 				begun := time.Now()
 				resp, err := client.Do(req)
@@ -102,12 +102,12 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for _, rate := range []float64{1000, 2000, 3000, 4000, 5000, 6000} {
 		s := loadScript(t, rate, 5, 1, 20, 400, 400, 5)
-		res, err := Run(t.Context(), s, Options{Seed: 1, Command: []string{own}, Env: []string{standInEnv + "=trivial"}})
+		res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{own}, Env: []string{standInEnv + "=trivial"}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Logf("%5.0f/s asked: %5.0f/s delivered, %d of %d, worth %.3f, %.2f%% of the rig's events late, the latest by %v", rate,
-			float64(res.Counts.Delivered)/s.Length, res.Counts.Delivered, res.Counts.Asked, res.Worth.Whole, 100*res.Late, res.LateMost)
+			float64(res.Counts.Delivered)/s.Length, res.Counts.Delivered, res.Counts.Requested, res.DeliveredWeight.Total, 100*res.LateShare, res.MaxLateness)
 	}
 }
 
@@ -121,13 +121,13 @@
 		t.Fatal(err)
 	}
 	s := loadScript(t, 120, 30, 3, 20, 10, 10, 100)
-	res, err := Run(t.Context(), s, Options{Seed: 1, Command: []string{own}, Env: []string{standInEnv + "=trivial"}})
+	res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{own}, Env: []string{standInEnv + "=trivial"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d events, %.3f%% late, the latest by %v", res.Events, 100*res.Late, res.LateMost)
-	if res.Counts.Outcomes[checker.OK] < 3000 {
-		t.Errorf("only %d calls", res.Counts.Outcomes[checker.OK])
+	t.Logf("%d events, %.3f%% late, the latest by %v", res.Events, 100*res.LateShare, res.MaxLateness)
+	if res.Counts.AttemptsByOutcome[checker.OK] < 3000 {
+		t.Errorf("only %d calls", res.Counts.AttemptsByOutcome[checker.OK])
 	}
 }
 
@@ -146,21 +146,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Relay.Resends, s.Relay.Backlog = true, backlog/s.Relays
+			s.Relay.Redelivers, s.Relay.DeadLetterBacklog = true, backlog/s.Relays
 			s.Relay.Operator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\n[[undelivered.rule]]\naction = \"resend\"\nmost = 8\nrate = 100\n"
-			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, Command: []string{program}})
+			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, RelayCommand: []string{program}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if backlog == 0 {
-				without = append(without, res.Worth.Whole)
+				without = append(without, res.DeliveredWeight.Total)
 			} else {
-				with = append(with, res.Worth.Whole)
+				with = append(with, res.DeliveredWeight.Total)
 			}
 			t.Logf("seed %d, %6d messages in the stores: worth %.4f, %d resent and delivered, %d breaches, relays' memory %.0f MB", 1+seed, backlog,
-				res.Worth.Whole, res.Undelivered["delivered"], len(res.Breaches), res.Processes[0].MemoryMB[quarters-1])
-			if len(res.Breaches) > 0 {
-				t.Errorf("%+v", res.Breaches[0])
+				res.DeliveredWeight.Total, res.Undelivered["delivered"], len(res.Violations), res.Processes[0].MemoryMB[quarters-1])
+			if len(res.Violations) > 0 {
+				t.Errorf("%+v", res.Violations[0])
 			}
 			if backlog > 0 && res.Undelivered["delivered"] == 0 {
 				t.Error("nothing was resent")
@@ -191,11 +191,11 @@
 		for _, keep := range []bool{false, true} {
 			s := loadScript(t, rate, 10, 1, 3, 400, 400, 5)
 			s.Relay.MemoryMB, s.Relay.Cores = 192, 1
-			s.Events = []scenario.Event{{At: 0.5, What: "shut", Partner: "p0", For: 9}}
+			s.Faults = []scenario.Fault{{At: 0.5, Kind: "shut", Destination: "p0", Duration: 9}}
 			if keep {
 				s.Relay.Operator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\nrefused = true\n"
 			}
-			res, err := Run(t.Context(), s, Options{Seed: 1, Command: []string{program}})
+			res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{program}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -205,8 +205,8 @@
 			}
 			u := res.Processes[0]
 			t.Logf("%4.0f/s, keeping %5v: %6d delivered, worth %.4f, %5.0f a second kept, %.2f s of CPU, %.0f MB, %d breaches, %.2f%% of the rig's events late", rate,
-				keep, res.Counts.Delivered, res.Worth.Whole, float64(kept)/s.Length, u.CPU, u.MemoryMB[quarters-1], len(res.Breaches), 100*res.Late)
-			for _, b := range res.Breaches {
+				keep, res.Counts.Delivered, res.DeliveredWeight.Total, float64(kept)/s.Length, u.CPUSeconds, u.MemoryMB[quarters-1], len(res.Violations), 100*res.LateShare)
+			for _, b := range res.Violations {
 				t.Errorf("%+v", b)
 			}
 		}
@@ -225,20 +225,20 @@
 		for scraped := range 2 {
 			s := loadScript(t, 4000, 10, 1, 20, 400, 400, 5)
 			if scraped == 1 {
-				s.Events = []scenario.Event{{At: 0.5, What: "scrape", For: 9, Callers: 64}}
+				s.Faults = []scenario.Fault{{At: 0.5, Kind: "scrape", Duration: 9, IdleCallers: 64}}
 			}
-			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, Command: []string{"taskset", "-c", "0", program}})
+			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, RelayCommand: []string{"taskset", "-c", "0", program}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			u := res.Processes[0]
-			cost[scraped] = append(cost[scraped], 1e6*u.CPU/float64(res.Counts.Delivered))
+			cost[scraped] = append(cost[scraped], 1e6*u.CPUSeconds/float64(res.Counts.Delivered))
 			t.Logf("seed %d, read %3d times: %d delivered, %.1f µs of CPU each, door %.2f ms (half), %.2f ms (99 of 100), %.2f ms at most, %d faults, %.2f%% late",
-				1+seed, u.Reads, res.Counts.Delivered, cost[scraped][seed], 1000*u.Door.Median, 1000*u.Door.P99, 1000*u.Door.Most, len(res.Faults), 100*res.Late)
-			for _, f := range res.Faults {
+				1+seed, u.AdminReads, res.Counts.Delivered, cost[scraped][seed], 1000*u.AdminLatency.Median, 1000*u.AdminLatency.P99, 1000*u.AdminLatency.Max, len(res.Failures), 100*res.LateShare)
+			for _, f := range res.Failures {
 				t.Error(f)
 			}
-			for _, b := range res.Breaches {
+			for _, b := range res.Violations {
 				t.Errorf("%+v", b)
 			}
 		}
--- a/internal/faultinjection/harness/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -24,20 +24,20 @@
 // network lies between the relays: each sees every other under an address of its own, and what it sends there
 // arrives late, in half, or not at all.
 type network struct {
-	r     *rig
-	mu    sync.Mutex
-	paths [][]*net.UDPConn // paths[a][b] is where relay a reaches relay b, and from where b's datagrams come to a
-	all   []*net.UDPConn   // where a relay reaches all others
-	total Datagrams
-	split []int // relays on one side; none: all are together
-	loss  float64
-	halve float64
-	turn  map[[2]int]int
+	h             *harness
+	mu            sync.Mutex
+	paths         [][]*net.UDPConn // paths[a][b] is where relay a reaches relay b, and from where b's datagrams come to a
+	all           []*net.UDPConn   // where a relay reaches all others
+	total         Datagrams
+	split         []int // relays on one side; none: all are together
+	lossShare     float64
+	truncateShare float64
+	turn          map[[2]int]int
 }
 
-func newNetwork(r *rig) (*network, error) {
+func newNetwork(r *harness) (*network, error) {
 	n := &network{
-		r: r, loss: r.s.Network.Loss, halve: r.s.Network.Halved, turn: map[[2]int]int{},
+		h: r, lossShare: r.scenario.Network.Loss, truncateShare: r.scenario.Network.Halved, turn: map[[2]int]int{},
 		paths: make([][]*net.UDPConn, len(r.relays)),
 	}
 	for a, rel := range r.relays {
@@ -60,7 +60,7 @@
 	}
 	for a := range r.relays {
 		for b := range r.relays {
-			r.work.Go(func() { n.carry(a, []int{b}, n.paths[a][b]) })
+			r.background.Go(func() { n.carry(a, []int{b}, n.paths[a][b]) })
 		}
 		others := make([]int, 0, len(r.relays))
 		for b := range r.relays {
@@ -68,7 +68,7 @@
 				others = append(others, b)
 			}
 		}
-		r.work.Go(func() { n.carry(a, others, n.all[a]) })
+		r.background.Go(func() { n.carry(a, others, n.all[a]) })
 	}
 	return n, nil
 }
@@ -81,11 +81,11 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || from.String() != n.r.relays[a].peer {
+		if err != nil || from.String() != n.h.relays[a].peer {
 			continue // nobody else is on this network
 		}
 		if size > maxDatagram {
-			n.r.fault("%s sent a datagram of %d bytes, %d at most", n.r.relays[a].name, size, maxDatagram)
+			n.h.recordFailure("%s sent a datagram of %d bytes, %d at most", n.h.relays[a].name, size, maxDatagram)
 			continue
 		}
 		for _, b := range to {
@@ -102,8 +102,8 @@
 	n.total.Bytes += len(data)
 	pair := [2]int{a, b}
 	n.turn[pair]++
-	chance := n.r.d.For("datagram", a, b, n.turn[pair])
-	lost, halved := chance.Float64() < n.loss, chance.Float64() < n.halve
+	chance := n.h.random.Stream("datagram", a, b, n.turn[pair])
+	lost, halved := chance.Float64() < n.lossShare, chance.Float64() < n.truncateShare
 	if len(n.split) > 0 && slices.Contains(n.split, a) != slices.Contains(n.split, b) {
 		lost = true
 	}
@@ -115,11 +115,11 @@
 		n.total.Halved++
 		data = data[:len(data)/2]
 	}
-	to, err := net.ResolveUDPAddr("udp", n.r.relays[b].peer)
+	to, err := net.ResolveUDPAddr("udp", n.h.relays[b].peer)
 	if err != nil {
 		return
 	}
-	time.AfterFunc(scenario.Millis(n.r.s.Network.Delay.In(chance)), func() {
+	time.AfterFunc(scenario.Milliseconds(n.h.scenario.Network.Delay.Draw(chance)), func() {
 		_, _ = n.paths[b][a].WriteToUDP(data, to) // nobody there: lost
 	})
 }
--- a/internal/faultinjection/harness/relays.go
+++ b/internal/faultinjection/harness/relays.go
@@ -27,66 +27,66 @@
 )
 
 const (
-	// killAfter a planned end was asked for, a relay is killed.
-	killAfter = 3700 * time.Millisecond
-	// readyEvery is between looks whether a relay is ready.
-	readyEvery = 20 * time.Millisecond
-	// endWithin is how long a killed process may take to be gone.
-	endWithin = 5 * time.Second
+	// shutdownGrace a planned end was asked for, a relay is killed.
+	shutdownGrace = 3700 * time.Millisecond
+	// readyPollInterval is between looks whether a relay is ready.
+	readyPollInterval = 20 * time.Millisecond
+	// killTimeout is how long a killed process may take to be gone.
+	killTimeout = 5 * time.Second
 	// clockTicks a second is the unit of the times in /proc/PID/stat: USER_HZ, 100 on every Linux.
 	clockTicks = 100
 	quarters   = 4
 )
 
-// Process is what one relay took of its machine.
-type Process struct {
-	Name        string            `json:"name"`
-	Starts      int               `json:"starts"`
-	Crashes     int               `json:"crashes"`
-	MemoryMB    [quarters]float64 `json:"memory_mb"`   // the most resident in each quarter of the run
-	Descriptors [quarters]int     `json:"descriptors"` // the most open in each quarter
-	CPU         float64           `json:"cpu_s"`
-	StateKB     float64           `json:"state_kb"`             // the most in the folder that lasts
-	Reads       int               `json:"door_reads,omitempty"` // of figures at its door
-	Door        checker.Quantile  `json:"door_s"`               // how long its door took for them
+// ProcessUsage is what one relay took of its machine.
+type ProcessUsage struct {
+	Name         string            `json:"name"`
+	Starts       int               `json:"starts"`
+	Crashes      int               `json:"crashes"`
+	MemoryMB     [quarters]float64 `json:"memory_mb"`   // the most resident in each quarter of the run
+	Descriptors  [quarters]int     `json:"descriptors"` // the most open in each quarter
+	CPUSeconds   float64           `json:"cpu_s"`
+	StateKB      float64           `json:"state_kb"`             // the most in the folder that lasts
+	AdminReads   int               `json:"door_reads,omitempty"` // of figures at its door
+	AdminLatency checker.Quantiles `json:"door_s"`               // how long its door took for them
 }
 
 // relay is one relay: a process that may come and go, and what stays.
 type relay struct {
-	r        *rig
+	h        *harness
 	number   int
 	name     string
 	listen   string // where clients connect
 	peer     string // where other relays' datagrams arrive
 	peers    []string
 	peersAll string
-	usage    Process
+	usage    ProcessUsage
 
-	clock  *faults.WallClock     // of all its processes; nil: the machine's
-	calls  *faults.SyscallErrors // nil: no system call is made to fail
-	socket *os.File              // where clients connect, held for all its processes; nil: each listens by itself
+	clock         *faults.WallClock     // of all its processes; nil: the machine's
+	syscallErrors *faults.SyscallErrors // nil: no system call is made to fail
+	socket        *os.File              // where clients connect, held for all its processes; nil: each listens by itself
 
-	mu        sync.Mutex
-	discovery string
-	terms     scenario.Terms
-	process   *process // that takes clients; nil: none does
-	starts    int
-	cpuBefore float64   // of processes that are gone
-	took      []float64 // seconds that its door took for each read of figures
+	mu              sync.Mutex
+	discovery       string
+	settingsInForce scenario.ReloadableSettings
+	process         *process // that takes clients; nil: none does
+	starts          int
+	cpuBefore       float64   // of processes that are gone
+	adminLatencies  []float64 // seconds that its door took for each read of figures
 }
 
 // process is one process of a relay.
 type process struct {
-	rel    *relay
-	number int // of the relay's, from 1
-	pid    int
-	door   string // where operators call
-	exited chan struct{}
+	relay     *relay
+	number    int // of the relay's, from 1
+	pid       int
+	adminAddr string // where operators call
+	exited    chan struct{}
 
 	// With the relay's lock.
-	expected bool // its end was asked for
-	replaced bool // another has taken its place
-	beside   bool // it has not taken the place of the one before yet
+	expected   bool // its end was asked for
+	replaced   bool // another has taken its place
+	standingBy bool // it has not taken the place of the one before yet
 }
 
 // serving gives the process that takes clients, or nil.
@@ -96,8 +96,8 @@
 	return rel.process
 }
 
-func newRelay(r *rig, number int) (*relay, error) {
-	rel := &relay{r: r, number: number, name: fmt.Sprintf("relay-%d", number+1), terms: r.s.Start()}
+func newRelay(r *harness, number int) (*relay, error) {
+	rel := &relay{h: r, number: number, name: fmt.Sprintf("relay-%d", number+1), settingsInForce: r.scenario.InitialSettings()}
 	rel.usage.Name = rel.name
 	var err error
 	if rel.listen, err = r.loopback.Address(); err != nil {
@@ -106,7 +106,7 @@
 	if rel.peer, err = r.loopback.Address(); err != nil {
 		return nil, err
 	}
-	if r.s.Upgrades() { // the processes inherit one socket
+	if r.scenario.Upgrades() { // the processes inherit one socket
 		if rel.socket, err = listenFile(rel.listen); err != nil {
 			return nil, err
 		}
@@ -122,8 +122,8 @@
 		}
 	}
 	if r.callLibrary != "" {
-		if rel.calls, err = faults.NewSyscallErrors(r.callLibrary, filepath.Join(rel.dir(), "syscall-rules"), rel.state(),
-			r.d.For("syscalls", number).Uint64()); err != nil {
+		if rel.syscallErrors, err = faults.NewSyscallErrors(r.callLibrary, filepath.Join(rel.dir(), "syscall-rules"), rel.state(),
+			r.random.Stream("syscalls", number).Uint64()); err != nil {
 			return nil, err
 		}
 	}
@@ -144,7 +144,7 @@
 	return file, nil
 }
 
-func (rel *relay) dir() string        { return filepath.Join(rel.r.dir, rel.name) }
+func (rel *relay) dir() string        { return filepath.Join(rel.h.workDir, rel.name) }
 func (rel *relay) state() string      { return filepath.Join(rel.dir(), "state") }
 func (rel *relay) temp() string       { return filepath.Join(rel.dir(), "tmp") }
 func (rel *relay) configPath() string { return filepath.Join(rel.dir(), "config.json") }
@@ -154,7 +154,7 @@
 
 // writeOperator writes the operator's file that the script gives.
 func (rel *relay) writeOperator() error {
-	text := strings.NewReplacer("{dir}", rel.dir(), "{coordination}", rel.r.coordination.text).Replace(rel.r.s.Relay.Operator)
+	text := strings.NewReplacer("{dir}", rel.dir(), "{coordination}", rel.h.coordination.text).Replace(rel.h.scenario.Relay.Operator)
 	return os.WriteFile(rel.operatorPath(), []byte(text), 0o600)
 }
 
@@ -169,10 +169,10 @@
 // configure writes the platform's configuration, in place at once.
 func (rel *relay) configure() error {
 	rel.mu.Lock()
-	discovery, starts, terms := rel.discovery, rel.starts, rel.terms
+	discovery, starts, terms := rel.discovery, rel.starts, rel.settingsInForce
 	rel.mu.Unlock()
-	s := rel.r.s
-	seed := fmt.Sprintf("%016x", rel.r.d.For("relay", rel.number, starts).Uint64())
+	s := rel.h.scenario
+	seed := fmt.Sprintf("%016x", rel.h.random.Stream("relay", rel.number, starts).Uint64())
 	raw, err := json.MarshalIndent(map[string]any{
 		"name": rel.name, "listen": rel.listen, "discovery": discovery, "seed": seed,
 		"limits": map[string]any{
@@ -180,7 +180,7 @@
 			"disk_mb": s.Relay.DiskMB,
 		},
 		"peer_listen": rel.peer, "peers": rel.peers, "peers_all": rel.peersAll,
-		"known": rel.r.register.known(rel.number), "settings": s.SettingsAt(rel.number, terms),
+		"known": rel.h.discovery.initialList(rel.number), "settings": s.RelaySettingsWith(rel.number, terms),
 	}, "", " ")
 	if err != nil {
 		return err
@@ -210,39 +210,39 @@
 // launch starts a process, beside one that may be running.
 func (rel *relay) launch(beside bool) (*process, error) {
 	// One for each process: two of a relay run side by side in an upgrade.
-	door, err := rel.r.loopback.Address()
+	door, err := rel.h.loopback.Address()
 	if err != nil {
 		return nil, err
 	}
-	p := &process{rel: rel, door: door, exited: make(chan struct{}), beside: beside}
+	p := &process{relay: rel, adminAddr: door, exited: make(chan struct{}), standingBy: beside}
 	log, err := os.OpenFile(rel.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	o := &rel.r.o
-	args := o.Command[1:]
-	if rel.r.s.Relay.Operator != "" {
+	o := &rel.h.options
+	args := o.RelayCommand[1:]
+	if rel.h.scenario.Relay.Operator != "" {
 		if err := rel.writeOperator(); err != nil {
 			return nil, err
 		}
 		args = append(slices.Clone(args), "-operator", rel.operatorPath())
 	}
-	cmd := exec.Command(o.Command[0], args...)
+	cmd := exec.Command(o.RelayCommand[0], args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = rel.dir(), log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	rel.mu.Lock()
 	cmd.Env = append(os.Environ(), "NODE_NAME="+rel.name, "NODE_LISTEN="+rel.listen, "NODE_DISCOVERY="+rel.discovery,
 		"NODE_STATE="+rel.state(), "NODE_CONFIG="+rel.configPath(), "TMPDIR="+rel.temp(),
-		"NODE_MANAGEMENT="+p.door)
+		"NODE_MANAGEMENT="+p.adminAddr)
 	if rel.socket != nil {
 		cmd.ExtraFiles = []*os.File{rel.socket}
 		cmd.Env = append(cmd.Env, "NODE_LISTEN_FD=3") // the first of the further files
 	}
 	rel.mu.Unlock()
-	cmd.Env = append(cmd.Env, rel.injected()...)
+	cmd.Env = append(cmd.Env, rel.injectedEnv()...)
 	cmd.Env = append(cmd.Env, o.Env...)
-	if err := rel.r.launcher.Start(cmd); err != nil {
+	if err := rel.h.launcher.Start(cmd); err != nil {
 		return nil, fmt.Errorf("%s: %w", rel.name, err)
 	}
 	p.pid = cmd.Process.Pid
@@ -251,19 +251,19 @@
 	rel.usage.Starts++
 	p.number = rel.starts
 	rel.mu.Unlock()
-	rel.r.note(checker.Event{Kind: checker.Started, Relay: rel.number, Process: p.number})
+	rel.h.record(checker.Event{Kind: checker.Started, Relay: rel.number, Process: p.number})
 	go p.wait(cmd)
 	return p, nil
 }
 
-// injected is the environment by which faults are injected into a process.
-func (rel *relay) injected() (env []string) {
+// injectedEnv is the environment by which faults are injected into a process.
+func (rel *relay) injectedEnv() (env []string) {
 	var libraries []string
 	if rel.clock != nil {
 		env, libraries = append(env, rel.clock.Env()...), append(libraries, rel.clock.Library())
 	}
-	if rel.calls != nil {
-		env, libraries = append(env, rel.calls.Env()...), append(libraries, rel.calls.Library())
+	if rel.syscallErrors != nil {
+		env, libraries = append(env, rel.syscallErrors.Env()...), append(libraries, rel.syscallErrors.Library())
 	}
 	if len(libraries) == 0 {
 		return nil
@@ -271,13 +271,13 @@
 	return append(env, faults.Preload(libraries...))
 }
 
-// failCalls has a share of a relay's system calls of some kinds fail for a while.
-func (rel *relay) failCalls(e *scenario.Event, calls ...faults.Call) {
+// failSyscalls has a share of a relay's system calls of some kinds fail for a while.
+func (rel *relay) failSyscalls(e *scenario.Fault, calls ...faults.Syscall) {
 	var rules []faults.Rule
 	for _, call := range calls {
-		rule, err := rel.calls.Fail(call, scenario.Errno(e.Errno), e.Share)
+		rule, err := rel.syscallErrors.Fail(call, scenario.Errno(e.Errno), e.Share)
 		if err != nil {
-			rel.r.fault("%s: %v", rel.name, err)
+			rel.h.recordFailure("%s: %v", rel.name, err)
 			continue
 		}
 		rules = append(rules, rule)
@@ -290,47 +290,47 @@
 		begins, ends = checker.SocketsBreak, checker.SocketsHold
 	}
 	if begins != "" {
-		rel.r.note(checker.Event{Kind: begins, Relay: rel.number})
-		defer func() { rel.r.note(checker.Event{Kind: ends, Relay: rel.number}) }()
+		rel.h.record(checker.Event{Kind: begins, Relay: rel.number})
+		defer func() { rel.h.record(checker.Event{Kind: ends, Relay: rel.number}) }()
 	}
-	wait.For(rel.r.ctx, scenario.Seconds(e.For))
+	wait.For(rel.h.ctx, scenario.Seconds(e.Duration))
 	for _, rule := range rules {
-		if _, err := rel.calls.Mend(rule); err != nil {
-			rel.r.fault("%s: %v", rel.name, err)
+		if _, err := rel.syscallErrors.Clear(rule); err != nil {
+			rel.h.recordFailure("%s: %v", rel.name, err)
 		}
 	}
 }
 
 // wait notes a process's end.
 func (p *process) wait(cmd *exec.Cmd) {
-	err, rel := cmd.Wait(), p.rel
+	err, rel := cmd.Wait(), p.relay
 	rel.mu.Lock()
-	expected, replaced, beside := p.expected, p.replaced, p.beside
+	expected, replaced, beside := p.expected, p.replaced, p.standingBy
 	if rel.process == p {
 		rel.process = nil
 	}
 	rel.cpuBefore += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
-	rel.usage.CPU = rel.cpuBefore
+	rel.usage.CPUSeconds = rel.cpuBefore
 	if !expected && !replaced {
 		rel.usage.Crashes++
 	}
 	rel.mu.Unlock()
 	switch {
 	case beside && !expected: // the one before serves on
-		rel.r.fault("%s: the process that is to take over ended: %v; its log ends: %s", rel.name, err, rel.lastWords())
+		rel.h.recordFailure("%s: the process that is to take over ended: %v; its log ends: %s", rel.name, err, rel.logTail())
 	case beside:
 	case !expected && !replaced:
-		rel.r.note(checker.Event{Kind: checker.Crashed, Relay: rel.number, Status: cmd.ProcessState.ExitCode()})
-		rel.r.fault("%s ended without being asked to: %v; its log ends: %s", rel.name, err, rel.lastWords())
-		rel.r.front.leaves(rel.number, rel.frontNotices())
+		rel.h.record(checker.Event{Kind: checker.Crashed, Relay: rel.number, Status: cmd.ProcessState.ExitCode()})
+		rel.h.recordFailure("%s ended without being asked to: %v; its log ends: %s", rel.name, err, rel.logTail())
+		rel.h.balancer.relayLeaving(rel.number, rel.detectionDelay())
 	case !replaced: // else the relay goes on, in the process that took this one's place
-		rel.r.note(checker.Event{Kind: checker.Killed, Relay: rel.number})
+		rel.h.record(checker.Event{Kind: checker.Killed, Relay: rel.number})
 	}
 	close(p.exited)
 }
 
-// lastWords are the end of a relay's log, in one line.
-func (rel *relay) lastWords() string {
+// logTail are the end of a relay's log, in one line.
+func (rel *relay) logTail() string {
 	raw, _ := os.ReadFile(rel.logPath())
 	text := strings.Join(strings.Fields(string(raw[max(0, len(raw)-300):])), " ")
 	return strconv.Quote(text)
@@ -350,16 +350,16 @@
 	return found
 }
 
-func (rel *relay) frontNotices() time.Duration {
+func (rel *relay) detectionDelay() time.Duration {
 	rel.mu.Lock()
 	starts := rel.starts
 	rel.mu.Unlock()
-	return scenario.Seconds(rel.r.s.Front.Notices.In(rel.r.d.For("front", rel.number, starts)))
+	return scenario.Seconds(rel.h.scenario.LoadBalancer.DetectionDelay.Draw(rel.h.random.Stream("front", rel.number, starts)))
 }
 
 // awaitReady asks a relay for its health until it is well.
 func (rel *relay) awaitReady(p *process) error {
-	ctx, cancel := context.WithTimeout(rel.r.ctx, scenario.Seconds(rel.r.s.Relay.Ready))
+	ctx, cancel := context.WithTimeout(rel.h.ctx, scenario.Seconds(rel.h.scenario.Relay.ReadyWithin))
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -370,18 +370,18 @@
 		if resp, err := client.Do(req); err == nil {
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				rel.r.note(checker.Event{Kind: checker.Ready, Relay: rel.number, Process: p.number})
-				rel.r.front.ready(rel.number)
+				rel.h.record(checker.Event{Kind: checker.Ready, Relay: rel.number, Process: p.number})
+				rel.h.balancer.relayReady(rel.number)
 				return nil
 			}
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended before it was ready; its log ends: %s", rel.name, rel.lastWords())
+			return fmt.Errorf("%s ended before it was ready; its log ends: %s", rel.name, rel.logTail())
 		default:
 		}
-		if !wait.For(ctx, readyEvery) {
-			return fmt.Errorf("%s is not ready within %v s; its log ends: %s", rel.name, rel.r.s.Relay.Ready, rel.lastWords())
+		if !wait.For(ctx, readyPollInterval) {
+			return fmt.Errorf("%s is not ready within %v s; its log ends: %s", rel.name, rel.h.scenario.Relay.ReadyWithin, rel.logTail())
 		}
 	}
 }
@@ -397,7 +397,7 @@
 }
 
 func (p *process) signal(sig syscall.Signal, expectEnd bool) {
-	rel := p.rel
+	rel := p.relay
 	rel.mu.Lock()
 	defer rel.mu.Unlock()
 	p.expected = p.expected || expectEnd
@@ -406,7 +406,7 @@
 		to = p.pid // the program itself, as the platform does
 	}
 	if err := syscall.Kill(to, sig); err != nil && !errors.Is(err, syscall.ESRCH) {
-		rel.r.fault("%s: %v: %v", rel.name, sig, err)
+		rel.h.recordFailure("%s: %v: %v", rel.name, sig, err)
 	}
 }
 
@@ -418,27 +418,27 @@
 	}
 	select {
 	case <-exited:
-	case <-time.After(endWithin):
-		rel.r.fault("%s does not end on SIGKILL", rel.name)
+	case <-time.After(killTimeout):
+		rel.h.recordFailure("%s does not end on SIGKILL", rel.name)
 	}
 }
 
-// outright kills a relay and starts it again; lose says that its folder is gone too.
-func (rel *relay) outright(back time.Duration, lose bool) {
+// killAndRestart kills a relay and starts it again; lose says that its folder is gone too.
+func (rel *relay) killAndRestart(back time.Duration, lose bool) {
 	rel.kill()
-	rel.r.front.leaves(rel.number, rel.frontNotices())
+	rel.h.balancer.relayLeaving(rel.number, rel.detectionDelay())
 	if lose {
-		rel.r.note(checker.Event{Kind: checker.MachineLost, Relay: rel.number})
-		if err := rel.empty(); err != nil {
-			rel.r.fault("%s: %v", rel.name, err)
+		rel.h.record(checker.Event{Kind: checker.MachineLost, Relay: rel.number})
+		if err := rel.clearState(); err != nil {
+			rel.h.recordFailure("%s: %v", rel.name, err)
 		}
-		rel.r.clients.lost(rel.number)
+		rel.h.clients.resubmitLost(rel.number)
 	}
-	rel.again(back)
+	rel.startAfter(back)
 }
 
-// empty empties the folder that lasts.
-func (rel *relay) empty() error {
+// clearState empties the folder that lasts.
+func (rel *relay) clearState() error {
 	if err := os.RemoveAll(rel.state()); err != nil {
 		return err
 	}
@@ -447,49 +447,49 @@
 
 // restart ends a relay by plan and starts it again.
 func (rel *relay) restart(back time.Duration) {
-	rel.r.note(checker.Event{Kind: checker.Stopping, Relay: rel.number})
+	rel.h.record(checker.Event{Kind: checker.Stopping, Relay: rel.number})
 	exited := rel.signal(syscall.SIGTERM, true)
-	rel.r.front.leaves(rel.number, frontDrains)
+	rel.h.balancer.relayLeaving(rel.number, balancerDrainTime)
 	if exited != nil {
 		select {
 		case <-exited:
-		case <-time.After(killAfter):
-		case <-rel.r.ctx.Done():
+		case <-time.After(shutdownGrace):
+		case <-rel.h.ctx.Done():
 		}
 	}
 	rel.kill()
-	rel.again(back)
+	rel.startAfter(back)
 }
 
-func (rel *relay) again(back time.Duration) {
-	if !wait.For(rel.r.ctx, back) {
+func (rel *relay) startAfter(back time.Duration) {
+	if !wait.For(rel.h.ctx, back) {
 		return
 	}
-	if err := rel.start(); err != nil && rel.r.ctx.Err() == nil {
-		rel.r.fault("%v", err)
+	if err := rel.start(); err != nil && rel.h.ctx.Err() == nil {
+		rel.h.recordFailure("%v", err)
 	}
 }
 
 // hang stops a relay's process for a while.
 func (rel *relay) hang(d time.Duration) {
-	rel.r.note(checker.Event{Kind: checker.Halted, Relay: rel.number})
+	rel.h.record(checker.Event{Kind: checker.Halted, Relay: rel.number})
 	rel.signal(syscall.SIGSTOP, false)
-	rel.r.front.leaves(rel.number, rel.frontNotices())
-	wait.For(rel.r.ctx, d)
+	rel.h.balancer.relayLeaving(rel.number, rel.detectionDelay())
+	wait.For(rel.h.ctx, d)
 	rel.signal(syscall.SIGCONT, false)
-	rel.r.note(checker.Event{Kind: checker.Resumed, Relay: rel.number})
-	rel.r.front.ready(rel.number)
+	rel.h.record(checker.Event{Kind: checker.Resumed, Relay: rel.number})
+	rel.h.balancer.relayReady(rel.number)
 }
 
-// move tells a relay of another address of its register.
-func (rel *relay) move() error {
-	if err := rel.r.register.move(rel.number); err != nil {
+// moveDiscovery tells a relay of another address of its register.
+func (rel *relay) moveDiscovery() error {
+	if err := rel.h.discovery.move(rel.number); err != nil {
 		return err
 	}
 	if err := rel.configure(); err != nil {
 		return err
 	}
-	rel.r.note(checker.Event{Kind: checker.DiscoveryMoved, Relay: rel.number})
+	rel.h.record(checker.Event{Kind: checker.DiscoveryMoved, Relay: rel.number})
 	rel.signal(syscall.SIGHUP, false)
 	return nil
 }
@@ -503,7 +503,7 @@
 }
 
 // startRelays starts all relays at once.
-func (r *rig) startRelays() error {
+func (r *harness) startRelays() error {
 	errs := make([]error, len(r.relays))
 	var work sync.WaitGroup
 	for i, rel := range r.relays {
@@ -514,17 +514,17 @@
 }
 
 // sample looks at the relays' memory, descriptors and disk now and then.
-func (r *rig) sample(ctx context.Context) {
-	for n := 1; r.until(ctx, time.Duration(n)*sampleEvery); n++ {
-		quarter := min(quarters-1, int(float64(quarters)*r.now().Seconds()/r.s.Length))
+func (r *harness) sample(ctx context.Context) {
+	for n := 1; r.until(ctx, time.Duration(n)*sampleInterval); n++ {
+		quarter := min(quarters-1, int(float64(quarters)*r.now().Seconds()/r.scenario.Length))
 		for _, rel := range r.relays {
-			rel.look(quarter)
+			rel.sample(quarter)
 		}
 	}
 }
 
-// look takes one sample.
-func (rel *relay) look(quarter int) {
+// sample takes one sample.
+func (rel *relay) sample(quarter int) {
 	rel.mu.Lock()
 	defer rel.mu.Unlock()
 	if rel.process == nil {
@@ -550,7 +550,7 @@
 		if f := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:])); len(f) > 12 {
 			user, _ := strconv.ParseFloat(f[11], 64)
 			system, _ := strconv.ParseFloat(f[12], 64)
-			u.CPU = rel.cpuBefore + (user+system)/clockTicks
+			u.CPUSeconds = rel.cpuBefore + (user+system)/clockTicks
 		}
 	}
 	size := int64(0)
@@ -563,7 +563,7 @@
 		return nil // a file that has just gone is no matter
 	})
 	u.StateKB = max(u.StateKB, float64(size)/1000)
-	if float64(size) > rel.r.s.Relay.DiskMB*1e6 {
-		rel.r.fault("%s has %.0f kB in its folder, more than disk_mb allows", rel.name, float64(size)/1000)
+	if float64(size) > rel.h.scenario.Relay.DiskMB*1e6 {
+		rel.h.recordFailure("%s has %.0f kB in its folder, more than disk_mb allows", rel.name, float64(size)/1000)
 	}
 }
--- a/internal/faultinjection/harness/soak_test.go
+++ b/internal/faultinjection/harness/soak_test.go
@@ -22,15 +22,15 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	for seed := range int64(2) {
-		s, err := scenario.Parse("soak.toml", []byte(scenario.SoakText(seed, soakRelays, soakLength)))
+		s, err := scenario.Parse("soak.toml", []byte(scenario.SoakScenario(seed, soakRelays, soakLength)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		res := playScript(t, s, Options{Seed: seed, Command: []string{filepath.Join(dir, "frostlink")}})
-		for _, b := range res.Breaches {
+		res := playScript(t, s, Options{Seed: seed, RelayCommand: []string{filepath.Join(dir, "frostlink")}})
+		for _, b := range res.Violations {
 			t.Errorf("seed %d: %+v", seed, b)
 		}
-		for _, f := range res.Faults {
+		for _, f := range res.Failures {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
@@ -40,16 +40,16 @@
 func TestSoakScripts(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range int64(200) {
-		text := scenario.SoakText(seed, 36, 9)
-		if text != scenario.SoakText(seed, 36, 9) {
+		text := scenario.SoakScenario(seed, 36, 9)
+		if text != scenario.SoakScenario(seed, 36, 9) {
 			t.Fatalf("seed %d draws two scripts", seed)
 		}
 		s, err := scenario.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		for _, e := range s.Events {
-			kinds[e.What]++
+		for _, e := range s.Faults {
+			kinds[e.Kind]++
 		}
 	}
 	for _, kind := range []string{
