--- a/internal/faultinjection/harness/stand_test.go
+++ b/internal/faultinjection/harness/stand_test.go
@@ -24,13 +24,13 @@
 const long = 10 * time.Second
 
 // bare is a rig whose relays are no processes: the test plays them.
-func bare(t *testing.T, s *scenario.Script) *rig {
+func bare(t *testing.T, s *scenario.Scenario) *harness {
 	t.Helper()
-	r := &rig{s: s, d: scenario.NewDraws(1), dir: t.TempDir(), recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher(), ctx: t.Context()}
+	r := &harness{scenario: s, random: scenario.NewRandomStreams(1), workDir: t.TempDir(), recorder: &recorder{start: time.Now()}, launcher: faults.NewLauncher(), ctx: t.Context()}
 	if err := r.open(); err != nil {
 		t.Fatal(err)
 	}
-	r.clients = newClients(r, s.Messages(r.d))
+	r.clients = newClientPool(r, s.Messages(r.random))
 	r.begin()
 	t.Cleanup(func() { r.close(func() {}) })
 	return r
@@ -46,16 +46,16 @@
 }
 
 // handed makes up a hand-in of a message.
-func (r *rig) handed(no int) *charge {
-	k := &charge{m: r.clients.messages[no], id: r.d.ID(no, 0), expires: time.Hour}
-	r.book.handedIn(k)
+func (r *harness) handed(no int) *submission {
+	k := &submission{message: r.clients.messages[no], id: r.random.RequestID(no, 0), expiresAt: time.Hour}
+	r.ledger.submitted(k)
 	return k
 }
 
 // callOn writes a call for a message on a connection.
-func callOn(t *testing.T, c net.Conn, k *charge) {
+func callOn(t *testing.T, c net.Conn, k *submission) {
 	t.Helper()
-	body := bodyOf(k)
+	body := messageBody(k)
 	if _, err := fmt.Fprintf(c, "POST /inbox HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", k.id, len(body), body); err != nil {
 		t.Fatal(err)
 	}
@@ -74,8 +74,8 @@
 // Endpoints fail as the kinds of outage say, and come back.
 func TestEndpointsFailOnSockets(t *testing.T) {
 	r := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 1))
-	l := r.partners[0]
-	addr := l.hosts[0].addrs[0]
+	l := r.destinations[0]
+	addr := l.endpoints[0].addrs[0]
 	answer := func(c net.Conn) (int, error) {
 		_ = c.SetReadDeadline(time.Now().Add(long))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -85,7 +85,7 @@
 		return resp.StatusCode, nil
 	}
 	outage := func(what string, during func()) {
-		l.fail(-1, &scenario.Event{What: what, Share: 1})
+		l.fail(-1, &scenario.Fault{Kind: what, Share: 1})
 		during()
 		l.recover(-1, false)
 		c := dial(t, addr)
@@ -135,7 +135,7 @@
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a silent connection after the outage: %v", err)
 	}
-	begin, over := l.strain(-1, &scenario.Event{What: "reset", Share: 1})
+	begin, over := l.degrade(-1, &scenario.Fault{Kind: "reset", Share: 1})
 	begin()
 	c := dial(t, addr)
 	callOn(t, c, r.handed(4))
@@ -155,7 +155,7 @@
 
 // count is how many events of a kind the log has.
 func (r *recorder) count(kind checker.Kind) (n int) {
-	for _, e := range r.written() {
+	for _, e := range r.eventLog() {
 		if e.Kind == kind {
 			n++
 		}
@@ -166,7 +166,7 @@
 // A call that its relay gives up is noted as left, and runs on where the partner does so.
 func TestCallsThatAreGivenUpRunOn(t *testing.T) {
 	r := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 200))
-	c := dial(t, r.partners[0].hosts[0].addrs[0])
+	c := dial(t, r.destinations[0].endpoints[0].addrs[0])
 	callOn(t, c, r.handed(0))
 	until(t, "the call was read", func() bool { return r.count(checker.AttemptSent) == 1 })
 	_ = c.Close()
@@ -177,9 +177,9 @@
 // An endpoint takes so many connections, idle ones counted; on one more it turns the call away and closes.
 func TestConnectionCap(t *testing.T) {
 	s := loadScript(t, 50, 5, 1, 1, 4, 4, 1)
-	s.Partners[0].Connections = 2
+	s.Destinations[0].MaxConnections = 2
 	r := bare(t, s)
-	addr := r.partners[0].hosts[0].addrs[0]
+	addr := r.destinations[0].endpoints[0].addrs[0]
 	var all []net.Conn
 	for range 3 {
 		all = append(all, dial(t, addr))
@@ -199,25 +199,25 @@
 // What nobody handed in, what was changed, and what is over is not passed to the partner.
 func TestCallsThatThePlatformStops(t *testing.T) {
 	r := bare(t, loadScript(t, 50, 5, 1, 2, 4, 4, 1))
-	addr := r.partners[0].hosts[0].addrs[0]
+	addr := r.destinations[0].endpoints[0].addrs[0]
 	mine, others := -1, -1
 	for i, m := range r.clients.messages {
-		if m.Partner == 0 && mine < 0 {
+		if m.Destination == 0 && mine < 0 {
 			mine = i
-		} else if m.Partner == 1 {
+		} else if m.Destination == 1 {
 			others = i
 		}
 	}
 	for name, c := range map[string]struct {
-		change func(k *charge)
+		change func(k *submission)
 		want   string
 	}{
-		"unknown":         {func(k *charge) { k.id = "nobody" }, "400"},
-		"another's":       {func(k *charge) { *k = *r.handed(others) }, "400"},
-		"out of time":     {func(k *charge) { k.expires = -1 }, "410"},
-		"withdrawn":       {func(k *charge) { k.withdrawn = true }, "410"},
-		"tried too often": {func(k *charge) { k.attempts = 99 }, "504"},
-		"fine":            {func(k *charge) {}, "200"},
+		"unknown":         {func(k *submission) { k.id = "nobody" }, "400"},
+		"another's":       {func(k *submission) { *k = *r.handed(others) }, "400"},
+		"out of time":     {func(k *submission) { k.expiresAt = -1 }, "410"},
+		"withdrawn":       {func(k *submission) { k.withdrawn = true }, "410"},
+		"tried too often": {func(k *submission) { k.attempts = 99 }, "504"},
+		"fine":            {func(k *submission) {}, "200"},
 	} {
 		k := r.handed(mine)
 		c.change(k)
@@ -271,10 +271,10 @@
 	send(1, r.relays[1].peersAll, "all")
 	receive(0, "all", r.relays[0].peers[1])
 	receive(2, "all", r.relays[2].peers[1])
-	r.network.set(func() { r.network.halve = 1 })
+	r.network.set(func() { r.network.truncateShare = 1 })
 	send(0, r.relays[0].peers[1], "halves")
 	receive(1, "hal", r.relays[1].peers[0])
-	r.network.set(func() { r.network.halve, r.network.split = 0, []int{0} })
+	r.network.set(func() { r.network.truncateShare, r.network.split = 0, []int{0} })
 	send(0, r.relays[0].peers[1], "cut off")
 	send(2, r.relays[2].peers[1], "same side")
 	receive(1, "same side", r.relays[1].peers[2])
@@ -282,7 +282,7 @@
 	until(t, "the long one is a fault", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return len(r.faults) == 1
+		return len(r.failures) == 1
 	})
 	if n := r.network.sum(); n.Lost != 1 || n.Halved != 1 || n.Sent != 6 {
 		t.Errorf("counted %+v", n)
@@ -302,7 +302,7 @@
 		t.Cleanup(func() { _ = resp.Body.Close() })
 		return resp, bufio.NewReader(resp.Body)
 	}
-	list := func(in *bufio.Reader) (m members) {
+	list := func(in *bufio.Reader) (m endpointList) {
 		t.Helper()
 		for {
 			line, err := in.ReadString('\n')
@@ -325,19 +325,19 @@
 	if m := list(watch); m.Whole || len(m.Hosts) != 0 {
 		t.Errorf("a watch from the present version on begins with %+v", m)
 	}
-	h := r.partners[1].hosts[0]
-	r.register.show(h, checker.Draining)
+	h := r.destinations[1].endpoints[0]
+	r.discovery.publish(h, checker.Draining)
 	if m := list(watch); m.Whole || len(m.Hosts) != 1 || m.Hosts[0].Host != h.id || m.Hosts[0].Health != checker.Draining || m.Seq != 3 {
 		t.Errorf("a drain is told as %+v", m)
 	}
-	r.register.show(h, checker.Deleted)
+	r.discovery.publish(h, checker.Deleted)
 	if m := list(watch); m.Hosts[0].Health != checker.Deleted {
 		t.Errorf("a deletion is told as %+v", m)
 	}
 	if _, in := get("/catalog/members?stream=1&index=0"); len(list(in).Hosts) != 1 {
 		t.Error("what is deleted is in the whole list")
 	}
-	r.register.fail("503")
+	r.discovery.fail("503")
 	if _, err := io.ReadAll(watch); err == nil {
 		t.Error("the watch did not end by a broken connection")
 	}
@@ -353,7 +353,7 @@
 		t.Errorf("a notice that can't be read: %v, %v", resp, err)
 	}
 	told := 0
-	for _, e := range r.written() {
+	for _, e := range r.eventLog() {
 		if e.Kind == checker.EndpointNotified && e.Endpoint == h.id && e.State != checker.Serving {
 			told++
 		}
@@ -366,12 +366,12 @@
 // The model's own changes, a fall and the return from it, are carried over to the sockets.
 func TestFallOnSockets(t *testing.T) {
 	s := loadScript(t, 200, 5, 1, 1, 1, 0, 100)
-	s.Partners[0].FallenFor = 0.5
+	s.Destinations[0].OverloadDowntime = 0.5
 	r := bare(t, s)
-	l := r.partners[0]
-	l.fail(-1, &scenario.Event{What: "shut"})
+	l := r.destinations[0]
+	l.fail(-1, &scenario.Fault{Kind: "shut"})
 	l.recover(-1, true)
-	addr := l.hosts[0].addrs[0]
+	addr := l.endpoints[0].addrs[0]
 	for n := 0; r.count(checker.OutageBegan) < 2; n++ {
 		if n > 100 {
 			t.Fatal("a hundred calls at once did not push it over")
@@ -387,7 +387,7 @@
 	until(t, "connections are refused", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.hosts[0].mode == destination.Refusing
+		return l.endpoints[0].mode == destination.ModeRefusing
 	})
 	until(t, "it is back", func() bool {
 		c, err := net.Dial("tcp", addr)
--- a/internal/faultinjection/harness/stores.go
+++ b/internal/faultinjection/harness/stores.go
@@ -13,16 +13,16 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// storesWithin is how long relays have, at the end of a run, to hand over to their stores and to come to rest.
-const storesWithin = 2 * time.Second
+// storeSettleTime is how long relays have, at the end of a run, to hand over to their stores and to come to rest.
+const storeSettleTime = 2 * time.Second
 
 // beforeRun is how long before the run a backlog was given up.
 const beforeRun = time.Hour
 
 // fillStores puts what was given up before the run into the relays' stores, to each as much.
-func (r *rig) fillStores(before []*scenario.Message) error {
+func (r *harness) fillStores(before []*scenario.Message) error {
 	for _, rel := range r.relays {
-		mine := before[rel.number*r.s.Relay.Backlog:][:r.s.Relay.Backlog]
+		mine := before[rel.number*r.scenario.Relay.DeadLetterBacklog:][:r.scenario.Relay.DeadLetterBacklog]
 		if len(mine) == 0 {
 			continue
 		}
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		err = rel.fill(s, mine)
+		err = rel.fillStore(s, mine)
 		if err = errors.Join(err, s.Close()); err != nil {
 			return err
 		}
@@ -48,29 +48,29 @@
 	return nil
 }
 
-// fill puts messages into a relay's store.
-func (rel *relay) fill(s *deadletter.Store, list []*scenario.Message) error {
+// fillStore puts messages into a relay's store.
+func (rel *relay) fillStore(s *deadletter.Store, list []*scenario.Message) error {
 	const batch = 500
 	at := time.Now().Add(-beforeRun)
 	for part := range slices.Chunk(list, batch) {
 		var all []deadletter.Message
 		for _, m := range part {
-			id, class := fmt.Sprintf("before-%d", m.No), &rel.r.s.Classes[m.Class]
-			k := deadletter.Message{Body: bodyOf(&charge{m: m}), Record: deadletter.Record{
-				ID: id, Class: class.Name, Destination: m.Partner, IdempotencyKey: m.Key,
+			id, class := fmt.Sprintf("before-%d", m.Number), &rel.h.scenario.Classes[m.Class]
+			k := deadletter.Message{Body: messageBody(&submission{message: m}), Record: deadletter.Record{
+				ID: id, Class: class.Name, Destination: m.Destination, IdempotencyKey: m.Key,
 				State: deadletter.Held, Since: at, Due: at, Incarnations: []deadletter.Incarnation{{
 					ID: id, Relay: rel.name, AcceptedAt: at.Add(-scenario.Seconds(class.Deadline)),
 					Deadline: at, CompletedAt: at, Reason: deadletter.DeadlineExceeded, Status: "undeliverable",
 				}},
 			}}
 			if m.Tenant >= 0 {
-				k.Tenant = rel.r.s.Tenants[m.Tenant].Name
+				k.Tenant = rel.h.scenario.Tenants[m.Tenant].Name
 			}
 			if m.Subject != "" {
-				k.Subject, k.Order = m.Subject, &deadletter.Order{Whole: int64(m.No)}
+				k.Subject, k.Order = m.Subject, &deadletter.Order{Whole: int64(m.Number)}
 			}
 			all = append(all, k)
-			rel.r.note(checker.Event{Kind: checker.StoredBefore, ID: id, Message: m.No, Relay: rel.number, Destination: m.Partner, Class: m.Class, Subject: m.Subject})
+			rel.h.record(checker.Event{Kind: checker.StoredBefore, ID: id, Message: m.Number, Relay: rel.number, Destination: m.Destination, Class: m.Class, Subject: m.Subject})
 		}
 		if err := s.Put(all); err != nil {
 			return err
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// stores reads what the relays' stores of undelivered messages hold, once the relays have ended.
-func (r *rig) stores() (kept []checker.DeadLetter, unkept []string, err error) {
+// deadLetters reads what the relays' stores of undelivered messages hold, once the relays have ended.
+func (r *harness) deadLetters() (kept []checker.DeadLetter, unkept []string, err error) {
 	for _, rel := range r.relays {
 		own, err := operatorconfig.Read(rel.operatorPath())
 		if errors.Is(err, os.ErrNotExist) {
@@ -112,8 +112,8 @@
 	return kept, unkept, nil
 }
 
-// keepStore copies a relay's store, so that the tool can be tried on it.
-func (rel *relay) keepStore(to string) error {
+// saveStore copies a relay's store, so that the tool can be tried on it.
+func (rel *relay) saveStore(to string) error {
 	own, err := operatorconfig.Read(rel.operatorPath())
 	if errors.Is(err, os.ErrNotExist) || err == nil && own.DeadLetter == nil {
 		return nil
@@ -137,10 +137,10 @@
 			return nil, err
 		}
 		if damaged > 0 {
-			rel.r.fault("%s: %d records of its store can't be read", rel.name, damaged)
+			rel.h.recordFailure("%s: %d records of its store can't be read", rel.name, damaged)
 		}
 		for _, rec := range list {
-			k := checker.DeadLetter{Relay: rel.number, State: string(rec.State), Why: rec.Reason + string(rec.Last().Reason)}
+			k := checker.DeadLetter{Relay: rel.number, State: string(rec.State), Reason: rec.Reason + string(rec.Last().Reason)}
 			for i, l := range rec.Incarnations {
 				k.IDs = append(k.IDs, l.ID)
 				// Of a resend that is out the store knows nothing yet: what came of it is in the relay's journal.
@@ -149,7 +149,7 @@
 					never = never && a.Execution == deadletter.NotExecuted
 				}
 				if never {
-					k.NeverRan = append(k.NeverRan, l.ID)
+					k.NotExecuted = append(k.NotExecuted, l.ID)
 				}
 			}
 			kept = append(kept, k)
--- a/internal/faultinjection/scenario/errno.go
+++ b/internal/faultinjection/scenario/errno.go
@@ -8,14 +8,14 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// Calls are the kinds of system call on sockets that an event may have fail, by their names in scripts.
-var Calls = map[string]faults.Call{
+// SocketSyscalls are the kinds of system call on sockets that an event may have fail, by their names in scripts.
+var SocketSyscalls = map[string]faults.Syscall{
 	"accept": faults.Accept, "connect": faults.Connect, "socket": faults.Socket, "read": faults.SocketRead,
-	"write": faults.SocketWrite, "wait": faults.Wait,
+	"write": faults.SocketWrite, "wait": faults.PollWait,
 }
 
-// FolderCalls are those that write to a relay's folder.
-var FolderCalls = []faults.Call{faults.FileWrite, faults.FileSync, faults.FileOpen, faults.FileRename}
+// FileSyscalls are those that write to a relay's folder.
+var FileSyscalls = []faults.Syscall{faults.FileWrite, faults.FileSync, faults.FileOpen, faults.FileRename}
 
 // shortName stands for a read or write of a part, where errnos are named.
 const shortName = "SHORT"
@@ -26,7 +26,7 @@
 // Errno gives the error of a name as errno(3) has it, or 0.
 func Errno(name string) syscall.Errno {
 	if name == shortName {
-		return faults.Short
+		return faults.ShortTransfer
 	}
 	if name == "EOPNOTSUPP" { // one number has two names on Linux
 		return syscall.EOPNOTSUPP
--- a/internal/faultinjection/scenario/scenario_test.go
+++ b/internal/faultinjection/scenario/scenario_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-func shipped(t testing.TB) map[string]*Script {
+func shipped(t testing.TB) map[string]*Scenario {
 	t.Helper()
 	paths, _ := filepath.Glob("../../../scenarios/*.toml")
 	if len(paths) == 0 {
 		t.Fatal("no script is shipped")
 	}
-	all := map[string]*Script{}
+	all := map[string]*Scenario{}
 	for _, p := range paths {
 		s, err := Read(p)
 		if err != nil {
@@ -30,7 +30,7 @@
 
 func TestShippedScriptsAreWhatRelaysTake(t *testing.T) {
 	for name, s := range shipped(t) {
-		set := s.Settings(0)
+		set := s.RelaySettings(0)
 		if _, err := set.Policy(); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -120,14 +120,14 @@
 
 func TestDrawsRepeat(t *testing.T) {
 	s := shipped(t)["quiet"]
-	a, b, c := s.Messages(NewDraws(3)), s.Messages(NewDraws(3)), s.Messages(NewDraws(4))
+	a, b, c := s.Messages(NewRandomStreams(3)), s.Messages(NewRandomStreams(3)), s.Messages(NewRandomStreams(4))
 	if !reflect.DeepEqual(a, b) {
 		t.Error("the same seed gives other messages")
 	}
 	if reflect.DeepEqual(a, c) {
 		t.Error("another seed gives the same messages")
 	}
-	if x, y := s.Work(NewDraws(3), a[5], 2), s.Work(NewDraws(3), b[5], 2); x != y || x <= 0 {
+	if x, y := s.ServiceTime(NewRandomStreams(3), a[5], 2), s.ServiceTime(NewRandomStreams(3), b[5], 2); x != y || x <= 0 {
 		t.Errorf("service times %v and %v", x, y)
 	}
 }
@@ -135,15 +135,15 @@
 // Drawn traffic has the means that the script states, over many seeds.
 func TestDrawsFollowTheScript(t *testing.T) {
 	s := shipped(t)["quiet"]
-	n, work, perClass, perPartner := 0.0, 0.0, make([]float64, len(s.Classes)), make([]float64, len(s.Partners))
+	n, work, perClass, perPartner := 0.0, 0.0, make([]float64, len(s.Classes)), make([]float64, len(s.Destinations))
 	const seeds = 20
 	for seed := range seeds {
-		d := NewDraws(int64(seed))
+		d := NewRandomStreams(int64(seed))
 		for _, m := range s.Messages(d) {
 			n++
 			perClass[m.Class]++
-			perPartner[m.Partner]++
-			work += s.Work(d, m, 0).Seconds()
+			perPartner[m.Destination]++
+			work += s.ServiceTime(d, m, 0).Seconds()
 		}
 	}
 	near := func(what string, got, want, within float64) {
@@ -155,14 +155,14 @@
 	near("messages", n, seeds*s.Load.Rate*s.Length, 0.04)
 	near("first class", perClass[0]/n, 0.55, 0.02)
 	near("first partner", perPartner[0]/n, 0.32, 0.06)
-	near("service time", work/n, s.Mean(&Partner{Pace: 1}), 0.03)
+	near("service time", work/n, s.MeanServiceTime(&Destination{ServiceTimeFactor: 1}), 0.03)
 }
 
 func FuzzParse(f *testing.F) {
 	f.Add(broken)
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := Parse("f", []byte(text)); err == nil && s.Length*s.Load.Rate < 10000 {
-			for _, m := range s.Messages(NewDraws(1)) {
+			for _, m := range s.Messages(NewRandomStreams(1)) {
 				if m.At < 0 || m.At > Seconds(s.Length) {
 					t.Fatalf("message at %v", m.At)
 				}
--- a/internal/faultinjection/scenario/soak.go
+++ b/internal/faultinjection/scenario/soak.go
@@ -75,10 +75,10 @@
 	length float64
 }
 
-// SoakText draws a rehearsal from a seed in which so many relays meet random faults that overlap: killed, ended, stopped and replaced
+// SoakScenario draws a rehearsal from a seed in which so many relays meet random faults that overlap: killed, ended, stopped and replaced
 // processes, stepped clocks, failing system calls and folders, partners that are out, slow or reset connections, a register that is
 // away and a network that splits. The text is that of a script.
-func SoakText(seed int64, relays int, length float64) string {
+func SoakScenario(seed int64, relays int, length float64) string {
 	s := &soak{rng: rand.New(rand.NewPCG(uint64(seed), soakStream)), length: length}
 	fmt.Fprintf(s, soakHead, seed, seed, seed, length, relays, soakRate*float64(relays))
 	for i := range soakPartners {
--- a/internal/faultinjection/simulation/days.go
+++ b/internal/faultinjection/simulation/days.go
@@ -18,8 +18,8 @@
 	Rush = "rush" // half as much again is sent, more than partners take
 )
 
-// Names are the days.
-var Names = []string{Calm, Join, Zone, Herd, Rush}
+// DayNames are the days.
+var DayNames = []string{Calm, Join, Zone, Herd, Rush}
 
 const (
 	dayLength = 30.0 // seconds
@@ -139,7 +139,7 @@
 		return nil, nil, err
 	}
 	s.Relays = relays
-	return &Day{Script: s, Seed: seed, Register: Register{
+	return &Day{Scenario: s, Seed: seed, Discovery: Discovery{
 		Work: registerSpan / time.Duration(max(12, relays)), Timeout: 2 * time.Second,
 		Most: 6 * time.Second, Lag: time.Second,
 	}}, alike, nil
@@ -156,29 +156,29 @@
 		return nil, err
 	}
 	// each has something happen to all partners of a share.
-	each := func(share int, seconds float64, e Event) {
+	each := func(share int, seconds float64, e Fault) {
 		for _, p := range alike[share] {
-			e.At, e.Partner = scenario.Seconds(seconds), p
-			day.Events = append(day.Events, e)
+			e.At, e.Destination = scenario.Seconds(seconds), p
+			day.Faults = append(day.Faults, e)
 		}
 	}
 	switch name {
 	case Calm, Rush:
 	case Join:
-		each(0, 8, Event{What: Lower, Share: 0.25})
-		each(0, 17, Event{What: Lower, Share: 1})
+		each(0, 8, Fault{Kind: Lower, Share: 0.25})
+		each(0, 17, Fault{Kind: Lower, Share: 1})
 	case Zone:
 		for _, share := range []int{0, 2} {
-			each(share, 8, Event{What: Out})
-			each(share, 13, Event{What: Back})
+			each(share, 8, Fault{Kind: Out})
+			each(share, 13, Fault{Kind: Back})
 		}
 	case Herd:
 		for share := range shares {
-			each(share, 7+float64(share), Event{What: Replace})
+			each(share, 7+float64(share), Fault{Kind: Replace})
 		}
-		day.Events = append(day.Events, Event{At: scenario.Seconds(10), What: Kill, Share: 0.7})
+		day.Faults = append(day.Faults, Fault{At: scenario.Seconds(10), Kind: Kill, Share: 0.7})
 	default:
-		return nil, fmt.Errorf("%q is no day: there are %s", name, strings.Join(Names, ", "))
+		return nil, fmt.Errorf("%q is no day: there are %s", name, strings.Join(DayNames, ", "))
 	}
 	return day, nil
 }
--- a/internal/faultinjection/simulation/drawn_test.go
+++ b/internal/faultinjection/simulation/drawn_test.go
@@ -17,20 +17,20 @@
 
 func drawn(t *testing.T, kind string, relays int, seed int64, change func(*Day)) *Result {
 	t.Helper()
-	return playOf(t, Drawn, kind, relays, seed, change)
+	return playOf(t, NewDrawnDay, kind, relays, seed, change)
 }
 
 // On drawn days of each kind no rule is broken: some of a few relays, one each of 300. The same seed is the same day.
 func TestDrawnDays(t *testing.T) {
-	for _, kind := range DrawnNames {
+	for _, kind := range DrawnDayNames {
 		for relays, seeds := range map[int]int64{30: 6, 300: 1} {
 			t.Run(fmt.Sprintf("%s of %d", kind, relays), func(t *testing.T) {
 				t.Parallel()
 				for seed := int64(1); seed <= seeds; seed++ {
 					r := drawn(t, kind, relays, seed, nil)
-					if len(r.Faults)+len(r.Breaches) > 0 || r.Unwatched > 0 || r.Worth < 0.5 {
-						t.Errorf("seed %d: worth %.3f, %d relays without a watch at the end\n%s", seed, r.Worth, r.Unwatched,
-							strings.Join(r.Faults, "\n"))
+					if len(r.Failures)+len(r.Violations) > 0 || r.Unwatched > 0 || r.DeliveredWeight < 0.5 {
+						t.Errorf("seed %d: worth %.3f, %d relays without a watch at the end\n%s", seed, r.DeliveredWeight, r.Unwatched,
+							strings.Join(r.Failures, "\n"))
 					}
 				}
 			})
@@ -146,10 +146,10 @@
 			}
 			return e
 		})}, func(d *Day) {
-			d.Script.Load.Rate *= 2
-			for i := range d.Script.Partners { // waits longer than the pauses that relays make by themselves
-				p := &d.Script.Partners[i]
-				p.Tells, p.Limit.Span, p.Limit.Count = "wait", 5*p.Limit.Span, 5*p.Limit.Count
+			d.Scenario.Load.Rate *= 2
+			for i := range d.Scenario.Destinations { // waits longer than the pauses that relays make by themselves
+				p := &d.Scenario.Destinations[i]
+				p.RejectionInfo, p.Limit.Window, p.Limit.Count = "wait", 5*p.Limit.Window, 5*p.Limit.Count
 			}
 		}, checker.RetryAfterIgnored},
 		"another partner's host": {Calm, Plant{Actions: each(func(a policy.Action) []policy.Action {
@@ -170,25 +170,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			day := func(d *Day) {
-				d.Script.Length = min(d.Script.Length, 16)
+				d.Scenario.Length = min(d.Scenario.Length, 16)
 				d.Plant = tt.plant
 				if tt.change != nil {
 					tt.change(d)
 				}
 			}
-			if r := drawn(t, tt.kind, 300, 2, day); r.Breaches[tt.caught] == 0 {
-				t.Errorf("%v, want %q", r.Breaches, tt.caught)
+			if r := drawn(t, tt.kind, 300, 2, day); r.Violations[tt.caught] == 0 {
+				t.Errorf("%v, want %q", r.Violations, tt.caught)
 			}
 		})
 	}
 	// What is planted above breaks the rule, and not the order itself.
-	if r := drawn(t, Calm, 60, 2, ordered); len(r.Breaches) > 0 {
-		t.Errorf("order kept: %v", r.Faults)
+	if r := drawn(t, Calm, 60, 2, ordered); len(r.Violations) > 0 {
+		t.Errorf("order kept: %v", r.Failures)
 	}
 }
 
 // ordered has one class keep order among messages about one thing.
 func ordered(d *Day) {
-	i := slices.IndexFunc(d.Script.Classes, func(c scenario.Class) bool { return c.Name == "parcel-status" })
-	d.Script.Classes[i].Ordered, d.Script.Classes[i].Keys = true, 20
+	i := slices.IndexFunc(d.Scenario.Classes, func(c scenario.Class) bool { return c.Name == "parcel-status" })
+	d.Scenario.Classes[i].Ordered, d.Scenario.Classes[i].OrderKeys = true, 20
 }
--- a/internal/faultinjection/simulation/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -15,7 +15,7 @@
 	"frostlink/policy"
 )
 
-// What goes wrong on a day.
+// Kind goes wrong on a day.
 const (
 	Lower   = "lower"   // a partner takes a share of its limit
 	Out     = "out"     // a partner is down
@@ -32,16 +32,16 @@
 	Hasty   = "hasty"   // a share of the clients leaves before it has heard, and comes again elsewhere
 )
 
-// Event is one of these.
-type Event struct {
-	At      time.Duration
-	What    string
-	Partner int
-	Share   float64       // of the limit, the relays, the calls or the clients
-	From    float64       // with Kill and Roll: the first relay, as a share of them
-	By      float64       // with Slow
-	Zone    int           // with Cut
-	For     time.Duration // with Vanish, Down, Cut, Harm, Slow, Errors and Hasty
+// Fault is one of these.
+type Fault struct {
+	At          time.Duration
+	Kind        string
+	Destination int
+	Share       float64       // of the limit, the relays, the calls or the clients
+	From        float64       // with Kill and Roll: the first relay, as a share of them
+	Factor      float64       // with Slow
+	Zone        int           // with Cut
+	Duration    time.Duration // with Vanish, Down, Cut, Harm, Slow, Errors and Hasty
 }
 
 // Plant is a fault put into the relays, so that tests see it caught.
@@ -51,19 +51,19 @@
 	Opens    bool // all take word of a return for leave to send
 	Probes   bool // each probes a partner that is out, four times a second
 	Forgets  bool // what was taken on dies with the process
-	// Events and Actions, where set, bend what a relay's module hears and what it wants done in a batch.
+	// Faults and Actions, where set, bend what a relay's module hears and what it wants done in a batch.
 	Events  func(relay int, events []policy.Event) []policy.Event
 	Actions func(relay int, now time.Duration, actions []policy.Action) []policy.Action
 }
 
 // Day is what is played.
 type Day struct {
-	Script   *scenario.Script
-	Events   []Event
-	Register Register
-	Plant    Plant
-	Skew     float64 // share of the messages that the first relay gets beside its own
-	Seed     int64
+	Scenario  *scenario.Scenario
+	Faults    []Fault
+	Discovery Discovery
+	Plant     Plant
+	Skew      float64 // share of the messages that the first relay gets beside its own
+	Seed      int64
 }
 
 // restartAfter is how long a killed relay is away, and stopWithin how long one that ends by plan may take.
@@ -106,11 +106,11 @@
 
 // site is a partner with what is kept about it here.
 type site struct {
-	*destination.Partner
+	*destination.Model
 	no      int
 	limit   float64 // calls a second when it is not lowered
 	hosts   []*host
-	flights map[*destination.Call]*flight
+	flights map[*destination.Attempt]*flight
 	due     time.Duration // when it is advanced next
 }
 
@@ -120,7 +120,7 @@
 	now      time.Duration
 	seq      int
 	agenda   agenda
-	draws    scenario.Draws
+	draws    scenario.RandomStreams
 	chance   *rand.Rand
 	sites    []*site
 	hosts    map[string]*host
@@ -144,25 +144,25 @@
 // newFleet puts a day's fleet together.
 func newFleet(day *Day) *fleet {
 	f := &fleet{
-		Day: day, draws: scenario.NewDraws(day.Seed), hosts: map[string]*host{}, ends: map[int]bool{},
+		Day: day, draws: scenario.NewRandomStreams(day.Seed), hosts: map[string]*host{}, ends: map[int]bool{},
 		asked: map[string]*scenario.Message{}, ran: map[int]int{},
-		res: &Result{Relays: day.Script.Relays},
+		res: &Result{Relays: day.Scenario.Relays},
 	}
-	f.chance = f.draws.For("network")
-	f.register = &register{f: f, Register: day.Register, watchers: map[*relay]int{}}
-	for i := range day.Script.Partners {
-		p := &day.Script.Partners[i]
+	f.chance = f.draws.Stream("network")
+	f.register = &register{f: f, Discovery: day.Discovery, watchers: map[*relay]int{}}
+	for i := range day.Scenario.Destinations {
+		p := &day.Scenario.Destinations[i]
 		s := &site{
-			Partner: destination.New(day.Script, i, f.draws), no: i, limit: p.Limit.PerSecond(),
-			flights: map[*destination.Call]*flight{}, due: forever,
+			Model: destination.New(day.Scenario, i, f.draws), no: i, limit: p.Limit.PerSecond(),
+			flights: map[*destination.Attempt]*flight{}, due: forever,
 		}
 		f.sites = append(f.sites, s)
 		for e := range p.Endpoints {
 			f.register.show(f.addHost(s, e), serving)
 		}
-		f.res.Partners = append(f.res.Partners, &Partner{Limit: s.limit})
+		f.res.Destinations = append(f.res.Destinations, &Destination{Limit: s.limit})
 	}
-	for i := range day.Script.Relays {
+	for i := range day.Scenario.Relays {
 		f.relays = append(f.relays, newRelay(f, i))
 	}
 	return f
@@ -176,20 +176,20 @@
 			return nil, err
 		}
 	}
-	messages := day.Script.Messages(f.draws)
+	messages := day.Scenario.Messages(f.draws)
 	for _, m := range messages {
 		f.at(m.At, func() { f.handIn(m, 0) })
 	}
 	f.res.Messages = len(messages)
-	for _, e := range day.Events {
+	for _, e := range day.Faults {
 		f.at(e.At, func() { f.happen(e) })
 	}
-	length := scenario.Seconds(day.Script.Length)
+	length := scenario.Seconds(day.Scenario.Length)
 	for at := time.Duration(0); at < length; at += time.Second {
 		f.at(at, f.sample)
 	}
 	until := length
-	for _, c := range day.Script.Classes {
+	for _, c := range day.Scenario.Classes {
 		until = max(until, length+scenario.Seconds(c.Deadline)+5*time.Second)
 	}
 	for len(f.agenda) > 0 && f.agenda[0].at <= until {
@@ -213,7 +213,7 @@
 func (f *fleet) after(d time.Duration, do func()) { f.at(f.now+d, do) }
 
 // trip is what a message takes one way.
-func (f *fleet) trip() time.Duration { return scenario.Millis(oneWay.In(f.chance)) }
+func (f *fleet) trip() time.Duration { return scenario.Milliseconds(oneWay.Draw(f.chance)) }
 
 func (f *fleet) addHost(s *site, endpoint int) *host {
 	h := &host{fmt.Sprintf("p%d-%d", s.no, endpoint), s, endpoint}
@@ -223,14 +223,14 @@
 }
 
 // happen has an event happen.
-func (f *fleet) happen(e Event) {
-	s := f.sites[e.Partner]
-	switch e.What {
+func (f *fleet) happen(e Fault) {
+	s := f.sites[e.Destination]
+	switch e.Kind {
 	case Lower:
-		f.carryOut(s, s.Lower(f.now, e.Share))
+		f.carryOut(s, s.LowerLimit(f.now, e.Share))
 	case Out:
 		f.write(checker.Event{Kind: checker.OutageBegan, Destination: s.no, State: "refuse"})
-		f.carryOut(s, s.Fail(f.now, -1, destination.Refusing, 0))
+		f.carryOut(s, s.Fail(f.now, -1, destination.ModeRefusing, 0))
 		f.reset(s)
 	case Back:
 		f.write(checker.Event{Kind: checker.OutageEnded, Destination: s.no, OK: true})
@@ -242,8 +242,8 @@
 		}
 	case Vanish:
 		f.write(checker.Event{Kind: checker.OutageBegan, Destination: s.no, State: "gone"})
-		f.carryOut(s, s.Fail(f.now, -1, destination.Gone, 0))
-		f.after(e.For, func() { f.happen(Event{What: Back, Partner: e.Partner}) })
+		f.carryOut(s, s.Fail(f.now, -1, destination.ModeUnreachable, 0))
+		f.after(e.Duration, func() { f.happen(Fault{Kind: Back, Destination: e.Destination}) })
 	case Kill:
 		for _, r := range f.part(e.From, e.Share) {
 			r.kill()
@@ -258,38 +258,38 @@
 		}
 	case Cut:
 		f.severed = e.Zone + 1
-		f.after(e.For, f.join)
+		f.after(e.Duration, f.join)
 	case Harm:
 		f.harm = e.Share
-		f.after(e.For, func() { f.harm = 0 })
+		f.after(e.Duration, func() { f.harm = 0 })
 	case Hasty:
 		f.hasty = e.Share
-		f.after(e.For, func() { f.hasty = 0 })
+		f.after(e.Duration, func() { f.hasty = 0 })
 	case Slow:
-		f.carryOut(s, s.Slow(f.now, -1, e.By))
-		f.after(e.For, func() { f.carryOut(s, s.Slow(f.now, -1, 1)) })
+		f.carryOut(s, s.SetSlowdown(f.now, -1, e.Factor))
+		f.after(e.Duration, func() { f.carryOut(s, s.SetSlowdown(f.now, -1, 1)) })
 	case Errors:
-		f.carryOut(s, s.Fail(f.now, -1, destination.Failing, e.Share))
-		f.after(e.For, func() { f.carryOut(s, s.Recover(f.now, -1, false)) })
+		f.carryOut(s, s.Fail(f.now, -1, destination.ModeFailing, e.Share))
+		f.after(e.Duration, func() { f.carryOut(s, s.Recover(f.now, -1, false)) })
 	case Replace:
 		old := s.hosts
 		s.hosts = nil
 		for i, h := range old {
-			n, acts := s.Add(f.now, f.draws.For("pause", s.no, len(old)+i))
+			n, acts := s.AddEndpoint(f.now, f.draws.Stream("pause", s.no, len(old)+i))
 			f.carryOut(s, acts)
 			f.register.show(f.addHost(s, n), serving)
 			f.after(time.Second, func() {
-				f.carryOut(s, s.Drain(f.now, h.endpoint))
+				f.carryOut(s, s.DrainEndpoint(f.now, h.endpoint))
 				f.register.show(h, draining)
 			})
 			f.after(4*time.Second, func() {
-				f.carryOut(s, s.Remove(f.now, h.endpoint))
+				f.carryOut(s, s.RemoveEndpoint(f.now, h.endpoint))
 				f.reset(s)
 				f.register.show(h, deleted)
 			})
 		}
 	case Down:
-		f.register.fail(e.For)
+		f.register.fail(e.Duration)
 	}
 }
 
@@ -301,21 +301,21 @@
 			there = append(there, r)
 		}
 	}
-	left := scenario.Seconds(f.Script.Classes[m.Class].Deadline) - (f.now - m.At)
+	left := scenario.Seconds(f.Scenario.Classes[m.Class].Deadline) - (f.now - m.At)
 	switch {
 	case left <= 0:
-		f.ends[m.No] = true // its client has given up: nobody had taken it on
+		f.ends[m.Number] = true // its client has given up: nobody had taken it on
 		return
 	case len(there) == 0:
-		f.after(m.Again, func() { f.handIn(m, n) })
+		f.after(m.ResubmitDelay, func() { f.handIn(m, n) })
 		return
 	}
-	deal := m.Deal
+	deal := m.RelayDraw
 	if n > 0 {
-		deal = f.draws.For("retry", m.No, n).Float64()
+		deal = f.draws.Stream("retry", m.Number, n).Float64()
 	}
 	to := there[int(deal*float64(len(there)))]
-	if f.Skew > 0 && f.draws.For("skew", m.No).Float64() < f.Skew {
+	if f.Skew > 0 && f.draws.Stream("skew", m.Number).Float64() < f.Skew {
 		to = there[0]
 	}
 	to.take(m, n, left)
@@ -326,24 +326,24 @@
 	fell := false
 	for _, a := range acts {
 		switch {
-		case a.Change != nil && !fell: // one for each endpoint
+		case a.ModeChange != nil && !fell: // one for each endpoint
 			fell = true
-			f.fell(s, a.Change)
-		case a.Done != nil:
-			if a.Done.Ran {
-				f.write(checker.Event{Kind: checker.Executed, ID: a.Done.Call.ID, Destination: s.no})
+			f.fell(s, a.ModeChange)
+		case a.Completion != nil:
+			if a.Completion.Executed {
+				f.write(checker.Event{Kind: checker.Executed, ID: a.Completion.Attempt.ID, Destination: s.no})
 			}
 			// Also of a call whose relay waits no more: its effect counts.
-			if m := f.asked[a.Done.Call.ID]; m != nil && a.Done.Ran && f.Script.Classes[m.Class].Effect != "safe" {
-				f.ran[m.No]++
+			if m := f.asked[a.Completion.Attempt.ID]; m != nil && a.Completion.Executed && f.Scenario.Classes[m.Class].Idempotency != "safe" {
+				f.ran[m.Number]++
 			}
-			if fl := s.flights[a.Done.Call]; fl != nil {
-				delete(s.flights, a.Done.Call)
-				f.answer(s, fl, a.Done)
+			if fl := s.flights[a.Completion.Attempt]; fl != nil {
+				delete(s.flights, a.Completion.Attempt)
+				f.answer(s, fl, a.Completion)
 			}
 		}
 	}
-	if next := s.Next(); next < s.due {
+	if next := s.NextDue(); next < s.due {
 		s.due = next
 		f.at(next, func() {
 			s.due = forever
@@ -353,27 +353,27 @@
 }
 
 // answer sends a call's end back to its relay.
-func (f *fleet) answer(s *site, fl *flight, done *destination.Done) {
-	p := f.res.Partners[s.no]
+func (f *fleet) answer(s *site, fl *flight, done *destination.Completion) {
+	p := f.res.Destinations[s.no]
 	how := outcomes[done.Outcome]
 	if fl.mute || f.cut(fl.r, fl.host) {
-		fl.closed(checker.Event{Outcome: checker.Interrupted, Ran: done.Ran})
+		fl.closed(checker.Event{Outcome: checker.Interrupted, Executed: done.Executed})
 		return
 	}
-	end := policy.AttemptEnded{Outcome: how.heard, Final: how.heard == policy.Succeeded, RetryAfter: done.Wait}
+	end := policy.AttemptEnded{Outcome: how.heard, Final: how.heard == policy.Succeeded, RetryAfter: done.RetryAfter}
 	switch how.heard {
 	case policy.Succeeded:
 		p.now(f.now).Delivered++
 	case policy.Rejected:
-		p.now(f.now).Refused++
-		f.res.Refused++
+		p.now(f.now).Rejected++
+		f.res.Rejected++
 	}
-	if done.Report != nil {
-		end.LoadReport = &policy.LoadReport{Remaining: done.Report.Left, RateLimit: done.Report.Limit}
+	if done.LoadReport != nil {
+		end.LoadReport = &policy.LoadReport{Remaining: done.LoadReport.Left, RateLimit: done.LoadReport.Limit}
 	}
 	written := f.now
 	f.after(f.trip(), func() {
-		fl.closedAt(written, checker.Event{Outcome: how.named, Duration: done.Wait, Ran: done.Ran})
+		fl.closedAt(written, checker.Event{Outcome: how.named, Duration: done.RetryAfter, Executed: done.Executed})
 		fl.end(end, end.Outcome != policy.ConnectionReset)
 	})
 }
@@ -381,7 +381,7 @@
 // reset breaks the connections of all calls that are at endpoints which answer no more.
 func (f *fleet) reset(s *site) {
 	for call, fl := range s.flights {
-		if s.Mode(fl.host.endpoint) >= destination.Refusing {
+		if s.Mode(fl.host.endpoint) >= destination.ModeRefusing {
 			delete(s.flights, call)
 			fl.broken = true
 			fl.closed(checker.Event{Outcome: checker.Interrupted})
--- a/internal/faultinjection/simulation/fleet_test.go
+++ b/internal/faultinjection/simulation/fleet_test.go
@@ -41,15 +41,15 @@
 // listed or drained, a partner pushed over, or the register asked by more at once than it takes.
 func faults(r *Result) (out []string) {
 	bad := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for _, f := range r.Faults {
+	for _, f := range r.Failures {
 		bad("rule: %s", f)
 	}
-	if r.Falls > 0 {
-		bad("push: %d falls", r.Falls)
+	if r.Overloads > 0 {
+		bad("push: %d falls", r.Overloads)
 	}
 	// The register takes a call of each relay in 5 s; asks are spread over 8 s and chance adds to that.
-	if most := max(12, r.Relays/4); r.AskPeak > most {
-		bad("asks: %d in one second, %d at most", r.AskPeak, most)
+	if most := max(12, r.Relays/4); r.PeakPolls > most {
+		bad("asks: %d in one second, %d at most", r.PeakPolls, most)
 	}
 	if r.Unwatched > 0 {
 		bad("asks: %d relays without a watch at the end", r.Unwatched)
@@ -61,7 +61,7 @@
 // answers and keep to their shares: a tenth above for the noise of reports, a tenth for the raises by success that find
 // the limit, and chance of a Poisson count, which is a fifth more at a second's 60 calls.
 func ofJoin(r *Result) (out []string) {
-	p := r.Partners[0]
+	p := r.Destinations[0]
 	if over := p.Over(9, 17, 0.25); over > 0.45 {
 		out = append(out, fmt.Sprintf("over: %.2f of the lowered limit above it", over))
 	}
@@ -78,7 +78,7 @@
 // ofRush names what is wrong where all partners get more than they take all day: paces seek the limit, and cost a refusal
 // for five or six calls at most; what partners take is used, but for the smallest, where a span's chance tells.
 func ofRush(r *Result) (out []string) {
-	for i, p := range r.Partners {
+	for i, p := range r.Destinations {
 		delivered := 0
 		for _, s := range p.Seconds[5:30] {
 			delivered += s.Delivered
@@ -97,10 +97,10 @@
 // times its present capacity through in 1.5 s; a second's count may be a little more. In the outage relays try, each at its
 // part of that budget, and new ones fail for the first time: half of the limit is far above both.
 func ofZone(r *Result) (out []string) {
-	p := r.Partners[0]
+	p := r.Destinations[0]
 	for i := 14; i < 24; i++ {
-		if s := p.Seconds[i]; float64(s.Calls) > 2.7*s.Capacity+3 {
-			out = append(out, fmt.Sprintf("push: %d calls in second %d to a capacity of %.0f", s.Calls, i, s.Capacity))
+		if s := p.Seconds[i]; float64(s.Attempts) > 2.7*s.Capacity+3 {
+			out = append(out, fmt.Sprintf("push: %d calls in second %d to a capacity of %.0f", s.Attempts, i, s.Capacity))
 		}
 	}
 	if calls := p.Calls(10, 13); float64(calls) > 3*0.5*p.Limit+6 {
@@ -116,7 +116,7 @@
 // on shares.
 func TestFleet(t *testing.T) {
 	for _, relays := range []int{1, 2, 3, 12, 80} {
-		for _, day := range Names {
+		for _, day := range DayNames {
 			t.Run(fmt.Sprintf("%s of %d", day, relays), func(t *testing.T) {
 				t.Parallel()
 				r := play(t, day, relays, nil)
@@ -130,8 +130,8 @@
 				if relays >= 12 && day == Zone {
 					found = append(found, ofZone(r)...)
 				}
-				if day == Calm && r.Worth < 0.93 {
-					found = append(found, fmt.Sprintf("worth %.3f on a calm day", r.Worth))
+				if day == Calm && r.DeliveredWeight < 0.93 {
+					found = append(found, fmt.Sprintf("worth %.3f on a calm day", r.DeliveredWeight))
 				}
 				if len(found) > 0 {
 					t.Error(strings.Join(found, "\n"))
@@ -145,13 +145,13 @@
 // the trials that the rule leaves room for, and nobody pushes it over when it returns.
 func TestManyEndpoints(t *testing.T) {
 	r := play(t, Zone, 120, func(day *Day) {
-		p := &day.Script.Partners[0]
-		p.Slots = max(1, p.Slots*p.Endpoints/12)
+		p := &day.Scenario.Destinations[0]
+		p.Concurrency = max(1, p.Concurrency*p.Endpoints/12)
 		p.Endpoints = 12
 	})
-	p := r.Partners[0]
-	if calls := p.Calls(10, 13); float64(calls) > 3*0.5*p.Limit || r.Falls > 0 || len(r.Faults) > 0 {
-		t.Errorf("%d calls in 3 s of an outage at a limit of %.0f a second, %d falls, %v", calls, p.Limit, r.Falls, r.Faults)
+	p := r.Destinations[0]
+	if calls := p.Calls(10, 13); float64(calls) > 3*0.5*p.Limit || r.Overloads > 0 || len(r.Failures) > 0 {
+		t.Errorf("%d calls in 3 s of an outage at a limit of %.0f a second, %d falls, %v", calls, p.Limit, r.Overloads, r.Failures)
 	}
 }
 
@@ -279,45 +279,45 @@
 	sec := func(s float64) time.Duration { return scenario.Seconds(s) }
 	for name, change := range map[string]func(*Day){
 		"79 of 80 killed, and the register takes two calls a second": func(d *Day) {
-			d.Events = append(d.Events, Event{At: sec(9), What: Kill, Share: 0.99})
-			d.Register.Work = 500 * time.Millisecond
+			d.Faults = append(d.Faults, Fault{At: sec(9), Kind: Kill, Share: 0.99})
+			d.Discovery.Work = 500 * time.Millisecond
 		},
 		"all killed, twice": func(d *Day) {
-			d.Events = append(d.Events, Event{At: sec(9), What: Kill, Share: 1}, Event{At: sec(12), What: Kill, Share: 1})
+			d.Faults = append(d.Faults, Fault{At: sec(9), Kind: Kill, Share: 1}, Fault{At: sec(12), Kind: Kill, Share: 1})
 		},
 		"the register down throughout": func(d *Day) {
-			d.Events = append(d.Events, Event{What: Down, For: time.Hour}, Event{At: sec(9), What: Kill, Share: 0.7})
+			d.Faults = append(d.Faults, Fault{Kind: Down, Duration: time.Hour}, Fault{At: sec(9), Kind: Kill, Share: 0.7})
 		},
 		"a return while half of the fleet restarts": func(d *Day) {
-			d.Events = append(d.Events, Event{At: sec(8), What: Out}, Event{At: sec(13), What: Back},
-				Event{At: sec(12.5), What: Kill, Share: 0.5})
+			d.Faults = append(d.Faults, Fault{At: sec(8), Kind: Out}, Fault{At: sec(13), Kind: Back},
+				Fault{At: sec(12.5), Kind: Kill, Share: 0.5})
 		},
 		"a limit lowered to zero and raised, each second": func(d *Day) {
 			for at := 8.0; at < 18; at += 2 {
-				d.Events = append(d.Events, Event{At: sec(at), What: Lower}, Event{At: sec(at + 1), What: Lower, Share: 1})
+				d.Faults = append(d.Faults, Fault{At: sec(at), Kind: Lower}, Fault{At: sec(at + 1), Kind: Lower, Share: 1})
 			}
 		},
 		"one relay with half of the traffic": func(d *Day) { d.Skew = 0.5 },
 		"an outage that few of 80 noticed, and a rush at the return": func(d *Day) {
-			d.Script.Load.Rate /= 20
-			d.Events = append(d.Events, Event{At: sec(8), What: Out, Partner: 5}, Event{At: sec(13), What: Back, Partner: 5})
-			d.Script.Events = []scenario.Event{{At: 13, For: 4, What: "jump", Factor: 20}}
+			d.Scenario.Load.Rate /= 20
+			d.Faults = append(d.Faults, Fault{At: sec(8), Kind: Out, Destination: 5}, Fault{At: sec(13), Kind: Back, Destination: 5})
+			d.Scenario.Faults = []scenario.Fault{{At: 13, Duration: 4, Kind: "jump", Factor: 20}}
 		},
 		"idle, then a clump": func(d *Day) {
-			d.Script.Load.Rate /= 20
-			d.Script.Events = []scenario.Event{{At: 20, For: 3, What: "jump", Factor: 30}}
+			d.Scenario.Load.Rate /= 20
+			d.Scenario.Faults = []scenario.Fault{{At: 20, Duration: 3, Kind: "jump", Factor: 30}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, Calm, 80, change)
-			if strings.Contains(name, "the register") && r.Turned < 80 {
-				t.Errorf("the register turned away %d asks: the case is not what it says", r.Turned)
+			if strings.Contains(name, "the register") && r.FailedPolls < 80 {
+				t.Errorf("the register turned away %d asks: the case is not what it says", r.FailedPolls)
 			}
-			if calls := r.Partners[5].Calls(8, 13); strings.Contains(name, "few") && (calls == 0 || calls > 20) {
+			if calls := r.Destinations[5].Calls(8, 13); strings.Contains(name, "few") && (calls == 0 || calls > 20) {
 				t.Errorf("%d calls in the outage: the case is not what it says", calls)
 			}
-			for _, f := range append(r.Faults, make([]string, r.Falls)...) {
+			for _, f := range append(r.Failures, make([]string, r.Overloads)...) {
 				t.Errorf("fault or fall: %s", f)
 			}
 		})
--- a/internal/faultinjection/simulation/log.go
+++ b/internal/faultinjection/simulation/log.go
@@ -22,8 +22,8 @@
 // handed writes down that a client hands a message in.
 func (r *relay) handed(h *held) {
 	r.f.write(checker.Event{
-		Kind: checker.Submitted, ID: h.id, Message: h.m.No, Relay: r.no, Destination: h.m.Partner, Class: h.m.Class,
-		OrderKey: h.m.Item, Subject: h.m.Subject, Duration: h.expires - r.f.now,
+		Kind: checker.Submitted, ID: h.id, Message: h.m.Number, Relay: r.no, Destination: h.m.Destination, Class: h.m.Class,
+		OrderKey: h.m.OrderKey, Subject: h.m.Subject, Duration: h.expires - r.f.now,
 	})
 }
 
@@ -79,16 +79,16 @@
 	named string
 	heard policy.Outcome
 }{
-	destination.Delivered: {checker.OK, policy.Succeeded},
-	destination.Errored:   {checker.Error, policy.Failed},
-	destination.Full:      {checker.Rejected, policy.Rejected},
-	destination.Wait:      {checker.RetryAfter, policy.Rejected},
-	destination.Dropped:   {checker.Reset, policy.ConnectionReset},
+	destination.OutcomeDelivered:   {checker.OK, policy.Succeeded},
+	destination.OutcomeError:       {checker.Error, policy.Failed},
+	destination.OutcomeUnavailable: {checker.Rejected, policy.Rejected},
+	destination.OutcomeRetryAfter:  {checker.RetryAfter, policy.Rejected},
+	destination.OutcomeReset:       {checker.Reset, policy.ConnectionReset},
 }
 
 // fell follows a partner that was pushed over, or is back from that.
-func (f *fleet) fell(s *site, c *destination.Change) {
-	if c.Mode == destination.Refusing {
+func (f *fleet) fell(s *site, c *destination.ModeChange) {
+	if c.Mode == destination.ModeRefusing {
 		f.write(checker.Event{Kind: checker.OutageBegan, Destination: s.no, State: "fell"})
 		f.reset(s)
 		return
@@ -98,17 +98,17 @@
 
 // judge has the auditor judge the day, and adds what it finds to the result.
 func (f *fleet) judge() {
-	figures := checker.Terms{Settings: f.Script.Settings(0), TellWithin: scenario.Seconds(f.Script.Register.TellWithin)}
-	for i := range f.Script.Partners {
-		p := &f.Script.Partners[i]
+	figures := checker.Parameters{Settings: f.Scenario.RelaySettings(0), NotifyWithin: scenario.Seconds(f.Scenario.Discovery.NotifyWithin)}
+	for i := range f.Scenario.Destinations {
+		p := &f.Scenario.Destinations[i]
 		figures.Destinations = append(figures.Destinations, checker.Destination{
-			Name: p.Name, Capacity: f.Script.Capacity(p),
-			ColdShare: p.ColdShare, Warm: scenario.Seconds(p.Warm),
+			Name: p.Name, Capacity: f.Scenario.Capacity(p),
+			ColdCapacity: p.ColdCapacity, SlowStartTime: scenario.Seconds(p.SlowStartTime),
 		})
 	}
-	f.res.Breaches = map[checker.Rule]int{}
-	for _, b := range checker.Judge(figures, f.log, f.now).Breaches {
-		f.res.Breaches[b.Rule]++
+	f.res.Violations = map[checker.Rule]int{}
+	for _, b := range checker.Judge(figures, f.log, f.now).Violations {
+		f.res.Violations[b.Rule]++
 		f.res.fault("%v", fmt.Sprintf("%s at %.3f s, relay %d, %s: %s %s", b.Rule, b.At.Seconds(), b.Relay, b.Destination, b.ID, b.Text))
 	}
 }
--- a/internal/faultinjection/simulation/network.go
+++ b/internal/faultinjection/simulation/network.go
@@ -45,7 +45,7 @@
 	if f.harm == 0 {
 		return unharmed
 	}
-	switch at := f.draws.For("harm", fl.held.m.No, fl.held.n, fl.attempt).Float64() / f.harm; {
+	switch at := f.draws.Stream("harm", fl.held.m.Number, fl.held.n, fl.attempt).Float64() / f.harm; {
 	case at < 0.5:
 		return answerLost
 	case at < 0.75:
@@ -59,5 +59,5 @@
 // leaves tells whether the client of a hand-in goes before it has heard: what its relay does then counts for nothing, and the
 // client comes again elsewhere.
 func (f *fleet) leaves(m *scenario.Message, n int) bool {
-	return f.hasty > 0 && f.draws.For("hasty", m.No, n).Float64() < f.hasty
+	return f.hasty > 0 && f.draws.Stream("hasty", m.Number, n).Float64() < f.hasty
 }
--- a/internal/faultinjection/simulation/register.go
+++ b/internal/faultinjection/simulation/register.go
@@ -17,8 +17,8 @@
 // shownAs names them as the auditor does.
 var shownAs = map[string]string{serving: checker.Serving, draining: checker.Draining, deleted: checker.Deleted}
 
-// Register is how the register of hosts works: through calls in turn, also those whose caller has gone.
-type Register struct {
+// Discovery is how the register of hosts works: through calls in turn, also those whose caller has gone.
+type Discovery struct {
 	Work    time.Duration // for one call
 	Timeout time.Duration // a call that is not answered by then has failed
 	Most    time.Duration // a call whose answer would take longer is turned away
@@ -34,7 +34,7 @@
 // register is the register of a fleet. Version n of its list has the first n changes.
 type register struct {
 	f *fleet
-	Register
+	Discovery
 	changes  []change
 	free     time.Duration // when it has done the calls that it took
 	away     time.Duration // down until then
@@ -78,7 +78,7 @@
 	f.res.ask(f.now)
 	lose := func() {
 		if r.life == life && r.alive {
-			f.res.Turned++
+			f.res.FailedPolls++
 			f.write(checker.Event{Kind: checker.WatchRequested, Relay: r.no})
 			r.unwatched(f.now - begun)
 		}
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -57,7 +57,7 @@
 	held    *held
 	attempt int
 	host    *host
-	call    *destination.Call
+	call    *destination.Attempt
 	sent    time.Duration
 	conn    bool // it has a connection
 	over    bool
@@ -78,7 +78,7 @@
 // start starts a process, which takes up what the one before had taken on.
 func (r *relay) start() error {
 	f := r.f
-	settings := f.Script.Settings(r.no)
+	settings := f.Scenario.RelaySettings(r.no)
 	p, err := settings.Policy()
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 		p.Instances = max(1, min(p.Instances, int(least)))
 	}
 	r.life++
-	seed := f.draws.For("relay", r.no, r.life).Int64()
+	seed := f.draws.Stream("relay", r.no, r.life).Int64()
 	if r.d, err = policy.New(p, seed); err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	f.write(checker.Event{Kind: checker.Ready, Relay: r.no, Process: r.life})
 	r.stopping = false
 	r.alive, r.ready, r.idle, r.due = true, f.now, map[string][]time.Duration{}, forever
-	r.asks = discovery.NewSchedule(f.Script.Relays, seed)
+	r.asks = discovery.NewSchedule(f.Scenario.Relays, seed)
 	if r.pause, r.steps = r.asks.Start(), 0; f.Plant.NoJitter {
 		r.pause = 0
 	}
@@ -115,7 +115,7 @@
 			h.tried[i].NotExecuted = h.tried[i].NotExecuted && h.ended[i]
 		}
 		r.put(policy.Arrived{
-			ID: h.id, Class: h.m.Class, Destination: h.m.Partner, OrderKey: h.m.Item, TimeLeft: h.expires - f.now, Recovered: true,
+			ID: h.id, Class: h.m.Class, Destination: h.m.Destination, OrderKey: h.m.OrderKey, TimeLeft: h.expires - f.now, Recovered: true,
 			PriorAttempts: slices.Clone(h.tried),
 		})
 	}
@@ -145,7 +145,7 @@
 			h.unheard = true
 			r.heard(h, 0)
 			r.lose(h)
-			f.after(h.m.Again, func() { f.handIn(h.m, h.n+1) })
+			f.after(h.m.ResubmitDelay, func() { f.handIn(h.m, h.n+1) })
 		}
 	}
 	r.events, r.fresh, r.due = nil, nil, forever
@@ -187,7 +187,7 @@
 
 // wake has a batch handled at a time, or at the next tick after it.
 func (r *relay) wake(at time.Duration) {
-	tick := scenario.Millis(r.f.Script.Relay.TickMS)
+	tick := scenario.Milliseconds(r.f.Scenario.Relay.BatchIntervalMS)
 	at = (at + tick - 1) / tick * tick
 	if at >= r.due {
 		return
@@ -312,17 +312,17 @@
 
 // take takes a message on, unless the module refuses it.
 func (r *relay) take(m *scenario.Message, n int, left time.Duration) {
-	h := &held{m: m, n: n, id: r.f.draws.ID(m.No, n), expires: r.f.now + left}
+	h := &held{m: m, n: n, id: r.f.draws.RequestID(m.Number, n), expires: r.f.now + left}
 	r.held[h.id] = h
 	r.order = append(r.order, h)
 	r.fresh = append(r.fresh, h)
 	r.handed(h)
 	if h.unheard = r.f.leaves(m, n); h.unheard {
-		r.f.after(m.Again, func() { r.f.handIn(m, n+1) })
+		r.f.after(m.ResubmitDelay, func() { r.f.handIn(m, n+1) })
 	} else {
 		r.f.asked[h.id] = m
 	}
-	r.put(policy.Arrived{ID: h.id, Class: m.Class, Destination: m.Partner, OrderKey: m.Item, TimeLeft: left})
+	r.put(policy.Arrived{ID: h.id, Class: m.Class, Destination: m.Destination, OrderKey: m.OrderKey, TimeLeft: left})
 }
 
 // lose drops a message.
@@ -335,7 +335,7 @@
 func (r *relay) forget(h *held) {
 	f := r.f
 	r.lose(h)
-	if f.now > h.expires+scenario.Seconds(f.Script.Rules.AnswerSlack) && f.now > r.ready+1500*time.Millisecond {
+	if f.now > h.expires+scenario.Seconds(f.Scenario.Rules.AnswerSlack) && f.now > r.ready+1500*time.Millisecond {
 		f.res.fault("%s ended %v after its time", h.id, f.now-h.expires)
 	}
 }
@@ -355,15 +355,15 @@
 		return // its client has come again already
 	}
 	if !again || h.n >= len(h.m.Backoff) {
-		f.ends[h.m.No] = true
+		f.ends[h.m.Number] = true
 		return
 	}
 	wait := h.m.Backoff[h.n]
-	if h.m.Honours {
+	if h.m.HonoursRetryAfter {
 		wait = max(wait, stay)
 	}
 	f.after(wait, func() { f.handIn(h.m, h.n+1) })
-	f.ends[h.m.No] = true
+	f.ends[h.m.Number] = true
 }
 
 // send makes a call.
@@ -374,37 +374,37 @@
 	case h == nil || to == nil:
 		f.res.fault("%s sent after its end, or to the unknown host %s", a.ID, a.Endpoint)
 		return
-	case !listed || e.Destination != h.m.Partner:
+	case !listed || e.Destination != h.m.Destination:
 		f.res.fault("%s sent to %s, which is not of its destination", a.ID, a.Endpoint)
-	case was && f.now > told+scenario.Seconds(f.Script.Rules.DrainGrace):
+	case was && f.now > told+scenario.Seconds(f.Scenario.Rules.DrainGrace):
 		f.res.fault("%s sent to %s %v after it drained", a.ID, a.Endpoint, f.now-told)
 	case h.out != nil:
 		f.res.fault("%s sent while an attempt is out", a.ID)
 	}
 	if len(h.tried) == 0 && h.n == 0 {
-		f.res.First++
+		f.res.AttemptedMessages++
 	}
 	h.tried = append(h.tried, policy.PriorAttempt{Endpoint: a.Endpoint, SentAt: f.now})
 	h.ended = append(h.ended, false)
 	fl := &flight{r: r, life: r.life, held: h, attempt: len(h.tried) - 1, host: to, sent: f.now}
 	h.out = fl
-	fl.call = &destination.Call{
-		ID: h.id, Relay: r.no, Key: h.m.Key, Memory: scenario.Seconds(f.Script.Classes[h.m.Class].Memory),
-		Work: f.Script.Work(f.draws, h.m, h.n*100+fl.attempt), Chance: f.draws.For("chance", h.m.No, h.n, fl.attempt).Float64(),
+	fl.call = &destination.Attempt{
+		ID: h.id, Relay: r.no, Key: h.m.Key, KeyTTL: scenario.Seconds(f.Scenario.Classes[h.m.Class].KeyTTL),
+		ServiceTime: f.Scenario.ServiceTime(f.draws, h.m, h.n*100+fl.attempt), Draw: f.draws.Stream("chance", h.m.Number, h.n, fl.attempt).Float64(),
 	}
 	timeout := a.Timeout
 	if timeout == 0 {
 		timeout = h.expires - f.now
 	}
 	f.after(timeout, func() { fl.end(policy.AttemptEnded{Outcome: policy.TimedOut}, false) })
-	r.closeIdle(to.id, f.now-scenario.Seconds(f.Script.Limits.ConnIdle))
+	r.closeIdle(to.id, f.now-scenario.Seconds(f.Scenario.Limits.IdleConnTimeout))
 	if idle := r.idle[to.id]; len(idle) > 0 {
 		r.idle[to.id], fl.conn = idle[:len(idle)-1], true
 		fl.write()
 		return
 	}
 	f.res.Connections++
-	fl.call.New = true
+	fl.call.NewConnection = true
 	f.after(f.trip(), fl.connect)
 }
 
@@ -413,19 +413,19 @@
 	f, p := fl.r.f, fl.host.partner
 	switch {
 	case fl.over:
-	case f.cut(fl.r, fl.host) || p.Mode(fl.host.endpoint) >= destination.Silent:
-		wait := scenario.Seconds(f.Script.Limits.ConnectTimeout) - (f.now - fl.sent)
+	case f.cut(fl.r, fl.host) || p.Mode(fl.host.endpoint) >= destination.ModeUnresponsive:
+		wait := scenario.Seconds(f.Scenario.Limits.ConnectTimeout) - (f.now - fl.sent)
 		f.after(wait, func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
-	case p.Mode(fl.host.endpoint) >= destination.Refusing:
-		f.res.Partners[p.no].now(f.now).Calls++
+	case p.Mode(fl.host.endpoint) >= destination.ModeRefusing:
+		f.res.Destinations[p.no].now(f.now).Attempts++
 		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
 	case p.Connect(fl.host.endpoint):
 		// Turned away before it has said anything; it pushes a cold host all the same.
 		p.Disconnect(fl.host.endpoint)
-		f.res.Door++
-		f.res.Partners[p.no].now(f.now).Calls++
+		f.res.ConnectionRejected++
+		f.res.Destinations[p.no].now(f.now).Attempts++
 		fl.came()
-		f.carryOut(p, p.Arrive(f.now, fl.host.endpoint, &destination.Call{ID: fl.call.ID, Overfull: true}))
+		f.carryOut(p, p.Arrive(f.now, fl.host.endpoint, &destination.Attempt{ID: fl.call.ID, OverConnectionLimit: true}))
 		fl.closed(checker.Event{Outcome: checker.Rejected})
 		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.Rejected}, false) })
 	default:
@@ -451,11 +451,11 @@
 		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
 		return
 	}
-	f.res.Partners[p.no].now(f.now).Calls++
+	f.res.Destinations[p.no].now(f.now).Attempts++
 	switch mode := p.Mode(fl.host.endpoint); {
-	case mode > destination.Refusing:
+	case mode > destination.ModeRefusing:
 		return
-	case mode == destination.Refusing:
+	case mode == destination.ModeRefusing:
 		f.after(f.trip(), func() { fl.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 		return
 	}
@@ -488,7 +488,7 @@
 	p := fl.host.partner
 	if _, there := p.flights[fl.call]; there {
 		delete(p.flights, fl.call)
-		fl.r.f.carryOut(p, p.Leave(fl.r.f.now, fl.call))
+		fl.r.f.carryOut(p, p.Cancel(fl.r.f.now, fl.call))
 	}
 	if !fl.conn {
 		return
@@ -545,8 +545,8 @@
 func (r *relay) probe() {
 	for _, s := range r.f.sites {
 		if m, ok := r.memory[s.hosts[0].id]; ok && m.Unhealthy {
-			r.f.res.Partners[s.no].now(r.f.now).Calls++
-			r.f.carryOut(s, s.Arrive(r.f.now, s.hosts[0].endpoint, &destination.Call{ID: fmt.Sprint("probe", r.no), Probe: true}))
+			r.f.res.Destinations[s.no].now(r.f.now).Attempts++
+			r.f.carryOut(s, s.Arrive(r.f.now, s.hosts[0].endpoint, &destination.Attempt{ID: fmt.Sprint("probe", r.no), Probe: true}))
 			r.wake(r.f.now + 250*time.Millisecond)
 		}
 	}
