--- a/internal/relay/loop_bench_test.go
+++ b/internal/relay/loop_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -22,9 +21,7 @@
 // BenchmarkLoop_Delivery measures what the loop does for one request from its submission to its delivery: two batches at
 // least, with the journal's writes, and one attempt on a connection that is reused. The waits between batches are left out.
 func BenchmarkLoop_Delivery(b *testing.B) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	l := benchmarkLoop(b, ctx)
+	l := benchmarkLoop(b)
 	body := make([]byte, 300)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
@@ -34,7 +31,7 @@
 			ReceivedAt: time.Now(), TimeLeft: 20 * time.Second, Response: response,
 			Quiet: func() (quiet, connected bool) { return true, true },
 		}}.apply(l)
-		for l.step(ctx); len(l.requests) > 0; l.step(ctx) {
+		for l.step(b.Context()); len(l.requests) > 0; l.step(b.Context()) {
 			select {
 			case e := <-l.inbox:
 				e.apply(l)
@@ -48,7 +45,7 @@
 }
 
 // benchmarkLoop returns the loop of a relay that is not started, with one endpoint that answers 200.
-func benchmarkLoop(b *testing.B, ctx context.Context) *loop {
+func benchmarkLoop(b *testing.B) *loop {
 	b.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 	 "limits":{"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},
@@ -66,12 +63,12 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = j.Close() })
-	n := &node{cfg: cfg, running: ctx, mode: &servingmode.Mode{}, metrics: admin.NewMetrics(cfg.classNames()), violations: &invariant.Counts{}}
+	n := &node{cfg: cfg, running: b.Context(), mode: &servingmode.Mode{}, metrics: admin.NewMetrics(cfg.classNames()), violations: &invariant.Counts{}}
 	if err := n.assemble(j); err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = n.listener.Close() })
-	n.loop.restore(ctx, nil)
+	n.loop.restore(b.Context(), nil)
 	return n.loop
 }
 
