--- /dev/null
+++ b/internal/faultinjection/scenario/fault_kinds.go
@@ -0,0 +1,94 @@
+package scenario
+
+import "slices"
+
+// FaultKind is the kind of a fault. It is the word of the file, and so of the timeline and the history of a run.
+type FaultKind = string
+
+// Faults of destinations.
+const (
+	FaultConnectionsRefused FaultKind = "refuse"  // endpoints refuse connections and reset open ones
+	FaultOverloaded         FaultKind = "shut"    // endpoints reject everything
+	FaultUnresponsive       FaultKind = "silent"  // endpoints accept connections and never respond
+	FaultUnreachable        FaultKind = "gone"    // endpoints behave like a machine that vanished
+	FaultFailing            FaultKind = "failing" // endpoints respond to a share of attempts with an error
+	FaultSlowdown           FaultKind = "slow"    // service times are multiplied
+	FaultResets             FaultKind = "reset"   // a share of connections is reset after the request body
+	FaultPause              FaultKind = "pause"   // endpoints stop executing
+	FaultDrain              FaultKind = "drain"   // an endpoint drains, and is replaced
+	FaultReplacement        FaultKind = "replace" // a share of endpoints is replaced
+)
+
+// Changes of the load.
+const (
+	FaultLoadSurge    FaultKind = "jump" // the arrival rate is multiplied
+	FaultTrafficShift FaultKind = "draw" // one destination attracts a share of all traffic
+)
+
+// Faults of relays' processes and machines.
+const (
+	FaultKill           FaultKind = "kill"           // SIGKILL, and a restart
+	FaultTerminate      FaultKind = "term"           // SIGTERM, and a restart
+	FaultMachineLost    FaultKind = "lose"           // SIGKILL, and a restart with an empty folder
+	FaultSuspend        FaultKind = "hang"           // the process is stopped for a time
+	FaultUpgrade        FaultKind = "upgrade"        // handover to a new process
+	FaultStandby        FaultKind = "standby"        // the operator has the relay in standby for a time
+	FaultSettingsChange FaultKind = "settings"       // a new settings file, or a corrupt one
+	FaultAdminLoad      FaultKind = "scrape"         // the admin endpoint is polled, and idle callers hold connections to it
+	FaultClockStep      FaultKind = "clock_step"     // the wall clock is stepped; the monotonic clock runs on
+	FaultSyscallErrors  FaultKind = "syscall_errors" // a share of system calls on sockets fails
+	FaultDiskErrors     FaultKind = "disk_errors"    // a share of system calls that write to the relay's folder fails
+)
+
+// Faults of discovery and of the network between relays.
+const (
+	FaultDiscoveryMove      FaultKind = "move"     // the relay is sent to another discovery service
+	FaultDiscoveryDown      FaultKind = "register" // discovery fails
+	FaultNetworkPartition   FaultKind = "split"
+	FaultDatagramLoss       FaultKind = "loss"
+	FaultDatagramTruncation FaultKind = "halve"
+)
+
+// faultKindSpec says which keys a kind of fault takes besides at_s and what, and whether it is an outage of endpoints.
+type faultKindSpec struct {
+	required, optional []string
+	outage             bool
+}
+
+func (k faultKindSpec) takes(key string) bool {
+	return slices.Contains(k.required, key) || slices.Contains(k.optional, key)
+}
+
+var faultKinds = map[FaultKind]faultKindSpec{
+	FaultConnectionsRefused: {required: []string{"for_s", "partner"}, optional: []string{"endpoint", "warm"}, outage: true},
+	FaultOverloaded:         {required: []string{"for_s", "partner"}, optional: []string{"endpoint", "warm"}, outage: true},
+	FaultUnresponsive:       {required: []string{"for_s", "partner"}, optional: []string{"endpoint", "warm"}, outage: true},
+	FaultUnreachable:        {required: []string{"for_s", "partner"}, optional: []string{"endpoint", "warm"}, outage: true},
+	FaultFailing:            {required: []string{"for_s", "partner", "share"}, optional: []string{"endpoint", "warm"}, outage: true},
+	FaultSlowdown:           {required: []string{"for_s", "partner", "factor"}, optional: []string{"endpoint"}},
+	FaultResets:             {required: []string{"for_s", "partner", "share"}, optional: []string{"endpoint"}},
+	FaultPause:              {required: []string{"for_s", "partner"}, optional: []string{"endpoint"}},
+	FaultDrain:              {required: []string{"partner", "endpoint"}, optional: []string{"drain_s"}},
+	FaultReplacement:        {required: []string{"share"}, optional: []string{"partner", "over_s", "drain_s", "reused"}},
+
+	FaultLoadSurge:    {required: []string{"for_s", "factor"}, optional: []string{"rise_s"}},
+	FaultTrafficShift: {required: []string{"for_s", "partner", "share"}},
+
+	FaultKill:           {optional: []string{"relay", "back_s"}},
+	FaultTerminate:      {optional: []string{"relay", "back_s"}},
+	FaultMachineLost:    {required: []string{"relay"}, optional: []string{"back_s"}},
+	FaultSuspend:        {required: []string{"relay", "for_s"}},
+	FaultUpgrade:        {optional: []string{"relay"}},
+	FaultStandby:        {required: []string{"relay", "for_s"}},
+	FaultSettingsChange: {optional: []string{"classes", "attempts", "broken"}},
+	FaultAdminLoad:      {required: []string{"for_s"}, optional: []string{"relay", "callers"}},
+	FaultClockStep:      {required: []string{"by_s"}, optional: []string{"relay"}},
+	FaultSyscallErrors:  {required: []string{"for_s", "call", "errno", "share"}, optional: []string{"relay"}},
+	FaultDiskErrors:     {required: []string{"for_s", "errno", "share"}, optional: []string{"relay"}},
+
+	FaultDiscoveryMove:      {optional: []string{"relay"}},
+	FaultDiscoveryDown:      {required: []string{"for_s"}, optional: []string{"how"}},
+	FaultNetworkPartition:   {required: []string{"for_s", "relays"}},
+	FaultDatagramLoss:       {required: []string{"for_s", "share"}},
+	FaultDatagramTruncation: {required: []string{"for_s", "share"}},
+}
--- a/internal/faultinjection/scenario/scenario_test.go
+++ b/internal/faultinjection/scenario/read_test.go
@@ -1,43 +1,37 @@
 package scenario
 
 import (
-	"math"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 )
 
-func shipped(t testing.TB) map[string]*Scenario {
-	t.Helper()
-	paths, _ := filepath.Glob("../../../scenarios/*.toml")
+// readShipped reads all scenarios of the repository, by name.
+func readShipped(tb testing.TB) map[string]*Scenario {
+	tb.Helper()
+	paths, err := filepath.Glob("../../../scenarios/*.toml")
+	if err != nil {
+		tb.Fatal(err)
+	}
 	if len(paths) == 0 {
-		t.Fatal("no script is shipped")
+		tb.Fatal("no scenario is shipped")
 	}
-	all := map[string]*Scenario{}
-	for _, p := range paths {
-		s, err := Read(p)
+	scenarios := map[string]*Scenario{}
+	for _, path := range paths {
+		s, err := Read(path)
 		if err != nil {
-			t.Fatal(err)
-		}
-		if s.Name != strings.TrimSuffix(filepath.Base(p), ".toml") {
-			t.Errorf("%s is named %q", p, s.Name)
+			tb.Fatal(err)
 		}
-		all[s.Name] = s
-	}
-	return all
-}
-
-func TestShippedScriptsAreWhatRelaysTake(t *testing.T) {
-	for name, s := range shipped(t) {
-		set := s.RelaySettings(0)
-		if _, err := set.Policy(); err != nil {
-			t.Errorf("%s: %v", name, err)
+		if s.Name != strings.TrimSuffix(filepath.Base(path), ".toml") {
+			tb.Errorf("%s is named %q", path, s.Name)
 		}
+		scenarios[s.Name] = s
 	}
+	return scenarios
 }
 
-const broken = `version = 1
+const scenarioWithMistakes = `version = 1
 name = "broken"
 length_s = 10
 relays = 41
@@ -90,8 +84,8 @@
 for_s = 1
 `
 
-func TestBadScriptNamesEveryLine(t *testing.T) {
-	_, err := Parse("b.toml", []byte(broken))
+func TestParse_ReportsEveryMistakeWithItsLine(t *testing.T) {
+	_, err := Parse("b.toml", []byte(scenarioWithMistakes))
 	if err == nil {
 		t.Fatal("no error")
 	}
@@ -118,48 +112,8 @@
 	}
 }
 
-func TestDrawsRepeat(t *testing.T) {
-	s := shipped(t)["quiet"]
-	a, b, c := s.Messages(NewRandomStreams(3)), s.Messages(NewRandomStreams(3)), s.Messages(NewRandomStreams(4))
-	if !reflect.DeepEqual(a, b) {
-		t.Error("the same seed gives other messages")
-	}
-	if reflect.DeepEqual(a, c) {
-		t.Error("another seed gives the same messages")
-	}
-	if x, y := s.ServiceTime(NewRandomStreams(3), a[5], 2), s.ServiceTime(NewRandomStreams(3), b[5], 2); x != y || x <= 0 {
-		t.Errorf("service times %v and %v", x, y)
-	}
-}
-
-// Drawn traffic has the means that the script states, over many seeds.
-func TestDrawsFollowTheScript(t *testing.T) {
-	s := shipped(t)["quiet"]
-	n, work, perClass, perPartner := 0.0, 0.0, make([]float64, len(s.Classes)), make([]float64, len(s.Destinations))
-	const seeds = 20
-	for seed := range seeds {
-		d := NewRandomStreams(int64(seed))
-		for _, m := range s.Messages(d) {
-			n++
-			perClass[m.Class]++
-			perPartner[m.Destination]++
-			work += s.ServiceTime(d, m, 0).Seconds()
-		}
-	}
-	near := func(what string, got, want, within float64) {
-		t.Helper()
-		if math.Abs(got/want-1) > within {
-			t.Errorf("%s: %.4g, want %.4g within %v", what, got, want, within)
-		}
-	}
-	near("messages", n, seeds*s.Load.Rate*s.Length, 0.04)
-	near("first class", perClass[0]/n, 0.55, 0.02)
-	near("first partner", perPartner[0]/n, 0.32, 0.06)
-	near("service time", work/n, s.MeanServiceTime(&Destination{ServiceTimeFactor: 1}), 0.03)
-}
-
 func FuzzParse(f *testing.F) {
-	f.Add(broken)
+	f.Add(scenarioWithMistakes)
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := Parse("f", []byte(text)); err == nil && s.Length*s.Load.Rate < 10000 {
 			for _, m := range s.Messages(NewRandomStreams(1)) {
--- /dev/null
+++ b/internal/faultinjection/scenario/reloadable_settings.go
@@ -0,0 +1,54 @@
+package scenario
+
+import "slices"
+
+const (
+	// reloadTime is the time in seconds within which relays are to have read a new settings file. Clients use an added class after it.
+	reloadTime = 1.3
+	// removalLead is the time in seconds before a settings file without a class from which clients no longer use the class.
+	removalLead = 0.2
+)
+
+// ReloadableSettings are the settings that change while relays run.
+type ReloadableSettings struct {
+	Classes     []string // nil: all
+	MaxAttempts int
+}
+
+// InitialSettings returns the settings that relays start with.
+func (s *Scenario) InitialSettings() ReloadableSettings {
+	return ReloadableSettings{Classes: s.Relay.Classes, MaxAttempts: s.Limits.MaxAttempts}
+}
+
+// With returns the settings after a fault of kind FaultSettingsChange.
+func (r ReloadableSettings) With(f *Fault) ReloadableSettings {
+	if f.Classes != nil {
+		r.Classes = f.Classes
+	}
+	if f.MaxAttempts > 0 {
+		r.MaxAttempts = f.MaxAttempts
+	}
+	return r
+}
+
+func (r ReloadableSettings) includes(class string) bool {
+	return r.Classes == nil || slices.Contains(r.Classes, class)
+}
+
+// IsOffered reports whether clients use a class at a time, in seconds: all relays have it, and will have it for a while.
+func (s *Scenario) IsOffered(class string, at float64) bool {
+	loaded, upcoming := s.InitialSettings(), s.InitialSettings()
+	for i := range s.Faults { // changes of settings are in the order of their times, or validation has failed
+		fault := &s.Faults[i]
+		if fault.Kind != FaultSettingsChange || fault.Corruption != "" {
+			continue
+		}
+		if fault.At+reloadTime <= at {
+			loaded = loaded.With(fault)
+		}
+		if fault.At-removalLead <= at {
+			upcoming = upcoming.With(fault)
+		}
+	}
+	return loaded.includes(class) && upcoming.includes(class)
+}
--- /dev/null
+++ b/internal/faultinjection/scenario/soak_faults.go
@@ -0,0 +1,82 @@
+package scenario
+
+// writeDestinationFaults draws what a destination meets.
+func (w *soakWriter) writeDestinationFaults(name string) {
+	destination := setting{"partner", name}
+	if w.chance(0.5) {
+		kind := choose(w, FaultConnectionsRefused, FaultOverloaded, FaultUnresponsive, FaultUnreachable, FaultFailing)
+		settings := []setting{destination, {"for_s", w.uniform(0.5, 4)}}
+		if kind == FaultFailing {
+			settings = append(settings, setting{"share", 0.9})
+		}
+		w.writeFault(kind, settings...)
+	}
+	if w.chance(0.3) {
+		w.writeFault(FaultResets, destination, setting{"for_s", w.uniform(0.5, 4)}, setting{"share", w.uniform(0.1, 0.6)})
+	}
+	if w.chance(0.3) {
+		w.writeFault(FaultSlowdown, destination, setting{"for_s", w.uniform(0.5, 3)}, setting{"factor", w.uniform(3, 12)})
+	}
+	if w.chance(0.2) {
+		w.writeFault(FaultPause, destination, setting{"for_s", w.uniform(0.2, 1)})
+	}
+}
+
+// writeRelayFaults draws what a relay meets. Its process is killed, terminated or suspended once at most, so that the outcome of
+// its requests can be known; all else overlaps.
+func (w *soakWriter) writeRelayFaults(number int) {
+	relay := setting{"relay", number}
+	for w.chance(0.4) {
+		w.writeFault(FaultClockStep, relay, setting{"by_s", choose(w, 0.5, -0.5, 5, -5, 60, -60, 3600, -3600)})
+	}
+	switch {
+	case w.chance(0.35):
+		w.writeFault(FaultKill, relay, setting{"back_s", w.uniform(0.3, 1)})
+	case w.chance(0.15):
+		w.writeFault(FaultTerminate, relay)
+	case w.chance(0.15):
+		w.writeFault(FaultSuspend, relay, setting{"for_s", w.uniform(0.2, 1.5)})
+	}
+	if w.chance(0.3) {
+		w.writeFault(FaultDiskErrors, relay, setting{"for_s", w.uniform(0.5, 3)},
+			setting{"errno", choose(w, "ENOSPC", "EIO", "EROFS", "EDQUOT")}, setting{"share", choose(w, 0.2, 0.5, 1.0)})
+	}
+	if w.chance(0.15) {
+		w.writeFault(FaultDiskErrors, relay, setting{"for_s", w.uniform(0.5, 3)}, setting{"errno", shortTransferName}, setting{"share", 0.5})
+	}
+	for w.chance(0.35) {
+		w.writeSyscallFault(relay)
+	}
+}
+
+// soakErrnos are the errors of system calls that have no short transfer.
+var soakErrnos = map[string][]string{
+	"accept":  {"ENOBUFS", "ENFILE", "ECONNABORTED", "EPROTO", "ENETDOWN"},
+	"connect": {"ENETUNREACH", "EADDRNOTAVAIL", "ENOBUFS", "ECONNREFUSED", "EHOSTUNREACH"},
+	"socket":  {"ENFILE", "ENOBUFS", "ENOMEM"},
+	"wait":    {"EINTR"},
+}
+
+// writeSyscallFault draws a failing system call on sockets.
+func (w *soakWriter) writeSyscallFault(relay setting) {
+	call := choose(w, "accept", "connect", "socket", "wait", "read", "write")
+	errno, share := shortTransferName, w.uniform(0.1, 0.5)
+	if errnos, ok := soakErrnos[call]; ok {
+		errno = choose(w, errnos...)
+	} else if w.chance(0.4) { // a broken connection, which the other side loses too
+		errno, share = choose(w, "ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"), 0.02
+	}
+	w.writeFault(FaultSyscallErrors, relay, setting{"for_s", w.uniform(0.5, 3)},
+		setting{"call", call}, setting{"errno", errno}, setting{"share", share})
+}
+
+// writeNetworkFaults draws an outage of discovery, and datagrams that relays lose.
+func (w *soakWriter) writeNetworkFaults() {
+	if w.chance(0.4) {
+		w.writeFault(FaultDiscoveryDown, setting{"for_s", w.uniform(0.5, 3)},
+			setting{"how", choose(w, DiscoveryUnavailable, DiscoveryResets, DiscoveryUnresponsive)})
+	}
+	if w.chance(0.4) {
+		w.writeFault(FaultDatagramLoss, setting{"for_s", w.uniform(1, 4)}, setting{"share", 0.5})
+	}
+}
