--- a/internal/faultinjection/destination/admission.go
+++ b/internal/faultinjection/destination/admission.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// reject rejects an attempt. It tells the wait if the destination does that and the wait is known.
+// reject rejects an attempt, with a Retry-After if the destination sends one and the wait is known.
 func (m *Model) reject(a *Attempt, wait time.Duration) {
 	c := Completion{Attempt: a, Outcome: OutcomeUnavailable}
 	if wait > 0 && m.spec.RejectionInfo == scenario.RejectionSaysWait {
--- a/internal/faultinjection/destination/overload.go
+++ b/internal/faultinjection/destination/overload.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// changeMode changes an endpoint's mode, and tells the caller.
+// changeMode changes an endpoint's mode, and adds the action that reports it.
 func (m *Model) changeMode(number int, mode Mode) {
 	m.endpoints[number].mode = mode
 	m.addAction(Action{ModeChange: &ModeChange{Endpoint: number, Mode: mode, At: m.now}})
--- a/internal/faultinjection/scenario/fault_kinds.go
+++ b/internal/faultinjection/scenario/fault_kinds.go
@@ -15,7 +15,7 @@
 	FaultSlowdown           FaultKind = "slow"    // service times are multiplied
 	FaultResets             FaultKind = "reset"   // a share of connections is reset after the request body
 	FaultPause              FaultKind = "pause"   // endpoints stop executing
-	FaultDrain              FaultKind = "drain"   // an endpoint drains, and is replaced
+	FaultDrain              FaultKind = "drain"   // an endpoint drains and is removed
 	FaultReplacement        FaultKind = "replace" // a share of endpoints is replaced
 )
 
@@ -42,7 +42,7 @@
 
 // Faults of discovery and of the network between relays.
 const (
-	FaultDiscoveryMove      FaultKind = "move"     // the relay is sent to another discovery service
+	FaultDiscoveryMove      FaultKind = "move"     // the discovery service moves to another address
 	FaultDiscoveryDown      FaultKind = "register" // discovery fails
 	FaultNetworkPartition   FaultKind = "split"
 	FaultDatagramLoss       FaultKind = "loss"
