--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/admin.go
@@ -10,66 +10,67 @@
 )
 
 const (
-	// defaultPage and mostPage are how many messages a page has, and lookPage how many are looked at for it, so that a
-	// filter that few pass does not hold up the store.
-	defaultPage, maxPage, maxScanned = 100, 10_000, 200_000
-	// maxRequestBody bounds what a tool sends, in bytes: an import brings one message a request.
+	// The sizes of a page, in messages, and how many messages are scanned for one, so that a filter that few match does
+	// not hold up the store.
+	defaultPageSize, maxPageSize, maxScanned = 100, 10_000, 200_000
+	// maxRequestBody bounds a request, in bytes: an import has one message a request.
 	maxRequestBody = 1 << 20
 )
 
 // Listing is a page of messages.
 type Listing struct {
 	Messages []*Record `json:"messages"`
-	Next     uint64    `json:"next,omitempty"` // where the next page begins; 0: this was the last
+	Next     uint64    `json:"next,omitempty"` // where the next page begins; 0: this is the last one
 	Damaged  int       `json:"damaged,omitempty"`
 }
 
-// Stats are what the store holds.
+// Stats describes the content of a store.
 type Stats struct {
 	*Totals
 	Groups []Group `json:"groups"`
 	File   int64   `json:"file_bytes"`
 }
 
-// Verified is what Verify found.
+// Verified is the result of Store.Verify.
 type Verified struct {
 	Good   int     `json:"good"`
 	Faults []Fault `json:"faults"`
 }
 
-// Exported is a message as it is exported and imported: a line of JSON.
+// Exported is a message in the form in which it is exported and imported: a line of JSON.
 type Exported struct {
 	Record
 	Body []byte `json:"body"`
 }
 
-// Admin serves the tool, over the relay's Unix socket or on a stopped relay's folder alike: what it answers is JSON.
+// Admin serves operators' requests, over the Unix socket of a running relay or on the folder of a stopped one. Its
+// responses are JSON.
 type Admin struct {
 	Store *Store
 	Now   func() time.Time
-	// Classes are the relay's; nil on a stopped one's folder.
+	// Classes are the relay's; nil for the folder of a stopped relay.
 	Classes []Class
-	// newClasses are those of new settings.
+	// newClasses replace Classes once the settings were reloaded.
 	newClasses atomic.Pointer[[]Class]
-	// Changed tells the relay that a message was given to it to redeliver; nil on a stopped one's folder.
+	// Changed notifies the relay that a command has changed a message; nil for the folder of a stopped relay.
 	Changed func()
 }
 
-// SetClasses has the classes be others from now on.
+// SetClasses replaces the classes.
 func (a *Admin) SetClasses(classes []Class) { a.newClasses.Store(&classes) }
 
-// Handler answers the tool's requests.
+// Handler returns the handler of operators' requests.
 func (a *Admin) Handler() http.Handler {
 	mux := http.NewServeMux()
-	handle := func(pattern string, do func(r *http.Request) (any, error)) {
+	handle := func(pattern string, respond func(r *http.Request) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			v, err := do(r)
+			response, err := respond(r)
 			w.Header().Set("Content-Type", "application/json")
 			if err != nil {
 				w.WriteHeader(status(err))
-				v = map[string]string{"error": err.Error()}
+				response = map[string]string{"error": err.Error()}
 			}
-			_ = json.NewEncoder(w).Encode(v) // the tool has gone
+			_ = json.NewEncoder(w).Encode(response) // fails where the client has gone
 		})
 	}
 	handle("GET /messages", a.list)
@@ -78,7 +79,7 @@
 		body, err := a.Store.Body(r.PathValue("id"))
 		return map[string][]byte{"body": body}, err
 	})
-	handle("POST /messages/{id}/{what}", a.command)
+	handle("POST /messages/{id}/{command}", a.command)
 	handle("POST /import", a.importMessage)
 	handle("POST /check", a.check)
 	handle("GET /stats", a.stats)
@@ -90,59 +91,59 @@
 }
 
 func (a *Admin) list(r *http.Request) (any, error) {
-	q := r.URL.Query()
-	f, err := ParseFilter(q)
+	query := r.URL.Query()
+	filter, err := ParseFilter(query)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
-	most := defaultPage
-	if v := q.Get("most"); v != "" {
-		if most, err = strconv.Atoi(v); err != nil || most < 1 || most > maxPage {
-			return nil, fmt.Errorf("%w: most: %q is not from 1 to %d", errBadRequest, v, maxPage)
+	limit := defaultPageSize
+	if v := query.Get("most"); v != "" {
+		if limit, err = strconv.Atoi(v); err != nil || limit < 1 || limit > maxPageSize {
+			return nil, fmt.Errorf("%w: most: %q is not from 1 to %d", errBadRequest, v, maxPageSize)
 		}
 	}
 	from := uint64(0)
-	if v := q.Get("from"); v != "" {
+	if v := query.Get("from"); v != "" {
 		if from, err = strconv.ParseUint(v, 10, 64); err != nil {
 			return nil, fmt.Errorf("%w: from: %q is no number", errBadRequest, v)
 		}
 	}
-	l := &Listing{}
-	l.Messages, l.Next, l.Damaged, err = a.Store.Page(from, most, maxScanned, f.Matches)
-	if l.Messages == nil {
-		l.Messages = []*Record{}
+	listing := &Listing{}
+	listing.Messages, listing.Next, listing.Damaged, err = a.Store.Page(from, limit, maxScanned, filter.Matches)
+	if listing.Messages == nil {
+		listing.Messages = []*Record{} // never null in JSON
 	}
-	return l, err
+	return listing, err
 }
 
 func (a *Admin) stats(*http.Request) (any, error) {
-	t, groups, err := a.Store.Totals()
-	return Stats{t, append([]Group{}, groups...), a.Store.Size()}, err
+	totals, groups, err := a.Store.Totals()
+	return Stats{totals, append([]Group{}, groups...), a.Store.Size()}, err
 }
 
-// importMessage takes a message in that was exported from another store. It is held until a rule or an operator says else,
-// and what was attested for it elsewhere counts as used: an attest serves where it was given.
+// importMessage stores a message that was exported from another store. It is held until a rule or an operator decides
+// otherwise, and its attestations count as used: an attestation holds for the store in which it was made.
 func (a *Admin) importMessage(r *http.Request) (any, error) {
-	var e Exported
-	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&e); err != nil {
+	var message Exported
+	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&message); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	switch {
-	case e.Version > Version:
-		return nil, fmt.Errorf("%w: version %d is newer than this program's, %d", errBadRequest, e.Version, Version)
-	case e.ID == "" || len(e.Incarnations) == 0 || e.Incarnations[0].ID != e.ID:
+	case message.Version > Version:
+		return nil, fmt.Errorf("%w: version %d is newer than this program's, %d", errBadRequest, message.Version, Version)
+	case message.ID == "" || len(message.Incarnations) == 0 || message.Incarnations[0].ID != message.ID:
 		return nil, fmt.Errorf("%w: no message with a history", errBadRequest)
 	}
-	e.Due = time.Time{}
-	if _, err := a.Store.Get(e.ID); err == nil {
+	message.Due = time.Time{}
+	if _, err := a.Store.Get(message.ID); err == nil {
 		return map[string]bool{"kept": false}, nil
 	}
-	for i := range e.Attestations {
-		e.Attestations[i].Used = true
+	for i := range message.Attestations {
+		message.Attestations[i].Used = true
 	}
-	if !e.State.Ended() {
-		e.State, e.Reason, e.Since = Held, "imported", a.Now()
-		e.Due = e.Since
+	if !message.State.Ended() {
+		message.State, message.Reason, message.Since = Held, "imported", a.Now()
+		message.Due = message.Since
 	}
-	return map[string]bool{"kept": true}, a.Store.Put([]Message{{e.Record, e.Body}})
+	return map[string]bool{"kept": true}, a.Store.Put([]Message{{message.Record, message.Body}})
 }
--- a/internal/deadletter/admin_error.go
+++ b/internal/deadletter/admin_error.go
@@ -5,16 +5,19 @@
 	"net/http"
 )
 
-// conflictError says that a command is not done, with the reason.
+// errBadRequest is a request that is malformed, whatever is stored.
+var errBadRequest = errors.New("bad request")
+
+// conflictError is why a command can't be applied to a message in its present state.
 type conflictError struct{ error }
 
-// status is the HTTP status of an error.
+// status returns the HTTP status of an error.
 func status(err error) int {
-	refused := conflictError{}
+	conflict := conflictError{}
 	switch {
 	case errors.Is(err, ErrUnknown):
 		return http.StatusNotFound
-	case errors.As(err, &refused):
+	case errors.As(err, &conflict):
 		return http.StatusConflict
 	case errors.Is(err, ErrFull):
 		return http.StatusInsufficientStorage
@@ -23,5 +26,3 @@
 	}
 	return http.StatusInternalServerError
 }
-
-var errBadRequest = errors.New("bad request")
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -10,48 +10,50 @@
 	"time"
 )
 
-// scanBatch is how many records one round of Bounds looks at for each bound, and dropAtOnce how many leave in one
-// transaction: the store serves the hand-over meanwhile.
+// scanBatch is how many records one round scans for each bound, and removeBatch how many it removes in one transaction:
+// between transactions the store takes new messages.
 const scanBatch, removeBatch = 20_000, 500
 
-// Bounds drops what is too old or too many, a round at a time.
+// bytesPerMB is the unit of Bound.MaxMB.
+const bytesPerMB = 1e6
+
+// Bounds enforces the limits on age, number and size, a bounded number of messages a round.
 type Bounds struct {
 	store   *Store
 	section *Section
 	dir     string
-	cursors []uint64 // of each bound, and of the store's own: where the next round goes on
+	cursors []uint64 // where the next round goes on: for the store as a whole, then for each bound
 }
 
-// NewBounds gives the bounds of a section, the store's own first.
+// NewBounds returns the bounds that a section sets on a store.
 func NewBounds(store *Store, s *Section) *Bounds {
 	return &Bounds{store: store, section: s, dir: s.Folder, cursors: make([]uint64, len(s.Bounds)+1)}
 }
 
-// Enforce drops what the bounds do not allow, a bounded number at once, and tells how many left. full says that the store
-// takes no more: then also messages that have ended leave, the oldest first.
-func (b *Bounds) Enforce(now time.Time, full bool) (left int, err error) {
+// Enforce removes messages that exceed the bounds, a bounded number at once, and returns how many it removed. Where the
+// store is full, messages that have ended are removed too, the oldest first.
+func (b *Bounds) Enforce(now time.Time, full bool) (removed int, err error) {
 	totals, groups, err := b.store.Totals()
 	if err != nil {
 		return 0, err
 	}
-	own := Bound{MaxAge: b.section.MaxAge}
-	for i := -1; i < len(b.section.Bounds); i++ {
-		bound, over := own, 0
-		if i >= 0 {
-			bound = b.section.Bounds[i]
-			over = bound.excess(groups)
-		}
-		ended := i < 0 && (full || totals.Messages >= b.section.MaxMessages)
-		n, err := b.enforce(i+1, bound, over, ended, now)
-		left += n
+	whole := Bound{MaxAge: b.section.MaxAge}
+	full = full || totals.Messages >= b.section.MaxMessages
+	removed, err = b.enforce(0, whole, 0, full, now)
+	if err != nil {
+		return removed, err
+	}
+	for i, bound := range b.section.Bounds {
+		n, err := b.enforce(i+1, bound, bound.excess(groups), false, now)
+		removed += n
 		if err != nil {
-			return left, err
+			return removed, err
 		}
 	}
-	return left, nil
+	return removed, nil
 }
 
-// excess is how many messages of its groups are more than a bound allows, by number or, at their mean size, by bytes.
+// excess is by how many messages its groups exceed a bound: by number or, at their mean size, by bytes.
 func (b *Bound) excess(groups []Group) int {
 	messages, bytes := 0, int64(0)
 	for _, g := range groups {
@@ -60,62 +62,61 @@
 			bytes += g.Bytes
 		}
 	}
-	over := 0
+	excess := 0
 	if b.MaxMessages > 0 {
-		over = max(over, messages-b.MaxMessages)
+		excess = max(excess, messages-b.MaxMessages)
 	}
-	if excess := float64(bytes) - b.MaxMB*1e6; b.MaxMB > 0 && excess > 0 && bytes > 0 {
-		over = max(over, int(excess/float64(bytes)*float64(messages))+1)
+	if excessBytes := float64(bytes) - b.MaxMB*bytesPerMB; b.MaxMB > 0 && excessBytes > 0 && bytes > 0 {
+		excess = max(excess, int(excessBytes/float64(bytes)*float64(messages))+1)
 	}
-	return over
+	return excess
 }
 
-// enforce drops what one bound does not allow: too old ones, over of the oldest, and where ended is set those that have
-// ended. A message that is being redelivered stays.
-func (b *Bounds) enforce(n int, bound Bound, over int, ended bool, now time.Time) (left int, err error) {
-	if over == 0 && bound.MaxAge == 0 && !ended {
+// enforce removes the messages that exceed the bound with an index among the cursors, see exceeded.
+func (b *Bounds) enforce(index int, bound Bound, excess int, ended bool, now time.Time) (removed int, err error) {
+	if excess == 0 && bound.MaxAge == 0 && !ended {
 		return 0, nil
 	}
-	from := b.cursors[n]
-	if over > 0 {
+	from := b.cursors[index]
+	if excess > 0 {
 		from = 0 // the oldest first
 	}
-	var drop []*Record
-	drop, b.cursors[n], _, err = b.store.Page(from, removeBatch, scanBatch, bound.exceeded(over, ended, now))
-	if err != nil || len(drop) == 0 {
+	var expired []*Record
+	expired, b.cursors[index], _, err = b.store.Page(from, removeBatch, scanBatch, bound.exceeded(excess, ended, now))
+	if err != nil || len(expired) == 0 {
 		return 0, err
 	}
 	if b.section.Export {
-		if err := b.export(drop, now); err != nil {
+		if err := b.export(expired, now); err != nil {
 			return 0, err
 		}
 	}
-	ids := make([]string, len(drop))
-	for i, r := range drop {
+	ids := make([]string, len(expired))
+	for i, r := range expired {
 		ids[i] = r.ID
 	}
 	return len(ids), b.store.Remove(ids)
 }
 
-// exceeded returns a filter of the messages that have to leave by a bound, from the oldest on: too old ones, over further
-// ones, and where ended is set those that have ended.
-func (b *Bound) exceeded(over int, ended bool, now time.Time) func(r *Record) bool {
+// exceeded returns a filter of the messages that exceed a bound, for records in the order of their age: those that are too
+// old, excess more, and where ended is set those that have ended. A message that is being redelivered never matches.
+func (b *Bound) exceeded(excess int, ended bool, now time.Time) func(r *Record) bool {
 	return func(r *Record) bool {
 		if r.State == Redelivering || b.Class != "" && b.Class != r.Class || b.Tenant != "" && b.Tenant != r.Tenant {
 			return false
 		}
-		old := b.MaxAge > 0 && now.Sub(r.Incarnations[0].AcceptedAt) > seconds(b.MaxAge)
-		if !old && over > 0 {
-			over--
+		tooOld := b.MaxAge > 0 && now.Sub(r.Incarnations[0].AcceptedAt) > seconds(b.MaxAge)
+		if !tooOld && excess > 0 {
+			excess--
 			return true
 		}
-		return old || ended && r.State.Ended()
+		return tooOld || ended && r.State.Ended()
 	}
 }
 
-// export appends messages that are about to leave to the day's file. One that was written, and did not leave because
-// the process ended, is written again: import takes it once.
-func (b *Bounds) export(list []*Record, now time.Time) (err error) {
+// export appends messages that are about to be removed to the day's file. One that was written and not removed, since the
+// process ended between, is written again: an import stores it once.
+func (b *Bounds) export(records []*Record, now time.Time) (err error) {
 	path := filepath.Join(b.dir, "left-"+now.UTC().Format("20060102")+".jsonl")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -124,7 +125,7 @@
 	defer func() { err = errors.Join(err, f.Close()) }()
 	out := bufio.NewWriter(f)
 	lines := json.NewEncoder(out)
-	for _, r := range list {
+	for _, r := range records {
 		body, err := b.store.Body(r.ID)
 		if err != nil && !errors.Is(err, ErrDamaged) {
 			return err
--- a/internal/deadletter/checksum.go
+++ b/internal/deadletter/checksum.go
@@ -6,15 +6,18 @@
 	"frostlink/internal/boltfile"
 )
 
-// addChecksum puts a checksum before a value.
+// checksumSize is how many bytes a value's checksum takes before it.
+const checksumSize = 4
+
+// addChecksum returns a value with its checksum before it.
 func addChecksum(v []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(v)+4), boltfile.Checksum(v)), v...)
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, len(v)+checksumSize), boltfile.Checksum(v)), v...)
 }
 
-// verifyChecksum checks a value and gives it without its checksum. It is valid within its transaction only.
+// verifyChecksum checks a value and returns it without its checksum. The result is valid within its transaction only.
 func verifyChecksum(v []byte) ([]byte, error) {
-	if len(v) < 4 || boltfile.Checksum(v[4:]) != binary.BigEndian.Uint32(v) {
+	if len(v) < checksumSize || boltfile.Checksum(v[checksumSize:]) != binary.BigEndian.Uint32(v) {
 		return nil, ErrDamaged
 	}
-	return v[4:], nil
+	return v[checksumSize:], nil
 }
--- a/internal/deadletter/client.go
+++ b/internal/deadletter/client.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// requestTimeout bounds one question of the tool; verify reads all there is.
+	// requestTimeout bounds one request: to verify a store is to read all of it.
 	requestTimeout = 5 * time.Minute
-	// readHeaderTimeout bounds how long the relay waits for a question's head: only the relay's own user can ask.
+	// readHeaderTimeout bounds how long the relay waits for a request's header; only the relay's own user can connect.
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Client is the tool's way to a store: to a running relay's by its socket, or to a stopped one's folder.
+// Client reaches a store: that of a running relay over its socket, or that of a stopped one in its folder.
 type Client struct {
 	client http.Client
-	store  *Store
+	store  *Store // nil: reached over a socket
 }
 
-// Connect reaches a running relay.
+// Connect returns a client of a running relay. It fails where nothing answers on the socket.
 func Connect(socket string) (*Client, error) {
-	c, err := net.Dial("unix", socket)
+	conn, err := net.Dial("unix", socket)
 	if err != nil {
 		return nil, fmt.Errorf("no relay answers at %s: %w", socket, err)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 	return &Client{client: http.Client{Timeout: requestTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
@@ -40,12 +40,12 @@
 	}}}, nil
 }
 
-// OpenFolder reaches the store of a relay that is not running; write says whether anything is to be changed.
+// OpenFolder returns a client of the store of a relay that is not running; write allows changes.
 func OpenFolder(dir string, write bool) (*Client, error) {
-	s, err := OpenToRead(dir) // also where it will be written: a wrong folder is not to be made
+	store, err := OpenToRead(dir) // also before writing: Open would create a folder that was named wrongly
 	if err == nil && write {
-		_ = s.Close()
-		s, err = Open(dir, 0, 0)
+		_ = store.Close()
+		store, err = Open(dir, 0, 0)
 	}
 	if errors.Is(err, ErrInUse) {
 		err = fmt.Errorf("%w: a relay that runs is asked by its socket", err)
@@ -53,33 +53,33 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Admin{Store: s, Now: time.Now}
-	return &Client{store: s, client: http.Client{Transport: handlerTransport{a.Handler()}}}, nil
+	admin := &Admin{Store: store, Now: time.Now}
+	return &Client{store: store, client: http.Client{Transport: handlerTransport{admin.Handler()}}}, nil
 }
 
-// Close lets go of a folder.
-func (a *Client) Close() error {
-	if a.store != nil {
-		return a.store.Close()
+// Close closes the store of a folder; a client over a socket needs none.
+func (c *Client) Close() error {
+	if c.store != nil {
+		return c.store.Close()
 	}
 	return nil
 }
 
-// request makes one request and decodes its answer.
-func (a *Client) request(ctx context.Context, method, path string, body, into any) error {
-	var in io.Reader
+// request makes one request and decodes its response.
+func (c *Client) request(ctx context.Context, method, path string, body, into any) error {
+	var content io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			return fmt.Errorf("request to the store: %w", err)
 		}
-		in = bytes.NewReader(raw)
+		content = bytes.NewReader(raw)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://relay"+path, in)
+	req, err := http.NewRequestWithContext(ctx, method, "http://relay"+path, content)
 	if err != nil {
 		return fmt.Errorf("request to the store: %w", err)
 	}
-	resp, err := a.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return fmt.Errorf("request to the store: %w", err)
 	}
@@ -93,64 +93,67 @@
 	return nil
 }
 
-// responseError reads the error that a store has answered with.
+// responseError returns the error that a response describes.
 func responseError(resp *http.Response) error {
-	var answer struct{ Error string }
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil || answer.Error == "" {
+	var body struct{ Error string }
+	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || body.Error == "" {
 		return fmt.Errorf("the store answers %d", resp.StatusCode)
 	}
 	if resp.StatusCode == http.StatusNotFound {
-		return fmt.Errorf("%w (%s)", ErrUnknown, answer.Error)
+		return fmt.Errorf("%w (%s)", ErrUnknown, body.Error)
 	}
-	return errors.New(answer.Error)
+	return errors.New(body.Error)
 }
 
-// List gives a page of messages from a number on.
-func (a *Client) List(ctx context.Context, f *Filter, from uint64, most int) (l Listing, err error) {
-	q := f.Query()
-	q.Set("from", fmt.Sprint(from))
-	q.Set("most", fmt.Sprint(most))
-	err = a.request(ctx, http.MethodGet, "/messages?"+q.Encode(), nil, &l)
-	return l, err
+// List returns a page of messages that match a filter: limit at most, from a record's number on.
+func (c *Client) List(ctx context.Context, filter *Filter, from uint64, limit int) (listing Listing, err error) {
+	query := filter.Query()
+	query.Set("from", fmt.Sprint(from))
+	query.Set("most", fmt.Sprint(limit))
+	err = c.request(ctx, http.MethodGet, "/messages?"+query.Encode(), nil, &listing)
+	return listing, err
 }
 
-// Get gives a message by the id of any of its incarnations.
-func (a *Client) Get(ctx context.Context, id string) (r *Record, err error) {
+// Get returns a message by the id of any of its incarnations.
+func (c *Client) Get(ctx context.Context, id string) (r *Record, err error) {
 	r = &Record{}
-	return r, a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id), nil, r)
+	return r, c.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id), nil, r)
 }
 
-// Body gives a message's body.
-func (a *Client) Body(ctx context.Context, id string) ([]byte, error) {
-	var b struct{ Body []byte }
-	err := a.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id)+"/body", nil, &b)
-	return b.Body, err
+// Body returns a message's body.
+func (c *Client) Body(ctx context.Context, id string) ([]byte, error) {
+	var response struct{ Body []byte }
+	err := c.request(ctx, http.MethodGet, "/messages/"+url.PathEscape(id)+"/body", nil, &response)
+	return response.Body, err
 }
 
-// Command has something done with a message: hold, resend, discard or attest.
-func (a *Client) Command(ctx context.Context, what, id string, c Command) (r *Record, err error) {
+// Command applies a command to a message, and returns the message after it. The name is hold, resend, discard or attest.
+func (c *Client) Command(ctx context.Context, name, id string, command Command) (r *Record, err error) {
 	r = &Record{}
-	return r, a.request(ctx, http.MethodPost, "/messages/"+url.PathEscape(id)+"/"+what, c, r)
+	return r, c.request(ctx, http.MethodPost, "/messages/"+url.PathEscape(id)+"/"+name, command, r)
 }
 
-// Import hands a message in that was exported, and tells whether it was news.
-func (a *Client) Import(ctx context.Context, e *Exported) (kept bool, err error) {
-	var got struct{ Kept bool }
-	err = a.request(ctx, http.MethodPost, "/import", e, &got)
-	return got.Kept, err
+// Import stores a message that was exported, and reports whether it was not in the store yet.
+func (c *Client) Import(ctx context.Context, message *Exported) (stored bool, err error) {
+	var response struct{ Kept bool }
+	err = c.request(ctx, http.MethodPost, "/import", message, &response)
+	return response.Kept, err
 }
 
-// Stats gives what the store holds.
-func (a *Client) Stats(ctx context.Context) (s Stats, err error) {
-	return s, a.request(ctx, http.MethodGet, "/stats", nil, &s)
+// Stats describes the content of the store.
+func (c *Client) Stats(ctx context.Context) (stats Stats, err error) {
+	err = c.request(ctx, http.MethodGet, "/stats", nil, &stats)
+	return stats, err
 }
 
-// Check tells what rules would do with what is in the store now.
-func (a *Client) Check(ctx context.Context, o DryRunRequest) (out []DryRunResult, err error) {
-	return out, a.request(ctx, http.MethodPost, "/check", o, &out)
+// Check returns what rules would do with the present content of the store.
+func (c *Client) Check(ctx context.Context, dryRun DryRunRequest) (results []DryRunResult, err error) {
+	err = c.request(ctx, http.MethodPost, "/check", dryRun, &results)
+	return results, err
 }
 
-// Verify reads all there is.
-func (a *Client) Verify(ctx context.Context) (v Verified, err error) {
-	return v, a.request(ctx, http.MethodGet, "/verify", nil, &v)
+// Verify checks the whole store for damage.
+func (c *Client) Verify(ctx context.Context) (verified Verified, err error) {
+	err = c.request(ctx, http.MethodGet, "/verify", nil, &verified)
+	return verified, err
 }
--- a/internal/deadletter/command.go
+++ b/internal/deadletter/command.go
@@ -7,27 +7,35 @@
 	"time"
 )
 
-// Command is what an operator wants done with a message, and who wants it.
+// The names of commands.
+const (
+	holdCommand      = "hold"
+	discardCommand   = "discard"
+	redeliverCommand = "resend"
+	attestCommand    = "attest"
+)
+
+// Command says who wants a command applied to a message, and why.
 type Command struct {
 	By       string `json:"by"`
 	Reason   string `json:"why,omitempty"`
 	Evidence string `json:"evidence,omitempty"`
 }
 
-// command does what an operator wants done with a message.
+// command applies an operator's command to a message.
 func (a *Admin) command(r *http.Request) (any, error) {
-	var o Command
-	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&o); err != nil {
+	var command Command
+	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&command); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
-	if o.By == "" {
+	if command.By == "" {
 		return nil, fmt.Errorf("%w: nobody is named", errBadRequest)
 	}
 	now := a.Now()
-	var after Record
+	var changed Record
 	err := a.Store.Change(r.PathValue("id"), func(rec *Record) (time.Time, error) {
-		due, err := o.apply(r.PathValue("what"), rec, now)
-		after = *rec
+		due, err := command.apply(r.PathValue("command"), rec, now)
+		changed = *rec
 		return due, err
 	})
 	if err != nil {
@@ -36,52 +44,53 @@
 	if a.Changed != nil {
 		a.Changed()
 	}
-	return after, nil
+	return changed, nil
 }
 
-// apply changes a record as a command says, and gives when to look at it again.
-func (o *Command) apply(what string, r *Record, now time.Time) (due time.Time, err error) {
-	refuse := func(format string, args ...any) (time.Time, error) {
+// apply changes a record as the named command says, and returns when it is due next.
+func (c *Command) apply(name string, r *Record, now time.Time) (due time.Time, err error) {
+	conflict := func(format string, args ...any) (time.Time, error) {
 		return r.Due, conflictError{fmt.Errorf("%s: "+format, append([]any{r.ID}, args...)...)}
 	}
 	if r.State.Ended() {
-		return refuse("it is %s already: %s", r.State, r.Reason)
+		return conflict("it is %s already: %s", r.State, r.Reason)
 	}
 	if r.State == Redelivering {
-		return refuse("it is being resent at this moment")
+		return conflict("it is being resent at this moment")
 	}
-	set := func(s State, why string) { r.State, r.Reason, r.Since = s, why, now }
-	switch what {
-	case "hold":
+	set := func(state State, reason string) { r.State, r.Reason, r.Since = state, reason, now }
+	switch name {
+	case holdCommand:
 		r.HeldByOperator, r.RequestedByOperator = true, false
-		set(Held, "held by "+o.By+suffix(o.Reason))
+		set(Held, "held by "+c.By+suffix(c.Reason))
 		return time.Time{}, nil
-	case "discard":
-		if o.Reason == "" {
-			return refuse("a discard says why")
+	case discardCommand:
+		if c.Reason == "" {
+			return conflict("a discard says why")
 		}
-		set(Discarded, "discarded by "+o.By+suffix(o.Reason))
+		set(Discarded, "discarded by "+c.By+suffix(c.Reason))
 		return time.Time{}, nil
-	case "resend":
+	case redeliverCommand:
 		r.HeldByOperator, r.RequestedByOperator = false, true
-		set(Due, "to be resent, asked for by "+o.By+suffix(o.Reason))
+		set(Due, "to be resent, asked for by "+c.By+suffix(c.Reason))
 		return now, nil
-	case "attest":
-		if o.Evidence == "" {
-			return refuse("an attest names its evidence")
+	case attestCommand:
+		if c.Evidence == "" {
+			return conflict("an attest names its evidence")
 		}
 		if r.unusedAttestation() != nil {
-			return refuse("an attest for it is there already, and serves for one resend")
+			return conflict("an attest for it is there already, and serves for one resend")
 		}
-		r.Attestations = append(r.Attestations, Attestation{By: o.By, Evidence: o.Evidence, At: now})
-		return now, nil // a rule may want it now
+		r.Attestations = append(r.Attestations, Attestation{By: c.By, Evidence: c.Evidence, At: now})
+		return now, nil // a rule may redeliver it now
 	}
-	return r.Due, fmt.Errorf("%w: nothing is called %q", errBadRequest, what)
+	return r.Due, fmt.Errorf("%w: nothing is called %q", errBadRequest, name)
 }
 
-func suffix(why string) string {
-	if why == "" {
+// suffix returns the reason that a command gives, if any, to be appended to a text.
+func suffix(reason string) string {
+	if reason == "" {
 		return ""
 	}
-	return ": " + why
+	return ": " + reason
 }
--- a/internal/deadletter/core_test.go
+++ b/internal/deadletter/core_test.go
@@ -158,7 +158,7 @@
 	for name, c := range map[string]struct {
 		rec    *Record
 		at     time.Time
-		action string
+		action Action
 		rule   int
 		next   time.Time
 	}{
@@ -284,7 +284,7 @@
 	var set []Rule
 	for range rapid.IntRange(0, 3).Draw(t, "rules") {
 		rule := Rule{
-			Action: rapid.SampledFrom([]string{Hold, Redeliver, Discard}).Draw(t, "action"), MaxIncarnations: rapid.IntRange(0, 99).Draw(t, "most"),
+			Action: rapid.SampledFrom([]Action{Hold, Redeliver, Discard}).Draw(t, "action"), MaxIncarnations: rapid.IntRange(0, 99).Draw(t, "most"),
 			Delay: float64(rapid.IntRange(0, 30).Draw(t, "after")), Rate: 1,
 		}
 		if rapid.Bool().Draw(t, "says") {
--- a/internal/deadletter/dry_run.go
+++ b/internal/deadletter/dry_run.go
@@ -7,52 +7,53 @@
 )
 
 const (
-	// checkPage is how many records one transaction of a check reads, and samples how many messages it names a rule.
-	checkPage, samples = 2000, 3
-	// maxRules bounds what a check is sent, in bytes.
-	maxRules = 1 << 20
+	// dryRunBatch is how many records one transaction of a dry run reads, and maxSamples how many messages it names a rule.
+	dryRunBatch, maxSamples = 2000, 3
+	// maxRulesBody bounds the request of a dry run, in bytes.
+	maxRulesBody = 1 << 20
 )
 
-// DryRunRequest asks what rules would do. Where the relay is not running, the classes come with it.
+// DryRunRequest has rules applied without effect. Where the relay is not running, it includes the classes.
 type DryRunRequest struct {
 	Rules   []Rule  `json:"rules"`
 	Classes []Class `json:"classes,omitempty"`
 }
 
-// DryRunResult is what one rule would do with what is in the store now; rule 0 stands for messages that none matches.
+// DryRunResult is what one rule would do with the present content of the store; rule 0 stands for messages that no rule
+// matches.
 type DryRunResult struct {
 	Rule    int            `json:"rule"`
-	Faults  []string       `json:"faults,omitempty"` // why the rule is refused
+	Faults  []string       `json:"faults,omitempty"` // why the rule is rejected
 	Matches int            `json:"matches"`
-	Actions map[string]int `json:"actions,omitempty"` // what would be done now
-	Samples []string       `json:"samples,omitempty"` // ids, with the reason in words
+	Actions map[Action]int `json:"actions,omitempty"` // how many messages each would apply to now
+	Samples []string       `json:"samples,omitempty"` // ids, with action and reason
 }
 
-// check is a dry run: it changes nothing.
+// check runs rules without effect.
 func (a *Admin) check(r *http.Request) (any, error) {
-	var o DryRunRequest
-	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRules)).Decode(&o); err != nil {
+	var dryRun DryRunRequest
+	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRulesBody)).Decode(&dryRun); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
-	classes, err := a.classesFor(&o)
+	classes, err := a.classesFor(&dryRun)
 	if err != nil {
 		return nil, err
 	}
-	out, err := o.prepare(classes)
+	results, err := dryRun.prepare(classes)
 	if err != nil {
 		return nil, err
 	}
-	return out, a.applyRules(&o, classes, out)
+	return results, a.applyRules(dryRun.Rules, classes, results)
 }
 
-// classesFor returns the relay's classes, or those that come with a check where the relay is not running.
-func (a *Admin) classesFor(o *DryRunRequest) ([]Class, error) {
+// classesFor returns the relay's classes, or those of the request where the relay is not running.
+func (a *Admin) classesFor(dryRun *DryRunRequest) ([]Class, error) {
 	classes := a.Classes
 	if changed := a.newClasses.Load(); changed != nil {
 		classes = *changed
 	}
 	if classes == nil {
-		classes = o.Classes
+		classes = dryRun.Classes
 	}
 	if len(classes) == 0 {
 		return nil, fmt.Errorf("%w: which classes the relay has is not known", errBadRequest)
@@ -60,51 +61,51 @@
 	return classes, nil
 }
 
-// prepare reads the rules' hours, and returns what is wrong with each rule; no message is counted yet.
-func (o *DryRunRequest) prepare(classes []Class) ([]DryRunResult, error) {
-	out := make([]DryRunResult, len(o.Rules)+1)
-	for i := range o.Rules {
-		rule := &o.Rules[i]
+// prepare parses the rules' hours, and returns a result for each rule that lists its faults and counts no message yet.
+func (d *DryRunRequest) prepare(classes []Class) ([]DryRunResult, error) {
+	results := make([]DryRunResult, len(d.Rules)+1)
+	for i := range d.Rules {
+		rule := &d.Rules[i]
 		if rule.Hours != "" {
 			var err error
 			if rule.hours, err = parseHours(rule.Hours); err != nil {
 				return nil, fmt.Errorf("%w: %w", errBadRequest, err)
 			}
 		}
-		out[i+1].Rule, out[i+1].Faults = i+1, rule.Conflicts(classes)
+		results[i+1].Rule, results[i+1].Faults = i+1, rule.Conflicts(classes)
 	}
-	return out, nil
+	return results, nil
 }
 
 // applyRules counts what the rules would do with each message that has not ended.
-func (a *Admin) applyRules(o *DryRunRequest, classes []Class, out []DryRunResult) error {
+func (a *Admin) applyRules(rules []Rule, classes []Class, results []DryRunResult) error {
 	byName := map[string]*Class{}
 	for i := range classes {
 		byName[classes[i].Name] = &classes[i]
 	}
 	now := a.Now()
 	for from, first := uint64(0), true; first || from > 0; first = false {
-		page, next, _, err := a.Store.Page(from, checkPage, checkPage, func(rec *Record) bool { return !rec.State.Ended() })
+		page, next, _, err := a.Store.Page(from, dryRunBatch, dryRunBatch, func(rec *Record) bool { return !rec.State.Ended() })
 		if err != nil {
 			return err
 		}
 		for _, rec := range page {
-			p := Decide(o.Rules, byName[rec.Class], rec, a.Store.Newer, now)
-			out[p.Rule].count(rec.ID, p)
+			plan := Decide(rules, byName[rec.Class], rec, a.Store.Newer, now)
+			results[plan.Rule].count(rec.ID, plan)
 		}
 		from = next
 	}
 	return nil
 }
 
-// count counts a message for which a rule has a plan.
-func (c *DryRunResult) count(id string, p Plan) {
-	if c.Actions == nil {
-		c.Actions = map[string]int{}
+// count counts a message by what the rule plans for it.
+func (r *DryRunResult) count(id string, plan Plan) {
+	if r.Actions == nil {
+		r.Actions = map[Action]int{}
 	}
-	c.Matches++
-	c.Actions[p.Action]++
-	if len(c.Samples) < samples {
-		c.Samples = append(c.Samples, id+": "+p.Action+", "+p.Reason)
+	r.Matches++
+	r.Actions[plan.Action]++
+	if len(r.Samples) < maxSamples {
+		r.Samples = append(r.Samples, id+": "+string(plan.Action)+", "+plan.Reason)
 	}
 }
--- a/internal/deadletter/due.go
+++ b/internal/deadletter/due.go
@@ -9,54 +9,61 @@
 	"go.etcd.io/bbolt"
 )
 
-// dueKey is when to look at a record again. The destination comes first: the many of one that is down are not to stand
-// before the few of another.
-func dueKey(partner int, at time.Time, n uint64) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(partner))
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(b, uint64(at.UnixMilli())), n)
+// The parts of a key of the bucket due, in bytes from its start.
+const (
+	dueTimeOffset   = 4
+	dueNumberOffset = 12
+)
+
+// dueKey is the key under which a record is due. The destination comes first, so that the many records of one that is down
+// are not read before the few of another.
+func dueKey(destination int, at time.Time, number uint64) []byte {
+	key := binary.BigEndian.AppendUint32(nil, uint32(destination))
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(key, uint64(at.UnixMilli())), number)
 }
 
 // updateDue changes when a record is due; the zero time stands for never.
-func updateDue(tx *bbolt.Tx, partner int, n uint64, from, to time.Time) error {
-	b := tx.Bucket(dueBucket)
+func updateDue(tx *bbolt.Tx, destination int, number uint64, from, to time.Time) error {
+	bucket := tx.Bucket(dueBucket)
 	if !from.IsZero() {
-		if err := b.Delete(dueKey(partner, from, n)); err != nil {
+		if err := bucket.Delete(dueKey(destination, from, number)); err != nil {
 			return fmt.Errorf("due time: %w", err)
 		}
 	}
 	if to.IsZero() {
 		return nil
 	}
-	if err := b.Put(dueKey(partner, to, n), nil); err != nil {
+	if err := bucket.Put(dueKey(destination, to, number), nil); err != nil {
 		return fmt.Errorf("due time: %w", err)
 	}
 	return nil
 }
 
-// Due gives messages that are to be looked at by a time: of each destination the first so many as most says for it.
-func (s *Store) Due(at time.Time, most func(partner int) int) (due []*Record, err error) {
+// Due returns the messages that are due at a time: of each destination the first ones, as many as limit allows it.
+func (s *Store) Due(at time.Time, limit func(destination int) int) (due []*Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(dueBucket).Cursor()
-		for k, _ := c.First(); k != nil; {
-			partner := binary.BigEndian.Uint32(k)
-			due = append(due, dueOf(tx, c, k, partner, at, most(int(partner)))...)
-			if partner == math.MaxUint32 {
+		cursor := tx.Bucket(dueBucket).Cursor()
+		for key, _ := cursor.First(); key != nil; {
+			destination := binary.BigEndian.Uint32(key)
+			due = append(due, dueOf(tx, cursor, key, at, limit(int(destination)))...)
+			if destination == math.MaxUint32 {
 				return nil
 			}
-			k, _ = c.Seek(binary.BigEndian.AppendUint32(nil, partner+1))
+			key, _ = cursor.Seek(binary.BigEndian.AppendUint32(nil, destination+1))
 		}
 		return nil
 	})
 	return due, err
 }
 
-// dueOf returns the messages of one destination that are due, from a cursor's key on, limit at most.
-func dueOf(tx *bbolt.Tx, c *bbolt.Cursor, k []byte, partner uint32, at time.Time, limit int) (due []*Record) {
-	for ; k != nil && len(due) < limit && binary.BigEndian.Uint32(k) == partner; k, _ = c.Next() {
-		if time.UnixMilli(int64(binary.BigEndian.Uint64(k[4:]))).After(at) {
+// dueOf returns the messages that are due of one destination, from a cursor's present key on, limit at most.
+func dueOf(tx *bbolt.Tx, cursor *bbolt.Cursor, key []byte, at time.Time, limit int) (due []*Record) {
+	destination := binary.BigEndian.Uint32(key)
+	for ; key != nil && len(due) < limit && binary.BigEndian.Uint32(key) == destination; key, _ = cursor.Next() {
+		if time.UnixMilli(int64(binary.BigEndian.Uint64(key[dueTimeOffset:]))).After(at) {
 			break
 		}
-		r, err := readRecord(tx.Bucket(recordsBucket), k[12:])
+		r, err := readRecord(tx.Bucket(recordsBucket), key[dueNumberOffset:])
 		if err != nil {
 			continue // Verify reports it
 		}
--- a/internal/deadletter/filter.go
+++ b/internal/deadletter/filter.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Filter says which messages are meant. What it leaves out matches anything.
+// Filter selects messages. A field that is left out matches any message.
 type Filter struct {
 	Class, Tenant   string
 	Destination     *int
@@ -16,7 +16,7 @@
 	MayHaveExecuted *bool
 }
 
-// Matches tells whether a message is meant.
+// Matches reports whether the filter selects a message.
 func (f *Filter) Matches(r *Record) bool {
 	switch {
 	case f.Class != "" && f.Class != r.Class,
@@ -30,12 +30,12 @@
 	return true
 }
 
-// Query writes a filter as the parameters of a request.
+// Query encodes a filter as the parameters of a request.
 func (f *Filter) Query() url.Values {
-	q := url.Values{}
+	query := url.Values{}
 	set := func(name, v string) {
 		if v != "" {
-			q.Set(name, v)
+			query.Set(name, v)
 		}
 	}
 	set("class", f.Class)
@@ -48,26 +48,26 @@
 	if f.MayHaveExecuted != nil {
 		set("may_have_run", strconv.FormatBool(*f.MayHaveExecuted))
 	}
-	return q
+	return query
 }
 
-// ParseFilter reads a filter from the parameters of a request.
-func ParseFilter(q url.Values) (*Filter, error) {
-	f := &Filter{Class: q.Get("class"), Tenant: q.Get("tenant"), Reason: Reason(q.Get("reason")), State: State(q.Get("state"))}
+// ParseFilter decodes a filter from the parameters of a request.
+func ParseFilter(query url.Values) (*Filter, error) {
+	f := &Filter{Class: query.Get("class"), Tenant: query.Get("tenant"), Reason: Reason(query.Get("reason")), State: State(query.Get("state"))}
 	if f.Reason != "" && !slices.Contains(reasons, f.Reason) {
 		return nil, fmt.Errorf("reason: %q is none of %v", f.Reason, reasons)
 	}
-	if states := []State{Held, Due, Redelivering, Delivered, Superseded, Discarded}; f.State != "" && !slices.Contains(states, f.State) {
+	if f.State != "" && !slices.Contains(states, f.State) {
 		return nil, fmt.Errorf("state: %q is none of %v", f.State, states)
 	}
-	if v := q.Get("partner"); v != "" {
+	if v := query.Get("partner"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil {
 			return nil, fmt.Errorf("partner: %q is no number", v)
 		}
 		f.Destination = &n
 	}
-	if v := q.Get("may_have_run"); v != "" {
+	if v := query.Get("may_have_run"); v != "" {
 		b, err := strconv.ParseBool(v)
 		if err != nil {
 			return nil, fmt.Errorf("may_have_run: %q is neither true nor false", v)
--- a/internal/deadletter/handler_transport.go
+++ b/internal/deadletter/handler_transport.go
@@ -6,30 +6,30 @@
 	"net/http"
 )
 
-// handlerTransport answers requests by a handler in this process.
+// handlerTransport is an http.RoundTripper that has requests served by a handler in this process.
 type handlerTransport struct{ http.Handler }
 
-func (d handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	w := &responseRecorder{header: http.Header{}, status: http.StatusOK}
+func (t handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	recorder := &responseRecorder{header: http.Header{}, status: http.StatusOK}
 	if r.Body == nil {
 		r.Body = http.NoBody
 	}
-	d.ServeHTTP(w, r)
-	return &http.Response{StatusCode: w.status, Header: w.header, Body: io.NopCloser(&w.body), Request: r}, nil
+	t.ServeHTTP(recorder, r)
+	return &http.Response{StatusCode: recorder.status, Header: recorder.header, Body: io.NopCloser(&recorder.body), Request: r}, nil
 }
 
-// responseRecorder collects what a handler writes.
+// responseRecorder is an http.ResponseWriter that keeps the response.
 type responseRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (a *responseRecorder) Header() http.Header    { return a.header }
-func (a *responseRecorder) WriteHeader(status int) { a.status = status }
+func (w *responseRecorder) Header() http.Header    { return w.header }
+func (w *responseRecorder) WriteHeader(status int) { w.status = status }
 
 // Write never fails.
-func (a *responseRecorder) Write(b []byte) (int, error) {
-	a.body.Write(b)
+func (w *responseRecorder) Write(b []byte) (int, error) {
+	w.body.Write(b)
 	return len(b), nil
 }
--- a/internal/deadletter/inflight.go
+++ b/internal/deadletter/inflight.go
@@ -2,43 +2,44 @@
 
 // InFlightMessages tracks the accepted messages of each topic that have not ended.
 type InFlightMessages struct {
-	orders map[Topic]map[string]Order
+	orders map[Topic]map[string]Order // by id
 }
 
-// Add notes a message that was accepted, and Ended that it has ended.
-func (u *InFlightMessages) Add(id string, t Topic, order Order) {
-	if u.orders == nil {
-		u.orders = map[Topic]map[string]Order{}
+// Add adds a message that was accepted.
+func (m *InFlightMessages) Add(id string, topic Topic, order Order) {
+	if m.orders == nil {
+		m.orders = map[Topic]map[string]Order{}
 	}
-	if u.orders[t] == nil {
-		u.orders[t] = map[string]Order{}
+	if m.orders[topic] == nil {
+		m.orders[topic] = map[string]Order{}
 	}
-	u.orders[t][id] = order
+	m.orders[topic][id] = order
 }
 
-// Remove notes that a message has ended, and is known to Newest where it should be.
-func (u *InFlightMessages) Remove(id string, t Topic) {
-	if delete(u.orders[t], id); len(u.orders[t]) == 0 {
-		delete(u.orders, t)
+// Remove removes a message that has ended. A delivered one has to be known to the store by then.
+func (m *InFlightMessages) Remove(id string, topic Topic) {
+	if delete(m.orders[topic], id); len(m.orders[topic]) == 0 {
+		delete(m.orders, topic)
 	}
 }
 
-// NewestAfter gives the newest message of a topic that is newer than a place in its order, or "". known is false where one is
-// out whose subject can't be read: it may be of any topic of its class and destination.
-func (u *InFlightMessages) NewestAfter(t Topic, order Order) (newest string, known bool) {
-	best := order
-	for id, at := range u.orders[t] {
-		if at.compare(best) > 0 {
-			newest, best = id, at
+// NewestAfter returns the newest message of a topic that is newer than an order, or "". known is false where there is none
+// and a message whose subject can't be read is in flight: it may be of any topic of its class and destination.
+func (m *InFlightMessages) NewestAfter(topic Topic, order Order) (newest string, known bool) {
+	newestOrder := order
+	for id, o := range m.orders[topic] {
+		if o.compare(newestOrder) > 0 {
+			newest, newestOrder = id, o
 		}
 	}
-	return newest, newest != "" || len(u.orders[Topic{Class: t.Class, Destination: t.Destination}]) == 0
+	unreadable := m.orders[Topic{Class: topic.Class, Destination: topic.Destination}]
+	return newest, newest != "" || len(unreadable) == 0
 }
 
-// OlderThan gives the messages of a topic that come before a place in its order.
-func (u *InFlightMessages) OlderThan(t Topic, order Order) (older []string) {
-	for id, at := range u.orders[t] {
-		if at.compare(order) < 0 {
+// OlderThan returns the messages of a topic that are older than an order.
+func (m *InFlightMessages) OlderThan(topic Topic, order Order) (older []string) {
+	for id, o := range m.orders[topic] {
+		if o.compare(order) < 0 {
 			older = append(older, id)
 		}
 	}
--- a/internal/deadletter/json_pointer.go
+++ b/internal/deadletter/json_pointer.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// pointerTokens are the names that a pointer goes through (RFC 6901, sections 3 and 4).
+// pointerTokens returns the names that a JSON pointer consists of (RFC 6901, sections 3 and 4).
 func pointerTokens(pointer string) ([]string, error) {
 	if !strings.HasPrefix(pointer, "/") {
 		return nil, fmt.Errorf("%q is no JSON pointer: it begins with a slash", pointer)
@@ -25,10 +25,10 @@
 	return names, nil
 }
 
-// resolvePointer gives the string or number that a JSON pointer leads to (RFC 6901). It is written by hand on the standard
-// decoder's tokens: what works on decoded values takes the last of two members of one name, where a destination may take
-// the first, and turns numbers into floats.
-func resolvePointer(body []byte, pointer string) (v string, err error) {
+// resolvePointer returns the string or number that a JSON pointer refers to (RFC 6901). It reads the decoder's tokens rather
+// than decoded values: those would have the last of two members of one name, where a destination may use the first, and
+// numbers as floats.
+func resolvePointer(body []byte, pointer string) (value string, err error) {
 	names, err := pointerTokens(pointer)
 	if err != nil {
 		return "", err
@@ -42,19 +42,19 @@
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return "", fmt.Errorf("%s: more behind the JSON text", pointer)
 	}
-	switch f := found.(type) {
+	switch v := found.(type) {
 	case string:
-		return f, nil
+		return v, nil
 	case json.Number:
-		return f.String(), nil
+		return v.String(), nil
 	case nil:
 		return "", fmt.Errorf("%s: not there", pointer)
 	}
 	return "", fmt.Errorf("%s: neither a string nor a number", pointer)
 }
 
-// resolveIn reads one value and returns what a pointer's names lead to in it: nil where nothing does, and a json.Delim
-// where that is an object or an array. depth is how many levels of nesting are left.
+// resolveIn reads one value and returns what a pointer's names refer to in it: nil for nothing, and a json.Delim for an
+// object or an array. depth is how many levels of nesting are left.
 func resolveIn(d *json.Decoder, names []string, depth int) (found any, err error) {
 	if depth == 0 {
 		return nil, errors.New("nested too deep")
@@ -68,7 +68,7 @@
 	case !nested && len(names) == 0:
 		return token, nil
 	case !nested:
-		return nil, nil // the pointer leads to nothing
+		return nil, nil // the pointer refers to nothing
 	case len(names) == 0:
 		found = open
 	}
@@ -91,11 +91,11 @@
 			found = inner
 		}
 	}
-	_, err = nextToken(d) // the end
+	_, err = nextToken(d) // the closing delimiter
 	return found, err
 }
 
-// nextToken reads a token. Its errors name the place in the text.
+// nextToken reads a token. Its errors include the offset in the text.
 func nextToken(d *json.Decoder) (json.Token, error) {
 	token, err := d.Token()
 	if err != nil {
@@ -104,16 +104,16 @@
 	return token, nil
 }
 
-// memberNames names the members of an object, or the elements of an array by their index.
+// memberNames returns the names of an object's members, or the indexes of an array's elements.
 type memberNames struct {
 	isObject bool
-	tracked  bool // the names matter: a pointer goes on through one of them
+	tracked  bool // a pointer may refer to one of the members: a name must not occur twice
 	index    int
 	seen     map[string]bool
 }
 
-// next reads the name of the next member. One that is there twice is an error: it guards against a body that two readers
-// understand differently.
+// next reads the name of the next member. A repeated name is an error: it guards against a body that two readers understand
+// differently.
 func (m *memberNames) next(d *json.Decoder) (string, error) {
 	if !m.isObject {
 		m.index++
--- a/internal/deadletter/messages.go
+++ b/internal/deadletter/messages.go
@@ -9,112 +9,115 @@
 	"go.etcd.io/bbolt"
 )
 
-// Message is a message as it is handed over.
+// Message is a message to be stored: its record and its body.
 type Message struct {
 	Record
 	Body []byte
 }
 
-// recordKey is a record's key.
-func recordKey(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// recordKeySize is the length of a record's key, in bytes.
+const recordKeySize = 8
 
-// Put keeps messages. One whose id is there already changes nothing: after a crash the journal hands it over again.
-// Where there is no room for all, none is kept, and the error is ErrFull.
+// recordKey is the key of the record with a number.
+func recordKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
+
+// Put stores messages. One whose id is stored already changes nothing: after a crash the journal submits it again. Where
+// there is no capacity for all, none is stored, and the error is ErrFull.
 func (s *Store) Put(messages []Message) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		t, err := readTotals(tx)
+		totals, err := readTotals(tx)
 		if err != nil {
 			return err
 		}
 		for i := range messages {
-			if err := s.putMessage(tx, t, &messages[i]); err != nil {
+			if err := s.putMessage(tx, totals, &messages[i]); err != nil {
 				return err
 			}
 		}
-		return writeTotals(tx, t)
+		return writeTotals(tx, totals)
 	})
 }
 
-// putMessage stores one message.
-func (s *Store) putMessage(tx *bbolt.Tx, t *Totals, m *Message) error {
-	if stored, err := s.replaceRejected(tx, t, m); stored || err != nil {
+// putMessage stores one message, with its index entries and in the totals.
+func (s *Store) putMessage(tx *bbolt.Tx, totals *Totals, m *Message) error {
+	if stored, err := s.replaceRejected(tx, totals, m); stored || err != nil {
 		return err
 	}
-	if s.maxMessages > 0 && t.Messages >= s.maxMessages || s.maxBytes > 0 && s.bytesUsed(tx)+int64(len(m.Body)) > s.maxBytes {
+	if s.maxMessages > 0 && totals.Messages >= s.maxMessages || s.maxBytes > 0 && s.bytesUsed(tx)+int64(len(m.Body)) > s.maxBytes {
 		return ErrFull
 	}
 	records := tx.Bucket(recordsBucket)
-	n, err := records.NextSequence()
+	number, err := records.NextSequence()
 	if err != nil {
 		return fmt.Errorf("record number: %w", err)
 	}
 	m.Version, m.BodySize = Version, len(m.Body)
-	if err := writeRecord(records, n, &m.Record); err != nil {
+	if err := writeRecord(records, number, &m.Record); err != nil {
 		return err
 	}
-	if err := tx.Bucket(bodiesBucket).Put(recordKey(n), addChecksum(m.Body)); err != nil {
+	if err := tx.Bucket(bodiesBucket).Put(recordKey(number), addChecksum(m.Body)); err != nil {
 		return fmt.Errorf("body of %s: %w", m.ID, err)
 	}
-	if err := indexIDs(tx, n, m.Incarnations); err != nil {
+	if err := indexIDs(tx, number, m.Incarnations); err != nil {
 		return err
 	}
-	if err := updateDue(tx, m.Destination, n, time.Time{}, m.Due); err != nil {
+	if err := updateDue(tx, m.Destination, number, time.Time{}, m.Due); err != nil {
 		return err
 	}
-	if err := s.updateSubject(tx, &m.Record, n, false, !m.State.Ended() && !m.neverAccepted()); err != nil {
+	if err := s.updateSubject(tx, &m.Record, number, false, !m.State.Ended() && !m.neverAccepted()); err != nil {
 		return err
 	}
-	t.count(m.State, 1)
-	t.Messages++
-	t.Bytes += int64(len(m.Body))
+	totals.count(m.State, 1)
+	totals.Messages++
+	totals.Bytes += int64(len(m.Body))
 	return changeGroup(tx, m.Class, m.Tenant, 1, int64(len(m.Body)))
 }
 
-// replaceRejected looks for a message that is stored under one of the ids already, and reports true if it stays. One that was
-// rejected at its arrival, and was accepted later under its old id, makes room.
-func (s *Store) replaceRejected(tx *bbolt.Tx, t *Totals, m *Message) (stored bool, err error) {
-	for _, life := range m.Incarnations {
-		k := tx.Bucket(idsBucket).Get([]byte(life.ID))
-		if k == nil {
+// replaceRejected reports whether a message is stored already under one of its ids. A stored one that was rejected on arrival
+// is deleted where the message was accepted later under the same id.
+func (s *Store) replaceRejected(tx *bbolt.Tx, totals *Totals, m *Message) (stored bool, err error) {
+	for _, incarnation := range m.Incarnations {
+		key := tx.Bucket(idsBucket).Get([]byte(incarnation.ID))
+		if key == nil {
 			continue
 		}
-		old, err := readRecord(tx.Bucket(recordsBucket), k)
+		old, err := readRecord(tx.Bucket(recordsBucket), key)
 		if err != nil || !old.neverAccepted() || m.neverAccepted() {
 			return true, nil // a record that can't be read stays, for Verify to report
 		}
-		if err := s.deleteRecord(tx, t, append([]byte{}, k...), old); err != nil {
+		if err := s.deleteRecord(tx, totals, append([]byte{}, key...), old); err != nil {
 			return false, err
 		}
 	}
 	return false, nil
 }
 
-// indexIDs has a record found by the ids of its incarnations.
-func indexIDs(tx *bbolt.Tx, n uint64, lives []Incarnation) error {
+// indexIDs makes a record found by the ids of incarnations.
+func indexIDs(tx *bbolt.Tx, number uint64, incarnations []Incarnation) error {
 	ids := tx.Bucket(idsBucket)
-	for _, life := range lives {
-		if err := ids.Put([]byte(life.ID), recordKey(n)); err != nil {
-			return fmt.Errorf("id %s: %w", life.ID, err)
+	for _, incarnation := range incarnations {
+		if err := ids.Put([]byte(incarnation.ID), recordKey(number)); err != nil {
+			return fmt.Errorf("id %s: %w", incarnation.ID, err)
 		}
 	}
 	return nil
 }
 
 // writeRecord writes a record under its number.
-func writeRecord(b *bbolt.Bucket, n uint64, r *Record) error {
+func writeRecord(records *bbolt.Bucket, number uint64, r *Record) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("record %s: %w", r.ID, err)
 	}
-	if err := b.Put(recordKey(n), addChecksum(raw)); err != nil {
+	if err := records.Put(recordKey(number), addChecksum(raw)); err != nil {
 		return fmt.Errorf("record %s: %w", r.ID, err)
 	}
 	return nil
 }
 
 // readRecord reads a record and verifies its checksum.
-func readRecord(b *bbolt.Bucket, k []byte) (*Record, error) {
-	raw, err := verifyChecksum(b.Get(k))
+func readRecord(records *bbolt.Bucket, key []byte) (*Record, error) {
+	raw, err := verifyChecksum(records.Get(key))
 	if err != nil {
 		return nil, err
 	}
@@ -125,23 +128,23 @@
 	return r, nil
 }
 
-// findKey gives the key of a message by the id of any of its incarnations.
+// findKey returns the key of a message by the id of any of its incarnations.
 func findKey(tx *bbolt.Tx, id string) ([]byte, error) {
-	k := tx.Bucket(idsBucket).Get([]byte(id))
-	if k == nil {
+	key := tx.Bucket(idsBucket).Get([]byte(id))
+	if key == nil {
 		return nil, fmt.Errorf("%w: %s", ErrUnknown, id)
 	}
-	return k, nil
+	return key, nil
 }
 
-// Get gives a message by the id of any of its incarnations.
+// Get returns a message by the id of any of its incarnations.
 func (s *Store) Get(id string) (r *Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		k, err := findKey(tx, id)
+		key, err := findKey(tx, id)
 		if err != nil {
 			return err
 		}
-		if r, err = readRecord(tx.Bucket(recordsBucket), k); err != nil {
+		if r, err = readRecord(tx.Bucket(recordsBucket), key); err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
 		return nil
@@ -149,14 +152,14 @@
 	return r, err
 }
 
-// Body gives a message's body.
+// Body returns a message's body, by the id of any of its incarnations.
 func (s *Store) Body(id string) (body []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		k, err := findKey(tx, id)
+		key, err := findKey(tx, id)
 		if err != nil {
 			return err
 		}
-		raw, err := verifyChecksum(tx.Bucket(bodiesBucket).Get(k))
+		raw, err := verifyChecksum(tx.Bucket(bodiesBucket).Get(key))
 		if err != nil {
 			return fmt.Errorf("body of %s: %w", id, err)
 		}
@@ -166,51 +169,50 @@
 	return body, err
 }
 
-// Change changes a message in one transaction; due is when to look at it again by itself, zero for never. Where do
-// gives an error nothing is changed.
-func (s *Store) Change(id string, do func(r *Record) (due time.Time, err error)) error {
+// Change changes a message in one transaction. The function edits the record and returns when it is due next, zero for
+// never; where it returns an error nothing is changed.
+func (s *Store) Change(id string, edit func(r *Record) (due time.Time, err error)) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		k, err := findKey(tx, id)
+		key, err := findKey(tx, id)
 		if err != nil {
 			return err
 		}
-		r, err := readRecord(tx.Bucket(recordsBucket), k)
+		r, err := readRecord(tx.Bucket(recordsBucket), key)
 		if err != nil {
 			return fmt.Errorf("%s: %w", id, err)
 		}
 		before := *r
-		due, err := do(r)
+		due, err := edit(r)
 		if err != nil {
 			return err
 		}
 		r.Due = due
-		return s.rewriteRecord(tx, binary.BigEndian.Uint64(k), &before, r)
+		return s.rewriteRecord(tx, binary.BigEndian.Uint64(key), &before, r)
 	})
 }
 
-// rewriteRecord writes a record that was changed, and what follows from the change: its ids, when it is due, its subject and
-// the totals.
-func (s *Store) rewriteRecord(tx *bbolt.Tx, n uint64, before, r *Record) error {
-	if err := writeRecord(tx.Bucket(recordsBucket), n, r); err != nil {
+// rewriteRecord writes a record that was changed, and what depends on it: its ids, when it is due, its subject and the totals.
+func (s *Store) rewriteRecord(tx *bbolt.Tx, number uint64, before, r *Record) error {
+	if err := writeRecord(tx.Bucket(recordsBucket), number, r); err != nil {
 		return err
 	}
-	if err := indexIDs(tx, n, r.Incarnations[min(len(before.Incarnations), len(r.Incarnations)):]); err != nil {
+	if err := indexIDs(tx, number, r.Incarnations[min(len(before.Incarnations), len(r.Incarnations)):]); err != nil {
 		return err
 	}
-	if err := updateDue(tx, r.Destination, n, before.Due, r.Due); err != nil {
+	if err := updateDue(tx, r.Destination, number, before.Due, r.Due); err != nil {
 		return err
 	}
 	if before.State == r.State {
 		return nil
 	}
-	if err := s.updateSubject(tx, r, n, !before.State.Ended(), !r.State.Ended()); err != nil {
+	if err := s.updateSubject(tx, r, number, !before.State.Ended(), !r.State.Ended()); err != nil {
 		return err
 	}
-	t, err := readTotals(tx)
+	totals, err := readTotals(tx)
 	if err != nil {
 		return err
 	}
-	t.count(before.State, -1)
-	t.count(r.State, 1)
-	return writeTotals(tx, t)
+	totals.count(before.State, -1)
+	totals.count(r.State, 1)
+	return writeTotals(tx, totals)
 }
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -1,69 +1,67 @@
 package deadletter
 
-import (
-	"time"
-)
+import "time"
 
 // newestMessage is the newest message of a topic that was delivered, or may have been.
 type newestMessage struct {
 	ID    string `json:"id"`
 	Order Order  `json:"order"`
-	// NeverEvicted says that the topic was never forgotten: of one that comes back after others were, a newer message may have
-	// been forgotten too.
+	// NeverEvicted is set where the topic can't have been evicted before: of one that is stored after evictions, a newer message
+	// may have been evicted.
 	NeverEvicted bool `json:"sure,omitempty"`
-	// Version is that of the era's reading: orders of two readings can't be compared.
+	// Version is that of the epoch's definition: orders under two definitions can't be compared.
 	Version int `json:"version,omitempty"`
 }
 
-// trackingEpoch is what is known of a class's topics as a whole.
+// trackingEpoch is what holds for all topics of a class since its subjects have been read in one way without a gap.
 type trackingEpoch struct {
-	Since         time.Time     `json:"since"`             // from when on all that was delivered is known
+	Since         time.Time     `json:"since"`             // every delivery from then on is known
 	Definition    string        `json:"reading"`           // how its subjects are read
-	Version       int           `json:"version,omitempty"` // how often that has changed
-	NewestEvicted *Order        `json:"horizon,omitempty"` // the newest that was forgotten since, of whatever topic
+	Version       int           `json:"version,omitempty"` // how often the definition has changed
+	NewestEvicted *Order        `json:"horizon,omitempty"` // the newest message that was evicted since, of any topic
 	Unreadable    map[int]int64 `json:"unread,omitempty"`  // by destination: arrival of the last one delivered whose subject can't be read
 }
 
-// active tells whether the class's subjects are read at present.
+// active reports whether the class's subjects are read at present.
 func (e *trackingEpoch) active() bool { return e != nil && e.Definition != "" }
 
-// subjectStorage is where Newest keeps what it knows. What an implementation can't read is not there, and must make era fail.
+// subjectStorage is where Newest stores its state. An implementation returns what it can't read as absent, and reports the
+// error to whoever uses it.
 type subjectStorage interface {
 	epoch(class string) *trackingEpoch // nil: nothing is known of the class
 	setEpoch(class string, e *trackingEpoch)
 	newest(t Topic) *newestMessage // nil: none is known
-	put(t Topic, l newestMessage)  // at the young end
-	// evictOldest takes out what was put longest ago, and gives its class; nil where there is nothing.
-	evictOldest() (class string, l *newestMessage)
+	put(t Topic, m newestMessage)
+	// evictOldest removes the topic that was put longest ago, and returns its class; nil where there is none.
+	evictOldest() (class string, m *newestMessage)
 	size() int
-	// waiting gives the newest message of a topic that waits in the store, as it is read since a version, or nil.
+	// waiting returns the newest message of a topic that waits in the store and was read under a version, or nil.
 	waiting(t Topic, version int) *newestMessage
 }
 
-// Newest knows the newest message of each topic that was delivered: of so many topics. What it forgets it can't tell
-// any more.
+// Newest knows the newest delivered message of each topic, for a bounded number of topics. It reports what it can't know
+// since it was evicted.
 type Newest struct {
 	storage     subjectStorage
-	maxSubjects int // 0: any number, for a tool that ends a message of a stopped relay's
-	// settlingTime after a class's subjects were first read, what is known of them begins to be relied on: until then a
-	// message may have a newer one that was delivered before. No client hands messages of one topic in so far out of
-	// their order.
+	maxSubjects int // 0: unbounded, for a command on the store of a stopped relay
+	// settlingTime after a class's subjects were first read, what is known of them begins to be relied on: before, a newer
+	// message may have been delivered unread. Clients submit messages of one topic out of order by less than that.
 	settlingTime time.Duration
-	// exclusive says that no other relay can have delivered a message of a topic.
+	// exclusive is set where no other relay can have delivered a message of a topic.
 	exclusive bool
 }
 
-// Begin has the classes whose subjects are read known from now on, each read as the text says. One that was read
-// otherwise before, or that may have missed something (anew), begins anew.
-func (n *Newest) Begin(reading map[string]string, anew bool, now time.Time) {
-	for class, how := range reading {
+// Begin starts tracking classes, by the definition of how their subjects are read. One whose definition has changed begins
+// a new epoch, as do all of them where deliveries may have been missed.
+func (n *Newest) Begin(definitions map[string]string, missed bool, now time.Time) {
+	for class, definition := range definitions {
 		e := n.storage.epoch(class)
-		if e != nil && e.Definition == how && !anew {
+		if e != nil && e.Definition == definition && !missed {
 			continue
 		}
-		next := &trackingEpoch{Since: now, Definition: how}
+		next := &trackingEpoch{Since: now, Definition: definition}
 		if e != nil {
-			if next.Version = e.Version; e.Definition != how {
+			if next.Version = e.Version; e.Definition != definition {
 				next.Version++
 			}
 		}
@@ -71,7 +69,7 @@
 	}
 }
 
-// Delivered notes a message that was delivered, or may have been and is in the store no longer.
+// Delivered records a message that was delivered, or that may have been and is no longer in the store.
 func (n *Newest) Delivered(id string, t Topic, o Order) {
 	e := n.storage.epoch(t.Class)
 	if !e.active() {
@@ -92,7 +90,7 @@
 	n.evict()
 }
 
-// deliveredUnreadable notes a delivered message whose subject could not be read: it may be of any subject of its class and
+// deliveredUnreadable records a delivered message whose subject could not be read: it may be of any subject of its class and
 // destination.
 func (n *Newest) deliveredUnreadable(e *trackingEpoch, t Topic, o Order) {
 	if o.Arrival <= e.Unreadable[t.Destination] {
@@ -105,7 +103,7 @@
 	n.storage.setEpoch(t.Class, e)
 }
 
-// evict drops the subjects that were stored longest ago while there are too many, and notes the newest message among them.
+// evict evicts the topics that were stored longest ago while there are too many, and records the newest message among them.
 func (n *Newest) evict() {
 	for n.maxSubjects > 0 && n.storage.size() > n.maxSubjects {
 		class, evicted := n.storage.evictOldest()
@@ -123,27 +121,28 @@
 	}
 }
 
-// NewerThan gives the id of a newer message of the same topic, or "". known says whether an empty answer can be relied on.
+// NewerThan returns the id of a newer message of the same topic, or "". known reports whether "" proves that there is none.
 func (n *Newest) NewerThan(r *Record) (id string, known bool) {
 	if r.Subject == "" || r.Order == nil {
-		return "", false // nobody can say what it would overwrite
+		return "", false // what it would overwrite is unknown
 	}
 	e, t := n.storage.epoch(r.Class), r.topic()
 	if !e.active() {
 		return "", false
 	}
-	best := newestMessage{Order: *r.Order}
-	// What was forgotten can't be newer than a message that is newer than all that was forgotten.
+	newest := newestMessage{Order: *r.Order}
+	// A message that is newer than every evicted one has no newer one among them.
 	known = e.NewestEvicted == nil || r.Order.compare(*e.NewestEvicted) > 0
-	if l := n.storage.newest(t); l != nil && l.Version == e.Version {
-		known = known || l.NeverEvicted
-		if l.Order.compare(best.Order) > 0 {
-			best = *l
+	if delivered := n.storage.newest(t); delivered != nil && delivered.Version == e.Version {
+		known = known || delivered.NeverEvicted
+		if delivered.Order.compare(newest.Order) > 0 {
+			newest = *delivered
 		}
 	}
-	if l := n.storage.waiting(t, e.Version); l != nil && l.Order.compare(best.Order) > 0 {
-		best = *l
+	if waiting := n.storage.waiting(t, e.Version); waiting != nil && waiting.Order.compare(newest.Order) > 0 {
+		newest = *waiting
 	}
-	known = known && n.exclusive && !r.Incarnations[0].AcceptedAt.Before(e.Since.Add(n.settlingTime)) && r.Order.Arrival >= e.Unreadable[t.Destination]
-	return best.ID, known || best.ID != ""
+	settled := !r.Incarnations[0].AcceptedAt.Before(e.Since.Add(n.settlingTime))
+	known = known && n.exclusive && settled && r.Order.Arrival >= e.Unreadable[t.Destination]
+	return newest.ID, known || newest.ID != ""
 }
--- a/internal/deadletter/pages.go
+++ b/internal/deadletter/pages.go
@@ -6,26 +6,26 @@
 	"go.etcd.io/bbolt"
 )
 
-// Page gives up to so many messages that pass a filter, from a number on, and the number to go on from; 0 at the end.
-// What is damaged is passed over and counted. It looks at so many at most, so that a filter that few pass does not
-// hold up others.
-func (s *Store) Page(from uint64, most, look int, pass func(r *Record) bool) (page []*Record, next uint64, damaged int, err error) {
+// Page returns the messages that a filter matches, limit at most, from a record's number on, and the number from which the
+// next page goes on; 0 at the end. It scans maxScan records at most, so that a filter that few match does not hold up
+// others. Damaged records are skipped and counted.
+func (s *Store) Page(from uint64, limit, maxScan int, matches func(r *Record) bool) (page []*Record, next uint64, damaged int, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		records := tx.Bucket(recordsBucket)
-		c := records.Cursor()
-		for k, _ := c.Seek(recordKey(from)); k != nil; k, _ = c.Next() {
-			n := binary.BigEndian.Uint64(k)
-			if len(page) == most || look == 0 {
-				next = n
+		cursor := records.Cursor()
+		scanned := 0
+		for key, _ := cursor.Seek(recordKey(from)); key != nil; key, _ = cursor.Next() {
+			if len(page) == limit || scanned == maxScan {
+				next = binary.BigEndian.Uint64(key)
 				return nil
 			}
-			look--
-			r, err := readRecord(records, k)
+			scanned++
+			r, err := readRecord(records, key)
 			if err != nil {
 				damaged++
 				continue
 			}
-			if pass == nil || pass(r) {
+			if matches == nil || matches(r) {
 				page = append(page, r)
 			}
 		}
@@ -34,20 +34,20 @@
 	return page, next, damaged, err
 }
 
-// Slice gives up to so many records from a number on, and the number behind the last one that was looked at. What is
-// damaged is passed over.
-func (s *Store) Slice(from uint64, most int) (list []*Record, to uint64, err error) {
-	to = from
+// Slice returns records from a number on, limit at most, and the number after the last one that was read. Damaged records
+// are skipped.
+func (s *Store) Slice(from uint64, limit int) (list []*Record, next uint64, err error) {
+	next = from
 	err = s.view(func(tx *bbolt.Tx) error {
 		records := tx.Bucket(recordsBucket)
-		c := records.Cursor()
-		for k, _ := c.Seek(recordKey(from)); k != nil && len(list) < most; k, _ = c.Next() {
-			to = binary.BigEndian.Uint64(k) + 1
-			if r, err := readRecord(records, k); err == nil {
+		cursor := records.Cursor()
+		for key, _ := cursor.Seek(recordKey(from)); key != nil && len(list) < limit; key, _ = cursor.Next() {
+			next = binary.BigEndian.Uint64(key) + 1
+			if r, err := readRecord(records, key); err == nil {
 				list = append(list, r)
 			}
 		}
 		return nil
 	})
-	return list, to, err
+	return list, next, err
 }
--- a/internal/deadletter/plan.go
+++ b/internal/deadletter/plan.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Plan is what the rules make of a message at a time.
+// Plan is what the rules decide on a message at a time.
 type Plan struct {
-	Action      string
+	Action      Action
 	Rule        int       // from 1; 0: no rule matched
-	At          time.Time // when to act, or to look again; zero: never by itself
-	Rate        float64   // resend: a second and destination
+	At          time.Time // when to act, or to decide again; zero: never by itself
+	Rate        float64   // of redeliveries, a second and destination
 	Reason      string
-	Attestation *Attestation // resend: the attest that it takes
+	Attestation *Attestation // the one that a redelivery uses
 }
 
-// Decide says what the rules make of a message: the first that matches decides, and none that does is hold. A redelivery
-// that its class forbids is held, whatever the rule says.
+// Decide applies rules to a message: the first one that matches decides, and a message that none matches is held. So is one
+// whose class does not allow its redelivery, whatever the rule says.
 func Decide(rules []Rule, c *Class, rec *Record, newer Newer, now time.Time) Plan {
 	if rec.HeldByOperator {
 		return Plan{Action: Hold, Reason: rec.Reason}
@@ -26,27 +26,33 @@
 		if !r.matches(rec, now) {
 			continue
 		}
-		p := r.plan(c, rec, newer, now)
-		p.Rule = i + 1
-		// A rule before it may come to match when the message is older.
-		if at := nextMatch(rules[:i], rec, now); p.Action == Hold && !at.IsZero() && (p.At.IsZero() || at.Before(p.At)) {
-			p.At = at
+		plan := r.plan(c, rec, newer, now)
+		plan.Rule = i + 1
+		// A rule before it may match when the message is older.
+		if at := nextMatch(rules[:i], rec, now); plan.Action == Hold && !at.IsZero() && (plan.At.IsZero() || at.Before(plan.At)) {
+			plan.At = at
 		}
-		return p
+		return plan
 	}
 	return Plan{Action: Hold, Reason: "no rule matches it", At: nextMatch(rules, rec, now)}
 }
 
-// nextMatch is when a rule may come to match that does not yet, since it waits for an age.
-func nextMatch(rules []Rule, rec *Record, now time.Time) (at time.Time) {
+// nextMatch is when the message will be old enough for one of the rules that does not match it yet; zero for none.
+func nextMatch(rules []Rule, rec *Record, now time.Time) (next time.Time) {
 	for i := range rules {
-		if due := rec.Last().CompletedAt.Add(seconds(rules[i].OlderThan)); rules[i].OlderThan > 0 && rules[i].matchesAttributes(rec) && due.After(now) && (at.IsZero() || due.Before(at)) {
-			at = due
+		r := &rules[i]
+		if r.OlderThan <= 0 || !r.matchesAttributes(rec) {
+			continue
+		}
+		at := rec.Last().CompletedAt.Add(seconds(r.OlderThan))
+		if at.After(now) && (next.IsZero() || at.Before(next)) {
+			next = at
 		}
 	}
-	return at
+	return next
 }
 
+// plan is what a rule that matches decides on a message.
 func (r *Rule) plan(c *Class, rec *Record, newer Newer, now time.Time) Plan {
 	switch r.Action {
 	case Discard:
@@ -56,26 +62,28 @@
 		}
 		return Plan{Action: Discard, At: now, Reason: fmt.Sprintf("it is older than %v", seconds(r.DiscardAge))}
 	case Redeliver:
-		return r.resend(c, rec, newer, now)
+		return r.planRedelivery(c, rec, newer, now)
+	default:
+		return Plan{Action: Hold, Reason: "a rule holds it"}
 	}
-	return Plan{Action: Hold, Reason: "a rule holds it"}
 }
 
-func (r *Rule) resend(c *Class, rec *Record, newer Newer, now time.Time) Plan {
-	v := Allowed(c, rec, newer, now)
+// planRedelivery is what a rule that redelivers decides on a message.
+func (r *Rule) planRedelivery(c *Class, rec *Record, newer Newer, now time.Time) Plan {
+	permission := Allowed(c, rec, newer, now)
 	switch {
-	case v.Superseded != "":
-		return Plan{Action: string(Superseded), At: now, Reason: v.Reason}
-	case !v.Allowed:
-		return Plan{Action: Hold, At: v.RetryAt, Reason: v.Reason}
+	case permission.Superseded != "":
+		return Plan{Action: supersede, At: now, Reason: permission.Reason}
+	case !permission.Allowed:
+		return Plan{Action: Hold, At: permission.RetryAt, Reason: permission.Reason}
 	case len(rec.Incarnations) >= r.MaxIncarnations:
 		return Plan{Action: Hold, Reason: fmt.Sprintf("it has had %d lives, the rule's most", len(rec.Incarnations))}
 	}
 	if due := rec.Last().CompletedAt.Add(seconds(r.Delay)); due.After(now) {
 		return Plan{Action: Hold, At: due, Reason: "it will be resent after " + due.Format(time.RFC3339)}
 	}
-	if on, from := r.inHours(now); !on {
+	if in, from := r.inHours(now); !in {
 		return Plan{Action: Hold, At: from, Reason: "it will be resent in the rule's hours, from " + from.Format(time.RFC3339)}
 	}
-	return Plan{Action: Redeliver, At: now, Rate: r.Rate, Reason: v.Reason, Attestation: v.Attestation}
+	return Plan{Action: Redeliver, At: now, Rate: r.Rate, Reason: permission.Reason, Attestation: permission.Attestation}
 }
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Version is the form of records as they are written; older ones are still read.
+// Version is the version of the form in which records are written; older ones are still read.
 const Version = 1
 
-// Execution says what is known of whether an attempt had its effect.
+// Execution is what is known of whether an attempt was executed.
 type Execution string
 
-// What may be known. An attempt of which nothing is known may have run.
+// What may be known. An attempt of which nothing is known may have been executed.
 const (
 	NotExecuted      Execution = "never"
 	ExecutionUnknown Execution = "may"
 	Executed         Execution = "did"
 )
 
-// Reason says why a message was not delivered.
+// Reason is why a message was not delivered.
 type Reason string
 
 // The reasons.
 const (
-	ShedAfterAcceptance Reason = "refused-late"     // handed back after it had been accepted
-	DeadlineExceeded    Reason = "out-of-time"      // its time was up
-	AttemptsExhausted   Reason = "attempts-spent"   // it had all its attempts
-	OutcomeUnknown      Reason = "may-have-run"     // it may have run, and may not be repeated
+	ShedAfterAcceptance Reason = "refused-late"     // shed after it had been accepted
+	DeadlineExceeded    Reason = "out-of-time"      // its deadline passed
+	AttemptsExhausted   Reason = "attempts-spent"   // it had all attempts that its class allows
+	OutcomeUnknown      Reason = "may-have-run"     // it may have been executed, and must not be repeated
 	SettingsChanged     Reason = "settings-changed" // its class or destination is no longer known
-	ProcessEnded        Reason = "process-ended"    // it was over when a later process took it up
-	OvertakenByNewer    Reason = "overtaken"        // a newer message came before its redelivery, or while that was out
+	ProcessEnded        Reason = "process-ended"    // its deadline had passed when a later process read it from the journal
+	OvertakenByNewer    Reason = "overtaken"        // a newer message came before its redelivery, or while that was in flight
 	RejectedOnArrival   Reason = "refused"          // never accepted: rejected on arrival
 )
 
-// reasons are all of them, as rules may name them.
+// reasons are all reasons.
 var reasons = []Reason{ShedAfterAcceptance, DeadlineExceeded, AttemptsExhausted, OutcomeUnknown, SettingsChanged, ProcessEnded, OvertakenByNewer, RejectedOnArrival}
 
-// Attempt is one call that was made for a message.
+// Attempt is one attempt to deliver a message to an endpoint.
 type Attempt struct {
 	Endpoint  string    `json:"host"`
 	StartedAt time.Time `json:"begun"`
@@ -42,7 +42,7 @@
 	Execution Execution `json:"ran"`
 }
 
-// Incarnation is one time that a message was accepted, from the first to the last redelivery.
+// Incarnation is a message under one id: as the client submitted it, or as one redelivery.
 type Incarnation struct {
 	ID          string       `json:"id"`
 	Relay       string       `json:"relay"`
@@ -50,12 +50,12 @@
 	Deadline    time.Time    `json:"expires"` // the client's deadline, or the redelivery's
 	CompletedAt time.Time    `json:"over"`
 	Reason      Reason       `json:"reason"`
-	Status      string       `json:"status"` // of the notice
+	Status      string       `json:"status"` // of the notice that the platform got
 	Attempts    []Attempt    `json:"attempts"`
-	Attestation *Attestation `json:"attest,omitempty"` // on which it was redelivered
+	Attestation *Attestation `json:"attest,omitempty"` // the one that its redelivery used
 }
 
-// Attestation is a named operator's word that a destination does not have a message. It serves for one redelivery.
+// Attestation is an operator's statement that a destination does not have a message. It allows one redelivery.
 type Attestation struct {
 	By       string    `json:"by"`
 	Evidence string    `json:"evidence"`
@@ -63,10 +63,10 @@
 	Used     bool      `json:"used"`
 }
 
-// State is where a kept message stands.
+// State is the state of a stored message.
 type State string
 
-// The states. Held, Due and Out are open; the rest are ends.
+// The states. Delivered, Superseded and Discarded are final.
 const (
 	Held         State = "held"
 	Due          State = "due" // by a rule, or because an operator asked
@@ -76,10 +76,13 @@
 	Discarded    State = "discarded"
 )
 
-// Ended tells whether nothing more will be done for a message.
+// states are all states.
+var states = []State{Held, Due, Redelivering, Delivered, Superseded, Discarded}
+
+// Ended reports whether a state is final.
 func (s State) Ended() bool { return s == Delivered || s == Superseded || s == Discarded }
 
-// Record is a message as it is kept. The first incarnation's id is its name for good.
+// Record is what is stored of a message beside its body. Its id is that of its first incarnation.
 type Record struct {
 	Version             int           `json:"version"`
 	ID                  string        `json:"id"`
@@ -87,27 +90,27 @@
 	Tenant              string        `json:"tenant,omitempty"`
 	Destination         int           `json:"partner"`
 	IdempotencyKey      string        `json:"key,omitempty"`
-	OrderKey            string        `json:"item,omitempty"`    // what its class keeps order by
-	Subject             string        `json:"subject,omitempty"` // what it is about, where the operator names that
+	OrderKey            string        `json:"item,omitempty"`    // messages with one key are delivered in order, where its class asks for that
+	Subject             string        `json:"subject,omitempty"` // what it is about, where the operator's file says how to read that
 	Order               *Order        `json:"order,omitempty"`
 	Incarnations        []Incarnation `json:"lives"`
 	State               State         `json:"state"`
-	Reason              string        `json:"why,omitempty"`   // of its state, in words
+	Reason              string        `json:"why,omitempty"`   // of its state, for people
 	Since               time.Time     `json:"since"`           // of its state
-	Due                 time.Time     `json:"due,omitzero"`    // when to look at it again by itself
-	RequestedByOperator bool          `json:"asked,omitempty"` // an operator wants it redelivered
-	HeldByOperator      bool          `json:"kept,omitempty"`  // by an operator: no rule redelivers it
+	Due                 time.Time     `json:"due,omitzero"`    // when to decide on it next; zero: not by itself
+	RequestedByOperator bool          `json:"asked,omitempty"` // an operator asked for its redelivery
+	HeldByOperator      bool          `json:"kept,omitempty"`  // an operator holds it: no rule applies
 	Attestations        []Attestation `json:"attests,omitempty"`
 	BodySize            int           `json:"body_size"`
 }
 
-// topic is what a message is about.
+// topic is the topic of a message.
 func (r *Record) topic() Topic { return Topic{r.Class, r.Destination, r.Subject} }
 
 // Last is the latest incarnation.
 func (r *Record) Last() *Incarnation { return &r.Incarnations[len(r.Incarnations)-1] }
 
-// Attempts counts the attempts of the whole lineage.
+// Attempts counts the attempts of all incarnations.
 func (r *Record) Attempts() (n int) {
 	for i := range r.Incarnations {
 		n += len(r.Incarnations[i].Attempts)
@@ -115,8 +118,8 @@
 	return n
 }
 
-// MayHaveExecuted gives the first attempt of the whole lineage that may have had its effect, or nil. An attempt before a
-// incarnation that was redelivered on an attest does not count: a person has said that the destination does not have it.
+// MayHaveExecuted returns the first attempt of all incarnations that may have been executed, or nil. Attempts before a
+// redelivery that used an attestation do not count: an operator has stated that the destination does not have the message.
 func (r *Record) MayHaveExecuted() *Attempt {
 	from := 0
 	for i := range r.Incarnations {
@@ -134,8 +137,11 @@
 	return nil
 }
 
-// wasReturnedToClient tells whether the client was told to retry the message, and no operator has attested since
-// that it did not.
+// deferred is the status of a notice that lets the client submit a message again.
+const deferred = "deferred"
+
+// wasReturnedToClient reports whether the client was notified that it may submit the message again, and no operator has
+// attested since that it did not.
 func (r *Record) wasReturnedToClient() bool {
 	if r.Incarnations[0].Status != deferred && r.Incarnations[0].Reason != RejectedOnArrival {
 		return false
@@ -148,26 +154,23 @@
 	return true
 }
 
-// neverAccepted tells whether a message was never accepted.
+// neverAccepted reports whether a message was never accepted.
 func (r *Record) neverAccepted() bool {
 	return len(r.Incarnations) == 1 && r.Incarnations[0].Reason == RejectedOnArrival
 }
 
-// deferred is the status of a notice that hands a message back.
-const deferred = "deferred"
-
-// latest is the last time that the record knows of.
+// latest is the latest time in a record at which something happened to the message.
 func (r *Record) latest() time.Time {
-	t := r.Since
+	latest := r.Since
 	for i := range r.Incarnations {
-		if l := &r.Incarnations[i]; l.CompletedAt.After(t) {
-			t = l.CompletedAt
+		if completedAt := r.Incarnations[i].CompletedAt; completedAt.After(latest) {
+			latest = completedAt
 		}
 	}
-	return t
+	return latest
 }
 
-// unusedAttestation gives an attest that was not used yet, or nil.
+// unusedAttestation returns an attestation that no redelivery has used yet, or nil.
 func (r *Record) unusedAttestation() *Attestation {
 	for i := range r.Attestations {
 		if !r.Attestations[i].Used {
--- a/internal/deadletter/redelivery.go
+++ b/internal/deadletter/redelivery.go
@@ -6,36 +6,39 @@
 )
 
 const (
-	// The pause of a destination's redeliveries after the relay had no room for one (busy) or one failed (failure): each
-	// in a row doubles it, so that a destination that is down sees few.
+	// The backoff of a destination's redeliveries after the relay had no capacity for one (busy) or one failed (failure):
+	// each in a row doubles it, so that a destination that is down gets few.
 	minBusyBackoff, maxBusyBackoff       = 200 * time.Millisecond, 5 * time.Second
 	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
-	// tokenBurst is how many redeliveries a destination may get at once after a rest: its rate is kept in the mean.
+	// tokenBurst is how many redeliveries a destination may get at once after a pause.
 	tokenBurst = 1.0
-	// maxPerRound is how many messages of a destination are looked at in one round.
+	// maxPerRound is how many messages of a destination one round decides on.
 	maxPerRound = 20
-	// sweepBatch is how many messages one round of a sweep has looked at again.
-	sweepBatch = 500
-	// lostAfter its time a message that was to be redelivered and of which the relay knows nothing counts as returned.
+	// sweepBatch is how many messages one round of a sweep makes due, and sweepScan how many it scans for them.
+	sweepBatch, sweepScan = 500, 5000
+	// lostAfter is how long after its deadline a redelivery of which the relay knows nothing counts as lost.
 	lostAfter = 30 * time.Second
+	// minTimeToLive is the least time that a redelivery gets.
+	minTimeToLive = time.Second
+	// requestedRate is the rate of redeliveries that an operator asked for, a second and destination.
+	requestedRate = 1.0
 )
 
-// Result is what became of a redelivery.
+// Result is the terminal outcome of a redelivery.
 type Result struct {
-	Incarnation Incarnation // with the id under which it went
+	Incarnation Incarnation // with the id of the redelivery
 	Delivered   bool
-	Overtaken   string // by this newer message, which was accepted before the redelivery left
+	Overtaken   string // id of a newer message that was accepted before the redelivery was sent, if any
 }
 
-// Offer is a message that is to be handed to the decision module as a background message.
+// Offer is a message that the relay is to redeliver as a background message.
 type Offer struct {
 	Record      *Record
-	Incarnation *Incarnation // its new one
+	Incarnation *Incarnation // the new one, under which it is sent
 }
 
-// Redeliverer decides what of a store is redelivered when: which messages the rules want, in which order, and at which
-// rate.
-// It is not safe for concurrent use; times come in as arguments.
+// Redeliverer decides which messages of a store are redelivered, in which order and at which rate. It is not safe for
+// concurrent use. It reads no clock: times are arguments.
 type Redeliverer struct {
 	store     *Store
 	rules     []Rule
@@ -43,12 +46,11 @@
 	relay     string
 	newID     func() string
 	throttles map[int]*throttle
-	gate      Gate // nil: there is none
-	// sweepFrom goes over all records once after the rules have changed; 0: it is through.
-	sweepFrom uint64
+	gate      Gate   // nil: there is none
+	sweepFrom uint64 // the record from which a sweep goes on; 0: none is under way
 }
 
-// NewRedeliverer decides for a store. newID makes ids that nobody else uses.
+// NewRedeliverer returns a redeliverer for a store. newID returns ids that are unique among all relays.
 func NewRedeliverer(store *Store, rules []Rule, classes []Class, relay string, newID func() string) *Redeliverer {
 	r := &Redeliverer{
 		store: store, rules: rules, classes: map[string]*Class{}, relay: relay, newID: newID,
@@ -58,10 +60,10 @@
 	return r
 }
 
-// SetGate has redeliveries go through a gate from now on.
+// SetGate makes redeliveries pass a gate from now on.
 func (r *Redeliverer) SetGate(g Gate) { r.gate = g }
 
-// SetClasses has the classes be others from now on.
+// SetClasses replaces the classes.
 func (r *Redeliverer) SetClasses(classes []Class) {
 	clear(r.classes)
 	for i := range classes {
@@ -69,12 +71,12 @@
 	}
 }
 
-// Sweep has every message that is held looked at again: the rules are others than before.
+// Sweep makes every held message due again. It is called when the rules have changed.
 func (r *Redeliverer) Sweep() { r.sweepFrom = 1 }
 
-// continueSweep goes on with a sweep.
+// continueSweep makes the next held messages due.
 func (r *Redeliverer) continueSweep(now time.Time) error {
-	page, next, _, err := r.store.Page(r.sweepFrom, sweepBatch, 10*sweepBatch, func(rec *Record) bool { return rec.State == Held && rec.Due.IsZero() })
+	page, next, _, err := r.store.Page(r.sweepFrom, sweepBatch, sweepScan, func(rec *Record) bool { return rec.State == Held && rec.Due.IsZero() })
 	if err != nil {
 		return err
 	}
@@ -87,16 +89,16 @@
 	return nil
 }
 
-// Round looks at what is due, writes down what the rules make of it, and gives what is to be offered to the module.
-// holds says whether the relay still has a message under an id.
-func (r *Redeliverer) Round(now time.Time, holds func(id string) bool) (offers []Offer, err error) {
+// Round decides on the messages that are due, stores the decisions, and returns the redeliveries that the relay is to make.
+// inFlight reports whether the relay still has a message under an id.
+func (r *Redeliverer) Round(now time.Time, inFlight func(id string) bool) (offers []Offer, err error) {
 	if r.sweepFrom > 0 {
 		if err := r.continueSweep(now); err != nil {
 			return nil, err
 		}
 	}
-	due, err := r.store.Due(now, func(partner int) int {
-		if l := r.throttle(partner, now); l.pausedUntil.After(now) || l.inFlight != "" && l.lostAt.After(now) {
+	due, err := r.store.Due(now, func(destination int) int {
+		if r.throttle(destination, now).blocked(now) {
 			return 0
 		}
 		return maxPerRound
@@ -105,91 +107,100 @@
 		return nil, err
 	}
 	for _, rec := range due {
-		o, err := r.decide(rec, now, holds)
+		offer, err := r.decide(rec, now, inFlight)
 		if err != nil {
 			return offers, err
 		}
-		if o != nil {
-			offers = append(offers, *o)
+		if offer != nil {
+			offers = append(offers, *offer)
 		}
 	}
 	return offers, nil
 }
 
-// decide decides on one message.
-func (r *Redeliverer) decide(rec *Record, now time.Time, holds func(id string) bool) (offer *Offer, err error) {
+// errThrottled leaves a message unchanged, as its destination may get no redelivery now.
+var errThrottled = errors.New("throttled")
+
+// decide decides on one message that is due. It returns an offer where the message is to be redelivered, else nil.
+func (r *Redeliverer) decide(rec *Record, now time.Time, inFlight func(id string) bool) (offer *Offer, err error) {
 	if rec.State == Redelivering {
-		return nil, r.handleLost(rec, now, holds)
+		return nil, r.handleLost(rec, now, inFlight)
 	}
-	l := r.throttle(rec.Destination, now)
+	t := r.throttle(rec.Destination, now)
 	newer := r.newerOf(rec)
 	err = r.store.Change(rec.ID, func(rec *Record) (time.Time, error) {
-		p := r.plan(rec, newer, now)
-		if p.Action != Redeliver {
-			return r.applyPlan(rec, p, now), nil
-		}
-		if l.inFlight != "" || !r.passGate(l, rec.Destination, now) || !l.takeToken(p.Rate, now) {
-			return rec.Due, errLater
+		plan := r.plan(rec, newer, now)
+		if plan.Action != Redeliver {
+			return r.applyPlan(rec, plan, now), nil
 		}
-		life := Incarnation{ID: r.newID(), Relay: r.relay, AcceptedAt: now, Deadline: now.Add(r.timeToLive(rec))}
-		if p.Attestation != nil {
-			p.Attestation.Used = true
-			used := *p.Attestation
-			life.Attestation = &used
+		if t.inFlight != "" || !r.passGate(t, rec.Destination, now) || !t.takeToken(plan.Rate, now) {
+			return rec.Due, errThrottled
 		}
-		rec.Incarnations = append(rec.Incarnations, life)
-		rec.State, rec.Since, rec.Reason = Redelivering, now, p.Reason
-		offer = &Offer{Record: rec, Incarnation: rec.Last()}
-		return life.Deadline.Add(lostAfter), nil
+		offer = r.beginRedelivery(rec, plan, now)
+		return offer.lostAt(), nil
 	})
-	if errors.Is(err, errLater) {
+	if errors.Is(err, errThrottled) {
 		return nil, nil
 	}
 	if err == nil && offer != nil {
-		l.inFlight, l.lostAt = offer.Incarnation.ID, offer.Incarnation.Deadline.Add(lostAfter)
+		t.inFlight, t.lostAt = offer.Incarnation.ID, offer.lostAt()
 	}
 	return offer, err
 }
 
-// errLater says that a message stays as it is for now.
-var errLater = errors.New("later")
+// beginRedelivery adds an incarnation to a record, and returns the offer to send it.
+func (r *Redeliverer) beginRedelivery(rec *Record, plan Plan, now time.Time) *Offer {
+	incarnation := Incarnation{ID: r.newID(), Relay: r.relay, AcceptedAt: now, Deadline: now.Add(rec.timeToLive())}
+	if plan.Attestation != nil {
+		plan.Attestation.Used = true
+		used := *plan.Attestation
+		incarnation.Attestation = &used
+	}
+	rec.Incarnations = append(rec.Incarnations, incarnation)
+	rec.State, rec.Since, rec.Reason = Redelivering, now, plan.Reason
+	return &Offer{Record: rec, Incarnation: rec.Last()}
+}
+
+// lostAt is when the redelivery counts as lost if the relay knows nothing of it.
+func (o *Offer) lostAt() time.Time { return o.Incarnation.Deadline.Add(lostAfter) }
 
-// newerOf looks up what has overtaken a message: before the transaction that changes it, as a store can't be read by
-// another one within that.
+// newerOf looks up a newer message of the same topic before the transaction that changes a record, as the store can't be
+// read within that.
 func (r *Redeliverer) newerOf(rec *Record) Newer {
 	if c := r.classes[rec.Class]; c == nil || !c.HasSubject {
-		return nil // nobody will ask
+		return nil // it will not be called
 	}
-	by, known := r.store.Newer(rec)
-	return func(*Record) (string, bool) { return by, known }
+	id, known := r.store.Newer(rec)
+	return func(*Record) (string, bool) { return id, known }
 }
 
-// plan is what the rules, or an operator who asked for it, make of a message.
+// plan decides on a message by the rules, or by the request of an operator.
 func (r *Redeliverer) plan(rec *Record, newer Newer, now time.Time) Plan {
 	c := r.classes[rec.Class]
 	if rec.State == Due && rec.RequestedByOperator {
-		rule := Rule{Action: Redeliver, MaxIncarnations: len(rec.Incarnations) + 1, Rate: 1}
-		return rule.resend(c, rec, newer, now)
+		rule := Rule{Action: Redeliver, MaxIncarnations: len(rec.Incarnations) + 1, Rate: requestedRate}
+		return rule.planRedelivery(c, rec, newer, now)
 	}
 	return Decide(r.rules, c, rec, newer, now)
 }
 
-// applyPlan writes down a plan other than a redelivery, and gives when to look again.
-func (r *Redeliverer) applyPlan(rec *Record, p Plan, now time.Time) time.Time {
-	rec.Reason, rec.Since, rec.RequestedByOperator = p.Reason, now, false
-	switch p.Action {
+// applyPlan changes a record by a plan other than a redelivery, and returns when to decide on it next.
+func (r *Redeliverer) applyPlan(rec *Record, plan Plan, now time.Time) (due time.Time) {
+	rec.Reason, rec.Since, rec.RequestedByOperator = plan.Reason, now, false
+	switch plan.Action {
 	case Discard:
 		rec.State = Discarded
 		return time.Time{}
-	case string(Superseded):
+	case supersede:
 		rec.State = Superseded
 		return time.Time{}
+	default:
+		rec.State = Held
+		return plan.At
 	}
-	rec.State = Held
-	return p.At
 }
 
-// timeToLive is how long a redelivery may take: as long as the message had when it was first accepted.
-func (r *Redeliverer) timeToLive(rec *Record) time.Duration {
-	return max(time.Second, rec.Incarnations[0].Deadline.Sub(rec.Incarnations[0].AcceptedAt))
+// timeToLive is how long a redelivery of a message may take: as long as the message had when it was first accepted.
+func (r *Record) timeToLive() time.Duration {
+	return max(minTimeToLive, r.Incarnations[0].Deadline.Sub(r.Incarnations[0].AcceptedAt))
 }
--- a/internal/deadletter/rule.go
+++ b/internal/deadletter/rule.go
@@ -8,23 +8,31 @@
 	"frostlink/internal/strictconfig"
 )
 
+// Action is what is done with a message.
+type Action string
+
 // The actions of a rule.
 const (
-	Hold      = "hold"
-	Redeliver = "resend"
-	Discard   = "discard"
+	Hold      Action = "hold"
+	Redeliver Action = "resend"
+	Discard   Action = "discard"
+	// supersede is no action of a rule: a plan has it where a newer message has overtaken the one that a rule redelivers.
+	supersede = Action(Superseded)
 )
 
-// Rule says what becomes of messages that match it. What a rule leaves out matches anything.
+// actions are the actions that a rule may have.
+var actions = []Action{Hold, Redeliver, Discard}
+
+// Rule is what the operator wants done with messages that match it. A field that is left out matches any message.
 type Rule struct {
 	Class           string  `json:"Class" toml:"class"`
 	Tenant          string  `json:"Tenant" toml:"tenant"`
 	Destination     *int    `json:"Partner" toml:"partner"`
 	Reason          string  `json:"Reason" toml:"reason"`
 	MayHaveExecuted *bool   `json:"MayHaveRun" toml:"may_have_run"`
-	OlderThan       float64 `json:"OlderThan" toml:"older_than_s"` // since it was given up
-	Action          string  `json:"Action" toml:"action,required"`
-	Delay           float64 `json:"After" toml:"after_s"`   // resend: since it was last given up
+	OlderThan       float64 `json:"OlderThan" toml:"older_than_s"` // since it failed last
+	Action          Action  `json:"Action" toml:"action,required"`
+	Delay           float64 `json:"After" toml:"after_s"`   // resend: since it failed last
 	MaxIncarnations int     `json:"Most" toml:"most"`       // resend: incarnations in all, the first one counted
 	Rate            float64 `json:"Rate" toml:"rate"`       // resend: a second and destination
 	Hours           string  `json:"Hours" toml:"hours"`     // resend: of the day, as "08:00-18:30", local time
@@ -32,9 +40,9 @@
 	hours           [2]time.Duration
 }
 
-// Check reports what is wrong with a rule at a key of the file.
+// Check adds the faults of a rule to those of its document; at is its key.
 func (r *Rule) Check(d *strictconfig.Document, at string) {
-	if r.Action != "" && !slices.Contains([]string{Hold, Redeliver, Discard}, r.Action) {
+	if r.Action != "" && !slices.Contains(actions, r.Action) {
 		d.AddError(at+".action", "%q is none of hold, resend, discard", r.Action)
 	}
 	if r.Reason != "" && !slices.Contains(reasons, Reason(r.Reason)) {
@@ -55,9 +63,9 @@
 	}
 }
 
-// checkAction reports keys that have no meaning for the rule's action, and those that it lacks.
+// checkAction adds keys that have no meaning for the rule's action, and those that it lacks.
 func (r *Rule) checkAction(d *strictconfig.Document, at string) {
-	only := func(key, action string) {
+	only := func(key string, action Action) {
 		if d.Has(at+"."+key) && r.Action != action {
 			d.AddError(at+"."+key, "has no meaning for %q", r.Action)
 		}
@@ -78,15 +86,15 @@
 	}
 }
 
-// minIncarnations is the least number of incarnations that leaves room for a redelivery: the first one counts.
+// minIncarnations is the smallest number of incarnations that allows a redelivery: the first one counts.
 const minIncarnations = 2
 
-// matches tells whether a rule is for a message, old as it is.
+// matches reports whether a rule applies to a message at a time.
 func (r *Rule) matches(rec *Record, now time.Time) bool {
 	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().CompletedAt) >= seconds(r.OlderThan))
 }
 
-// matchesAttributes tells whether a rule is for a message once that is old enough.
+// matchesAttributes reports whether a rule applies to a message once that is old enough.
 func (r *Rule) matchesAttributes(rec *Record) bool {
 	last := rec.Last()
 	switch {
@@ -100,29 +108,23 @@
 	return true
 }
 
+// seconds converts a value of the operator's file.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// Conflicts reports in plain words what in a rule can never be: a redelivery that the classes it is for do not allow.
+// Conflicts returns what a rule asks for that the class which it names never allows. A rule for all classes has none: it
+// holds what a class does not allow.
 func (r *Rule) Conflicts(classes []Class) (faults []string) {
 	if r.Action != Redeliver {
 		return nil
 	}
 	found := false
-	for _, c := range classes {
-		if r.Class != "" && r.Class != c.Name {
+	for i := range classes {
+		if r.Class != "" && r.Class != classes[i].Name {
 			continue
 		}
 		found = true
-		named := r.Class != "" // a rule for all classes is held where a class forbids; one that names it is a mistake
-		may := r.MayHaveExecuted != nil && *r.MayHaveExecuted || r.Reason == string(OutcomeUnknown)
-		switch {
-		case named && may && c.Idempotency == NotIdempotent:
-			faults = append(faults, fmt.Sprintf("resends %s messages that may have run, and that class may not be repeated: only an attest allows it", c.Name))
-		case named && may && c.Idempotency == IdempotentByKey && seconds(max(r.Delay, r.OlderThan))+keyMargin >= c.KeyTTL:
-			faults = append(faults, fmt.Sprintf("resends %s messages that may have run after %v s, and partners remember a key for %v only", c.Name, max(r.Delay, r.OlderThan), c.KeyTTL))
-		}
-		if named && r.MaxIncarnations > c.MaxAttempts {
-			faults = append(faults, fmt.Sprintf("allows %d lives, and class %s is allowed %d attempts in all", r.MaxIncarnations, c.Name, c.MaxAttempts))
+		if r.Class != "" {
+			faults = append(faults, r.conflictsWith(&classes[i])...)
 		}
 	}
 	if !found {
@@ -130,3 +132,18 @@
 	}
 	return faults
 }
+
+// conflictsWith returns what a rule asks for that its class never allows.
+func (r *Rule) conflictsWith(c *Class) (faults []string) {
+	mayHaveExecuted := r.MayHaveExecuted != nil && *r.MayHaveExecuted || r.Reason == string(OutcomeUnknown)
+	switch {
+	case mayHaveExecuted && c.Idempotency == NotIdempotent:
+		faults = append(faults, fmt.Sprintf("resends %s messages that may have run, and that class may not be repeated: only an attest allows it", c.Name))
+	case mayHaveExecuted && c.Idempotency == IdempotentByKey && seconds(max(r.Delay, r.OlderThan))+keyMargin >= c.KeyTTL:
+		faults = append(faults, fmt.Sprintf("resends %s messages that may have run after %v s, and partners remember a key for %v only", c.Name, max(r.Delay, r.OlderThan), c.KeyTTL))
+	}
+	if r.MaxIncarnations > c.MaxAttempts {
+		faults = append(faults, fmt.Sprintf("allows %d lives, and class %s is allowed %d attempts in all", r.MaxIncarnations, c.Name, c.MaxAttempts))
+	}
+	return faults
+}
--- a/internal/deadletter/rule_hours.go
+++ b/internal/deadletter/rule_hours.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// day is the length of a day in Hours: what a rule says of hours is of the wall clock's.
+// day is the length of a day. A rule's hours are those of the wall clock.
 const day = 24 * time.Hour
 
-// parseHours reads "08:00-18:30". A span may go over midnight.
+// parseHours parses a span such as "08:00-18:30", as times since midnight. A span may include midnight.
 func parseHours(text string) (span [2]time.Duration, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	if !ok {
@@ -28,18 +28,18 @@
 	return span, nil
 }
 
-// inHours tells whether a rule's hours are on, and if not when they begin.
-func (r *Rule) inHours(now time.Time) (bool, time.Time) {
+// inHours reports whether a time is within a rule's hours, and if not when they begin.
+func (r *Rule) inHours(now time.Time) (in bool, from time.Time) {
 	if r.Hours == "" {
 		return true, now
 	}
 	midnight := time.Date(now.Year(), now.Month(), now.Day(), 0, 0, 0, 0, now.Location())
-	at, from, to := now.Sub(midnight), r.hours[0], r.hours[1]
-	if from < to && at >= from && at < to || from > to && (at >= from || at < to) {
+	sinceMidnight, begin, end := now.Sub(midnight), r.hours[0], r.hours[1]
+	if begin < end && sinceMidnight >= begin && sinceMidnight < end || begin > end && (sinceMidnight >= begin || sinceMidnight < end) {
 		return true, now
 	}
-	if at >= from {
+	if sinceMidnight >= begin {
 		midnight = midnight.Add(day)
 	}
-	return false, midnight.Add(from)
+	return false, midnight.Add(begin)
 }
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -7,31 +7,31 @@
 	"frostlink/internal/strictconfig"
 )
 
-// Section is [undelivered] of the operator's file.
+// Section is the section [undelivered] of the operator's file.
 type Section struct {
 	Folder       string  `toml:"folder,required"` // of the store; mode 0700
 	QuotaMB      float64 `toml:"quota_mb"`        // of the store's file
-	MaxMessages  int     `toml:"messages"`        // kept at most
+	MaxMessages  int     `toml:"messages"`        // stored at most
 	MaxAge       float64 `toml:"age_s"`           // since they were first accepted
-	Export       bool    `toml:"export"`          // what leaves by a bound goes into a file of the folder first
-	KeepRejected bool    `toml:"refused"`         // keep also what was refused at arrival; else it is counted
-	Socket       string  `toml:"socket"`          // Unix socket of the running relay's tool; empty: none
+	Export       bool    `toml:"export"`          // messages that exceed a bound are written to a file of the folder before they are removed
+	KeepRejected bool    `toml:"refused"`         // store also messages that were rejected on arrival; else they are only counted
+	Socket       string  `toml:"socket"`          // Unix socket for operators' requests; empty: none
 	Bounds       []Bound `toml:"bound"`
 	Rules        []Rule  `toml:"rule"`
 
-	// ClientsResubmit says that clients come again with what was handed back to them. Then payments and what else may not
-	// be repeated at will are redelivered only where they were given up for good, or on an attest. True where it is left out.
+	// ClientsResubmit says that clients submit again what was rejected or shed. Then payments, and whatever else is not
+	// idempotent, are redelivered only where they failed for good, or with an attestation. True where it is left out.
 	ClientsResubmit *bool `toml:"clients_return"`
 
 	Subjects       []Subject `toml:"subject"`
-	MaxSubjects    int       `toml:"subjects_most"`  // whose newest is known
+	MaxSubjects    int       `toml:"subjects_most"`  // whose newest message is known
 	StickySubjects bool      `toml:"subjects_stick"` // a subject always comes to the same relay
-	// SubjectSettlingTime is how long after a subject's messages were first read a newer one may still have been delivered
-	// before, in seconds: how far out of their order clients hand them in at most.
+	// SubjectSettlingTime is how long after a class's subjects were first read a message may have a newer one that was
+	// delivered before that, in seconds: by how much clients submit messages out of their order at most.
 	SubjectSettlingTime float64 `toml:"subjects_settle_s"`
 }
 
-// Bound is a further bound, on a class, a tenant, or a class of a tenant.
+// Bound limits the messages of a class, of a tenant, or of a class of a tenant.
 type Bound struct {
 	Class       string  `toml:"class"`
 	Tenant      string  `toml:"tenant"`
@@ -40,13 +40,13 @@
 	MaxAge      float64 `toml:"age_s"`
 }
 
-// Subject says where a class's messages tell what they are about, and which of two is the newer.
+// Subject is where in a class's messages their subject is, and their order among those of the same subject.
 type Subject struct {
 	Class   string `json:"Class" toml:"class,required"`
 	Header  string `json:"Header" toml:"header"`   // of the request, or
 	Pointer string `json:"Pointer" toml:"pointer"` // into a JSON body (RFC 6901)
 	Order   string `json:"Order" toml:"order"`     // number, time (RFC 3339) or arrival
-	// Where the order stands, unless it is arrival.
+	// Where the order is, unless it is arrival.
 	OrderHeader  string `json:"OrderHeader" toml:"order_header"`
 	OrderPointer string `json:"OrderPointer" toml:"order_pointer"`
 }
@@ -58,28 +58,30 @@
 	byArrival = "arrival"
 )
 
-// Defaults of a section: a bounded store on a disk of its own, and as many subjects as take some 30 MB.
+// Defaults of a section: for a store on a disk of its own, and as many subjects as take some 30 MB.
 const (
-	defaultQuotaMB  = 1024
-	defaultMessages = 1_000_000
-	defaultSubjects = 200_000
-	defaultSettle   = 600.0
-	leastQuotaMB    = 0.25
+	defaultQuotaMB      = 1024
+	defaultMaxMessages  = 1_000_000
+	defaultMaxSubjects  = 200_000
+	defaultSettlingTime = 600.0 // seconds
 )
 
-// Check fills in defaults and reports what is wrong; at is the section's key.
+// minQuotaMB is the smallest quota that is accepted.
+const minQuotaMB = 0.25
+
+// Check fills in defaults, and adds the section's faults to those of its document; at is its key.
 func (s *Section) Check(d *strictconfig.Document, at string) {
 	if !d.Has(at + ".quota_mb") {
 		s.QuotaMB = defaultQuotaMB
 	}
 	if !d.Has(at + ".messages") {
-		s.MaxMessages = defaultMessages
+		s.MaxMessages = defaultMaxMessages
 	}
 	if !d.Has(at + ".subjects_most") {
-		s.MaxSubjects = defaultSubjects
+		s.MaxSubjects = defaultMaxSubjects
 	}
 	if !d.Has(at + ".subjects_settle_s") {
-		s.SubjectSettlingTime = defaultSettle
+		s.SubjectSettlingTime = defaultSettlingTime
 	}
 	s.checkValues(d, at)
 	for i := range s.Bounds {
@@ -99,7 +101,7 @@
 	}
 }
 
-// checkValues reports values out of range.
+// checkValues adds values that are out of range.
 func (s *Section) checkValues(d *strictconfig.Document, at string) {
 	if s.SubjectSettlingTime < 0 {
 		d.AddError(at+".subjects_settle_s", "%v is below 0", s.SubjectSettlingTime)
@@ -107,8 +109,8 @@
 	if d.Has(at+".folder") && s.Folder == "" {
 		d.AddError(at+".folder", "is empty")
 	}
-	if s.QuotaMB < leastQuotaMB {
-		d.AddError(at+".quota_mb", "%v is below %v", s.QuotaMB, leastQuotaMB)
+	if s.QuotaMB < minQuotaMB {
+		d.AddError(at+".quota_mb", "%v is below %v", s.QuotaMB, minQuotaMB)
 	}
 	if s.MaxMessages < 1 {
 		d.AddError(at+".messages", "%d keeps none: leave the section out to keep none", s.MaxMessages)
@@ -121,7 +123,7 @@
 	}
 }
 
-// check reports what is wrong with a bound at a key of the file.
+// check adds the faults of a bound to those of its document.
 func (b *Bound) check(d *strictconfig.Document, at string) {
 	if b.Class == "" && b.Tenant == "" {
 		d.AddError(at, "names neither a class nor a tenant")
@@ -134,9 +136,9 @@
 	}
 }
 
-// check reports what is wrong with a subject at a key of the file.
+// check adds the faults of a subject to those of its document.
 func (s *Subject) check(d *strictconfig.Document, at string) {
-	one := func(header, pointer, headerKey, pointerKey string) {
+	checkPlace := func(header, pointer, headerKey, pointerKey string) {
 		if (header == "") == (pointer == "") {
 			d.AddError(at+"."+headerKey, "either %s or %s says where it is", headerKey, pointerKey)
 		}
@@ -146,13 +148,13 @@
 			}
 		}
 	}
-	one(s.Header, s.Pointer, "header", "pointer")
+	checkPlace(s.Header, s.Pointer, "header", "pointer")
 	if !slices.Contains([]string{byNumber, byTime, byArrival}, s.Order) {
 		d.AddError(at+".order", "%q is none of number, time, arrival", s.Order)
 		return
 	}
 	if s.Order != byArrival {
-		one(s.OrderHeader, s.OrderPointer, "order_header", "order_pointer")
+		checkPlace(s.OrderHeader, s.OrderPointer, "order_header", "order_pointer")
 	} else if s.OrderHeader != "" || s.OrderPointer != "" {
 		d.AddError(at+".order", "by arrival, and yet a place for it is named")
 	}
--- a/internal/deadletter/socket.go
+++ b/internal/deadletter/socket.go
@@ -9,11 +9,11 @@
 	"os"
 )
 
-// Serve answers the tool on a Unix socket of mode 0600 until ctx ends. A socket that an earlier process left behind is
-// taken over; one that answers is not.
-func Serve(ctx context.Context, path string, a *Admin) error {
-	if c, err := net.Dial("unix", path); err == nil {
-		_ = c.Close()
+// Serve serves operators' requests on a Unix socket of mode 0600 until the context ends. A socket that an earlier process
+// left behind is replaced; where another process serves on it, the error is ErrInUse.
+func Serve(ctx context.Context, path string, admin *Admin) error {
+	if conn, err := net.Dial("unix", path); err == nil {
+		_ = conn.Close()
 		return fmt.Errorf("undelivered: socket %s: %w", path, ErrInUse)
 	}
 	if info, err := os.Lstat(path); err == nil {
@@ -24,18 +24,18 @@
 			return fmt.Errorf("undelivered: %w", err)
 		}
 	}
-	ln, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return fmt.Errorf("undelivered: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		_ = ln.Close()
+		_ = listener.Close()
 		return fmt.Errorf("undelivered: %w", err)
 	}
-	srv := &http.Server{Handler: a.Handler(), ReadHeaderTimeout: readHeaderTimeout}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
+	server := &http.Server{Handler: admin.Handler(), ReadHeaderTimeout: readHeaderTimeout}
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("undelivered: socket %s: %w", path, err)
 	}
 	return nil
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -16,22 +16,23 @@
 	"frostlink/internal/boltfile"
 )
 
-// The store is one bbolt file with these buckets, and those of subjects.go:
+// The store is one bbolt file with these buckets, and those of subject_buckets.go:
 //
-//	meta      "version" -> 4 bytes; "totals" -> Totals as JSON; "rules" -> a digest of the rules last used
+//	meta      "version" -> 4 bytes; "totals" -> Totals as JSON; "rules" -> a digest of the rules last used; "id" -> the store's id
 //	records   number (8 bytes, big endian, rising) -> checksum (4 bytes, CRC-32C of the rest) + Record as JSON
 //	bodies    number -> checksum + body
 //	ids       id of any incarnation -> number
-//	due       destination (4 bytes) + time (8 bytes, Unix milliseconds) + number -> nothing: when to look at a record again
+//	due       destination (4 bytes) + time (8 bytes, Unix milliseconds) + number -> nothing: when to decide on a record next
 //	groups    class 0x00 tenant -> Group as JSON
-//	unkept    id -> why and when, of what could not be kept or left by a bound without an export
+//	unkept    id -> when and why, of messages that could not be stored
 //
-// Nothing is synced: what was written outlasts the process, also SIGKILL, as the journal's records do.
+// Nothing is synced: what was written survives SIGKILL of the process, as the journal's records do, and not a crash of the
+// machine.
 const (
 	fileName     = "undelivered.db"
 	storeVersion = 2 // 1: without subjects
 	versionSize  = 4 // bytes
-	// growthSize is by how much the file grows at once, in bytes: a small quota is not to be overshot by much.
+	// growthSize is by how much the file grows at once, in bytes: a small quota is exceeded by little.
 	growthSize = 128 << 10
 )
 
@@ -44,25 +45,26 @@
 	rulesKey                                = []byte("rules")
 )
 
-// Store keeps undelivered messages in a folder. It is safe for concurrent use.
+// Store is a dead-letter store in a folder. It is safe for concurrent use.
 type Store struct {
 	db          *boltfile.File
 	path        string
-	maxBytes    int64 // bytes of the file; 0: none
-	maxMessages int   // messages; 0: any number
+	maxBytes    int64 // of the file; 0: unbounded
+	maxMessages int   // 0: unbounded
 
-	section atomic.Pointer[Section] // how topics are known; nil where they are not
+	section atomic.Pointer[Section] // how subjects are read; nil before TrackSubjects
 }
 
-// Open opens the store in a folder, which it makes if need be. A second process gets ErrInUse.
-func Open(dir string, limit int64, most int) (*Store, error) {
+// Open opens the store in a folder, both of which it creates if need be. Limits of 0 mean none. Where another process has
+// the store open, the error is ErrInUse.
+func Open(dir string, maxBytes int64, maxMessages int) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("undelivered: %w", err)
 	}
-	return open(dir, limit, most, false)
+	return open(dir, maxBytes, maxMessages, false)
 }
 
-// OpenToRead opens the store of a relay that is not running, and changes nothing.
+// OpenToRead opens the store of a relay that is not running for reading only.
 func OpenToRead(dir string) (*Store, error) {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
 		return nil, fmt.Errorf("undelivered: no store: %w", err)
@@ -70,7 +72,8 @@
 	return open(dir, 0, 0, true)
 }
 
-func open(dir string, limit int64, most int, readOnly bool) (*Store, error) {
+// open opens a store. Only one that is not read only is created or upgraded.
+func open(dir string, maxBytes int64, maxMessages int, readOnly bool) (*Store, error) {
 	path := filepath.Join(dir, fileName)
 	db, err := boltfile.Open(path, boltfile.Options{ReadOnly: readOnly, NoSync: true})
 	switch {
@@ -80,7 +83,7 @@
 		return nil, fmt.Errorf("undelivered: %s: %w", path, err)
 	}
 	db.AllocSize = growthSize
-	s := &Store{db: db, path: path, maxBytes: limit, maxMessages: most}
+	s := &Store{db: db, path: path, maxBytes: maxBytes, maxMessages: maxMessages}
 	if err := s.prepare(readOnly); err != nil {
 		_ = db.Close()
 		return nil, fmt.Errorf("undelivered: %s: %w", path, err)
@@ -88,7 +91,7 @@
 	return s, nil
 }
 
-// prepare checks the version, and upgrades a new file or one of an earlier version, unless the store is read only.
+// prepare checks the version, and upgrades a new file or one of an earlier version unless the store is read only.
 func (s *Store) prepare(readOnly bool) error {
 	version := 0
 	err := s.db.View(func(tx *bbolt.Tx) (err error) {
@@ -96,7 +99,7 @@
 		return err
 	})
 	switch {
-	case errors.Is(err, errNoRecord) && !readOnly:
+	case errors.Is(err, errNoRecord) && !readOnly: // a new file
 	case err != nil || readOnly || version == storeVersion:
 		return err
 	}
@@ -120,7 +123,7 @@
 	return version, nil
 }
 
-// upgrade makes the buckets that a new file or one of an earlier version lacks, and gives the store a new name: what was
+// upgrade creates the buckets that a new file or one of an earlier version lacks, and gives the store a new id: what was
 // delivered while an earlier program ran is not known.
 func upgrade(tx *bbolt.Tx) error {
 	for _, name := range buckets {
@@ -140,7 +143,7 @@
 	return nil
 }
 
-// Size is the file's size in bytes.
+// Size is the file's size in bytes; 0 where it can't be read.
 func (s *Store) Size() int64 {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -149,28 +152,29 @@
 	return info.Size()
 }
 
-// bytesUsed is how much of the file is in use: what was removed leaves pages that are used again.
+// bytesUsed is how much of the file is in use: pages of what was removed are reused.
 func (s *Store) bytesUsed(tx *bbolt.Tx) int64 {
-	st := s.db.Stats()
-	return tx.Size() - int64(st.FreePageN+st.PendingPageN)*int64(s.db.Info().PageSize)
+	stats := s.db.Stats()
+	return tx.Size() - int64(stats.FreePageN+stats.PendingPageN)*int64(s.db.Info().PageSize)
 }
 
-// update runs a transaction.
-func (s *Store) update(do func(tx *bbolt.Tx) error) error {
-	if err := s.db.Update(do); err != nil {
+// update runs a transaction that writes.
+func (s *Store) update(run func(tx *bbolt.Tx) error) error {
+	if err := s.db.Update(run); err != nil {
 		return fmt.Errorf("undelivered: %w", err)
 	}
 	return nil
 }
 
-func (s *Store) view(do func(tx *bbolt.Tx) error) error {
-	if err := s.db.View(do); err != nil {
+// view runs a transaction that reads.
+func (s *Store) view(run func(tx *bbolt.Tx) error) error {
+	if err := s.db.View(run); err != nil {
 		return fmt.Errorf("undelivered: %w", err)
 	}
 	return nil
 }
 
-// SetRules notes which rules are used, and tells whether they differ from those that were used last.
+// SetRules stores the digest of the rules in use, and reports whether it differs from that of the rules used last.
 func (s *Store) SetRules(digest []byte) (changed bool, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		changed = !bytes.Equal(tx.Bucket(metaBucket).Get(rulesKey), digest)
@@ -179,7 +183,7 @@
 	return changed, err
 }
 
-// ID names the store: another folder has another.
+// ID returns the store's id, which no other store has.
 func (s *Store) ID() (id string, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		id = string(tx.Bucket(metaBucket).Get(storeIDKey))
@@ -188,7 +192,7 @@
 	return id, err
 }
 
-// newStoreID makes a name that no other store has.
+// newStoreID returns a new random id.
 func newStoreID() []byte {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
--- a/internal/deadletter/subject_buckets.go
+++ b/internal/deadletter/subject_buckets.go
@@ -1,6 +1,7 @@
 package deadletter
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/json"
@@ -10,45 +11,54 @@
 	"go.etcd.io/bbolt"
 )
 
-// What is known of topics is in these buckets of the store; a topic stands there as a part of its hash:
+// The state of Newest is in these buckets of the store, where a topic is represented by a part of its hash, see topicKey:
 //
-//	newest   topic (16 bytes) -> number (8 bytes) + class + 0x00 + latest as JSON
+//	newest   topic (16 bytes) -> number (8 bytes) + class + 0x00 + newestMessage as JSON
 //	young    number (8 bytes, rising) -> topic: the one that was put longest ago comes first
-//	waiting  topic + number of the record -> latest as JSON
-//	eras     class -> era as JSON
+//	waiting  topic + number of the record -> newestMessage as JSON
+//	eras     class -> trackingEpoch as JSON
+//
+// and in the bucket meta "topics" -> how many topics there are (8 bytes).
 var (
 	newestBucket, insertionBucket = []byte("newest"), []byte("young")
 	waitingBucket, epochsBucket   = []byte("waiting"), []byte("eras")
 	storeIDKey, subjectCountKey   = []byte("id"), []byte("topics")
 )
 
-// topicKeySize is how much of a topic's hash is its key: two of a million topics agree in it once in 1e26 stores.
+// topicKeySize is how many bytes of a topic's hash are its key: two of a million topics collide once in 1e26 stores.
 const topicKeySize = 16
 
+// counterSize is the size of numbers in these buckets, in bytes.
+const counterSize = 8
+
+// topicKey is the key of a topic.
 func topicKey(t Topic) []byte {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s", t.Class, t.Destination, t.Subject))
 	return sum[:topicKeySize]
 }
 
-// boltSubjects is a subjectStorage within one transaction. Its first error ends what it was used for.
+// boltSubjects is a subjectStorage within one transaction. It keeps its first error, which commit returns: with it the
+// transaction fails.
 type boltSubjects struct {
 	tx     *bbolt.Tx
-	epochs map[string]*trackingEpoch
-	count  int // topics; -1: not read yet
+	epochs map[string]*trackingEpoch // that were read or set, by class
+	count  int                       // of topics; -1: not read yet
 	err    error
 }
 
+// newBoltSubjects returns the storage of a transaction.
 func newBoltSubjects(tx *bbolt.Tx) *boltSubjects {
 	return &boltSubjects{tx: tx, epochs: map[string]*trackingEpoch{}, count: -1}
 }
 
+// recordError keeps an error if it is the first one.
 func (s *boltSubjects) recordError(err error) {
 	if err != nil && s.err == nil {
 		s.err = err
 	}
 }
 
-// decode reads a value, and reports whether it was there and readable.
+// decode decodes a value, and reports whether it was present and readable.
 func (s *boltSubjects) decode(raw []byte, into any) bool {
 	if raw == nil {
 		return false
@@ -60,6 +70,7 @@
 	return true
 }
 
+// encode encodes a value.
 func (s *boltSubjects) encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	s.recordError(err)
@@ -71,7 +82,7 @@
 		return e
 	}
 	e := &trackingEpoch{}
-	// The store of an earlier version that was opened to read has no such bucket.
+	// A store of an earlier version that was opened for reading has no such bucket.
 	if b := s.tx.Bucket(epochsBucket); b == nil || !s.decode(b.Get([]byte(class)), e) {
 		e = nil
 	}
@@ -86,70 +97,69 @@
 
 func (s *boltSubjects) newest(t Topic) *newestMessage {
 	raw := s.tx.Bucket(newestBucket).Get(topicKey(t))
-	l := &newestMessage{}
-	if len(raw) < 9+len(t.Class) || !s.decode(raw[9+len(t.Class):], l) {
+	prefix := counterSize + len(t.Class) + 1
+	m := &newestMessage{}
+	if len(raw) < prefix || !s.decode(raw[prefix:], m) {
 		return nil
 	}
-	return l
+	return m
 }
 
-func (s *boltSubjects) put(t Topic, l newestMessage) {
-	newest, young := s.tx.Bucket(newestBucket), s.tx.Bucket(insertionBucket)
-	k := topicKey(t)
-	if was := newest.Get(k); len(was) >= 8 {
-		s.recordError(young.Delete(append([]byte{}, was[:8]...)))
+func (s *boltSubjects) put(t Topic, m newestMessage) {
+	newest, insertions := s.tx.Bucket(newestBucket), s.tx.Bucket(insertionBucket)
+	key := topicKey(t)
+	if stored := newest.Get(key); len(stored) >= counterSize {
+		s.recordError(insertions.Delete(append([]byte{}, stored[:counterSize]...)))
 	} else {
 		s.count = s.size() + 1
 	}
-	n, err := young.NextSequence()
+	number, err := insertions.NextSequence()
 	s.recordError(err)
-	s.recordError(young.Put(recordKey(n), k))
-	s.recordError(newest.Put(k, append(append(append(recordKey(n), t.Class...), 0), s.encode(l)...)))
+	s.recordError(insertions.Put(recordKey(number), key))
+	s.recordError(newest.Put(key, append(append(append(recordKey(number), t.Class...), 0), s.encode(m)...)))
 }
 
-func (s *boltSubjects) evictOldest() (class string, l *newestMessage) {
-	newest, young := s.tx.Bucket(newestBucket), s.tx.Bucket(insertionBucket)
-	number, k := young.Cursor().First()
+func (s *boltSubjects) evictOldest() (class string, m *newestMessage) {
+	newest, insertions := s.tx.Bucket(newestBucket), s.tx.Bucket(insertionBucket)
+	number, key := insertions.Cursor().First()
 	if number == nil {
 		return "", nil
 	}
-	number, k = append([]byte{}, number...), append([]byte{}, k...)
-	raw := newest.Get(k)
-	for i := 8; i < len(raw); i++ {
-		if raw[i] == 0 {
-			class, l = string(raw[8:i]), &newestMessage{}
-			s.decode(raw[i+1:], l)
-			break
+	number, key = append([]byte{}, number...), append([]byte{}, key...)
+	if raw := newest.Get(key); len(raw) > counterSize {
+		if name, encoded, ok := bytes.Cut(raw[counterSize:], []byte{0}); ok {
+			class, m = string(name), &newestMessage{}
+			s.decode(encoded, m)
 		}
 	}
-	s.recordError(errors.Join(young.Delete(number), newest.Delete(k)))
+	s.recordError(errors.Join(insertions.Delete(number), newest.Delete(key)))
 	s.count = s.size() - 1
-	return class, l
+	return class, m
 }
 
 func (s *boltSubjects) size() int {
 	if s.count < 0 {
 		s.count = 0
-		if raw := s.tx.Bucket(metaBucket).Get(subjectCountKey); len(raw) == 8 {
+		if raw := s.tx.Bucket(metaBucket).Get(subjectCountKey); len(raw) == counterSize {
 			s.count = int(binary.BigEndian.Uint64(raw))
 		}
 	}
 	return s.count
 }
 
-func (s *boltSubjects) waiting(t Topic, version int) (best *newestMessage) {
-	k := topicKey(t)
-	c := s.tx.Bucket(waitingBucket).Cursor()
-	for at, raw := c.Seek(k); len(at) == topicKeySize+8 && string(at[:topicKeySize]) == string(k); at, raw = c.Next() {
-		l := &newestMessage{}
-		if s.decode(raw, l) && l.Version == version && (best == nil || l.Order.compare(best.Order) > 0) {
-			best = l
+func (s *boltSubjects) waiting(t Topic, version int) (newest *newestMessage) {
+	prefix := topicKey(t)
+	cursor := s.tx.Bucket(waitingBucket).Cursor()
+	for key, raw := cursor.Seek(prefix); len(key) == topicKeySize+recordKeySize && bytes.HasPrefix(key, prefix); key, raw = cursor.Next() {
+		m := &newestMessage{}
+		if s.decode(raw, m) && m.Version == version && (newest == nil || m.Order.compare(newest.Order) > 0) {
+			newest = m
 		}
 	}
-	return best
+	return newest
 }
 
-// commit writes what was counted, and gives the first error.
+// commit writes the count of topics, and returns the first error.
 func (s *boltSubjects) commit() error {
 	if s.count >= 0 {
 		s.recordError(s.tx.Bucket(metaBucket).Put(subjectCountKey, binary.BigEndian.AppendUint64(nil, uint64(s.count))))
--- a/internal/deadletter/subject_store.go
+++ b/internal/deadletter/subject_store.go
@@ -2,112 +2,118 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"time"
 
 	"go.etcd.io/bbolt"
 )
 
-// newestIn gives what knows the topics, within a transaction.
-func (s *Store) newestIn(on subjectStorage) *Newest {
-	known := s.section.Load()
-	if known == nil {
-		known = &Section{}
+// newestIn returns the Newest of the store, in a storage.
+func (s *Store) newestIn(storage subjectStorage) *Newest {
+	section := s.section.Load()
+	if section == nil {
+		section = &Section{}
+	}
+	return &Newest{
+		storage: storage, maxSubjects: section.MaxSubjects, exclusive: section.StickySubjects,
+		settlingTime: seconds(section.SubjectSettlingTime),
 	}
-	return &Newest{storage: on, maxSubjects: known.MaxSubjects, exclusive: known.StickySubjects, settlingTime: seconds(known.SubjectSettlingTime)}
 }
 
-// TrackSubjects has the store know the newest message of each topic for the classes of a section whose subjects are read. anew
-// says that messages may have been delivered of which the store was not informed.
-func (s *Store) TrackSubjects(section *Section, anew bool, now time.Time) error {
+// TrackSubjects makes the store track the newest message of each topic, for the classes whose subjects a section reads.
+// missed says that messages may have been delivered of which the store was not informed.
+func (s *Store) TrackSubjects(section *Section, missed bool, now time.Time) error {
 	s.section.Store(section)
-	subjects := section.Subjects
-	reading := map[string]string{}
-	for i := range subjects {
-		raw, err := json.Marshal(subjects[i])
+	definitions := map[string]string{}
+	for i := range section.Subjects {
+		subject := &section.Subjects[i]
+		raw, err := json.Marshal(subject)
 		if err != nil {
-			return fmt.Errorf("undelivered: subject of class %s: %w", subjects[i].Class, err)
+			return fmt.Errorf("undelivered: subject of class %s: %w", subject.Class, err)
 		}
-		reading[subjects[i].Class] = string(raw)
+		definitions[subject.Class] = string(raw)
 	}
 	return s.update(func(tx *bbolt.Tx) error {
-		on := newBoltSubjects(tx)
-		// A class whose subjects are no longer read begins anew when they are again.
-		var gone [][]byte
-		err := tx.Bucket(epochsBucket).ForEach(func(class, _ []byte) error {
-			if reading[string(class)] == "" {
-				gone = append(gone, append([]byte{}, class...))
-			}
-			return nil
-		})
-		for _, class := range gone {
-			e := on.epoch(string(class))
-			if e != nil && e.Definition != "" {
-				on.setEpoch(string(class), &trackingEpoch{Version: e.Version + 1})
-			}
-		}
-		s.newestIn(on).Begin(reading, anew, now)
-		return errors.Join(err, on.commit())
+		storage := newBoltSubjects(tx)
+		storage.endEpochs(definitions)
+		s.newestIn(storage).Begin(definitions, missed, now)
+		return storage.commit()
 	})
 }
 
-// Delivery is a message that was delivered, and is about something.
+// endEpochs ends the epochs of classes whose subjects are no longer read.
+func (s *boltSubjects) endEpochs(definitions map[string]string) {
+	var unread []string
+	s.recordError(s.tx.Bucket(epochsBucket).ForEach(func(class, _ []byte) error {
+		if definitions[string(class)] == "" {
+			unread = append(unread, string(class))
+		}
+		return nil
+	}))
+	for _, class := range unread {
+		if e := s.epoch(class); e.active() {
+			s.setEpoch(class, &trackingEpoch{Version: e.Version + 1})
+		}
+	}
+}
+
+// Delivery is a delivered message, by its topic.
 type Delivery struct {
 	ID string
 	Topic
 	Order Order
 }
 
-// RecordDelivered notes messages of a topic that were delivered. One that is noted again changes nothing.
-func (s *Store) RecordDelivered(notes []Delivery) error {
+// RecordDelivered records deliveries. One that is recorded again changes nothing.
+func (s *Store) RecordDelivered(deliveries []Delivery) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		on := newBoltSubjects(tx)
-		n := s.newestIn(on)
-		for i := range notes {
-			n.Delivered(notes[i].ID, notes[i].Topic, notes[i].Order)
+		storage := newBoltSubjects(tx)
+		newest := s.newestIn(storage)
+		for _, d := range deliveries {
+			newest.Delivered(d.ID, d.Topic, d.Order)
 		}
-		return on.commit()
+		return storage.commit()
 	})
 }
 
-// Newer tells which message of the same topic has overtaken one, delivered or waiting here too. What can't be read can't
-// be told.
-func (s *Store) Newer(r *Record) (by string, known bool) {
+// Newer returns the id of a newer message of the same topic that was delivered or waits in the store, or "". known reports
+// whether "" proves that there is none.
+func (s *Store) Newer(r *Record) (id string, known bool) {
 	err := s.view(func(tx *bbolt.Tx) error {
-		on := newBoltSubjects(tx)
-		by, known = s.newestIn(on).NewerThan(r)
-		return on.err
+		storage := newBoltSubjects(tx)
+		id, known = s.newestIn(storage).NewerThan(r)
+		return storage.err
 	})
 	if err != nil {
 		return "", false
 	}
-	return by, known
+	return id, known
 }
 
-// updateSubject keeps what is known of a record's topic as the record comes, ends or leaves.
-func (s *Store) updateSubject(tx *bbolt.Tx, r *Record, n uint64, was, is bool) error {
-	on := newBoltSubjects(tx)
+// updateSubject updates the state of a record's topic as the record is stored, ends or is deleted: wasWaiting and isWaiting
+// say whether it waits for a delivery before and after.
+func (s *Store) updateSubject(tx *bbolt.Tx, r *Record, number uint64, wasWaiting, isWaiting bool) error {
+	storage := newBoltSubjects(tx)
 	if r.Subject == "" || r.Order == nil {
-		// Whatever it is about, it may have been delivered.
-		if !was && r.Order != nil && r.MayHaveExecuted() != nil {
-			s.newestIn(on).Delivered(r.ID, r.topic(), *r.Order)
+		// Of whichever subject it is, it may have been delivered.
+		if !wasWaiting && r.Order != nil && r.MayHaveExecuted() != nil {
+			s.newestIn(storage).Delivered(r.ID, r.topic(), *r.Order)
 		}
-		return on.commit()
+		return storage.commit()
 	}
-	waiting, k := tx.Bucket(waitingBucket), append(topicKey(r.topic()), recordKey(n)...)
+	waiting, key := tx.Bucket(waitingBucket), append(topicKey(r.topic()), recordKey(number)...)
 	switch {
-	case !was && is:
-		l := newestMessage{ID: r.ID, Order: *r.Order}
-		if e := on.epoch(r.Class); e != nil {
-			l.Version = e.Version
+	case !wasWaiting && isWaiting:
+		m := newestMessage{ID: r.ID, Order: *r.Order}
+		if e := storage.epoch(r.Class); e != nil {
+			m.Version = e.Version
 		}
-		on.recordError(waiting.Put(k, on.encode(l)))
-	case was && !is:
-		on.recordError(waiting.Delete(k))
+		storage.recordError(waiting.Put(key, storage.encode(m)))
+	case wasWaiting && !isWaiting:
+		storage.recordError(waiting.Delete(key))
 		if r.State == Delivered || r.MayHaveExecuted() != nil {
-			s.newestIn(on).Delivered(r.ID, r.topic(), *r.Order)
+			s.newestIn(storage).Delivered(r.ID, r.topic(), *r.Order)
 		}
 	}
-	return on.commit()
+	return storage.commit()
 }
--- a/internal/deadletter/subjects_test.go
+++ b/internal/deadletter/subjects_test.go
@@ -11,7 +11,7 @@
 // parcels is a section that reads class c's subjects; change makes it another.
 func parcels(change func(s *Section)) *Section {
 	s := &Section{
-		MaxSubjects: 100, StickySubjects: true, SubjectSettlingTime: defaultSettle,
+		MaxSubjects: 100, StickySubjects: true, SubjectSettlingTime: defaultSettlingTime,
 		Subjects: []Subject{{Class: "c", Header: "Parcel", Order: byNumber, OrderHeader: "Seq"}},
 	}
 	change(s)
--- a/internal/deadletter/throttle.go
+++ b/internal/deadletter/throttle.go
@@ -1,84 +1,90 @@
 package deadletter
 
-import (
-	"time"
-)
+import "time"
 
-// throttle is the pace of one destination's redeliveries.
+// throttle limits the redeliveries to one destination: one is in flight at a time, at the rate of its rule, with a backoff
+// after one that was not delivered.
 type throttle struct {
-	tokens         float64
-	updatedAt      time.Time // as of when
-	pausedUntil    time.Time // paused
+	tokens         float64 // of a token bucket
+	updatedAt      time.Time
+	pausedUntil    time.Time
 	busyBackoff    time.Duration
 	failureBackoff time.Duration
-	inFlight       string    // the incarnation that is out; empty: none
+	inFlight       string    // id of the incarnation in flight; empty: none
 	lostAt         time.Time // when that counts as lost
-	gateToken      uint64    // the gate's token under which it goes
+	gateToken      uint64    // of the gate's turn that was used last
 }
 
-// Gate lets redeliveries through where one relay of a fleet at a time is to redeliver towards a destination.
+// Gate allows redeliveries where only one relay of a fleet at a time redelivers to a destination.
 type Gate interface {
-	// Begin allows redeliveries towards a destination until End, or refuses. The token is another one for each turn.
-	Begin(partner int) (token uint64, ok bool)
-	// End says that what was decided since has been offered.
+	// Begin allows redeliveries to a destination until End, or denies them. Each turn of a relay has a token of its own.
+	Begin(destination int) (token uint64, ok bool)
+	// End says that all redeliveries which were decided on since Begin have been offered.
 	End()
 }
 
-// gatePause is before the gate is asked again for a destination for which it refused.
+// gatePause is how long a destination is paused after the gate denied it.
 const gatePause = 100 * time.Millisecond
 
-// passGate asks the gate. A turn begins without tokens: another relay may just have used the destination's rate.
-func (r *Redeliverer) passGate(l *throttle, partner int, now time.Time) bool {
+// passGate reports whether the gate allows a redelivery. A turn begins without tokens: another relay may just have used the
+// destination's rate.
+func (r *Redeliverer) passGate(t *throttle, destination int, now time.Time) bool {
 	if r.gate == nil {
 		return true
 	}
-	turn, ok := r.gate.Begin(partner)
+	token, ok := r.gate.Begin(destination)
 	if !ok {
-		l.pausedUntil = now.Add(gatePause)
+		t.pausedUntil = now.Add(gatePause)
 		return false
 	}
-	if turn != l.gateToken {
-		l.gateToken, l.tokens, l.updatedAt = turn, 0, now
+	if token != t.gateToken {
+		t.gateToken, t.tokens, t.updatedAt = token, 0, now
 	}
 	return true
 }
 
-func (r *Redeliverer) throttle(partner int, now time.Time) *throttle {
-	l := r.throttles[partner]
-	if l == nil {
-		l = &throttle{tokens: tokenBurst, updatedAt: now}
-		r.throttles[partner] = l
+// throttle returns the throttle of a destination.
+func (r *Redeliverer) throttle(destination int, now time.Time) *throttle {
+	t := r.throttles[destination]
+	if t == nil {
+		t = &throttle{tokens: tokenBurst, updatedAt: now}
+		r.throttles[destination] = t
 	}
-	return l
+	return t
 }
 
-// takeToken takes a redelivery out of a throttle's tokens.
-func (l *throttle) takeToken(rate float64, now time.Time) bool {
-	l.tokens = min(tokenBurst, l.tokens+max(0, now.Sub(l.updatedAt).Seconds())*rate)
-	l.updatedAt = now
-	if l.tokens < 1 {
+// blocked reports whether the destination gets nothing at a time, whatever the rate.
+func (t *throttle) blocked(now time.Time) bool {
+	return t.pausedUntil.After(now) || t.inFlight != "" && t.lostAt.After(now)
+}
+
+// takeToken consumes the token of one redelivery, and reports whether there was one.
+func (t *throttle) takeToken(rate float64, now time.Time) bool {
+	t.tokens = min(tokenBurst, t.tokens+max(0, now.Sub(t.updatedAt).Seconds())*rate)
+	t.updatedAt = now
+	if t.tokens < 1 {
 		return false
 	}
-	l.tokens--
+	t.tokens--
 	return true
 }
 
-// handleResult adjusts a throttle by what became of a redelivery.
-func (l *throttle) handleResult(res *Result, now time.Time) {
-	if l.inFlight == res.Incarnation.ID {
-		l.inFlight = ""
+// handleResult adjusts the backoff by the result of a redelivery.
+func (t *throttle) handleResult(result *Result, now time.Time) {
+	if t.inFlight == result.Incarnation.ID {
+		t.inFlight = ""
 	}
-	grow := func(d *time.Duration, least, most time.Duration) {
-		*d = min(most, max(least, 2**d))
-		l.pausedUntil = now.Add(*d)
+	backOff := func(backoff *time.Duration, shortest, longest time.Duration) {
+		*backoff = min(longest, max(shortest, 2**backoff))
+		t.pausedUntil = now.Add(*backoff)
 	}
 	switch {
-	case res.Overtaken != "": // that says nothing of the destination
-	case res.Delivered:
-		l.busyBackoff, l.failureBackoff = 0, 0
-	case len(res.Incarnation.Attempts) == 0:
-		grow(&l.busyBackoff, minBusyBackoff, maxBusyBackoff)
+	case result.Overtaken != "": // says nothing of the destination
+	case result.Delivered:
+		t.busyBackoff, t.failureBackoff = 0, 0
+	case len(result.Incarnation.Attempts) == 0:
+		backOff(&t.busyBackoff, minBusyBackoff, maxBusyBackoff)
 	default:
-		grow(&l.failureBackoff, minFailureBackoff, maxFailureBackoff)
+		backOff(&t.failureBackoff, minFailureBackoff, maxFailureBackoff)
 	}
 }
--- a/internal/deadletter/totals.go
+++ b/internal/deadletter/totals.go
@@ -7,17 +7,17 @@
 	"go.etcd.io/bbolt"
 )
 
-// Totals are what the store holds in all.
+// Totals counts what is stored, and what was not or no longer is.
 type Totals struct {
 	Messages       int            `json:"messages"`
 	Bytes          int64          `json:"bytes"` // of bodies
 	States         map[State]int  `json:"states"`
-	RemovedByBound map[string]int `json:"left_by_a_bound"` // by class and tenant
-	Dropped        int            `json:"not_kept"`
-	Rejected       map[string]int `json:"refused_at_arrival,omitempty"` // by class and tenant
+	RemovedByBound map[string]int `json:"left_by_a_bound"`              // by class and tenant
+	Dropped        int            `json:"not_kept"`                     // could not be stored
+	Rejected       map[string]int `json:"refused_at_arrival,omitempty"` // only counted, by class and tenant
 }
 
-// Group is what the store holds of one class and tenant.
+// Group counts what is stored of one class and tenant.
 type Group struct {
 	Class    string `json:"class"`
 	Tenant   string `json:"tenant"`
@@ -25,7 +25,7 @@
 	Bytes    int64  `json:"bytes"`
 }
 
-// count changes how many are in a state.
+// count changes how many messages are in a state.
 func (t *Totals) count(s State, by int) {
 	if t.States == nil {
 		t.States = map[State]int{}
@@ -35,6 +35,7 @@
 	}
 }
 
+// readTotals reads the totals.
 func readTotals(tx *bbolt.Tx) (*Totals, error) {
 	t := &Totals{}
 	if raw := tx.Bucket(metaBucket).Get(totalsKey); raw != nil {
@@ -45,6 +46,7 @@
 	return t, nil
 }
 
+// writeTotals writes the totals.
 func writeTotals(tx *bbolt.Tx, t *Totals) error {
 	raw, err := json.Marshal(t)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return nil
 }
 
-// CountRejected counts messages that were refused at their arrival, by class and tenant as Totals name them.
+// CountRejected adds messages that were rejected on arrival to Totals.Rejected.
 func (s *Store) CountRejected(counts map[string]int) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		t, err := readTotals(tx)
@@ -73,41 +75,41 @@
 	})
 }
 
-// changeGroup changes what is held of a class and tenant.
+// changeGroup changes the counts of a class and tenant.
 func changeGroup(tx *bbolt.Tx, class, tenant string, messages int, bytes int64) error {
-	b, k := tx.Bucket(groupsBucket), []byte(class+"\x00"+tenant)
-	g := Group{Class: class, Tenant: tenant}
-	if raw := b.Get(k); raw != nil {
-		if err := json.Unmarshal(raw, &g); err != nil {
+	bucket, key := tx.Bucket(groupsBucket), []byte(class+"\x00"+tenant)
+	group := Group{Class: class, Tenant: tenant}
+	if raw := bucket.Get(key); raw != nil {
+		if err := json.Unmarshal(raw, &group); err != nil {
 			return fmt.Errorf("its groups: %w", ErrDamaged)
 		}
 	}
-	g.Messages += messages
-	g.Bytes += bytes
-	raw, err := json.Marshal(g)
+	group.Messages += messages
+	group.Bytes += bytes
+	raw, err := json.Marshal(group)
 	if err != nil {
 		return fmt.Errorf("its groups: %w", err)
 	}
-	if err := b.Put(k, raw); err != nil {
+	if err := bucket.Put(key, raw); err != nil {
 		return fmt.Errorf("its groups: %w", err)
 	}
 	return nil
 }
 
-// Totals gives what the store holds in all, and by class and tenant.
-func (s *Store) Totals() (t *Totals, groups []Group, err error) {
+// Totals returns the counts of the whole store, and of each class and tenant.
+func (s *Store) Totals() (totals *Totals, groups []Group, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		if t, err = readTotals(tx); err != nil {
+		if totals, err = readTotals(tx); err != nil {
 			return err
 		}
 		return tx.Bucket(groupsBucket).ForEach(func(_, raw []byte) error {
-			var g Group
-			if err := json.Unmarshal(raw, &g); err != nil {
+			var group Group
+			if err := json.Unmarshal(raw, &group); err != nil {
 				return fmt.Errorf("its groups: %w", ErrDamaged)
 			}
-			groups = append(groups, g)
+			groups = append(groups, group)
 			return nil
 		})
 	})
-	return t, groups, err
+	return totals, groups, err
 }
--- a/internal/deadletter/verify.go
+++ b/internal/deadletter/verify.go
@@ -9,25 +9,25 @@
 	"frostlink/internal/boltfile"
 )
 
-// Fault is something that Verify found.
+// Fault is a place in the store that can't be read.
 type Fault struct {
 	Where string `json:"where"`
 	What  string `json:"what"`
 }
 
-// Verify reads all there is, past what is damaged, and tells what can't be read.
+// Verify reads the whole store, continuing after what is damaged. It returns how many messages are readable, and the faults.
 func (s *Store) Verify() (good int, faults []Fault) {
 	add := func(where string, err error) { faults = append(faults, Fault{where, err.Error()}) }
 	for from := uint64(0); ; {
-		n, next, err := s.verifyFrom(from, &good, add)
+		last, next, err := s.verifyFrom(from, &good, add)
 		if err != nil {
-			// A page could not be read: go on behind it.
-			add(fmt.Sprintf("a page behind record %d", n), err)
-			behind, found := s.nextReadable(n)
+			// A page could not be read: continue after it.
+			add(fmt.Sprintf("a page behind record %d", last), err)
+			readable, found := s.nextReadable(last)
 			if !found {
 				return good, faults
 			}
-			next = behind
+			next = readable
 		}
 		if next == 0 {
 			return good, faults
@@ -36,29 +36,30 @@
 	}
 }
 
-// verifyStep is how many records one transaction of Verify reads.
-const verifyStep = 1000
+// verifyBatch is how many records one transaction of Verify reads.
+const verifyBatch = 1000
 
-// verifyFrom reads records from a number on; last is the last one that could be reached.
+// verifyFrom reads records from a number on. It returns the number of the last one that it reached, and of the next one to
+// read; 0 at the end.
 func (s *Store) verifyFrom(from uint64, good *int, add func(string, error)) (last, next uint64, err error) {
 	last = from
 	err = s.view(func(tx *bbolt.Tx) error {
 		records, bodies := tx.Bucket(recordsBucket), tx.Bucket(bodiesBucket)
-		c := records.Cursor()
-		steps := 0
-		for k, _ := c.Seek(recordKey(from)); k != nil; k, _ = c.Next() {
-			n := binary.BigEndian.Uint64(k)
-			if steps++; steps > verifyStep {
-				next = n
+		cursor := records.Cursor()
+		read := 0
+		for key, _ := cursor.Seek(recordKey(from)); key != nil; key, _ = cursor.Next() {
+			number := binary.BigEndian.Uint64(key)
+			if read++; read > verifyBatch {
+				next = number
 				return nil
 			}
-			last = n
-			if _, err := readRecord(records, k); err != nil {
-				add(fmt.Sprintf("record %d", n), err)
+			last = number
+			if _, err := readRecord(records, key); err != nil {
+				add(fmt.Sprintf("record %d", number), err)
 				continue
 			}
-			if err := verifyBody(bodies, k); err != nil {
-				add(fmt.Sprintf("body of record %d", n), err)
+			if err := verifyBody(bodies, key); err != nil {
+				add(fmt.Sprintf("body of record %d", number), err)
 				continue
 			}
 			*good++
@@ -68,42 +69,54 @@
 	return last, next, err
 }
 
-// verifyBody checks a body; a damaged page under it is a fault of this body alone.
-func verifyBody(b *bbolt.Bucket, k []byte) (err error) {
+// verifyBody checks a body. A page of it that can't be read is a fault of this body alone.
+func verifyBody(bodies *bbolt.Bucket, key []byte) (err error) {
 	defer boltfile.Guard(&err)
-	_, err = verifyChecksum(b.Get(k))
+	_, err = verifyChecksum(bodies.Get(key))
 	return err
 }
 
-// nextReadable finds the next record that can be reached behind one at which a page could not be read: the damaged stretch is
-// first overleapt in growing steps, and then its end is searched for by halves.
-func (s *Store) nextReadable(n uint64) (behind uint64, ok bool) {
-	top := uint64(0)
-	if s.view(func(tx *bbolt.Tx) error { top = tx.Bucket(recordsBucket).Sequence(); return nil }) != nil {
+// nextReadable returns the number of the first record that can be read after one at which a page could not be. It looks past
+// the damaged pages at growing distances, and then searches the stretch in between by halves for their end.
+func (s *Store) nextReadable(after uint64) (number uint64, ok bool) {
+	highest, err := s.highestNumber()
+	if err != nil {
 		return 0, false
 	}
-	reach := func(from uint64) (found uint64) {
-		_ = s.view(func(tx *bbolt.Tx) error {
-			if k, _ := tx.Bucket(recordsBucket).Cursor().Seek(recordKey(from)); k != nil {
-				found = binary.BigEndian.Uint64(k)
-			}
-			return nil
-		})
-		return found
-	}
-	for step := uint64(1); n+step <= top; step *= 2 {
-		if behind = reach(n + step); behind == 0 {
+	for distance := uint64(1); after+distance <= highest; distance *= 2 {
+		found := s.firstFrom(after + distance)
+		if found == 0 {
 			continue
 		}
-		for lost, there := n+step/2, n+step; lost+1 < there; {
-			middle := (lost + there) / 2
-			if at := reach(middle); at > 0 {
-				there, behind = middle, at
+		for unreadable, readable := after+distance/2, after+distance; unreadable+1 < readable; {
+			middle := (unreadable + readable) / 2
+			if first := s.firstFrom(middle); first > 0 {
+				readable, found = middle, first
 			} else {
-				lost = middle
+				unreadable = middle
 			}
 		}
-		return behind, true
+		return found, true
 	}
 	return 0, false
 }
+
+// highestNumber is the highest number that a record was stored under.
+func (s *Store) highestNumber() (number uint64, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		number = tx.Bucket(recordsBucket).Sequence()
+		return nil
+	})
+	return number, err
+}
+
+// firstFrom returns the number of the first record from a number on, or 0 where there is none or its page can't be read.
+func (s *Store) firstFrom(from uint64) (number uint64) {
+	_ = s.view(func(tx *bbolt.Tx) error { // an error leaves 0
+		if key, _ := tx.Bucket(recordsBucket).Cursor().Seek(recordKey(from)); key != nil {
+			number = binary.BigEndian.Uint64(key)
+		}
+		return nil
+	})
+	return number
+}
