--- a/internal/deadletter/bounds_test.go
+++ b/internal/deadletter/bounds_test.go
@@ -10,33 +10,20 @@
 	"time"
 )
 
-// fillStore keeps messages of two classes and tenants in turn, a minute apart, the oldest first.
+// fillStore stores messages of two classes and tenants in turn, a minute apart, the oldest first.
 func fillStore(t *testing.T, s *Store, n int) {
 	t.Helper()
 	for i := range n {
-		k := kept(fmt.Sprint("m", i))
-		k.Class, k.Tenant = []string{"fee-payment", "parcel-status"}[i%2], []string{"lahore", "sahiwal"}[i/2%2]
-		k.Incarnations[0].AcceptedAt = noon.Add(time.Duration(i-n) * time.Minute)
-		if err := s.Put([]Message{k}); err != nil {
+		m := newMessage(fmt.Sprint("m", i))
+		m.Class, m.Tenant = []string{"fee-payment", "parcel-status"}[i%2], []string{"lahore", "sahiwal"}[i/2%2]
+		m.Incarnations[0].AcceptedAt = noon.Add(time.Duration(i-n) * time.Minute)
+		if err := s.Put([]Message{m}); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func here(t *testing.T, s *Store) string {
-	t.Helper()
-	page, _, _, err := s.Page(0, 100, 1000, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var ids []string
-	for _, r := range page {
-		ids = append(ids, r.ID)
-	}
-	return strings.Join(ids, " ")
-}
-
-func TestBounds(t *testing.T) {
+func TestBounds_RemoveWhatExceedsThem(t *testing.T) {
 	for name, c := range map[string]struct {
 		section Section
 		full    bool
@@ -51,30 +38,32 @@
 		"full: what has ended": {Section{MaxMessages: 99}, true, "m0 m1 m2 m4 m5 m6 m7"},
 		"many: what has ended": {Section{MaxMessages: 8}, false, "m0 m1 m2 m4 m5 m6 m7"},
 	} {
-		s := openStore(t, t.TempDir())
-		fillStore(t, s, 8)
-		if err := s.Change("m3", func(r *Record) (time.Time, error) { r.State = Discarded; return time.Time{}, nil }); err != nil {
-			t.Fatal(err)
-		}
-		b := NewBounds(s, &c.section)
-		for range 2 { // a second round finds nothing more
-			if _, err := b.Enforce(noon, c.full); err != nil {
+		t.Run(name, func(t *testing.T) {
+			s := openStore(t, t.TempDir())
+			fillStore(t, s, 8)
+			if err := s.Change("m3", func(r *Record) (time.Time, error) { r.State = Discarded; return time.Time{}, nil }); err != nil {
 				t.Fatal(err)
 			}
-		}
-		if got := here(t, s); got != c.want {
-			t.Errorf("%s: %s, want %s", name, got, c.want)
-		}
+			b := NewBounds(s, &c.section)
+			for range 2 { // a second round finds nothing more
+				if _, err := b.Enforce(noon, c.full); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if got := storedIDs(t, s); got != c.want {
+				t.Errorf("%s, want %s", got, c.want)
+			}
+		})
 	}
 }
 
-// What leaves by a bound is exported first, and can be taken in again.
-func TestWhatLeavesIsExported(t *testing.T) {
+// Messages are exported before a bound removes them, and can be imported again.
+func TestBounds_ExportBeforeRemoval(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	fillStore(t, s, 4)
 	if n, err := NewBounds(s, &Section{Folder: dir, MaxMessages: 99, MaxAge: 150, Export: true}).Enforce(noon, false); err != nil || n != 2 {
-		t.Fatalf("%d left, %v", n, err)
+		t.Fatalf("%d removed, %v", n, err)
 	}
 	path := filepath.Join(dir, "left-20260630.jsonl")
 	raw, err := os.ReadFile(path)
@@ -86,11 +75,11 @@
 	}
 	other := newAdmin(t)
 	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
-		if code := ask(t, other, "POST", "/import", line, nil); code != 200 {
+		if code := serve(t, other, "POST", "/import", line, nil); code != 200 {
 			t.Errorf("import: %d", code)
 		}
 	}
-	if got := here(t, other.Store); got != "m0 m1" {
+	if got := storedIDs(t, other.Store); got != "m0 m1" {
 		t.Errorf("exported %s", got)
 	}
 	if body, err := other.Store.Body("m1"); err != nil || string(body) != "body of m1" {
@@ -98,8 +87,8 @@
 	}
 }
 
-// What leaves makes room: the file does not grow past its quota however much goes through it.
-func TestRoomIsUsedAgain(t *testing.T) {
+// Space of removed messages is reused: the file does not grow past its quota however much goes through it.
+func TestStore_ReusesSpaceOfRemovedMessages(t *testing.T) {
 	dir := t.TempDir()
 	const quota = 1 << 20
 	s, err := Open(dir, quota, 0)
@@ -108,13 +97,13 @@
 	}
 	defer s.Close()
 	b := NewBounds(s, &Section{Folder: dir, MaxMessages: 1 << 30})
-	fulls := 0
+	timesFull := 0
 	for i := range 4000 {
-		k := kept(fmt.Sprint("m", i))
-		k.State, k.Body = Delivered, make([]byte, 1000)
-		for err = s.Put([]Message{k}); errors.Is(err, ErrFull); err = s.Put([]Message{k}) {
-			if fulls++; fulls > 4000 {
-				t.Fatal("nothing makes room")
+		m := newMessage(fmt.Sprint("m", i))
+		m.State, m.Body = Delivered, make([]byte, 1000)
+		for err = s.Put([]Message{m}); errors.Is(err, ErrFull); err = s.Put([]Message{m}) {
+			if timesFull++; timesFull > 4000 {
+				t.Fatal("nothing can be removed")
 			}
 			if _, err := b.Enforce(noon, true); err != nil {
 				t.Fatal(err)
@@ -124,7 +113,7 @@
 			t.Fatal(err)
 		}
 	}
-	if fulls == 0 || s.Size() > 2*quota {
-		t.Errorf("full %d times, %d bytes at the end", fulls, s.Size())
+	if timesFull == 0 || s.Size() > 2*quota {
+		t.Errorf("full %d times, %d bytes at the end", timesFull, s.Size())
 	}
 }
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -17,11 +17,11 @@
 		goldentest.Form{Name: "fault", Value: &Fault{}}, goldentest.Form{Name: "subject", Value: &Subject{}})
 }
 
-// TestGoldenStore: a store that an earlier build has written is opened, and holds what it held.
-func TestGoldenStore(t *testing.T) {
+// A store that an earlier build has written can be read in full.
+func TestStore_ReadsGoldenFile(t *testing.T) {
 	goldentest.Regenerate(t, "store.db", fileName, func(dir string) {
 		s := openStore(t, dir)
-		put(t, s, "a", "b", "c")
+		storeMessages(t, s, "a", "b", "c")
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
