--- a/internal/faultinjection/checker/absences.go
+++ b/internal/faultinjection/checker/absences.go
@@ -13,16 +13,18 @@
 
 func (i interval) contains(t time.Duration) bool { return t >= i.from && t <= i.to }
 
-// relayIntervals are the intervals in which something was true of each relay; it may begin several times before it ends.
+// relayIntervals are the intervals in which a condition held for each relay; it may begin several times before it ends.
 type relayIntervals struct {
 	byRelay map[int][]interval
 	depth   map[int]int // how often it has begun and not ended
 }
 
+// newRelayIntervals returns no intervals.
 func newRelayIntervals() relayIntervals {
 	return relayIntervals{byRelay: map[int][]interval{}, depth: map[int]int{}}
 }
 
+// begin begins the condition for a relay.
 func (r relayIntervals) begin(relay int, at time.Duration) {
 	r.depth[relay]++
 	if r.depth[relay] == 1 {
@@ -30,6 +32,7 @@
 	}
 }
 
+// end ends it, as often as it began.
 func (r relayIntervals) end(relay int, at time.Duration) {
 	r.depth[relay]--
 	if r.depth[relay] == 0 {
@@ -38,23 +41,24 @@
 	}
 }
 
-// contains reports whether it was true of a relay at a time.
+// contains reports whether the condition held for a relay at a time.
 func (r relayIntervals) contains(relay int, at time.Duration) bool {
 	return slices.ContainsFunc(r.byRelay[relay], func(i interval) bool { return i.contains(at) })
 }
 
-// absences are the intervals in which each relay did not serve: from the first sign of its end until it is ready again, and a
-// slack longer.
+// absences are the intervals in which each relay did not serve: from the first sign of its end until some slack after it was
+// ready again.
 type absences struct {
 	byRelay map[int][]interval
 	since   map[int]time.Duration // of relays that are absent now
 }
 
+// newAbsences returns no absences.
 func newAbsences() absences {
 	return absences{byRelay: map[int][]interval{}, since: map[int]time.Duration{}}
 }
 
-// begin notes that a relay stops serving; said again it changes nothing.
+// begin begins a relay's absence, unless it is absent.
 func (a absences) begin(relay int, at time.Duration) {
 	if _, absent := a.since[relay]; !absent {
 		a.since[relay] = at
@@ -69,7 +73,7 @@
 	}
 }
 
-// finish ends the run: relays that are absent stay so.
+// finish adds the absences that last until the end of the run.
 func (a absences) finish() {
 	for relay, from := range a.since {
 		a.byRelay[relay] = append(a.byRelay[relay], interval{from, never})
@@ -86,7 +90,7 @@
 	return 0, false
 }
 
-// unreadFor is how long a request lay unread at a relay that was halted when it came: nothing in it tells when it was sent, so
+// unreadFor is how long a request was unread as its relay was halted when it came: nothing in it says when it was sent, so
 // that its time counts from when it could be read.
 func (h *history) unreadFor(r *request) time.Duration {
 	for _, i := range h.halts.byRelay[r.relay] {
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// socketSlack is what the protocol adds to each limit in time on sockets.
+	// socketSlack is what the protocol adds to each limit in time for sockets.
 	socketSlack = 50 * time.Millisecond
-	// waitGrace is how long after a Retry-After was written attempts may still come.
-	waitGrace = 100 * time.Millisecond
-	// restartSlack after it is ready again a restarted relay's notices may be overdue.
+	// retryAfterGrace is how long after a Retry-After was written attempts may still come.
+	retryAfterGrace = 100 * time.Millisecond
+	// restartSlack is how long after a restarted relay is ready again its notices may be overdue.
 	restartSlack = 1500 * time.Millisecond
-	// lostAfter its deadline the terminal outcome of a request counts as lost: up to then it only earns nothing.
+	// lostAfter is how long after its deadline the terminal outcome of a request counts as missing, rather than late.
 	lostAfter = 500 * time.Millisecond
-	// crossingTime bounds how long messages of two sides may cross: an answer that is written while the relay cancels its
-	// attempt, a notice that is on its way while the next attempt is sent.
+	// crossingTime bounds how long messages in opposite directions may cross: a response that is written while the relay
+	// cancels its attempt, a notice that is in transit while the next attempt is sent.
 	crossingTime = 250 * time.Millisecond
-	// folderRetry is how long after a folder works again a relay may take to write to it what it could not.
+	// folderRetry is how long a relay may take to write what it could not, after its folder works again.
 	folderRetry = 150 * time.Millisecond
-	// overloadSlack is the slack for chance in the rule on recovering destinations, in attempts.
+	// overloadSlack is how many attempts more than its budget a recovering destination may get by chance.
 	overloadSlack = 3
-	// overloadShare of what overloaded a recovering destination must have come from relays that knew of its outage.
+	// overloadShare is the share of the attempts that overloaded a recovering destination which must be of relays that had
+	// observed its outage, to be a violation.
 	overloadShare = 2.0 / 3
-	// observedAfter is how long a relay must have held a request for a destination that refuses connections, to count as having
-	// observed the outage: what the kernel refuses no stand-in sees.
+	// observedAfter is how long a relay must have had a request in flight for a destination that refuses connections, to count
+	// as having observed the outage: a connection that the kernel refuses is in no log.
 	observedAfter = 500 * time.Millisecond
 )
 
-// rule checks a whole run, and reports the breaches that it finds.
-type rule func(h *history, log []Event)
+// check checks a whole run, and reports the violations that it finds.
+type check func(h *history, log []Event)
 
-// rules are all checks, in the order in which breaches at one time are reported. Each is in a file of its own, rule_NAME.go.
-var rules = []rule{
+// checks are all checks, in the order in which violations at one time are reported. Each is in a file of its own, rule_NAME.go.
+var checks = []check{
 	eachRequest(
 		(*history).checkOutcome,
 		(*history).checkAnswered,
@@ -51,8 +52,8 @@
 	(*history).checkMetrics,
 }
 
-// eachRequest applies checks of one request to each of a run, all checks to one before the next.
-func eachRequest(checks ...func(h *history, r *request)) rule {
+// eachRequest returns a check that applies checks of one request to each of a run, all checks to one before the next.
+func eachRequest(checks ...func(h *history, r *request)) check {
 	return func(h *history, _ []Event) {
 		for _, r := range h.requests {
 			for _, check := range checks {
@@ -62,20 +63,20 @@
 	}
 }
 
-// Judge checks a run that ended at a time against all rules, and counts what came of it.
-func Judge(f Parameters, log []Event, end time.Duration) *Report {
+// Judge checks the log of a run that ended at a time against all rules, and counts what happened.
+func Judge(parameters Parameters, log []Event, end time.Duration) *Report {
 	log = byTime(log)
-	h := readHistory(f, log, end)
-	for _, check := range rules {
+	h := readHistory(parameters, log, end)
+	for _, check := range checks {
 		check(h, log)
 	}
 	slices.SortStableFunc(h.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	r := &Report{Violations: append([]Violation{}, h.violations...)} // never null in JSON
-	h.count(r, log)
-	return r
+	report := &Report{Violations: append([]Violation{}, h.violations...)} // never null in JSON
+	h.count(report, log)
+	return report
 }
 
-// report reports a breach. A relay is numbered from 1 there; a destination below 0 is none.
+// report adds a violation, in which relays are numbered from 1. A destination below 0 stands for none.
 func (h *history) report(rule Rule, at time.Duration, id string, relay, destination int, format string, args ...any) {
 	name := ""
 	if destination >= 0 && destination < len(h.Destinations) {
@@ -84,10 +85,10 @@
 	h.violations = append(h.violations, Violation{rule, at, id, relay + 1, name, fmt.Sprintf(format, args...)})
 }
 
-// reportRequest reports a breach that concerns a request.
+// reportRequest adds a violation that concerns a request.
 func (h *history) reportRequest(rule Rule, at time.Duration, r *request, format string, args ...any) {
 	h.report(rule, at, r.id, r.relay, r.destination, format, args...)
 }
 
-// formatTime writes a time for people.
+// formatTime formats a time for people.
 func formatTime(t time.Duration) string { return fmt.Sprintf("%.3f s", t.Seconds()) }
--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -1,16 +1,16 @@
 package checker
 
-// Counts are what came of all messages. A message is counted once, however often its client came with it.
+// Counts counts the messages of a run by their outcome, each once however often its client submitted it, and its events.
 type Counts struct {
 	Requested     int `json:"asked"`
 	Delivered     int `json:"delivered"`
-	InTime        int `json:"in_time"` // within its class's latency objective
-	Rejected      int `json:"refused"` // not delivered; the last answer was to come again
-	Failed        int `json:"failed"`  // not delivered; the last answer was that it failed
-	Unserved      int `json:"unserved"`
+	InTime        int `json:"in_time"`  // within its class's latency objective
+	Rejected      int `json:"refused"`  // not delivered; the last response or notice allowed to submit it again
+	Failed        int `json:"failed"`   // not delivered; the last response or notice was that it failed
+	Unserved      int `json:"unserved"` // not delivered, without either
 	Submissions   int `json:"hand_ins"`
 	Accepted      int `json:"taken_on"`
-	Unanswered    int `json:"unheard"` // submissions without an answer
+	Unanswered    int `json:"unheard"` // submissions without a response
 	Deferred      int `json:"notices_deferred"`
 	Undeliverable int `json:"notices_undeliverable"`
 
@@ -19,10 +19,10 @@
 	Probes            int            `json:"probes"`
 	Connections       int            `json:"connections"`
 	Executions        int            `json:"effects"`
-	WastedExecutions  int            `json:"effects_for_nothing"` // of messages that had it already, or had ended
+	WastedExecutions  int            `json:"effects_for_nothing"` // of messages that had been executed before
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Violations      []Violation          `json:"breaches"`
 	DeliveredWeight DeliveredWeight      `json:"worth"`
@@ -32,7 +32,7 @@
 	TimeToDelivery  map[string]Quantiles `json:"time_to_delivery_s"` // by class
 }
 
-// count counts what no rule needs: in all, by relay and by destination.
+// count counts the events of a log: in all, by relay and by destination.
 func (h *history) count(r *Report, log []Event) {
 	r.Relays = make([]Counts, h.Settings.Instances)
 	r.Destinations = make([]Counts, len(h.Destinations))
@@ -50,8 +50,8 @@
 	}
 }
 
-// attributed returns an event with its relay and destination, and whether it is counted at all: of answers and notices the first
-// one of a request is.
+// attributed returns an event with its relay and destination, and whether it is counted at all: of the responses to a request
+// and of its notices only the first one is.
 func (h *history) attributed(e Event) (Event, bool) {
 	request := h.requestsByID[e.ID]
 	switch e.Kind {
@@ -83,7 +83,7 @@
 	return e, true
 }
 
-// add counts an event. An effect is of no relay: nothing tells which one's attempt it was.
+// add counts an event. An execution is of no relay: the log does not say whose attempt it was.
 func (r *Report) add(e Event) {
 	r.Counts.add(e)
 	if e.Kind != Executed && e.Relay < len(r.Relays) {
--- a/internal/faultinjection/checker/history.go
+++ b/internal/faultinjection/checker/history.go
@@ -5,98 +5,28 @@
 	"time"
 )
 
-// unset stands for a time at which nothing happened.
-const unset = time.Duration(-1)
-
-// attempt is one call that a relay made for a request, or a probe of an endpoint.
-type attempt struct {
-	relay, destination  int
-	endpoint            string
-	firstByte, lastByte time.Duration
-	endedAt             time.Duration // unset: never
-	outcome             string
-	retryAfter          time.Duration
-	probe               bool
-}
-
-// mayHaveExecuted reports what the relay could know: only a rejection proves that an attempt was not executed.
-func (a *attempt) mayHaveExecuted() bool {
-	return a.outcome != Rejected && a.outcome != RetryAfter && a.outcome != NotSent
-}
-
-// failed reports whether the relay saw the destination fail or reject.
-func (a *attempt) failed() bool { return a.outcome != OK && a.outcome != NotSent }
-
-// overlaps reports whether an attempt was still in flight when a later one was sent whole.
-func (a *attempt) overlaps(later *attempt) bool {
-	return a.endedAt < 0 || a.endedAt > later.lastByte+socketSlack
-}
-
-// request is a message under one id, as a client submitted it or a relay redelivered it.
-type request struct {
-	id                          string
-	message, relay, destination int
-	class                       int
-	orderKey                    string
-	subject                     string
-	submittedAt, deadline       time.Duration
-	answeredAt                  time.Duration // unset: never
-	status                      int           // of the answer
-	accepted                    bool
-	attempts                    []*attempt
-	deliveredAt                 time.Duration // unset: not
-	expiredAt                   time.Duration // when an attempt was answered that the deadline has passed; unset: not
-	notices                     []Event
-	effects                     int             // how often a destination executed it
-	redelivery                  bool            // under an id of the relay's making
-	fromStore                   bool            // it was a dead letter before the run
-	closedAt                    []time.Duration // when its connection was, without an answer
-	machineLostAt               time.Duration   // unset: not
-}
-
-// newRequest returns a request to which nothing has happened.
-func newRequest(e Event) *request {
-	return &request{
-		id: e.ID, message: e.Message, relay: e.Relay, destination: e.Destination, class: e.Class, orderKey: e.OrderKey, subject: e.Subject,
-		submittedAt: e.At, deadline: e.At + e.Duration,
-		answeredAt: unset, deliveredAt: unset, expiredAt: unset, machineLostAt: unset,
-	}
-}
-
-// completedAt is when a request came to its terminal outcome, or unset.
-func (r *request) completedAt() time.Duration {
-	end := r.deliveredAt
-	if len(r.notices) > 0 && (end < 0 || r.notices[0].At < end) {
-		end = r.notices[0].At
-	}
-	if r.expiredAt >= 0 && (end < 0 || r.expiredAt < end) {
-		end = r.expiredAt
-	}
-	return end
-}
-
-// history is a run, put together by request, attempt and relay.
+// history is a run, by request, attempt and relay.
 type history struct {
 	Parameters
 	end              time.Duration // of the run
 	requestsByID     map[string]*request
 	requests         []*request // in order of submission
 	attemptsByNumber map[int]*attempt
-	attempts         []*attempt // probes too, by their last byte
+	attempts         []*attempt // with health checks, in the order of their last bytes
 	absences         absences
 	processEnds      map[int][]time.Duration // by relay
 	machineLosses    map[int][]time.Duration // by relay
 	folderFailures   relayIntervals          // when each relay's folder failed
-	socketFailures   relayIntervals          // when connections of each were made to look broken
-	halts            relayIntervals          // when each did not run
+	socketFailures   relayIntervals          // when connections of each relay were made to look broken
+	halts            relayIntervals          // when the process of each relay was stopped
 	violations       []Violation
 }
 
-// readHistory puts a log together, whose events are in order of time. Attempts that belong to no request, or to one of another
-// destination, are breaches.
-func readHistory(f Parameters, log []Event, end time.Duration) *history {
+// readHistory reads a log whose events are ordered by time. Attempts that belong to no request, or to one of another
+// destination, are violations.
+func readHistory(parameters Parameters, log []Event, end time.Duration) *history {
 	h := &history{
-		Parameters: f, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
+		Parameters: parameters, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
 		processEnds: map[int][]time.Duration{}, machineLosses: map[int][]time.Duration{},
 		folderFailures: newRelayIntervals(), socketFailures: newRelayIntervals(), halts: newRelayIntervals(),
 	}
@@ -121,7 +51,7 @@
 	h.requests = append(h.requests, r)
 }
 
-// readRequestEvent reads an event that tells of a request or an attempt.
+// readRequestEvent reads an event that concerns a request or an attempt.
 func (h *history) readRequestEvent(e Event) {
 	switch e.Kind {
 	case Submitted:
@@ -142,27 +72,7 @@
 	}
 }
 
-// read reads an event that concerns this request alone.
-func (r *request) read(e Event) {
-	switch e.Kind {
-	case Answered:
-		if r.answeredAt < 0 {
-			r.answeredAt, r.status = e.At, e.Status
-			r.accepted = isAcceptance(e.Status)
-		}
-	case Executed:
-		r.effects++
-	case Notified:
-		r.notices = append(r.notices, e)
-	case AnswerMissed:
-		if e.OK {
-			r.closedAt = append(r.closedAt, e.At)
-		}
-	default:
-	}
-}
-
-// addAttempt reads the last byte of an attempt or a probe.
+// addAttempt reads the last byte of an attempt or a health check.
 func (h *history) addAttempt(e Event) {
 	a := &attempt{
 		relay: e.Relay, destination: e.Destination, endpoint: e.Endpoint, firstByte: e.FirstByte, lastByte: e.At, endedAt: unset,
@@ -197,11 +107,11 @@
 	case e.Outcome == OK && r.deliveredAt < 0:
 		r.deliveredAt = e.At
 	case e.Outcome == NotSent && a.lastByte > r.deadline && r.expiredAt < 0:
-		r.expiredAt = e.At // the platform has told the relay that the deadline has passed: no outcome is owed any more
+		r.expiredAt = e.At // the relay was notified that the deadline has passed: no outcome is due any more
 	}
 }
 
-// readRelayEvent reads an event that tells of a relay's process, machine, folder or sockets.
+// readRelayEvent reads an event that concerns a relay's process, machine, folder or sockets.
 func (h *history) readRelayEvent(e Event) {
 	switch e.Kind {
 	case Stopping:
--- a/internal/faultinjection/checker/rule_accepted_late.go
+++ b/internal/faultinjection/checker/rule_accepted_late.go
@@ -1,6 +1,6 @@
 package checker
 
-// checkAcceptedLate checks that requests are accepted in order to be delivered: not only once they were, for over half of them.
+// checkAcceptedLate checks that a relay accepts requests before it has delivered them, at least half of a run's.
 func (h *history) checkAcceptedLate(_ []Event) {
 	accepted, late := 0, 0
 	var last *request
--- a/internal/faultinjection/checker/rule_answered.go
+++ b/internal/faultinjection/checker/rule_answered.go
@@ -1,7 +1,7 @@
 package checker
 
-// checkAnswered checks that no relay closed a new connection on a request that was sent whole, without an answer. It is no
-// breach by a process that ended, or on a connection that was made to look broken.
+// checkAnswered checks that no relay closed a new connection without a response to a complete request. By a process that
+// ended, or on a connection that was made to look broken, it is no violation.
 func (h *history) checkAnswered(r *request) {
 	for _, at := range r.closedAt {
 		_, absent := h.excused(r.relay, at)
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -7,10 +7,10 @@
 	"frostlink/internal/settings"
 )
 
-// failedWatchFactor stretches the time within which a relay must ask for the endpoint list, after a watch that failed.
+// failedWatchFactor extends the time within which a relay must poll the endpoint list, after a watch that failed.
 const failedWatchFactor = 4
 
-// discoveryEvents say what a relay could know of the endpoint list.
+// discoveryEvents are the kinds of events that decide what a relay can know of the endpoint list.
 var discoveryEvents = map[Kind]bool{
 	EndpointShown: true, DiscoveryDown: true, DiscoveryUp: true, WatchRequested: true, WatchEnded: true, WatchSilent: true, Ready: true, Resumed: true,
 	DiscoveryMoved: true, Killed: true, MachineLost: true, Crashed: true, Halted: true,
@@ -22,8 +22,8 @@
 	endpoint string
 }
 
-// checkDraining checks that no relay sent anything new to an endpoint later than the grace after it was notified, or counts as
-// notified, that the endpoint drains or is removed.
+// checkDraining checks that no relay sent anything new to an endpoint later than the grace period after it was notified, or
+// counts as notified, that the endpoint drains or is removed.
 func (h *history) checkDraining(log []Event) {
 	notified := h.drainingNotified(log)
 	grace := settings.Seconds(h.Settings.Rules.DrainGraceS) + socketSlack
@@ -38,8 +38,8 @@
 	}
 }
 
-// drainingNotified returns when each relay was first notified, or counts as notified, of each endpoint that drains or is
-// removed.
+// drainingNotified returns when each relay was first notified, or counts as notified, that an endpoint drains or is removed,
+// for each such endpoint.
 func (h *history) drainingNotified(log []Event) map[relayEndpoint]time.Duration {
 	notified := map[relayEndpoint]time.Duration{}
 	note := func(key relayEndpoint, at time.Duration) {
@@ -64,18 +64,21 @@
 	return notified
 }
 
-// watchState is what is known of a relay's watch on the endpoint list, at some point of a log, as far as it matters for one
-// change that discovery showed.
+// watchState is the state of a relay's watch on the endpoint list at some point of a log, as far as it matters for one change
+// that discovery showed.
 type watchState struct {
-	shown      time.Duration // when discovery showed the change
-	tellWithin time.Duration // what discovery shows counts as told after this, while it is up
-	askWithin  time.Duration // a relay without a watch has to ask so often
+	shownAt      time.Duration // when discovery showed the change
+	notifyWithin time.Duration // a relay counts as notified after this, while discovery is up
+	pollWithin   time.Duration // a relay without a watch has to poll as often
 
-	up, alive, watching bool
-	upSince             time.Duration // discovery could tell the relay, from shown on
-	since               time.Duration // the relay last watched or asked
-	silentSince         time.Duration // its watch says nothing from then on; never: it does
-	patience            time.Duration // from since on, it has to ask
+	up       bool // discovery
+	alive    bool // the relay
+	watching bool
+
+	reachableSince time.Duration // from shownAt on, discovery could notify the relay from then on
+	lastContact    time.Duration // when the relay last watched or polled
+	silentSince    time.Duration // its watch sends nothing from then on; never: it does
+	pollDue        time.Duration // how long after lastContact the relay has to poll
 }
 
 // notifiedBefore returns when the relay counts as notified of the change, if that is before a time; else never.
@@ -84,61 +87,61 @@
 		return never
 	}
 	earliest := never
-	consider := func(t time.Duration) {
-		if t < at {
-			earliest = min(earliest, t)
+	consider := func(notifiedAt time.Duration) {
+		if notifiedAt < at {
+			earliest = min(earliest, notifiedAt)
 		}
 	}
-	if w.up && w.upSince+w.tellWithin < at {
-		consider(max(w.shown, w.upSince) + w.tellWithin)
+	if w.up && w.reachableSince+w.notifyWithin < at {
+		consider(max(w.shownAt, w.reachableSince) + w.notifyWithin)
 	}
 	if w.silentSince < never {
-		consider(max(w.silentSince+w.tellWithin, w.shown)) // one clock for all that a silent watch misses
+		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // one time limit for all that a silent watch misses
 	}
 	if !w.watching {
-		consider(max(w.since, w.shown) + w.patience)
+		consider(max(w.lastContact, w.shownAt) + w.pollDue)
 	}
 	return earliest
 }
 
-// read takes in an event of discovery, or one of this relay.
+// read reads an event of discovery, or of this relay.
 func (w *watchState) read(e Event) {
 	switch e.Kind {
 	case DiscoveryDown:
 		w.up = false
 	case DiscoveryUp:
-		w.up, w.upSince = true, max(e.At, w.shown)
+		w.up, w.reachableSince = true, max(e.At, w.shownAt)
 	case WatchSilent:
 		w.silentSince = e.At
 	case WatchRequested:
-		w.since, w.watching, w.patience = e.At, e.OK, w.askWithin
+		w.lastContact, w.watching, w.pollDue = e.At, e.OK, w.pollWithin
 		if e.OK {
 			w.silentSince = never
 		} else {
-			w.patience = failedWatchFactor * w.askWithin
+			w.pollDue = failedWatchFactor * w.pollWithin
 		}
 	case WatchEnded:
-		w.since, w.watching, w.patience = e.At, false, w.askWithin
+		w.lastContact, w.watching, w.pollDue = e.At, false, w.pollWithin
 	case Ready, Resumed:
-		w.alive, w.since, w.upSince = true, e.At, max(w.upSince, e.At)
+		w.alive, w.lastContact, w.reachableSince = true, e.At, max(w.reachableSince, e.At)
 	case DiscoveryMoved:
-		w.upSince, w.silentSince = max(w.upSince, e.At), never
+		w.reachableSince, w.silentSince = max(w.reachableSince, e.At), never
 	case Killed, MachineLost, Crashed, Halted:
 		w.alive, w.watching, w.silentSince = false, false, never
 	default:
 	}
 }
 
-// countsAsNotified is when a relay counts as notified of what discovery showed at a time: once discovery was up for long enough
-// since, or the relay neither watched nor asked for as long as the settings allow.
-func (h *history) countsAsNotified(log []Event, relay int, shown time.Duration) time.Duration {
-	within := settings.Seconds(h.Settings.Rules.PollWithinS)
+// countsAsNotified is when a relay counts as notified of what discovery showed at a time: once discovery has been up for long
+// enough since, or the relay has neither watched nor polled for as long as the settings allow.
+func (h *history) countsAsNotified(log []Event, relay int, shownAt time.Duration) time.Duration {
+	pollWithin := settings.Seconds(h.Settings.Rules.PollWithinS)
 	w := &watchState{
-		shown: shown, tellWithin: h.NotifyWithin, askWithin: within,
-		up: true, upSince: shown, silentSince: never, patience: within,
+		shownAt: shownAt, notifyWithin: h.NotifyWithin, pollWithin: pollWithin,
+		up: true, reachableSince: shownAt, silentSince: never, pollDue: pollWithin,
 	}
 	for _, e := range log {
-		if e.At > shown {
+		if e.At > shownAt {
 			if at := w.notifiedBefore(e.At); at < never {
 				return at
 			}
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -6,17 +6,18 @@
 	"frostlink/internal/settings"
 )
 
-// The effects of a class, as the settings name them.
+// The idempotency of a class, as the settings name it.
 const (
-	retryable = "retryable" // may be repeated
-	dedup     = "dedup"     // repeats are dropped while the key is remembered
-	fragile   = "fragile"   // must not be repeated
+	idempotent      = "retryable"
+	idempotentByKey = "dedup" // destinations drop repeats while they remember the key
+	notIdempotent   = "fragile"
 )
 
-// checkIdempotency checks that no effect can have happened twice, and that no two attempts of a request were in flight at once.
+// checkIdempotency checks that a request can't have been executed twice where it must not be, and that no two of its attempts
+// were in flight at once.
 func (h *history) checkIdempotency(r *request) {
 	class := &h.Settings.Classes[r.class]
-	var first *attempt // that may have been executed
+	var first *attempt // the first that may have been executed
 	reported := false
 	for i, a := range r.attempts {
 		if earlier := h.concurrent(r.attempts[:i], a); earlier != nil {
@@ -30,17 +31,17 @@
 			first = a
 		}
 	}
-	if first != nil && class.Idempotency == fragile && !reported {
+	if first != nil && class.Idempotency == notIdempotent && !reported {
 		reported = h.checkReturned(r, first)
 	}
-	if r.effects > 1 && class.Idempotency != retryable && !reported {
+	if r.executions > 1 && class.Idempotency != idempotent && !reported {
 		last := r.attempts[len(r.attempts)-1]
-		h.reportRequest(ExecutedTwice, last.lastByte, r, "%s had its effect %d times", class.Name, r.effects)
+		h.reportRequest(ExecutedTwice, last.lastByte, r, "%s had its effect %d times", class.Name, r.executions)
 	}
 }
 
-// concurrent returns an earlier attempt that was still in flight when a later one was sent, or nil; where hedged requests are
-// allowed there is none to find.
+// concurrent returns an earlier attempt that was still in flight when a later one was sent, or nil. Where hedged requests are
+// allowed it returns none.
 func (h *history) concurrent(earlier []*attempt, a *attempt) *attempt {
 	if h.Settings.Limits.Hedging {
 		return nil
@@ -53,15 +54,15 @@
 	return nil
 }
 
-// checkRepeat checks an attempt after one that may have been executed, and reports whether it is a breach.
+// checkRepeat checks an attempt after one that may have been executed, and reports whether it is a violation.
 func (h *history) checkRepeat(r *request, first, a *attempt) bool {
 	class := &h.Settings.Classes[r.class]
 	switch class.Idempotency {
-	case fragile:
+	case notIdempotent:
 		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s sent to %s again, though the call to %s at %s (%s) may have run",
 			class.Name, a.endpoint, first.endpoint, formatTime(first.lastByte), first.outcome)
 		return true
-	case dedup:
+	case idempotentByKey:
 		if a.lastByte <= keyRememberedUntil(first, class) {
 			return false
 		}
@@ -79,7 +80,7 @@
 }
 
 // checkReturned checks that a request which must not be repeated, and may have been executed, was not returned to its client
-// as safe to submit again. It reports whether that is a breach.
+// as safe to submit again. It reports whether it was.
 func (h *history) checkReturned(r *request, first *attempt) bool {
 	for _, n := range r.notices {
 		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
--- a/internal/faultinjection/checker/rule_order.go
+++ b/internal/faultinjection/checker/rule_order.go
@@ -6,7 +6,8 @@
 	"frostlink/internal/settings"
 )
 
-// checkOrder checks that requests with one order key were sent one at a time, in the order in which their relay accepted them.
+// checkOrder checks that requests with one order key were sent one at a time, in the order in which their relay accepted
+// them.
 func (h *history) checkOrder(_ []Event) {
 	type key struct {
 		relay int
@@ -28,7 +29,7 @@
 	}
 }
 
-// overtaken returns a request that was accepted before another with its key, and did not allow it to be sent yet when it was;
+// overtaken returns a request that was accepted before another one with its key, and still blocked the key when that was sent;
 // nil for none.
 func (h *history) overtaken(earlier []*request, r *request) *request {
 	if len(r.attempts) == 0 {
@@ -37,7 +38,7 @@
 	sent := r.attempts[0].firstByte
 	cooldown := settings.Seconds(h.Settings.Rules.OrderKeyCooldownS)
 	for _, e := range earlier {
-		// Only where one answer came before the other request is it known which was accepted first.
+		// Which was accepted first is known only if the response to one came before the other was submitted.
 		if e.answeredAt >= r.submittedAt || h.restarted(e.relay, e.answeredAt, sent) {
 			continue
 		}
@@ -48,12 +49,12 @@
 	return nil
 }
 
-// blocksKeyAt reports whether a request did not allow the next of its order key to be sent at a time: it was not completed, had
-// an attempt in flight, or one whose outcome is unknown had ended less than a cooldown before.
+// blocksKeyAt reports whether a request blocked its order key at a time: it was not completed, had an attempt in flight, or one
+// with unknown outcome had ended less than the cooldown before.
 func (r *request) blocksKeyAt(sent, cooldown time.Duration) bool {
-	end := r.completedAt()
-	unnoticed := r.deliveredAt >= 0 && len(r.notices) == 0 // its delivery is known to the relay alone: nothing crosses
-	if end < 0 || end > sent+crossingTime || unnoticed && end > sent {
+	completed := r.completedAt()
+	withoutNotice := r.deliveredAt >= 0 && len(r.notices) == 0 // there is nothing that could cross with the attempt
+	if completed < 0 || completed > sent+crossingTime || withoutNotice && completed > sent {
 		return true
 	}
 	for _, a := range r.attempts {
--- a/internal/faultinjection/checker/rule_outcome.go
+++ b/internal/faultinjection/checker/rule_outcome.go
@@ -14,7 +14,8 @@
 	h.checkNothingAfter(r)
 }
 
-// outcomeDue is when the outcome of a request is due: a relay that is absent then gets until it is back.
+// outcomeDue is when the outcome of a request is due. A relay that is absent then has until it is back; never: it does not
+// come back.
 func (h *history) outcomeDue(r *request) time.Duration {
 	due := r.deadline + h.unreadFor(r) + settings.Seconds(h.Settings.Rules.AnswerSlackS)
 	for {
@@ -29,24 +30,24 @@
 	}
 }
 
-// checkInTime checks that a request has an outcome in time. It reports false where there is none to look at any further.
+// checkInTime checks that a request has an outcome in time. It reports whether there is one for further checks.
 func (h *history) checkInTime(r *request) bool {
-	due, end := h.outcomeDue(r), r.completedAt()
+	due, completed := h.outcomeDue(r), r.completedAt()
 	switch {
-	case r.machineLostAt >= 0 && (end < 0 || end >= r.machineLostAt):
+	case r.machineLostAt >= 0 && (completed < 0 || completed >= r.machineLostAt):
 		return false // the relay's machine was lost, and the request with it
-	case end < 0 && due < h.end:
+	case completed < 0 && due < h.end:
 		h.reportRequest(OutcomeMissing, due, r, "taken on at %s, no end by %s", formatTime(r.answeredAt), formatTime(due))
 		return false
-	case end > max(due, r.deadline+lostAfter+socketSlack):
-		h.reportRequest(OutcomeMissing, end, r, "ended at %s, %s after its time was up: that is no end", formatTime(end), formatTime(end-r.deadline))
-	case end > due:
-		h.reportRequest(OutcomeLate, end, r, "ended at %s, due by %s", formatTime(end), formatTime(due))
+	case completed > max(due, r.deadline+lostAfter+socketSlack):
+		h.reportRequest(OutcomeMissing, completed, r, "ended at %s, %s after its time was up: that is no end", formatTime(completed), formatTime(completed-r.deadline))
+	case completed > due:
+		h.reportRequest(OutcomeLate, completed, r, "ended at %s, due by %s", formatTime(completed), formatTime(due))
 	}
 	return true
 }
 
-// checkNotices checks that a request's notices agree with one another and with its delivery. It reports false after a breach.
+// checkNotices checks that a request's notices agree with one another and with its delivery, and reports whether they do.
 func (h *history) checkNotices(r *request) bool {
 	first := r.notices[0]
 	for _, n := range r.notices {
@@ -59,7 +60,7 @@
 	if r.deliveredAt < 0 || crossing {
 		return true
 	}
-	// An answer that a process did not live to record is no second outcome.
+	// A response that a process could not record before it ended is no second outcome.
 	if _, absent := h.excused(r.relay, r.deliveredAt+crossingTime); absent || h.couldNotRecord(r.relay, r.deliveredAt) {
 		return true
 	}
@@ -70,11 +71,11 @@
 
 // checkNothingAfter checks that no attempt began after the platform had a request's notice.
 func (h *history) checkNothingAfter(r *request) {
-	noticedAt := r.notices[0].At
+	notifiedAt := r.notices[0].At
 	for _, a := range r.attempts {
-		if a.firstByte > noticedAt+crossingTime && a.outcome != OK {
+		if a.firstByte > notifiedAt+crossingTime && a.outcome != OK {
 			h.reportRequest(OutcomeTwice, a.firstByte, r, "sent to %s at %s, after its end at %s", a.endpoint,
-				formatTime(a.firstByte), formatTime(noticedAt))
+				formatTime(a.firstByte), formatTime(notifiedAt))
 			return
 		}
 	}
--- a/internal/faultinjection/checker/rule_overwrite.go
+++ b/internal/faultinjection/checker/rule_overwrite.go
@@ -1,25 +1,25 @@
 package checker
 
-// subject is what requests of a class are about, at a destination.
-type subject struct {
+// topic identifies the requests that supersede one another: those of a class and subject to a destination.
+type topic struct {
 	destination, class int
-	name               string
+	subject            string
 }
 
-// checkOverwrites checks that no redelivery began to be delivered after a newer message of its subject had been. It reports the
-// first one only.
+// checkOverwrites checks that no redelivery was sent after a newer message of its topic had been delivered. It reports the first
+// one only.
 func (h *history) checkOverwrites(_ []Event) {
-	delivered := map[subject][]*request{}
+	delivered := map[topic][]*request{}
 	for _, r := range h.requests {
 		if r.subject != "" && r.deliveredAt >= 0 {
-			delivered[r.about()] = append(delivered[r.about()], r)
+			delivered[r.topic()] = append(delivered[r.topic()], r)
 		}
 	}
 	for _, r := range h.requests {
 		if !r.redelivery || r.subject == "" {
 			continue
 		}
-		if a, newer := overwriting(r, delivered[r.about()]); a != nil {
+		if a, newer := overwriting(r, delivered[r.topic()]); a != nil {
 			h.report(Overwritten, a.firstByte, r.id, a.relay, r.destination, "a status of %s resent after a newer one, %s, was delivered at %s",
 				r.subject, newer.id, formatTime(newer.deliveredAt))
 			return
@@ -27,8 +27,8 @@
 	}
 }
 
-// about is the subject of a request.
-func (r *request) about() subject { return subject{r.destination, r.class, r.subject} }
+// topic is the topic of a request.
+func (r *request) topic() topic { return topic{r.destination, r.class, r.subject} }
 
 // overwriting returns an attempt of a redelivery that may have overwritten a newer message, and that message; nil for none.
 func overwriting(r *request, delivered []*request) (*attempt, *request) {
--- a/internal/faultinjection/checker/rule_redelivery.go
+++ b/internal/faultinjection/checker/rule_redelivery.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// checkRedeliveries checks attempts under ids of relays' own making: what the class allows holds over all ids of a message.
+// checkRedeliveries checks that attempts under ids of relays' own making keep to what the class of their message allows, over
+// all ids of the message.
 func (h *history) checkRedeliveries(_ []Event) {
 	byMessage := map[int][]*request{}
-	any := false
+	redelivered := false
 	for _, r := range h.requests {
 		byMessage[r.message] = append(byMessage[r.message], r)
-		any = any || r.redelivery
+		redelivered = redelivered || r.redelivery
 	}
-	if !any {
+	if !redelivered {
 		return
 	}
 	for _, requests := range byMessage {
@@ -21,29 +22,30 @@
 	}
 }
 
-// lineage are the attempts of one message under all its ids, by their last byte.
+// lineage is one message under all its ids.
 type lineage struct {
-	attempts []*attempt
-	of       map[*attempt]*request
+	attempts  []*attempt // in the order of their last bytes
+	requestOf map[*attempt]*request
 }
 
+// newLineage returns the lineage of the requests for one message.
 func newLineage(requests []*request) lineage {
-	l := lineage{of: map[*attempt]*request{}}
+	l := lineage{requestOf: map[*attempt]*request{}}
 	for _, r := range requests {
 		for _, a := range r.attempts {
 			l.attempts = append(l.attempts, a)
-			l.of[a] = r
+			l.requestOf[a] = r
 		}
 	}
 	slices.SortStableFunc(l.attempts, func(a, b *attempt) int { return cmp.Compare(a.lastByte, b.lastByte) })
 	return l
 }
 
-// checkLineage checks the attempts of one message up to the first breach.
+// checkLineage checks the attempts of one message up to the first violation.
 func (h *history) checkLineage(l lineage) {
 	var mayHaveExecuted, delivered *attempt // the first of each
 	for _, a := range l.attempts {
-		if l.of[a].redelivery && h.checkRedelivery(l, a, mayHaveExecuted, delivered) {
+		if l.requestOf[a].redelivery && h.checkRedelivery(l, a, mayHaveExecuted, delivered) {
 			return
 		}
 		if a.outcome == OK && delivered == nil {
@@ -55,16 +57,16 @@
 	}
 }
 
-// checkRedelivery checks an attempt of a redelivery against those before it, and reports whether it is a breach.
+// checkRedelivery checks an attempt of a redelivery against those before it, and reports whether it is a violation.
 func (h *history) checkRedelivery(l lineage, a, mayHaveExecuted, delivered *attempt) bool {
-	r := l.of[a]
+	r := l.requestOf[a]
 	class := &h.Settings.Classes[r.class]
 	switch {
-	case delivered != nil && class.Idempotency != retryable:
+	case delivered != nil && class.Idempotency != idempotent:
 		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s resent, though it was delivered at %s", class.Name, formatTime(delivered.endedAt))
 		return true
-	case mayHaveExecuted != nil && class.Idempotency == fragile,
-		mayHaveExecuted != nil && class.Idempotency == dedup && a.lastByte > keyRememberedUntil(mayHaveExecuted, class):
+	case mayHaveExecuted != nil && class.Idempotency == notIdempotent,
+		mayHaveExecuted != nil && class.Idempotency == idempotentByKey && a.lastByte > keyRememberedUntil(mayHaveExecuted, class):
 		h.report(ExecutedTwice, a.lastByte, r.id, a.relay, r.destination, "%s resent %s after a call (%s) that may have run", class.Name,
 			formatTime(a.lastByte-mayHaveExecuted.lastByte), mayHaveExecuted.outcome)
 		return true
--- a/internal/faultinjection/checker/rule_restart.go
+++ b/internal/faultinjection/checker/rule_restart.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// half is the share of a run's requests beyond which a term that counts over the run is broken.
+	// half is the share of requests beyond which a rule that counts over a whole run is violated.
 	half = 0.5
-	// fewUntried requests that restarts find untried, or fewer, say nothing.
+	// fewUntried is how many requests without an attempt prove nothing, or fewer.
 	fewUntried = 3
 )
 
-// checkRestartedUntried checks that what restarts find accepted and untried is still tried: at most half of it may be given up
-// without an attempt.
+// checkRestartedUntried checks that requests which a restart finds accepted and without an attempt still get one: at most half
+// of them may fail without.
 func (h *history) checkRestartedUntried(log []Event) {
-	out := outages(log)
+	outages := readOutages(log)
 	found, failed := 0, 0
 	var last *request
 	for relay, ends := range h.processEnds {
 		for _, end := range ends {
-			for _, r := range h.untriedBy(relay, end, readyAfter(log, relay, end), out) {
+			for _, r := range h.untriedBy(relay, end, readyAfter(log, relay, end), outages) {
 				found++
 				if r.failedUntried() {
 					failed, last = failed+1, r
@@ -31,18 +31,18 @@
 	}
 }
 
-// untriedBy returns the requests that a process which ended left accepted and untried, and that the next one, once it was
-// ready, could still have tried.
-func (h *history) untriedBy(relay int, end, ready time.Duration, out []outage) (untried []*request) {
+// untriedBy returns the requests that a process which ended left accepted and without an attempt, and for which the next
+// process, once it was ready, could still have made one.
+func (h *history) untriedBy(relay int, end, ready time.Duration, outages []outage) (untried []*request) {
 	for _, r := range h.requests {
-		if r.relay == relay && r.untriedAt(end) && r.deadline > ready && !destinationOut(out, r, ready) {
+		if r.relay == relay && r.untriedAt(end) && r.deadline > ready && !destinationOut(outages, r, ready) {
 			untried = append(untried, r)
 		}
 	}
 	return untried
 }
 
-// readyAfter is when a relay next took clients after its process ended; never: it did not.
+// readyAfter is when a relay was next ready after its process ended; never: it was not.
 func readyAfter(log []Event, relay int, end time.Duration) time.Duration {
 	for _, e := range log {
 		if e.Kind == Ready && e.Relay == relay && e.At >= end {
@@ -52,8 +52,8 @@
 	return never
 }
 
-// untriedAt reports whether a request was accepted by a time, had no outcome and no attempt by then, and no machine was lost
-// with it.
+// untriedAt reports whether a request was accepted by a time, had neither outcome nor attempt by then, and was not lost with its
+// relay's machine.
 func (r *request) untriedAt(at time.Duration) bool {
 	if !r.accepted || r.redelivery || r.answeredAt > at || r.machineLostAt >= 0 {
 		return false
@@ -64,13 +64,13 @@
 	return len(r.attempts) == 0 || r.attempts[0].firstByte > at
 }
 
-// failedUntried reports whether a request ended by a notice, and no attempt was ever made for it.
+// failedUntried reports whether a request failed without an attempt.
 func (r *request) failedUntried() bool { return len(r.attempts) == 0 && len(r.notices) > 0 }
 
-// destinationOut reports whether a request's destination was out as a whole for some of what was left of its time: attempts
-// that a kernel refuses are seen by no stand-in, and a destination that is back may have to be spared.
-func destinationOut(out []outage, r *request, from time.Duration) bool {
-	for _, o := range out {
+// destinationOut reports whether a request's destination was out as a whole at some time before its deadline: connections that
+// a kernel refuses are in no log, and a destination that is back may have to be spared.
+func destinationOut(outages []outage, r *request, from time.Duration) bool {
+	for _, o := range outages {
 		if o.destination == r.destination && o.from < r.deadline && o.to > from {
 			return true
 		}
--- a/internal/faultinjection/checker/rule_retry_after.go
+++ b/internal/faultinjection/checker/rule_retry_after.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// route is one relay's way to one destination.
+// route is one relay and one destination.
 type route struct{ relay, destination int }
 
-// hold is a time in which a relay may send nothing on a route, since it was answered to retry after it.
+// hold is a time during which a relay may send nothing on a route, after a response with a Retry-After.
 type hold struct{ from, until time.Duration }
 
-// checkRetryAfter checks that a relay that was answered with a Retry-After sent nothing to that destination until it was over.
+// checkRetryAfter checks that a relay which got a Retry-After sent nothing to the destination until it was over.
 func (h *history) checkRetryAfter(_ []Event) {
 	holds := h.holds()
 	for _, a := range h.attempts {
 		on := route{a.relay, a.destination}
 		// Attempts come in the order of their last bytes: a hold that is over for one is over for all that follow.
-		holds[on] = slices.DeleteFunc(holds[on], func(w hold) bool {
-			if a.lastByte >= w.until {
+		holds[on] = slices.DeleteFunc(holds[on], func(held hold) bool {
+			if a.lastByte >= held.until {
 				return true
 			}
-			if a.lastByte <= w.from+waitGrace {
+			if a.lastByte <= held.from+retryAfterGrace {
 				return false
 			}
 			h.report(RetryAfterIgnored, a.lastByte, h.idOf(a), a.relay, a.destination, "call to %s %s before the end of a wait told at %s", a.endpoint,
-				formatTime(w.until-a.lastByte), formatTime(w.from))
-			return true // one report a hold
+				formatTime(held.until-a.lastByte), formatTime(held.from))
+			return true // one violation a hold
 		})
 	}
 }
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -1,16 +1,15 @@
 package checker
 
 import (
-	"net/http"
 	"time"
 
 	"frostlink/internal/settings"
 )
 
-// worstSpan is the width of the worst stretch, and worstStep by how much it is moved.
-const worstSpan, worstStep = 10 * time.Second, time.Second
+// windowLength is the length of the windows of which the worst is reported, and windowStep how far apart they begin.
+const windowLength, windowStep = 10 * time.Second, time.Second
 
-// Request is a message as the script drew it.
+// Request is a message as the scenario's workload has it.
 type Request struct {
 	At          time.Duration
 	Destination int
@@ -19,7 +18,7 @@
 	OverQuota   bool
 }
 
-// DeliveredWeight is worth delivered over worth asked for, from 0 to 1.
+// DeliveredWeight is the delivered share of the priority weight that was requested, from 0 to 1.
 type DeliveredWeight struct {
 	Total            float64            `json:"whole"`
 	WorstWindow      float64            `json:"worst_10_s"`
@@ -30,164 +29,65 @@
 	WorstTenant      float64            `json:"worst_tenant"`
 }
 
-// MeasureWeight adds what was asked for, and how much of its worth was delivered.
-func (r *Report) MeasureWeight(f Parameters, asked []Request, log []Event) {
+// MeasureWeight adds the outcomes of all messages of the workload to a report, and how much of their weight was delivered.
+func (r *Report) MeasureWeight(parameters Parameters, workload []Request, log []Event) {
 	served := readServed(log)
-	w := newWeightTotals(f, asked)
+	totals := newWeightTotals(parameters, workload)
 	r.TimeToDelivery = map[string]Quantiles{}
-	r.Counts.Requested = len(asked)
-	for n, want := range asked {
-		r.countWant(served, n, want, &f.Settings.Classes[want.Class])
-		w.add(served, n, want)
+	r.Counts.Requested = len(workload)
+	for message, drawn := range workload {
+		r.countOutcome(served, message, drawn, &parameters.Settings.Classes[drawn.Class])
+		totals.add(served, message, drawn)
 	}
-	r.DeliveredWeight = w.deliveredWeight()
-	for i, times := range w.times {
-		r.TimeToDelivery[f.Settings.Classes[i].Name] = QuantilesOf(times)
+	r.DeliveredWeight = totals.deliveredWeight()
+	for i, times := range totals.times {
+		r.TimeToDelivery[parameters.Settings.Classes[i].Name] = QuantilesOf(times)
 	}
 }
 
-// served is what came of each message, by its number: under whichever id a client submitted it.
-type served struct {
-	deliveredAt map[int]time.Duration // once the client knew that it was accepted
-	lastStatus  map[int]string        // Deferred, Undeliverable or none
-	effects     map[int]int
-
-	accepted map[string]int  // ids that were accepted, and their message
-	message  map[string]int  // of each id
-	early    map[string]bool // ids that were delivered before the client had the answer
-}
-
-// readServed reads what came of each message.
-func readServed(log []Event) *served {
-	s := &served{
-		deliveredAt: map[int]time.Duration{}, lastStatus: map[int]string{}, effects: map[int]int{},
-		accepted: map[string]int{}, message: map[string]int{}, early: map[string]bool{},
-	}
-	for _, e := range byTime(log) {
-		s.read(e)
-	}
-	return s
-}
-
-func (s *served) read(e Event) {
-	switch e.Kind {
-	case Submitted:
-		s.message[e.ID] = e.Message
-	case Answered:
-		s.answered(e)
-	case AttemptEnded:
-		if e.Outcome != OK {
-			return
-		}
-		if m, ok := s.accepted[e.ID]; ok {
-			s.delivered(m, e.At)
-		} else {
-			s.early[e.ID] = true
-		}
-	case Notified:
-		if m, ok := s.accepted[e.ID]; ok {
-			s.lastStatus[m] = e.State
-		}
-	case Executed:
-		if m, ok := s.message[e.ID]; ok {
-			s.effects[m]++
-		}
-	default:
-	}
-}
-
-// answered reads a relay's answer to a client.
-func (s *served) answered(e Event) {
-	m, ok := s.message[e.ID]
-	if !ok {
-		return
-	}
-	if !isAcceptance(e.Status) {
-		s.lastStatus[m] = statusOf(e.Status)
-		return
-	}
-	s.accepted[e.ID] = m
-	s.lastStatus[m] = ""
-	if s.early[e.ID] {
-		s.delivered(m, e.At)
-	}
-}
-
-// delivered notes the first delivery of a message.
-func (s *served) delivered(m int, at time.Duration) {
-	if _, known := s.deliveredAt[m]; !known {
-		s.deliveredAt[m] = at
-	}
-}
-
-// countWant counts what came of a message, in all and by destination.
-func (r *Report) countWant(s *served, n int, want Request, class *settings.Class) {
-	for _, c := range []*Counts{&r.Counts, &r.Destinations[want.Destination]} {
-		if c != &r.Counts {
-			c.Requested++
-		}
-		if effects := s.effects[n]; effects > 1 {
-			c.WastedExecutions += effects - 1
-		}
-		at, delivered := s.deliveredAt[n]
-		switch {
-		case delivered:
-			c.Delivered++
-			if RemainingWeight(class, at-want.At) == 1 {
-				c.InTime++
-			}
-		case s.lastStatus[n] == Deferred:
-			c.Rejected++
-		case s.lastStatus[n] == Undeliverable:
-			c.Failed++
-		default:
-			c.Unserved++
-		}
-	}
-}
-
-// weightTotals adds up worth delivered and worth asked for.
+// weightTotals adds up the weight that was requested and delivered.
 type weightTotals struct {
 	settings         *settings.Settings
 	total            fraction
 	classes, tenants []fraction
-	stretches        []fraction  // of worstSpan, worstStep apart
+	windows          []fraction
 	times            [][]float64 // to delivery in seconds, by class
 }
 
-func newWeightTotals(f Parameters, asked []Request) *weightTotals {
+// newWeightTotals returns totals of 0, with windows for a workload.
+func newWeightTotals(parameters Parameters, workload []Request) *weightTotals {
 	var last time.Duration
-	for _, want := range asked {
-		last = max(last, want.At)
+	for _, drawn := range workload {
+		last = max(last, drawn.At)
 	}
 	return &weightTotals{
-		settings:  &f.Settings,
-		classes:   make([]fraction, len(f.Settings.Classes)),
-		tenants:   make([]fraction, len(f.Settings.Tenants)),
-		stretches: make([]fraction, int(max(0, last+worstStep-worstSpan)/worstStep)+1),
-		times:     make([][]float64, len(f.Settings.Classes)),
+		settings: &parameters.Settings,
+		classes:  make([]fraction, len(parameters.Settings.Classes)),
+		tenants:  make([]fraction, len(parameters.Settings.Tenants)),
+		windows:  make([]fraction, int(max(0, last+windowStep-windowLength)/windowStep)+1),
+		times:    make([][]float64, len(parameters.Settings.Classes)),
 	}
 }
 
 // add adds a message.
-func (w *weightTotals) add(s *served, n int, want Request) {
-	class := &w.settings.Classes[want.Class]
-	full, got := class.PriorityWeight, 0.0
-	if want.OverQuota {
-		full *= w.settings.OverQuotaFraction
-	}
-	if at, delivered := s.deliveredAt[n]; delivered {
-		got = full * RemainingWeight(class, at-want.At)
-		w.times[want.Class] = append(w.times[want.Class], (at - want.At).Seconds())
-	}
-	w.total.add(got, full)
-	w.classes[want.Class].add(got, full)
-	if want.Tenant >= 0 && !want.OverQuota {
-		w.tenants[want.Tenant].add(got, full)
-	}
-	for i := range w.stretches {
-		if from := time.Duration(i) * worstStep; want.At >= from && want.At < from+worstSpan {
-			w.stretches[i].add(got, full)
+func (w *weightTotals) add(s *served, message int, drawn Request) {
+	class := &w.settings.Classes[drawn.Class]
+	requested, delivered := class.PriorityWeight, 0.0
+	if drawn.OverQuota {
+		requested *= w.settings.OverQuotaFraction
+	}
+	if at, ok := s.deliveredAt[message]; ok {
+		delivered = requested * RemainingWeight(class, at-drawn.At)
+		w.times[drawn.Class] = append(w.times[drawn.Class], (at - drawn.At).Seconds())
+	}
+	w.total.add(delivered, requested)
+	w.classes[drawn.Class].add(delivered, requested)
+	if drawn.Tenant >= 0 && !drawn.OverQuota {
+		w.tenants[drawn.Tenant].add(delivered, requested)
+	}
+	for i := range w.windows {
+		if from := time.Duration(i) * windowStep; drawn.At >= from && drawn.At < from+windowLength {
+			w.windows[i].add(delivered, requested)
 		}
 	}
 }
@@ -195,9 +95,9 @@
 // deliveredWeight returns the result.
 func (w *weightTotals) deliveredWeight() DeliveredWeight {
 	result := DeliveredWeight{Total: w.total.share(), ByClass: map[string]float64{}, WorstClass: 1, WorstTenant: 1, WorstWindow: 1}
-	for i, stretch := range w.stretches {
-		if share := stretch.share(); share < result.WorstWindow {
-			result.WorstWindow, result.WorstWindowStart = share, time.Duration(i)*worstStep
+	for i, window := range w.windows {
+		if share := window.share(); share < result.WorstWindow {
+			result.WorstWindow, result.WorstWindowStart = share, time.Duration(i)*windowStep
 		}
 	}
 	for i, class := range w.classes {
@@ -214,38 +114,31 @@
 	return result
 }
 
-// isAcceptance reports whether an answer's status accepts a request.
-func isAcceptance(status int) bool { return status == http.StatusOK || status == http.StatusAccepted }
+// fraction is the weight that was delivered of what was requested.
+type fraction struct{ delivered, requested float64 }
 
-// statusOf is the status of a notice that says the same as an answer that accepts nothing.
-func statusOf(status int) string {
-	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
-		return Deferred
-	}
-	return Undeliverable
+// add adds a message.
+func (f *fraction) add(delivered, requested float64) {
+	f.delivered, f.requested = f.delivered+delivered, f.requested+requested
 }
 
-// fraction is worth delivered of worth asked for.
-type fraction struct{ got, asked float64 }
-
-func (p *fraction) add(got, asked float64) { p.got, p.asked = p.got+got, p.asked+asked }
-
-func (p fraction) share() float64 {
-	if p.asked == 0 {
+// share is the delivered share; all of nothing.
+func (f fraction) share() float64 {
+	if f.requested == 0 {
 		return 1
 	}
-	return p.got / p.asked
+	return f.delivered / f.requested
 }
 
-// RemainingWeight is the share of its worth that a message has at an age: all of it up to the aim, then evenly less down to
-// the late share at the deadline, nothing after.
-func RemainingWeight(k *settings.Class, age time.Duration) float64 {
-	aim, deadline := settings.Seconds(k.LatencyObjectiveS), settings.Seconds(k.DeadlineS)
+// RemainingWeight is the share of its weight that a message still has at an age: all of it up to the latency objective, then
+// linearly less down to the late fraction at the deadline, and nothing after.
+func RemainingWeight(class *settings.Class, age time.Duration) float64 {
+	objective, deadline := settings.Seconds(class.LatencyObjectiveS), settings.Seconds(class.DeadlineS)
 	switch {
-	case age <= aim:
+	case age <= objective:
 		return 1
 	case age > deadline:
 		return 0
 	}
-	return 1 - (1-k.LateFraction)*float64(age-aim)/float64(deadline-aim)
+	return 1 - (1-class.LateFraction)*float64(age-objective)/float64(deadline-objective)
 }
