--- /dev/null
+++ b/internal/faultinjection/checker/rule_answered_test.go
@@ -0,0 +1,26 @@
+package checker
+
+import "testing"
+
+func TestJudge_ReportsUnansweredRequests(t *testing.T) {
+	judgeEachViolation(t, map[string]violationCase{
+		"a connection closed without a response": {Unanswered, func(l *logBuilder) {
+			l.add(Event{At: sec, Kind: Submitted, ID: "a", Class: status, Duration: 10 * sec})
+			l.add(Event{At: sec + 5*ms, Kind: AnswerMissed, ID: "a", OK: true})
+		}},
+	})
+}
+
+func TestJudge_AllowsUnansweredRequestsOfEndedProcesses(t *testing.T) {
+	judgeWithoutViolations(t, map[string]func(l *logBuilder){
+		"a connection closed as the process ends, or that looks broken": func(l *logBuilder) {
+			l.add(Event{At: sec, Kind: Submitted, ID: "a", Class: status, Duration: 10 * sec})
+			l.add(Event{At: sec + 5*ms, Kind: AnswerMissed, ID: "a", OK: true})
+			l.crash(sec + 50*ms)
+			l.add(Event{At: 5 * sec, Kind: SocketsBreak})
+			l.add(Event{At: 6 * sec, Kind: Submitted, ID: "b", Class: status, Duration: 10 * sec})
+			l.add(Event{At: 6*sec + 5*ms, Kind: AnswerMissed, ID: "b", OK: true})
+			l.add(Event{At: 7 * sec, Kind: SocketsHold})
+		},
+	})
+}
