--- a/internal/deadletter/client_test.go
+++ b/internal/deadletter/client_test.go
@@ -9,23 +9,53 @@
 	"time"
 )
 
-// A client gets the same over the socket of a running relay and from the folder of a stopped one.
-func TestClient_ReachesStoreBySocketAndByFolder(t *testing.T) {
-	dir := t.TempDir()
-	folder, socket := filepath.Join(dir, "store"), filepath.Join(dir, "s")
-	s := openStore(t, folder)
-	storeMessages(t, s, "a", "b", "c")
-	ctx, stop := context.WithCancel(t.Context())
+// serveOnSocket serves a store on a socket. It returns a client, and a function that stops serving and returns its error.
+func serveOnSocket(t *testing.T, s *Store, socket string) (client *Client, stop func() error) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- Serve(ctx, socket, &Admin{Store: s, Now: time.Now}) }()
-	var running *Client
 	var err error
-	for end := time.Now().Add(10 * time.Second); running == nil && time.Now().Before(end); time.Sleep(time.Millisecond) {
-		running, err = Connect(socket)
+	for end := time.Now().Add(10 * time.Second); client == nil && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		client, err = Connect(socket)
 	}
-	if running == nil {
+	if client == nil {
 		t.Fatal(err)
 	}
+	return client, func() error {
+		cancel()
+		return <-served
+	}
+}
+
+// checkReads checks what a client reads of a store with the messages a, b and c.
+func checkReads(t *testing.T, client *Client) {
+	t.Helper()
+	listing, err := client.List(t.Context(), &Filter{Class: "fee-payment"}, 0, 2)
+	if err != nil || len(listing.Messages) != 2 || listing.Next != 3 {
+		t.Errorf("list: %+v, %v", listing, err)
+	}
+	if body, err := client.Body(t.Context(), "b"); err != nil || string(body) != "body of b" {
+		t.Errorf("body: %q, %v", body, err)
+	}
+	if _, err := client.Get(t.Context(), "z"); !errors.Is(err, ErrUnknown) {
+		t.Errorf("an unknown one: %v", err)
+	}
+	if stats, err := client.Stats(t.Context()); err != nil || stats.Messages != 3 {
+		t.Errorf("stats: %+v, %v", stats, err)
+	}
+	if verified, err := client.Verify(t.Context()); err != nil || verified.Good != 3 {
+		t.Errorf("verify: %+v, %v", verified, err)
+	}
+}
+
+// A client gets the same over the socket of a running relay and from the folder of a stopped one.
+func TestClient_ReachesStoreBySocketAndByFolder(t *testing.T) {
+	dir := t.TempDir()
+	folder, socket := filepath.Join(dir, "store"), filepath.Join(dir, "s")
+	s := openStore(t, folder)
+	storeMessages(t, s, "a", "b", "c")
+	running, stop := serveOnSocket(t, s, socket)
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the socket's mode: %v, %v", info.Mode(), err)
 	}
@@ -35,43 +65,25 @@
 	if _, err := OpenFolder(folder, false); !errors.Is(err, ErrInUse) {
 		t.Errorf("the folder of a running relay: %v", err)
 	}
-	checkReads := func(client *Client) {
-		t.Helper()
-		listing, err := client.List(t.Context(), &Filter{Class: "fee-payment"}, 0, 2)
-		if err != nil || len(listing.Messages) != 2 || listing.Next != 3 {
-			t.Errorf("list: %+v, %v", listing, err)
-		}
-		if body, err := client.Body(t.Context(), "b"); err != nil || string(body) != "body of b" {
-			t.Errorf("body: %q, %v", body, err)
-		}
-		if _, err := client.Get(t.Context(), "z"); !errors.Is(err, ErrUnknown) {
-			t.Errorf("an unknown one: %v", err)
-		}
-		if stats, err := client.Stats(t.Context()); err != nil || stats.Messages != 3 {
-			t.Errorf("stats: %+v, %v", stats, err)
-		}
-		if verified, err := client.Verify(t.Context()); err != nil || verified.Good != 3 {
-			t.Errorf("verify: %+v, %v", verified, err)
-		}
-	}
-	checkReads(running)
+	checkReads(t, running)
 	if r, err := running.Command(t.Context(), "hold", "a", Command{By: "Amina"}); err != nil || !r.HeldByOperator {
 		t.Errorf("hold: %+v, %v", r, err)
 	}
-	stop()
-	if err := <-served; err != nil {
+	if err := stop(); err != nil {
 		t.Error(err)
 	}
 	_ = s.Close()
+
 	reader, err := OpenFolder(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkReads(reader)
+	checkReads(t, reader)
 	if _, err := reader.Command(t.Context(), "hold", "b", Command{By: "Amina"}); err == nil {
 		t.Error("a reader may change")
 	}
 	_ = reader.Close()
+
 	writer, err := OpenFolder(folder, true)
 	if err != nil {
 		t.Fatal(err)
@@ -80,13 +92,20 @@
 	if r, err := writer.Command(t.Context(), "hold", "b", Command{By: "Amina"}); err != nil || !r.HeldByOperator {
 		t.Errorf("hold in the folder: %+v, %v", r, err)
 	}
-	if _, err := OpenFolder(filepath.Join(dir, "elsewhere"), true); !errors.Is(err, os.ErrNotExist) {
+}
+
+func TestOpenFolder_FailsWithoutStore(t *testing.T) {
+	if _, err := OpenFolder(filepath.Join(t.TempDir(), "elsewhere"), true); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a folder without a store: %v", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "file"), nil, 0o600); err != nil {
+}
+
+func TestServe_DoesNotReplaceFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := Serve(t.Context(), filepath.Join(dir, "file"), &Admin{Store: s}); err == nil {
+	if err := Serve(t.Context(), path, &Admin{Store: openStore(t, t.TempDir())}); err == nil {
 		t.Error("a file was replaced by a socket")
 	}
 }
