--- a/cmd/frostlinkctl/rehearse.go
+++ b/cmd/frostlinkctl/rehearse.go
@@ -18,7 +18,7 @@
 )
 
 // scriptsDir is where scripts that are named without a path are looked for.
-const scriptsDir = "rehearsals"
+const scriptsDir = "scenarios"
 
 func rehearseCommand() *cobra.Command {
 	c := &cobra.Command{
