--- /dev/null
+++ b/cmd/frostlinkctl/deprecated_test.go
@@ -0,0 +1,61 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"frostlink/internal/cli"
+)
+
+// deprecatedWords are the commands' words of before, with those that replace them, and calls that end without starting a process.
+var deprecatedWords = []struct {
+	old, new string
+	calls    []string
+}{
+	{"rehearse", "scenario", []string{
+		"", "x", "--no-flag", "list", "list --json", "list no-folder", "check quiet short", "check quiet --json", "check --help", "run", "run --no-flag",
+		"run no-scenario", "repeat quiet --runs 1", "soak --relays no-relay", "clock-steps scenarios/quiet.toml --relays no-relay",
+	}},
+}
+
+// A command under its old words does what it does under the new ones, and says on standard error alone that they are deprecated.
+func TestDeprecatedCommands_WorkAsTheirReplacements(t *testing.T) {
+	t.Chdir("../..")
+	for _, words := range deprecatedWords {
+		// The examples of both have the new words; what cobra makes of the name differs.
+		named := strings.NewReplacer("frostlinkctl "+words.new, "COMMAND", "frostlinkctl "+words.old, "COMMAND",
+			"help for "+lastWord(words.new), "HELP", "help for "+lastWord(words.old), "HELP")
+		for _, args := range words.calls {
+			t.Run(words.old+" "+args, func(t *testing.T) {
+				wantCode, wantOut, wantErrs := runTool(t, "", strings.Fields(words.new+" "+args)...)
+				code, out, errs := runTool(t, "", strings.Fields(words.old+" "+args)...)
+				if code != wantCode || named.Replace(out) != named.Replace(wantOut) {
+					t.Errorf("exit %d, stdout %q, want exit %d, %q", code, out, wantCode, wantOut)
+				}
+				warning := "frostlinkctl " + words.old + " is deprecated, use frostlinkctl " + words.new + "\n"
+				if errs != warning+wantErrs {
+					t.Errorf("stderr %q, want %q", errs, warning+wantErrs)
+				}
+			})
+		}
+	}
+}
+
+func TestDeprecatedCommands_AreNotInHelp(t *testing.T) {
+	for _, words := range deprecatedWords {
+		group, newWord, found := strings.Cut(words.new, " ")
+		_, oldWord, _ := strings.Cut(words.old, " ")
+		if !found {
+			group, newWord, oldWord = "", words.new, words.old
+		}
+		code, out, errs := runTool(t, "", append(strings.Fields(group), "--help")...)
+		if code != cli.ExitOK || errs != "" {
+			t.Errorf("help of %q: exit %d, stderr %q", group, code, errs)
+		}
+		if !strings.Contains(out, "\n  "+newWord+" ") || strings.Contains(out, "\n  "+oldWord+" ") {
+			t.Errorf("help does not name %q alone:\n%s", newWord, out)
+		}
+	}
+}
+
+func lastWord(words string) string { return words[strings.LastIndex(words, " ")+1:] }
--- a/cmd/frostlinkctl/main.go
+++ b/cmd/frostlinkctl/main.go
@@ -1,5 +1,3 @@
-// Command frostlinkctl is the operator's tool: it rehearses incidents and decides on undelivered messages, a sub-command a
-// subsystem.
 package main
 
 import (
@@ -21,12 +19,15 @@
 	os.Exit(code)
 }
 
+// run runs the tool with its arguments and returns its exit code.
 func run(ctx context.Context, args []string, in io.Reader, out, errs io.Writer) int {
 	root := &cobra.Command{
 		Use:   "frostlinkctl",
 		Short: "The operator's tool for frostlink relays",
 		Long:  "The operator's tool for frostlink relays.\nExit codes: 0 fine, 1 found something, 2 could not run.",
 	}
-	root.AddCommand(rehearseCommand(), undeliveredCommand(), fleetCommand(), coordCommand(), leaseCommand(), exportCommand())
+	root.AddCommand(scenarioCommand(), undeliveredCommand(), fleetCommand(), coordCommand(), leaseCommand(), exportCommand(),
+		deprecatedAlias(scenarioCommand(), "rehearse"))
+	warnDeprecated(root, args, errs)
 	return cli.Run(ctx, root, args, in, out, errs)
 }
--- /dev/null
+++ b/cmd/frostlinkctl/scenario_repeat.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/faultinjection/harness"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// maxVoidRuns is how many void runs of one scenario are played again.
+const maxVoidRuns = 5
+
+// scenarioRepeatFlags are the flags of scenario repeat.
+type scenarioRepeatFlags struct {
+	playFlags
+	runs int
+}
+
+func scenarioRepeatCommand() *cobra.Command {
+	var f scenarioRepeatFlags
+	c := &cobra.Command{
+		Use:   "repeat FILE",
+		Short: "Play a script several times with one seed, and tell how far the runs differ",
+		Long: "Play a script several times with one seed, and tell how far the runs differ: all that is drawn is the same,\n" +
+			"so that what differs is the machine's timing and what follows from it.",
+		Example: "  frostlinkctl scenario repeat scenarios/quiet.toml --runs 10",
+		Args:    cobra.ExactArgs(1),
+		RunE:    f.run,
+	}
+	f.add(c)
+	c.Flags().IntVar(&f.runs, "runs", 10, "how often")
+	return c
+}
+
+func (f *scenarioRepeatFlags) run(c *cobra.Command, args []string) error {
+	if f.runs < 2 {
+		return fmt.Errorf("--runs: %d, 2 at least", f.runs)
+	}
+	s, options, err := f.prepare(c, args[0])
+	if err != nil {
+		return err
+	}
+	results, err := f.play(c, s, options)
+	if err != nil {
+		return err
+	}
+	spreads := measureSpreads(results)
+	if err := writeJSON(c.OutOrStdout(), f.jsonFile, spreads); err != nil {
+		return err
+	}
+	if err := printSpreads(textOutput(c.OutOrStdout(), f.jsonFile), spreads); err != nil {
+		return err
+	}
+	failed := false
+	for _, result := range results {
+		failed = failed || !result.Passed()
+	}
+	return findings(failed)
+}
+
+// play plays the scenario until there are as many runs as wanted that are not void.
+func (f *scenarioRepeatFlags) play(c *cobra.Command, s *scenario.Scenario, options harness.Options) ([]*harness.Result, error) {
+	var results []*harness.Result
+	for voids := 0; len(results) < f.runs; {
+		result, err := harness.Run(c.Context(), s, options)
+		if err != nil {
+			return nil, err
+		}
+		fmt.Fprintf(c.ErrOrStderr(), "run %d of %d: worth %.4f, %d breaches, %d faults, %.2f%% late\n", len(results)+1, f.runs,
+			result.DeliveredWeight.Total, len(result.Violations), len(result.Failures), 100*result.LateShare)
+		if !result.Void {
+			results = append(results, result)
+			continue
+		}
+		if voids++; voids > maxVoidRuns {
+			return nil, fmt.Errorf("%d runs are void: the machine is too busy", voids)
+		}
+	}
+	return results, nil
+}
+
+func printSpreads(out io.Writer, spreads []spread) error {
+	table := newNumberTable(out)
+	fmt.Fprintln(table, "figure\tmean\tleast\tmost\toff by\tof the mean\t")
+	for _, s := range spreads {
+		fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.2f%%\t\n", s.Figure, s.Mean, s.Min, s.Max, s.MaxDeviation, 100*s.RelativeDeviation)
+	}
+	return flushTable(table)
+}
--- /dev/null
+++ b/cmd/frostlinkctl/scenario_soak.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/faultinjection/harness"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// scenarioSoakFlags are the flags of scenario soak.
+type scenarioSoakFlags struct {
+	firstSeed  int64
+	seeds      int
+	relayCount int
+	length     float64 // in seconds
+	jsonFile   string
+	relays     string // path of the relay's program
+	keepFolder string
+}
+
+// soakRun is what the runs of one seed came to.
+type soakRun struct {
+	Seed     int64  `json:"seed"`
+	Plays    int    `json:"tries"` // void runs come before the last one
+	Scenario string `json:"script,omitempty"`
+	*harness.Result
+}
+
+func scenarioSoakCommand() *cobra.Command {
+	var f scenarioSoakFlags
+	c := &cobra.Command{
+		Use:   "soak",
+		Short: "Play random faults that overlap upon many relays, a run for each of several seeds",
+		Long: "Play random faults that overlap upon many relays: processes killed, ended and stopped, wall clocks stepped, system calls and\n" +
+			"folders that fail, partners, register and network in trouble. Each run is judged by the auditor of the six rules and by the\n" +
+			"relays' own invariants. The same seed draws the same faults; the script and the logs of a run that fails are kept in --keep.\n" +
+			"Exit codes: 0 every run kept all rules, 1 one did not, 2 could not run or the machine was too busy.",
+		Example: "  frostlinkctl scenario soak --seed 1 --seeds 20 --count 36 --keep found",
+		Args:    cobra.NoArgs,
+		RunE:    f.run,
+	}
+	flags := c.Flags()
+	flags.Int64Var(&f.firstSeed, "seed", 1, "the first seed")
+	flags.IntVar(&f.seeds, "seeds", 10, "how many seeds, one after another")
+	flags.IntVar(&f.relayCount, "count", 36, "how many relays")
+	flags.Float64Var(&f.length, "length", 9, "seconds for which clients send")
+	addPlayOutputFlags(c, &f.jsonFile, &f.relays, "the results")
+	flags.StringVar(&f.keepFolder, "keep", "", "keep scripts and logs of runs that fail in this `folder`")
+	return c
+}
+
+func (f *scenarioSoakFlags) run(c *cobra.Command, _ []string) error {
+	command, err := relayCommand(f.relays)
+	if err != nil {
+		return err
+	}
+	out := textOutput(c.OutOrStdout(), f.jsonFile)
+	var runs []soakRun
+	var counts tally
+	for seed := f.firstSeed; seed < f.firstSeed+int64(f.seeds); seed++ {
+		run, err := f.play(c.Context(), seed, command)
+		if err != nil {
+			return err
+		}
+		runs = append(runs, run)
+		counts.add(run.Void, run.Passed())
+		run.print(out)
+	}
+	fmt.Fprintf(out, "%d of %d seeds kept all rules and invariants, %d did not, %d were void\n", f.seeds-counts.failed-counts.void, f.seeds,
+		counts.failed, counts.void)
+	if err := writeJSON(c.OutOrStdout(), f.jsonFile, runs); err != nil {
+		return err
+	}
+	return counts.verdict()
+}
+
+// play draws the scenario of a seed and plays it.
+func (f *scenarioSoakFlags) play(ctx context.Context, seed int64, command []string) (run soakRun, err error) {
+	run.Seed = seed
+	text := scenario.SoakScenario(seed, f.relayCount, f.length)
+	s, err := scenario.Parse(soakName(seed)+scenarioSuffix, []byte(text))
+	if err != nil {
+		return run, err
+	}
+	logs, err := os.MkdirTemp("", "soak-")
+	if err != nil {
+		return run, err //nolint:wrapcheck // it names the operation and the folder
+	}
+	defer func() { _ = os.RemoveAll(logs) }() // what is to be kept has been copied
+	options := harness.Options{Seed: seed, RelayCommand: command, KeepDir: logs}
+	if run.Result, run.Plays, err = playUntilConclusive(ctx, s, options); err != nil {
+		return run, err
+	}
+	if f.keepFolder == "" || run.Passed() {
+		return run, nil
+	}
+	run.Scenario, err = keepSoakRun(f.keepFolder, seed, text, logs)
+	return run, err
+}
+
+// soakName is the name of a seed's scenario, without a suffix.
+func soakName(seed int64) string { return fmt.Sprintf("soak-%d", seed) }
+
+// keepSoakRun writes the scenario and the logs of a run into a folder, over those that an earlier soak kept of the seed. It returns the
+// path of the scenario.
+func keepSoakRun(folder string, seed int64, text, logs string) (string, error) {
+	path := filepath.Join(folder, soakName(seed)+scenarioSuffix)
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return path, err //nolint:wrapcheck // it names the operation and the folder
+	}
+	kept := filepath.Join(folder, soakName(seed))
+	return path, errors.Join(os.WriteFile(path, []byte(text), 0o644), os.RemoveAll(kept), os.CopyFS(kept, os.DirFS(logs)))
+}
+
+func (r *soakRun) print(out io.Writer) {
+	verdict := "kept"
+	switch {
+	case r.Void:
+		verdict = "void"
+	case !r.Passed():
+		verdict = "BROKEN"
+	}
+	fmt.Fprintf(out, "seed %4d  %-6s  worth %.3f  %4d messages  %3d breaches  %3d faults  %.2f%% late  %d tries\n", r.Seed, verdict,
+		r.DeliveredWeight.Total, r.Counts.Requested, len(r.Violations), len(r.Failures), 100*r.LateShare, r.Plays)
+	for _, violation := range r.Violations {
+		fmt.Fprintf(out, "      %v\n", violation)
+	}
+	for _, failure := range r.Failures {
+		fmt.Fprintf(out, "      %s\n", failure)
+	}
+}
--- a/cmd/frostlinkctl/undelivered_test.go
+++ b/cmd/frostlinkctl/undelivered_test.go
@@ -38,8 +38,8 @@
 	return dir
 }
 
-// ctl runs the tool.
-func ctl(t *testing.T, in string, args ...string) (code int, out, errs string) {
+// runTool runs the tool, with its standard input.
+func runTool(t *testing.T, in string, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var o, e strings.Builder
 	code = run(t.Context(), args, strings.NewReader(in), &o, &e)
@@ -87,12 +87,12 @@
 		{"list --folder EMPTY --state discarded", "", cli.ExitOK, "c  ", ""},
 	} {
 		words := strings.Fields("undelivered " + strings.NewReplacer("OPERATOR", operator, "EXPORT", export, "EMPTY", empty, "DIR", dir).Replace(c.args))
-		code, out, errs := ctl(t, c.in, words...)
+		code, out, errs := runTool(t, c.in, words...)
 		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || c.errs == "" && errs != "" {
 			t.Errorf("%s: exit %d\n%s%s", c.args, code, out, errs)
 		}
 	}
-	_, out, _ := ctl(t, "", "undelivered", "show", "a", "--folder", empty, "--json")
+	_, out, _ := runTool(t, "", "undelivered", "show", "a", "--folder", empty, "--json")
 	var r deadletter.Record
 	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Attestations) != 1 || !r.Attestations[0].Used {
 		t.Errorf("an attest that came with an import serves here: %+v, %v", r.Attestations, err)
@@ -107,13 +107,13 @@
 		t.Fatal(err)
 	}
 	for _, args := range []string{"list", "discard a --why booked"} {
-		code, out, errs := ctl(t, "", append(append([]string{"undelivered"}, strings.Fields(args)...), "--folder", dir)...)
+		code, out, errs := runTool(t, "", append(append([]string{"undelivered"}, strings.Fields(args)...), "--folder", dir)...)
 		if code != cli.ExitError || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
 			t.Errorf("%s: exit %d, %s%s", args, code, out, errs)
 		}
 	}
 	_ = s.Close()
-	if code, out, errs := ctl(t, "", "undelivered", "list", "--folder", dir); code != cli.ExitOK || !strings.Contains(out, "held") {
+	if code, out, errs := runTool(t, "", "undelivered", "list", "--folder", dir); code != cli.ExitOK || !strings.Contains(out, "held") {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
 }
