--- /dev/null
+++ b/cmd/frostlinkctl/coord_faultrun.go
@@ -0,0 +1,133 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/faultinjection/faults"
+)
+
+// The bounds of a fault run.
+const (
+	maxFaultRuns         = 1000
+	maxFaultRunRelays    = 300
+	maxParallelFaultRuns = 16
+	minSessionTTL        = 500 * time.Millisecond
+	maxSessionTTL        = time.Minute
+)
+
+// coordinatorProgram is the name of the coordination service's program.
+const coordinatorProgram = "frostlink-coord"
+
+// coordFaultRunFlags are the flags of coord fault-run.
+type coordFaultRunFlags struct {
+	options  faults.Options // of the first run
+	runs     int
+	parallel int
+	unfenced bool
+	folder   string
+	jsonFile string
+}
+
+func coordFaultRunCommand() *cobra.Command {
+	var f coordFaultRunFlags
+	c := &cobra.Command{
+		Use:   "fault-run",
+		Short: "Start members and relays as processes, cause drawn faults between them, and judge their acts",
+		Long: "Start members of the coordination service and relays as real processes on loopback, with proxies between all of them. The relays want\n" +
+			"one lease, and its holder acts upon a stand-in, again and again. Meanwhile holders, relays and members are killed and stopped,\n" +
+			"cut off both ways or one way, slowed and reset, and disks take nothing more, as drawn from a seed. Checked: accepted acts of two\n" +
+			"holders never overlap, tokens only grow, acts of processes that did not stand still never overlap at all, somebody acts in the end.\n" +
+			"With --unfenced the stand-in looks at no token: then a holder that is stopped for longer than its lease shows an overlap.\n" +
+			"Exit codes: 0 fine, 1 a run failed, 2 could not run.",
+		Example: "  frostlinkctl coord fault-run --runs 5\n  frostlinkctl coord fault-run --runs 200 --beside 4 --relays 40",
+		Args:    cobra.NoArgs,
+		RunE:    f.run,
+	}
+	flags := c.Flags()
+	flags.IntVar(&f.runs, "runs", 1, "`runs` to play, by seeds one after the other")
+	flags.IntVar(&f.parallel, "beside", 1, "`runs` to play at once")
+	flags.Uint64Var(&f.options.Seed, "seed", 1, "first `seed`")
+	flags.IntVar(&f.options.Members, "members", 3, "`members` of the service")
+	flags.IntVar(&f.options.Relays, "relays", 40, "`relays`")
+	flags.DurationVar(&f.options.TTL, "ttl", time.Second, "`time` that a session lasts")
+	flags.DurationVar(&f.options.Length, "length", 30*time.Second, "`time` in which faults are caused")
+	flags.BoolVar(&f.unfenced, "unfenced", false, "have the stand-in look at no token")
+	flags.StringVar(&f.folder, "folder", filepath.Join(os.TempDir(), "frostlink-coord-rehearsals"),
+		"`folder` for the runs; what a failed one leaves stays there")
+	addJSONFlag(c, &f.jsonFile, "the results")
+	return c
+}
+
+func (f *coordFaultRunFlags) run(c *cobra.Command, _ []string) error {
+	if err := f.check(); err != nil {
+		return err
+	}
+	if err := f.prepare(); err != nil {
+		return err
+	}
+	results, err := f.play(c.Context())
+	if err != nil {
+		return err
+	}
+	if err := writeResult(c.OutOrStdout(), f.jsonFile, results, faultRuns(results).print); err != nil {
+		return err
+	}
+	return findings(faultRuns(results).failed())
+}
+
+// check checks the flags against their bounds.
+func (f *coordFaultRunFlags) check() error {
+	if err := checkBounds("runs", f.runs, 1, maxFaultRuns); err != nil {
+		return err
+	}
+	if err := checkBounds("relays", f.options.Relays, 2, maxFaultRunRelays); err != nil {
+		return err
+	}
+	switch f.options.Members {
+	case 1, 3, 5:
+	default:
+		return fmt.Errorf("--members: %d is not 1, 3 or 5", f.options.Members)
+	}
+	if err := checkBounds("beside", f.parallel, 1, maxParallelFaultRuns); err != nil {
+		return err
+	}
+	if f.options.TTL < minSessionTTL || f.options.TTL > maxSessionTTL {
+		return fmt.Errorf("--ttl: %v is not from 500ms to 1m", f.options.TTL)
+	}
+	return nil
+}
+
+// prepare finds the programs and makes the folder of the runs.
+func (f *coordFaultRunFlags) prepare() (err error) {
+	if f.options.RelayPath, err = siblingProgram(relayProgram); err != nil {
+		return err
+	}
+	if f.options.CoordinatorPath, err = siblingProgram(coordinatorProgram); err != nil {
+		return err
+	}
+	for _, program := range []string{f.options.RelayPath, f.options.CoordinatorPath} {
+		if _, err := os.Stat(program); err != nil {
+			return fmt.Errorf("the program beside this one: %w", err)
+		}
+	}
+	f.options.Fenced = !f.unfenced
+	return os.MkdirAll(f.folder, 0o700) //nolint:wrapcheck // it names the operation and the folder
+}
+
+// play plays the runs, each with a seed of its own.
+func (f *coordFaultRunFlags) play(ctx context.Context) ([]faults.Result, error) {
+	results := make([]faults.Result, f.runs)
+	errs := runConcurrently(f.runs, f.parallel, func(i int) (err error) {
+		options := f.options
+		options.Seed += uint64(i)
+		results[i], err = faults.RunIn(ctx, f.folder, options)
+		return err
+	})
+	return results, firstError(errs)
+}
--- /dev/null
+++ b/cmd/frostlinkctl/coord_snapshot.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/coord/api"
+)
+
+func coordSnapshotCommand(s *coordService) *cobra.Command {
+	return newServiceCall(&cobra.Command{
+		Use:     "snapshot FILE",
+		Short:   "Save the state as it is now, to look at or to compare",
+		Example: "  frostlinkctl coord snapshot state.json --operator deploy/frostlink.toml",
+		Args:    cobra.ExactArgs(1),
+	}, s, s.saveSnapshot, printMessage)
+}
+
+// saveSnapshot asks one member after the other for the state: only the one that leads has it.
+func (s *coordService) saveSnapshot(c *cobra.Command, args []string) (string, error) {
+	err := api.ErrNoLeader
+	for _, m := range s.members {
+		var state []byte
+		if state, err = s.caller.Snapshot(c.Context(), m.Address); err != nil {
+			continue
+		}
+		if err := os.WriteFile(args[0], state, 0o600); err != nil {
+			return "", err //nolint:wrapcheck // it names the operation and the file
+		}
+		return fmt.Sprintf("%d bytes in %s", len(state), args[0]), nil
+	}
+	return "", err
+}
--- /dev/null
+++ b/cmd/frostlinkctl/coord_status.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/coord"
+)
+
+func coordStatusCommand(s *coordService) *cobra.Command {
+	return newServiceCall(&cobra.Command{
+		Use:   "status",
+		Short: "Ask every member how it is",
+		Long: "Ask every member how it is. What a member says of itself may be old: only the one that leads, and has heard a majority, knows.\n" +
+			"Exit codes: 0 fine, 1 a member can't be reached, failed, or not all know of its life, or none leads, 2 could not run.",
+		Example: "  frostlinkctl coord status --operator deploy/frostlink.toml",
+		Args:    cobra.NoArgs,
+	}, s, s.status, printStatuses)
+}
+
+func (s *coordService) status(c *cobra.Command, _ []string) ([]memberStatus, error) {
+	return s.memberStatuses(c.Context()), nil
+}
+
+// printStatuses prints a line for each member. It is a finding if something is wrong with one, or not just one leads.
+func printStatuses(out io.Writer, statuses []memberStatus) error {
+	table := newTextTable(out)
+	fmt.Fprintln(table, "member\taddress\trole\tleader\tterm\tlife\tapplied\tsessions\tleases\twaiting\tnot reached\tis wrong")
+	faulty, leaders := false, 0
+	for _, status := range statuses {
+		m := status.Status.Member
+		unreached, fault := unreachedPeers(m), status.fault()
+		if m.Role == coord.RoleLeader {
+			leaders++
+		}
+		faulty = faulty || fault != "" || len(unreached) > 0
+		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", status.Member.ID, status.Member.Address, m.Role, m.Leader, m.Term,
+			m.Incarnation, m.Applied, status.Counts.Sessions, status.Counts.Leases, status.Counts.QueuedRequests, strings.Join(unreached, ","), fault)
+	}
+	_ = table.Flush() // a reader that has gone does not change what was found
+	if leaders != 1 {
+		fmt.Fprintf(out, "%d members say that they lead\n", leaders)
+	}
+	return findings(faulty || leaders != 1)
+}
+
+// fault is what is wrong with a member; empty: nothing.
+func (m *memberStatus) fault() string {
+	if m.Error != "" {
+		return m.Error
+	}
+	return m.Status.Member.Detail
+}
+
+// unreachedPeers lists the ids of the members that have not acknowledged a member's incarnation.
+func unreachedPeers(m coord.Status) []string {
+	var ids []string
+	for _, peer := range m.Peers {
+		if !peer.Acknowledged {
+			ids = append(ids, strconv.FormatUint(peer.ID, 10))
+		}
+	}
+	return ids
+}
--- /dev/null
+++ b/cmd/frostlinkctl/lease_revoke.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"context"
+	"crypto/rand"
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/coord"
+)
+
+// toolSessionTTL is the time to live of the tool's own session: it revokes a lease and closes the session.
+const toolSessionTTL = 15 * time.Second
+
+// leaseRevokeFlags are the flags of lease revoke.
+type leaseRevokeFlags struct {
+	service *coordService
+	reason  string
+}
+
+func leaseRevokeCommand(s *coordService) *cobra.Command {
+	f := &leaseRevokeFlags{service: s}
+	c := newServiceCall(&cobra.Command{
+		Use:   "revoke LEASE",
+		Short: "Take a lease from its holder; the first who waits gets it",
+		Long: "Take a lease from its holder. The first who waits gets it as soon as the holder has given it back, or can't believe any more that it\n" +
+			"holds it: until then nobody does. The holder asks for it again after a while.\nExit codes: 0 fine, 1 it was free, 2 could not run.",
+		Example: "  frostlinkctl lease revoke export --reason 'stuck at 3 %' --operator deploy/frostlink.toml",
+		Args:    cobra.ExactArgs(1),
+	}, s, f.revoke, printMessage)
+	c.Flags().StringVar(&f.reason, "reason", "", "`why`, for the history")
+	return c
+}
+
+func (f *leaseRevokeFlags) revoke(c *cobra.Command, args []string) (string, error) {
+	lease, err := f.service.lease(c, args[0])
+	if err != nil {
+		return "", err
+	}
+	result, err := f.service.revoke(c.Context(), lease, f.reason)
+	if err != nil {
+		return "", err
+	}
+	if result.Code == coord.CodeNotHeld {
+		return fmt.Sprintf("%s was given back by %s meanwhile", lease.Name, lease.Holder), nil
+	}
+	return fmt.Sprintf("%s is being revoked from %s (token %d)", lease.Name, lease.Holder, lease.Token), nil
+}
+
+// revoke revokes a lease in a session of its own. The lease's token names the grant that was seen: a later one is not revoked.
+func (s *coordService) revoke(ctx context.Context, lease coord.Lease, reason string) (coord.Result, error) {
+	opened, err := s.apply(ctx, coord.Command{Op: coord.OpOpen, Nonce: rand.Text(), Name: "frostlinkctl", TTL: toolSessionTTL})
+	if err != nil {
+		return coord.Result{}, err
+	}
+	result, err := s.apply(ctx, coord.Command{
+		Op: coord.OpRevoke, Session: opened.Session, Seq: 1, Lease: lease.Name, Token: lease.Token, Reason: reason,
+	})
+	if err != nil {
+		return coord.Result{}, err
+	}
+	_, _ = s.apply(ctx, coord.Command{Op: coord.OpClose, Session: opened.Session}) // else it expires
+	return result, nil
+}
