--- /dev/null
+++ b/cmd/frostlinkctl/fleet_follow.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+
+	"github.com/spf13/cobra"
+
+	"frostlink/internal/trace/fleet"
+)
+
+// fleetFollowFlags are the flags of fleet follow.
+type fleetFollowFlags struct {
+	wrong    bool // all messages with violations, in place of one by its id
+	jsonFile string
+}
+
+// followedMessages is what fleet follow writes as JSON.
+type followedMessages struct {
+	Histories []*fleet.History `json:"courses"`
+	Messages  int              `json:"messages"` // ids that the logs name
+	Gaps      []string         `json:"unsure"`   // what is wrong with the logs as a whole
+	BadLines  []fleet.BadLine  `json:"bad_lines"`
+}
+
+func fleetFollowCommand() *cobra.Command {
+	var f fleetFollowFlags
+	c := &cobra.Command{
+		Use:   "follow ID LOG...",
+		Short: "Follow one message over all relays that touched it, or list those with which something is wrong",
+		Long: "Follow one message through the traces of a fleet's relays, written with [trace] log = true in the operator's file: its\n" +
+			"hand-ins, decisions, calls, answers, restarts, notices and its end, in order of time. With --wrong there is no ID, and\n" +
+			"all messages are listed with which something is wrong, the worst first. What the logs do not tell (a torn line, a relay without\n" +
+			"a log, a clock that steps back) is said, and is no fault.\n" +
+			"Exit codes: 0 fine, 1 a message lost, ended twice or late, or sent again against its class's rule, 2 could not run.",
+		Example: "  frostlinkctl fleet follow 9f84adc60144c0f3 logs\n  frostlinkctl fleet follow --wrong logs",
+		Args:    f.checkArgs,
+		RunE:    f.run,
+	}
+	c.Flags().BoolVar(&f.wrong, "wrong", false, "list all messages with which something is wrong, the worst first")
+	addJSONFlag(c, &f.jsonFile, "what was found")
+	return c
+}
+
+// checkArgs checks that the logs are named, and the message where there is to be one.
+func (f *fleetFollowFlags) checkArgs(_ *cobra.Command, args []string) error {
+	switch {
+	case f.wrong && len(args) < 1:
+		return errors.New("name the logs, or a folder with them")
+	case !f.wrong && len(args) < 2:
+		return errors.New("name a message's id and the logs, or --wrong and the logs")
+	}
+	return nil
+}
+
+func (f *fleetFollowFlags) run(c *cobra.Command, args []string) error {
+	id, paths := args[0], args[1:]
+	if f.wrong {
+		paths = args
+	}
+	logs, err := readTraces(paths)
+	if err != nil {
+		return err
+	}
+	index := fleet.NewIndex(logs)
+	found := &followedMessages{
+		Histories: []*fleet.History{}, Messages: index.MessageCount(), Gaps: append([]string{}, index.Gaps...),
+		BadLines: append([]fleet.BadLine{}, logs.BadLines...),
+	}
+	printText := found.printViolating
+	if f.wrong {
+		found.Histories = append(found.Histories, index.Violating()...)
+	} else {
+		history := index.History(id)
+		if history == nil {
+			return fmt.Errorf("%s: none of %d messages in the logs has that id", id, index.MessageCount())
+		}
+		found.Histories = append(found.Histories, history)
+		printText = found.printHistories
+	}
+	if err := writeResult(c.OutOrStdout(), f.jsonFile, found, printText); err != nil {
+		return err
+	}
+	return findings(slices.ContainsFunc(found.Histories, func(h *fleet.History) bool { return len(h.Violations) > 0 }))
+}
+
+// printHistories prints the whole history of each message.
+func (f *followedMessages) printHistories(out io.Writer) {
+	for _, history := range f.Histories {
+		printHistory(out, history)
+	}
+	f.printDoubts(out)
+}
+
+// printViolating prints a line for each of the first messages with violations.
+func (f *followedMessages) printViolating(out io.Writer) {
+	for _, h := range f.Histories[:min(len(f.Histories), maxPrinted)] {
+		worst := h.Violations[0]
+		fmt.Fprintf(out, "%s  %s to destination %d, at %s: %s, %s\n", h.ID, h.Class, h.Destination, worst.Relay, worst.Kind, worst.Detail)
+	}
+	if more := len(f.Histories) - maxPrinted; more > 0 {
+		fmt.Fprintf(out, "and %d more, which --json has\n", more)
+	}
+	fmt.Fprintf(out, "%d of %d messages have something wrong\n", len(f.Histories), f.Messages)
+	f.printDoubts(out)
+}
+
+// printDoubts prints what the logs do not tell.
+func (f *followedMessages) printDoubts(out io.Writer) {
+	printGaps(out, f.Gaps)
+	printBadLines(out, f.BadLines)
+}
