--- a/cmd/frostlinkctl/output.go
+++ b/cmd/frostlinkctl/output.go
@@ -40,6 +40,14 @@
 	return err
 }
 
+// printResult prints a result as JSON or as text.
+func printResult(out io.Writer, asJSON bool, result any, printText func(out io.Writer) error) error {
+	if asJSON {
+		return cli.WriteJSON(out, stdout, result)
+	}
+	return printText(out)
+}
+
 // findings returns the error of a command that did its work, and found something wrong or not.
 func findings(found bool) error {
 	if found {
--- a/cmd/frostlinkctl/scenario_check.go
+++ b/cmd/frostlinkctl/scenario_check.go
@@ -3,10 +3,10 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 
-	"frostlink/internal/cli"
 	"frostlink/internal/strictconfig"
 )
 
@@ -44,12 +44,15 @@
 				s.Relays, len(s.Destinations), len(s.Faults))
 		}
 	}
-	if f.json {
-		if err := cli.WriteJSON(out, stdout, problems); err != nil {
-			return err
-		}
-	} else if len(problems) > 0 {
-		fmt.Fprintln(out, problems.Error())
+	if err := printResult(out, f.json, problems, func(out io.Writer) error { return printProblems(out, problems) }); err != nil {
+		return err
 	}
 	return findings(len(problems) > 0)
 }
+
+func printProblems(out io.Writer, problems strictconfig.FieldErrors) error {
+	if len(problems) > 0 {
+		fmt.Fprintln(out, problems.Error())
+	}
+	return nil
+}
--- a/cmd/frostlinkctl/scenario_list.go
+++ b/cmd/frostlinkctl/scenario_list.go
@@ -8,7 +8,6 @@
 
 	"github.com/spf13/cobra"
 
-	"frostlink/internal/cli"
 	"frostlink/internal/faultinjection/scenario"
 )
 
@@ -51,12 +50,8 @@
 	for _, err := range unreadable {
 		fmt.Fprintln(c.ErrOrStderr(), err)
 	}
-	if f.json {
-		err = cli.WriteJSON(c.OutOrStdout(), stdout, listed)
-	} else {
-		err = printScenarios(c.OutOrStdout(), listed)
-	}
-	if err != nil {
+	printText := func(out io.Writer) error { return printScenarios(out, listed) }
+	if err := printResult(c.OutOrStdout(), f.json, listed, printText); err != nil {
 		return err
 	}
 	return findings(len(unreadable) > 0)
