--- a/cmd/frostlinkctl/fleet_test.go
+++ b/cmd/frostlinkctl/fleet_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"encoding/json"
 	"os"
 	"path/filepath"
@@ -11,24 +10,30 @@
 	"frostlink/internal/cli"
 )
 
-// The fleet commands' exit codes say what came of them, and their faults are one line.
-func TestFleetCommands(t *testing.T) {
-	dir := t.TempDir()
-	good, torn := filepath.Join(dir, "n0.log"), filepath.Join(dir, "n1.log")
+// writeLogs writes the logs of two relays, the second of which ends in a torn line.
+func writeLogs(t *testing.T) (folder, goodLog string) {
+	t.Helper()
+	folder = t.TempDir()
+	goodLog = filepath.Join(folder, "n0.log")
 	line := `0.1 {"trace":1,"at":1000,"ev":"take","id":"a","dest":4}` + "\n"
-	for path, text := range map[string]string{good: line, torn: line + `{"trace":1,"at":1`} {
+	for path, text := range map[string]string{goodLog: line, filepath.Join(folder, "n1.log"): line + `{"trace":1,"at":1`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
+	return folder, goodLog
+}
+
+func TestFleetCommands_ReportByExitCodeAndOneLine(t *testing.T) {
+	folder, goodLog := writeLogs(t)
 	for _, tt := range []struct {
 		args string
 		code int
-		out  string // in the output, or in the error's one line
+		want string // in the output, or in the error's one line
 	}{
-		{"fleet count " + good, cli.ExitOK, "1 events of 1 relays"},
-		{"fleet count " + dir, cli.ExitFindings, "n1.log:2: "},
-		{"fleet count " + filepath.Join(dir, "none"), cli.ExitError, "none: no such file"},
+		{"fleet count " + goodLog, cli.ExitOK, "1 events of 1 relays"},
+		{"fleet count " + folder, cli.ExitFindings, "n1.log:2: "},
+		{"fleet count " + filepath.Join(folder, "none"), cli.ExitError, "none: no such file"},
 		{"fleet play --relays 2 --plays 1 --day calm", cli.ExitOK, "calm"},
 		{"fleet play --drawn --relays 12 --plays 2 --day split --seed 5", cli.ExitOK, "split"},
 		{"fleet play --drawn --relays 2 --plays 1 --day rush", cli.ExitError, `"rush" is no kind`},
@@ -36,23 +41,29 @@
 		{"fleet play --relays 0", cli.ExitError, "--relays: 0"},
 		{"fleet play --plays 0", cli.ExitError, "--plays: 0"},
 	} {
-		var out, errs bytes.Buffer
-		if code := run(t.Context(), strings.Fields(tt.args), nil, &out, &errs); code != tt.code {
-			t.Errorf("%s: code %d, want %d: %s", tt.args, code, tt.code, errs.String())
-		}
-		if !strings.Contains(out.String()+errs.String(), tt.out) || tt.code == cli.ExitError && strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("%s: printed %q and %q, want %q", tt.args, out.String(), errs.String(), tt.out)
-		}
+		t.Run(strings.ReplaceAll(tt.args, folder, "FOLDER"), func(t *testing.T) {
+			code, out, errs := runTool(t, "", strings.Fields(tt.args)...)
+			if code != tt.code {
+				t.Errorf("exit %d, want %d: %s", code, tt.code, errs)
+			}
+			if !strings.Contains(out+errs, tt.want) || tt.code == cli.ExitError && strings.Count(errs, "\n") != 1 {
+				t.Errorf("printed %q and %q, want %q", out, errs, tt.want)
+			}
+		})
 	}
-	var out, errs bytes.Buffer
+}
+
+func TestFleetCount_JSONAloneOnStandardOutput(t *testing.T) {
+	folder, _ := writeLogs(t)
 	var table struct {
-		Relays int   `json:"relays"`
-		Bad    []any `json:"bad_lines"`
+		Relays   int   `json:"relays"`
+		BadLines []any `json:"bad_lines"`
 	}
-	if code := run(t.Context(), []string{"fleet", "count", dir, "--json", "-"}, nil, &out, &errs); code != cli.ExitFindings {
-		t.Errorf("code %d", code)
+	code, out, _ := runTool(t, "", "fleet", "count", folder, "--json", "-")
+	if code != cli.ExitFindings {
+		t.Errorf("exit %d, want %d", code, cli.ExitFindings)
 	}
-	if err := json.Unmarshal(out.Bytes(), &table); err != nil || table.Relays != 2 || len(table.Bad) != 1 {
+	if err := json.Unmarshal([]byte(out), &table); err != nil || table.Relays != 2 || len(table.BadLines) != 1 {
 		t.Errorf("%v, %+v", err, table)
 	}
 }
--- a/cmd/frostlinkctl/golden_test.go
+++ b/cmd/frostlinkctl/golden_test.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/goldentest"
 )
 
-func TestGoldenForms(t *testing.T) {
+func TestJSONForms_AreUnchanged(t *testing.T) {
 	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "measured", Value: &measurement{}, WriteOnly: true},
 		goldentest.Form{Name: "stepped-run", Value: &steppedRun{}, WriteOnly: true}, goldentest.Form{Name: "spread", Value: &spread{}, WriteOnly: true},
 		goldentest.Form{Name: "soak-run", Value: &soakRun{}, WriteOnly: true}, goldentest.Form{Name: "followed", Value: &followedMessages{}, WriteOnly: true},
--- a/cmd/frostlinkctl/undelivered_test.go
+++ b/cmd/frostlinkctl/undelivered_test.go
@@ -12,18 +12,22 @@
 	"frostlink/internal/deadletter"
 )
 
-// filled is a stopped relay's folder with so many payments that may have run.
-func filled(t *testing.T, ids ...string) string {
+// newStore fills a stopped relay's folder with payments of which it is not known whether they were executed.
+func newStore(t *testing.T, ids ...string) (folder string) {
 	t.Helper()
-	dir := filepath.Join(t.TempDir(), "kept")
-	s, err := deadletter.Open(dir, 0, 0)
+	folder = filepath.Join(t.TempDir(), "kept")
+	store, err := deadletter.Open(folder, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer func() {
+		if err := store.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}()
 	at := time.Now().Add(-time.Hour)
 	for _, id := range ids {
-		err := s.Put([]deadletter.Message{{Body: []byte("body of " + id), Record: deadletter.Record{
+		err := store.Put([]deadletter.Message{{Body: []byte("body of " + id), Record: deadletter.Record{
 			ID: id, Class: "fee-payment", Tenant: "lahore",
 			Destination: 3, State: deadletter.Held, Since: at, Reason: "no rule matches it", Incarnations: []deadletter.Incarnation{{
 				ID: id, Relay: "r", AcceptedAt: at,
@@ -35,31 +39,24 @@
 			t.Fatal(err)
 		}
 	}
-	return dir
-}
-
-// runTool runs the tool, with its standard input.
-func runTool(t *testing.T, in string, args ...string) (code int, out, errs string) {
-	t.Helper()
-	var o, e strings.Builder
-	code = run(t.Context(), args, strings.NewReader(in), &o, &e)
-	return code, o.String(), e.String()
+	return folder
 }
 
-func TestUndeliveredCommands(t *testing.T) {
-	dir := filled(t, "a", "b", "c")
+// The calls build on one another: each sees what those before it have done to the store.
+func TestDeadLetterCommands_DecideOnMessages(t *testing.T) {
+	folder := newStore(t, "a", "b", "c")
 	operator := filepath.Join(t.TempDir(), "frostlink.toml")
-	if err := os.WriteFile(operator, []byte("version = 1\n[undelivered]\nfolder = \""+dir+"\"\n"), 0o600); err != nil {
+	if err := os.WriteFile(operator, []byte("version = 1\n[undelivered]\nfolder = \""+folder+"\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	export := filepath.Join(t.TempDir(), "all.jsonl")
-	empty := filled(t)
-	for _, c := range []struct {
-		args string
-		in   string
-		code int
-		out  string // a part of what is printed
-		errs string
+	empty := newStore(t)
+	for _, tt := range []struct {
+		args   string
+		stdin  string
+		code   int
+		stdout string // part of it
+		stderr string // part of it; empty: there is none
 	}{
 		{"list --folder DIR --may-have-run --class fee-payment", "", cli.ExitOK, "no rule matches it", ""},
 		{"list --folder DIR --most 2", "", cli.ExitOK, "a  ", "there is more: --from 3"},
@@ -86,34 +83,38 @@
 		{"verify --folder EMPTY", "", cli.ExitOK, "3 messages are whole, 0 faults", ""},
 		{"list --folder EMPTY --state discarded", "", cli.ExitOK, "c  ", ""},
 	} {
-		words := strings.Fields("undelivered " + strings.NewReplacer("OPERATOR", operator, "EXPORT", export, "EMPTY", empty, "DIR", dir).Replace(c.args))
-		code, out, errs := runTool(t, c.in, words...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || c.errs == "" && errs != "" {
-			t.Errorf("%s: exit %d\n%s%s", c.args, code, out, errs)
-		}
+		words := strings.Fields("undelivered " + strings.NewReplacer("OPERATOR", operator, "EXPORT", export, "EMPTY", empty, "DIR", folder).Replace(tt.args))
+		t.Run(tt.args, func(t *testing.T) {
+			code, out, errs := runTool(t, tt.stdin, words...)
+			if code != tt.code || !strings.Contains(out, tt.stdout) || !strings.Contains(errs, tt.stderr) || tt.stderr == "" && errs != "" {
+				t.Errorf("exit %d, stdout %q, stderr %q; want exit %d, %q, %q", code, out, errs, tt.code, tt.stdout, tt.stderr)
+			}
+		})
 	}
 	_, out, _ := runTool(t, "", "undelivered", "show", "a", "--folder", empty, "--json")
-	var r deadletter.Record
-	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Attestations) != 1 || !r.Attestations[0].Used {
-		t.Errorf("an attest that came with an import serves here: %+v, %v", r.Attestations, err)
+	var record deadletter.Record
+	if err := json.Unmarshal([]byte(out), &record); err != nil || len(record.Attestations) != 1 || !record.Attestations[0].Used {
+		t.Errorf("an attestation that came with an import serves here: %+v, %v", record.Attestations, err)
 	}
 }
 
 // Two tools on one folder, or a tool and a relay: the second gets a clear error, and changes nothing.
-func TestTwoOnOneFolder(t *testing.T) {
-	dir := filled(t, "a")
-	s, err := deadletter.Open(dir, 0, 0)
+func TestDeadLetterCommands_RefuseAFolderInUse(t *testing.T) {
+	folder := newStore(t, "a")
+	store, err := deadletter.Open(folder, 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, args := range []string{"list", "discard a --why booked"} {
-		code, out, errs := runTool(t, "", append(append([]string{"undelivered"}, strings.Fields(args)...), "--folder", dir)...)
+		code, out, errs := runTool(t, "", strings.Fields("undelivered "+args+" --folder "+folder)...)
 		if code != cli.ExitError || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
 			t.Errorf("%s: exit %d, %s%s", args, code, out, errs)
 		}
 	}
-	_ = s.Close()
-	if code, out, errs := runTool(t, "", "undelivered", "list", "--folder", dir); code != cli.ExitOK || !strings.Contains(out, "held") {
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if code, out, errs := runTool(t, "", "undelivered", "list", "--folder", folder); code != cli.ExitOK || !strings.Contains(out, "held") {
 		t.Errorf("exit %d, %s%s", code, out, errs)
 	}
 }
