--- a/cmd/frostlinkctl/coord_test.go
+++ b/cmd/frostlinkctl/coord_test.go
@@ -95,16 +95,16 @@
 	}
 }
 
-// A void run says nothing: what it broke is printed, and is no failure.
-func TestFaultRuns_VoidRunIsNoFailure(t *testing.T) {
+// An inconclusive run says nothing: what it broke is printed, and is no failure.
+func TestFaultRuns_InconclusiveRunIsNoFailure(t *testing.T) {
 	violations := []faults.Violation{{Check: "overlap", Detail: "two holders"}}
-	kept, void, failed := faults.Result{Seed: 1, TakeoverSeconds: []float64{3, 1, 2}}, faults.Result{Seed: 2, Void: true, Violations: violations},
+	passed, inconclusive, failed := faults.Result{Seed: 1, TakeoverSeconds: []float64{3, 1, 2}}, faults.Result{Seed: 2, Void: true, Violations: violations},
 		faults.Result{Seed: 3, Violations: violations, Dir: "dir"}
-	if (faultRuns{kept, void}).failed() || !(faultRuns{kept, void, failed}).failed() {
-		t.Error("just a run with violations that is not void has failed")
+	if (faultRuns{passed, inconclusive}).failed() || !(faultRuns{passed, inconclusive, failed}).failed() {
+		t.Error("just a conclusive run with violations has failed")
 	}
 	var out strings.Builder
-	faultRuns{kept, void, failed}.print(&out)
+	faultRuns{passed, inconclusive, failed}.print(&out)
 	for _, want := range []string{
 		"kept", "void", "failed", "seed 3: overlap: two holders (dir)\n", "from a holder's death to the next act, 3 times: p50 2.00 s, p99 2.00 s, most 3.00 s\n",
 	} {
--- a/cmd/frostlinkctl/doc.go
+++ b/cmd/frostlinkctl/doc.go
@@ -22,7 +22,7 @@
 //	scenario_spread.go      how figures differ between runs
 //	scenario_soak.go        plays random faults, a run a seed
 //	scenario_clocksteps.go  plays scenarios with wall clocks stepped
-//	scenario_play.go        void runs played again, and the verdict on several runs
+//	scenario_play.go        inconclusive runs played again, and the verdict on several runs
 //	scenario_check.go       checks scenarios
 //	scenario_list.go        lists scenarios
 //
--- a/cmd/frostlinkctl/scenario_play.go
+++ b/cmd/frostlinkctl/scenario_play.go
@@ -12,7 +12,7 @@
 // maxPlays is how often a scenario is played where the machine was too busy for a run to say anything.
 const maxPlays = 3
 
-// playUntilConclusive plays a scenario until a run is not void, maxPlays times at most. It returns the last run and how many there were.
+// playUntilConclusive plays a scenario until a run is conclusive, maxPlays times at most. It returns the last run and how many there were.
 func playUntilConclusive(ctx context.Context, s *scenario.Scenario, o harness.Options) (result *harness.Result, plays int, err error) {
 	for plays < maxPlays && (result == nil || result.Void) {
 		plays++
@@ -25,14 +25,14 @@
 
 // tally counts runs by their verdicts, but for those that passed.
 type tally struct {
-	failed, void int
+	failed, inconclusive int
 }
 
-// add counts a run. A void run counts as neither passed nor failed.
-func (t *tally) add(void, passed bool) {
+// add counts a run. An inconclusive run, for which the machine was too busy, is neither passed nor failed.
+func (t *tally) add(inconclusive, passed bool) {
 	switch {
-	case void:
-		t.void++
+	case inconclusive:
+		t.inconclusive++
 	case !passed:
 		t.failed++
 	}
@@ -43,8 +43,8 @@
 	switch {
 	case t.failed > 0:
 		return cli.ErrFindings
-	case t.void > 0:
-		return fmt.Errorf("the machine was too busy for %d runs", t.void)
+	case t.inconclusive > 0:
+		return fmt.Errorf("the machine was too busy for %d runs", t.inconclusive)
 	default:
 		return nil
 	}
--- a/cmd/frostlinkctl/scenario_play_test.go
+++ b/cmd/frostlinkctl/scenario_play_test.go
@@ -10,13 +10,13 @@
 )
 
 // runResult is the result of a run that delivered a share of the weight.
-func runResult(deliveredWeight float64, void bool, failures ...string) *harness.Result {
+func runResult(deliveredWeight float64, inconclusive bool, failures ...string) *harness.Result {
 	report := &checker.Report{}
 	report.DeliveredWeight.Total = deliveredWeight
-	return &harness.Result{Void: void, Failures: failures, Report: report}
+	return &harness.Result{Void: inconclusive, Failures: failures, Report: report}
 }
 
-func TestTally_FailureCountsForMoreThanVoidRuns(t *testing.T) {
+func TestTally_FailureCountsForMoreThanInconclusiveRuns(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		counts  tally
@@ -24,9 +24,9 @@
 		found   bool
 	}{
 		{"all passed", tally{}, "", false},
-		{"some void", tally{void: 2}, "the machine was too busy for 2 runs", false},
+		{"some inconclusive", tally{inconclusive: 2}, "the machine was too busy for 2 runs", false},
 		{"some failed", tally{failed: 1}, cli.ErrFindings.Error(), true},
-		{"both", tally{failed: 1, void: 3}, cli.ErrFindings.Error(), true},
+		{"both", tally{failed: 1, inconclusive: 3}, cli.ErrFindings.Error(), true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			err := tt.counts.verdict()
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestTally_VoidRunIsNoFailure(t *testing.T) {
+func TestTally_InconclusiveRunIsNoFailure(t *testing.T) {
 	var counts tally
 	counts.add(true, false)
 	counts.add(true, true)
 	counts.add(false, true)
 	counts.add(false, false)
-	if want := (tally{failed: 1, void: 2}); counts != want {
+	if want := (tally{failed: 1, inconclusive: 2}); counts != want {
 		t.Errorf("counts %+v, want %+v", counts, want)
 	}
 }
@@ -59,7 +59,7 @@
 		{Path: "b", Step: 5, Result: runResult(0.75, false)},
 		{Path: "b", Step: -5, Result: runResult(0.1, true)},
 	}
-	if got, want := compareSteps(runs, 0.03), (tally{failed: 2, void: 1}); got != want {
+	if got, want := compareSteps(runs, 0.03), (tally{failed: 2, inconclusive: 1}); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
 	if difference := runs[5].Difference; difference < 0.049 || difference > 0.051 {
--- a/cmd/frostlinkctl/scenario_repeat.go
+++ b/cmd/frostlinkctl/scenario_repeat.go
@@ -10,8 +10,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxVoidRuns is how many void runs of one scenario are played again.
-const maxVoidRuns = 5
+// maxInconclusiveRuns is how many inconclusive runs of one scenario are played again.
+const maxInconclusiveRuns = 5
 
 // scenarioRepeatFlags are the flags of scenario repeat.
 type scenarioRepeatFlags struct {
@@ -61,10 +61,10 @@
 	return findings(failed)
 }
 
-// play plays the scenario until there are as many runs as wanted that are not void.
+// play plays the scenario until there are as many conclusive runs as wanted.
 func (f *scenarioRepeatFlags) play(c *cobra.Command, s *scenario.Scenario, options harness.Options) ([]*harness.Result, error) {
 	var results []*harness.Result
-	for voids := 0; len(results) < f.runs; {
+	for inconclusive := 0; len(results) < f.runs; {
 		result, err := harness.Run(c.Context(), s, options)
 		if err != nil {
 			return nil, err
@@ -75,8 +75,8 @@
 			results = append(results, result)
 			continue
 		}
-		if voids++; voids > maxVoidRuns {
-			return nil, fmt.Errorf("%d runs are void: the machine is too busy", voids)
+		if inconclusive++; inconclusive > maxInconclusiveRuns {
+			return nil, fmt.Errorf("%d runs are void: the machine is too busy", inconclusive)
 		}
 	}
 	return results, nil
--- a/cmd/frostlinkctl/scenario_soak.go
+++ b/cmd/frostlinkctl/scenario_soak.go
@@ -28,7 +28,7 @@
 // soakRun is what the runs of one seed came to.
 type soakRun struct {
 	Seed     int64  `json:"seed"`
-	Plays    int    `json:"tries"` // void runs come before the last one
+	Plays    int    `json:"tries"` // inconclusive runs come before the last one
 	Scenario string `json:"script,omitempty"`
 	*harness.Result
 }
@@ -73,8 +73,8 @@
 		counts.add(run.Void, run.Passed())
 		run.print(out)
 	}
-	fmt.Fprintf(out, "%d of %d seeds kept all rules and invariants, %d did not, %d were void\n", f.seeds-counts.failed-counts.void, f.seeds,
-		counts.failed, counts.void)
+	fmt.Fprintf(out, "%d of %d seeds kept all rules and invariants, %d did not, %d were void\n", f.seeds-counts.failed-counts.inconclusive, f.seeds,
+		counts.failed, counts.inconclusive)
 	if err := writeJSON(c.OutOrStdout(), f.jsonFile, runs); err != nil {
 		return err
 	}
@@ -115,8 +115,8 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return path, err //nolint:wrapcheck // it names the operation and the folder
 	}
-	kept := filepath.Join(folder, soakName(seed))
-	return path, errors.Join(os.WriteFile(path, []byte(text), 0o644), os.RemoveAll(kept), os.CopyFS(kept, os.DirFS(logs)))
+	logsCopy := filepath.Join(folder, soakName(seed))
+	return path, errors.Join(os.WriteFile(path, []byte(text), 0o644), os.RemoveAll(logsCopy), os.CopyFS(logsCopy, os.DirFS(logs)))
 }
 
 func (r *soakRun) print(out io.Writer) {
