--- a/cmd/frostlinkctl/doc.go
+++ b/cmd/frostlinkctl/doc.go
@@ -57,7 +57,7 @@
 //	coord_faultrun.go        plays faults between members and relays
 //	coord_faultrun_print.go  the table of such runs
 //	coord_measure.go         measures a service
-//	measurement.go           how it is measured
+//	coord_measurement.go     how it is measured
 //
 //	lease.go          lease: the group, and leases read
 //	lease_list.go     lists leases
--- a/cmd/frostlinkctl/undelivered.go
+++ b/cmd/frostlinkctl/undelivered.go
@@ -4,8 +4,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"frostlink/internal/deadletter"
 )
 
 func undeliveredCommand() *cobra.Command {
@@ -20,10 +18,10 @@
 	f.add(c)
 	c.AddCommand(deadLetterListCommand(&f), deadLetterShowCommand(&f), deadLetterStatsCommand(&f), deadLetterCheckCommand(&f),
 		deadLetterVerifyCommand(&f), deadLetterExportCommand(&f), deadLetterImportCommand(&f),
-		deadLetterDecisionCommand(&f, deadletter.Hold, "Hold a message: no rule resends it", false),
-		deadLetterDecisionCommand(&f, deadletter.Redeliver, "Have a message resent, where its class allows it", false),
-		deadLetterDecisionCommand(&f, deadletter.Discard, "Discard a message, with a reason", true),
 		deadLetterAttestCommand(&f))
+	for _, d := range decisions {
+		c.AddCommand(deadLetterDecisionCommand(&f, d))
+	}
 	return c
 }
 
--- a/cmd/frostlinkctl/undelivered_decide.go
+++ b/cmd/frostlinkctl/undelivered_decide.go
@@ -18,6 +18,19 @@
 // attestAction is the store's name of an attestation. The other actions are those of rules.
 const attestAction = "attest"
 
+// decision is a command that does with messages what a rule does by its action.
+type decision struct {
+	action         string
+	help           string
+	reasonRequired bool
+}
+
+var decisions = []decision{
+	{action: deadletter.Hold, help: "Hold a message: no rule resends it"},
+	{action: deadletter.Redeliver, help: "Have a message resent, where its class allows it"},
+	{action: deadletter.Discard, help: "Discard a message, with a reason", reasonRequired: true},
+}
+
 // decisionFlags are the flags of the commands that decide on messages by their ids.
 type decisionFlags struct {
 	store  *storeFlags
@@ -25,17 +38,17 @@
 	order  deadletter.Command
 }
 
-func deadLetterDecisionCommand(store *storeFlags, action, short string, needsReason bool) *cobra.Command {
-	f := &decisionFlags{store: store, action: action}
+func deadLetterDecisionCommand(store *storeFlags, d decision) *cobra.Command {
+	f := &decisionFlags{store: store, action: d.action}
 	c := onStore(&cobra.Command{
-		Use:     action + " ID... | -",
-		Short:   short,
-		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", action),
+		Use:     d.action + " ID... | -",
+		Short:   d.help,
+		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", d.action),
 		Args:    cobra.MinimumNArgs(1),
 	}, store, readWrite, f.decide)
 	c.Flags().StringVar(&f.order.By, "by", currentUser(), "who wants it")
 	c.Flags().StringVar(&f.order.Reason, "why", "", "why")
-	if needsReason {
+	if d.reasonRequired {
 		_ = c.MarkFlagRequired("why") // it fails only for a flag that does not exist
 	}
 	return c
