--- a/cmd/frostlinkctl/undelivered_decide.go
+++ b/cmd/frostlinkctl/undelivered_decide.go
@@ -15,35 +15,32 @@
 // idsFromStdin is the argument that stands for ids on standard input, as from a list that staff have checked against a destination's ledger.
 const idsFromStdin = "-"
 
-// attestAction is the store's name of an attestation. The other actions are those of rules.
-const attestAction = "attest"
-
-// decision is a command that does with messages what a rule does by its action.
+// decision is a command on messages that also a rule can have as its action.
 type decision struct {
-	action         string
+	command        string
 	help           string
 	reasonRequired bool
 }
 
 var decisions = []decision{
-	{action: deadletter.Hold, help: "Hold a message: no rule resends it"},
-	{action: deadletter.Redeliver, help: "Have a message resent, where its class allows it"},
-	{action: deadletter.Discard, help: "Discard a message, with a reason", reasonRequired: true},
+	{command: deadletter.HoldCommand, help: "Hold a message: no rule resends it"},
+	{command: deadletter.RedeliverCommand, help: "Have a message resent, where its class allows it"},
+	{command: deadletter.DiscardCommand, help: "Discard a message, with a reason", reasonRequired: true},
 }
 
 // decisionFlags are the flags of the commands that decide on messages by their ids.
 type decisionFlags struct {
-	store  *storeFlags
-	action string
-	order  deadletter.Command
+	store   *storeFlags
+	command string
+	order   deadletter.Command
 }
 
 func deadLetterDecisionCommand(store *storeFlags, d decision) *cobra.Command {
-	f := &decisionFlags{store: store, action: d.action}
+	f := &decisionFlags{store: store, command: d.command}
 	c := onStore(&cobra.Command{
-		Use:     d.action + " ID... | -",
+		Use:     d.command + " ID... | -",
 		Short:   d.help,
-		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", d.action),
+		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", d.command),
 		Args:    cobra.MinimumNArgs(1),
 	}, store, readWrite, f.decide)
 	c.Flags().StringVar(&f.order.By, "by", currentUser(), "who wants it")
@@ -55,7 +52,7 @@
 }
 
 func deadLetterAttestCommand(store *storeFlags) *cobra.Command {
-	f := &decisionFlags{store: store, action: attestAction}
+	f := &decisionFlags{store: store, command: deadletter.AttestCommand}
 	c := onStore(&cobra.Command{
 		Use:   "attest ID... | -",
 		Short: "State by name that the partner does not have a message that may have run",
@@ -78,7 +75,7 @@
 	rejected := false
 	decided := []*deadletter.Record{} // none is [] in JSON
 	for _, id := range ids {
-		record, err := store.Command(c.Context(), f.action, id, f.order)
+		record, err := store.Command(c.Context(), f.command, id, f.order)
 		if err != nil {
 			rejected = true
 			fmt.Fprintln(c.ErrOrStderr(), err)
--- a/internal/deadletter/command.go
+++ b/internal/deadletter/command.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// The names of commands.
+// The names of the commands on a message, as the administration's paths have them.
 const (
-	holdCommand      = "hold"
-	discardCommand   = "discard"
-	redeliverCommand = "resend"
-	attestCommand    = "attest"
+	HoldCommand      = "hold"
+	DiscardCommand   = "discard"
+	RedeliverCommand = "resend"
+	AttestCommand    = "attest"
 )
 
 // Command says who wants a command applied to a message, and why.
@@ -60,21 +60,21 @@
 	}
 	set := func(state State, reason string) { r.State, r.Reason, r.Since = state, reason, now }
 	switch name {
-	case holdCommand:
+	case HoldCommand:
 		r.HeldByOperator, r.RequestedByOperator = true, false
 		set(Held, "held by "+c.By+suffix(c.Reason))
 		return time.Time{}, nil
-	case discardCommand:
+	case DiscardCommand:
 		if c.Reason == "" {
 			return conflict("a discard says why")
 		}
 		set(Discarded, "discarded by "+c.By+suffix(c.Reason))
 		return time.Time{}, nil
-	case redeliverCommand:
+	case RedeliverCommand:
 		r.HeldByOperator, r.RequestedByOperator = false, true
 		set(Due, "to be resent, asked for by "+c.By+suffix(c.Reason))
 		return now, nil
-	case attestCommand:
+	case AttestCommand:
 		if c.Evidence == "" {
 			return conflict("an attest names its evidence")
 		}
