--- /dev/null
+++ b/internal/faultinjection/harness/attempt.go
@@ -0,0 +1,192 @@
+package harness
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// redeliveryExpiry is when a redelivery expires: never within a run, since destinations take redeliveries at any time.
+const redeliveryExpiry = 1000 * time.Hour
+
+// maxBodySize is the protocol's bound on a body, in bytes.
+const maxBodySize = 64 << 10
+
+// bodyFormat begins the body of every message. It says whose message it is.
+const bodyFormat = "message %d for partner %d."
+
+// attempt is a relay's attempt whose request has been read completely. Its fields are guarded by the destination's lock.
+type attempt struct {
+	number     int // over all destinations of the run
+	conn       *endpointConn
+	submission *submission // nil: of an unknown id
+	model      *destination.Attempt
+	startedAt  time.Duration
+	ended      bool
+}
+
+// attemptRequest is the request of an attempt.
+type attemptRequest struct {
+	*http.Request
+	body      []byte
+	id        string
+	probe     bool
+	firstByte time.Duration // when its first byte was read
+}
+
+// messageBody returns the body of a message, which is the same in every attempt and unlike that of any other message.
+func messageBody(s *submission) []byte {
+	text := fmt.Sprintf(bodyFormat, s.message.Number, s.message.Destination) + " "
+	return []byte(strings.Repeat(text, s.message.BodySize/len(text)+1)[:s.message.BodySize])
+}
+
+// errBodyTooLong says that a body is longer than maxBodySize.
+var errBodyTooLong = errors.New("body too long")
+
+// readRequest reads the next request of a connection.
+func readRequest(in *bufio.Reader, firstByte time.Duration) (*attemptRequest, error) {
+	req, err := http.ReadRequest(in)
+	if err != nil {
+		return nil, fmt.Errorf("request: %w", err)
+	}
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodySize+1))
+	if err != nil {
+		return nil, fmt.Errorf("body: %w", err)
+	}
+	if len(body) > maxBodySize {
+		return nil, errBodyTooLong
+	}
+	return &attemptRequest{
+		Request: req, body: body, id: req.Header.Get("Request-Id"), firstByte: firstByte,
+		probe: req.Method == http.MethodGet && (req.URL.Path == "/ping" || req.URL.Path == "/_load"),
+	}, nil
+}
+
+// readAttempt reads one attempt and hands it to the model. It reports whether the connection stays open.
+func (c *endpointConn) readAttempt(in *bufio.Reader, firstByte time.Duration) bool {
+	req, err := readRequest(in, firstByte)
+	if err != nil {
+		return false
+	}
+	d := c.endpoint.destination
+	switch {
+	case req.probe && !d.harness.scenario.Limits.Probing:
+		return c.respond(response{status: http.StatusNotFound})
+	case !req.probe && (req.Method != http.MethodPost || req.URL.Path != "/inbox"):
+		d.harness.recordFailure("relay %d sent %s %s to an endpoint", c.relay+1, req.Method, req.URL.Path)
+		return c.respond(response{status: http.StatusNotFound})
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if c.closed {
+		return false
+	}
+	a, previous := c.beginAttempt(req)
+	if !req.probe {
+		if status := c.checkForwardable(a, req); status != 0 {
+			a.end(checker.Event{Outcome: checker.NotSent})
+			return c.respond(response{status: status})
+		}
+		d.drawAttempt(a, previous)
+	}
+	d.pending[a.model] = a
+	d.carryOut(d.model.Arrive(d.now(), c.endpoint.index, a.model))
+	return !c.closed
+}
+
+// beginAttempt records an attempt. It returns it, and how many attempts its message had before.
+func (c *endpointConn) beginAttempt(req *attemptRequest) (a *attempt, previous int) {
+	d := c.endpoint.destination
+	if d.harness.scenario.Relay.Redelivers && !req.probe {
+		d.recordRedelivery(req, c.relay)
+	}
+	number, submission, previous := d.harness.ledger.attemptStarted(req.id)
+	kind := checker.AttemptSent
+	if req.probe {
+		kind = checker.Probed
+	}
+	at := d.harness.record(checker.Event{
+		Kind: kind, ID: req.id, Relay: c.relay, Destination: d.number, Endpoint: c.endpoint.id,
+		Attempt: number, FirstByte: req.firstByte,
+	})
+	a = &attempt{number: number, conn: c, submission: submission, startedAt: at, model: &destination.Attempt{
+		ID: req.id, Relay: c.relay, NewConnection: c.unused, OverConnectionLimit: c.overLimit, Probe: req.probe,
+	}}
+	c.clearDone()
+	c.attempt, c.unused = a, false
+	return a, previous
+}
+
+// recordRedelivery records the first attempt under an id that no client submitted. The body says whose message it is.
+func (d *destinationServer) recordRedelivery(req *attemptRequest, relay int) {
+	h := d.harness
+	var number, intended int
+	if n, _ := fmt.Sscanf(string(req.body), bodyFormat, &number, &intended); n != 2 || number < 0 || number >= len(h.clients.messages) {
+		return // an attempt for an unknown id, which the platform stops
+	}
+	m := h.clients.messages[number]
+	if h.ledger.adoptRedelivery(&submission{message: m, id: req.id, relay: relay, expiresAt: redeliveryExpiry}) {
+		h.record(checker.Event{
+			Kind: checker.Redelivered, ID: req.id, Message: number, Relay: relay,
+			Destination: m.Destination, Class: m.Class, Subject: m.Subject,
+		})
+	}
+}
+
+// checkForwardable checks an attempt as the platform does between relays and destinations. It returns the status of one that
+// does not reach the destination, or 0.
+func (c *endpointConn) checkForwardable(a *attempt, req *attemptRequest) int {
+	d, s := c.endpoint.destination, a.submission
+	switch {
+	case s == nil:
+		return http.StatusBadRequest
+	case !bytes.Equal(req.body, messageBody(s)) || req.Header.Get("Idempotency-Key") != s.message.Key:
+		d.harness.recordFailure("relay %d changed the body or key of %s", c.relay+1, s.id)
+		return http.StatusBadRequest
+	case s.message.Destination != d.number:
+		return http.StatusBadRequest
+	}
+	now := d.harness.ledger.state(s)
+	switch {
+	case now.withdrawn && !now.accepted, a.startedAt > s.expiresAt:
+		return http.StatusGone
+	case now.attempts > d.harness.scenario.Limits.MaxAttempts:
+		return http.StatusGatewayTimeout
+	}
+	return 0
+}
+
+// drawAttempt draws an attempt's service time and fate.
+func (d *destinationServer) drawAttempt(a *attempt, previous int) {
+	h, m := d.harness, a.submission.message
+	a.model.ServiceTime = h.scenario.ServiceTime(h.random, m, previous)
+	a.model.Key, a.model.KeyTTL = m.Key, scenario.Seconds(h.scenario.Classes[m.Class].KeyTTL)
+	a.model.Draw = h.random.Stream("chance", m.Number, previous).Float64()
+}
+
+// end records the end of an attempt; the lock is held.
+func (a *attempt) end(e checker.Event) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	a.conn.attempt = nil
+	a.conn.signalDone()
+	d := a.conn.endpoint.destination
+	delete(d.pending, a.model)
+	e.Kind, e.ID, e.Attempt, e.Relay, e.Destination = checker.AttemptEnded, a.model.ID, a.number, a.conn.relay, d.number
+	at := d.harness.record(e)
+	if a.submission != nil && !a.model.Probe {
+		rejected := e.Outcome == checker.Rejected || e.Outcome == checker.RetryAfter || e.Outcome == checker.NotSent
+		d.harness.ledger.attemptEnded(a.submission, a.startedAt, at, rejected, e.Outcome == checker.OK)
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/harness/endpoint_conn.go
@@ -0,0 +1,119 @@
+package harness
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+)
+
+// responseWriteTimeout bounds the write of a response to a relay that does not read.
+const responseWriteTimeout = time.Second
+
+// endpointConn is a relay's connection to an endpoint. Its fields are guarded by the destination's lock.
+type endpointConn struct {
+	*net.TCPConn
+	endpoint    *endpointServer
+	relay       int
+	overLimit   bool // one connection more than the endpoint takes
+	unused      bool // no attempt came on it yet
+	closed      bool
+	attempt     *attempt      // in flight; nil: none
+	attemptDone chan struct{} // capacity 1: the attempt in flight has ended
+}
+
+func newEndpointConn(e *endpointServer, raw *net.TCPConn, relay int) *endpointConn {
+	return &endpointConn{TCPConn: raw, endpoint: e, relay: relay, unused: true, attemptDone: make(chan struct{}, 1)}
+}
+
+// setReset has the next Close reset the connection.
+func (c *endpointConn) setReset() { _ = c.SetLinger(0) } // fails on a closed connection only
+
+// reset closes a connection that was not admitted, with a reset.
+func (c *endpointConn) reset() {
+	c.setReset()
+	_ = c.Close()
+}
+
+// serve reads attempts until the connection ends. It reads while an attempt is in flight too: the end of the stream cancels
+// that attempt.
+func (c *endpointConn) serve() {
+	defer c.peerClosed()
+	in := bufio.NewReader(c)
+	for {
+		if _, err := in.Peek(1); err != nil {
+			return
+		}
+		firstByte := c.endpoint.destination.harness.now()
+		if c.busy() {
+			<-c.attemptDone // one attempt at a time
+		}
+		if !c.readAttempt(in, firstByte) {
+			return
+		}
+	}
+}
+
+// busy reports whether an attempt is in flight.
+func (c *endpointConn) busy() bool {
+	c.endpoint.destination.mu.Lock()
+	defer c.endpoint.destination.mu.Unlock()
+	return c.attempt != nil
+}
+
+// peerClosed cancels the attempt in flight of a relay that closed its connection.
+func (c *endpointConn) peerClosed() {
+	d := c.endpoint.destination
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if c.closed {
+		return
+	}
+	if a := c.attempt; a != nil {
+		a.end(checker.Event{Outcome: checker.Abandoned})
+		d.carryOut(d.model.Cancel(d.now(), a.model))
+	}
+	c.close()
+}
+
+// close closes the connection; the lock is held.
+func (c *endpointConn) close() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	_ = c.Close()
+	c.signalDone()
+	delete(c.endpoint.conns, c)
+	c.endpoint.destination.model.Disconnect(c.endpoint.index)
+}
+
+// signalDone lets the reader go on to the next attempt.
+func (c *endpointConn) signalDone() {
+	select {
+	case c.attemptDone <- struct{}{}:
+	default:
+	}
+}
+
+// clearDone discards the signal of an earlier attempt that the reader did not wait for.
+func (c *endpointConn) clearDone() {
+	select {
+	case <-c.attemptDone:
+	default:
+	}
+}
+
+// respond writes a response, and reports whether the connection stays open.
+func (c *endpointConn) respond(r response) bool {
+	closing := ""
+	if c.overLimit {
+		closing = "Connection: close\r\n"
+	}
+	_ = c.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // fails on a closed connection only, as the write does
+	_, err := fmt.Fprintf(c.TCPConn, "HTTP/1.1 %d %s\r\n%s%sContent-Length: 0\r\n\r\n", r.status, http.StatusText(r.status), r.headers, closing)
+	return err == nil && !c.overLimit
+}
--- /dev/null
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -0,0 +1,226 @@
+package harness
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// Endpoints fail as the kind of outage says, and serve again after it.
+func TestEndpointServer_FailsAndRecoversByKindOfOutage(t *testing.T) {
+	h := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 1))
+	d := h.destinations[0]
+	addr := d.endpoints[0].addrs[0]
+	for _, test := range []struct {
+		kind  faultKind
+		check func(t *testing.T, h *harness, addr string) (checkAfter func())
+	}{
+		{faultRefuse, checkRefusing},
+		{faultOverloaded, checkOverloaded},
+		{faultErrors, checkErrors},
+		{faultUnreachable, checkUnreachable},
+		{faultUnresponsive, checkUnresponsive},
+	} {
+		t.Run(string(test.kind), func(t *testing.T) {
+			d.beginOutage(allEndpoints, &scenario.Fault{Kind: string(test.kind), Share: 1})
+			checkAfter := test.check(t, h, addr)
+			d.endOutage(allEndpoints, false)
+			conn := dialEndpoint(t, addr)
+			writeAttempt(t, conn, h.handed(0))
+			if status, err := readStatus(conn); status != http.StatusOK {
+				t.Errorf("after the outage: %d, %v", status, err)
+			}
+			checkAfter()
+		})
+	}
+	resets := &scenario.Fault{Kind: string(faultReset), Share: 1}
+	d.beginDegradation(allEndpoints, resets)
+	conn := dialEndpoint(t, addr)
+	writeAttempt(t, conn, h.handed(4))
+	if _, err := readStatus(conn); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("reset: %v", err)
+	}
+	d.endDegradation(allEndpoints, resets)
+	if n := countEvents(h, checker.Executed); n < 6 {
+		t.Errorf("%d executions, want one after each of five outages, and that of the reset attempt", n)
+	}
+}
+
+// checkRefusing checks that an endpoint refuses connections.
+func checkRefusing(t *testing.T, _ *harness, addr string) (checkAfter func()) {
+	t.Helper()
+	if _, err := net.Dial("tcp", addr); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("during the outage: %v", err)
+	}
+	return func() {}
+}
+
+// checkOverloaded checks that an endpoint rejects attempts.
+func checkOverloaded(t *testing.T, h *harness, addr string) (checkAfter func()) {
+	t.Helper()
+	checkStatus(t, h, addr, http.StatusServiceUnavailable)
+	return func() {}
+}
+
+// checkErrors checks that an endpoint responds with errors.
+func checkErrors(t *testing.T, h *harness, addr string) (checkAfter func()) {
+	t.Helper()
+	checkStatus(t, h, addr, http.StatusInternalServerError)
+	return func() {}
+}
+
+// checkStatus checks that an endpoint responds with a status.
+func checkStatus(t *testing.T, h *harness, addr string, want int) {
+	t.Helper()
+	conn := dialEndpoint(t, addr)
+	writeAttempt(t, conn, h.handed(1))
+	if status, err := readStatus(conn); status != want {
+		t.Errorf("during the outage: %d, %v, want %d", status, err, want)
+	}
+}
+
+// checkUnreachable checks that connections to an endpoint do not come up.
+func checkUnreachable(t *testing.T, _ *harness, addr string) (checkAfter func()) {
+	t.Helper()
+	if conn, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err == nil {
+		_ = conn.Close()
+		t.Error("during the outage: a connection came up")
+	} else if !isTimeout(err) {
+		t.Errorf("during the outage: %v", err)
+	}
+	return func() {}
+}
+
+// checkUnresponsive checks that an endpoint reads attempts and does not respond, and resets their connections after the outage.
+func checkUnresponsive(t *testing.T, h *harness, addr string) (checkAfter func()) {
+	t.Helper()
+	conn, attempts := dialEndpoint(t, addr), countEvents(h, checker.AttemptSent)
+	writeAttempt(t, conn, h.handed(3))
+	waitUntil(t, "the attempt was read", func() bool { return countEvents(h, checker.AttemptSent) == attempts+1 })
+	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if _, err := conn.Read(make([]byte, 1)); !isTimeout(err) {
+		t.Errorf("during the outage: %v", err)
+	}
+	return func() {
+		_ = conn.SetReadDeadline(time.Now().Add(eventTimeout))
+		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("after the outage, a connection from before: %v", err)
+		}
+	}
+}
+
+// An attempt that its relay abandons is recorded as such, and executed all the same where the destination does that.
+func TestEndpointConn_AbandonedAttemptsRunOn(t *testing.T) {
+	h := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 200))
+	conn := dialEndpoint(t, h.destinations[0].endpoints[0].addrs[0])
+	writeAttempt(t, conn, h.handed(0))
+	waitUntil(t, "the attempt was read", func() bool { return countEvents(h, checker.AttemptSent) == 1 })
+	_ = conn.Close()
+	waitUntil(t, "its end was recorded", func() bool { return countEvents(h, checker.AttemptEnded) == 1 })
+	waitUntil(t, "it was executed", func() bool { return countEvents(h, checker.Executed) == 1 })
+}
+
+// An endpoint takes a limited number of connections, idle ones counted. On one more it rejects the attempt and closes.
+func TestEndpointServer_LimitsConnections(t *testing.T) {
+	s := loadScript(t, 50, 5, 1, 1, 4, 4, 1)
+	s.Destinations[0].MaxConnections = 2
+	h := bare(t, s)
+	addr := h.destinations[0].endpoints[0].addrs[0]
+	var conns []net.Conn
+	for range 3 {
+		conns = append(conns, dialEndpoint(t, addr))
+		waitUntil(t, "the connection was counted", func() bool { return countEvents(h, checker.Connected) == len(conns) })
+	}
+	writeAttempt(t, conns[2], h.handed(0))
+	raw, err := io.ReadAll(conns[2])
+	if err != nil || !bytes.HasPrefix(raw, []byte("HTTP/1.1 503 ")) {
+		t.Errorf("above the limit: %q, %v", raw, err)
+	}
+	writeAttempt(t, conns[0], h.handed(1))
+	if resp, err := http.ReadResponse(bufio.NewReader(conns[0]), nil); err != nil || resp.StatusCode != http.StatusOK {
+		t.Errorf("within the limit: %v, %v", resp, err)
+	}
+}
+
+// Attempts for what no client submitted, at the wrong destination, after the deadline and above the bound do not reach the
+// destination.
+func TestEndpointConn_StopsAttemptsAsThePlatformDoes(t *testing.T) {
+	h := bare(t, loadScript(t, 50, 5, 1, 2, 4, 4, 1))
+	addr := h.destinations[0].endpoints[0].addrs[0]
+	own, foreign := -1, -1 // messages for this destination and for the other
+	for i, m := range h.clients.messages {
+		if m.Destination == 0 && own < 0 {
+			own = i
+		} else if m.Destination == 1 {
+			foreign = i
+		}
+	}
+	for name, test := range map[string]struct {
+		change func(s *submission)
+		want   string
+	}{
+		"unknown id":            {func(s *submission) { s.id = "nobody" }, "400"},
+		"another destination's": {func(s *submission) { *s = *h.handed(foreign) }, "400"},
+		"expired":               {func(s *submission) { s.expiresAt = -1 }, "410"},
+		"withdrawn":             {func(s *submission) { s.withdrawn = true }, "410"},
+		"too many attempts":     {func(s *submission) { s.attempts = 99 }, "504"},
+		"unchanged":             {func(*submission) {}, "200"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := h.handed(own)
+			test.change(s)
+			conn := dialEndpoint(t, addr)
+			writeAttempt(t, conn, s)
+			line, err := bufio.NewReader(conn).ReadString('\n')
+			if err != nil || !strings.HasPrefix(line, "HTTP/1.1 "+test.want) {
+				t.Errorf("%q, %v, want %s", line, err, test.want)
+			}
+		})
+	}
+}
+
+// The model's own changes, an overload and the recovery from it, are carried over to the sockets.
+func TestDestinationServer_CarriesOverloadOverToSockets(t *testing.T) {
+	s := loadScript(t, 200, 5, 1, 1, 1, 0, 100)
+	s.Destinations[0].OverloadDowntime = 0.5
+	h := bare(t, s)
+	d := h.destinations[0]
+	d.beginOutage(allEndpoints, &scenario.Fault{Kind: string(faultOverloaded)})
+	d.endOutage(allEndpoints, true)
+	addr := d.endpoints[0].addrs[0]
+	for n := 0; countEvents(h, checker.OutageBegan) < 2; n++ {
+		if n > 100 {
+			t.Fatal("a hundred attempts at once did not overload it")
+		}
+		conn, err := net.Dial("tcp", addr)
+		if err != nil {
+			break
+		}
+		writeAttempt(t, conn, h.handed(n))
+		defer conn.Close()
+		time.Sleep(time.Millisecond)
+	}
+	waitUntil(t, "connections are refused", func() bool {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		return d.endpoints[0].mode == destination.ModeRefusing
+	})
+	waitUntil(t, "it has recovered", func() bool {
+		conn, err := net.Dial("tcp", addr)
+		if err == nil {
+			_ = conn.Close()
+		}
+		return err == nil
+	})
+}
--- /dev/null
+++ b/internal/faultinjection/harness/fault_schedule.go
@@ -0,0 +1,156 @@
+package harness
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// faultKind is a kind of fault, in the words of scenario files.
+type faultKind string
+
+const (
+	faultRefuse        faultKind = "refuse" // outages of endpoints
+	faultOverloaded    faultKind = "shut"
+	faultUnresponsive  faultKind = "silent"
+	faultUnreachable   faultKind = "gone"
+	faultErrors        faultKind = "failing"
+	faultSlow          faultKind = "slow" // degradations of endpoints
+	faultReset         faultKind = "reset"
+	faultPause         faultKind = "pause"
+	faultDrain         faultKind = "drain" // changes of the endpoint list
+	faultReplace       faultKind = "replace"
+	faultJump          faultKind = "jump" // changes of the load
+	faultDraw          faultKind = "draw"
+	faultDiscovery     faultKind = "register" // failures between processes
+	faultSplit         faultKind = "split"
+	faultLoss          faultKind = "loss"
+	faultTruncate      faultKind = "halve"
+	faultKill          faultKind = "kill" // faults of relays and the operators' work on them
+	faultLoseMachine   faultKind = "lose"
+	faultTerminate     faultKind = "term"
+	faultHang          faultKind = "hang"
+	faultUpgrade       faultKind = "upgrade"
+	faultStandby       faultKind = "standby"
+	faultSettings      faultKind = "settings"
+	faultScrape        faultKind = "scrape"
+	faultClockStep     faultKind = "clock_step"
+	faultSyscallErrors faultKind = "syscall_errors"
+	faultDiskErrors    faultKind = "disk_errors"
+	faultMoveDiscovery faultKind = "move"
+)
+
+// outageModes are the modes of endpoints in outages.
+var outageModes = map[faultKind]destination.Mode{
+	faultRefuse: destination.ModeRefusing, faultOverloaded: destination.ModeOverloaded, faultUnresponsive: destination.ModeUnresponsive,
+	faultUnreachable: destination.ModeUnreachable, faultErrors: destination.ModeFailing,
+}
+
+// faultSchedulers schedule the faults that do not happen to relays; relayFaults are those that do.
+var faultSchedulers = map[faultKind]func(*harness, *scheduledFault) []scheduledAction{
+	faultRefuse:       scheduleOutage,
+	faultOverloaded:   scheduleOutage,
+	faultUnresponsive: scheduleOutage,
+	faultUnreachable:  scheduleOutage,
+	faultErrors:       scheduleOutage,
+	faultSlow:         scheduleDegradation,
+	faultReset:        scheduleDegradation,
+	faultPause:        scheduleDegradation,
+	faultDrain:        scheduleDrain,
+	faultReplace:      scheduleReplacements,
+	faultJump:         scheduleLoadChange,
+	faultDraw:         scheduleLoadChange,
+	faultDiscovery:    scheduleDiscoveryFailure,
+	faultSplit:        scheduleSplit,
+	faultLoss:         scheduleLoss,
+	faultTruncate:     scheduleTruncation,
+}
+
+// scheduledFault is a fault of the scenario with its times.
+type scheduledFault struct {
+	*scenario.Fault
+	index      int // in the scenario
+	begin, end time.Duration
+}
+
+func newScheduledFault(index int, f *scenario.Fault) *scheduledFault {
+	begin := scenario.Seconds(f.At)
+	return &scheduledFault{Fault: f, index: index, begin: begin, end: begin + scenario.Seconds(f.Duration)}
+}
+
+func (f *scheduledFault) kind() faultKind { return faultKind(f.Kind) }
+
+// lasting returns the actions that begin and end a fault.
+func (f *scheduledFault) lasting(description string, begin, end func()) []scheduledAction {
+	return []scheduledAction{{f.begin, description + " begins", begin}, {f.end, description + " ends", end}}
+}
+
+// endpointIndex returns the index of the endpoint that fails, or allEndpoints.
+func (f *scheduledFault) endpointIndex() int {
+	if f.Endpoint == 0 {
+		return allEndpoints
+	}
+	return f.Endpoint - 1
+}
+
+// describeEndpoints describes a fault of endpoints.
+func (f *scheduledFault) describeEndpoints() string {
+	if f.Endpoint == 0 {
+		return fmt.Sprintf("%s: %s", f.Destination, f.Kind)
+	}
+	return fmt.Sprintf("%s, endpoint %d: %s", f.Destination, f.Endpoint, f.Kind)
+}
+
+// scheduleFault returns the actions of a fault. A scenario that was read has no other kinds than these.
+func (h *harness) scheduleFault(f *scheduledFault) []scheduledAction {
+	if schedule := faultSchedulers[f.kind()]; schedule != nil {
+		return schedule(h, f)
+	}
+	if inject := relayFaults[f.kind()]; inject != nil {
+		return scheduleRelayFault(h, f, inject)
+	}
+	h.recordFailure("no fault of kind %q is known", f.Kind)
+	return nil
+}
+
+// destinationOf returns the destination that a fault happens to.
+func (h *harness) destinationOf(f *scheduledFault) *destinationServer {
+	return h.destinations[h.scenario.DestinationIndex(f.Destination)]
+}
+
+func scheduleOutage(h *harness, f *scheduledFault) []scheduledAction {
+	d, endpoint := h.destinationOf(f), f.endpointIndex()
+	return f.lasting(f.describeEndpoints(), func() { d.beginOutage(endpoint, f.Fault) }, func() { d.endOutage(endpoint, !f.StaysWarm) })
+}
+
+func scheduleDegradation(h *harness, f *scheduledFault) []scheduledAction {
+	d, endpoint := h.destinationOf(f), f.endpointIndex()
+	return f.lasting(f.describeEndpoints(), func() { d.beginDegradation(endpoint, f.Fault) }, func() { d.endDegradation(endpoint, f.Fault) })
+}
+
+// scheduleLoadChange only lists a change of the load: the messages are drawn with it.
+func scheduleLoadChange(_ *harness, f *scheduledFault) []scheduledAction {
+	return f.lasting(strings.TrimSpace(f.Kind+" "+f.Destination), func() {}, func() {})
+}
+
+func scheduleDiscoveryFailure(h *harness, f *scheduledFault) []scheduledAction {
+	return f.lasting("register away ("+f.Mode+")", func() { h.discovery.setFailure(discoveryFailure(f.Mode)) },
+		func() { h.discovery.setFailure(discoveryWorks) })
+}
+
+func scheduleSplit(h *harness, f *scheduledFault) []scheduledAction {
+	return f.lasting(fmt.Sprintf("network split, %v on one side", f.Relays), func() { h.network.setSplit(f.Relays) },
+		func() { h.network.setSplit(nil) })
+}
+
+func scheduleLoss(h *harness, f *scheduledFault) []scheduledAction {
+	return f.lasting("datagrams lost", func() { h.network.setLoss(f.Share) }, func() { h.network.setLoss(h.scenario.Network.Loss) })
+}
+
+func scheduleTruncation(h *harness, f *scheduledFault) []scheduledAction {
+	return f.lasting("datagrams cut in half", func() { h.network.setTruncation(f.Share) },
+		func() { h.network.setTruncation(h.scenario.Network.Halved) })
+}
--- /dev/null
+++ b/internal/faultinjection/harness/fault_schedule_relay.go
@@ -0,0 +1,63 @@
+package harness
+
+import (
+	"fmt"
+	"strings"
+
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// relayFault does to a relay what a fault says, and waits until that is over.
+type relayFault func(*relay, *scenario.Fault)
+
+// relayFaults are the faults that happen to relays, and the operators' work on them.
+var relayFaults = map[faultKind]relayFault{
+	faultKill:          func(r *relay, f *scenario.Fault) { r.killAndRestart(scenario.Seconds(f.RestartDelay), false) },
+	faultLoseMachine:   func(r *relay, f *scenario.Fault) { r.killAndRestart(scenario.Seconds(f.RestartDelay), true) },
+	faultTerminate:     func(r *relay, f *scenario.Fault) { r.restart(scenario.Seconds(f.RestartDelay)) },
+	faultHang:          func(r *relay, f *scenario.Fault) { r.hang(scenario.Seconds(f.Duration)) },
+	faultUpgrade:       func(r *relay, _ *scenario.Fault) { r.upgrade() },
+	faultStandby:       func(r *relay, f *scenario.Fault) { r.standby(scenario.Seconds(f.Duration)) },
+	faultSettings:      func(r *relay, f *scenario.Fault) { r.applySettings(f) },
+	faultScrape:        func(r *relay, f *scenario.Fault) { r.scrape(scenario.Seconds(f.Duration), f.IdleCallers) },
+	faultSyscallErrors: func(r *relay, f *scenario.Fault) { r.failSyscalls(f, scenario.SocketSyscalls[f.Syscall]) },
+	faultDiskErrors:    func(r *relay, f *scenario.Fault) { r.failSyscalls(f, scenario.FileSyscalls...) },
+	faultClockStep: recordingFailure(func(r *relay, f *scenario.Fault) error {
+		return r.clock.Step(scenario.Seconds(f.ClockStep))
+	}),
+	faultMoveDiscovery: recordingFailure(func(r *relay, _ *scenario.Fault) error { return r.moveDiscovery() }),
+}
+
+// recordingFailure turns a fault that can fail to be injected into one that records it.
+func recordingFailure(inject func(*relay, *scenario.Fault) error) relayFault {
+	return func(r *relay, f *scenario.Fault) {
+		if err := inject(r, f); err != nil {
+			r.h.recordFailure("%s: %v", r.name, err)
+		}
+	}
+}
+
+// scheduleRelayFault schedules a fault of one relay or of all. The timeline does not wait for it.
+func scheduleRelayFault(h *harness, f *scheduledFault, inject relayFault) (actions []scheduledAction) {
+	for i, r := range h.relays {
+		if f.Relay != 0 && f.Relay != i+1 {
+			continue
+		}
+		actions = append(actions, scheduledAction{f.begin, f.describeRelay(r), func() {
+			h.background.Go(func() { inject(r, f.Fault) })
+		}})
+	}
+	return actions
+}
+
+// describeRelay describes a fault of a relay.
+func (f *scheduledFault) describeRelay(r *relay) string {
+	text := r.name + ": " + f.Kind
+	if f.Errno != "" {
+		text = fmt.Sprintf("%s: %s %s with %s in %v of calls for %v s", r.name, f.Kind, f.Syscall, f.Errno, f.Share, f.Duration)
+	}
+	if f.ClockStep != 0 {
+		text += fmt.Sprintf(" by %+v s", f.ClockStep)
+	}
+	return strings.TrimSpace(text)
+}
--- /dev/null
+++ b/internal/faultinjection/harness/fault_schedule_test.go
@@ -0,0 +1,31 @@
+package harness
+
+import (
+	"strings"
+	"testing"
+
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// Every kind of fault that scenario files can have is scheduled, by one of the two tables.
+func TestFaultSchedule_HasEveryKindOnce(t *testing.T) {
+	_, err := scenario.Parse("kinds", []byte("version = 1\nname = \"kinds\"\nlength_s = 1\nrelays = 1\n[[event]]\nat_s = 0\nwhat = \"unknown\"\n"))
+	if err == nil {
+		t.Fatal("a scenario with an unknown kind of fault was read")
+	}
+	_, after, found := strings.Cut(err.Error(), `"unknown" is none of `)
+	if !found {
+		t.Fatalf("the error does not list the kinds: %v", err)
+	}
+	list, _, _ := strings.Cut(after, "\n")
+	kinds := strings.Split(list, ", ")
+	for _, kind := range kinds {
+		ofRelay, other := relayFaults[faultKind(kind)] != nil, faultSchedulers[faultKind(kind)] != nil
+		if ofRelay == other {
+			t.Errorf("%q is in the table of relays' faults: %v, in the other: %v", kind, ofRelay, other)
+		}
+	}
+	if scheduled := len(relayFaults) + len(faultSchedulers); scheduled != len(kinds) {
+		t.Errorf("%d kinds are scheduled, scenarios have %d", scheduled, len(kinds))
+	}
+}
--- a/internal/faultinjection/harness/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -10,10 +10,14 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxDatagram is the longest datagram between relays, in bytes.
-const maxDatagram = 256
+const (
+	// maxDatagram is the protocol's bound on a datagram between relays, in bytes.
+	maxDatagram = 256
+	// readBufferSize holds longer datagrams too, so that their length is seen.
+	readBufferSize = 4096
+)
 
-// Datagrams are what relays sent one another.
+// Datagrams counts what the relays sent one another.
 type Datagrams struct {
 	Sent   int `json:"sent"`
 	Bytes  int `json:"bytes"`
@@ -21,116 +25,149 @@
 	Halved int `json:"halved"`
 }
 
-// network lies between the relays: each sees every other under an address of its own, and what it sends there
+// path is the way from one relay to another.
+type path struct{ from, to int }
+
+// network carries the relays' datagrams. Each relay sees every other under an address of its own, and what it sends there
 // arrives late, in half, or not at all.
 type network struct {
-	h             *harness
-	mu            sync.Mutex
-	paths         [][]*net.UDPConn // paths[a][b] is where relay a reaches relay b, and from where b's datagrams come to a
-	all           []*net.UDPConn   // where a relay reaches all others
+	harness   *harness
+	paths     [][]*net.UDPConn // paths[a][b] is where relay a reaches relay b, and from where b's datagrams come to a
+	broadcast []*net.UDPConn   // where a relay reaches all others
+
+	mu            sync.Mutex // guards everything below
 	total         Datagrams
-	split         []int // relays on one side; none: all are together
+	sent          map[path]int
+	split         []int // the relays on one side; none: no split
 	lossShare     float64
 	truncateShare float64
-	turn          map[[2]int]int
 }
 
-func newNetwork(r *harness) (*network, error) {
+func newNetwork(h *harness) (*network, error) {
 	n := &network{
-		h: r, lossShare: r.scenario.Network.Loss, truncateShare: r.scenario.Network.Halved, turn: map[[2]int]int{},
-		paths: make([][]*net.UDPConn, len(r.relays)),
+		harness: h, lossShare: h.scenario.Network.Loss, truncateShare: h.scenario.Network.Halved, sent: map[path]int{},
+		paths: make([][]*net.UDPConn, len(h.relays)),
 	}
-	for a, rel := range r.relays {
-		for range r.relays {
-			c, err := r.loopback.ListenUDP()
-			if err != nil {
-				n.close()
-				return nil, err
-			}
-			n.paths[a] = append(n.paths[a], c)
-			rel.peers = append(rel.peers, c.LocalAddr().String())
-		}
-		c, err := r.loopback.ListenUDP()
-		if err != nil {
+	for a, r := range h.relays {
+		if err := n.open(a, r); err != nil {
 			n.close()
 			return nil, err
 		}
-		n.all = append(n.all, c)
-		rel.peersAll = c.LocalAddr().String()
 	}
-	for a := range r.relays {
-		for b := range r.relays {
-			r.background.Go(func() { n.carry(a, []int{b}, n.paths[a][b]) })
+	for a := range h.relays {
+		n.start(a)
+	}
+	return n, nil
+}
+
+// open opens the sockets that a relay sends to.
+func (n *network) open(a int, r *relay) error {
+	for range n.paths {
+		conn, err := n.harness.loopback.ListenUDP()
+		if err != nil {
+			return err
 		}
-		others := make([]int, 0, len(r.relays))
-		for b := range r.relays {
-			if b != a {
-				others = append(others, b)
-			}
+		n.paths[a] = append(n.paths[a], conn)
+		r.peers = append(r.peers, conn.LocalAddr().String())
+	}
+	conn, err := n.harness.loopback.ListenUDP()
+	if err != nil {
+		return err
+	}
+	n.broadcast = append(n.broadcast, conn)
+	r.peersAll = conn.LocalAddr().String()
+	return nil
+}
+
+// start forwards what a relay sends, until close.
+func (n *network) start(a int) {
+	var others []int
+	for b := range n.paths {
+		n.harness.background.Go(func() { n.forward(a, []int{b}, n.paths[a][b]) })
+		if b != a {
+			others = append(others, b)
 		}
-		r.background.Go(func() { n.carry(a, others, n.all[a]) })
 	}
-	return n, nil
+	n.harness.background.Go(func() { n.forward(a, others, n.broadcast[a]) })
 }
 
-// carry takes what relay a sends to an address and passes it on.
-func (n *network) carry(a int, to []int, at *net.UDPConn) {
-	buf := make([]byte, 4096)
+// forward forwards what relay a sends to a socket.
+func (n *network) forward(a int, to []int, conn *net.UDPConn) {
+	buf := make([]byte, readBufferSize)
 	for {
-		size, from, err := at.ReadFromUDP(buf)
+		size, from, err := conn.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || from.String() != n.h.relays[a].peer {
-			continue // nobody else is on this network
+		if err != nil || from.String() != n.harness.relays[a].peer {
+			continue // from nobody on this network
 		}
 		if size > maxDatagram {
-			n.h.recordFailure("%s sent a datagram of %d bytes, %d at most", n.h.relays[a].name, size, maxDatagram)
+			n.harness.recordFailure("%s sent a datagram of %d bytes, %d at most", n.harness.relays[a].name, size, maxDatagram)
 			continue
 		}
 		for _, b := range to {
-			n.pass(a, b, slices.Clone(buf[:size]))
+			n.deliver(path{a, b}, slices.Clone(buf[:size]))
 		}
 	}
 }
 
-// pass brings a datagram to a relay, or not.
-func (n *network) pass(a, b int, data []byte) {
+// deliver delivers a datagram after the network's delay, unless it is lost.
+func (n *network) deliver(p path, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.total.Sent++
 	n.total.Bytes += len(data)
-	pair := [2]int{a, b}
-	n.turn[pair]++
-	chance := n.h.random.Stream("datagram", a, b, n.turn[pair])
-	lost, halved := chance.Float64() < n.lossShare, chance.Float64() < n.truncateShare
-	if len(n.split) > 0 && slices.Contains(n.split, a) != slices.Contains(n.split, b) {
-		lost = true
-	}
-	if lost {
+	n.sent[p]++
+	random := n.harness.random.Stream("datagram", p.from, p.to, n.sent[p])
+	lost, truncated := random.Float64() < n.lossShare, random.Float64() < n.truncateShare
+	if lost || n.separates(p) {
 		n.total.Lost++
 		return
 	}
-	if halved {
+	if truncated {
 		n.total.Halved++
 		data = data[:len(data)/2]
 	}
-	to, err := net.ResolveUDPAddr("udp", n.h.relays[b].peer)
+	to, err := net.ResolveUDPAddr("udp", n.harness.relays[p.to].peer)
 	if err != nil {
 		return
 	}
-	time.AfterFunc(scenario.Milliseconds(n.h.scenario.Network.Delay.Draw(chance)), func() {
-		_, _ = n.paths[b][a].WriteToUDP(data, to) // nobody there: lost
+	time.AfterFunc(scenario.Milliseconds(n.harness.scenario.Network.Delay.Draw(random)), func() {
+		_, _ = n.paths[p.to][p.from].WriteToUDP(data, to) // a relay that does not run gets nothing
 	})
 }
 
-// set changes what the network does.
-func (n *network) set(change func()) {
+// separates reports whether the split lies between two relays; the lock is held.
+func (n *network) separates(p path) bool {
+	return slices.Contains(n.split, p.from) != slices.Contains(n.split, p.to)
+}
+
+// setSplit separates some relays, numbered from 1, from the others; none: no split.
+func (n *network) setSplit(numbers []int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.split = nil
+	for _, number := range numbers {
+		n.split = append(n.split, number-1)
+	}
+}
+
+// setLoss sets the share of datagrams that are lost.
+func (n *network) setLoss(share float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.lossShare = share
+}
+
+// setTruncation sets the share of datagrams that are cut in half.
+func (n *network) setTruncation(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	change()
+	n.truncateShare = share
 }
 
+// sum returns the counts so far.
 func (n *network) sum() Datagrams {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -138,8 +175,8 @@
 }
 
 func (n *network) close() {
-	for _, list := range slices.Concat(n.paths, [][]*net.UDPConn{n.all}) {
-		for _, c := range list {
+	for _, conns := range append(slices.Clone(n.paths), n.broadcast) {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 	}
--- /dev/null
+++ b/internal/faultinjection/harness/outage.go
@@ -0,0 +1,109 @@
+package harness
+
+import (
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// allEndpoints stands for all endpoints of a destination where one's index is wanted.
+const allEndpoints = -1
+
+// affected returns the endpoints that a fault of one endpoint, or of all, happens to; the lock is held.
+func (d *destinationServer) affected(endpoint int) (affected []*endpointServer) {
+	for _, e := range d.endpoints {
+		if endpoint == allEndpoints || e.index == endpoint {
+			affected = append(affected, e)
+		}
+	}
+	return affected
+}
+
+// affectedID returns the id of the one endpoint that a fault happens to; empty: it happens to all. The lock is held.
+func (d *destinationServer) affectedID(endpoint int) string {
+	if affected := d.affected(endpoint); endpoint != allEndpoints && len(affected) > 0 {
+		return affected[0].id
+	}
+	return ""
+}
+
+// beginOutage begins an outage of one endpoint or of all.
+func (d *destinationServer) beginOutage(endpoint int, f *scenario.Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	mode := outageModes[faultKind(f.Kind)]
+	d.harness.record(checker.Event{Kind: checker.OutageBegan, Destination: d.number, Endpoint: d.affectedID(endpoint), State: f.Kind})
+	if endpoint == allEndpoints {
+		d.outage = &mode
+	}
+	actions := d.model.Fail(d.now(), endpoint, mode, f.Share)
+	for _, e := range d.affected(endpoint) {
+		e.setMode(mode)
+	}
+	d.carryOut(actions)
+}
+
+// endOutage ends an outage. Cold endpoints are slow at first.
+func (d *destinationServer) endOutage(endpoint int, cold bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	actions := d.model.Recover(d.now(), endpoint, cold)
+	for _, e := range d.affected(endpoint) {
+		e.setMode(d.model.Mode(e.index))
+	}
+	if endpoint == allEndpoints {
+		d.outage = nil
+	}
+	d.harness.record(checker.Event{Kind: checker.OutageEnded, Destination: d.number, Endpoint: d.affectedID(endpoint), OK: cold})
+	d.carryOut(actions)
+}
+
+// degradation degrades endpoints, or ends that.
+type degradation struct {
+	begin func(m *destination.Model, now time.Duration, endpoint int, f *scenario.Fault) []destination.Action
+	end   func(m *destination.Model, now time.Duration, endpoint int) []destination.Action
+}
+
+// degradations are the faults in which endpoints still respond.
+var degradations = map[faultKind]degradation{
+	faultSlow: {
+		func(m *destination.Model, now time.Duration, endpoint int, f *scenario.Fault) []destination.Action {
+			return m.SetSlowdown(now, endpoint, f.Factor)
+		},
+		func(m *destination.Model, now time.Duration, endpoint int) []destination.Action {
+			return m.SetSlowdown(now, endpoint, 1)
+		},
+	},
+	faultReset: {
+		func(m *destination.Model, now time.Duration, endpoint int, f *scenario.Fault) []destination.Action {
+			return m.SetResetShare(now, endpoint, f.Share)
+		},
+		func(m *destination.Model, now time.Duration, endpoint int) []destination.Action {
+			return m.SetResetShare(now, endpoint, 0)
+		},
+	},
+	faultPause: {
+		func(m *destination.Model, now time.Duration, endpoint int, _ *scenario.Fault) []destination.Action {
+			return m.SetStopped(now, endpoint, true)
+		},
+		func(m *destination.Model, now time.Duration, endpoint int) []destination.Action {
+			return m.SetStopped(now, endpoint, false)
+		},
+	},
+}
+
+// beginDegradation begins a degradation of one endpoint or of all.
+func (d *destinationServer) beginDegradation(endpoint int, f *scenario.Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.carryOut(degradations[faultKind(f.Kind)].begin(d.model, d.now(), endpoint, f))
+}
+
+// endDegradation ends it.
+func (d *destinationServer) endDegradation(endpoint int, f *scenario.Fault) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.carryOut(degradations[faultKind(f.Kind)].end(d.model, d.now(), endpoint))
+}
--- /dev/null
+++ b/internal/faultinjection/harness/unreachable.go
@@ -0,0 +1,95 @@
+package harness
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	// fillerConns is how many connections fill a listener's queue: the kernel has a backlog of 0 hold one.
+	fillerConns = 2
+	// fillTimeout is after how long a connection counts as not coming up, since the queue is full.
+	fillTimeout = 50 * time.Millisecond
+)
+
+// blockAddresses has connections to the endpoint's addresses never come up: a listener whose queue is full drops SYNs, as
+// a machine that vanished would.
+func (e *endpointServer) blockAddresses() {
+	var mu sync.Mutex // guards e.blockers among the goroutines below; the lock of the destination is held as well
+	var blocking sync.WaitGroup
+	for _, addr := range e.addrs {
+		blocking.Go(func() {
+			blockers, err := blockAddress(addr)
+			mu.Lock()
+			defer mu.Unlock()
+			e.blockers = append(e.blockers, blockers...)
+			if err != nil {
+				e.destination.harness.recordFailure("endpoint %s can't be made unreachable: %v", e.id, err)
+			}
+		})
+	}
+	blocking.Wait()
+}
+
+// closeBlockers makes the addresses free again.
+func (e *endpointServer) closeBlockers() {
+	for _, b := range e.blockers {
+		_ = b.Close()
+	}
+	e.blockers = nil
+}
+
+// blockAddress makes an address unreachable until all that it returns is closed.
+func blockAddress(addr string) (blockers []io.Closer, err error) {
+	fd, err := listenWithoutBacklog(addr)
+	if err != nil {
+		return nil, err
+	}
+	blockers = append(blockers, fd)
+	for range fillerConns {
+		if conn, err := net.DialTimeout("tcp", addr, fillTimeout); err == nil {
+			blockers = append(blockers, conn)
+		}
+	}
+	return blockers, nil
+}
+
+// listenerFD is the descriptor of a listening socket from which nothing accepts.
+type listenerFD int
+
+// Close closes the descriptor.
+func (fd listenerFD) Close() error {
+	if err := syscall.Close(int(fd)); err != nil {
+		return fmt.Errorf("close listener: %w", err)
+	}
+	return nil
+}
+
+// listenWithoutBacklog listens at an address with a backlog of 0, which package net does not offer.
+func listenWithoutBacklog(addr string) (listenerFD, error) {
+	resolved, err := net.ResolveTCPAddr("tcp4", addr)
+	if err != nil {
+		return 0, fmt.Errorf("listen without backlog: %w", err)
+	}
+	raw, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return 0, fmt.Errorf("socket for %s: %w", addr, err)
+	}
+	err = syscall.SetsockoptInt(raw, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
+	if err == nil {
+		err = syscall.Bind(raw, &syscall.SockaddrInet4{Port: resolved.Port, Addr: [4]byte(resolved.IP.To4())})
+	}
+	if err == nil {
+		err = syscall.Listen(raw, 0)
+	}
+	fd := listenerFD(raw)
+	if err != nil {
+		return 0, errors.Join(fmt.Errorf("listen at %s without backlog: %w", addr, err), fd.Close())
+	}
+	return fd, nil
+}
