--- /dev/null
+++ b/internal/faultinjection/harness/relay_standin_delivery_test.go
@@ -0,0 +1,260 @@
+package harness
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+const (
+	// carefulInterval is between attempts at the destination that has an outage, once one has failed: so few overload no cold one.
+	carefulInterval = 250 * time.Millisecond
+	// failureBackoff is the wait after an attempt that failed or was rejected without a Retry-After.
+	failureBackoff = 400 * time.Millisecond
+	// maxStandInAttempts bounds the attempts of a message.
+	maxStandInAttempts = 12
+	// misbehaveEvery of the messages that are not ordered is lost, or has a wrong outcome, where that is the misbehavior.
+	misbehaveEvery = 5
+)
+
+// endpointFor returns the address of an endpoint for a message's n-th attempt, or "".
+func (s *relayStandIn) endpointFor(m *standInMessage, n int) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	wanted := m.destination
+	if s.misbehavior == wrongEndpoint && n == 0 && m.destination == destinationDrops {
+		wanted = destinationOther
+	}
+	grace := time.Duration(0)
+	switch s.misbehavior {
+	case usesAllSlack:
+		grace = drainSlack
+	case ignoresDrains:
+		grace = time.Hour
+	default: // the others send nothing to a draining endpoint
+	}
+	var addrs []string
+	for _, e := range s.endpoints {
+		if e.destination == wanted && (e.drainedAt.IsZero() || time.Since(e.drainedAt) < grace) {
+			addrs = append(addrs, e.addr)
+		}
+	}
+	if len(addrs) == 0 {
+		return ""
+	}
+	return addrs[(m.number+n)%len(addrs)]
+}
+
+// awaitTurn waits until a message may be sent to its destination, and reports whether that is before its end.
+func (s *relayStandIn) awaitTurn(m *standInMessage, end time.Time) bool {
+	if s.misbehavior == ignoresRetryAfter && m.destination == destinationWaits || s.misbehavior == overloads && m.destination == destinationFalls {
+		return time.Now().Before(end)
+	}
+	for {
+		s.mu.Lock()
+		at := s.retryAt[m.destination]
+		if next := s.lastSent[m.destination].Add(carefulInterval); s.careful[m.destination] && next.After(at) {
+			at = next
+		}
+		if !at.After(time.Now()) {
+			s.lastSent[m.destination] = time.Now()
+			s.mu.Unlock()
+			return time.Now().Before(end)
+		}
+		s.mu.Unlock()
+		if at.After(end) {
+			return false
+		}
+		time.Sleep(time.Until(at))
+	}
+}
+
+// backOff sends nothing to a destination for a while.
+func (s *relayStandIn) backOff(destination int, d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.careful[destination] = s.careful[destination] || destination == destinationFalls
+	if until := time.Now().Add(d); until.After(s.retryAt[destination]) {
+		s.retryAt[destination] = until
+	}
+}
+
+// misbehaves reports whether a message is one of those with which a stand-in misbehaves in a way.
+func (s *relayStandIn) misbehaves(how misbehavior, m *standInMessage) bool {
+	return s.misbehavior == how && m.number%misbehaveEvery == 0
+}
+
+// deliver attempts a message until it is delivered or expired.
+func (s *relayStandIn) deliver(ctx context.Context, m *standInMessage) {
+	if s.misbehaves(losesRequests, m) && !m.ordered {
+		return
+	}
+	if s.misbehaves(outcomeTooLate, m) && !m.ordered {
+		time.Sleep(time.Until(m.deadline) + 2500*time.Millisecond)
+		s.notify(m.id, "undeliverable")
+		return
+	}
+	end := m.deadline.Add(-outcomeReserve)
+	if s.misbehavior == usesAllSlack {
+		end = m.deadline.Add(outcomeSlack)
+	}
+	var delivered atomic.Bool  // by a concurrent attempt
+	var executedFrom time.Time // when the first attempt was sent whose outcome is unknown
+	for n := 0; ; n++ {
+		expired := !s.awaitTurn(m, end) || n >= maxStandInAttempts && s.misbehavior != overloads
+		if !executedFrom.IsZero() && !s.mayRetry(m, executedFrom) {
+			s.notify(m.id, "undeliverable")
+			if s.misbehavior == redeliversExecuted && m.idempotency == "fragile" {
+				s.redeliver(ctx, m, n)
+			}
+			return
+		}
+		addr := s.endpointFor(m, n)
+		if expired || addr == "" {
+			time.Sleep(time.Until(end))
+			if !delivered.Load() {
+				s.notify(m.id, "deferred")
+			}
+			return
+		}
+		sent := time.Now()
+		if s.misbehavior == concurrentAttempts && m.destination == destinationDrops && m.idempotency == "retryable" && !m.ordered && n == 0 {
+			go func() {
+				if status, _ := s.attempt(ctx, m, addr, end); status == http.StatusOK {
+					delivered.Store(true)
+				}
+			}()
+		}
+		status, retryAfter := s.attempt(ctx, m, addr, end)
+		if status == http.StatusOK {
+			s.completed(ctx, m)
+			return
+		}
+		if s.failed(m, status, retryAfter) && executedFrom.IsZero() {
+			executedFrom = sent
+		}
+	}
+}
+
+// mayRetry reports whether a message whose outcome is unknown may be attempted again.
+func (s *relayStandIn) mayRetry(m *standInMessage, executedFrom time.Time) bool {
+	switch m.idempotency {
+	case "fragile":
+		return false
+	case "dedup":
+		return s.misbehavior == executesTwice || time.Since(executedFrom) <= m.keyTTL-200*time.Millisecond
+	}
+	return true
+}
+
+// completed does what follows upon a delivery.
+func (s *relayStandIn) completed(ctx context.Context, m *standInMessage) {
+	if s.misbehaves(outcomeTwice, m) {
+		time.Sleep(600 * time.Millisecond)
+		s.notify(m.id, "undeliverable")
+	}
+	if m.destination != destinationOther {
+		return
+	}
+	switch s.misbehavior {
+	case inventsMessages:
+		invented := *m
+		invented.body = []byte("nothing that a client sent")
+		s.redeliver(ctx, &invented, 0)
+	case overwrites:
+		s.overwrite(ctx, m)
+	default: // the others are done
+	}
+}
+
+// failed waits as an attempt that was not delivered asks for. It reports whether its outcome is unknown.
+func (s *relayStandIn) failed(m *standInMessage, status int, retryAfter time.Duration) (unknown bool) {
+	switch status {
+	case http.StatusTooManyRequests:
+		s.backOff(m.destination, retryAfter)
+		return false
+	case http.StatusServiceUnavailable, http.StatusBadRequest:
+		s.backOff(m.destination, failureBackoff)
+		if s.misbehavior == overloads {
+			time.Sleep(5 * time.Millisecond)
+		}
+		return false
+	}
+	s.backOff(m.destination, failureBackoff)
+	if s.misbehavior == executesTwice && m.idempotency == "dedup" {
+		time.Sleep(m.keyTTL + 300*time.Millisecond)
+	}
+	return true
+}
+
+// redeliver sends a message under an id that no client submitted.
+func (s *relayStandIn) redeliver(ctx context.Context, m *standInMessage, n int) {
+	copied := *m
+	copied.id = "again-" + m.id
+	if addr := s.endpointFor(m, n); addr != "" {
+		s.attempt(ctx, &copied, addr, time.Now().Add(time.Second))
+	}
+}
+
+// overwrite redelivers the last message of a subject once a newer one is delivered.
+func (s *relayStandIn) overwrite(ctx context.Context, m *standInMessage) {
+	if m.subject == "" {
+		return
+	}
+	s.mu.Lock()
+	older := s.lastDelivered[m.subject]
+	if older == nil || older.number < m.number {
+		s.lastDelivered[m.subject] = m
+	}
+	s.mu.Unlock()
+	if older != nil && older.number < m.number {
+		s.redeliver(ctx, older, 0)
+	}
+}
+
+// attempt makes one attempt. Its status is 0 where the outcome is unknown.
+func (s *relayStandIn) attempt(ctx context.Context, m *standInMessage, addr string, end time.Time) (status int, retryAfter time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, end)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/inbox", bytes.NewReader(m.body))
+	if err != nil {
+		return 0, 0
+	}
+	req.Header.Set("Request-Id", m.id)
+	if m.key != "" {
+		req.Header["Idempotency-Key"] = []string{m.key}
+	}
+	req.GetBody = nil // net/http is not to retry by itself
+	resp, err := s.client.Do(req)
+	if err != nil {
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			return http.StatusServiceUnavailable, 0
+		}
+		return 0, 0
+	}
+	_, _ = io.Copy(io.Discard, resp.Body)
+	_ = resp.Body.Close()
+	ms, _ := strconv.Atoi(resp.Header.Get("X-Retry-In-Ms"))
+	return resp.StatusCode, time.Duration(ms) * time.Millisecond
+}
+
+// notify notifies the platform of a terminal outcome.
+func (s *relayStandIn) notify(id, status string) {
+	body := fmt.Sprintf("{\"id\":%q,\"status\":%q}\n", id, status)
+	for range 20 {
+		resp, err := s.client.Post("http://"+s.config.Discovery+"/v1/outcomes", "application/json", strings.NewReader(body))
+		if err == nil {
+			_ = resp.Body.Close()
+			return
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/harness/relay_standin_test.go
@@ -0,0 +1,267 @@
+package harness
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// standInEnv has the test program run as a stand-in for a relay, with the misbehavior that it names.
+const standInEnv = "REHEARSAL_STAND_IN"
+
+// misbehavior is the one way in which a stand-in misbehaves. The words are those of the tests that want it.
+type misbehavior string
+
+const (
+	losesRequests      misbehavior = "loses"
+	outcomeTooLate     misbehavior = "ends late"
+	outcomeTwice       misbehavior = "ends twice"
+	executesTwice      misbehavior = "doubles"
+	concurrentAttempts misbehavior = "two copies"
+	ignoresDrains      misbehavior = "ignores drains"
+	overloads          misbehavior = "pushes over"
+	breaksOrder        misbehavior = "out of order"
+	ignoresRetryAfter  misbehavior = "ignores waits"
+	wrongEndpoint      misbehavior = "wrong host"
+	redeliversExecuted misbehavior = "resends"
+	overwrites         misbehavior = "overwrites"
+	inventsMessages    misbehavior = "makes up ids"
+	usesAllSlack       misbehavior = "edges" // no violation: it does everything as late as the rules allow
+	crashes            misbehavior = "crashes"
+	doesNotAnswer      misbehavior = "mute"
+	ignoresSIGTERM     misbehavior = "stubborn"
+	onlyForwards       misbehavior = "trivial"
+)
+
+// The destinations of the scenario that misbehaving stand-ins are run against.
+const (
+	destinationDrops = iota
+	destinationWaits
+	destinationFalls
+	destinationOther
+)
+
+const (
+	// drainSlack is how long a stand-in that uses all slack sends to a draining endpoint.
+	drainSlack = 400 * time.Millisecond
+	// outcomeSlack is how long after a deadline it is still delivering.
+	outcomeSlack = 300 * time.Millisecond
+	// outcomeReserve is how long before a deadline others give up, so that their notification is in time.
+	outcomeReserve = 400 * time.Millisecond
+	// orderKeyCooldown is until the notification of a message is known and its order key may be used again.
+	orderKeyCooldown = 300 * time.Millisecond
+)
+
+func TestMain(m *testing.M) {
+	kind := os.Getenv(standInEnv)
+	if kind == "" {
+		os.Exit(m.Run())
+	}
+	if err := runStandIn(misbehavior(kind)); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
+
+// relayStandIn is the simplest relay. It keeps all rules but the one that its misbehavior breaks.
+type relayStandIn struct {
+	misbehavior misbehavior
+	config      standInConfig
+	client      *http.Client
+
+	mu            sync.Mutex // guards everything below
+	endpoints     map[string]*standInEndpoint
+	retryAt       map[int]time.Time // when a destination may be sent to again
+	careful       map[int]bool      // an attempt there has failed: one at a time from then on
+	lastSent      map[int]time.Time // to a destination
+	orderKeys     map[string]chan bool
+	accepted      int
+	lastDelivered map[string]*standInMessage // by destination and subject
+}
+
+// standInConfig is what a stand-in reads of the platform's configuration.
+type standInConfig struct {
+	Listen    string
+	Discovery string
+	Known     struct{ Hosts []listedEndpoint }
+	Settings  struct {
+		Categories []struct {
+			Name, Idempotency string
+			FifoByKey         bool    `json:"fifo_by_key"`
+			MemorySpanS       float64 `json:"memory_span_s"`
+		}
+	}
+}
+
+// listedEndpoint is what a stand-in reads of an entry of the endpoint list.
+type listedEndpoint struct {
+	Host, Dial, Health string
+	Block              int
+}
+
+// standInEndpoint is an endpoint as a stand-in knows it.
+type standInEndpoint struct {
+	addr        string
+	destination int
+	drainedAt   time.Time // zero: it is not draining
+}
+
+// standInMessage is a message that a stand-in has accepted.
+type standInMessage struct {
+	id, key, orderKey, class string
+	subject                  string // with its destination; empty: none
+	destination, number      int
+	body                     []byte
+	deadline                 time.Time
+	idempotency              string
+	keyTTL                   time.Duration
+	ordered                  bool
+}
+
+// runStandIn runs a stand-in until its process is killed.
+func runStandIn(m misbehavior) error {
+	s := &relayStandIn{
+		misbehavior: m, endpoints: map[string]*standInEndpoint{}, retryAt: map[int]time.Time{}, careful: map[int]bool{},
+		lastSent: map[int]time.Time{}, lastDelivered: map[string]*standInMessage{}, orderKeys: map[string]chan bool{},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}},
+	}
+	raw, err := os.ReadFile(os.Getenv("NODE_CONFIG"))
+	if err == nil {
+		err = json.Unmarshal(raw, &s.config)
+	}
+	if err != nil {
+		return err
+	}
+	for _, e := range s.config.Known.Hosts {
+		s.endpoints[e.Host] = &standInEndpoint{addr: e.Dial, destination: e.Block}
+	}
+	switch m {
+	case crashes:
+		time.AfterFunc(time.Second, func() { os.Exit(3) })
+	case ignoresSIGTERM:
+		signal.Ignore(syscall.SIGTERM)
+	default: // the others misbehave with messages
+	}
+	go s.watchEndpoints()
+	ln, err := net.Listen("tcp", s.config.Listen)
+	if err != nil {
+		return err
+	}
+	return http.Serve(ln, http.HandlerFunc(s.serve))
+}
+
+// watchEndpoints watches the endpoint list, again when the watch ends.
+func (s *relayStandIn) watchEndpoints() {
+	for {
+		if resp, err := http.Get("http://" + s.config.Discovery + "/catalog/members?stream=1&index=0"); err == nil {
+			in := bufio.NewScanner(resp.Body)
+			in.Buffer(nil, 1<<20)
+			for in.Scan() {
+				var event struct{ Hosts []listedEndpoint }
+				if json.Unmarshal(in.Bytes(), &event) == nil {
+					s.updateEndpoints(event.Hosts)
+				}
+			}
+			_ = resp.Body.Close()
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+func (s *relayStandIn) updateEndpoints(changed []listedEndpoint) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, e := range changed {
+		if s.endpoints[e.Host] == nil {
+			s.endpoints[e.Host] = &standInEndpoint{addr: e.Dial, destination: e.Block}
+		}
+		if e.Health != "SERVING" && s.endpoints[e.Host].drainedAt.IsZero() {
+			s.endpoints[e.Host].drainedAt = time.Now()
+		}
+	}
+}
+
+// serve accepts a client's message.
+func (s *relayStandIn) serve(w http.ResponseWriter, req *http.Request) {
+	if req.URL.Path == "/_health" {
+		return
+	}
+	body, _ := io.ReadAll(req.Body)
+	if s.misbehavior == doesNotAnswer {
+		select {} // holds the connection for good
+	}
+	m := s.message(req, body)
+	ctx := context.WithoutCancel(req.Context()) // the delivery outlives the submission
+	if s.misbehavior == onlyForwards {
+		w.WriteHeader(http.StatusAccepted)
+		go s.attempt(ctx, m, s.endpointFor(m, 0), m.deadline)
+		return
+	}
+	s.mu.Lock()
+	s.accepted++
+	m.number = s.accepted
+	s.mu.Unlock()
+	if !m.ordered || s.misbehavior == breaksOrder {
+		go s.deliver(ctx, m)
+	} else if !s.deliverOrdered(ctx, m) {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	w.WriteHeader(http.StatusAccepted)
+}
+
+// message reads a submission.
+func (s *relayStandIn) message(req *http.Request, body []byte) *standInMessage {
+	destination, _ := strconv.Atoi(strings.TrimPrefix(req.Header.Get("X-Envelope"), "dest="))
+	timeLeft, _ := strconv.ParseFloat(req.Header.Get("Request-Timeout"), 64)
+	m := &standInMessage{
+		id: req.Header.Get("Request-Id"), key: req.Header.Get("Idempotency-Key"), destination: destination, body: body,
+		class: req.URL.Path[1:], deadline: time.Now().Add(time.Duration(timeLeft * float64(time.Second))),
+	}
+	if subject := req.Header.Get("Subject"); subject != "" {
+		m.subject = fmt.Sprint(destination, " ", subject)
+	}
+	if key, err := req.Cookie("subject"); err == nil {
+		m.orderKey = key.Value
+	}
+	for _, c := range s.config.Settings.Categories {
+		if c.Name == m.class {
+			m.idempotency, m.ordered, m.keyTTL = c.Idempotency, c.FifoByKey, time.Duration(c.MemorySpanS*float64(time.Second))
+		}
+	}
+	return m
+}
+
+// deliverOrdered delivers a message of an ordered class. It reports whether it is accepted: one of each order key is at a time.
+func (s *relayStandIn) deliverOrdered(ctx context.Context, m *standInMessage) bool {
+	s.mu.Lock()
+	inUse := s.orderKeys[m.orderKey]
+	if inUse == nil {
+		inUse = make(chan bool, 1)
+		s.orderKeys[m.orderKey] = inUse
+	}
+	s.mu.Unlock()
+	select {
+	case inUse <- true:
+	default:
+		return false
+	}
+	go func() {
+		s.deliver(ctx, m)
+		time.Sleep(orderKeyCooldown)
+		<-inUse
+	}()
+	return true
+}
