--- a/internal/faultinjection/harness/endpoint_replacement.go
+++ b/internal/faultinjection/harness/endpoint_replacement.go
@@ -41,16 +41,17 @@
 // removal is the planned end of an endpoint: it drains, and is then removed. Discovery publishes both after a delay.
 type removal struct {
 	harness     *harness
+	destination *destinationServer
 	old         *endpointServer
 	stream      int // number of its random streams
 	drainAt     time.Duration
 	removeAt    time.Duration
-	destination *destinationServer
 }
 
 func newRemoval(h *harness, f *scheduledFault, stream int, at time.Duration, old *endpointServer) *removal {
 	return &removal{
-		harness: h, old: old, stream: stream, drainAt: at, removeAt: at + scenario.Seconds(f.DrainTime), destination: old.destination,
+		harness: h, destination: old.destination, old: old, stream: stream,
+		drainAt: at, removeAt: at + scenario.Seconds(f.DrainTime),
 	}
 }
 
