--- /dev/null
+++ b/internal/faultinjection/harness/check.go
@@ -0,0 +1,87 @@
+package harness
+
+import (
+	"math"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// voidLateShare is the share of late events above which a run is inconclusive: it says more of the machine than of the relays.
+const voidLateShare = 0.01
+
+// check judges the run from its log and the relays' dead-letter stores.
+func (h *harness) check(messages []*scenario.Message) (*Result, error) {
+	result, end := h.measure()
+	log, parameters := h.eventLog(), h.parameters()
+	result.Report = checker.Judge(parameters, log, end)
+	result.MeasureWeight(parameters, requestsOf(messages), log)
+	result.Redeliveries = resends(log, h.scenario)
+	if h.scenario.Relay.Operator == "" {
+		return result, nil
+	}
+	stored, dropped, err := h.deadLetters()
+	if err != nil {
+		return nil, err
+	}
+	if len(stored)+len(dropped) > 0 {
+		result.Undelivered = result.CheckStores(parameters, log, stored, dropped, end)
+	}
+	return result, nil
+}
+
+// measure returns what the harness itself measured, and the time at which the run ended.
+func (h *harness) measure() (result *Result, end time.Duration) {
+	h.mu.Lock()
+	result = &Result{
+		Scenario: h.scenario.Name, Seed: h.options.Seed, Events: h.events, MaxLateness: h.maxLateness,
+		Failures: append([]string{}, h.failures...), Timeline: h.timeline,
+		LateShare: float64(h.lateEvents) / math.Max(1, float64(h.events)),
+	}
+	end = h.now()
+	h.mu.Unlock()
+	result.Void = result.LateShare > voidLateShare
+	result.Datagrams = h.network.sum()
+	for _, relay := range h.relays {
+		result.Failures = append(result.Failures, relay.violations()...)
+		result.Processes = append(result.Processes, relay.measuredUsage())
+	}
+	for i, destination := range h.destinations {
+		name := h.scenario.Destinations[i].Name
+		result.DestinationNames = append(result.DestinationNames, name)
+		destination.mu.Lock()
+		overloads := destination.model.Overloads()
+		destination.mu.Unlock()
+		if overloads == 0 {
+			continue
+		}
+		if result.Overloads == nil {
+			result.Overloads = map[string]int{}
+		}
+		result.Overloads[name] = overloads
+	}
+	return result, end
+}
+
+// parameters returns what the checker judges by.
+func (h *harness) parameters() checker.Parameters {
+	p := checker.Parameters{Settings: h.scenario.RelaySettings(0), NotifyWithin: scenario.Seconds(h.scenario.Discovery.NotifyWithin)}
+	for i := range h.scenario.Destinations {
+		destination := &h.scenario.Destinations[i]
+		p.Destinations = append(p.Destinations, checker.Destination{
+			Name: destination.Name, Capacity: h.scenario.Capacity(destination),
+			ColdCapacity: destination.ColdCapacity, SlowStartTime: scenario.Seconds(destination.SlowStartTime),
+		})
+	}
+	return p
+}
+
+// requestsOf returns what the checker has to know of the messages that clients were to submit.
+func requestsOf(messages []*scenario.Message) []checker.Request {
+	requests := make([]checker.Request, len(messages))
+	for i, m := range messages {
+		requests[i] = checker.Request{At: m.At, Destination: m.Destination, Class: m.Class, Tenant: m.Tenant, OverQuota: m.OverQuota}
+	}
+	return requests
+}
--- /dev/null
+++ b/internal/faultinjection/harness/client_conn.go
@@ -0,0 +1,93 @@
+package harness
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"time"
+)
+
+// idleConnShare bounds clients' idle connections to one relay as a share of its descriptors.
+const idleConnShare = 1.0 / 3
+
+// clientConn is a client's connection to a relay.
+type clientConn struct {
+	net.Conn
+	reader *bufio.Reader
+	reused bool // it was idle, so that the relay may close it as a request is written
+}
+
+// takeIdle returns an idle connection to a relay, or nil.
+func (c *clientPool) takeIdle(addr string) *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	idle := c.idleConns[addr]
+	if len(idle) == 0 {
+		return nil
+	}
+	last := len(idle) - 1
+	c.idleConns[addr] = idle[:last]
+	return idle[last]
+}
+
+// dial opens a connection to a relay.
+func (c *clientPool) dial(addr string) (*clientConn, error) {
+	conn, err := net.DialTimeout("tcp", addr, c.responseTimeout())
+	if err != nil {
+		return nil, fmt.Errorf("connect to a relay: %w", err)
+	}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
+}
+
+// putIdle keeps a connection for the next message, or closes it where there are enough.
+func (c *clientPool) putIdle(addr string, conn *clientConn) {
+	conn.reused = true
+	_ = conn.SetDeadline(time.Time{}) // fails on a closed connection only, which the next message finds
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || len(c.idleConns[addr]) >= int(idleConnShare*float64(c.h.scenario.Relay.Sockets)) {
+		_ = conn.Close()
+		return
+	}
+	c.idleConns[addr] = append(c.idleConns[addr], conn)
+}
+
+// openConns returns the number of idle connections that a relay has not closed, and drops the closed ones.
+func (c *clientPool) openConns(addr string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var open []*clientConn
+	for _, conn := range c.idleConns[addr] {
+		if conn.isOpen() {
+			open = append(open, conn)
+		} else {
+			_ = conn.Close()
+		}
+	}
+	c.idleConns[addr] = open
+	return len(open)
+}
+
+// isOpen reports whether the relay has neither closed an idle connection nor written to it.
+func (c *clientConn) isOpen() bool {
+	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond)) // fails on a closed connection only, as does the read
+	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
+		return false
+	}
+	_ = c.SetReadDeadline(time.Time{})
+	return true
+}
+
+// close closes all idle connections, and every other once its exchange has ended.
+func (c *clientPool) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, idle := range c.idleConns {
+		for _, conn := range idle {
+			_ = conn.Close()
+		}
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/harness/ledger.go
@@ -0,0 +1,169 @@
+package harness
+
+import (
+	"sync"
+	"time"
+
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// ledger holds what the stand-ins have to know of each message and each of its submissions.
+type ledger struct {
+	mu                sync.Mutex             // guards the fields below, and those that submission says
+	submissions       map[string]*submission // by id
+	attemptsByMessage map[int]int            // over all ids of a message, by its number
+	open              int                    // accepted submissions that are neither delivered nor ended
+	deliveredAt       map[int]time.Duration  // first delivery of an accepted submission, by the message's number
+	lastAttempt       int                    // number of the last attempt, over all messages
+}
+
+// submission is one submission of a message, or a redelivery under an id of a relay's own making.
+type submission struct {
+	message     *scenario.Message
+	number      int // of the message's submissions, from 0
+	rejections  int // that its client has had before
+	id          string
+	relay       int
+	submittedAt time.Duration // 0: not yet
+	expiresAt   time.Duration
+
+	// Guarded by the ledger's mutex.
+	accepted     bool
+	withdrawn    bool          // its client got no answer
+	deliveredAt  time.Duration // 0: not yet
+	ended        bool          // the platform was notified of its outcome, or it was lost
+	attempts     int
+	inFlight     int           // attempts that have no outcome yet
+	mayHaveRunAt time.Duration // when the first attempt came that may have been executed; 0: none did
+}
+
+func newLedger() *ledger {
+	return &ledger{submissions: map[string]*submission{}, attemptsByMessage: map[int]int{}, deliveredAt: map[int]time.Duration{}}
+}
+
+// submitted adds a submission that a client makes.
+func (l *ledger) submitted(s *submission) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.submissions[s.id] = s
+}
+
+// adoptRedelivery adds a redelivery, and reports whether its id is new.
+func (l *ledger) adoptRedelivery(s *submission) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.submissions[s.id] != nil {
+		return false
+	}
+	l.submissions[s.id] = s
+	return true
+}
+
+// accepted notes that a client learned that its submission was accepted.
+func (l *ledger) accepted(s *submission) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s.accepted = true
+	switch {
+	case s.deliveredAt > 0:
+		l.recordDelivery(s)
+	case !s.ended:
+		l.open++
+	}
+}
+
+// withdraw notes that a client got no answer to a submission.
+func (l *ledger) withdraw(s *submission) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s.withdrawn = true
+}
+
+// recordDelivery notes the delivery of an accepted submission. The mutex is held.
+func (l *ledger) recordDelivery(s *submission) {
+	if at, ok := l.deliveredAt[s.message.Number]; !ok || s.deliveredAt < at {
+		l.deliveredAt[s.message.Number] = s.deliveredAt
+	}
+}
+
+// attemptStarted numbers an attempt under an id. It returns the submission, nil for an unknown id, and how many attempts its
+// message had before.
+func (l *ledger) attemptStarted(id string) (number int, s *submission, earlier int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastAttempt++
+	s = l.submissions[id]
+	if s == nil {
+		return l.lastAttempt, nil, 0
+	}
+	s.attempts++
+	s.inFlight++
+	earlier = l.attemptsByMessage[s.message.Number]
+	l.attemptsByMessage[s.message.Number]++
+	return l.lastAttempt, s, earlier
+}
+
+// attemptEnded notes the outcome of an attempt. A rejected one was not executed.
+func (l *ledger) attemptEnded(s *submission, startedAt, endedAt time.Duration, rejected, delivered bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s.inFlight--
+	if !rejected && s.mayHaveRunAt == 0 {
+		s.mayHaveRunAt = startedAt
+	}
+	if !delivered || s.deliveredAt > 0 {
+		return
+	}
+	s.deliveredAt = max(1, endedAt) // 0 would mean that it is not delivered
+	if !s.accepted {
+		return
+	}
+	l.recordDelivery(s)
+	if !s.ended {
+		l.open--
+	}
+}
+
+// completed notes the terminal outcome of an id. It returns the submission if it is known and had none before, or nil.
+func (l *ledger) completed(id string) *submission {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.submissions[id]
+	if s == nil || s.ended {
+		return nil
+	}
+	s.ended = true
+	if s.accepted && s.deliveredAt == 0 {
+		l.open--
+	}
+	return s
+}
+
+// state returns a copy of a submission as it stands.
+func (l *ledger) state(s *submission) submission {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return *s
+}
+
+// takeHeldBy returns the accepted submissions that a relay still held when its state was lost, and ends them.
+func (l *ledger) takeHeldBy(relay int) []*submission {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var held []*submission
+	for _, s := range l.submissions {
+		if s.relay == relay && s.accepted && s.deliveredAt == 0 && !s.ended {
+			s.ended = true
+			l.open--
+			held = append(held, s)
+		}
+	}
+	return held
+}
+
+// allCompleted reports whether no accepted submission is open.
+func (l *ledger) allCompleted() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open == 0
+}
--- /dev/null
+++ b/internal/faultinjection/harness/relay_usage.go
@@ -0,0 +1,135 @@
+package harness
+
+import (
+	"context"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+)
+
+const (
+	// sampleInterval is the time between two samples of the relays' usage.
+	sampleInterval = 500 * time.Millisecond
+	// clockTicks a second is the unit of the times in /proc/PID/stat: USER_HZ, 100 on every Linux.
+	clockTicks = 100
+	// diskBlockSize is the unit, in bytes, in which files take room.
+	diskBlockSize = 512
+	// quarters of a run have their maxima apart, so that growth shows.
+	quarters = 4
+)
+
+// ProcessUsage is what one relay's processes used of the machine.
+type ProcessUsage struct {
+	Name         string            `json:"name"`
+	Starts       int               `json:"starts"`
+	Crashes      int               `json:"crashes"`
+	MemoryMB     [quarters]float64 `json:"memory_mb"`   // maximum resident in each quarter of the run
+	Descriptors  [quarters]int     `json:"descriptors"` // maximum open in each quarter
+	CPUSeconds   float64           `json:"cpu_s"`
+	StateKB      float64           `json:"state_kb"`             // maximum size of the state folder
+	AdminReads   int               `json:"door_reads,omitempty"` // of metrics, at the admin endpoint
+	AdminLatency checker.Quantiles `json:"door_s"`               // of those reads
+}
+
+// sampleUsage samples the usage of all relays until ctx ends.
+func (h *harness) sampleUsage(ctx context.Context) {
+	for n := 1; h.until(ctx, time.Duration(n)*sampleInterval); n++ {
+		quarter := min(quarters-1, int(quarters*h.now().Seconds()/h.scenario.Length))
+		for _, relay := range h.relays {
+			relay.sampleUsage(quarter)
+		}
+	}
+}
+
+// sampleUsage takes one sample of the process that takes clients.
+func (r *relay) sampleUsage(quarter int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.process == nil {
+		return
+	}
+	proc := filepath.Join("/proc", strconv.Itoa(r.process.pid))
+	memory, ok := residentMB(proc)
+	if !ok {
+		return // it ended just now
+	}
+	u := &r.usage
+	u.MemoryMB[quarter] = max(u.MemoryMB[quarter], memory)
+	u.Descriptors[quarter] = max(u.Descriptors[quarter], openDescriptors(proc))
+	if seconds, ok := cpuSeconds(proc); ok {
+		u.CPUSeconds = r.endedCPUSeconds + seconds
+	}
+	size := float64(folderSize(r.stateDir()))
+	u.StateKB = max(u.StateKB, size/1000)
+	if size > r.h.scenario.Relay.DiskMB*1e6 {
+		r.h.recordFailure("%s has %.0f kB in its folder, more than disk_mb allows", r.name, size/1000)
+	}
+}
+
+// measuredUsage returns the usage of the whole run.
+func (r *relay) measuredUsage() ProcessUsage {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	u := r.usage
+	u.AdminReads, u.AdminLatency = len(r.metricsLatencies), checker.QuantilesOf(r.metricsLatencies)
+	return u
+}
+
+// residentMB returns the resident memory of a process, by its folder in /proc; 0: it is a zombie.
+func residentMB(proc string) (mb float64, ok bool) {
+	status, err := os.ReadFile(filepath.Join(proc, "status"))
+	if err != nil {
+		return 0, false
+	}
+	for line := range strings.Lines(string(status)) {
+		if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "VmRSS:" {
+			kb, _ := strconv.ParseFloat(fields[1], 64) // the kernel writes a number
+			return kb / 1024, true
+		}
+	}
+	return 0, true
+}
+
+// openDescriptors returns the number of a process's open descriptors; 0: it has ended.
+func openDescriptors(proc string) int {
+	entries, err := os.ReadDir(filepath.Join(proc, "fd"))
+	if err != nil {
+		return 0
+	}
+	return len(entries)
+}
+
+// cpuSeconds returns the user and system time of a process.
+func cpuSeconds(proc string) (seconds float64, ok bool) {
+	stat, err := os.ReadFile(filepath.Join(proc, "stat"))
+	if err != nil {
+		return 0, false
+	}
+	// After the name, which ends with the last parenthesis, user and system time are the 12th and 13th field.
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
+	if len(fields) <= 12 {
+		return 0, false
+	}
+	user, _ := strconv.ParseFloat(fields[11], 64) // the kernel writes numbers
+	system, _ := strconv.ParseFloat(fields[12], 64)
+	return (user + system) / clockTicks, true
+}
+
+// folderSize returns the room that the files below a folder take, in bytes.
+func folderSize(dir string) (size int64) {
+	_ = filepath.WalkDir(dir, func(_ string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return nil // what has gone meanwhile takes no room
+		}
+		if info, err := entry.Info(); err == nil {
+			size += (info.Size() + diskBlockSize - 1) / diskBlockSize * diskBlockSize
+		}
+		return nil
+	})
+	return size
+}
--- /dev/null
+++ b/internal/faultinjection/harness/standby.go
@@ -0,0 +1,56 @@
+package harness
+
+import (
+	"net/http"
+	"time"
+
+	"frostlink/internal/wait"
+)
+
+const (
+	// standbyTimeout after a relay was put on standby, no client is connected to it any more.
+	standbyTimeout = 4 * time.Second
+	// activeTimeout after a relay was made active again, it passes health checks.
+	activeTimeout = 2 * time.Second
+)
+
+// standby puts the relay on standby for a while, as an operator does, and checks that clients leave it and come back.
+func (r *relay) standby(d time.Duration) {
+	p := r.serving()
+	if p == nil {
+		r.recordFailure("standby: it does not run")
+		return
+	}
+	if _, err := p.adminRequest(http.MethodPost, standbyPath); err != nil {
+		r.recordFailure("%v", err)
+		return
+	}
+	if r.isHealthy() {
+		r.recordFailure("its health is well, though it was told to send clients away")
+	}
+	r.h.balancer.relayLeaving(r.number, balancerDrainTime)
+	wait.For(r.h.ctx, min(d, standbyTimeout))
+	if d >= standbyTimeout {
+		if n := r.h.clients.openConns(r.listen); n > 0 {
+			r.recordFailure("%d idle connections of clients are open %v after standby", n, standbyTimeout)
+		}
+		wait.For(r.h.ctx, d-standbyTimeout)
+	}
+	r.activate()
+}
+
+// activate makes the relay active again.
+func (r *relay) activate() {
+	p := r.serving()
+	if p == nil { // it was replaced, and ended
+		return
+	}
+	if _, err := p.adminRequest(http.MethodPost, activePath); err != nil {
+		r.recordFailure("%v", err)
+	}
+	if !pollUntil(r.h.ctx, activeTimeout, r.isHealthy) {
+		r.recordFailure("its health is not well %v after it was told to take clients again", activeTimeout)
+		return
+	}
+	r.h.balancer.relayReady(r.number)
+}
