--- a/internal/faultinjection/harness/check.go
+++ b/internal/faultinjection/harness/check.go
@@ -47,21 +47,28 @@
 		result.Failures = append(result.Failures, relay.violations()...)
 		result.Processes = append(result.Processes, relay.measuredUsage())
 	}
+	for i := range h.scenario.Destinations {
+		result.DestinationNames = append(result.DestinationNames, h.scenario.Destinations[i].Name)
+	}
+	result.Overloads = h.overloads()
+	return result, end
+}
+
+// overloads returns how often each destination was overloaded, by name; nil: none was.
+func (h *harness) overloads() (byName map[string]int) {
 	for i, destination := range h.destinations {
-		name := h.scenario.Destinations[i].Name
-		result.DestinationNames = append(result.DestinationNames, name)
 		destination.mu.Lock()
-		overloads := destination.model.Overloads()
+		n := destination.model.Overloads()
 		destination.mu.Unlock()
-		if overloads == 0 {
+		if n == 0 {
 			continue
 		}
-		if result.Overloads == nil {
-			result.Overloads = map[string]int{}
+		if byName == nil {
+			byName = map[string]int{}
 		}
-		result.Overloads[name] = overloads
+		byName[h.scenario.Destinations[i].Name] = n
 	}
-	return result, end
+	return byName
 }
 
 // parameters returns what the checker judges by.
--- /dev/null
+++ b/internal/faultinjection/harness/load_balancer_test.go
@@ -0,0 +1,27 @@
+package harness
+
+import (
+	"testing"
+	"time"
+)
+
+// A relay that is ready again before the load balancer noticed that it had left stays in use.
+func TestLoadBalancer_IgnoresWhatItNoticedOfAnEarlierGeneration(t *testing.T) {
+	h := newHarness(t.Context(), loadScript(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
+	b, m := newLoadBalancer(h), h.scenario.Messages(h.random)[0]
+	if relay := b.pick(m, 0); relay != noRelay {
+		t.Errorf("relay %d is picked, and none is ready", relay)
+	}
+	b.relayReady(0)
+	b.relayLeaving(0, 10*time.Millisecond)
+	b.relayReady(0)
+	h.background.Wait()
+	if relay := b.pick(m, 0); relay != 0 {
+		t.Errorf("relay %d is picked, not the one that is ready again", relay)
+	}
+	b.relayLeaving(0, time.Millisecond)
+	h.background.Wait()
+	if relay := b.pick(m, 0); relay != noRelay {
+		t.Errorf("relay %d is picked after it left", relay)
+	}
+}
--- a/internal/faultinjection/harness/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -3,12 +3,9 @@
 import (
 	"bytes"
 	"flag"
-	"fmt"
 	"math"
 	"net/http"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"runtime"
 	"sync"
 	"testing"
@@ -19,125 +16,137 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// measure has the measurements of the design note made; they want an idle machine, and a minute or two.
-var measure = flag.Bool("measure", false, "measure the rig: model on sockets, capacity, punctuality")
+// measure enables the measurements of the design note; they want an idle machine, and a minute or two.
+var measure = flag.Bool("measure", false, "measure the harness: model on sockets, capacity, punctuality")
 
-// loadScript has one class of service time ms and so many partners without a limit.
-func loadScript(t *testing.T, rate, length float64, relays, partners, slots, queue int, ms float64) *scenario.Scenario {
+// skipUnlessMeasuring skips a measurement that was not asked for.
+func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
-	text := fmt.Sprintf("version=1\nname=\"load\"\nlength_s=%v\nrelays=%d\n[relay]\nsockets=20000\nslots=4000\nhold=20000\n[load]\nrate=%v\n"+
-		"[clients]\nbody_bytes=200\n[[class]]\nname=\"c\"\naim_s=1\ndeadline_s=3\neffect=\"safe\"\nservice_ms=%v\n", length, relays, rate, ms)
-	for i := range partners {
-		text += fmt.Sprintf("[[partner]]\nname=\"p%d\"\nshare=1\nslots=%d\nqueue=%d\n", i, slots, queue)
+	if !*measure {
+		t.Skip("needs -measure")
 	}
-	s, err := scenario.Parse("load", []byte(text))
+}
+
+// trivialRelay returns options by which runs use the simplest stand-in relay.
+func trivialRelay(t *testing.T) Options {
+	t.Helper()
+	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return Options{Seed: 1, RelayCommand: []string{program}, Env: []string{standInEnv + "=trivial"}}
+}
+
+// modelMeasurement is what attempts at a destination on sockets showed.
+type modelMeasurement struct {
+	mu               sync.Mutex // guards the fields below
+	served, rejected int
+	seconds          float64 // of all served attempts
 }
 
-// A partner on sockets does what the arithmetic of its script says, at 0.5, 0.9 and 1.3 of what it can do.
+// A destination on sockets does what queueing theory says of it, at 0.5, 0.9 and 1.3 of its capacity.
 func TestMeasureModelOnSockets(t *testing.T) {
-	if !*measure {
-		t.Skip("needs -measure")
-	}
-	const slots, queue, ms = 8, 16, 50
+	skipUnlessMeasuring(t)
+	const slots, queue, serviceMS = 8, 16, 50
 	for _, load := range []float64{0.5, 0.9, 1.3} {
-		rate := load * slots / (ms / 1000.0)
-		s := loadScript(t, rate, 30, 1, 1, slots, queue, ms)
-		r, messages := bare(t, s), s.Messages(scenario.NewRandomStreams(1))
-		url := "http://" + r.destinations[0].endpoints[0].addrs[0] + "/inbox"
-		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
-		var mu sync.Mutex
-		var work sync.WaitGroup
-		full, served, total := 0, 0, 0.0
-		for _, m := range messages {
-			r.until(t.Context(), m.At)
-			r.recordTiming(m.At)
-			work.Go(func() {
-				k := r.handed(m.Number)
-				req, _ := http.NewRequest(http.MethodPost, url, bytes.NewReader(messageBody(k)))
-				req.Header.Set("Request-Id", k.id)
-				begun := time.Now()
-				resp, err := client.Do(req)
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				_ = resp.Body.Close()
-				mu.Lock()
-				defer mu.Unlock()
-				if resp.StatusCode == http.StatusOK {
-					served++
-					total += time.Since(begun).Seconds()
-				} else {
-					full++
-				}
-			})
-		}
-		work.Wait()
-		blocked, wait := destination.MMcK(rate, ms/1000.0, slots, slots+queue)
-		n := float64(len(messages))
-		got, mean := float64(full)/n, total/float64(served)
-		throughput := float64(served) / s.Length
-		t.Logf("load %.1f: %5.1f/s served (arithmetic %5.1f), %.3f turned away (%.3f), %.1f ms (%.1f ms)", load, throughput,
-			rate*(1-blocked), got, blocked, 1000*mean, 1000*wait)
+		rate := load * slots / (serviceMS / 1000.0)
+		s := loadScript(t, rate, 30, 1, 1, slots, queue, serviceMS)
+		messages := s.Messages(scenario.NewRandomStreams(1))
+		measured := measureModel(t, s, messages)
+		blocked, latency := destination.MMcK(rate, serviceMS/1000.0, slots, slots+queue)
+		rejectedShare, mean := float64(measured.rejected)/float64(len(messages)), measured.seconds/float64(measured.served)
+		throughput, expected := float64(measured.served)/s.Length, rate*(1-blocked)
+		t.Logf("load %.1f: %5.1f/s served (theory %5.1f), %.3f rejected (%.3f), %.1f ms (%.1f ms)", load, throughput,
+			expected, rejectedShare, blocked, 1000*mean, 1000*latency)
 		// The bounds are three standard errors of so many arrivals, correlated over a busy period.
-		if math.Abs(got-blocked) > 0.035 || math.Abs(mean/wait-1) > 0.12 || math.Abs(throughput/(rate*(1-blocked))-1) > 0.08 {
-			t.Errorf("load %.1f is off the arithmetic", load)
+		if math.Abs(rejectedShare-blocked) > 0.035 || math.Abs(mean/latency-1) > 0.12 || math.Abs(throughput/expected-1) > 0.08 {
+			t.Errorf("load %.1f is off the theory", load)
 		}
 	}
 }
 
-// How many messages a second the rig carries on one core, with the simplest relay in a process of its own.
-func TestMeasureCapacity(t *testing.T) {
-	if !*measure {
-		t.Skip("needs -measure")
-	}
-	own, err := os.Executable()
+// measureModel sends a destination one attempt for each message, each at its time.
+func measureModel(t *testing.T, s *scenario.Scenario, messages []*scenario.Message) *modelMeasurement {
+	t.Helper()
+	h, measured := bare(t, s), &modelMeasurement{}
+	url := "http://" + h.destinations[0].endpoints[0].addrs[0] + "/inbox"
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+	var attempts sync.WaitGroup
+	for _, m := range messages {
+		h.until(t.Context(), m.At)
+		h.recordTiming(m.At)
+		attempts.Go(func() { measured.attempt(t, client, url, h.handed(m.Number)) })
+	}
+	attempts.Wait()
+	return measured
+}
+
+// attempt makes one attempt.
+func (m *modelMeasurement) attempt(t *testing.T, client *http.Client, url string, s *submission) {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, bytes.NewReader(messageBody(s)))
 	if err != nil {
-		t.Fatal(err)
+		t.Error(err)
+		return
 	}
+	req.Header.Set("Request-Id", s.id)
+	begun := time.Now()
+	resp, err := client.Do(req)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	_ = resp.Body.Close()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if resp.StatusCode != http.StatusOK {
+		m.rejected++
+		return
+	}
+	m.served++
+	m.seconds += time.Since(begun).Seconds()
+}
+
+// How many messages a second the harness carries on one core, with the simplest relay in a process of its own.
+func TestMeasureCapacity(t *testing.T) {
+	skipUnlessMeasuring(t)
+	options := trivialRelay(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for _, rate := range []float64{1000, 2000, 3000, 4000, 5000, 6000} {
 		s := loadScript(t, rate, 5, 1, 20, 400, 400, 5)
-		res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{own}, Env: []string{standInEnv + "=trivial"}})
+		result, err := Run(t.Context(), s, options)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%5.0f/s asked: %5.0f/s delivered, %d of %d, worth %.3f, %.2f%% of the rig's events late, the latest by %v", rate,
-			float64(res.Counts.Delivered)/s.Length, res.Counts.Delivered, res.Counts.Requested, res.DeliveredWeight.Total, 100*res.LateShare, res.MaxLateness)
+		t.Logf("%5.0f/s requested: %5.0f/s delivered, %d of %d, weight %.3f, %.2f%% of the harness's events late, the latest by %v",
+			rate, float64(result.Counts.Delivered)/s.Length, result.Counts.Delivered, result.Counts.Requested,
+			result.DeliveredWeight.Total, 100*result.LateShare, result.MaxLateness)
 	}
 }
 
-// How punctual the rig is at 120 messages a second with three relays.
+// How punctual the harness is at 120 messages a second with three relays.
 func TestMeasurePunctuality(t *testing.T) {
-	if !*measure {
-		t.Skip("needs -measure")
-	}
-	own, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
-	}
+	skipUnlessMeasuring(t)
 	s := loadScript(t, 120, 30, 3, 20, 10, 10, 100)
-	res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{own}, Env: []string{standInEnv + "=trivial"}})
+	result, err := Run(t.Context(), s, trivialRelay(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d events, %.3f%% late, the latest by %v", res.Events, 100*res.LateShare, res.MaxLateness)
-	if res.Counts.AttemptsByOutcome[checker.OK] < 3000 {
-		t.Errorf("only %d calls", res.Counts.AttemptsByOutcome[checker.OK])
+	t.Logf("%d events, %.3f%% late, the latest by %v", result.Events, 100*result.LateShare, result.MaxLateness)
+	if result.Counts.AttemptsByOutcome[checker.OK] < 3000 {
+		t.Errorf("only %d attempts", result.Counts.AttemptsByOutcome[checker.OK])
 	}
 }
 
-// What a backlog of 100,000 messages that is being resent costs fresh traffic: the quiet script with it and without, in
-// turn, on the real program.
+// redeliveringOperator is the operator's file that has a backlog redelivered.
+const redeliveringOperator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\n" +
+	"[[undelivered.rule]]\naction = \"resend\"\nmost = 8\nrate = 100\n"
+
+// What a backlog of 100,000 messages that is being redelivered costs fresh traffic: the quiet scenario with it and without, in
+// turn, on the real relay.
 func TestMeasureBacklog(t *testing.T) {
-	if !*measure {
-		t.Skip("needs -measure")
-	}
-	program := realRelay(t)
+	skipUnlessMeasuring(t)
+	program := buildRelay(t)
 	const all, seeds = 100_000, 3
 	var with, without []float64
 	for seed := range int64(seeds) {
@@ -146,109 +155,101 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Relay.Redelivers, s.Relay.DeadLetterBacklog = true, backlog/s.Relays
-			s.Relay.Operator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\n[[undelivered.rule]]\naction = \"resend\"\nmost = 8\nrate = 100\n"
-			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, RelayCommand: []string{program}})
+			s.Relay.Redelivers, s.Relay.DeadLetterBacklog, s.Relay.Operator = true, backlog/s.Relays, redeliveringOperator
+			result, err := Run(t.Context(), s, Options{Seed: 1 + seed, RelayCommand: []string{program}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if backlog == 0 {
-				without = append(without, res.DeliveredWeight.Total)
+				without = append(without, result.DeliveredWeight.Total)
 			} else {
-				with = append(with, res.DeliveredWeight.Total)
+				with = append(with, result.DeliveredWeight.Total)
 			}
-			t.Logf("seed %d, %6d messages in the stores: worth %.4f, %d resent and delivered, %d breaches, relays' memory %.0f MB", 1+seed, backlog,
-				res.DeliveredWeight.Total, res.Undelivered["delivered"], len(res.Violations), res.Processes[0].MemoryMB[quarters-1])
-			if len(res.Violations) > 0 {
-				t.Errorf("%+v", res.Violations[0])
+			t.Logf("seed %d, %6d messages in the stores: weight %.4f, %d redelivered, %d violations, relays' memory %.0f MB", 1+seed,
+				backlog, result.DeliveredWeight.Total, result.Undelivered["delivered"], len(result.Violations),
+				result.Processes[0].MemoryMB[quarters-1])
+			if len(result.Violations) > 0 {
+				t.Errorf("%+v", result.Violations[0])
 			}
-			if backlog > 0 && res.Undelivered["delivered"] == 0 {
-				t.Error("nothing was resent")
+			if backlog > 0 && result.Undelivered["delivered"] == 0 {
+				t.Error("nothing was redelivered")
 			}
 		}
 	}
 	t.Logf("with %.4v, without %.4v", with, without)
 }
 
-// realRelay builds the real program.
-func realRelay(t *testing.T) string {
-	t.Helper()
-	program := filepath.Join(t.TempDir(), "frostlink")
-	if out, err := exec.Command("go", "build", "-o", program, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	return program
-}
-
-// What keeping costs beside full traffic, on one core: a third of the traffic is for a partner that is shut, and what is
-// refused for it is kept as well.
-func TestMeasureKeepingBesideTraffic(t *testing.T) {
-	if !*measure {
-		t.Skip("needs -measure")
-	}
-	program := realRelay(t)
+// What storing dead letters costs beside full traffic, on one core: a third of the traffic is for a destination that is overloaded,
+// and what is rejected for it is stored as well.
+func TestMeasureDeadLettersBesideTraffic(t *testing.T) {
+	skipUnlessMeasuring(t)
+	program := buildRelay(t)
 	for _, rate := range []float64{900, 1800, 2700} {
-		for _, keep := range []bool{false, true} {
+		for _, storing := range []bool{false, true} {
 			s := loadScript(t, rate, 10, 1, 3, 400, 400, 5)
 			s.Relay.MemoryMB, s.Relay.Cores = 192, 1
 			s.Faults = []scenario.Fault{{At: 0.5, Kind: "shut", Destination: "p0", Duration: 9}}
-			if keep {
+			if storing {
 				s.Relay.Operator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\nrefused = true\n"
 			}
-			res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{program}})
+			result, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{program}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept := 0
-			for _, n := range res.Undelivered {
-				kept += n
+			stored := 0
+			for _, n := range result.Undelivered {
+				stored += n
 			}
-			u := res.Processes[0]
-			t.Logf("%4.0f/s, keeping %5v: %6d delivered, worth %.4f, %5.0f a second kept, %.2f s of CPU, %.0f MB, %d breaches, %.2f%% of the rig's events late", rate,
-				keep, res.Counts.Delivered, res.DeliveredWeight.Total, float64(kept)/s.Length, u.CPUSeconds, u.MemoryMB[quarters-1], len(res.Violations), 100*res.LateShare)
-			for _, b := range res.Violations {
-				t.Errorf("%+v", b)
+			usage := result.Processes[0]
+			t.Logf("%4.0f/s, storing %5v: %6d delivered, weight %.4f, %5.0f a second stored, %.2f s of CPU, %.0f MB, %d violations, "+
+				"%.2f%% of the harness's events late", rate, storing, result.Counts.Delivered, result.DeliveredWeight.Total,
+				float64(stored)/s.Length, usage.CPUSeconds, usage.MemoryMB[quarters-1], len(result.Violations), 100*result.LateShare)
+			for _, v := range result.Violations {
+				t.Errorf("%+v", v)
 			}
 		}
 	}
 }
 
-// What the door costs, and how long it takes, beside traffic that takes most of the relay's one core: in turn without reads, and
-// with ten reads a second and 64 callers that say nothing.
-func TestMeasureDoor(t *testing.T) {
-	if !*measure {
-		t.Skip("needs -measure")
-	}
-	program := realRelay(t)
-	var cost [2][]float64 // CPU a message in µs
+// What the admin endpoint costs, and how long it takes, beside traffic that takes most of the relay's one core: in turn without
+// reads, and with ten reads a second and 64 callers that send nothing.
+func TestMeasureAdminEndpoint(t *testing.T) {
+	skipUnlessMeasuring(t)
+	program := buildRelay(t)
+	var without, with []float64 // CPU a message in µs
 	for seed := range int64(4) {
-		for scraped := range 2 {
-			s := loadScript(t, 4000, 10, 1, 20, 400, 400, 5)
-			if scraped == 1 {
-				s.Faults = []scenario.Fault{{At: 0.5, Kind: "scrape", Duration: 9, IdleCallers: 64}}
-			}
-			res, err := Run(t.Context(), s, Options{Seed: 1 + seed, RelayCommand: []string{"taskset", "-c", "0", program}})
-			if err != nil {
-				t.Fatal(err)
-			}
-			u := res.Processes[0]
-			cost[scraped] = append(cost[scraped], 1e6*u.CPUSeconds/float64(res.Counts.Delivered))
-			t.Logf("seed %d, read %3d times: %d delivered, %.1f µs of CPU each, door %.2f ms (half), %.2f ms (99 of 100), %.2f ms at most, %d faults, %.2f%% late",
-				1+seed, u.AdminReads, res.Counts.Delivered, cost[scraped][seed], 1000*u.AdminLatency.Median, 1000*u.AdminLatency.P99, 1000*u.AdminLatency.Max, len(res.Failures), 100*res.LateShare)
-			for _, f := range res.Failures {
-				t.Error(f)
-			}
-			for _, b := range res.Violations {
-				t.Errorf("%+v", b)
-			}
-		}
+		without = append(without, measureAdmin(t, program, 1+seed, nil))
+		with = append(with, measureAdmin(t, program, 1+seed, []scenario.Fault{{At: 0.5, Kind: "scrape", Duration: 9, IdleCallers: 64}}))
 	}
-	mean := func(v []float64) (sum float64) {
-		for _, x := range v {
-			sum += x / float64(len(v))
-		}
-		return sum
+	t.Logf("CPU a message: %.1f µs without, %.1f µs with: %.3f of it", mean(without), mean(with), mean(with)/mean(without))
+}
+
+// measureAdmin plays a run on one core, and returns the relay's CPU time for each message in microseconds.
+func measureAdmin(t *testing.T, program string, seed int64, scrapes []scenario.Fault) float64 {
+	t.Helper()
+	s := loadScript(t, 4000, 10, 1, 20, 400, 400, 5)
+	s.Faults = scrapes
+	result, err := Run(t.Context(), s, Options{Seed: seed, RelayCommand: []string{"taskset", "-c", "0", program}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	usage, latency := result.Processes[0], result.Processes[0].AdminLatency
+	cost := 1e6 * usage.CPUSeconds / float64(result.Counts.Delivered)
+	t.Logf("seed %d, read %3d times: %d delivered, %.1f µs of CPU each, endpoint %.2f ms (median), %.2f ms (p99), %.2f ms (maximum), "+
+		"%d failures, %.2f%% late", seed, usage.AdminReads, result.Counts.Delivered, cost, 1000*latency.Median, 1000*latency.P99,
+		1000*latency.Max, len(result.Failures), 100*result.LateShare)
+	for _, f := range result.Failures {
+		t.Error(f)
+	}
+	for _, v := range result.Violations {
+		t.Errorf("%+v", v)
+	}
+	return cost
+}
+
+func mean(values []float64) (sum float64) {
+	for _, v := range values {
+		sum += v / float64(len(values))
 	}
-	without, with := mean(cost[0]), mean(cost[1])
-	t.Logf("CPU a message: %.1f µs without, %.1f µs with: %.3f of it", without, with, with/without)
+	return sum
 }
--- /dev/null
+++ b/internal/faultinjection/harness/recorder_test.go
@@ -0,0 +1,34 @@
+package harness
+
+import (
+	"testing"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+)
+
+// What was recorded before the run's time 0 has times below it, in the order in which it was recorded.
+func TestRecorder_SetsTimeZero(t *testing.T) {
+	r := newRecorder()
+	r.record(checker.Event{Kind: checker.Started})
+	time.Sleep(time.Millisecond)
+	r.setTimeZero()
+	r.record(checker.Event{Kind: checker.Ready})
+	log := r.eventLog()
+	if len(log) != 2 || log[0].Kind != checker.Started || log[1].Kind != checker.Ready {
+		t.Fatalf("log %+v", log)
+	}
+	if log[0].At >= 0 || log[1].At < 0 {
+		t.Errorf("times %v and %v", log[0].At, log[1].At)
+	}
+}
+
+// Only events that come later than the threshold count as late.
+func TestRecorder_CountsLateEvents(t *testing.T) {
+	r := newRecorder()
+	r.recordTiming(r.now() + time.Second)
+	r.recordTiming(r.now() - 2*lateThreshold)
+	if r.events != 2 || r.lateEvents != 1 || r.maxLateness < 2*lateThreshold {
+		t.Errorf("%d events, %d late, the latest by %v", r.events, r.lateEvents, r.maxLateness)
+	}
+}
--- a/internal/faultinjection/harness/relay_process.go
+++ b/internal/faultinjection/harness/relay_process.go
@@ -82,7 +82,7 @@
 	p.number = r.starts
 	r.mu.Unlock()
 	r.h.record(checker.Event{Kind: checker.Started, Relay: r.number, Process: p.number})
-	go p.wait(cmd)
+	go p.wait(cmd) // ends with the process, at the latest when the launcher is closed
 	return p, nil
 }
 
--- /dev/null
+++ b/internal/faultinjection/harness/reload_test.go
@@ -0,0 +1,74 @@
+package harness
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Every corruption that a scenario can name breaks a relay's configuration file in its own way.
+func TestCorruptFile_BreaksTheConfiguration(t *testing.T) {
+	h := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 1))
+	original := configuration(t, h.relays[0])
+	for _, test := range []struct {
+		corruption string
+		readable   bool
+		lostLimit  string // key of the settings' limits that is gone
+	}{
+		{corruption: "empty"},
+		{corruption: "cut"},
+		{corruption: "lacking", readable: true, lostLimit: "max_attempts"},
+		{corruption: "zero", readable: true},
+	} {
+		t.Run(test.corruption, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "config.json")
+			if err := os.WriteFile(path, original, 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if err := corruptFile(path, test.corruption); err != nil {
+				t.Fatal(err)
+			}
+			corrupted, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(corrupted) == string(original) {
+				t.Error("nothing changed")
+			}
+			if json.Valid(corrupted) != test.readable {
+				t.Errorf("valid JSON: %v", !test.readable)
+			}
+			if test.lostLimit != "" && limits(t, corrupted)[test.lostLimit] != nil {
+				t.Errorf("%s is still there", test.lostLimit)
+			}
+		})
+	}
+}
+
+// configuration writes a relay's configuration file, and returns what it holds.
+func configuration(t *testing.T, r *relay) []byte {
+	t.Helper()
+	if err := r.configure(); err != nil {
+		t.Fatal(err)
+	}
+	raw, err := os.ReadFile(r.configPath())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// limits returns the settings' limits of a configuration file.
+func limits(t *testing.T, raw []byte) map[string]any {
+	t.Helper()
+	var config struct {
+		Settings struct {
+			Limits map[string]any `json:"limits"`
+		} `json:"settings"`
+	}
+	if err := json.Unmarshal(raw, &config); err != nil {
+		t.Fatal(err)
+	}
+	return config.Settings.Limits
+}
--- a/internal/faultinjection/harness/harness_test.go
+++ b/internal/faultinjection/harness/run_test.go
@@ -12,9 +12,19 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// planted is what all stand-in relays are played against: a safe, a keyed, an unsafe and an ordered class; a partner
-// that drops answers and of which an endpoint drains, one that tells waits, one that is out for a while, and another.
-const planted = `version = 1
+const (
+	// minDelivered is the number of deliveries that show that a stand-in relay did its work.
+	minDelivered = 20
+	// maxUnrulyTime bounds a run of a few seconds with relays that do not end by themselves.
+	maxUnrulyTime = 30 * time.Second
+	// failedStartTimeout bounds a run whose relays do not start.
+	failedStartTimeout = 20 * time.Second
+)
+
+// plantedScenario is what all stand-in relays are played against. Its classes are idempotent, idempotent by key, not idempotent and
+// ordered; its destinations one that drops responses and of which an endpoint drains, one that rejects with a Retry-After, one
+// that is out for a while, and another.
+const plantedScenario = `version = 1
 name = "planted"
 length_s = 4
 relays = 1
@@ -123,30 +133,64 @@
 for_s = 1.5
 `
 
-func play(t *testing.T, text, kind string) (*Result, error) {
+// unrulyScenario asks one relay for a graceful shutdown and hangs the other until the end.
+const unrulyScenario = `version = 1
+name = "unruly"
+length_s = 3
+relays = 2
+[load]
+rate = 20
+[[class]]
+name = "status"
+aim_s = 1
+deadline_s = 2
+effect = "safe"
+service_ms = 20
+[[partner]]
+name = "p"
+share = 1
+[[event]]
+at_s = 1
+what = "term"
+relay = 1
+[[event]]
+at_s = 2
+what = "hang"
+relay = 2
+for_s = 60
+`
+
+// playStandIn plays a scenario against stand-in relays with one misbehavior. If the test fails, it logs the log of one of them.
+func playStandIn(t *testing.T, text, misbehavior string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("planted.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep := t.TempDir()
-	res, err := Run(t.Context(), s, Options{Seed: 1, RelayCommand: []string{own}, Env: []string{standInEnv + "=" + kind}, KeepDir: keep})
+	logs := t.TempDir()
 	t.Cleanup(func() {
-		if t.Failed() {
-			raw, _ := os.ReadFile(filepath.Join(keep, "relay-1.log"))
-			t.Logf("its log: %.2000s", raw)
+		if !t.Failed() {
+			return
 		}
+		log, err := os.ReadFile(filepath.Join(logs, "relay-1.log"))
+		t.Logf("its log: %.2000s (%v)", log, err)
+	})
+	result, err := Run(t.Context(), s, Options{
+		Seed: 1, RelayCommand: []string{program}, Env: []string{standInEnv + "=" + misbehavior}, KeepDir: logs,
 	})
-	return res, err
+	if err != nil {
+		t.Fatal(err)
+	}
+	return result
 }
 
 // Each rule is broken by a stand-in relay on real sockets, and the run has to report that rule and no other.
-func TestPlantedBreaches(t *testing.T) {
-	for kind, rule := range map[string]checker.Rule{
+func TestRun_ReportsEachPlantedViolation(t *testing.T) {
+	for misbehavior, rule := range map[string]checker.Rule{
 		"loses":          checker.OutcomeMissing,
 		"ends late":      checker.OutcomeMissing, // so late that it is none
 		"ends twice":     checker.OutcomeTwice,
@@ -163,93 +207,67 @@
 		"keeps":          "",
 		"edges":          "",
 	} {
-		t.Run(kind, func(t *testing.T) {
+		t.Run(misbehavior, func(t *testing.T) {
 			t.Parallel()
-			res, err := play(t, planted, kind)
-			if err != nil {
-				t.Fatal(err)
-			}
+			result := playStandIn(t, plantedScenario, misbehavior)
 			found := map[checker.Rule]int{}
-			for _, b := range res.Violations {
-				found[b.Rule]++
+			for _, v := range result.Violations {
+				found[v.Rule]++
 			}
 			switch {
 			case rule == "" && len(found) > 0:
-				t.Errorf("rules kept, reported %v, first %+v", found, res.Violations[0])
+				t.Errorf("rules kept, reported %v, first %+v", found, result.Violations[0])
 			case rule != "" && (found[rule] == 0 || len(found) != 1):
 				t.Errorf("broken: %q; reported %v", rule, found)
-				for _, b := range res.Violations {
-					if b.Rule != rule {
-						t.Errorf("first other: %+v", b)
+				for _, v := range result.Violations {
+					if v.Rule != rule {
+						t.Errorf("first other: %+v", v)
 						break
 					}
 				}
 			}
-			if len(res.Failures) > 0 {
-				t.Errorf("faults %v", res.Failures)
+			if len(result.Failures) > 0 {
+				t.Errorf("failures %v", result.Failures)
 			}
-			if res.Counts.Delivered < 20 {
-				t.Errorf("only %d delivered: the stand-in did not do its job", res.Counts.Delivered)
+			if result.Counts.Delivered < minDelivered {
+				t.Errorf("only %d delivered: the stand-in did not do its job", result.Counts.Delivered)
 			}
 		})
 	}
 }
 
-// A relay that crashes, answers nobody or does not end when told to must not hang the rig, which leaves no process
-// and no file behind.
-func TestUnrulyRelaysDoNotHangTheRig(t *testing.T) {
-	const text = `version = 1
-name = "unruly"
-length_s = 3
-relays = 2
-[load]
-rate = 20
-[[class]]
-name = "status"
-aim_s = 1
-deadline_s = 2
-effect = "safe"
-service_ms = 20
-[[partner]]
-name = "p"
-share = 1
-[[event]]
-at_s = 1
-what = "term"
-relay = 1
-[[event]]
-at_s = 2
-what = "hang"
-relay = 2
-for_s = 60
-`
-	for _, kind := range []string{"crashes", "mute", "stubborn"} {
-		t.Run(kind, func(t *testing.T) {
+// A relay that crashes, answers nobody or does not end when asked to does not hang the run, which leaves no process and no file
+// behind.
+func TestRun_EndsWithUnrulyRelays(t *testing.T) {
+	for _, misbehavior := range []string{"crashes", "mute", "stubborn"} {
+		t.Run(misbehavior, func(t *testing.T) {
 			dir := t.TempDir()
 			t.Setenv("TMPDIR", dir)
 			begun := time.Now()
-			res, err := play(t, text, kind)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if took := time.Since(begun); took > 30*time.Second {
+			result := playStandIn(t, unrulyScenario, misbehavior)
+			if took := time.Since(begun); took > maxUnrulyTime {
 				t.Errorf("took %v", took)
 			}
-			if crashed := strings.Contains(strings.Join(res.Failures, "\n"), "ended without being asked to"); crashed != (kind == "crashes") {
-				t.Errorf("faults %v", res.Failures)
+			crashed := strings.Contains(strings.Join(result.Failures, "\n"), "ended without being asked to")
+			if crashed != (misbehavior == "crashes") {
+				t.Errorf("failures %v", result.Failures)
+			}
+			left, err := filepath.Glob(filepath.Join(dir, "rehearsal-*"))
+			if err != nil {
+				t.Fatal(err)
 			}
-			if left, _ := filepath.Glob(filepath.Join(dir, "rehearsal-*")); len(left) > 0 {
+			if len(left) > 0 {
 				t.Errorf("left behind: %v", left)
 			}
-			if alive := children(t); alive > 0 {
+			if alive := countChildren(t); alive > 0 {
 				t.Errorf("%d processes left behind", alive)
 			}
 		})
 	}
 }
 
-// children counts the processes that this one started and that are there still.
-func children(t *testing.T) (n int) {
+// countChildren returns the number of processes that this one started and that are there still.
+func countChildren(t *testing.T) (n int) {
 	t.Helper()
 	tasks, err := filepath.Glob(filepath.Join("/proc", "self", "task", "*", "children"))
 	if err != nil || len(tasks) == 0 {
@@ -263,16 +281,19 @@
 }
 
 // A relay that never becomes ready, or a program that is none, is an error and no verdict.
-func TestRelaysThatDoNotStart(t *testing.T) {
-	s, err := scenario.Parse("s", []byte(strings.Replace(planted, "[relay]\n", "[relay]\nready_within_s = 1\n", 1)))
+func TestRun_FailsIfRelaysDoNotStart(t *testing.T) {
+	text := strings.Replace(plantedScenario, "[relay]\n", "[relay]\nready_within_s = 1\n", 1)
+	s, err := scenario.Parse("planted.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, command := range [][]string{{"/bin/sleep", "60"}, {"/bin/false"}, {"/does/not/exist"}} {
-		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
-		if _, err := Run(ctx, s, Options{RelayCommand: command}); err == nil || ctx.Err() != nil {
-			t.Errorf("%v: error %v", command, err)
-		}
-		cancel()
+		t.Run(command[0], func(t *testing.T) {
+			ctx, cancel := context.WithTimeout(t.Context(), failedStartTimeout)
+			defer cancel()
+			if _, err := Run(ctx, s, Options{RelayCommand: command}); err == nil || ctx.Err() != nil {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
 }
--- a/internal/faultinjection/harness/soak_test.go
+++ b/internal/faultinjection/harness/soak_test.go
@@ -2,61 +2,61 @@
 
 import (
 	"fmt"
-	"os/exec"
-	"path/filepath"
 	"testing"
 
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// soakRelays and soakLength keep the soak of each landing short; frostlinkctl rehearse soak plays more of both.
 const (
+	// soakRelays, soakLength and soakSeeds keep the soak of each landing short; frostlinkctl rehearse soak plays more of all.
 	soakRelays = 24
 	soakLength = 7
+	soakSeeds  = 2
+
+	// drawnSeeds are drawn, and each kind of fault has to be drawn so often among them.
+	drawnSeeds = 200
+	minDrawn   = 20
 )
 
 // Random faults that overlap upon two dozen relay processes break no rule and no invariant.
-func TestSoak(t *testing.T) {
-	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir, "frostlink/cmd/frostlink").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	for seed := range int64(2) {
+func TestRelays_TolerateRandomFaults(t *testing.T) {
+	program := buildRelay(t)
+	for seed := range int64(soakSeeds) {
 		s, err := scenario.Parse("soak.toml", []byte(scenario.SoakScenario(seed, soakRelays, soakLength)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		res := playScript(t, s, Options{Seed: seed, RelayCommand: []string{filepath.Join(dir, "frostlink")}})
-		for _, b := range res.Violations {
-			t.Errorf("seed %d: %+v", seed, b)
+		result := playConclusive(t, s, Options{Seed: seed, RelayCommand: []string{program}})
+		for _, v := range result.Violations {
+			t.Errorf("seed %d: %+v", seed, v)
 		}
-		for _, f := range res.Failures {
+		for _, f := range result.Failures {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
 }
 
-// Every seed draws a script that can be played, the same one each time, and several kinds of fault are in it.
-func TestSoakScripts(t *testing.T) {
+// Every seed draws a scenario that can be played, the same one each time, and all draw several kinds of fault.
+func TestSoakScenario_IsPlayableAndVaried(t *testing.T) {
 	kinds := map[string]int{}
-	for seed := range int64(200) {
+	for seed := range int64(drawnSeeds) {
 		text := scenario.SoakScenario(seed, 36, 9)
 		if text != scenario.SoakScenario(seed, 36, 9) {
-			t.Fatalf("seed %d draws two scripts", seed)
+			t.Fatalf("seed %d draws two scenarios", seed)
 		}
 		s, err := scenario.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		for _, e := range s.Faults {
-			kinds[e.Kind]++
+		for i := range s.Faults {
+			kinds[s.Faults[i].Kind]++
 		}
 	}
 	for _, kind := range []string{
 		"kill", "term", "hang", "clock_step", "syscall_errors", "disk_errors", "refuse", "silent", "reset", "slow",
 		"pause", "register", "loss",
 	} {
-		if kinds[kind] < 20 {
+		if kinds[kind] < minDrawn {
 			t.Errorf("%s is drawn %d times only", kind, kinds[kind])
 		}
 	}
