--- a/internal/faultinjection/harness/discovery_server.go
+++ b/internal/faultinjection/harness/discovery_server.go
@@ -19,9 +19,9 @@
 
 const (
 	discoveryWorks        discoveryFailure = ""
-	discoveryUnavailable  discoveryFailure = "503"
-	discoveryResets       discoveryFailure = "reset"
-	discoveryUnresponsive discoveryFailure = "silent"
+	discoveryUnavailable  discoveryFailure = scenario.DiscoveryUnavailable
+	discoveryResets       discoveryFailure = scenario.DiscoveryResets
+	discoveryUnresponsive discoveryFailure = scenario.DiscoveryUnresponsive
 )
 
 // discoveryServer stands in for the platform's discovery service and the receiver of its notifications. Each relay has an
--- a/internal/faultinjection/harness/endpoint_server_test.go
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -23,19 +23,19 @@
 	d := h.destinations[0]
 	addr := d.endpoints[0].addrs[0]
 	for _, test := range []struct {
-		kind  faultKind
+		kind  scenario.FaultKind
 		check func(t *testing.T, h *harness, addr string) (checkAfter func())
 	}{
-		{faultRefuse, checkRefusing},
-		{faultOverloaded, checkOverloaded},
-		{faultErrors, checkErrors},
-		{faultUnreachable, checkUnreachable},
-		{faultUnresponsive, checkUnresponsive},
+		{scenario.FaultConnectionsRefused, checkRefusing},
+		{scenario.FaultOverloaded, checkOverloaded},
+		{scenario.FaultFailing, checkErrors},
+		{scenario.FaultUnreachable, checkUnreachable},
+		{scenario.FaultUnresponsive, checkUnresponsive},
 	} {
-		t.Run(string(test.kind), func(t *testing.T) {
-			d.beginOutage(allEndpoints, &scenario.Fault{Kind: string(test.kind), Share: 1})
+		t.Run(test.kind, func(t *testing.T) {
+			d.beginOutage(destination.AllEndpoints, &scenario.Fault{Kind: test.kind, Share: 1})
 			checkAfter := test.check(t, h, addr)
-			d.endOutage(allEndpoints, false)
+			d.endOutage(destination.AllEndpoints, false)
 			conn := dialEndpoint(t, addr)
 			writeAttempt(t, conn, h.handed(0))
 			if status, err := readStatus(conn); status != http.StatusOK {
@@ -44,14 +44,14 @@
 			checkAfter()
 		})
 	}
-	resets := &scenario.Fault{Kind: string(faultReset), Share: 1}
-	d.beginDegradation(allEndpoints, resets)
+	resets := &scenario.Fault{Kind: scenario.FaultResets, Share: 1}
+	d.beginDegradation(destination.AllEndpoints, resets)
 	conn := dialEndpoint(t, addr)
 	writeAttempt(t, conn, h.handed(4))
 	if _, err := readStatus(conn); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("reset: %v", err)
 	}
-	d.endDegradation(allEndpoints, resets)
+	d.endDegradation(destination.AllEndpoints, resets)
 	if n := countEvents(h, checker.Executed); n < 6 {
 		t.Errorf("%d executions, want one after each of five outages, and that of the reset attempt", n)
 	}
@@ -196,8 +196,8 @@
 	s.Destinations[0].OverloadDowntime = 0.5
 	h := bare(t, s)
 	d := h.destinations[0]
-	d.beginOutage(allEndpoints, &scenario.Fault{Kind: string(faultOverloaded)})
-	d.endOutage(allEndpoints, true)
+	d.beginOutage(destination.AllEndpoints, &scenario.Fault{Kind: scenario.FaultOverloaded})
+	d.endOutage(destination.AllEndpoints, true)
 	addr := d.endpoints[0].addrs[0]
 	for n := 0; countEvents(h, checker.OutageBegan) < 2; n++ {
 		if n > 100 {
--- a/internal/faultinjection/harness/fault_schedule.go
+++ b/internal/faultinjection/harness/fault_schedule.go
@@ -9,64 +9,30 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// faultKind is a kind of fault, in the words of scenario files.
-type faultKind string
-
-const (
-	faultRefuse        faultKind = "refuse" // outages of endpoints
-	faultOverloaded    faultKind = "shut"
-	faultUnresponsive  faultKind = "silent"
-	faultUnreachable   faultKind = "gone"
-	faultErrors        faultKind = "failing"
-	faultSlow          faultKind = "slow" // degradations of endpoints
-	faultReset         faultKind = "reset"
-	faultPause         faultKind = "pause"
-	faultDrain         faultKind = "drain" // changes of the endpoint list
-	faultReplace       faultKind = "replace"
-	faultJump          faultKind = "jump" // changes of the load
-	faultDraw          faultKind = "draw"
-	faultDiscovery     faultKind = "register" // failures between processes
-	faultSplit         faultKind = "split"
-	faultLoss          faultKind = "loss"
-	faultTruncate      faultKind = "halve"
-	faultKill          faultKind = "kill" // faults of relays and the operators' work on them
-	faultLoseMachine   faultKind = "lose"
-	faultTerminate     faultKind = "term"
-	faultHang          faultKind = "hang"
-	faultUpgrade       faultKind = "upgrade"
-	faultStandby       faultKind = "standby"
-	faultSettings      faultKind = "settings"
-	faultScrape        faultKind = "scrape"
-	faultClockStep     faultKind = "clock_step"
-	faultSyscallErrors faultKind = "syscall_errors"
-	faultDiskErrors    faultKind = "disk_errors"
-	faultMoveDiscovery faultKind = "move"
-)
-
 // outageModes are the modes of endpoints in outages.
-var outageModes = map[faultKind]destination.Mode{
-	faultRefuse: destination.ModeRefusing, faultOverloaded: destination.ModeOverloaded, faultUnresponsive: destination.ModeUnresponsive,
-	faultUnreachable: destination.ModeUnreachable, faultErrors: destination.ModeFailing,
+var outageModes = map[scenario.FaultKind]destination.Mode{
+	scenario.FaultConnectionsRefused: destination.ModeRefusing, scenario.FaultOverloaded: destination.ModeOverloaded, scenario.FaultUnresponsive: destination.ModeUnresponsive,
+	scenario.FaultUnreachable: destination.ModeUnreachable, scenario.FaultFailing: destination.ModeFailing,
 }
 
 // faultSchedulers schedule the faults that do not happen to relays; relayFaults are those that do.
-var faultSchedulers = map[faultKind]func(*harness, *scheduledFault) []scheduledAction{
-	faultRefuse:       scheduleOutage,
-	faultOverloaded:   scheduleOutage,
-	faultUnresponsive: scheduleOutage,
-	faultUnreachable:  scheduleOutage,
-	faultErrors:       scheduleOutage,
-	faultSlow:         scheduleDegradation,
-	faultReset:        scheduleDegradation,
-	faultPause:        scheduleDegradation,
-	faultDrain:        scheduleDrain,
-	faultReplace:      scheduleReplacements,
-	faultJump:         scheduleLoadChange,
-	faultDraw:         scheduleLoadChange,
-	faultDiscovery:    scheduleDiscoveryFailure,
-	faultSplit:        scheduleSplit,
-	faultLoss:         scheduleLoss,
-	faultTruncate:     scheduleTruncation,
+var faultSchedulers = map[scenario.FaultKind]func(*harness, *scheduledFault) []scheduledAction{
+	scenario.FaultConnectionsRefused: scheduleOutage,
+	scenario.FaultOverloaded:         scheduleOutage,
+	scenario.FaultUnresponsive:       scheduleOutage,
+	scenario.FaultUnreachable:        scheduleOutage,
+	scenario.FaultFailing:            scheduleOutage,
+	scenario.FaultSlowdown:           scheduleDegradation,
+	scenario.FaultResets:             scheduleDegradation,
+	scenario.FaultPause:              scheduleDegradation,
+	scenario.FaultDrain:              scheduleDrain,
+	scenario.FaultReplacement:        scheduleReplacements,
+	scenario.FaultLoadSurge:          scheduleLoadChange,
+	scenario.FaultTrafficShift:       scheduleLoadChange,
+	scenario.FaultDiscoveryDown:      scheduleDiscoveryFailure,
+	scenario.FaultNetworkPartition:   scheduleSplit,
+	scenario.FaultDatagramLoss:       scheduleLoss,
+	scenario.FaultDatagramTruncation: scheduleTruncation,
 }
 
 // scheduledFault is a fault of the scenario with its times.
@@ -81,17 +47,15 @@
 	return &scheduledFault{Fault: f, index: index, begin: begin, end: begin + scenario.Seconds(f.Duration)}
 }
 
-func (f *scheduledFault) kind() faultKind { return faultKind(f.Kind) }
-
 // lasting returns the actions that begin and end a fault.
 func (f *scheduledFault) lasting(description string, begin, end func()) []scheduledAction {
 	return []scheduledAction{{f.begin, description + " begins", begin}, {f.end, description + " ends", end}}
 }
 
-// endpointIndex returns the index of the endpoint that fails, or allEndpoints.
+// endpointIndex returns the index of the endpoint that fails, or destination.AllEndpoints.
 func (f *scheduledFault) endpointIndex() int {
 	if f.Endpoint == 0 {
-		return allEndpoints
+		return destination.AllEndpoints
 	}
 	return f.Endpoint - 1
 }
@@ -106,10 +70,10 @@
 
 // scheduleFault returns the actions of a fault. A scenario that was read has no other kinds than these.
 func (h *harness) scheduleFault(f *scheduledFault) []scheduledAction {
-	if schedule := faultSchedulers[f.kind()]; schedule != nil {
+	if schedule := faultSchedulers[f.Kind]; schedule != nil {
 		return schedule(h, f)
 	}
-	if inject := relayFaults[f.kind()]; inject != nil {
+	if inject := relayFaults[f.Kind]; inject != nil {
 		return scheduleRelayFault(h, f, inject)
 	}
 	h.recordFailure("no fault of kind %q is known", f.Kind)
--- a/internal/faultinjection/harness/fault_schedule_relay.go
+++ b/internal/faultinjection/harness/fault_schedule_relay.go
@@ -11,21 +11,21 @@
 type relayFault func(*relay, *scenario.Fault)
 
 // relayFaults are the faults that happen to relays, and the operators' work on them.
-var relayFaults = map[faultKind]relayFault{
-	faultKill:          func(r *relay, f *scenario.Fault) { r.killAndRestart(scenario.Seconds(f.RestartDelay), false) },
-	faultLoseMachine:   func(r *relay, f *scenario.Fault) { r.killAndRestart(scenario.Seconds(f.RestartDelay), true) },
-	faultTerminate:     func(r *relay, f *scenario.Fault) { r.restart(scenario.Seconds(f.RestartDelay)) },
-	faultHang:          func(r *relay, f *scenario.Fault) { r.hang(scenario.Seconds(f.Duration)) },
-	faultUpgrade:       func(r *relay, _ *scenario.Fault) { r.upgrade() },
-	faultStandby:       func(r *relay, f *scenario.Fault) { r.standby(scenario.Seconds(f.Duration)) },
-	faultSettings:      func(r *relay, f *scenario.Fault) { r.applySettings(f) },
-	faultScrape:        func(r *relay, f *scenario.Fault) { r.scrape(scenario.Seconds(f.Duration), f.IdleCallers) },
-	faultSyscallErrors: func(r *relay, f *scenario.Fault) { r.failSyscalls(f, scenario.SocketSyscalls[f.Syscall]) },
-	faultDiskErrors:    func(r *relay, f *scenario.Fault) { r.failSyscalls(f, scenario.FileSyscalls...) },
-	faultClockStep: recordingFailure(func(r *relay, f *scenario.Fault) error {
+var relayFaults = map[scenario.FaultKind]relayFault{
+	scenario.FaultKill:           func(r *relay, f *scenario.Fault) { r.killAndRestart(scenario.Seconds(f.RestartDelay), false) },
+	scenario.FaultMachineLost:    func(r *relay, f *scenario.Fault) { r.killAndRestart(scenario.Seconds(f.RestartDelay), true) },
+	scenario.FaultTerminate:      func(r *relay, f *scenario.Fault) { r.restart(scenario.Seconds(f.RestartDelay)) },
+	scenario.FaultSuspend:        func(r *relay, f *scenario.Fault) { r.hang(scenario.Seconds(f.Duration)) },
+	scenario.FaultUpgrade:        func(r *relay, _ *scenario.Fault) { r.upgrade() },
+	scenario.FaultStandby:        func(r *relay, f *scenario.Fault) { r.standby(scenario.Seconds(f.Duration)) },
+	scenario.FaultSettingsChange: func(r *relay, f *scenario.Fault) { r.applySettings(f) },
+	scenario.FaultAdminLoad:      func(r *relay, f *scenario.Fault) { r.scrape(scenario.Seconds(f.Duration), f.IdleCallers) },
+	scenario.FaultSyscallErrors:  func(r *relay, f *scenario.Fault) { r.failSyscalls(f, scenario.SocketSyscalls[f.Syscall]) },
+	scenario.FaultDiskErrors:     func(r *relay, f *scenario.Fault) { r.failSyscalls(f, scenario.FileSyscalls...) },
+	scenario.FaultClockStep: recordingFailure(func(r *relay, f *scenario.Fault) error {
 		return r.clock.Step(scenario.Seconds(f.ClockStep))
 	}),
-	faultMoveDiscovery: recordingFailure(func(r *relay, _ *scenario.Fault) error { return r.moveDiscovery() }),
+	scenario.FaultDiscoveryMove: recordingFailure(func(r *relay, _ *scenario.Fault) error { return r.moveDiscovery() }),
 }
 
 // recordingFailure turns a fault that can fail to be injected into one that records it.
--- a/internal/faultinjection/harness/fault_schedule_test.go
+++ b/internal/faultinjection/harness/fault_schedule_test.go
@@ -20,7 +20,7 @@
 	list, _, _ := strings.Cut(after, "\n")
 	kinds := strings.Split(list, ", ")
 	for _, kind := range kinds {
-		ofRelay, other := relayFaults[faultKind(kind)] != nil, faultSchedulers[faultKind(kind)] != nil
+		ofRelay, other := relayFaults[kind] != nil, faultSchedulers[kind] != nil
 		if ofRelay == other {
 			t.Errorf("%q is in the table of relays' faults: %v, in the other: %v", kind, ofRelay, other)
 		}
--- a/internal/faultinjection/harness/outage.go
+++ b/internal/faultinjection/harness/outage.go
@@ -8,13 +8,10 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// allEndpoints stands for all endpoints of a destination where one's index is wanted.
-const allEndpoints = -1
-
 // affected returns the endpoints that a fault of one endpoint, or of all, happens to; the lock is held.
 func (d *destinationServer) affected(endpoint int) (affected []*endpointServer) {
 	for _, e := range d.endpoints {
-		if endpoint == allEndpoints || e.index == endpoint {
+		if endpoint == destination.AllEndpoints || e.index == endpoint {
 			affected = append(affected, e)
 		}
 	}
@@ -23,7 +20,7 @@
 
 // affectedID returns the id of the one endpoint that a fault happens to; empty: it happens to all. The lock is held.
 func (d *destinationServer) affectedID(endpoint int) string {
-	if affected := d.affected(endpoint); endpoint != allEndpoints && len(affected) > 0 {
+	if affected := d.affected(endpoint); endpoint != destination.AllEndpoints && len(affected) > 0 {
 		return affected[0].id
 	}
 	return ""
@@ -33,9 +30,9 @@
 func (d *destinationServer) beginOutage(endpoint int, f *scenario.Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	mode := outageModes[faultKind(f.Kind)]
+	mode := outageModes[f.Kind]
 	d.harness.record(checker.Event{Kind: checker.OutageBegan, Destination: d.number, Endpoint: d.affectedID(endpoint), State: f.Kind})
-	if endpoint == allEndpoints {
+	if endpoint == destination.AllEndpoints {
 		d.outage = &mode
 	}
 	actions := d.model.Fail(d.now(), endpoint, mode, f.Share)
@@ -53,7 +50,7 @@
 	for _, e := range d.affected(endpoint) {
 		e.setMode(d.model.Mode(e.index))
 	}
-	if endpoint == allEndpoints {
+	if endpoint == destination.AllEndpoints {
 		d.outage = nil
 	}
 	d.harness.record(checker.Event{Kind: checker.OutageEnded, Destination: d.number, Endpoint: d.affectedID(endpoint), OK: cold})
@@ -67,8 +64,8 @@
 }
 
 // degradations are the faults in which endpoints still respond.
-var degradations = map[faultKind]degradation{
-	faultSlow: {
+var degradations = map[scenario.FaultKind]degradation{
+	scenario.FaultSlowdown: {
 		func(m *destination.Model, now time.Duration, endpoint int, f *scenario.Fault) []destination.Action {
 			return m.SetSlowdown(now, endpoint, f.Factor)
 		},
@@ -76,7 +73,7 @@
 			return m.SetSlowdown(now, endpoint, 1)
 		},
 	},
-	faultReset: {
+	scenario.FaultResets: {
 		func(m *destination.Model, now time.Duration, endpoint int, f *scenario.Fault) []destination.Action {
 			return m.SetResetShare(now, endpoint, f.Share)
 		},
@@ -84,7 +81,7 @@
 			return m.SetResetShare(now, endpoint, 0)
 		},
 	},
-	faultPause: {
+	scenario.FaultPause: {
 		func(m *destination.Model, now time.Duration, endpoint int, _ *scenario.Fault) []destination.Action {
 			return m.SetStopped(now, endpoint, true)
 		},
@@ -98,12 +95,12 @@
 func (d *destinationServer) beginDegradation(endpoint int, f *scenario.Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(degradations[faultKind(f.Kind)].begin(d.model, d.now(), endpoint, f))
+	d.carryOut(degradations[f.Kind].begin(d.model, d.now(), endpoint, f))
 }
 
 // endDegradation ends it.
 func (d *destinationServer) endDegradation(endpoint int, f *scenario.Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(degradations[faultKind(f.Kind)].end(d.model, d.now(), endpoint))
+	d.carryOut(degradations[f.Kind].end(d.model, d.now(), endpoint))
 }
--- a/internal/faultinjection/harness/reload.go
+++ b/internal/faultinjection/harness/reload.go
@@ -16,12 +16,12 @@
 
 // corruptions are the ways in which a configuration file can be broken, by their names in scenarios.
 var corruptions = map[string]func(raw []byte) []byte{
-	"empty": func([]byte) []byte { return nil },
-	"cut":   func(raw []byte) []byte { return raw[:len(raw)*2/3] },
-	"lacking": func(raw []byte) []byte {
+	scenario.CorruptionEmpty:     func([]byte) []byte { return nil },
+	scenario.CorruptionTruncated: func(raw []byte) []byte { return raw[:len(raw)*2/3] },
+	scenario.CorruptionMissingKey: func(raw []byte) []byte {
 		return bytes.Replace(raw, []byte(`"max_attempts"`), []byte(`"most_attempts"`), 1)
 	},
-	"zero": func(raw []byte) []byte {
+	scenario.CorruptionZeroValue: func(raw []byte) []byte {
 		return bytes.Replace(raw, []byte(`"deadline_s":`), []byte(`"deadline_s": 0, "was":`), 1)
 	},
 }
--- a/internal/faultinjection/harness/reload_test.go
+++ b/internal/faultinjection/harness/reload_test.go
@@ -5,6 +5,8 @@
 	"os"
 	"path/filepath"
 	"testing"
+
+	"frostlink/internal/faultinjection/scenario"
 )
 
 // Every corruption that a scenario can name breaks a relay's configuration file in its own way.
@@ -16,10 +18,10 @@
 		readable   bool
 		lostLimit  string // key of the settings' limits that is gone
 	}{
-		{corruption: "empty"},
-		{corruption: "cut"},
-		{corruption: "lacking", readable: true, lostLimit: "max_attempts"},
-		{corruption: "zero", readable: true},
+		{corruption: scenario.CorruptionEmpty},
+		{corruption: scenario.CorruptionTruncated},
+		{corruption: scenario.CorruptionMissingKey, readable: true, lostLimit: "max_attempts"},
+		{corruption: scenario.CorruptionZeroValue, readable: true},
 	} {
 		t.Run(test.corruption, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/faultinjection/harness/soak_test.go
+++ b/internal/faultinjection/harness/soak_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// soakRelays, soakLength and soakSeeds keep the soak of each landing short; frostlinkctl rehearse soak plays more of all.
+	// soakRelays, soakLength and soakSeeds keep the soak of each landing short; frostlinkctl scenario soak plays more of all.
 	soakRelays = 24
 	soakLength = 7
 	soakSeeds  = 2
