--- /dev/null
+++ b/internal/faultinjection/faults/inject.go
@@ -0,0 +1,188 @@
+package faults
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"sync"
+	"time"
+
+	"frostlink/internal/logkey"
+	"frostlink/internal/wait"
+)
+
+const (
+	// statusTimeout is how long a member may take to say whether it leads.
+	statusTimeout = 200 * time.Millisecond
+	// slowLinkDelay delays what goes over a slow link.
+	slowLinkDelay = 100 * time.Millisecond
+	// executionPollInterval is between two looks for an execution's request on its way.
+	executionPollInterval = time.Millisecond
+)
+
+// target is whom a fault concerns: a kind concerns the one or the other.
+type target struct {
+	member *member
+	relay  *relay
+}
+
+// inject applies one fault until it is over.
+func (h *harness) inject(ctx context.Context, f Fault) {
+	h.recorder.countFault(f.Kind)
+	i := slices.IndexFunc(kinds, func(k kindSpec) bool { return k.name == f.Kind })
+	if i < 0 {
+		slog.Error("unknown fault", logkey.Kind, f.Kind)
+		return
+	}
+	t := target{h.members[f.Target%len(h.members)], h.relays[f.Target%len(h.relays)]}
+	switch kinds[i].role {
+	case holder:
+		t.relay = h.findHolder()
+	case leader:
+		t.member = h.findLeader(ctx)
+	case anyRole:
+	}
+	kinds[i].inject(h, ctx, t, f)
+}
+
+// findLeader returns the member that says that it leads, else the first.
+func (h *harness) findLeader(ctx context.Context) *member {
+	for _, m := range h.members {
+		statusCtx, cancel := context.WithTimeout(ctx, statusTimeout)
+		s, err := h.caller.Status(statusCtx, m.address)
+		cancel()
+		if err == nil && s.Member.Role == "leader" {
+			return m
+		}
+	}
+	return h.members[0]
+}
+
+// findHolder returns the relay whose execution began last, else the first.
+func (h *harness) findHolder() *relay {
+	last := h.resource.LastRelay()
+	for _, r := range h.relays {
+		if r.Name == last {
+			return r
+		}
+	}
+	return h.relays[0]
+}
+
+func (h *harness) killHolder(ctx context.Context, t target, f Fault) {
+	h.recorder.recordHolderDeath(h.now())
+	h.restart(ctx, t.relay.Process, f.Duration)
+}
+
+func (h *harness) killRelay(ctx context.Context, t target, f Fault) {
+	h.restart(ctx, t.relay.Process, f.Duration)
+}
+
+func (h *harness) killMember(ctx context.Context, t target, f Fault) {
+	h.restart(ctx, t.member.Process, f.Duration)
+}
+
+func (h *harness) killAllMembers(ctx context.Context, _ target, f Fault) {
+	var work sync.WaitGroup
+	for _, m := range h.members {
+		work.Go(func() { h.restart(ctx, m.Process, f.Duration/4) })
+	}
+	work.Wait()
+}
+
+// restart kills a process and starts it again after a while.
+func (h *harness) restart(ctx context.Context, p *Process, downtime time.Duration) {
+	if err := p.Kill(); err != nil {
+		h.recorder.recordProcessViolation("%v", err)
+	}
+	if !wait.For(ctx, downtime) {
+		return
+	}
+	if err := p.Start(); err != nil {
+		h.recorder.recordProcessViolation("%v", err)
+	}
+}
+
+func (h *harness) pauseMember(ctx context.Context, t target, f Fault) {
+	defer t.member.Suspend()()
+	wait.For(ctx, f.Duration)
+}
+
+func (h *harness) pauseRelay(ctx context.Context, t target, f Fault) {
+	h.suspendRelay(ctx, t.relay, f.Duration)
+}
+
+// suspendRelay suspends a relay for a while, and records the pause.
+func (h *harness) suspendRelay(ctx context.Context, r *relay, d time.Duration) {
+	from := h.now()
+	resume := r.Suspend()
+	wait.For(ctx, d)
+	resume()
+	h.recorder.recordPause(Pause{r.Name, from, h.now()})
+}
+
+// pauseRelayInExecution suspends a relay while a request to the resource is on its way. The request arrives when the lease
+// has long passed to another relay.
+func (h *harness) pauseRelayInExecution(ctx context.Context, t target, f Fault) {
+	ttl := h.options.TTL
+	heal := t.relay.resourceLink.Partition(ToTarget)
+	defer heal()
+	for deadline := h.now() + ttl; !t.relay.resourceLink.IsHolding(); {
+		if h.now() > deadline || !wait.For(ctx, executionPollInterval) {
+			return // it does not hold the lease any more
+		}
+	}
+	arrival := time.AfterFunc(ttl+ttl/2, heal)
+	defer arrival.Stop()
+	h.suspendRelay(ctx, t.relay, max(f.Duration, 2*ttl+ttl/2))
+}
+
+func (h *harness) partitionRelay(ctx context.Context, t target, f Fault) {
+	partition(ctx, t.relay.memberLinks, f.Duration, ToTarget, FromTarget)
+}
+
+func (h *harness) partitionRelayOneWay(ctx context.Context, t target, f Fault) {
+	partition(ctx, t.relay.memberLinks, f.Duration, f.Direction)
+}
+
+func (h *harness) partitionMember(ctx context.Context, t target, f Fault) {
+	partition(ctx, t.member.links, f.Duration, ToTarget, FromTarget)
+}
+
+func (h *harness) partitionMemberOneWay(ctx context.Context, t target, f Fault) {
+	partition(ctx, t.member.links, f.Duration, f.Direction)
+}
+
+// partition partitions links in some directions for a while.
+func partition(ctx context.Context, links []*Proxy, d time.Duration, ways ...Direction) {
+	for _, link := range links {
+		for _, way := range ways {
+			defer link.Partition(way)()
+		}
+	}
+	wait.For(ctx, d)
+}
+
+func (h *harness) slowLinks(ctx context.Context, t target, f Fault) {
+	for _, link := range t.member.links {
+		link.SetDelay(f.Direction, slowLinkDelay)
+		defer link.SetDelay(f.Direction, 0)
+	}
+	wait.For(ctx, f.Duration)
+}
+
+func (h *harness) resetLinks(_ context.Context, t target, _ Fault) {
+	for _, link := range slices.Concat(t.member.links, t.relay.memberLinks) {
+		link.ResetConnections()
+	}
+}
+
+func (h *harness) fillDisk(ctx context.Context, t target, f Fault) {
+	if err := t.member.FillDisk(); err != nil {
+		h.recorder.recordProcessViolation("%v", err)
+	}
+	if !wait.For(ctx, f.Duration) {
+		return
+	}
+	h.restart(ctx, t.member.Process, 0)
+}
--- a/internal/faultinjection/faults/loopback_test.go
+++ b/internal/faultinjection/faults/loopback_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// openLoopback reserves a network until the test ends.
 func openLoopback(t *testing.T) *Loopback {
 	t.Helper()
 	l, err := NewLoopback()
@@ -56,11 +57,11 @@
 		t.Fatal(err)
 	}
 	l.lock = nil
-	again, err := net.Listen("tcp", lock)
+	reopened, err := net.Listen("tcp", lock)
 	if err != nil {
 		t.Fatalf("after Close: %v", err)
 	}
-	_ = again.Close()
+	_ = reopened.Close()
 }
 
 func TestLoopback_AssignsEveryAddressOnce(t *testing.T) {
@@ -100,9 +101,9 @@
 		}
 		t.Cleanup(func() { _ = other.Close() })
 	}
-	again, err := net.Listen("tcp", at)
+	reopened, err := net.Listen("tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = again.Close()
+	_ = reopened.Close()
 }
--- /dev/null
+++ b/internal/faultinjection/faults/members.go
@@ -0,0 +1,80 @@
+package faults
+
+import (
+	"fmt"
+	"path/filepath"
+)
+
+// member is a member of the coordination service.
+type member struct {
+	*Process
+	address string
+	links   []*Proxy // to the other members
+}
+
+// addMembers prepares the members' folders, and the proxies between them.
+func (h *harness) addMembers() error {
+	var addresses []string
+	for range h.options.Members {
+		address, err := h.loopback.Address()
+		if err != nil {
+			return err
+		}
+		addresses = append(addresses, address)
+	}
+	for i := range addresses {
+		if err := h.addMember(i, addresses); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addMember prepares one of the members that listen on addresses.
+func (h *harness) addMember(index int, addresses []string) error {
+	name := fmt.Sprint("member-", memberID(index))
+	folder, logFile := filepath.Join(h.options.Dir, name), filepath.Join(h.options.Dir, name+".log")
+	if err := h.initializeMember(index, addresses, folder, logFile); err != nil {
+		return err
+	}
+	m := &member{address: addresses[index]}
+	command := []string{h.options.CoordinatorPath, "run", "--folder", folder}
+	for i, address := range addresses {
+		if i == index {
+			continue
+		}
+		link, err := h.link(address)
+		if err != nil {
+			return err
+		}
+		m.links = append(m.links, link)
+		command = append(command, "--reach", memberFlag(i, link.Addr()))
+	}
+	m.Process = h.newProcess(name, logFile, command...)
+	h.members = append(h.members, m)
+	return nil
+}
+
+// initializeMember runs the command that makes a member's folder.
+func (h *harness) initializeMember(index int, addresses []string, folder, logFile string) error {
+	command := []string{
+		h.options.CoordinatorPath, "init", "--folder", folder, "--cluster", h.cluster, "--id", fmt.Sprint(memberID(index)),
+	}
+	for i, address := range addresses {
+		command = append(command, "--member", memberFlag(i, address))
+	}
+	initialization := NewProcess("init", logFile, h.launcher, command...)
+	if err := initialization.Start(); err != nil {
+		return err
+	}
+	<-initialization.exited // where it failed, the member can't start
+	return nil
+}
+
+// memberID returns a member's id by its index.
+func memberID(index int) int { return index + 1 }
+
+// memberFlag returns the text of a command line that says where a member is reached.
+func memberFlag(index int, address string) string {
+	return fmt.Sprintf("%d=%s", memberID(index), address)
+}
--- a/internal/faultinjection/faults/preload/syscalls.c
+++ b/internal/faultinjection/faults/preload/syscalls.c
@@ -1,12 +1,12 @@
 /*
- * Has system calls of one process fail, or be short, as Linux documents that they may.
+ * Makes system calls of one process fail, or transfer only a part, as Linux documents that they may.
  *
  * Loaded by LD_PRELOAD. The Go runtime makes its calls without the C library, so that no function can be interposed: a system-call
- * filter (seccomp(2)) on this process alone has the chosen calls raise SIGSYS, and the handler below answers them with an error, or
- * makes them itself, from the one address that the filter lets through. It needs no rights.
+ * filter (seccomp(2)) on this process alone makes the chosen calls raise SIGSYS. The handler below returns an error from them, or
+ * makes them itself, from the one address that the filter lets through. It needs no privileges.
  *
- * FROSTLINK_SYSCALL_RULES names a file that is mapped shared: who writes to it changes the rules at once. FROSTLINK_SYSCALL_FOLDER
- * is the folder whose files are meant by rules on files. See syscalls.go for the layout and the meaning of the rules.
+ * FROSTLINK_SYSCALL_RULES names a file that is mapped shared: a write to it changes the rules at once. Rules on files concern those
+ * in the folder FROSTLINK_SYSCALL_FOLDER. See syscalls.go for the layout and the meaning of the rules.
  */
 #define _GNU_SOURCE
 #include <errno.h>
@@ -37,12 +37,12 @@
 	uint32_t group;  /* 0: none */
 	uint32_t error;  /* an errno, or SHORT */
 	uint32_t chance; /* of 2^32 */
-	uint32_t hits;   /* so often it was applied */
+	uint32_t hits;   /* how often it was applied */
 };
 
 struct rules {
 	uint64_t seed;
-	uint64_t calls; /* that were asked about */
+	uint64_t calls; /* that a rule concerned: numbers the draws */
 	struct rule rule[RULES];
 };
 
@@ -69,7 +69,7 @@
 	"frostlink_after_syscall:\n"
 	"	ret\n");
 
-/* Calls that may be answered, each with the groups of rules that it may fall under. */
+/* Calls that may be made to fail, each with the groups of rules that it may fall under. */
 static const struct {
 	int number;
 	enum group socket, file; /* by what the first argument is; 0: never */
@@ -83,7 +83,7 @@
 	{SYS_unlinkat, 0, FILE_RENAME},  {SYS_unlink, 0, FILE_RENAME},    {SYS_bind, 0, FILE_OPEN},
 };
 
-/* of says which kind of descriptor one is. */
+/* of returns the type of a descriptor's file, or 0. */
 static unsigned of(long descriptor)
 {
 	struct stat s;
@@ -92,7 +92,7 @@
 	return s.st_mode & S_IFMT;
 }
 
-/* inside tells whether a descriptor, or a path, is in the folder. */
+/* inside reports whether a path is in the folder; file_inside, whether a descriptor's file is. */
 static int inside(const char *path) { return folder[0] != 0 && strncmp(path, folder, strlen(folder)) == 0; }
 
 static int file_inside(long descriptor)
@@ -111,7 +111,7 @@
 	return inside(path);
 }
 
-/* group_of says which group of rules a call falls under, or 0. */
+/* group_of returns the group of rules that a call falls under, or 0. */
 static enum group group_of(int number, const long *argument)
 {
 	for (size_t i = 0; i < sizeof chosen / sizeof chosen[0]; i++) {
@@ -147,7 +147,7 @@
 	return 0;
 }
 
-/* draw is the same for the same seed and number of the call. */
+/* draw returns the same number for the same seed and number of the call. */
 static uint32_t draw(uint64_t n)
 {
 	uint64_t z = rules->seed + n * 0x9e3779b97f4a7c15u;
@@ -194,7 +194,7 @@
 	registers[REG_RAX] = answer(info->si_syscall, argument);
 }
 
-/* filter has the chosen calls raise SIGSYS, and the handler stay: the Go runtime's own for SIGSYS is passed over. */
+/* filter makes the chosen calls raise SIGSYS, and keeps the handler: the Go runtime's attempt to replace it has no effect. */
 static int filter(void)
 {
 	enum { COUNT = sizeof chosen / sizeof chosen[0] };
--- a/internal/faultinjection/faults/preload/wallclock.c
+++ b/internal/faultinjection/faults/preload/wallclock.c
@@ -3,11 +3,11 @@
  *
  * Loaded by LD_PRELOAD. The kernel maps the vDSO into every process and the Go runtime calls its clock_gettime without the
  * C library, so that no symbol can be interposed. Instead the entries in this process's own, private copy of the page are
- * replaced by jumps to the functions below, which ask the kernel and add an offset to the wall clock. All other clocks are
- * passed on unchanged, as clock_settime(2) leaves them.
+ * replaced by jumps to the functions below, which call the kernel and add an offset to the wall clock. All other clocks are
+ * unchanged, as clock_settime(2) leaves them.
  *
  * The offset, in nanoseconds, is the int64 at the start of the file that FROSTLINK_WALL_CLOCK_OFFSET names. The file is
- * mapped shared: whoever writes to it steps the clock.
+ * mapped shared: a write to it steps the clock.
  */
 #define _GNU_SOURCE
 #include <elf.h>
--- a/internal/faultinjection/faults/process.go
+++ b/internal/faultinjection/faults/process.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"runtime"
 	"sync"
 	"syscall"
 	"time"
@@ -13,145 +12,128 @@
 	"golang.org/x/sys/unix"
 )
 
-// endWithin is how long a killed process may take to be gone.
-const endWithin = 5 * time.Second
-
-// Launcher starts processes from one thread that lives as long as they may: the kernel kills them when it ends, so that
-// none outlives a rig that is itself killed.
-type Launcher struct{ jobs chan func() }
-
-// NewLauncher makes a launcher.
-func NewLauncher() *Launcher {
-	l := &Launcher{jobs: make(chan func())}
-	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-		for do := range l.jobs {
-			do()
-		}
-	}()
-	return l
-}
-
-// Close ends the launcher, and all its processes.
-func (l *Launcher) Close() { close(l.jobs) }
-
-// Start starts a command.
-func (l *Launcher) Start(cmd *exec.Cmd) error {
-	err := make(chan error)
-	l.jobs <- func() { err <- cmd.Start() }
-	return <-err
-}
+const (
+	// killTimeout is how long a killed process may take to exit.
+	killTimeout = 5 * time.Second
+	// fullDiskFileSize is the length, in bytes, beyond which files can't be written on a full disk.
+	fullDiskFileSize = 4096
+)
 
-// Process is a program that comes and goes.
+// Process is a program that is started, killed and started again.
 type Process struct {
 	Name     string
 	command  []string
-	log      string
+	logFile  string
 	launcher *Launcher
+	onExit   func(incarnation int, expected bool, err error) // set before the first Start; nil: none
 
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	exited   chan struct{}
-	lives    int
-	expected bool // its end was asked for
-	stopped  int  // so many faults hold it
-	ended    func(life int, expected bool, err error)
+	mu          sync.Mutex    // guards what is below
+	cmd         *exec.Cmd     // nil: not running
+	exited      chan struct{} // of the current or last incarnation; closed when it has exited
+	incarnation int           // counts starts
+	expected    bool          // the exit was caused on purpose
+	suspensions int           // faults that suspend the process now
 }
 
-// NewProcess makes a process that is not started yet. What it prints goes to the end of a log.
-func NewProcess(name, log string, launcher *Launcher, command ...string) *Process {
-	return &Process{Name: name, log: log, launcher: launcher, command: command}
+// NewProcess returns a process that is not started yet. Its output is appended to a log file.
+func NewProcess(name, logFile string, launcher *Launcher, command ...string) *Process {
+	return &Process{Name: name, logFile: logFile, launcher: launcher, command: command}
 }
 
-// Start starts the process, where it does not run.
+// Start starts the process unless it is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return err
+		return fmt.Errorf("open the log of %s: %w", p.Name, err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // nothing was written here: the process has a descriptor of its own
 	cmd := exec.Command(p.command[0], p.command[1:]...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := p.launcher.Start(cmd); err != nil {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
-	p.cmd, p.exited, p.expected, p.stopped = cmd, make(chan struct{}), false, 0
-	p.lives++
-	life, exited := p.lives, p.exited
-	go func() {
-		err := cmd.Wait()
-		p.mu.Lock()
-		p.cmd = nil
-		expected := p.expected
-		p.mu.Unlock()
-		if p.ended != nil {
-			p.ended(life, expected, err)
-		}
-		close(exited)
-	}()
+	p.incarnation++
+	p.cmd, p.exited, p.expected, p.suspensions = cmd, make(chan struct{}), false, 0
+	go p.wait(cmd, p.incarnation, p.exited)
 	return nil
 }
 
-// signal sends a signal, where the process runs.
+// wait waits for an incarnation to exit. Whoever waits for exited waits for it.
+func (p *Process) wait(cmd *exec.Cmd, incarnation int, exited chan<- struct{}) {
+	defer close(exited)
+	err := cmd.Wait()
+	p.mu.Lock()
+	p.cmd = nil
+	expected := p.expected
+	p.mu.Unlock()
+	if p.onExit != nil {
+		p.onExit(incarnation, expected, err)
+	}
+}
+
+// signal sends a signal to the process group if the process is running. The caller holds p.mu.
 func (p *Process) signal(sig syscall.Signal) {
 	if p.cmd != nil {
-		_ = syscall.Kill(-p.cmd.Process.Pid, sig) // it may have ended by itself
+		_ = syscall.Kill(-p.cmd.Process.Pid, sig) // it may have exited by itself
 	}
 }
 
-// Kill ends the process at once, and waits until it is gone.
+// Kill kills the process by SIGKILL, and waits until it has exited.
 func (p *Process) Kill() error {
 	p.mu.Lock()
 	p.expected = true
 	p.signal(syscall.SIGKILL)
-	exited, runs := p.exited, p.cmd != nil
+	exited, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
-	if !runs {
+	if !running {
 		return nil
 	}
 	select {
 	case <-exited:
 		return nil
-	case <-time.After(endWithin):
+	case <-time.After(killTimeout):
 		return fmt.Errorf("%s does not end on SIGKILL", p.Name)
 	}
 }
 
-// Stop holds the process by SIGSTOP until it is undone.
-func (p *Process) Stop() (undo func()) {
+// Suspend stops the process by SIGSTOP until it is resumed. A process that several faults suspend runs again when all
+// have resumed it.
+func (p *Process) Suspend() (resume func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	life := p.lives
-	p.stopped++
+	incarnation := p.incarnation
+	p.suspensions++
 	p.signal(syscall.SIGSTOP)
 	return sync.OnceFunc(func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.lives != life {
+		if p.incarnation != incarnation {
 			return
 		}
-		if p.stopped--; p.stopped == 0 {
+		if p.suspensions--; p.suspensions == 0 {
 			p.signal(syscall.SIGCONT)
 		}
 	})
 }
 
-// Fill has every write beyond a file's first 4 KB fail from now on, as on a full disk, until the process ends.
-func (p *Process) Fill() error {
+// FillDisk makes every write beyond a file's first 4 KB fail, as on a full disk, until the process exits. It is expected to:
+// it must not go on from what it could not write.
+func (p *Process) FillDisk() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return nil
 	}
-	limit := unix.Rlimit{Cur: 4096, Max: 4096}
-	p.expected = true // it has to end: what it can't write it must not go on from
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
+	p.expected = true
+	limit := unix.Rlimit{Cur: fullDiskFileSize, Max: fullDiskFileSize}
+	err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
+	if err != nil && !errors.Is(err, unix.ESRCH) {
 		return fmt.Errorf("%s: %w", p.Name, err)
 	}
 	return nil
--- a/internal/faultinjection/faults/proxy.go
+++ b/internal/faultinjection/faults/proxy.go
@@ -1,7 +1,3 @@
-// Package faults runs real processes of the coordination service and of relays, with faults between them: proxies that
-// delay, cut one way and reset, signals that stop and kill, disks that take nothing more. What is done when comes from
-// a seed; what the processes did is written down by a stand-in that they act upon, on one clock, and judged by a
-// checker that knows nothing of them.
 package faults
 
 import (
@@ -12,109 +8,122 @@
 	"time"
 )
 
-// chunk is how much a proxy carries at once, in bytes.
-const chunk = 16 << 10
+const (
+	// chunkSize is how much a proxy forwards at once, in bytes.
+	chunkSize = 16 << 10
+	// dialTimeout is how long a proxy tries to reach its target.
+	dialTimeout = 2 * time.Second
+)
 
-// Proxy lies between one process and one address of another. It carries both ways, unless it is told otherwise.
-type Proxy struct {
-	ln     net.Listener
-	target string
-
-	mu    sync.Mutex
-	ways  [2]way // up: from who dials to the target; down: back
-	conns map[net.Conn]struct{}
-	held  int // pieces that wait for a cut to end, either way
-	over  bool
-}
-
-// way is how a proxy treats one direction.
-type way struct {
-	delay time.Duration
-	cut   int           // so many faults hold what comes
-	free  chan struct{} // closed while nothing holds it
-}
+// Direction is a direction of traffic through a proxy.
+type Direction int
 
 // The directions.
 const (
-	up = iota
-	down
+	ToTarget Direction = iota
+	FromTarget
+	directions // their number
 )
 
-// NewProxy listens on an address of a run's own, for a target.
+// Proxy forwards TCP connections to one address, unchanged unless it is told otherwise.
+type Proxy struct {
+	listener net.Listener
+	target   string
+	closing  chan struct{}  // closed by Close: nothing is held any more
+	work     sync.WaitGroup // all its goroutines
+
+	mu     sync.Mutex // guards what is below
+	links  [directions]link
+	conns  map[net.Conn]struct{}
+	held   int // chunks, and new connections, that a partition may be holding
+	closed bool
+}
+
+// link is how a proxy treats one direction.
+type link struct {
+	delay      time.Duration
+	partitions int           // faults that partition it now
+	healed     chan struct{} // closed while there are none
+}
+
+// NewProxy starts a proxy for a target, on an address of a run.
 func NewProxy(l *Loopback, target string) (*Proxy, error) {
-	ln, err := l.Listen()
+	listener, err := l.Listen()
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{ln: ln, target: target, conns: map[net.Conn]struct{}{}}
-	for i := range p.ways {
-		p.ways[i].free = make(chan struct{})
-		close(p.ways[i].free)
+	p := &Proxy{listener: listener, target: target, closing: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	for i := range p.links {
+		p.links[i].healed = make(chan struct{})
+		close(p.links[i].healed)
 	}
-	go p.serve()
+	p.work.Go(p.serve)
 	return p, nil
 }
 
-// Addr is where the proxy listens.
-func (p *Proxy) Addr() string { return p.ln.Addr().String() }
+// Addr returns the address on which the proxy listens.
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Cut holds all that goes one way until it is undone: it is not lost, and arrives late, as TCP would have it.
-func (p *Proxy) Cut(direction int) (undo func()) {
+// Partition holds all traffic in one direction until it is healed. Nothing is lost: it arrives late, as after TCP's
+// retransmissions.
+func (p *Proxy) Partition(d Direction) (heal func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := &p.ways[direction]
-	if w.cut++; w.cut == 1 {
-		w.free = make(chan struct{})
+	l := &p.links[d]
+	if l.partitions++; l.partitions == 1 {
+		l.healed = make(chan struct{})
 	}
 	return sync.OnceFunc(func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if w.cut--; w.cut == 0 {
-			close(w.free)
+		if l.partitions--; l.partitions == 0 {
+			close(l.healed)
 		}
 	})
 }
 
-// Holds tells whether something waits for a cut to end.
-func (p *Proxy) Holds() bool {
+// IsHolding reports whether something waits for a partition to be healed.
+func (p *Proxy) IsHolding() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held > 0
 }
 
-// Delay has all that goes one way take longer.
-func (p *Proxy) Delay(direction int, d time.Duration) {
+// SetDelay delays all traffic in one direction.
+func (p *Proxy) SetDelay(d Direction, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ways[direction].delay = d
+	p.links[d].delay = delay
 }
 
-// Reset ends all connections at once.
-func (p *Proxy) Reset() {
+// ResetConnections resets all connections.
+func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0)
+			_ = tcp.SetLinger(0) // it may be closed already
 		}
 		_ = c.Close()
 	}
 }
 
-// Close ends the proxy.
+// Close ends the proxy, and waits for its goroutines.
 func (p *Proxy) Close() {
 	p.mu.Lock()
-	p.over = true
+	p.closed = true
 	p.mu.Unlock()
-	_ = p.ln.Close()
-	p.Reset()
+	close(p.closing)
+	_ = p.listener.Close()
+	p.ResetConnections()
+	p.work.Wait()
 }
 
-// add notes a connection. It is false where the proxy has ended.
+// add keeps a connection for resets. It closes it and returns false if the proxy is closed.
 func (p *Proxy) add(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.closed {
 		_ = c.Close()
 		return false
 	}
@@ -123,7 +132,7 @@
 }
 
 func (p *Proxy) remove(c net.Conn) {
-	_ = c.Close()
+	_ = c.Close() // what it carried was written, or is cut off on purpose
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -131,67 +140,80 @@
 
 func (p *Proxy) serve() {
 	for {
-		from, err := p.ln.Accept()
+		conn, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue
+			continue // one connection less: its client dials again
 		}
-		go p.join(from)
+		p.work.Go(func() { p.proxy(conn) })
 	}
 }
 
-// join carries one connection.
-func (p *Proxy) join(from net.Conn) {
-	if !p.add(from) {
+// proxy forwards one connection until one of its directions ends.
+func (p *Proxy) proxy(client net.Conn) {
+	if !p.add(client) {
 		return
 	}
-	defer p.remove(from)
-	p.hold(up)
-	to, err := net.DialTimeout("tcp", p.target, 2*time.Second)
-	if err != nil || !p.add(to) {
+	defer p.remove(client)
+	if !p.hold(ToTarget) {
 		return
 	}
-	defer p.remove(to)
-	done := make(chan struct{}, 2)
-	carry := func(direction int, from, to net.Conn) {
-		p.carry(direction, from, to)
-		done <- struct{}{}
+	target, err := net.DialTimeout("tcp", p.target, dialTimeout)
+	if err != nil || !p.add(target) {
+		return
 	}
-	go carry(up, from, to)
-	go carry(down, to, from)
-	<-done
+	defer p.remove(target)
+	ended := make(chan struct{}, directions)
+	p.work.Go(func() {
+		p.forward(ToTarget, client, target)
+		ended <- struct{}{}
+	})
+	p.work.Go(func() {
+		p.forward(FromTarget, target, client)
+		ended <- struct{}{}
+	})
+	<-ended
 }
 
-// hold waits while a direction is cut, and for its delay.
-func (p *Proxy) hold(direction int) {
+// hold waits while a direction is partitioned, and for its delay. It returns false if the proxy was closed meanwhile.
+func (p *Proxy) hold(d Direction) bool {
 	p.mu.Lock()
-	w := p.ways[direction]
+	l := p.links[d]
 	p.held++
 	p.mu.Unlock()
-	<-w.free
+	isOpen := true
+	select {
+	case <-l.healed:
+	case <-p.closing:
+		isOpen = false
+	}
 	p.mu.Lock()
 	p.held--
 	p.mu.Unlock()
-	if w.delay > 0 {
-		time.Sleep(w.delay)
+	if isOpen && l.delay > 0 {
+		time.Sleep(l.delay)
 	}
+	return isOpen
 }
 
-func (p *Proxy) carry(direction int, from, to net.Conn) {
-	buf := make([]byte, chunk)
+// forward copies one direction of a connection.
+func (p *Proxy) forward(d Direction, from io.Reader, to io.Writer) {
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := from.Read(buf)
+		n, err := from.Read(chunk)
 		if n > 0 {
-			p.hold(direction)
-			if _, err := to.Write(buf[:n]); err != nil {
+			if !p.hold(d) {
+				return
+			}
+			if _, err := to.Write(chunk[:n]); err != nil {
 				return
 			}
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				p.hold(direction) // an end does not overtake a cut
+				p.hold(d) // the end of a stream does not overtake what a partition holds
 			}
 			return
 		}
--- a/internal/faultinjection/faults/resource.go
+++ b/internal/faultinjection/faults/resource.go
@@ -1,7 +1,9 @@
 package faults
 
 import (
+	"errors"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -10,108 +12,131 @@
 	"time"
 
 	"frostlink/internal/fleettask"
+	"frostlink/internal/logkey"
 )
 
-// Execution is one act upon the resource, on the rig's clock.
+// executionStream is the random stream of how long executions take, of each seed.
+const executionStream = 3
+
+// Execution is one request that a lease's holder made to the resource, on the harness's clock.
 type Execution struct {
 	Relay      string        `json:"relay"`
 	Token      uint64        `json:"token"`
 	Begin, End time.Duration `json:"-"`
-	Accepted   bool          `json:"accepted"` // it was not refused, neither at its begin nor at its end
+	Accepted   bool          `json:"accepted"` // it was not rejected, neither at its begin nor at its end
 }
 
-// Resource is the stand-in on which the holder of a lease acts. An act takes a while. With Fenced it refuses a token
-// lower than one that it has seen, at the act's begin and at its end.
+// Resource is the stand-in to which the holder of a lease sends its requests. Each takes a while. A fenced resource rejects a
+// token lower than one that it has seen, when a request begins and when it ends.
 type Resource struct {
-	Fenced bool
-	now    func() time.Duration
-	ln     net.Listener
-	srv    *http.Server
-
-	mu      sync.Mutex
-	rand    *rand.Rand
-	low     time.Duration // of an act
-	high    time.Duration
-	highest uint64
-	acts    []*Execution
-	last    string // the relay that acted last
+	fenced      bool
+	minDuration time.Duration // of an execution
+	maxDuration time.Duration
+	now         func() time.Duration
+	listener    net.Listener
+	server      *http.Server
+	served      chan struct{} // closed when the server's goroutine has returned
+
+	mu           sync.Mutex // guards what is below
+	random       *rand.Rand
+	highestToken uint64
+	executions   []*Execution
+	lastRelay    string // whose execution began last
 }
 
-// NewResource opens a resource on an address of a run's own.
-func NewResource(l *Loopback, fenced bool, seed uint64, low, high time.Duration, now func() time.Duration) (*Resource, error) {
-	ln, err := l.Listen()
+// NewResource starts a resource on an address of a run.
+func NewResource(l *Loopback, fenced bool, seed uint64, minDuration, maxDuration time.Duration, now func() time.Duration) (*Resource, error) {
+	listener, err := l.Listen()
 	if err != nil {
 		return nil, err
 	}
-	r := &Resource{Fenced: fenced, now: now, ln: ln, rand: rand.New(rand.NewPCG(seed, 3)), low: low, high: high}
-	r.srv = &http.Server{Handler: r}
-	go func() { _ = r.srv.Serve(ln) }() // until Close
+	r := &Resource{
+		fenced: fenced, minDuration: minDuration, maxDuration: maxDuration, now: now, listener: listener, served: make(chan struct{}),
+		random: rand.New(rand.NewPCG(seed, executionStream)),
+	}
+	r.server = &http.Server{Handler: r}
+	go r.serve()
 	return r, nil
 }
 
-// Addr is where the resource listens.
-func (r *Resource) Addr() string { return r.ln.Addr().String() }
+func (r *Resource) serve() {
+	defer close(r.served)
+	if err := r.server.Serve(r.listener); !errors.Is(err, http.ErrServerClosed) {
+		slog.Error("the resource does not serve any more", logkey.Err, err)
+	}
+}
+
+// Addr returns the address on which the resource listens.
+func (r *Resource) Addr() string { return r.listener.Addr().String() }
 
-// Close ends it.
-func (r *Resource) Close() { _ = r.srv.Close() }
+// Close ends the resource.
+func (r *Resource) Close() {
+	_ = r.server.Close() // what it still serves is cut off on purpose
+	<-r.served
+}
 
-// Acts gives the acts so far, by their begin.
-func (r *Resource) Acts() []Execution {
+// Executions returns the executions so far, by their begin. Those in flight end now.
+func (r *Resource) Executions() []Execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]Execution, 0, len(r.acts))
-	for _, a := range r.acts {
-		one := *a
-		if one.End == 0 {
-			one.End = r.now()
+	list := make([]Execution, 0, len(r.executions))
+	for _, e := range r.executions {
+		execution := *e
+		if execution.End == 0 {
+			execution.End = r.now()
 		}
-		list = append(list, one)
+		list = append(list, execution)
 	}
 	return list
 }
 
-// Last is the relay that acted last.
-func (r *Resource) Last() string {
+// LastRelay returns the relay whose execution began last.
+func (r *Resource) LastRelay() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.last
+	return r.lastRelay
 }
 
-// ServeHTTP takes an act.
+// ServeHTTP serves one execution.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	token, err := strconv.ParseUint(q.Header.Get(fleettask.HeaderToken), 10, 64)
 	if err != nil {
 		http.Error(w, "no token", http.StatusBadRequest)
 		return
 	}
-	a, lasts := r.begin(q.Header.Get(fleettask.HeaderRelay), token)
-	if a.Accepted {
-		timer := time.NewTimer(lasts)
+	execution, duration := r.begin(q.Header.Get(fleettask.HeaderRelay), token)
+	if execution.Accepted {
+		timer := time.NewTimer(duration)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 		case <-q.Context().Done(): // its relay has cut it off, or is gone
 		}
 	}
-	if !r.end(a) {
+	if !r.end(execution) {
 		http.Error(w, fmt.Sprintf("token %d is not the highest", token), http.StatusConflict)
 	}
 }
 
+// begin records that an execution begins, and draws how long it takes.
 func (r *Resource) begin(relay string, token uint64) (*Execution, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := &Execution{Relay: relay, Token: token, Begin: r.now(), Accepted: !r.Fenced || token >= r.highest}
-	r.highest = max(r.highest, token)
-	r.acts = append(r.acts, a)
-	r.last = relay
-	return a, r.low + time.Duration(r.rand.Int64N(int64(r.high-r.low)))
+	e := &Execution{Relay: relay, Token: token, Begin: r.now(), Accepted: r.admits(token)}
+	r.highestToken = max(r.highestToken, token)
+	r.executions = append(r.executions, e)
+	r.lastRelay = relay
+	return e, r.minDuration + time.Duration(r.random.Int64N(int64(r.maxDuration-r.minDuration)))
 }
 
-func (r *Resource) end(a *Execution) bool {
+// end records that an execution ends, and reports whether it was accepted.
+func (r *Resource) end(e *Execution) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.End = r.now()
-	a.Accepted = a.Accepted && (!r.Fenced || a.Token >= r.highest)
-	return a.Accepted
+	e.End = r.now()
+	e.Accepted = e.Accepted && r.admits(e.Token)
+	return e.Accepted
 }
+
+// admits reports whether a token is accepted now. The caller holds r.mu.
+func (r *Resource) admits(token uint64) bool { return !r.fenced || token >= r.highestToken }
--- a/internal/faultinjection/faults/run.go
+++ b/internal/faultinjection/faults/run.go
@@ -5,163 +5,109 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"time"
+
+	"frostlink/internal/wait"
 )
 
 const (
-	// calm is how long a run goes on without trouble, beside two times to live.
-	calm = 6 * time.Second
-	// startWithin is how long the first act may take to come.
-	startWithin = 20 * time.Second
-	// lateMost is how late the rig's own timers may be: beyond it the machine was too busy for a verdict.
-	lateMost = 150 * time.Millisecond
-	// watchEvery is between looks at the rig's own lateness.
-	watchEvery = 5 * time.Millisecond
+	// quietPeriod is how long a run goes on without faults, besides two times to live.
+	quietPeriod = 6 * time.Second
+	// startTimeout is how long the first execution may take to begin.
+	startTimeout = 20 * time.Second
+	// startPollInterval is between two looks for the first execution.
+	startPollInterval = 20 * time.Millisecond
 )
 
-// Result is what a run came to.
-type Result struct {
-	Seed               uint64         `json:"seed"`
-	Members            int            `json:"members"`
-	Relays             int            `json:"relays"`
-	Fenced             bool           `json:"fenced"`
-	Executions         int            `json:"acts"`
-	Accepted           int            `json:"accepted"`
-	Grants             int            `json:"grants"` // tokens seen
-	InjectedFaults     map[string]int `json:"caused"`
-	TakeoverSeconds    []float64      `json:"takeover_s"`       // from a holder's death to another's next act
-	MaxLatenessSeconds float64        `json:"rig_late_s"`       // the most
-	Void               bool           `json:"void"`             // the machine was too busy: no verdict
-	Violations         []Violation    `json:"faults,omitempty"` //
-	Dir                string         `json:"folder,omitempty"` // of a run that failed: logs and data
+// Options describe a run.
+type Options struct {
+	Dir             string // of the run: logs and folders stay in it
+	RelayPath       string // the relay's program
+	CoordinatorPath string // the coordination service's program
+	Members         int
+	Relays          int
+	TTL             time.Duration // of a lease
+	Seed            uint64
+	Length          time.Duration // of the time with faults; a quiet period follows
+	Fenced          bool          // the resource rejects old tokens
+	Schedule        []Fault       // nil: drawn from the seed
 }
 
-// Run plays one run with real processes, and judges it.
-func Run(ctx context.Context, o Options) (Result, error) {
-	res := Result{Seed: o.Seed, Members: o.Members, Relays: o.Relays, Fenced: o.Fenced}
-	f, err := newFleet(o)
-	defer f.close()
+// RunIn plays one run in a folder of its own below another. The folder is removed unless the run failed.
+func RunIn(ctx context.Context, parent string, o Options) (Result, error) {
+	dir, err := os.MkdirTemp(parent, fmt.Sprintf("run-%d-", o.Seed))
 	if err != nil {
-		return res, err
+		return Result{}, fmt.Errorf("folder of a run: %w", err)
 	}
-	if err := f.start(ctx); err != nil {
-		return res, err
-	}
-	steps := o.Steps
-	if steps == nil {
-		steps = Draw(o.Seed, o.Length, o.Members, o.Relays)
+	if o.Dir, err = filepath.Abs(dir); err != nil {
+		return Result{}, fmt.Errorf("folder of a run: %w", err)
 	}
-	begun := f.now()
-	watched := f.watch(ctx)
-	var work sync.WaitGroup
-	for _, s := range steps {
-		if !until(ctx, begun+s.At-f.now()) {
-			break
-		}
-		work.Go(func() { f.cause(s) })
+	result, err := Run(ctx, o)
+	if err != nil || len(result.Violations) > 0 {
+		return result, err
 	}
-	work.Wait()
-	until(ctx, calm+2*o.TTL)
-	watched()
-	if err := ctx.Err(); err != nil {
-		return res, err
+	if err := os.RemoveAll(dir); err != nil {
+		return result, fmt.Errorf("folder of a run: %w", err)
 	}
-	f.judge(&res)
-	return res, nil
+	return result, nil
 }
 
-// until waits, and is false where the context ends first.
-func until(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(max(0, d)):
-		return true
+// Run plays one run with real processes, and judges it.
+func Run(ctx context.Context, o Options) (Result, error) {
+	h, err := newHarness(o)
+	if err != nil {
+		return newResult(o), err
 	}
+	defer h.close()
+	if err := h.startProcesses(ctx); err != nil {
+		return newResult(o), err
+	}
+	schedule := o.Schedule
+	if schedule == nil {
+		schedule = DrawSchedule(o.Seed, o.Length, o.Members, o.Relays)
+	}
+	lateness := monitorLateness(ctx)
+	h.injectAll(ctx, schedule)
+	wait.For(ctx, quietPeriod+2*o.TTL)
+	maxLateness := lateness.stop()
+	if err := ctx.Err(); err != nil {
+		return newResult(o), err
+	}
+	return judge(o, h.observe(maxLateness)), nil
 }
 
-// start starts all processes, and waits for the first act.
-func (f *fleet) start(ctx context.Context) error {
-	for _, m := range f.members {
-		if err := m.Start(); err != nil {
+// startProcesses starts all processes, and waits for the first execution.
+func (h *harness) startProcesses(ctx context.Context) error {
+	for _, p := range h.processes() {
+		if err := p.Start(); err != nil {
 			return err
 		}
 	}
-	for _, r := range f.relays {
-		if err := r.Start(); err != nil {
-			return err
-		}
-	}
-	for end := f.now() + startWithin; len(f.resource.Acts()) == 0; {
-		if f.now() > end || !until(ctx, 20*time.Millisecond) {
-			return fmt.Errorf("no relay acted within %v; see the logs in %s", startWithin, f.o.Dir)
+	for deadline := h.now() + startTimeout; len(h.resource.Executions()) == 0; {
+		if h.now() > deadline || !wait.For(ctx, startPollInterval) {
+			return fmt.Errorf("no relay acted within %v; see the logs in %s", startTimeout, h.options.Dir)
 		}
 	}
 	return nil
 }
 
-// watch notes how late the rig itself is, until it is stopped.
-func (f *fleet) watch(ctx context.Context) (stop func()) {
-	ctx, cancel := context.WithCancel(ctx)
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		for {
-			at := f.now() + watchEvery
-			if !until(ctx, watchEvery) {
-				return
-			}
-			f.mu.Lock()
-			f.latest = max(f.latest, f.now()-at)
-			f.mu.Unlock()
-		}
-	}()
-	return func() { cancel(); <-done }
-}
-
-// judge fills in a result.
-func (f *fleet) judge(res *Result) {
-	acts := f.resource.Acts()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	tokens := map[uint64]bool{}
-	for _, a := range acts {
-		tokens[a.Token] = true
-		if a.Accepted {
-			res.Accepted++
-		}
-	}
-	res.Executions, res.Grants, res.InjectedFaults, res.MaxLatenessSeconds = len(acts), len(tokens), f.causing, f.latest.Seconds()
-	res.Violations = append(f.faults, Check(acts, f.pauses)...)
-	if len(acts) == 0 || f.now()-acts[len(acts)-1].Begin > 2*time.Second {
-		res.Violations = append(res.Violations, Violation{"idle", "nobody acts at the end of the calm"})
-	}
-	for _, at := range f.deaths {
-		i := slices.IndexFunc(acts, func(a Execution) bool { return a.Begin > at && a.Accepted })
-		if i >= 0 {
-			res.TakeoverSeconds = append(res.TakeoverSeconds, (acts[i].Begin - at).Seconds())
+// injectAll injects the faults of a schedule, each at its time, and waits until all are over.
+func (h *harness) injectAll(ctx context.Context, schedule []Fault) {
+	start := h.now()
+	var work sync.WaitGroup
+	for _, f := range schedule {
+		if !wait.For(ctx, start+f.At-h.now()) {
+			break
 		}
+		work.Go(func() { h.inject(ctx, f) })
 	}
-	res.Void = f.latest > lateMost
-	if len(res.Violations) > 0 {
-		res.Dir = f.o.Dir
-	}
+	work.Wait()
 }
 
-// RunIn plays one run in a folder of its own below another, which is removed unless the run failed.
-func RunIn(ctx context.Context, parent string, o Options) (Result, error) {
-	dir, err := os.MkdirTemp(parent, fmt.Sprintf("run-%d-", o.Seed))
-	if err != nil {
-		return Result{}, err
-	}
-	if o.Dir, err = filepath.Abs(dir); err != nil {
-		return Result{}, err
-	}
-	res, err := Run(ctx, o)
-	if err == nil && len(res.Violations) == 0 {
-		err = os.RemoveAll(dir)
-	}
-	return res, err
+// observe returns what the run recorded up to now.
+func (h *harness) observe(maxLateness time.Duration) observations {
+	seen := h.recorder.observations()
+	seen.executions, seen.maxLateness, seen.end = h.resource.Executions(), maxLateness, h.now()
+	return seen
 }
--- a/internal/faultinjection/faults/schedule.go
+++ b/internal/faultinjection/faults/schedule.go
@@ -5,35 +5,45 @@
 	"time"
 )
 
-// Step is one fault: what, from when, for how long, upon whom. Whom the holder and the leader are is only known then.
-type Step struct {
-	At, For time.Duration
-	Kind    string
-	Target  int // a relay or member, by number, where the kind does not say which
-	Way     int // of a cut: up or down
+// Fault is a fault of a schedule. Which processes are holder and leader is only known when it begins.
+type Fault struct {
+	At        time.Duration // from the run's first fault-free moment on
+	Duration  time.Duration
+	Kind      Kind
+	Target    int       // number of a relay or member, where the kind leaves it open
+	Direction Direction // of a partition in one direction, or of slow links
 }
 
-// The kinds of faults, each as often as it stands here.
-var kinds = []string{
-	"holder killed", "holder killed", "holder stopped", "holder stopped in an act", "holder stopped in an act", "holder cut one way", "holder cut one way", "holder cut off",
-	"relay killed", "relay stopped", "relay cut one way",
-	"member killed", "member stopped", "leader killed", "leader stopped", "leader stopped", "member cut one way", "leader cut one way",
-	"leader cut off", "all members killed", "slow links", "links reset", "disk full",
-}
+const (
+	// scheduleStream is the random stream of schedules, of each seed.
+	scheduleStream = 0x6661756c7473
+	firstFaultAt   = time.Second
+	maxInterval    = 3 * time.Second // between two faults: 1.5 s on average
+	minDuration    = 200 * time.Millisecond
+	durationRange  = 3 * time.Second
+)
 
-// Draw draws a schedule from a seed: a fault every second and a half or so, until the end of a run.
-func Draw(seed uint64, length time.Duration, members, relays int) []Step {
-	rng := rand.New(rand.NewPCG(seed, 0x6661756c7473))
-	var list []Step
-	for at := time.Second; ; {
-		at += time.Duration(rng.Int64N(int64(3 * time.Second)))
-		if at >= length {
-			return list
+// DrawSchedule draws a schedule of faults from a seed, up to a length of time.
+func DrawSchedule(seed uint64, length time.Duration, members, relays int) []Fault {
+	random := rand.New(rand.NewPCG(seed, scheduleStream))
+	var names []Kind // each as often as its weight
+	for _, k := range kinds {
+		for range k.weight {
+			names = append(names, k.name)
 		}
-		s := Step{
-			At: at, For: 200*time.Millisecond + time.Duration(rng.Int64N(int64(3*time.Second))), Kind: kinds[rng.IntN(len(kinds))],
-			Target: rng.IntN(members * relays), Way: rng.IntN(2),
+	}
+	var schedule []Fault
+	for at := firstFaultAt; ; {
+		at += time.Duration(random.Int64N(int64(maxInterval)))
+		if at >= length {
+			return schedule
 		}
-		list = append(list, s)
+		schedule = append(schedule, Fault{ // drawn in the order of the fields
+			At:        at,
+			Duration:  minDuration + time.Duration(random.Int64N(int64(durationRange))),
+			Kind:      names[random.IntN(len(names))],
+			Target:    random.IntN(members * relays),
+			Direction: Direction(random.IntN(int(directions))),
+		})
 	}
 }
--- /dev/null
+++ b/internal/faultinjection/faults/schedule_test.go
@@ -0,0 +1,14 @@
+package faults
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestDrawSchedule_SameSeedSameSchedule(t *testing.T) {
+	first, second := DrawSchedule(5, time.Minute, 3, 40), DrawSchedule(5, time.Minute, 3, 40)
+	if len(first) < 20 || !slices.Equal(first, second) {
+		t.Errorf("%d faults, and again %d", len(first), len(second))
+	}
+}
--- a/internal/faultinjection/faults/syscalls_test.go
+++ b/internal/faultinjection/faults/syscalls_test.go
@@ -14,26 +14,51 @@
 	"time"
 )
 
-// callerEnv has the test binary make system calls of each kind in a folder that it names, and print how they ended.
+// callerEnv makes the test binary make system calls of each kind in a folder that it names, and print how they ended.
 const callerEnv = "FROSTLINK_TEST_CALLER"
 
-const callsOfAKind = 200
+const (
+	// callsOfAKind is how many calls of each kind the helper process makes.
+	callsOfAKind = 200
+	// written is what it writes each time.
+	written = "0123456789"
+	// renamed is the file that it renames, without the last character.
+	renamed = "move"
+)
+
+// The kinds of calls that the helper process makes.
+const (
+	fileWrite        = "file-write"
+	fileWriteOutside = "file-write-outside"
+	fileSync         = "file-sync"
+	fileOpen         = "file-open"
+	fileRename       = "file-rename"
+	connect          = "connect"
+	accept           = "accept"
+)
 
-// makeCalls makes calls on files inside and outside of the folder and on sockets, and prints a line a kind: its name and how often
-// it failed with which error.
+// makeCalls is the helper process: it makes calls on files inside and outside of the folder and on sockets, and prints a line a
+// kind with its name and how often it failed with which error.
 func makeCalls(folder string) {
-	count := func(kind string, do func(i int) error) {
-		failed := map[string]int{}
-		for i := range callsOfAKind {
-			var errno syscall.Errno
-			if err := do(i); errors.As(err, &errno) {
-				failed[errno.Error()]++
-			} else if err != nil {
-				failed[err.Error()]++
-			}
+	makeFileCalls(folder)
+	makeSocketCalls()
+}
+
+// countErrors makes one kind of call many times, and prints how often it failed with which error.
+func countErrors(kind string, call func(i int) error) {
+	failed := map[string]int{}
+	for i := range callsOfAKind {
+		var errno syscall.Errno
+		if err := call(i); errors.As(err, &errno) {
+			failed[errno.Error()]++
+		} else if err != nil {
+			failed[err.Error()]++
 		}
-		fmt.Println(kind, failed)
 	}
+	fmt.Println(kind, failed)
+}
+
+func makeFileCalls(folder string) {
 	open := func(name string) *os.File {
 		file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
@@ -43,116 +68,141 @@
 		return file
 	}
 	inside, outside := open(filepath.Join(folder, "in")), open(folder+"-out")
-	count("file-write", func(int) error { _, err := inside.Write([]byte("0123456789")); return err })
-	count("file-write-outside", func(int) error { _, err := outside.Write([]byte("0123456789")); return err })
-	count("file-sync", func(int) error { return inside.Sync() })
-	count("file-open", func(i int) error {
+	countErrors(fileWrite, func(int) error { _, err := inside.WriteString(written); return err })
+	countErrors(fileWriteOutside, func(int) error { _, err := outside.WriteString(written); return err })
+	countErrors(fileSync, func(int) error { return inside.Sync() })
+	countErrors(fileOpen, func(int) error {
 		file, err := os.OpenFile(filepath.Join(folder, "new"), os.O_CREATE|os.O_WRONLY, 0o600)
 		_ = file.Close()
 		return err
 	})
-	count("file-rename", func(i int) error {
-		name := filepath.Join(folder, "move")
+	countErrors(fileRename, func(i int) error {
+		name := filepath.Join(folder, renamed)
 		return os.Rename(fmt.Sprint(name, i%2), fmt.Sprint(name, 1-i%2))
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+}
+
+func makeSocketCalls() {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		fmt.Println("listen", err)
 		os.Exit(1)
 	}
-	count("connect", func(int) error {
-		c, err := net.Dial("tcp", l.Addr().String())
+	countErrors(connect, func(int) error {
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err == nil {
-			err = c.Close()
+			err = conn.Close()
 		}
 		return err
 	})
-	count("accept", func(int) error {
-		_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
-		c, err := l.Accept()
+	countErrors(accept, func(int) error {
+		_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
+		conn, err := listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil // no connection was left
 		}
 		if err == nil {
-			err = c.Close()
+			err = conn.Close()
 		}
 		return err
 	})
 }
 
-// Each kind of call fails as a rule says, at about its share, and no other does; without a rule none fails.
-func TestSyscallErrors(t *testing.T) {
+// Without a rule no call fails.
+func TestSyscallErrors_FailTheCallsOfTheirKindAlone(t *testing.T) {
 	library, err := BuildSyscallLibrary(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []string{"file-write", "file-write-outside", "file-sync", "file-open", "file-rename", "connect", "accept"}
-	for _, c := range []struct {
-		kind string
-		call Syscall
-		with syscall.Errno
-	}{
-		{"", 0, 0},
-		{"file-write", FileWrite, syscall.ENOSPC},
-		{"file-write", FileWrite, ShortTransfer}, // the runtime goes on with the rest: none fails
-		{"file-sync", FileSync, syscall.EIO},
-		{"file-open", FileOpen, syscall.EROFS},
-		{"file-rename", FileRename, syscall.EIO},
-		{"connect", Connect, syscall.ENETUNREACH},
-		{"accept", Accept, syscall.ENOBUFS},
-		{"", PollWait, syscall.EINTR}, // the runtime asks again
+	for _, tt := range []syscallTest{
+		{"no rule", "", 0, 0},
+		{"no space", fileWrite, FileWrite, syscall.ENOSPC},
+		{"short writes, which the runtime completes", fileWrite, FileWrite, ShortTransfer},
+		{"sync", fileSync, FileSync, syscall.EIO},
+		{"read-only", fileOpen, FileOpen, syscall.EROFS},
+		{"rename", fileRename, FileRename, syscall.EIO},
+		{"unreachable", connect, Connect, syscall.ENETUNREACH},
+		{"no buffers", accept, Accept, syscall.ENOBUFS},
+		{"interrupted polls, which the runtime repeats", "", PollWait, syscall.EINTR},
 	} {
-		name := fmt.Sprint(c.kind, c.call, c.with)
-		dir := t.TempDir()
-		folder := filepath.Join(dir, "state")
-		if err := os.MkdirAll(folder, 0o700); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(filepath.Join(folder, "move0"), nil, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		failing, err := NewSyscallErrors(library, filepath.Join(dir, "rules"), folder, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var rule Rule
-		if c.call != 0 {
-			if rule, err = failing.Fail(c.call, c.with, 0.5); err != nil {
-				t.Fatal(err)
-			}
-		}
-		own, err := os.Executable()
-		if err != nil {
+		t.Run(tt.name, func(t *testing.T) { tt.run(t, library) })
+	}
+}
+
+// syscallTest is a rule for half of the calls of a kind, and which calls of the helper process it makes fail.
+type syscallTest struct {
+	name  string
+	kind  string // "": none
+	call  Syscall
+	errno syscall.Errno
+}
+
+func (tt syscallTest) run(t *testing.T, library string) {
+	t.Helper()
+	dir := t.TempDir()
+	folder := filepath.Join(dir, "state")
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(folder, renamed+"0"), nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	syscallErrors, err := NewSyscallErrors(library, filepath.Join(dir, "rules"), folder, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var rule Rule
+	if tt.call != 0 {
+		if rule, err = syscallErrors.Fail(tt.call, tt.errno, 0.5); err != nil {
 			t.Fatal(err)
 		}
-		cmd := exec.Command(own)
-		cmd.Env = append(append(os.Environ(), failing.Env()...), Preload(failing.Library()), callerEnv+"="+folder)
-		var out bytes.Buffer
-		cmd.Stdout, cmd.Stderr = &out, &out
-		if err := cmd.Run(); err != nil {
-			t.Fatalf("%s: %v: %s", name, err, out.String())
-		}
-		hits := 0
-		if c.call != 0 {
-			if hits, err = failing.Clear(rule); err != nil || c.call != PollWait && (hits < callsOfAKind/4 || hits > 2*callsOfAKind) {
-				t.Errorf("%s: applied %d times, %v", name, hits, err)
-			}
-		}
-		for _, kind := range all {
-			line := lineOf(out.String(), kind+" ")
-			wanted := kind == c.kind && c.with != ShortTransfer
-			if failed := line != "map[]"; failed != wanted || wanted && !strings.Contains(line, c.with.Error()) &&
-				kind != "file-rename" { // there a rename that failed has the next ones find no file
-				t.Errorf("%s: %s failed with %s", name, kind, line)
-			}
-		}
-		if raw, err := os.ReadFile(filepath.Join(folder, "in")); c.with == ShortTransfer && (err != nil || !bytes.Equal(raw, bytes.Repeat([]byte("0123456789"), callsOfAKind))) {
-			t.Errorf("%s: %d bytes were written, %v", name, len(raw), err)
+	}
+	output := runHelper(t, append(syscallErrors.Env(), Preload(syscallErrors.Library()), callerEnv+"="+folder))
+	if tt.call != 0 {
+		hits, err := syscallErrors.Clear(rule)
+		if err != nil || tt.call != PollWait && (hits < callsOfAKind/4 || hits > 2*callsOfAKind) {
+			t.Errorf("applied %d times, %v", hits, err)
 		}
 	}
+	for _, kind := range []string{fileWrite, fileWriteOutside, fileSync, fileOpen, fileRename, connect, accept} {
+		tt.checkFailures(t, kind, lineOf(output, kind+" "))
+	}
+	raw, err := os.ReadFile(filepath.Join(folder, "in"))
+	if tt.errno == ShortTransfer && (err != nil || string(raw) != strings.Repeat(written, callsOfAKind)) {
+		t.Errorf("%d bytes were written, %v", len(raw), err)
+	}
+}
+
+// checkFailures checks the line that the helper process printed of one kind of call.
+func (tt syscallTest) checkFailures(t *testing.T, kind, line string) {
+	t.Helper()
+	wanted := kind == tt.kind && tt.errno != ShortTransfer
+	failed := line != "map[]"
+	// After a rename that failed the next ones find no file.
+	otherError := wanted && kind != fileRename && !strings.Contains(line, tt.errno.Error())
+	if failed != wanted || otherError {
+		t.Errorf("%s failed with %s", kind, line)
+	}
+}
+
+// runHelper runs the test binary as a helper process, and returns its output.
+func runHelper(t *testing.T, env []string) string {
+	t.Helper()
+	program, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.Command(program)
+	cmd.Env = append(os.Environ(), env...)
+	var output bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &output, &output
+	if err := cmd.Run(); err != nil {
+		t.Fatalf("%v: %s", err, output.String())
+	}
+	return output.String()
 }
 
-// lineOf gives what stands behind a prefix in the line that begins with it.
+// lineOf returns what follows a prefix in the line that begins with it.
 func lineOf(text, prefix string) string {
 	for line := range strings.Lines(text) {
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(line), prefix); ok {
--- a/internal/faultinjection/faults/wallclock.go
+++ b/internal/faultinjection/faults/wallclock.go
@@ -5,9 +5,6 @@
 	"encoding/binary"
 	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
-	"strings"
 	"sync"
 	"time"
 )
@@ -18,8 +15,9 @@
 var wallClockSource []byte
 
 const (
-	preloadEnv = "LD_PRELOAD"
-	offsetEnv  = "FROSTLINK_WALL_CLOCK_OFFSET"
+	offsetEnv = "FROSTLINK_WALL_CLOCK_OFFSET"
+	// offsetSize is the length of the file that holds a clock's offset: an int64 of nanoseconds in the machine's byte order.
+	offsetSize = 8
 )
 
 // WallClock is the wall clock of the processes that are started with its Env. Their monotonic clocks run on unchanged when it is
@@ -28,60 +26,38 @@
 	library string
 	path    string
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards offset, and the file at path
 	offset time.Duration
 }
 
-// BuildWallClockLibrary compiles the library into a folder and gives its path. It needs a C compiler.
+// BuildWallClockLibrary compiles the library into a folder and returns its path. It needs a C compiler.
 func BuildWallClockLibrary(dir string) (string, error) {
 	return buildLibrary(dir, "wallclock", wallClockSource)
 }
 
-// buildLibrary compiles the source of a library that is to be preloaded.
-func buildLibrary(dir, name string, text []byte) (string, error) {
-	source, library := filepath.Join(dir, name+".c"), filepath.Join(dir, name+".so")
-	if err := os.WriteFile(source, text, 0o600); err != nil {
-		return "", err
-	}
-	out, err := exec.Command("cc", "-shared", "-fPIC", "-O2", "-Wall", "-o", library, source).CombinedOutput()
-	if err != nil {
-		return "", fmt.Errorf("library %s: %w: %s", name, err, out)
-	}
-	return library, nil
-}
-
-// NewWallClock makes a clock that is not stepped yet; its offset is kept in a file at path.
+// NewWallClock returns a clock that is not stepped yet. Its offset is stored in a file at path.
 func NewWallClock(library, path string) (*WallClock, error) {
-	c := &WallClock{library: library, path: path}
-	return c, c.Step(0)
+	if err := os.WriteFile(path, make([]byte, offsetSize), 0o600); err != nil {
+		return nil, fmt.Errorf("offset of a wall clock: %w", err)
+	}
+	return &WallClock{library: library, path: path}, nil
 }
 
-// Env is what a process needs in its environment to go by this clock, beside the library in LD_PRELOAD.
+// Env returns what a process needs in its environment to use this clock, besides the library in LD_PRELOAD.
 func (c *WallClock) Env() []string { return []string{offsetEnv + "=" + c.path} }
 
-// Library is what has to be preloaded.
+// Library returns the path of the library to preload.
 func (c *WallClock) Library() string { return c.library }
 
-// Preload is the variable of the environment that has libraries loaded into a process before it starts.
-func Preload(libraries ...string) string { return preloadEnv + "=" + strings.Join(libraries, ":") }
-
 // Step moves the clock at once, for running processes and later ones.
 func (c *WallClock) Step(by time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	file, err := os.OpenFile(c.path, os.O_CREATE|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	defer file.Close()
 	c.offset += by
-	var raw [8]byte
-	binary.NativeEndian.PutUint64(raw[:], uint64(c.offset))
-	_, err = file.WriteAt(raw[:], 0)
-	return err
+	return writeShared(c.path, 0, binary.NativeEndian.AppendUint64(nil, uint64(c.offset)))
 }
 
-// Offset is the sum of all steps.
+// Offset returns the sum of all steps.
 func (c *WallClock) Offset() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultinjection/faults/wallclock_test.go
+++ b/internal/faultinjection/faults/wallclock_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// clockReaderEnv has the test binary print its clocks, a line for each line that it reads.
+// clockReaderEnv makes the test binary print its clocks, a line for each line that it reads.
 const clockReaderEnv = "FROSTLINK_TEST_CLOCK_READER"
 
+// readClocks is the helper process.
 func readClocks() {
 	start := time.Now()
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
@@ -20,8 +21,7 @@
 	}
 }
 
-// A step moves the wall clock of the process at once and leaves its monotonic clock alone.
-func TestWallClockStep(t *testing.T) {
+func TestWallClock_StepLeavesMonotonicClockAlone(t *testing.T) {
 	dir := t.TempDir()
 	library, err := BuildWallClockLibrary(dir)
 	if err != nil {
@@ -31,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(own)
+	cmd := exec.Command(program)
 	cmd.Env = append(append(os.Environ(), clock.Env()...), Preload(clock.Library()), clockReaderEnv+"=1")
 	in, err := cmd.StdinPipe()
 	if err != nil {
