--- /dev/null
+++ b/internal/faultinjection/coordsim/check_test.go
@@ -0,0 +1,134 @@
+package coordsim
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"frostlink/internal/coord"
+)
+
+// requireChecks requires that just these checks have failed.
+func requireChecks(t *testing.T, s *simulation, want ...string) {
+	t.Helper()
+	var got []string
+	for _, v := range s.violations {
+		got = append(got, v.Check)
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("%v, want %v", s.violations, want)
+	}
+}
+
+func TestCheckExecutions_NamesEachViolation(t *testing.T) {
+	const lease = "lease-0"
+	client := &leaseClient{name: "c0"}
+	ended := func(token uint64, start, end time.Duration) *execution {
+		return &execution{client: client, lease: lease, token: token, start: start, end: end, ended: true}
+	}
+	tests := map[string]struct {
+		executions []*execution
+		want       []string
+	}{
+		"one after the other":       {[]*execution{ended(1, 0, 10), ended(2, 10, 20)}, nil},
+		"one token":                 {[]*execution{ended(1, 0, 10), ended(1, 5, 20)}, nil},
+		"two tokens at once":        {[]*execution{ended(1, 0, 10), ended(2, 9, 20)}, []string{checkOverlap}},
+		"an old token afterwards":   {[]*execution{ended(2, 0, 10), ended(1, 10, 20)}, []string{checkToken}},
+		"an old token at once":      {[]*execution{ended(2, 0, 10), ended(1, 5, 20)}, []string{checkOverlap, checkToken}},
+		"a long one during several": {[]*execution{ended(1, 0, 100), ended(1, 10, 20), ended(2, 30, 40)}, []string{checkOverlap}},
+		"one in flight at the end":  {[]*execution{{client: client, lease: lease, token: 1}, ended(2, 50, 60)}, []string{checkOverlap}},
+		"one paused at its end":     {[]*execution{{client: client, lease: lease, token: 1, end: 50, paused: true}, ended(2, 50, 60)}, nil},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := &simulation{scheduler: &scheduler{now: 200}, leases: []string{lease}, executions: tt.executions}
+			s.checkExecutions()
+			requireChecks(t, s, tt.want...)
+		})
+	}
+}
+
+func TestCheckGrants_ATokenIsOfOneGrant(t *testing.T) {
+	first := grant{client: "c0", lease: "lease-0", token: 1}
+	tests := map[string]struct {
+		second grant
+		want   []string
+	}{
+		"learned again":       {first, nil},
+		"of another token":    {grant{client: "c1", lease: "lease-0", token: 2}, nil},
+		"of another client":   {grant{client: "c1", lease: "lease-0", token: 1}, []string{checkToken}},
+		"of a later process":  {grant{client: "c0", incarnation: 1, lease: "lease-0", token: 1}, []string{checkToken}},
+		"of another lease":    {grant{client: "c0", lease: "lease-1", token: 1}, []string{checkToken}},
+		"learned later again": {grant{client: "c0", lease: "lease-0", token: 1, learnedAt: 5}, nil},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := &simulation{grants: []grant{first, tt.second}}
+			s.checkGrants()
+			requireChecks(t, s, tt.want...)
+		})
+	}
+}
+
+func TestCheckQueueOrder_NobodyPassesAWaitingClient(t *testing.T) {
+	const since, until = 10, 100
+	tests := map[string]struct {
+		grant     grant
+		transfers []transfer
+		want      []string
+	}{
+		"asked later":           {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 50}, nil, []string{checkQueue}},
+		"asked before":          {grant{client: "c1", lease: "lease-0", askedAt: 10, learnedAt: 50}, nil, nil},
+		"learned after":         {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 100}, nil, nil},
+		"its own":               {grant{client: "c0", lease: "lease-0", askedAt: 20, learnedAt: 50}, nil, nil},
+		"of another lease":      {grant{client: "c1", lease: "lease-1", askedAt: 20, learnedAt: 50}, nil, nil},
+		"transferred":           {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 50}, []transfer{{"lease-0", "c1", 40}}, nil},
+		"transferred to others": {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 50}, []transfer{{"lease-0", "c2", 40}}, []string{checkQueue}},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := &simulation{grants: []grant{tt.grant}, transfers: tt.transfers}
+			s.checkQueueOrder(&leaseClient{name: "c0"}, "lease-0", since, until)
+			requireChecks(t, s, tt.want...)
+		})
+	}
+}
+
+func TestCheckValues_RequiresALinearization(t *testing.T) {
+	write := func(expected, revision uint64, value string, code coord.Code, begin, end time.Duration) operation {
+		return operation{key: keys[0], isWrite: true, expected: expected, revision: revision, value: value, code: code, begin: begin, end: end}
+	}
+	read := func(revision uint64, value string, begin, end time.Duration) operation {
+		return operation{client: 1, key: keys[0], revision: revision, value: value, code: coord.CodeOK, begin: begin, end: end}
+	}
+	tests := map[string]struct {
+		operations []operation
+		want       []string
+	}{
+		"read what was written":          {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(5, "a", 10, 20)}, nil},
+		"read before a write ends":       {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 5, 20)}, nil},
+		"stale read":                     {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 11, 20)}, []string{checkLinearizability}},
+		"write over an unknown revision": {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 6, "b", coord.CodeOK, 11, 20)}, []string{checkLinearizability}},
+		"conflict":                       {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 5, "b", coord.CodeConflict, 11, 20)}, nil},
+		"conflict without a reason":      {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(5, 5, "b", coord.CodeConflict, 11, 20)}, []string{checkLinearizability}},
+		"outcome unknown, executed":      {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(5, "a", 11, 20)}, nil},
+		"outcome unknown, not executed":  {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(0, "", 11, 20)}, nil},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := &simulation{operations: tt.operations}
+			s.checkValues()
+			requireChecks(t, s, tt.want...)
+		})
+	}
+}
+
+func TestReport_BoundsViolations(t *testing.T) {
+	s := &simulation{}
+	for i := range 2 * maxViolations {
+		s.report(checkSame, "%d", i)
+	}
+	if len(s.violations) != maxViolations {
+		t.Errorf("%d violations, want %d", len(s.violations), maxViolations)
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/coordsim/rollback.go
@@ -0,0 +1,42 @@
+package coordsim
+
+import (
+	"slices"
+	"time"
+)
+
+// rollBackDisk restarts a member, and some time later crashes it and starts it with the disk that it had before, if by then all
+// others knew of its new incarnation: that has to be noticed. One member a run: a majority has to keep its disks.
+func (s *simulation) rollBackDisk(t target) {
+	m := t.member
+	if s.rollback || !m.running || s.replacement != notReplacing {
+		return
+	}
+	s.rollback = true
+	s.counts[rollbackBegun]++
+	old := m.disk
+	m.crash()
+	m.start()
+	s.scheduler.after(s.random.between(500*time.Millisecond, 4*time.Second), nil, func() {
+		if !m.running || !slices.ContainsFunc(s.members, (*member).leads) {
+			return
+		}
+		for _, p := range m.core.Status().Peers {
+			if !p.Acknowledged {
+				return
+			}
+		}
+		s.counts[diskRolledBack]++
+		m.crash()
+		m.disk = old
+		m.start()
+		s.scheduler.after(s.end()-s.now()-time.Second, nil, func() { s.checkRollback(m) })
+	})
+}
+
+// checkRollback checks that a member with a disk that was rolled back has ended.
+func (s *simulation) checkRollback(m *member) {
+	if m.terminated == nil {
+		s.report(checkDisk, "member %d took part with a disk that was set back", m.id)
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/coordsim/scheduler.go
@@ -0,0 +1,77 @@
+package coordsim
+
+import (
+	"container/heap"
+	"time"
+)
+
+// event is something that happens to a process at a moment of true time.
+type event struct {
+	at          time.Duration
+	sequence    uint64   // orders events of one moment
+	owner       *process // nil: none
+	incarnation int      // of the owner; events of an earlier one are dropped
+	action      func()
+}
+
+// eventQueue is a heap of events, for package heap.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// scheduler runs events in virtual time.
+type scheduler struct {
+	now          time.Duration // true time
+	lastSequence uint64
+	queue        eventQueue
+	onPanic      func(owner *process, reason any) // takes the panic of an event
+}
+
+// after schedules an action of a process, which is dropped if the process has crashed by then. Without an owner it is always run.
+func (s *scheduler) after(d time.Duration, owner *process, action func()) {
+	s.lastSequence++
+	e := event{at: s.now + d, sequence: s.lastSequence, owner: owner, action: action}
+	if owner != nil {
+		e.incarnation = owner.incarnation
+	}
+	heap.Push(&s.queue, e)
+}
+
+// runUntil runs all events up to a moment. Events of a process that is busy wait until it is not, in the same order.
+func (s *scheduler) runUntil(end time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
+		switch {
+		case e.owner == nil:
+			s.run(e)
+		case !e.owner.running || e.incarnation != e.owner.incarnation:
+		case s.now < e.owner.busyUntil:
+			e.at = e.owner.busyUntil
+			heap.Push(&s.queue, e)
+		default:
+			s.run(e)
+		}
+	}
+	s.now = end
+}
+
+// run runs an event. A process that panics in it has ended.
+func (s *scheduler) run(e event) {
+	defer func() {
+		if reason := recover(); reason != nil {
+			s.onPanic(e.owner, reason)
+		}
+	}()
+	e.action()
+}
