--- a/internal/faultinjection/faults/schedule.go
+++ b/internal/faultinjection/faults/schedule.go
@@ -7,7 +7,7 @@
 
 // Fault is a fault of a schedule. Which processes are holder and leader is only known when it begins.
 type Fault struct {
-	At        time.Duration // from the run's first fault-free moment on
+	At        time.Duration // since the first execution had begun
 	Duration  time.Duration
 	Kind      Kind
 	Target    int       // number of a relay or member, where the kind leaves it open
