--- /dev/null
+++ b/internal/faultinjection/simulation/attempt.go
@@ -0,0 +1,240 @@
+package simulation
+
+import (
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/destination"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
+)
+
+// attemptState is how far an attempt is.
+type attemptState int
+
+const (
+	attemptConnecting attemptState = iota
+	attemptConnected               // it has a connection, and is not written yet
+	attemptSent                    // it is written
+	attemptEnded
+)
+
+// resetState is what is known of the reset of an attempt's connection.
+type resetState int
+
+const (
+	notReset       resetState = iota
+	resetUnnoticed            // the relay is still to notice it
+	resetNoticed
+)
+
+// attempt is an attempt of a relay.
+type attempt struct {
+	relay        *relay
+	incarnation  int
+	request      *openRequest
+	index        int // among the attempts of its request
+	endpoint     *endpoint
+	model        *destination.Attempt
+	sentAt       time.Duration
+	state        attemptState
+	reset        resetState
+	responseLost bool
+	number       int // in the event log, from its arrival until its end is recorded; else 0
+}
+
+// maxAttemptsPerSubmission keeps the draws of a message's submissions apart.
+const maxAttemptsPerSubmission = 100
+
+// send begins an attempt.
+func (r *relay) send(action policy.Send) {
+	f, request, to := r.fleet, r.requests[action.ID], r.fleet.endpoints[action.Endpoint]
+	if request == nil || to == nil {
+		f.result.recordFailure("%s sent after its end, or to the unknown host %s", action.ID, action.Endpoint)
+		return
+	}
+	r.checkSend(request, action)
+	if len(request.attempts) == 0 && request.submission == 0 {
+		f.result.AttemptedMessages++
+	}
+	a := r.newAttempt(request, to)
+	timeout := action.Timeout
+	if timeout == 0 {
+		timeout = request.deadline - f.now
+	}
+	f.after(timeout, func() { a.end(policy.AttemptEnded{Outcome: policy.TimedOut}, false) })
+	r.closeIdle(to.id, f.now-scenario.Seconds(f.Scenario.Limits.IdleConnTimeout))
+	if idle := r.idleConns[to.id]; len(idle) > 0 {
+		r.idleConns[to.id], a.state = idle[:len(idle)-1], attemptConnected
+		a.write()
+		return
+	}
+	f.result.Connections++
+	a.model.NewConnection = true
+	f.after(f.oneWay(), a.connect)
+}
+
+// checkSend checks what a relay must not do, whatever its decision module wants.
+func (r *relay) checkSend(request *openRequest, action policy.Send) {
+	f := r.fleet
+	listed, known := r.listed[action.Endpoint]
+	drainingAt, isDraining := r.drainingAt[action.Endpoint]
+	switch {
+	case !known || listed.Destination != request.message.Destination:
+		f.result.recordFailure("%s sent to %s, which is not of its destination", action.ID, action.Endpoint)
+	case isDraining && f.now > drainingAt+scenario.Seconds(f.Scenario.Rules.DrainGrace):
+		f.result.recordFailure("%s sent to %s %v after it drained", action.ID, action.Endpoint, f.now-drainingAt)
+	case request.inFlight != nil:
+		f.result.recordFailure("%s sent while an attempt is out", action.ID)
+	}
+}
+
+func (r *relay) newAttempt(request *openRequest, to *endpoint) *attempt {
+	f, m := r.fleet, request.message
+	a := &attempt{relay: r, incarnation: r.incarnation, request: request, index: len(request.attempts), endpoint: to, sentAt: f.now}
+	a.model = &destination.Attempt{
+		ID: request.id, Relay: r.number, Key: m.Key, KeyTTL: scenario.Seconds(f.Scenario.Classes[m.Class].KeyTTL),
+		ServiceTime: f.Scenario.ServiceTime(f.random, m, request.submission*maxAttemptsPerSubmission+a.index),
+		Draw:        f.random.Stream("chance", m.Number, request.submission, a.index).Float64(),
+	}
+	request.attempts = append(request.attempts, policy.PriorAttempt{Endpoint: to.id, SentAt: f.now})
+	request.ended = append(request.ended, false)
+	request.inFlight = a
+	return a
+}
+
+// closeIdle closes connections to an endpoint that have been idle since before a time.
+func (r *relay) closeIdle(id string, before time.Duration) {
+	e := r.fleet.endpoints[id]
+	for len(r.idleConns[id]) > 0 && r.idleConns[id][0] < before {
+		r.idleConns[id] = r.idleConns[id][1:]
+		e.destination.Disconnect(e.index)
+	}
+}
+
+// connect reaches the endpoint with a new connection.
+func (a *attempt) connect() {
+	f, d := a.relay.fleet, a.endpoint.destination
+	mode := d.Mode(a.endpoint.index)
+	switch {
+	case a.state == attemptEnded:
+	case f.isPartitioned(a.relay, a.endpoint) || mode >= destination.ModeUnresponsive:
+		timeLeft := scenario.Seconds(f.Scenario.Limits.ConnectTimeout) - (f.now - a.sentAt)
+		f.after(timeLeft, func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
+	case mode >= destination.ModeRefusing:
+		f.currentSecond(d).Attempts++
+		f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
+	case d.Connect(a.endpoint.index):
+		a.rejectConnection()
+	default:
+		a.state = attemptConnected
+		f.after((2*handshakeRoundTrips-1)*f.oneWay(), a.write)
+	}
+}
+
+// rejectConnection rejects an attempt whose connection is more than the endpoint accepts. It counts against a cold
+// destination all the same.
+func (a *attempt) rejectConnection() {
+	f, d := a.relay.fleet, a.endpoint.destination
+	d.Disconnect(a.endpoint.index)
+	f.result.ConnectionRejected++
+	f.currentSecond(d).Attempts++
+	a.recordArrival()
+	f.carryOut(d, d.Arrive(f.now, a.endpoint.index, &destination.Attempt{ID: a.model.ID, OverConnectionLimit: true}))
+	a.recordEnd(checker.Event{Outcome: checker.Rejected})
+	f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.Rejected}, false) })
+}
+
+// write sends the attempt on its connection.
+func (a *attempt) write() {
+	if a.state == attemptConnected {
+		a.state = attemptSent
+	}
+	a.relay.fleet.after(a.relay.fleet.oneWay(), a.arrive)
+}
+
+// arrive reaches the endpoint completely.
+func (a *attempt) arrive() {
+	f, d := a.relay.fleet, a.endpoint.destination
+	if a.state == attemptEnded || f.isPartitioned(a.relay, a.endpoint) {
+		return
+	}
+	harm := f.drawHarm(a)
+	if harm == resetBefore {
+		f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectError}, false) })
+		return
+	}
+	f.currentSecond(d).Attempts++
+	switch mode := d.Mode(a.endpoint.index); {
+	case mode > destination.ModeRefusing:
+		return
+	case mode == destination.ModeRefusing:
+		f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
+		return
+	}
+	d.attempts[a.model] = a
+	a.recordArrival()
+	f.carryOut(d, d.Arrive(f.now, a.endpoint.index, a.model))
+	switch harm {
+	case resetAfter:
+		a.resetAtEndpoint()
+	case responseLost:
+		a.responseLost = true
+	default:
+	}
+}
+
+// resetAtEndpoint resets the attempt's connection; what the endpoint has begun it goes on executing.
+func (a *attempt) resetAtEndpoint() {
+	f, d := a.relay.fleet, a.endpoint.destination
+	if _, waits := d.attempts[a.model]; !waits {
+		return // its response is on its way
+	}
+	delete(d.attempts, a.model)
+	a.recordEnd(checker.Event{Outcome: checker.Interrupted})
+	f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
+}
+
+// end ends the attempt for its relay. With keepConn its connection becomes idle.
+func (a *attempt) end(e policy.AttemptEnded, keepConn bool) {
+	r, f := a.relay, a.relay.fleet
+	if a.state == attemptEnded || !r.runs(a.incarnation) {
+		return
+	}
+	if keepConn && a.hasConn() {
+		a.state = attemptEnded
+		r.idleConns[a.endpoint.id] = append(r.idleConns[a.endpoint.id], f.now)
+	} else {
+		a.abandon()
+	}
+	request := a.request
+	request.inFlight = nil
+	e.ID, e.Endpoint, e.Attempt, e.Latency = request.id, a.endpoint.id, a.index, f.now-a.sentAt
+	request.ended[a.index] = true
+	request.attempts[a.index].NotExecuted = e.Outcome == policy.Rejected || e.Outcome == policy.ConnectError || e.Outcome == policy.NotSent
+	if r.requests[request.id] == request && e.Outcome == policy.Succeeded {
+		r.delivered(request)
+	}
+	r.enqueue(e)
+}
+
+func (a *attempt) hasConn() bool { return a.state == attemptConnected || a.state == attemptSent }
+
+// abandon ends the attempt and closes its connection.
+func (a *attempt) abandon() {
+	f, d := a.relay.fleet, a.endpoint.destination
+	hadConn := a.hasConn()
+	a.state = attemptEnded
+	a.recordEnd(checker.Event{Outcome: checker.Abandoned})
+	if _, waits := d.attempts[a.model]; waits {
+		delete(d.attempts, a.model)
+		f.carryOut(d, d.Cancel(f.now, a.model))
+	}
+	switch {
+	case !hadConn:
+	case f.isPartitioned(a.relay, a.endpoint):
+		f.unnoticed = append(f.unnoticed, a.endpoint)
+	default:
+		d.Disconnect(a.endpoint.index)
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/simulation/client.go
@@ -0,0 +1,47 @@
+package simulation
+
+import (
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// submit has a client submit a message to a relay that is up; submission counts its submissions before this one.
+func (f *fleet) submit(m *scenario.Message, submission int) {
+	up := f.acceptingRelays()
+	timeLeft := scenario.Seconds(f.Scenario.Classes[m.Class].Deadline) - (f.now - m.At)
+	switch {
+	case timeLeft <= 0:
+		f.completed[m.Number] = true // its client has given up, and no relay had accepted it
+		return
+	case len(up) == 0:
+		f.after(m.ResubmitDelay, func() { f.submit(m, submission) })
+		return
+	}
+	f.chooseRelay(up, m, submission).receive(m, submission, timeLeft)
+}
+
+// acceptingRelays returns the relays that clients reach.
+func (f *fleet) acceptingRelays() (up []*relay) {
+	for _, r := range f.relays {
+		if r.alive && !r.stopping {
+			up = append(up, r)
+		}
+	}
+	return up
+}
+
+func (f *fleet) chooseRelay(up []*relay, m *scenario.Message, submission int) *relay {
+	draw := m.RelayDraw
+	if submission > 0 {
+		draw = f.random.Stream("retry", m.Number, submission).Float64()
+	}
+	if f.Skew > 0 && f.random.Stream("skew", m.Number).Float64() < f.Skew {
+		return up[0]
+	}
+	return up[int(draw*float64(len(up)))]
+}
+
+// clientLeaves reports whether the client of a submission leaves before its response: what its relay does then counts for
+// nothing, and the client submits the message elsewhere.
+func (f *fleet) clientLeaves(m *scenario.Message, submission int) bool {
+	return f.leavingShare > 0 && f.random.Stream("hasty", m.Number, submission).Float64() < f.leavingShare
+}
--- /dev/null
+++ b/internal/faultinjection/simulation/day_drawn_test.go
@@ -0,0 +1,32 @@
+//go:build !race
+
+package simulation
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// On drawn days of each kind no rule is broken: some of a few relays, one each of 300. The same seed gives the same day.
+func TestPlay_KeepsTheRulesOnDrawnDays(t *testing.T) {
+	for _, kind := range DrawnDayNames {
+		for relays, seeds := range map[int]int64{30: 6, 300: 1} {
+			t.Run(fmt.Sprintf("%s of %d", kind, relays), func(t *testing.T) {
+				t.Parallel()
+				for seed := int64(1); seed <= seeds; seed++ {
+					r := playDrawn(t, kind, relays, seed, nil)
+					if len(r.Failures)+len(r.Violations) > 0 || r.Unwatched > 0 || r.DeliveredWeight < 0.5 {
+						t.Errorf("seed %d: delivered weight %.3f, %d relays without a watch at the end\n%s", seed, r.DeliveredWeight, r.Unwatched,
+							strings.Join(r.Failures, "\n"))
+					}
+				}
+			})
+		}
+	}
+	one, two := playDrawn(t, SplitDay, 12, 3, nil), playDrawn(t, SplitDay, 12, 3, nil)
+	if !reflect.DeepEqual(one, two) {
+		t.Errorf("%+v and %+v of one seed", one, two)
+	}
+}
--- /dev/null
+++ b/internal/faultinjection/simulation/discovery.go
@@ -0,0 +1,163 @@
+package simulation
+
+import (
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/policy"
+)
+
+// endpointState is the state of an endpoint as discovery lists it, in the checker's words.
+type endpointState string
+
+const (
+	serving  endpointState = checker.Serving
+	draining endpointState = checker.Draining
+	deleted  endpointState = checker.Deleted
+)
+
+// Discovery says how the discovery service works: it serves polls one after another, also those whose caller has gone.
+type Discovery struct {
+	ServiceTime  time.Duration // of one poll
+	Timeout      time.Duration // a poll that is not answered by then has failed
+	MaxQueueTime time.Duration // a poll whose answer would take longer is rejected
+	PublishDelay time.Duration // from a change to the watch event
+}
+
+// endpointChange is one change of the endpoint list.
+type endpointChange struct {
+	endpoint *endpoint
+	state    endpointState
+}
+
+// discoveryService is the discovery service of a fleet. Version n of its list has the first n changes.
+type discoveryService struct {
+	fleet *fleet
+	Discovery
+	changes   []endpointChange
+	busyUntil time.Duration
+	downUntil time.Duration
+	watchers  map[*relay]int // incarnation by relay
+}
+
+// publish changes the list.
+func (s *discoveryService) publish(e *endpoint, state endpointState) {
+	s.changes = append(s.changes, endpointChange{e, state})
+	if s.fleet.now == 0 {
+		return
+	}
+	version := len(s.changes)
+	s.fleet.after(s.PublishDelay, func() {
+		s.fleet.record(checker.Event{Kind: checker.EndpointShown, Endpoint: e.id, Destination: e.destination.number, State: string(state)})
+		for _, r := range s.fleet.relays { // in a fixed order
+			if incarnation, ok := s.watchers[r]; ok {
+				s.notify(r, incarnation, version)
+			}
+		}
+	})
+}
+
+// notify sends a relay the list up to a version. What is on its way to a process that dies notifies nobody.
+func (s *discoveryService) notify(r *relay, incarnation, version int) {
+	writtenAt := s.fleet.now
+	s.fleet.after(s.fleet.oneWay(), func() {
+		if !r.runs(incarnation) {
+			return
+		}
+		for _, c := range s.changes[min(r.listVersion, version):version] {
+			s.fleet.log = append(s.fleet.log, checker.Event{
+				At: writtenAt, Kind: checker.EndpointNotified, Relay: r.number, Endpoint: c.endpoint.id,
+				Destination: c.endpoint.destination.number, State: string(c.state),
+			})
+		}
+		r.receiveChanges(s.changes[:version])
+	})
+}
+
+// poll takes a relay's request for a watch.
+func (s *discoveryService) poll(r *relay) {
+	f := s.fleet
+	p := &discoveryPoll{service: s, relay: r, incarnation: r.incarnation, begun: f.now}
+	f.result.countPoll(f.now)
+	s.busyUntil = max(s.busyUntil, f.now)
+	if f.now < s.downUntil || s.busyUntil+s.ServiceTime-f.now > s.MaxQueueTime {
+		f.after(2*f.oneWay(), p.fail)
+		return
+	}
+	s.busyUntil += s.ServiceTime
+	if s.busyUntil-f.now > s.Timeout {
+		f.after(s.Timeout, p.fail)
+		return
+	}
+	f.at(s.busyUntil, p.answer)
+}
+
+// discoveryPoll is a request for a watch.
+type discoveryPoll struct {
+	service     *discoveryService
+	relay       *relay
+	incarnation int
+	begun       time.Duration
+}
+
+func (p *discoveryPoll) fail() {
+	f := p.service.fleet
+	if p.relay.runs(p.incarnation) {
+		f.result.FailedPolls++
+		f.record(checker.Event{Kind: checker.WatchRequested, Relay: p.relay.number})
+		p.relay.watchEnded(f.now - p.begun)
+	}
+}
+
+func (p *discoveryPoll) answer() {
+	s, f := p.service, p.service.fleet
+	switch {
+	case !p.relay.runs(p.incarnation):
+	case f.now < s.downUntil:
+		p.fail()
+	default:
+		s.watchers[p.relay] = p.incarnation
+		f.record(checker.Event{Kind: checker.WatchRequested, Relay: p.relay.number, OK: true})
+		s.notify(p.relay, p.incarnation, len(s.changes))
+	}
+}
+
+// fail makes discovery unavailable for a time: all watches end.
+func (s *discoveryService) fail(duration time.Duration) {
+	f := s.fleet
+	s.downUntil, s.busyUntil = f.now+duration, f.now+duration
+	f.record(checker.Event{Kind: checker.DiscoveryDown})
+	f.after(duration, func() { f.record(checker.Event{Kind: checker.DiscoveryUp}) })
+	for _, r := range f.relays {
+		incarnation, watches := s.watchers[r]
+		if !watches {
+			continue
+		}
+		delete(s.watchers, r)
+		f.record(checker.Event{Kind: checker.WatchEnded, Relay: r.number})
+		f.after(f.oneWay(), func() {
+			if r.runs(incarnation) {
+				r.watchEnded(time.Minute) // it stood long enough for the first backoff
+			}
+		})
+	}
+}
+
+// list returns changes as the decision module gets them; full says that they are the complete list.
+func (s *discoveryService) list(changes []endpointChange, full bool) policy.EndpointsChanged {
+	list := policy.EndpointsChanged{Full: full}
+	index := map[string]int{}
+	for _, c := range changes {
+		e := policy.Endpoint{
+			ID: c.endpoint.id, Destination: c.endpoint.destination.number, Weight: c.endpoint.destination.limit,
+			Draining: c.state == draining, Removed: c.state == deleted,
+		}
+		if i, ok := index[e.ID]; ok {
+			list.Endpoints[i] = e
+			continue
+		}
+		index[e.ID] = len(list.Endpoints)
+		list.Endpoints = append(list.Endpoints, e)
+	}
+	return list
+}
--- a/internal/faultinjection/simulation/network.go
+++ b/internal/faultinjection/simulation/network.go
@@ -1,63 +1,76 @@
 package simulation
 
-import "frostlink/internal/faultinjection/scenario"
+import (
+	"time"
 
-// zones is into how many the relays and hosts of a fleet are dealt, in turns.
+	"frostlink/internal/faultinjection/scenario"
+)
+
+// zones is the number of zones; relays and endpoints are assigned to them in turn.
 const zones = 3
 
-// cut tells whether nothing passes between a relay and a host.
-func (f *fleet) cut(r *relay, h *host) bool {
-	if f.severed == 0 {
+// handshakeRoundTrips are round trips before a new connection carries an attempt, beside that of the attempt itself.
+const handshakeRoundTrips = 2
+
+// oneWayLatencyMS is what a packet takes between two machines, in milliseconds.
+var oneWayLatencyMS = scenario.Range{Low: 15, High: 27}
+
+// oneWay draws what a packet takes between two machines.
+func (f *fleet) oneWay() time.Duration { return scenario.Milliseconds(oneWayLatencyMS.Draw(f.latency)) }
+
+// isPartitioned reports whether nothing passes between a relay and an endpoint.
+func (f *fleet) isPartitioned(r *relay, e *endpoint) bool {
+	if f.partition == 0 {
 		return false
 	}
-	there, here := (h.partner.no+h.endpoint)%zones, r.no%zones
-	return (there == f.severed-1) != (here == f.severed-1)
+	cutOff := f.partition - 1
+	endpointZone, relayZone := (e.destination.number+e.index)%zones, r.number%zones
+	return (endpointZone == cutOff) != (relayZone == cutOff)
 }
 
-// join ends a cut: hosts hear of the connections that were given up behind it.
-func (f *fleet) join() {
-	f.severed = 0
-	for _, h := range f.places {
-		h.partner.Disconnect(h.endpoint)
-	}
-	f.places = nil
+func (f *fleet) beginPartition(fault Fault) {
+	f.partition = fault.Zone + 1
+	f.after(fault.Duration, f.endPartition)
 }
 
-// part is a share of the relays, from a share on.
-func (f *fleet) part(from, share float64) []*relay {
-	n := float64(len(f.relays))
-	upTo := func(share float64) int { return min(len(f.relays), int(share*n+1e-9)) } // 0.3 + 0.1 of 10 is 4
-	return f.relays[upTo(from):upTo(from+share)]
+// endPartition ends a partition: endpoints notice the connections that were closed behind it.
+func (f *fleet) endPartition() {
+	f.partition = 0
+	for _, e := range f.unnoticed {
+		e.destination.Disconnect(e.index)
+	}
+	f.unnoticed = nil
 }
 
-// What may happen to a call on its way.
+// harm is what the network does to an attempt.
 type harm int
 
 const (
 	unharmed    harm = iota
-	resetBefore      // its connection breaks before its last byte is written
+	resetBefore      // its connection is reset before its last byte is written
 	resetAfter       // or after that
-	answerLost
+	responseLost
+)
+
+// The parts of the harmed attempts that each kind of harm has.
+const (
+	lostResponses   = 0.5
+	resetsBeforeEnd = 0.75 // up to here
 )
 
-// harmed draws what happens to a call.
-func (f *fleet) harmed(fl *flight) harm {
-	if f.harm == 0 {
+// drawHarm draws what the network does to an attempt.
+func (f *fleet) drawHarm(a *attempt) harm {
+	if f.harmShare == 0 {
 		return unharmed
 	}
-	switch at := f.draws.Stream("harm", fl.held.m.Number, fl.held.n, fl.attempt).Float64() / f.harm; {
-	case at < 0.5:
-		return answerLost
-	case at < 0.75:
+	draw := f.random.Stream("harm", a.request.message.Number, a.request.submission, a.index).Float64() / f.harmShare
+	switch {
+	case draw < lostResponses:
+		return responseLost
+	case draw < resetsBeforeEnd:
 		return resetBefore
-	case at < 1:
+	case draw < 1:
 		return resetAfter
 	}
 	return unharmed
 }
-
-// leaves tells whether the client of a hand-in goes before it has heard: what its relay does then counts for nothing, and the
-// client comes again elsewhere.
-func (f *fleet) leaves(m *scenario.Message, n int) bool {
-	return f.hasty > 0 && f.draws.Stream("hasty", m.Number, n).Float64() < f.hasty
-}
--- /dev/null
+++ b/internal/faultinjection/simulation/relay_request.go
@@ -0,0 +1,91 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"frostlink/internal/faultinjection/checker"
+	"frostlink/internal/faultinjection/scenario"
+	"frostlink/policy"
+)
+
+// recoverySlack is how long after a start terminal outcomes may be late.
+const recoverySlack = 1500 * time.Millisecond
+
+// openRequest is a message that a relay was sent, until its terminal outcome.
+type openRequest struct {
+	message    *scenario.Message
+	submission int // submissions of the message before this one
+	id         string
+	deadline   time.Duration
+	attempts   []policy.PriorAttempt
+	ended      []bool   // of each attempt, whether its outcome is known
+	inFlight   *attempt // nil: none is
+	accepted   bool     // its client has the response, or has left
+	clientLeft bool     // without a response
+}
+
+// receive takes in a submission.
+func (r *relay) receive(m *scenario.Message, submission int, timeLeft time.Duration) {
+	f := r.fleet
+	request := &openRequest{message: m, submission: submission, id: f.random.RequestID(m.Number, submission), deadline: f.now + timeLeft}
+	r.requests[request.id] = request
+	r.order = append(r.order, request)
+	r.arrivals = append(r.arrivals, request)
+	r.recordSubmission(request)
+	if request.clientLeft = f.clientLeaves(m, submission); request.clientLeft {
+		f.after(m.ResubmitDelay, func() { f.submit(m, submission+1) })
+	} else {
+		f.submitted[request.id] = m
+	}
+	r.enqueue(policy.Arrived{ID: request.id, Class: m.Class, Destination: m.Destination, OrderKey: m.OrderKey, TimeLeft: timeLeft})
+}
+
+// remove drops a request.
+func (r *relay) remove(request *openRequest) {
+	delete(r.requests, request.id)
+	r.order = slices.DeleteFunc(r.order, func(other *openRequest) bool { return other == request })
+}
+
+// evict drops a request that has its terminal outcome, which has to come in time.
+func (r *relay) evict(request *openRequest) {
+	f := r.fleet
+	r.remove(request)
+	if f.now > request.deadline+scenario.Seconds(f.Scenario.Rules.AnswerSlack) && f.now > r.readyAt+recoverySlack {
+		f.result.recordFailure("%s ended %v after its time", request.id, f.now-request.deadline)
+	}
+}
+
+// fail ends a request undelivered. After a rejection its client may submit the message again.
+func (r *relay) fail(id string, retryAfter time.Duration, rejected bool) {
+	f, request := r.fleet, r.requests[id]
+	if request == nil {
+		f.result.recordFailure("%s was ended twice", id)
+		// What the decision module wants is done.
+		f.record(checker.Event{Kind: checker.Notified, ID: id, Relay: r.number, State: checker.Undeliverable})
+		return
+	}
+	r.recordFailed(request, rejected)
+	r.evict(request)
+	f.result.GivenUp++
+	if request.clientLeft {
+		return // it has submitted the message again already
+	}
+	m := request.message
+	if rejected && request.submission < len(m.Backoff) {
+		delay := m.Backoff[request.submission]
+		if m.HonoursRetryAfter {
+			delay = max(delay, retryAfter)
+		}
+		f.after(delay, func() { f.submit(m, request.submission+1) })
+	}
+	f.completed[m.Number] = true
+}
+
+// delivered completes a request that was delivered.
+func (r *relay) delivered(request *openRequest) {
+	r.evict(request)
+	if !request.clientLeft {
+		r.fleet.countDelivery(request.message)
+	}
+}
--- a/internal/faultinjection/simulation/result.go
+++ b/internal/faultinjection/simulation/result.go
@@ -9,146 +9,153 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
+// maxFailures are reported one by one.
+const maxFailures = 20
+
 // Result is what a day came to.
 type Result struct {
 	Relays             int                  `json:"relays"`
 	Messages           int                  `json:"messages"`
-	DeliveredWeight    float64              `json:"worth"` // delivered, as a share of what was asked for
-	AttemptedMessages  int                  `json:"first"` // messages of which a call was made
+	DeliveredWeight    float64              `json:"worth"` // priority weight delivered, as a share of all
+	AttemptedMessages  int                  `json:"first"` // messages of which there was an attempt
 	GivenUp            int                  `json:"given_up"`
-	Rejected           int                  `json:"refused"`     // calls, at a limit or a full queue
-	ConnectionRejected int                  `json:"door"`        // calls, since a host had all the connections it takes
-	Connections        int                  `json:"connections"` // made or tried
-	Polls              int                  `json:"asks"`
-	FailedPolls        int                  `json:"turned"`    // asks in vain
-	PeakPolls          int                  `json:"ask_peak"`  // most in one second
+	Rejected           int                  `json:"refused"`     // attempts, at a limit or a full queue
+	ConnectionRejected int                  `json:"door"`        // attempts, since the endpoint had all connections that it accepts
+	Connections        int                  `json:"connections"` // opened or tried
+	Polls              int                  `json:"asks"`        // of discovery
+	FailedPolls        int                  `json:"turned"`
+	PeakPolls          int                  `json:"ask_peak"`  // the most in one second
 	Unwatched          int                  `json:"unwatched"` // relays without a watch at the end
-	Overloads          int                  `json:"falls"`     // partners pushed over
+	Overloads          int                  `json:"falls"`     // of recovering destinations
 	Failures           []string             `json:"faults,omitempty"`
-	Violations         map[checker.Rule]int `json:"breaches,omitempty"` // of the six rules, as the auditor of real runs finds them
+	Violations         map[checker.Rule]int `json:"breaches,omitempty"` // of the six rules, as the checker of real runs finds them
 	Destinations       []*Destination       `json:"partners"`
 
-	worth, offered float64
-	askSeconds     map[int]int
+	deliveredWeight, totalWeight float64
+	pollsBySecond                map[int]int
 }
 
-// Destination is what went to one partner, by second.
+// Destination is what one destination did, by second.
 type Destination struct {
-	Limit   float64   `json:"limit"` // calls a second
+	Limit   float64   `json:"limit"` // attempts per second
 	Seconds []*Second `json:"seconds"`
 }
 
-// Second is one second at a partner.
+// Second is one second at a destination.
 type Second struct {
-	Attempts  int     `json:"calls"` // that came, refused ones too
+	Attempts  int     `json:"calls"` // that came, rejected ones included
 	Delivered int     `json:"delivered"`
 	Rejected  int     `json:"refused"`
-	Capacity  float64 `json:"capacity"` // calls a second that it could serve, by its slots
+	Capacity  float64 `json:"capacity"` // attempts per second that it could execute
+}
+
+// second returns the counts of the second at a time.
+func (d *Destination) second(at time.Duration) *Second {
+	for int(at/time.Second) >= len(d.Seconds) {
+		d.Seconds = append(d.Seconds, &Second{})
+	}
+	return d.Seconds[at/time.Second]
 }
 
-func (p *Destination) now(at time.Duration) *Second {
-	for int(at/time.Second) >= len(p.Seconds) {
-		p.Seconds = append(p.Seconds, &Second{})
+// Excess returns the most attempts in one of the seconds [from, to) above a share of the destination's limit, as a part of that
+// share.
+func (d *Destination) Excess(from, to int, share float64) float64 {
+	limit := d.Limit * share
+	excess := 0.0
+	for _, s := range d.span(from, to) {
+		excess = math.Max(excess, (float64(s.Attempts)-limit)/limit)
 	}
-	return p.Seconds[at/time.Second]
+	return excess
 }
 
-// mostFaults are told one by one.
-const mostFaults = 20
+// Attempts returns the number of attempts in the seconds [from, to).
+func (d *Destination) Attempts(from, to int) (attempts int) {
+	for _, s := range d.span(from, to) {
+		attempts += s.Attempts
+	}
+	return attempts
+}
+
+func (d *Destination) span(from, to int) []*Second {
+	to = min(to, len(d.Seconds))
+	if from >= to {
+		return nil
+	}
+	return d.Seconds[from:to]
+}
+
+// SecondsUntilUsed returns how many seconds after a second the first two begin in which the destination delivers a share of what
+// its limit and its capacity allow; -1: none do.
+func (d *Destination) SecondsUntilUsed(from int, share float64) int {
+	for i := from; i+1 < len(d.Seconds); i++ {
+		first, second := d.Seconds[i], d.Seconds[i+1]
+		delivered := float64(first.Delivered + second.Delivered)
+		possible := math.Min(d.Limit, first.Capacity) + math.Min(d.Limit, second.Capacity)
+		if possible > 0 && delivered >= share*possible {
+			return i - from
+		}
+	}
+	return -1
+}
 
-func (r *Result) fault(format string, args ...any) {
-	if len(r.Failures) < mostFaults {
+// recordFailure records that a relay did what it must not.
+func (r *Result) recordFailure(format string, args ...any) {
+	if len(r.Failures) < maxFailures {
 		r.Failures = append(r.Failures, fmt.Sprintf(format, args...))
 	}
 }
 
-// ask counts a call for the list.
-func (r *Result) ask(at time.Duration) {
-	if r.askSeconds == nil {
-		r.askSeconds = map[int]int{}
+// countPoll counts a poll of discovery.
+func (r *Result) countPoll(at time.Duration) {
+	if r.pollsBySecond == nil {
+		r.pollsBySecond = map[int]int{}
 	}
+	second := int(at / time.Second)
 	r.Polls++
-	r.askSeconds[int(at/time.Second)]++
-	r.PeakPolls = max(r.PeakPolls, r.askSeconds[int(at/time.Second)])
+	r.pollsBySecond[second]++
+	r.PeakPolls = max(r.PeakPolls, r.pollsBySecond[second])
 }
 
-// sample notes what partners can do in the second that begins.
-func (f *fleet) sample() {
-	for _, s := range f.sites {
-		f.carryOut(s, s.Advance(f.now))
-		f.res.Destinations[s.no].now(f.now).Capacity = s.Capacity()
-	}
+// countDelivery counts that a message was delivered now.
+func (f *fleet) countDelivery(m *scenario.Message) {
+	f.result.deliveredWeight += remainingWeight(&f.Scenario.Classes[m.Class], f.now-m.At)
+	f.completed[m.Number] = true
 }
 
-// worthOf is what a message is worth when it is delivered at an age.
-func worthOf(c *scenario.Class, age time.Duration) float64 {
-	a := age.Seconds()
+// remainingWeight is the priority weight of a message that is delivered at an age.
+func remainingWeight(c *scenario.Class, age time.Duration) float64 {
+	seconds := age.Seconds()
 	switch {
-	case a <= c.LatencyObjective:
+	case seconds <= c.LatencyObjective:
 		return c.PriorityWeight
-	case a > c.Deadline:
+	case seconds > c.Deadline:
 		return 0
 	}
-	return c.PriorityWeight * (1 - (1-c.LateFraction)*(a-c.LatencyObjective)/(c.Deadline-c.LatencyObjective))
-}
-
-// delivered notes that a message has its end.
-func (f *fleet) delivered(m *scenario.Message) {
-	f.res.worth += worthOf(&f.Scenario.Classes[m.Class], f.now-m.At)
-	f.ends[m.Number] = true
+	late := (seconds - c.LatencyObjective) / (c.Deadline - c.LatencyObjective)
+	return c.PriorityWeight * (1 - (1-c.LateFraction)*late)
 }
 
-// finish draws the sum.
-func (f *fleet) finish(messages []*scenario.Message) {
+// summarize completes the result at the end of the day.
+func (f *fleet) summarize(messages []*scenario.Message) {
 	for _, m := range messages {
-		f.res.offered += f.Scenario.Classes[m.Class].PriorityWeight
-		if n := f.ran[m.Number]; n > 1 {
-			f.res.fault("message %d had its effect %d times", m.Number, n)
+		f.result.totalWeight += f.Scenario.Classes[m.Class].PriorityWeight
+		if executions := f.executions[m.Number]; executions > 1 {
+			f.result.recordFailure("message %d had its effect %d times", m.Number, executions)
 		}
-		if !f.ends[m.Number] {
-			f.res.fault("message %d has no end", m.Number)
+		if !f.completed[m.Number] {
+			f.result.recordFailure("message %d has no end", m.Number)
 		}
 	}
 	for _, r := range f.relays {
-		if _, ok := f.register.watchers[r]; !ok {
-			f.res.Unwatched++
+		if _, watches := f.discovery.watchers[r]; !watches {
+			f.result.Unwatched++
 		}
-		for _, h := range r.order {
-			f.res.fault("%s was taken on and has no end", h.id)
+		for _, request := range r.order {
+			f.result.recordFailure("%s was taken on and has no end", request.id)
 		}
 	}
-	for _, s := range f.sites {
-		f.res.Overloads += s.Overloads()
-	}
-	f.res.DeliveredWeight = f.res.worth / math.Max(1, f.res.offered)
-}
-
-// Over is the most calls in one second above a partner's limit times a share, from one second on up to another, as a part
-// of that limit.
-func (p *Destination) Over(from, to int, share float64) float64 {
-	most := 0.0
-	for i := from; i < min(to, len(p.Seconds)); i++ {
-		most = math.Max(most, (float64(p.Seconds[i].Attempts)-p.Limit*share)/(p.Limit*share))
+	for _, d := range f.destinations {
+		f.result.Overloads += d.Overloads()
 	}
-	return most
-}
-
-// Attempts is the number of calls from one second on up to another.
-func (p *Destination) Calls(from, to int) (n int) {
-	for i := from; i < min(to, len(p.Seconds)); i++ {
-		n += p.Seconds[i].Attempts
-	}
-	return n
-}
-
-// UsedAgain is how many seconds after one, the first second of two in which a partner delivers a share of what its limit
-// and its present capacity allow begins; -1: none does.
-func (p *Destination) UsedAgain(from int, share float64) int {
-	for i := from; i+1 < len(p.Seconds); i++ {
-		both := p.Seconds[i].Delivered + p.Seconds[i+1].Delivered
-		if could := math.Min(p.Limit, p.Seconds[i].Capacity) + math.Min(p.Limit, p.Seconds[i+1].Capacity); float64(both) >= share*could && could > 0 {
-			return i - from
-		}
-	}
-	return -1
+	f.result.DeliveredWeight = f.result.deliveredWeight / math.Max(1, f.result.totalWeight)
 }
--- /dev/null
+++ b/internal/faultinjection/simulation/workload.go
@@ -0,0 +1,159 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"time"
+
+	"frostlink/internal/faultinjection/scenario"
+)
+
+const (
+	// attemptsPerEndpoint is what one endpoint executes per second, and minEndpointConns the connections that it accepts at least.
+	attemptsPerEndpoint, minEndpointConns = 60.0, 12
+	// The destination with most traffic has up to maxEndpointsOfLargest endpoints, the others up to maxEndpoints, so that a larger
+	// fleet has more destinations and not larger ones: the platform's have one to four, two in the mean.
+	maxEndpointsOfLargest, maxEndpoints = 4, 2
+	// minLimit, minConcurrency and minEndpointsOfLargest bound small destinations.
+	minLimit, minConcurrency, minEndpointsOfLargest = 2, 2, 2
+	// queuePerSlot and connsPerSlot are what an endpoint queues, and the connections that it accepts, for each concurrent attempt.
+	queuePerSlot, connsPerSlot = 2, 3
+	// serviceTimeFactor multiplies the service times of the classes: they are far shorter than the network's latency.
+	serviceTimeFactor = 0.25
+	// meanServiceTimeMS is that of the classes below, by their shares.
+	meanServiceTimeMS = 0.5*230 + 0.4*340 + 0.1*260
+)
+
+const (
+	// discoveryPeriod is the time in which discovery can serve one poll of each relay, of minDiscoveryClients at least.
+	discoveryPeriod     = 5 * time.Second
+	minDiscoveryClients = 12
+	discoveryTimeout    = 2 * time.Second
+	discoveryQueueTime  = 6 * time.Second
+	publishDelay        = time.Second
+)
+
+// workload is what a fleet is sent on a day, and the destinations that it is for.
+type workload struct {
+	ratePerRelay  float64   // messages per second for each relay
+	sentShare     float64   // of that rate, what is sent
+	limitFactor   float64   // destinations' limits over ratePerRelay
+	capacityRatio float64   // destinations' capacity over their limits
+	shares        []float64 // of the traffic, by destination, or by destinations that are alike where one would need too many endpoints
+	length        float64   // seconds
+}
+
+// scenarioHead is the scenario of all workloads but for its destinations; it takes the length and the rate.
+const scenarioHead = `version = 1
+name = "fleet"
+length_s = %v
+relays = 1
+[relay]
+slots = 4
+hold = 90
+[report]
+every_ms = [110, 420]
+delay_ms = [60, 290]
+noise = 0.08
+[clients]
+retries = 1
+[load]
+rate = %v
+clumps = 0.1
+[[class]]
+name = "fee-payment"
+share = 0.5
+worth = 2
+late_share = 0.5
+aim_s = 2.5
+deadline_s = 12
+effect = "keyed"
+memory_s = 15
+service_ms = 230
+spread = "lognormal"
+cv = 0.9
+noise = 0.2
+[[class]]
+name = "parcel-status"
+share = 0.4
+late_share = 0.3
+aim_s = 3
+deadline_s = 12
+effect = "safe"
+service_ms = 340
+noise = 0.3
+[[class]]
+name = "mutation-deed"
+share = 0.1
+worth = 2
+late_share = 0.5
+aim_s = 2.5
+deadline_s = 12
+effect = "unsafe"
+service_ms = 260
+noise = 0.3
+`
+
+// newDay builds a day without faults. It returns the numbers of the destinations that are alike, by share. The number of destinations
+// grows with that of the relays; what one endpoint executes does not.
+func (w workload) newDay(relays int, seed int64) (day *Day, alike [][]int, err error) {
+	rate := w.ratePerRelay * float64(relays)
+	var text strings.Builder
+	fmt.Fprintf(&text, scenarioHead, w.length, rate*w.sentShare)
+	next := 0
+	for i, share := range w.shares {
+		spec := w.sizeDestinations(rate*share*w.limitFactor, i == 0)
+		spec.share = share / float64(spec.count)
+		var numbers []int
+		for range spec.count {
+			spec.write(&text, next)
+			numbers = append(numbers, next)
+			next++
+		}
+		alike = append(alike, numbers)
+	}
+	s, err := scenario.Parse("fleet", []byte(text.String()))
+	if err != nil {
+		return nil, nil, err
+	}
+	s.Relays = relays
+	return &Day{Scenario: s, Seed: seed, Discovery: Discovery{
+		ServiceTime: discoveryPeriod / time.Duration(max(minDiscoveryClients, relays)), Timeout: discoveryTimeout,
+		MaxQueueTime: discoveryQueueTime, PublishDelay: publishDelay,
+	}}, alike, nil
+}
+
+// destinationSpec are destinations that are alike.
+type destinationSpec struct {
+	count       int
+	share       float64 // of the traffic, each
+	limit       float64 // attempts per second, each
+	endpoints   int
+	concurrency int // of each endpoint
+}
+
+// sizeDestinations returns destinations with a limit in all, in attempts per second.
+func (w workload) sizeDestinations(limit float64, largest bool) destinationSpec {
+	endpoints := float64(maxEndpoints)
+	if largest {
+		endpoints = maxEndpointsOfLargest
+	}
+	d := destinationSpec{count: max(1, int(math.Ceil(limit/(attemptsPerEndpoint*endpoints))))}
+	d.limit = math.Max(minLimit, math.Round(limit/float64(d.count)))
+	d.endpoints = max(1, int(math.Ceil(d.limit/attemptsPerEndpoint)))
+	if largest {
+		d.endpoints = max(minEndpointsOfLargest, d.endpoints)
+	}
+	serviceTime := meanServiceTimeMS / 1000 * serviceTimeFactor
+	d.concurrency = max(minConcurrency, int(math.Ceil(d.limit*w.capacityRatio*serviceTime/float64(d.endpoints))))
+	return d
+}
+
+// write writes one of the destinations in the form of a scenario.
+func (d *destinationSpec) write(text *strings.Builder, number int) {
+	fmt.Fprintf(text, "[[partner]]\nname = \"p%d\"\nshare = %v\nendpoints = %d\nslots = %d\nqueue = %d\npace = %v\n"+
+		"limit = { count = %d, span_s = 1 }\nrefused_counted = true\nhandshake_ms = 2\nconnections = %d\n",
+		number, d.share, d.endpoints, d.concurrency, queuePerSlot*d.concurrency, serviceTimeFactor, int(d.limit),
+		max(minEndpointConns, connsPerSlot*d.concurrency))
+}
