--- a/internal/faultinjection/harness/check.go
+++ b/internal/faultinjection/harness/check.go
@@ -17,7 +17,7 @@
 	log, parameters := h.eventLog(), h.parameters()
 	result.Report = checker.Judge(parameters, log, end)
 	result.MeasureWeight(parameters, requestsOf(messages), log)
-	result.Redeliveries = resends(log, h.scenario)
+	result.Redeliveries = redeliveries(log, h.scenario)
 	if h.scenario.Relay.Operator == "" {
 		return result, nil
 	}
--- a/internal/faultinjection/harness/client.go
+++ b/internal/faultinjection/harness/client.go
@@ -15,12 +15,6 @@
 // maxSubmissions bounds how often one message is submitted, whatever happens to its relays.
 const maxSubmissions = 12
 
-// The idempotency of a class, as scenarios name it. With any other name a repeat does no harm.
-const (
-	idempotentByKey = "keyed"
-	notIdempotent   = "unsafe"
-)
-
 // retryMark is the value of the header Client-Retry; empty: there is none.
 type retryMark string
 
@@ -169,9 +163,9 @@
 		return true
 	}
 	switch class := &c.h.scenario.Classes[s.message.Class]; class.Idempotency {
-	case idempotentByKey:
+	case scenario.IdempotentByKey:
 		return c.h.now()+delay < mayHaveRunAt+scenario.Seconds(class.KeyTTL)
-	case notIdempotent:
+	case scenario.NotIdempotent:
 		return false
 	default:
 		return true
--- a/internal/faultinjection/harness/redelivery_summary.go
+++ b/internal/faultinjection/harness/redelivery_summary.go
@@ -23,8 +23,8 @@
 	To           time.Duration `json:"to"`
 }
 
-// resends summarizes the redeliveries in the log of a run, by destination.
-func resends(log []checker.Event, s *scenario.Scenario) (all []Redeliveries) {
+// redeliveries summarizes the redeliveries in the log of a run, by destination.
+func redeliveries(log []checker.Event, s *scenario.Scenario) (all []Redeliveries) {
 	for dest, attempts := range redeliveryAttempts(log, len(s.Destinations)) {
 		if len(attempts) > 0 {
 			all = append(all, summarizeRedeliveries(s.Destinations[dest].Name, attempts))
