--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -183,20 +183,22 @@
 		})
 		return known
 	}
-	run := func(own string) {
+	// Each run has a request of its own: one whose id is completed would be answered from the journal, and its process could be
+	// killed before it has opened the store.
+	run := func(own, id string) {
 		p.operatorPath = own
 		c := p.start()
-		p.mustAcceptStatus("m"+own, "20", "k-1", "1")
+		p.mustAcceptStatus(id, "20", "k-1", "1")
 		p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 		p.kill(c)
 	}
 	with := p.operatorPath
-	run(with)
+	run(with, "m1")
 	if !known() {
 		t.Error("a restart makes it forget")
 	}
-	run("")
-	run(with)
+	run("", "m2")
+	run(with, "m3")
 	if known() {
 		t.Error("it is relied on, though a process recorded nothing in it")
 	}
