--- a/internal/faultinjection/harness/run_helpers_test.go
+++ b/internal/faultinjection/harness/run_helpers_test.go
@@ -9,9 +9,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxPlays is how often a scenario is played until the machine is not too busy. A short one has some four hundred events, so that
-// one moment in which the machine stands still, and five of them are late, makes it void.
-const maxPlays = 5
+// maxPlays is how often a scenario is played until the machine is not too busy.
+const maxPlays = 3
 
 // buildRelay builds the real relay, and returns the program's path.
 func buildRelay(t *testing.T) string {
