--- a/policy/admission.go
+++ b/policy/admission.go
@@ -60,8 +60,11 @@
 
 // overcrowded reports whether there are too many unfinished messages for another one in this queue.
 func (d *Dispatcher) overcrowded(q *queue) bool {
+	if len(d.unfinished) > d.settings.MaxQueued {
+		return true
+	}
 	room := maxQueuedShare * float64(d.settings.MaxQueued)
-	return float64(len(d.unfinished)) > room && float64(len(q.queued)) > room/2 || len(d.unfinished) > d.settings.MaxQueued
+	return float64(len(d.unfinished)) > room && float64(len(q.queued)) > room/2
 }
 
 // feedShadowQueue adds an arrival to the shadow queue: a copy of the queue that admits by the basic
--- a/policy/class.go
+++ b/policy/class.go
@@ -24,25 +24,25 @@
 type Class struct {
 	Name string `json:"Name"`
 
-	// A message has its full PriorityWeight, the value of its delivery, up to LatencyObjective. Then
-	// its value falls to LateFraction of that at Deadline, when it is given up: evenly, or by half
-	// with each further LatencyObjective.
+	// A message has its full PriorityWeight, the value of its delivery, up to LatencyObjective.
+	// Then its value falls to LateFraction of that at Deadline, when it is given up: evenly, or by
+	// half with each further LatencyObjective.
 	LatencyObjective time.Duration `json:"Aim"`
 	Deadline         time.Duration `json:"Deadline"`
 	PriorityWeight   float64       `json:"Worth"`
 	LateFraction     float64       `json:"LateShare"`
 	ExponentialDecay bool          `json:"Halving"`
 
-	// With IdempotentByKey, a destination remembers a key for KeyTTL, and with KeyPerZone only in the
-	// zone of the endpoint that got it.
+	// With IdempotentByKey, a destination remembers a key for KeyTTL, and with KeyPerZone only in
+	// the zone of the endpoint that got it.
 	Idempotency Idempotency   `json:"Effect"`
 	KeyPerZone  bool          `json:"ByZone"`
 	KeyTTL      time.Duration `json:"Memory"`
 
 	// Ordered says that messages with one order key are sent one at a time, in order of arrival.
 	Ordered bool `json:"Ordered"`
-	// Retired says that the settings no longer have the class. It keeps its number for messages that
-	// were accepted under it.
+	// Retired says that the settings no longer have the class. It keeps its number for messages
+	// that were accepted under it.
 	Retired bool `json:"Retired"`
 }
 
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -19,6 +19,10 @@
 // same arrivals to measure it. A message with a choice of separate routes takes the one with the
 // least added cost.
 //
+// The source is ../given/docs/PAPER-minimizing-deadline-misses-adm-2867.md, beside the repository.
+// Its symbols are explained where its formulas stand: mustReject in admission.go, routeCost in
+// route_selection.go.
+//
 // Everything else guards against what the paper does not treat: destinations with rate limits,
 // failures and outages, answers that never come, messages that must not execute twice or out of
 // order, and many relays that share a destination without talking to each other.
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -38,6 +38,16 @@
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, OrderKey: "k"}
 }
 
+// ended is the outcome of the first attempt of a message, at endpoint a.
+func ended(id string, outcome Outcome) AttemptEnded {
+	return AttemptEnded{ID: id, Endpoint: "a", Outcome: outcome}
+}
+
+// delivered is the success of the first attempt of a message.
+func delivered(id, endpoint string) AttemptEnded {
+	return AttemptEnded{ID: id, Endpoint: endpoint, Outcome: Succeeded, Final: true}
+}
+
 // summary lists actions in short, without timers and timeouts.
 func summary(actions []Action) string {
 	var out []string
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -21,13 +21,18 @@
 		return
 	}
 	before := q.totalRate()
-	if q.reportedLimit == 0 || limit < loweredLimitShare*q.reportedLimit || q.reportedLimit < loweredLimitShare*limit {
+	if q.reportedLimit == 0 || hasChanged(q.reportedLimit, limit) {
 		q.reportedLimit = limit
 	} else {
 		q.reportedLimit += reportGain * (limit - q.reportedLimit)
 	}
 	now := q.totalRate()
-	if q.sendRate > 0 && (now < loweredLimitShare*before || before < loweredLimitShare*now) {
+	if q.sendRate > 0 && hasChanged(before, now) {
 		q.sendRate = math.Max(d.evenShare(q), math.Min(now, minStartRate()))
 	}
 }
+
+// hasChanged reports whether a rate differs from an earlier one by more than noise.
+func hasChanged(before, now float64) bool {
+	return now < loweredLimitShare*before || before < loweredLimitShare*now
+}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -30,7 +30,7 @@
 // retryableCall reports whether every message of a call may be sent again after it.
 func (d *Dispatcher) retryableCall(c *call) bool {
 	for _, m := range c.messages {
-		if m.terms.Idempotency == NotIdempotent || !d.retryAllowed(m, nil) || len(m.attempts) >= d.settings.MaxAttempts {
+		if m.terms.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts || !d.retryAllowed(m, nil) {
 			return false
 		}
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -46,19 +46,19 @@
 	IdleConnTimeout time.Duration // idle connections close by themselves after this; 0: never
 
 	// A destination has ColdCapacity, a fraction of its capacity, right after an outage, and all of
-	// it after SlowStartTime. It fails again when it gets more than OverloadFactor times its present
-	// capacity for OverloadWindow.
+	// it after SlowStartTime. It fails again when it gets more than OverloadFactor times its
+	// present capacity for OverloadWindow.
 	ColdCapacity   float64
 	SlowStartTime  time.Duration
 	OverloadFactor float64
 	OverloadWindow time.Duration
 
-	// OrderKeyCooldown is the time for which an order key is blocked after an attempt that may still
-	// be executing.
+	// OrderKeyCooldown is the time for which an order key is blocked after an attempt that may
+	// still be executing.
 	OrderKeyCooldown time.Duration
 	// AwaitAcknowledgement says that outcomes take a while to reach the party they are owed to, and
-	// that an Acknowledged event tells when one has. Until then the next message with the same order
-	// key waits.
+	// that an Acknowledged event tells when one has. Until then the next message with the same
+	// order key waits.
 	AwaitAcknowledgement bool
 }
 
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -71,7 +71,8 @@
 func (d *Dispatcher) recoveryRate(ep *endpoint, back time.Duration) float64 {
 	capacity := 1.0
 	if d.settings.SlowStartTime > 0 {
-		capacity = d.settings.ColdCapacity + (1-d.settings.ColdCapacity)*float64(back)/float64(d.settings.SlowStartTime)
+		cold := d.settings.ColdCapacity
+		capacity = cold + (1-cold)*float64(back)/float64(d.settings.SlowStartTime)
 	}
 	listedRate := ep.queue.listedRate
 	if listedRate == 0 {
@@ -89,5 +90,7 @@
 // with: a random part of a call, so that of many relays with a call in a minute each some try at
 // any time, and the total is what the settings allow.
 func (d *Dispatcher) initialRecoveryTokens(ep *endpoint) float64 {
-	return math.Max(0, d.random.Float64()-d.recoveryRate(ep, d.timeSinceRecovery(ep))*d.settings.OverloadWindow.Seconds())
+	part := d.random.Float64()
+	rate := d.recoveryRate(ep, d.timeSinceRecovery(ep))
+	return math.Max(0, part-rate*d.settings.OverloadWindow.Seconds())
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -170,7 +170,9 @@
 func (d *Dispatcher) restoreSnapshot(s *Snapshot) {
 	d.unansweredShare = s.UnansweredShare
 	for _, cooldown := range s.KeyCooldowns {
-		m := &message{Arrived: Arrived{OrderKey: cooldown.Key}, state: messageCompleted, cooldownUntil: cooldown.Until}
+		m := &message{
+			Arrived: Arrived{OrderKey: cooldown.Key}, state: messageCompleted, cooldownUntil: cooldown.Until,
+		}
 		d.orderKeys[cooldown.Key] = append(d.orderKeys[cooldown.Key], m)
 		d.coolingDown = append(d.coolingDown, m)
 	}
