--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Action is something that a dispatcher wants done. The set is closed: all actions are in this
-// file.
+// Action is an instruction of a Dispatcher to its caller. The set is closed: all actions are
+// declared in this file.
 type Action interface{ action() }
 
-// Send starts the next attempt of a message. With Timeout 0 it stays in flight until the message's
-// deadline. Where WriteWithin is not 0, its last byte may leave within that time only: later the
-// destination may have forgotten the idempotency key of an earlier attempt. An attempt that can't
-// is NotSent.
+// Send starts the next attempt of a message. With a Timeout of 0 the attempt stays in flight until
+// the message's deadline. If WriteWithin is not 0, the attempt's last byte must be sent within that
+// time, because the destination may forget the idempotency key of an earlier attempt afterwards. An
+// attempt that cannot be written in time ends as NotSent.
 type Send struct {
 	ID          string
 	Endpoint    string
@@ -17,24 +17,26 @@
 	WriteWithin time.Duration
 }
 
-// Reject ends a message undelivered; the client may safely submit it again after RetryAfter.
+// Reject ends a message that was not delivered. The client may safely submit it again after
+// RetryAfter.
 type Reject struct {
 	ID         string
 	RetryAfter time.Duration
 }
 
-// Fail ends a message; whether it executed is unknown to the client.
+// Fail ends a message with a failure: the client does not learn whether it executed.
 type Fail struct{ ID string }
 
-// CancelAttempt ends the wait for an attempt's outcome.
+// CancelAttempt cancels an attempt that is in flight.
 type CancelAttempt struct {
 	ID      string
 	Attempt int
 }
 
-// CancelBeforeSend cancels an attempt if nothing of it has left yet, as while its connection is
-// made: its destination asked not to be called, or its endpoint drains or was removed. The attempt
-// ends as NotSent then; one that has left goes on.
+// CancelBeforeSend cancels an attempt if no byte of it has been sent yet, for example while its
+// connection is being established. It is emitted when the destination answers with Retry-After, and
+// when the endpoint starts draining or is removed. A cancelled attempt ends as NotSent; an attempt
+// of which a byte has been sent continues.
 type CancelBeforeSend struct {
 	ID      string
 	Attempt int
@@ -43,14 +45,14 @@
 // CloseIdleConns closes the idle connections of this relay to an endpoint.
 type CloseIdleConns struct{ Endpoint string }
 
-// SetTimer asks for a TimerFired.
+// SetTimer requests a TimerFired event after a delay.
 type SetTimer struct{ After time.Duration }
 
-// WatchEndpoints asks for changes of the endpoint list.
+// WatchEndpoints requests a watch of the endpoint list.
 type WatchEndpoints struct{}
 
-// PersistHealth is what a later process of this relay has to know of an endpoint: that it is
-// unhealthy, or when it recovered.
+// PersistHealth records for later processes of this relay that an endpoint became unhealthy, or
+// that it recovered, and when.
 type PersistHealth struct {
 	Endpoint  string
 	Unhealthy bool
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// maxQueuedShare of MaxQueued may be in use before the queue that has most of it gets no more: no
-// queue takes it all.
+// maxQueuedShare is the share of MaxQueued above which a queue that holds more than half of that
+// share admits no further message, so that no single queue uses up MaxQueued.
 const maxQueuedShare = 0.75
 
-// admitArrivals passes the messages that arrived in this batch through admission.
+// admitArrivals applies admission to the messages that arrived in this batch.
 func (d *Dispatcher) admitArrivals() {
 	for _, m := range d.arrivals {
 		if m.state == messageActive {
@@ -17,7 +17,7 @@
 	d.arrivals = d.arrivals[:0]
 }
 
-// admit rejects an arriving message at once or puts it into a queue.
+// admit rejects or queues an arriving message.
 func (d *Dispatcher) admit(m *message) {
 	q := d.selectRoute(m)
 	if m.Background {
@@ -28,12 +28,12 @@
 	timeLeft := (m.deadline - d.now).Seconds()
 	backlog, latency := d.backlog(q), q.latency.byClass[m.Class]
 	arrivalRate, shadowRejectionRate := q.arrivals.rate(d.now), q.shadowRejections.rate(d.now)
-	d.feedShadowQueue(q, timeLeft-latency)
-	if arrivalRate*q.serviceInterval() > 1 { // more arrive than can leave
-		timeLeft = math.Min(timeLeft, d.maxUsefulAge(m.terms).Seconds()) // little time left need not be age
+	d.recordShadowArrival(q, timeLeft-latency)
+	if arrivalRate*q.serviceInterval() > 1 { // overload: messages arrive faster than the queue is served
+		timeLeft = math.Min(timeLeft, d.maxUsefulAge(m.terms).Seconds()) // a short time left does not mean that the message is old
 	}
 	late := mustReject(backlog, latency, timeLeft-latency, arrivalRate-shadowRejectionRate, len(q.queued) > 0)
-	if late || d.overcrowded(q) {
+	if late || d.exceedsQueueLimits(q) {
 		d.reject(m, backlog+2*latency-timeLeft)
 		return
 	}
@@ -42,15 +42,15 @@
 
 // mustReject is the paper's admission rule. Its symbols:
 //
-//	u    the backlog: seconds until the destination has served what is queued ahead
-//	x    the job's size: the message's expected latency, in seconds
-//	τ    the longest wait after which the message still ends in time: the time left less x
-//	net  λ−r, the arrival rate less the rate of deadline misses under the basic admission policy, per second
+//	u    the backlog: seconds until the destination has served the messages queued ahead
+//	x    the job size: the message's expected latency, in seconds
+//	τ    the longest wait after which the message still meets its deadline: its time left minus x
+//	net  λ−r, per second: the arrival rate minus the rejection rate of the basic admission policy
 //
-// The basic admission policy (Definition 1) rejects where u > τ. Where messages are queued, the
-// lower bound of the value function (Lemma 8) also rejects where (λ−r)(u+x−τ) ≥ 1: admitting the
-// message is then expected to cost at least one other its deadline. That holds for every u once x ≥
-// τ + 1/(λ−r), the static rule (21).
+// The basic admission policy (Definition 1) rejects if u > τ. If messages are queued, the lower
+// bound of the value function (Lemma 8) also rejects if (λ−r)(u+x−τ) ≥ 1: admitting the message is
+// then expected to make at least one other message miss its deadline. That condition holds for
+// every u if x ≥ τ + 1/(λ−r), which is the static rule (21).
 func mustReject(u, x, τ, net float64, queued bool) bool {
 	if u > τ {
 		return true
@@ -58,19 +58,20 @@
 	return net > 0 && queued && u > 0 && (net*(u+x-τ) >= 1 || x >= τ+1/net)
 }
 
-// overcrowded reports whether there are too many unfinished messages for another one in this queue.
-func (d *Dispatcher) overcrowded(q *queue) bool {
+// exceedsQueueLimits reports whether the number of unfinished messages forbids another message in
+// this queue.
+func (d *Dispatcher) exceedsQueueLimits(q *queue) bool {
 	if len(d.unfinished) > d.settings.MaxQueued {
 		return true
 	}
-	room := maxQueuedShare * float64(d.settings.MaxQueued)
-	return float64(len(d.unfinished)) > room && float64(len(q.queued)) > room/2
+	limit := maxQueuedShare * float64(d.settings.MaxQueued)
+	return float64(len(d.unfinished)) > limit && float64(len(q.queued)) > limit/2
 }
 
-// feedShadowQueue adds an arrival to the shadow queue: a copy of the queue that admits by the basic
-// rule alone, for a message that can wait so many seconds. Its rejection rate is the r of
-// mustReject.
-func (d *Dispatcher) feedShadowQueue(q *queue, maxWait float64) {
+// recordShadowArrival applies the arrival of a message that can wait for maxWait seconds to the
+// shadow queue: a model of the queue that admits by the basic admission policy alone. The rejection
+// rate of the shadow queue is the r of mustReject.
+func (d *Dispatcher) recordShadowArrival(q *queue, maxWait float64) {
 	q.shadowBacklog = math.Max(0, q.shadowBacklog-(d.now-q.shadowAt).Seconds())
 	q.shadowAt = d.now
 	if q.shadowBacklog > maxWait {
@@ -80,7 +81,7 @@
 	q.shadowBacklog += q.serviceInterval()
 }
 
-// serviceInterval returns the seconds between messages that a queue sends one after another.
+// serviceInterval returns the mean number of seconds between the messages that a queue sends.
 func (q *queue) serviceInterval() float64 {
 	interval := q.latency.mean / math.Max(1, float64(len(q.inFlight)))
 	if q.sendRate > 0 {
@@ -90,15 +91,15 @@
 }
 
 // backlog returns the seconds of work ahead of an arriving message: messages queued × mean latency
-// ÷ calls in flight, and at least what Retry-After, backoff, the send rate and slow start imply. It
-// is zero with a slot free and nothing queued.
+// ÷ calls in flight, or the wait imposed by Retry-After, backoff, the send rate and slow start if
+// that is longer. It is zero if nothing is queued and none of these imposes a wait.
 func (d *Dispatcher) backlog(q *queue) float64 {
 	work := float64(len(q.queued)) * d.agedLatency(q) / math.Max(1, float64(len(q.inFlight)))
 	return math.Max(work, d.timeToNextSend(q, len(q.queued)))
 }
 
-// timeToNextSend returns the seconds until a queue's next call may leave with so many messages
-// ahead of it, as far as Retry-After, backoff, the send rate and endpoint health tell.
+// timeToNextSend returns the seconds until Retry-After, backoff, the send rate and endpoint health
+// allow a queue to send a message that has the given number of messages ahead of it.
 func (d *Dispatcher) timeToNextSend(q *queue, ahead int) float64 {
 	wait := math.Max(0, (q.pausedUntil() - d.now).Seconds())
 	calls := float64(ahead) / float64(q.maxBatch)
@@ -118,13 +119,13 @@
 	return math.Max(wait, recovery)
 }
 
-// timeToRecoverySend returns the seconds until an endpoint that is not healthy may get a call with
-// so many calls ahead of it: the next trial request, and if that succeeds the others at the rate of
-// an endpoint halfway through its slow start.
+// timeToRecoverySend returns the seconds until an endpoint that is not healthy may get a call that
+// has the given number of calls ahead of it. It assumes that the next trial request succeeds, and
+// that the calls after it are sent at the recovery rate halfway through slow start.
 func (d *Dispatcher) timeToRecoverySend(ep *endpoint, calls float64) float64 {
-	const tiny = 1e-9 // in place of a rate of zero
-	first := math.Max(0, 1-d.recoveryTokens(ep)) / math.Max(tiny, d.recoveryRate(ep, d.timeSinceRecovery(ep)))
+	const minRate = 1e-9 // avoids division by a rate of zero
+	first := math.Max(0, 1-d.recoveryTokens(ep)) / math.Max(minRate, d.recoveryRate(ep, d.timeSinceRecovery(ep)))
 	halfway := max(d.timeSinceRecovery(ep), d.settings.SlowStartTime/2)
 	rate := d.recoveryRate(ep, halfway) * float64(len(ep.queue.endpoints))
-	return first + calls/math.Max(tiny, rate)
+	return first + calls/math.Max(minRate, rate)
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -18,7 +18,7 @@
 		{"u above τ", 2.01, 0.1, 2, 0, false, true},
 		{"nothing queued", 0, 5, 3, 1, false, false},
 		{"bound met exactly: 2(1.5+1-2) = 1", 1.5, 1, 2, 2, true, true},
-		{"bound missed: 2(1.4+1-2) = 0.8", 1.4, 1, 2, 2, true, false},
+		{"bound not met: 2(1.4+1-2) = 0.8", 1.4, 1, 2, 2, true, false},
 		{"λ = r: no bound", 1.9, 5, 2, 0, true, false},
 		{"λ below r: no bound", 1.9, 5, 2, -1, true, false},
 		{"static rule: x = τ + 1/(λ-r)", 0.001, 2.5, 2, 2, true, true},
@@ -51,7 +51,7 @@
 	}
 	d.now = 5500 * ms // both calls have been in flight for 5.5 s: 0.5 + 0.1×5, then 1 + 0.1×4.5
 	if got := d.agedLatency(q); math.Abs(got-1.45) > 1e-9 {
-		t.Errorf("calls in flight count with their age: %v, want 1.45", got)
+		t.Errorf("aged latency %v, want 1.45", got)
 	}
 	q.retryAfterUntil = d.now + 8*time.Second
 	if u := d.backlog(q); u != 8 {
@@ -62,19 +62,19 @@
 func TestShadowQueue_CountsRejections(t *testing.T) {
 	var a decayingCounter
 	if a.rate(0) != 0 {
-		t.Error("a new counter has a rate")
+		t.Error("rate of a new counter is not 0")
 	}
 	for i := range 400 {
 		a.add(time.Duration(i)*100*ms, 1)
 	}
 	if got := a.rate(40 * time.Second); math.Abs(got-10) > 0.3 {
-		t.Errorf("ten per second: rate %v", got)
+		t.Errorf("rate after ten arrivals per second: %v, want 10", got)
 	}
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
 	q.latency.mean = 2
-	for i, want := range []float64{0, 0, 1, 1} { // backlog 0, 2 and 4 against a longest wait of 3; a rejection adds none
-		d.feedShadowQueue(q, 3)
+	for i, want := range []float64{0, 0, 1, 1} { // backlogs of 0, 2 and 4 s with a longest wait of 3 s; a rejected message adds no backlog
+		d.recordShadowArrival(q, 3)
 		if q.shadowRejections.value != want {
 			t.Errorf("arrival %d: %v shadow rejections, want %v", i, q.shadowRejections.value, want)
 		}
@@ -92,19 +92,20 @@
 	}
 }
 
-// TestAdmit_OverloadRejectsLateMessages guards against a queue that serves all messages late, and
-// against one that fills with patient messages before urgent ones of a higher priority weight.
+// TestAdmit_OverloadRejectsLateMessages guards against two failures under overload: a queue that
+// delivers all messages late, and a queue that fills with messages of long deadlines ahead of
+// urgent messages of higher priority weight.
 func TestAdmit_OverloadRejectsLateMessages(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{
-		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                         // minUsefulValue left at 2.4 s
-		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateFraction: 0.5}, // and at 12.4 s
+		{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 2},                         // value falls to minUsefulValue at 2.4 s
+		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 1, LateFraction: 0.5}, // at 12.4 s
 		{LatencyObjective: 4 * time.Second, Deadline: 16 * time.Second, PriorityWeight: 4, LateFraction: 0.5},
 	}
 	tests := []struct {
 		class    int
 		overload bool
-		queued   int // at half a second each
+		queued   int // messages with a latency of 0.5 s each
 		rejected bool
 	}{
 		{0, false, 8, false},
@@ -134,16 +135,16 @@
 		q.shadowRejections.add(0, 1000) // λ - r < 0: the bound does not apply
 		d.admit(m)
 		if (m.state != messageActive) != tt.rejected {
-			t.Errorf("class %d, overload %v, %d queued: rejected %v", tt.class, tt.overload, tt.queued, m.state != messageActive)
+			t.Errorf("class %d, overload %v, %d queued: rejected = %v", tt.class, tt.overload, tt.queued, m.state != messageActive)
 		}
 	}
 }
 
-// TestAdmit_OneQueueDoesNotTakeAllSpace guards against one queue that takes all of MaxQueued.
+// TestAdmit_OneQueueDoesNotTakeAllSpace guards against a single queue that uses up MaxQueued.
 func TestAdmit_OneQueueDoesNotTakeAllSpace(t *testing.T) {
 	s := testSettings()
 	s.MaxQueued = 20
-	d := newDispatcher(t, s, Endpoint{ID: "b", Destination: 1}) // nothing is listed for destination 0
+	d := newDispatcher(t, s, Endpoint{ID: "b", Destination: 1}) // no endpoint of destination 0 is listed
 	rejected := 0
 	for i := range 20 {
 		got := d.Handle(0, []Event{Arrived{ID: fmt.Sprint("m", i), TimeLeft: 10 * time.Second}})
@@ -152,7 +153,7 @@
 		}
 	}
 	if rejected != 5 {
-		t.Errorf("%d of 20 rejected, want those past three quarters of MaxQueued", rejected)
+		t.Errorf("%d of 20 rejected, want the 5 above three quarters of MaxQueued", rejected)
 	}
 	wantActions(t, "another destination", d.Handle(0, []Event{
 		Arrived{ID: "n", Destination: 1, TimeLeft: time.Second},
@@ -167,11 +168,11 @@
 	for i, id := range []string{"l", "m", "n"} {
 		events = append(events, Arrived{ID: id, Destination: i, TimeLeft: 10 * time.Second})
 	}
-	wantActions(t, "a third where two may be queued", d.Handle(time.Second, events), "reject l m>b")
+	wantActions(t, "third message with MaxQueued = 2", d.Handle(time.Second, events), "reject l m>b")
 }
 
-// TestAdmit_LittleTimeLeftIsNotAge guards against taking little time left for age:
-// under overload all such messages were rejected.
+// TestAdmit_LittleTimeLeftIsNotAge guards against computing the age of a message from its time
+// left: under overload, all messages that arrived with little time left were rejected.
 func TestAdmit_LittleTimeLeftIsNotAge(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// attemptEnded applies the outcome of an attempt. One that is not in flight is ignored.
+// attemptEnded applies the outcome of an attempt. It ignores an attempt that is not in flight.
 func (d *Dispatcher) attemptEnded(e AttemptEnded) {
 	m := d.messages[e.ID]
 	if m == nil || e.Attempt < 0 || e.Attempt >= len(m.attempts) || m.attempts[e.Attempt].state != attemptInFlight {
@@ -26,11 +26,11 @@
 		q.retryAfterUntil = max(q.retryAfterUntil, d.now+min(e.RetryAfter, never-d.now))
 		d.cancelBeforeSend(q.inFlight, c)
 	}
-	if c.open--; c.open == 0 {
+	if c.pendingOutcomes--; c.pendingOutcomes == 0 {
 		d.callEnded(c, m, &e)
 	}
 	if e.Outcome == TimedOut || e.Outcome == ConnectionReset || e.Outcome == Canceled {
-		m.cooldownUntil = d.now + d.settings.OrderKeyCooldown // it may still be executing
+		m.cooldownUntil = d.now + d.settings.OrderKeyCooldown // the attempt may still be executing
 	}
 	d.afterAttempt(m, &e)
 }
@@ -40,7 +40,7 @@
 	return !e.OutcomeUnknown && (e.Outcome == Rejected || e.Outcome == ConnectError || e.Outcome == NotSent)
 }
 
-// callEnded frees the slot of a call whose last message has its outcome.
+// callEnded frees the slot of a call once every attempt in it has an outcome.
 func (d *Dispatcher) callEnded(c *call, m *message, e *AttemptEnded) {
 	ep := c.endpoint
 	d.inFlight--
@@ -52,8 +52,9 @@
 	}
 }
 
-// recordOutcome learns from the outcome of a call. It goes by the call's own latency: a relay that
-// is short of processor time hears of outcomes late.
+// recordOutcome updates the statistics of the endpoint and its queue with the outcome of a call. It
+// uses the latency reported with the outcome rather than the current time, because a relay that is
+// short of CPU time processes outcomes late.
 func (d *Dispatcher) recordOutcome(c *call, m *message, e *AttemptEnded) {
 	ep, q := c.endpoint, c.endpoint.queue
 	duration := e.Latency
@@ -72,9 +73,10 @@
 		ep.classFailures[m.Class] = 0
 		d.recordSuccess(ep, e.LoadReport == nil || e.LoadReport.Remaining >= minRemaining)
 	case Rejected:
-		if c.sent >= q.backoffStart { // else it is one rejection with those that began the backoff
-			// A destination that reports its limit in its answers, but not in this one, did not
-			// look at it: it has all the connections it takes, or is unavailable.
+		if c.sent >= q.backoffStart { // otherwise it counts as one rejection with the call whose rejection started the backoff
+			// A destination that reports its rate limit, but not in this answer, rejected the
+			// connection without checking the rate limit: it has reached its connection limit or
+			// is unavailable.
 			d.recordRejection(q, e.LoadReport == nil && q.reportedLimit > 0)
 		}
 	case ConnectError:
@@ -85,11 +87,11 @@
 		if latency > stuckFactor*q.latency.mean && (e.Outcome == TimedOut || c.cancelled) {
 			d.recordFailure(ep, c, 1)
 		}
-	case NotSent: // says nothing of the endpoint
+	case NotSent: // no information about the endpoint
 	}
 }
 
-// recordOverdue counts an overdue call by whether it succeeded after all.
+// recordOverdue updates the share of overdue calls that did not succeed.
 func (d *Dispatcher) recordOverdue(outcome Outcome) {
 	d.unansweredShare *= 1 - latencyGain
 	if outcome != Succeeded {
@@ -97,10 +99,12 @@
 	}
 }
 
-// recordConnectError learns from a connection that was not to be had.
+// recordConnectError records a failure to connect, which indicates either a connection limit of the
+// endpoint or an outage.
 func (d *Dispatcher) recordConnectError(ep *endpoint, c *call) {
 	if ep.lastSuccess > c.sent {
-		// Others get through: the endpoint takes no more connections, it is not down.
+		// Another call succeeded since this one was sent: the endpoint is up, but accepts no more
+		// connections.
 		ep.connLimit = math.Max(1, float64(len(ep.inFlight)))
 		return
 	}
@@ -108,13 +112,13 @@
 	d.recordFailure(ep, c, 1)
 }
 
-// recordSuccess learns from a success: an unhealthy endpoint starts its slow start, and the send
-// rate may rise if the destination has allowance left.
+// recordSuccess records a successful call: an unhealthy endpoint enters slow start, and the send
+// rate may rise if the destination has rate limit allowance left.
 func (d *Dispatcher) recordSuccess(ep *endpoint, allowanceLeft bool) {
 	q := ep.queue
 	ep.consecutiveFailures, ep.lastSuccess, q.lastSuccess = 0, d.now, d.now
 	if ep.connLimit > 0 {
-		ep.connLimit += connLimitIncrease // other relays close idle connections
+		ep.connLimit += connLimitIncrease // other relays may have closed connections since
 	}
 	if ep.health.isUnhealthy() {
 		d.startSlowStart(ep)
--- a/policy/attempt_outcome_test.go
+++ b/policy/attempt_outcome_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRecordOutcome_OwnStallIsNotLatency guards against counting a relay's own stall as latency
-// of its destinations.
+// TestRecordOutcome_OwnStallIsNotLatency guards against attributing a stall of the relay to the
+// latency of its destinations.
 func TestRecordOutcome_OwnStallIsNotLatency(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	q := d.queues[0]
@@ -17,6 +17,6 @@
 		AttemptEnded{ID: "m", Endpoint: "a", Outcome: Succeeded, Latency: 100 * ms, Final: true},
 	})
 	if math.Abs(q.latency.mean-0.1) > 1e-9 || d.unansweredShare != 0 {
-		t.Errorf("mean %v, unanswered share %v after a stall of our own", q.latency.mean, d.unansweredShare)
+		t.Errorf("mean latency %v, unanswered share %v after a stall of the relay", q.latency.mean, d.unansweredShare)
 	}
 }
--- a/policy/background.go
+++ b/policy/background.go
@@ -3,41 +3,43 @@
 import "math"
 
 const (
-	// backgroundMaxShare of MaxInFlight and of MaxQueued may be in use, with the background
-	// message, when one is admitted: other messages find a slot all the same.
+	// backgroundMaxShare is the largest share of MaxInFlight, and of MaxQueued, that may be in use
+	// once a background message is admitted, so that other messages still get a slot.
 	backgroundMaxShare = 0.5
-	// backgroundInFlightShare of MaxInFlight may be calls with background messages.
+	// backgroundInFlightShare is the share of MaxInFlight that calls with background messages may
+	// use.
 	backgroundInFlightShare = 1.0 / 8
-	// minBackgroundTokens a queue's send rate must leave when a background message is admitted.
+	// minBackgroundTokens is the number of send tokens a queue must have for a background message
+	// to be admitted.
 	minBackgroundTokens = 2
 )
 
-// admitBackground queues a background message where it can be sent at once, and rejects it
-// otherwise. Neither the arrival rate nor the shadow queue counts it: it makes no other message
-// late.
+// admitBackground queues a background message if it can be sent immediately, and rejects it
+// otherwise. The arrival rate and the shadow queue do not count the message, since it delays no
+// other message.
 func (d *Dispatcher) admitBackground(q *queue, m *message) {
-	if d.admitsBackground(q) {
+	if d.canSendBackground(q) {
 		d.enqueue(q, m)
 	} else {
 		d.reject(m, 0)
 	}
 }
 
-// admitsBackground reports whether a queue has nothing better to do than to send a background
-// message at once.
-func (d *Dispatcher) admitsBackground(q *queue) bool {
-	if len(q.queued) > 0 || d.now < q.pausedUntil() || d.quiesced || !d.hasBackgroundRoom() {
+// canSendBackground reports whether a queue can send a background message immediately without
+// delaying other messages.
+func (d *Dispatcher) canSendBackground(q *queue) bool {
+	if len(q.queued) > 0 || d.now < q.pausedUntil() || d.quiesced || !d.hasBackgroundCapacity() {
 		return false
 	}
 	if q.sendRate > 0 && d.sendTokens(q) < minBackgroundTokens {
 		return false
 	}
-	return d.allHealthy(q) && !d.backgroundInFlight(q) && q.acceptsWork()
+	return d.allHealthy(q) && !d.backgroundLimitReached(q) && q.acceptsWork()
 }
 
-// hasBackgroundRoom reports whether slots and queue space leave room for other messages beside a
-// background message.
-func (d *Dispatcher) hasBackgroundRoom() bool {
+// hasBackgroundCapacity reports whether enough slots and queue capacity remain for other messages
+// if a background message is admitted.
+func (d *Dispatcher) hasBackgroundCapacity() bool {
 	return float64(d.inFlight+1) <= backgroundMaxShare*float64(d.settings.MaxInFlight) &&
 		float64(len(d.unfinished)) <= backgroundMaxShare*float64(d.settings.MaxQueued)
 }
@@ -53,10 +55,10 @@
 	return true
 }
 
-// backgroundInFlight reports whether calls with background messages are in flight from a queue, or
-// as many from all queues as may be.
-func (d *Dispatcher) backgroundInFlight(q *queue) bool {
-	most := math.Max(1, backgroundInFlightShare*float64(d.settings.MaxInFlight))
+// backgroundLimitReached reports whether a queue has a call with a background message in flight, or
+// all queues together have the largest allowed number of such calls in flight.
+func (d *Dispatcher) backgroundLimitReached(q *queue) bool {
+	limit := math.Max(1, backgroundInFlightShare*float64(d.settings.MaxInFlight))
 	calls := 0
 	for _, other := range d.activeQueues {
 		for _, c := range other.inFlight {
@@ -64,7 +66,7 @@
 				continue
 			}
 			calls++
-			if other == q || float64(calls+1) > most {
+			if other == q || float64(calls+1) > limit {
 				return true
 			}
 		}
--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A background message is sent where capacity is spare, and rejected at once where it is not.
+// A background message is sent if there is spare capacity, and rejected immediately otherwise.
 func TestBackground_AdmittedOnlyToSpareCapacity(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight = 16
@@ -20,14 +20,14 @@
 		send   Event
 		want   string
 	}{
-		"idle":                    {func(*Dispatcher) {}, backgroundArrival("m", 0), "m>a"},
-		"one in flight already":   {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, backgroundArrival("m", 0), "reject m"},
-		"one in flight elsewhere": {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, to("m", 1), "m>b"},
-		"an eighth of the slots":  {func(d *Dispatcher) { d.Handle(ms, []Event{to("n", 0), to("o", 2)}) }, to("m", 1), "reject m"},
-		"half of the slots":       {func(d *Dispatcher) { submitMany(d, 8) }, to("m", 1), "reject m"},
-		"just under half":         {func(d *Dispatcher) { submitMany(d, 7) }, to("m", 1), "m>b"},
-		"others are queued":       {func(d *Dispatcher) { submitMany(d, 12) }, backgroundArrival("m", 0), "reject m"},
-		"during Retry-After":      {func(d *Dispatcher) { failOne(d, AttemptEnded{Outcome: Rejected, RetryAfter: 5 * time.Second}) }, backgroundArrival("m", 0), "reject m"},
+		"idle":                     {func(*Dispatcher) {}, backgroundArrival("m", 0), "m>a"},
+		"one in flight here":       {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, backgroundArrival("m", 0), "reject m"},
+		"one in flight elsewhere":  {func(d *Dispatcher) { d.Handle(ms, []Event{backgroundArrival("n", 0)}) }, to("m", 1), "m>b"},
+		"eighth of the slots used": {func(d *Dispatcher) { d.Handle(ms, []Event{to("n", 0), to("o", 2)}) }, to("m", 1), "reject m"},
+		"half of the slots used":   {func(d *Dispatcher) { submitMany(d, 8) }, to("m", 1), "reject m"},
+		"less than half used":      {func(d *Dispatcher) { submitMany(d, 7) }, to("m", 1), "m>b"},
+		"others are queued":        {func(d *Dispatcher) { submitMany(d, 12) }, backgroundArrival("m", 0), "reject m"},
+		"during Retry-After":       {func(d *Dispatcher) { failOne(d, AttemptEnded{Outcome: Rejected, RetryAfter: 5 * time.Second}) }, backgroundArrival("m", 0), "reject m"},
 		"unhealthy": {func(d *Dispatcher) {
 			failOne(d, AttemptEnded{Outcome: ConnectError})
 			failOne(d, AttemptEnded{Outcome: ConnectError})
@@ -38,12 +38,12 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDispatcher(t, s, ep, other, Endpoint{ID: "c", Destination: 2})
 			c.before(d)
-			wantActions(t, "background", d.Handle(time.Second, []Event{c.send}), c.want)
+			wantActions(t, "background message", d.Handle(time.Second, []Event{c.send}), c.want)
 		})
 	}
 }
 
-// submitMany submits so many messages to destination 0.
+// submitMany submits n messages to destination 0.
 func submitMany(d *Dispatcher, n int) {
 	var events []Event
 	for i := range n {
@@ -59,8 +59,8 @@
 	d.Handle(d.now+2*ms, []Event{e, MessageCanceled{ID: e.ID}})
 }
 
-// A background message has one attempt: after that it goes back to where it waited, whatever the
-// outcome.
+// A background message has one attempt. If that does not deliver the message, the message is ended
+// without a retry, whatever the outcome.
 func TestBackground_HasOneAttempt(t *testing.T) {
 	for class, outcomes := range map[int]map[Outcome]string{
 		0: {Succeeded: "", Failed: "reject m", Rejected: "reject m", TimedOut: "reject m"},
@@ -78,7 +78,7 @@
 	}
 }
 
-// A recovered background message is sent if it was not yet, and rejected if it was.
+// A recovered background message is sent if it has no attempt yet, and rejected otherwise.
 func TestBackground_Recovered(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	tried := []PriorAttempt{{Endpoint: "a", SentAt: ms}}
@@ -86,10 +86,11 @@
 		Arrived{ID: "new", TimeLeft: time.Second, Background: true, Recovered: true},
 		Arrived{ID: "old", TimeLeft: time.Second, Background: true, Recovered: true, PriorAttempts: tried},
 	})
-	wantActions(t, "a restart", got, "reject old new>a")
+	wantActions(t, "recovered after a restart", got, "reject old new>a")
 }
 
-// Admission of other messages counts neither arrivals nor shadow backlog of background ones.
+// Background messages count neither in the arrival rate nor in the shadow queue, so that they do
+// not affect the admission of other messages.
 func TestBackground_NotCountedAsArrival(t *testing.T) {
 	with, without := newDispatcher(t, testSettings(), Endpoint{ID: "a"}), newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	for i := range 200 {
--- a/policy/cancel_before_send.go
+++ b/policy/cancel_before_send.go
@@ -1,8 +1,9 @@
 package policy
 
-// cancelBeforeSend cancels those calls of which nothing has left yet, as while their connections
-// are made: their destination asked not to be called with the outcome of one of them, answered, or
-// their endpoint takes nothing new any more.
+// cancelBeforeSend cancels the calls of which no byte has been sent yet, for example because their
+// connections are still being established. It is used when the destination answers one of the
+// calls, answered, with Retry-After, and when an endpoint drains or is removed; answered is nil
+// then.
 func (d *Dispatcher) cancelBeforeSend(calls []*call, answered *call) {
 	for _, c := range calls {
 		if c == answered {
--- a/policy/class.go
+++ b/policy/class.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// minUsefulValue is the share of its priority weight that a message must still have when it is
-// delivered, while more messages arrive for its queue than can leave: one admitted to be delivered
-// later than that takes the place of one that would be on time.
+// minUsefulValue is the share of its priority weight that a message must still have at delivery
+// while its queue is overloaded. A message admitted for later delivery would displace a message
+// that could be delivered on time.
 const minUsefulValue = 0.65
 
-// Idempotency says what a second execution of a message would do.
+// Idempotency says whether a message may execute more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated at will
-	IdempotentByKey                    // repeats are dropped while the key is remembered
+	Idempotent      Idempotency = iota // may execute any number of times
+	IdempotentByKey                    // the destination drops repeats while it remembers the idempotency key
 	NotIdempotent                      // must never execute twice
 )
 
-// Class is one class of message. The JSON names are those of the stored form.
+// Class is a class of messages. The JSON names are those of the stored form.
 type Class struct {
 	Name string `json:"Name"`
 
-	// A message has its full PriorityWeight, the value of its delivery, up to LatencyObjective.
-	// Then its value falls to LateFraction of that at Deadline, when it is given up: evenly, or by
-	// half with each further LatencyObjective.
+	// A message delivered within LatencyObjective has its full value, PriorityWeight. After that
+	// its value falls to LateFraction of PriorityWeight at Deadline, when the message is given up.
+	// It falls linearly or, with ExponentialDecay, by half with each further LatencyObjective.
 	LatencyObjective time.Duration `json:"Aim"`
 	Deadline         time.Duration `json:"Deadline"`
 	PriorityWeight   float64       `json:"Worth"`
 	LateFraction     float64       `json:"LateShare"`
 	ExponentialDecay bool          `json:"Halving"`
 
-	// With IdempotentByKey, a destination remembers a key for KeyTTL, and with KeyPerZone only in
-	// the zone of the endpoint that got it.
+	// With IdempotentByKey, a destination remembers an idempotency key for KeyTTL. With KeyPerZone,
+	// only the endpoints in the zone of the endpoint that received the key remember it.
 	Idempotency Idempotency   `json:"Effect"`
 	KeyPerZone  bool          `json:"ByZone"`
 	KeyTTL      time.Duration `json:"Memory"`
 
-	// Ordered says that messages with one order key are sent one at a time, in order of arrival.
+	// Ordered says that messages with the same order key are sent one at a time, in order of
+	// arrival.
 	Ordered bool `json:"Ordered"`
-	// Retired says that the settings no longer have the class. It keeps its number for messages
-	// that were accepted under it.
+	// Retired says that the settings no longer contain the class. The class keeps its number
+	// because messages accepted under it may still be unfinished.
 	Retired bool `json:"Retired"`
 }
 
-// valueAt returns the share of its priority weight that a message has at an age.
+// valueAt returns the share of its priority weight that a message still has at the given age.
 func (c *Class) valueAt(age time.Duration) float64 {
 	switch {
 	case age <= c.LatencyObjective:
@@ -59,7 +60,8 @@
 	return 1 - (1-c.LateFraction)*float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)
 }
 
-// ageAtValue returns the age at which a message has only a share of its priority weight left.
+// ageAtValue returns the age at which the value of a message has fallen to the given share of its
+// priority weight.
 func (c *Class) ageAtValue(share float64) time.Duration {
 	switch {
 	case share <= c.LateFraction:
@@ -70,9 +72,10 @@
 	return c.LatencyObjective + time.Duration((1-share)/(1-c.LateFraction)*float64(c.Deadline-c.LatencyObjective))
 }
 
-// maxUsefulAge returns the age at which a message of class c falls under minUsefulValue, or an
-// earlier one at which a class of at least its priority weight does that would wait behind it. It
-// guards urgent messages against a queue full of patient ones of less weight.
+// maxUsefulAge returns the age at which the value of a message falls below minUsefulValue: the
+// lowest such age among class c and the classes with at least the priority weight of c, whose
+// messages may wait behind a message of class c. This keeps a queue from filling with messages of
+// long deadlines and low priority weight ahead of urgent ones.
 func (d *Dispatcher) maxUsefulAge(c *Class) time.Duration {
 	age := c.ageAtValue(minUsefulValue)
 	for i := range d.settings.Classes {
@@ -83,7 +86,7 @@
 	return age
 }
 
-// updateMeanPriorityWeight computes the mean priority weight of the classes in the settings.
+// updateMeanPriorityWeight computes the mean priority weight of the classes that are not retired.
 func (d *Dispatcher) updateMeanPriorityWeight() {
 	classes := 0.0
 	d.meanPriorityWeight = 0
--- a/policy/destination.go
+++ b/policy/destination.go
@@ -1,12 +1,12 @@
 package policy
 
-// destination is where messages go. Its endpoints share one queue, or are separate routes with a
-// queue each.
+// destination is a destination of messages. Its endpoints share one queue, or each endpoint is a
+// separate route with its own queue.
 type destination struct {
-	queues []*queue // at least one; queues[0] also serves while no endpoint is listed
+	queues []*queue // never empty; queues[0] also holds messages while no endpoint is listed
 }
 
-// destination returns a destination by its number.
+// destination returns the destination with the given number and creates it if necessary.
 func (d *Dispatcher) destination(number int) *destination {
 	if d.destinations[number] == nil {
 		d.destinations[number] = &destination{}
@@ -30,8 +30,8 @@
 	return q
 }
 
-// removeIfUnused drops a queue without endpoints and work, unless it is the only one of its
-// destination.
+// removeIfUnused removes a queue that has no endpoints, queued messages or calls in flight, unless
+// it is the only queue of its destination.
 func (d *Dispatcher) removeIfUnused(q *queue) {
 	siblings := q.destination.queues
 	if len(q.endpoints) > 0 || q.active || siblings[0] == q && len(siblings) == 1 {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// maxInFlightShare of MaxInFlight is the most that one queue may have in flight: no queue takes all
-// slots.
+// maxInFlightShare is the largest share of MaxInFlight that the calls of one queue may use, so that
+// no single queue uses all slots.
 const maxInFlightShare = 0.5
 
-// call is one call in flight to an endpoint, with an attempt of one message or of a batch of them.
+// call is a call to an endpoint. It carries an attempt of one message, or one attempt of each
+// message of a batch.
 type call struct {
-	endpoint  *endpoint
-	sent      time.Duration
-	messages  []*message
-	open      int  // messages without an outcome
-	cancelled bool // to free its slot
+	endpoint        *endpoint
+	sent            time.Duration
+	messages        []*message
+	pendingOutcomes int  // attempts without an outcome
+	cancelled       bool // by cancelCall
 }
 
-// dispatch fills the free slots. Each goes to the queue with the fewest calls in flight that can
-// send, and among these to the one whose message runs out of time first.
+// dispatch fills the free slots. Each slot goes to the queue with the fewest calls in flight among
+// the queues that can send, and in case of a tie to the queue whose next message has the earliest
+// usefulUntil.
 func (d *Dispatcher) dispatch() {
 	for d.inFlight < d.settings.MaxInFlight && !d.quiesced {
 		q, ep, m := d.nextQueue()
@@ -30,7 +32,8 @@
 	}
 }
 
-// nextQueue returns the queue that sends next, and what it sends where; nil if none can send.
+// nextQueue returns the queue that sends next, with the endpoint and the message of its next call.
+// It returns nil if no queue can send.
 func (d *Dispatcher) nextQueue() (best *queue, ep *endpoint, first *message) {
 	for _, q := range d.activeQueues {
 		if best != nil && len(q.inFlight) > len(best.inFlight) {
@@ -40,16 +43,17 @@
 		if m == nil {
 			continue
 		}
-		if best == nil || len(q.inFlight) < len(best.inFlight) || d.objectiveExpiry(m) < d.objectiveExpiry(first) {
+		if best == nil || len(q.inFlight) < len(best.inFlight) || d.usefulUntil(m) < d.usefulUntil(first) {
 			best, ep, first = q, e, m
 		}
 	}
 	return best, ep, first
 }
 
-// objectiveExpiry returns when a message falls under minUsefulValue. One that is under it already
-// comes after all others.
-func (d *Dispatcher) objectiveExpiry(m *message) time.Duration {
+// usefulUntil returns the time at which the value of a message falls below minUsefulValue. For a
+// message whose value is already lower, it returns a later time, so that the message is sent after
+// the others.
+func (d *Dispatcher) usefulUntil(m *message) time.Duration {
 	const afterAllOthers = time.Hour
 	at := m.deadline - m.terms.Deadline + m.terms.ageAtValue(minUsefulValue)
 	if at < d.now {
@@ -58,10 +62,11 @@
 	return at
 }
 
-// nextSend returns the message that a queue would send now, and where; nil if there is none.
+// nextSend returns the message that a queue would send now and the endpoint that it would send the
+// message to. It returns nil if the queue can send no message now.
 func (d *Dispatcher) nextSend(q *queue) (*endpoint, *message) {
-	most := max(1, int(math.Ceil(maxInFlightShare*float64(d.settings.MaxInFlight))))
-	if len(q.queued) == 0 || d.now < q.retryAfterUntil || d.now < q.backoffUntil || len(q.inFlight) >= most {
+	limit := max(1, int(math.Ceil(maxInFlightShare*float64(d.settings.MaxInFlight))))
+	if len(q.queued) == 0 || d.now < q.retryAfterUntil || d.now < q.backoffUntil || len(q.inFlight) >= limit {
 		return nil, nil
 	}
 	if ep, m := d.nextOnReusableConn(q); m != nil {
@@ -80,11 +85,11 @@
 	return nil, nil
 }
 
-// nextOnReusableConn returns the message that a queue would send on a connection that has just
-// carried a call; nil if there is none.
+// nextOnReusableConn returns the message that a queue would send on its reusable connection, and
+// the endpoint of that connection. It returns nil if there is no such connection or message.
 func (d *Dispatcher) nextOnReusableConn(q *queue) (*endpoint, *message) {
 	ep := q.reusableConn
-	if ep == nil || !d.acceptsCall(ep) || q.sendRate != 0 && d.sendTokens(q) < 1-d.tokenDebt(q) {
+	if ep == nil || !d.acceptsCall(ep) || q.sendRate != 0 && d.sendTokens(q) < 1-d.borrowableTokens(q) {
 		return nil, nil
 	}
 	for _, m := range q.queued {
@@ -95,19 +100,19 @@
 	return nil, nil
 }
 
-// send starts a call with a message and, where the kind of destination allows a batch, others of
-// the queue.
+// send starts a call with a message. If the kind of destination allows batches, further messages of
+// the queue join the call.
 func (d *Dispatcher) send(q *queue, ep *endpoint, first *message) {
 	c := &call{endpoint: ep, sent: d.now}
 	if q.reusableConn == ep {
-		q.reusableConn = nil // this call takes it
+		q.reusableConn = nil // this call uses the connection
 	}
 	d.trackCall(c)
 	ep.lastUsed = d.now
 	d.consumeSendToken(q)
 	d.consumeRecoveryToken(ep)
 	d.addAttempt(first, c)
-	for i := 0; i < len(q.queued) && c.open < q.maxBatch && !ep.health.isUnhealthy(); {
+	for i := 0; i < len(q.queued) && c.pendingOutcomes < q.maxBatch && !ep.health.isUnhealthy(); {
 		m := q.queued[i]
 		if d.attemptAllowed(m) && d.retryAllowed(m, ep) {
 			d.addAttempt(m, c) // dequeues it
@@ -117,7 +122,7 @@
 	}
 }
 
-// trackCall counts a call as in flight.
+// trackCall registers a call as in flight.
 func (d *Dispatcher) trackCall(c *call) {
 	ep, q := c.endpoint, c.endpoint.queue
 	d.inFlight++
@@ -131,11 +136,11 @@
 	m.dequeue()
 	writeWithin := time.Duration(0)
 	if m.firstExecuted() != nil && m.terms.Idempotency == IdempotentByKey {
-		writeWithin = d.keyExpiry(m) - d.now // which may pass while a connection is made
+		writeWithin = d.keyExpiry(m) - d.now // the key may expire while the connection is established
 	}
 	m.attempts = append(m.attempts, attempt{call: c, sent: d.now, state: attemptInFlight})
 	m.openAttempts++
-	c.open++
+	c.pendingOutcomes++
 	c.messages = append(c.messages, m)
 	d.emit(Send{ID: m.ID, Endpoint: c.endpoint.ID, Timeout: d.attemptTimeout(m, c), WriteWithin: writeWithin})
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -19,8 +19,8 @@
 		"m1>a n>b m2>a")
 }
 
-// TestDispatch_UrgentMessageFirst guards against slots given to patient messages, where few slots
-// make every choice of a queue a tie.
+// TestDispatch_UrgentMessageFirst guards against slots that go to messages of long deadlines while
+// urgent messages wait. With few slots, queues often tie in their number of calls in flight.
 func TestDispatch_UrgentMessageFirst(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight = 1
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// never is later than every moment.
+// never is later than any time that occurs.
 const never = time.Duration(math.MaxInt64)
 
-// Dispatcher decides for one relay. It does no I/O and reads no clock. It is not safe for
-// concurrent use.
+// Dispatcher makes the decisions of one relay. It does no I/O and reads no clock. It is not safe
+// for concurrent use.
 type Dispatcher struct {
 	settings           Settings
 	meanPriorityWeight float64       // of the classes in the settings
-	now                time.Duration // of the batch; never goes back
+	now                time.Duration // time of the current batch; never decreases
 	random             *rand.Rand
-	quiesced           bool     // send nothing more
-	actions            []Action // of this batch
+	quiesced           bool     // send no calls
+	actions            []Action // of the current batch
 
-	endpoints      map[string]*endpoint // listed ones, by ID
-	unhealthyCount int                  // of them
+	endpoints      map[string]*endpoint // listed endpoints, by ID
+	unhealthyCount int                  // listed endpoints that are unhealthy
 	destinations   map[int]*destination
-	queues         []*queue // of all destinations, in the order in which they were first seen
-	activeQueues   []*queue // those with messages queued or calls in flight
+	queues         []*queue // of all destinations, in order of creation
+	activeQueues   []*queue // queues with messages queued or calls in flight
 	kindLatency    map[int]*latencyStats
 
 	messages    map[string]*message // by ID
 	unfinished  []*message          // without a terminal outcome, in order of arrival
-	arrivals    []*message          // of this batch, for admission
-	lastSeq     int                 // sequence number of the latest message
+	arrivals    []*message          // messages of the current batch that await admission
+	lastSeq     int                 // sequence number of the newest message
 	orderKeys   map[string][]*message
 	coolingDown []*message // completed, but their order keys are still blocked
 
 	inFlight        int         // calls in flight
-	unansweredShare float64     // share of the calls overdue by stuckFactor that had no success
-	idleCandidates  []*endpoint // those at which calls ended in this batch
+	unansweredShare float64     // share of the calls overdue by stuckFactor that did not succeed
+	idleCandidates  []*endpoint // endpoints at which calls ended in the current batch
 
-	watchAt time.Duration // when to ask for a watch of the endpoint list
-	timerAt time.Duration // when the latest timer is due; 0 for none
+	watchAt time.Duration // when to request a watch of the endpoint list
+	timerAt time.Duration // when the most recently requested timer is due; 0 if none was requested
 }
 
-// New returns a dispatcher that knows nothing yet. The error is a *SettingError for a setting
-// without a usable value. The seed decides all random choices: the same events give the same
-// actions.
+// New returns a Dispatcher without endpoints or messages. If a setting has no usable value, the
+// error wraps a *SettingError. The seed determines all random choices: with the same seed, the same
+// events give the same actions.
 func New(s Settings, seed int64) (*Dispatcher, error) {
 	if err := s.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -60,18 +60,18 @@
 		watchAt:      never,
 	}
 	if s.WatchEndpoints {
-		d.watchAt = 0 // at once
+		d.watchAt = 0 // in the first batch
 	}
 	d.updateMeanPriorityWeight()
 	return d, nil
 }
 
-// UnhealthyEndpoints returns how many listed endpoints are unhealthy: they get nothing but trial
-// requests.
+// UnhealthyEndpoints returns the number of listed endpoints that are unhealthy, to which only trial
+// requests are sent.
 func (d *Dispatcher) UnhealthyEndpoints() int { return d.unhealthyCount }
 
-// Handle applies the events of one batch and returns what is to be done, in order. A time before
-// that of the last batch counts as that.
+// Handle applies a batch of events and returns the resulting actions, to be carried out in order.
+// If now is earlier than the time of the last batch, the time of the last batch is used.
 func (d *Dispatcher) Handle(now time.Duration, events []Event) []Action {
 	d.now, d.actions = max(now, d.now), nil
 	d.endKeyCooldowns()
@@ -89,8 +89,8 @@
 	return d.actions
 }
 
-// apply updates the state by an event. What to do about it is decided once the whole batch is
-// applied. It is a type switch, so that a batch of events need not be allocated.
+// apply updates the state with an event. Admission and sending are decided after the whole batch is
+// applied. A type switch, unlike a method of the events, does not force their allocation.
 func (d *Dispatcher) apply(e Event) {
 	switch e := e.(type) {
 	case Arrived:
@@ -117,9 +117,9 @@
 		d.quiesced = true
 	case Resumed:
 		d.quiesced = false
-	case TimerFired: // every batch decides by the clock
+	case TimerFired: // no state of its own: every batch checks which times have passed
 	}
 }
 
-// emit adds an action to those of the batch.
+// emit appends an action to the actions of the current batch.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
--- a/policy/dispatcher_test.go
+++ b/policy/dispatcher_test.go
@@ -19,14 +19,14 @@
 		EndpointsChanged{Endpoints: []Endpoint{{ID: "z", Removed: true}}},
 	})
 	wantActions(t, "unknown", got, "")
-	d.Handle(0, []Event{TimerFired{}}) // the clock goes back
+	d.Handle(0, []Event{TimerFired{}}) // the time decreases
 	if d.now != time.Second {
-		t.Errorf("the clock went back to %v", d.now)
+		t.Errorf("time decreased to %v", d.now)
 	}
 }
 
-// TestHandle_UnusableValuesChangeNothingLater guards against unusable values that spoil
-// decisions on the events after them.
+// TestHandle_UnusableValuesChangeNothingLater guards against unusable values in an event that
+// affect the decisions on later events.
 func TestHandle_UnusableValuesChangeNothingLater(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -40,7 +40,7 @@
 	d := newDispatcher(t, s, Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrival("m", 0)})
 	d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: Rejected, RetryAfter: math.MaxInt64}})
-	wantActions(t, "an endless Retry-After holds", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
+	wantActions(t, "longest possible Retry-After", d.Handle(time.Second, []Event{arrival("n", 0)}), "reject n")
 	wantActions(t, "no time left", d.Handle(time.Second, []Event{
 		Arrived{ID: "o", TimeLeft: -time.Second},
 	}), "reject o")
@@ -48,11 +48,11 @@
 
 func TestQuiesced_SendsNothing(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
-	wantActions(t, "at once", d.Handle(time.Second, []Event{Quiesced{}, arrival("m", 0)}), "")
+	wantActions(t, "in the batch of Quiesced", d.Handle(time.Second, []Event{Quiesced{}, arrival("m", 0)}), "")
 	wantActions(t, "later", d.Handle(2*time.Second, []Event{TimerFired{}}), "")
 }
 
-// BenchmarkHandle reports what a batch costs with 1,000 endpoints listed.
+// BenchmarkHandle measures a batch with 1,000 endpoints listed.
 func BenchmarkHandle(b *testing.B) {
 	s := testSettings()
 	d, err := New(s, 1)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestApply_CoversEveryEvent guards against an event that is declared and then ignored: the
-// compiler does not check that a type switch covers a sealed interface.
+// TestApply_CoversEveryEvent guards against an event type that is declared but not handled: the
+// compiler does not check that a type switch covers all implementations of an interface.
 func TestApply_CoversEveryEvent(t *testing.T) {
 	read := func(file string) string {
 		text, err := os.ReadFile(file)
--- a/policy/doc_test.go
+++ b/policy/doc_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, f := range named {
 		if !slices.Contains(files, f) {
-			t.Errorf("the package comment in doc.go names %s, which is not there", f)
+			t.Errorf("the package comment in doc.go names %s, which does not exist", f)
 		}
 	}
 }
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -4,13 +4,13 @@
 
 // applyEndpoints applies a change of the endpoint list.
 func (d *Dispatcher) applyEndpoints(e EndpointsChanged) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, entry := range e.Endpoints {
-		named[entry.ID] = true
+		listed[entry.ID] = true
 		d.applyEndpoint(entry)
 	}
 	if e.Full {
-		d.removeUnnamed(named)
+		d.removeUnlisted(listed)
 	}
 	for _, q := range slices.Clone(d.activeQueues) {
 		if len(q.queued) > 0 && !q.acceptsWork() {
@@ -19,11 +19,11 @@
 	}
 }
 
-// removeUnnamed removes the endpoints that a full list does not name.
-func (d *Dispatcher) removeUnnamed(named map[string]bool) {
+// removeUnlisted removes the endpoints that a full list does not contain.
+func (d *Dispatcher) removeUnlisted(listed map[string]bool) {
 	for _, q := range slices.Clone(d.queues) {
 		for _, ep := range slices.Clone(q.endpoints) {
-			if !named[ep.ID] {
+			if !listed[ep.ID] {
 				d.removeEndpoint(ep)
 			}
 		}
@@ -49,11 +49,11 @@
 	ep.Endpoint = entry
 	d.setListedRate(ep.queue, entry.Weight)
 	if isNew && ep.queue.unhealthy {
-		d.markUnhealthy(ep) // at a destination that is out, a new endpoint is as cold as the others
+		d.markUnhealthy(ep) // during an outage of the destination, a new endpoint is as cold as the others
 	}
 }
 
-// addEndpoint adds an endpoint to the queue of its destination, or as a separate route with a queue
+// addEndpoint adds an endpoint to the queue of its destination or, for a separate route, to a queue
 // of its own.
 func (d *Dispatcher) addEndpoint(entry Endpoint) *endpoint {
 	ep := &endpoint{classFailures: make([]float64, len(d.settings.Classes))}
@@ -76,7 +76,8 @@
 	return ep
 }
 
-// removeEndpoint removes an endpoint that left the list; calls in flight there still end.
+// removeEndpoint removes an endpoint that is no longer listed. Calls of which a byte has been sent
+// stay in flight, and their outcomes are still applied.
 func (d *Dispatcher) removeEndpoint(ep *endpoint) {
 	d.cancelBeforeSend(ep.inFlight, nil)
 	ep.Removed = true
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -16,9 +16,9 @@
 	wantActions(t, "removed", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
 }
 
-// Attempts that have not left when an endpoint begins to drain, or is removed, are cancelled: their
-// connections may come up when nothing new may be sent there any more. The same change again
-// cancels nothing.
+// When an endpoint starts draining or is removed, attempts of which no byte has been sent are
+// cancelled: their connections may be established only after the endpoint has stopped accepting new
+// calls. Applying the same change again cancels nothing.
 func TestEndpointList_CancelsBeforeSend(t *testing.T) {
 	for name, change := range map[string]EndpointsChanged{
 		"draining":           {Endpoints: []Endpoint{{ID: "a", Draining: true}}},
@@ -33,20 +33,20 @@
 				for _, a := range d.Handle(ms, []Event{change}) {
 					if u, ok := a.(CancelBeforeSend); ok {
 						if cancelled++; d.messages[u.ID].attempts[u.Attempt].call.endpoint.ID != "a" {
-							t.Errorf("cancels %+v", u)
+							t.Errorf("cancelled an attempt at another endpoint: %+v", u)
 						}
 					}
 				}
 			}
 			if cancelled != 1 {
-				t.Errorf("%d cancelled", cancelled)
+				t.Errorf("%d attempts cancelled, want 1", cancelled)
 			}
 		})
 	}
 }
 
-// TestEndpointList_ReplacedEndpointsAreDropped guards against routes and endpoints that have left
-// the list and are iterated over for ever.
+// TestEndpointList_ReplacedEndpointsAreDropped guards against a leak of endpoints and separate
+// routes that are no longer listed.
 func TestEndpointList_ReplacedEndpointsAreDropped(t *testing.T) {
 	for kind := range 3 {
 		d := newDispatcher(t, testSettings())
@@ -67,26 +67,27 @@
 	}
 }
 
-// TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays sending to a
-// replacement at once.
+// TestEndpointList_NewEndpointOfUnhealthyDestination guards against all relays sending at once to a
+// new endpoint that replaces one in an outage.
 func TestEndpointList_NewEndpointOfUnhealthyDestination(t *testing.T) {
 	for _, removed := range []bool{false, true} { // the old endpoint stays, or is replaced
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 		d.markUnhealthy(d.endpoints["a"])
 		d.Handle(ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "a", Removed: removed}, {ID: "b"}}}})
 		if !d.endpoints["b"].health.isUnhealthy() {
-			t.Errorf("old one removed %v: the new one is not unhealthy", removed)
+			t.Errorf("old endpoint removed %v: new endpoint is not unhealthy", removed)
 		}
 		d.recordSuccess(d.endpoints["b"], true)
 		d.Handle(2*ms, []Event{EndpointsChanged{Endpoints: []Endpoint{{ID: "c"}}}})
 		if d.endpoints["c"].health.isUnhealthy() {
-			t.Error("a new one after the recovery is unhealthy")
+			t.Error("endpoint added after the recovery is unhealthy")
 		}
 	}
 }
 
-// TestEndpointList_EmptiesAndRefills guards against state that stays wrong: calls are in flight
-// while the list empties, the weight and the zone change, and the clock jumps back and far ahead.
+// TestEndpointList_EmptiesAndRefills guards against inconsistent state after unusual sequences: the
+// list becomes empty while calls are in flight, weight and zone of an endpoint change, and the time
+// decreases and jumps far ahead.
 func TestEndpointList_EmptiesAndRefills(t *testing.T) {
 	for kind := range 3 {
 		s := testSettings()
@@ -98,7 +99,7 @@
 		wantActions(t, "listed again", d.Handle(3*time.Second, []Event{EndpointsChanged{Endpoints: []Endpoint{
 			{ID: "a", Kind: kind, Weight: 7, Zone: 1},
 		}}}), "n>a")
-		wantActions(t, "far ahead", d.Handle(1000*time.Hour, []Event{
+		wantActions(t, "after a jump of the time", d.Handle(1000*time.Hour, []Event{
 			delivered("n", "a"),
 			arrival("o", 0),
 		}), "o>a")
--- a/policy/endpoint_selection.go
+++ b/policy/endpoint_selection.go
@@ -1,14 +1,14 @@
 package policy
 
-// selectEndpoint returns the endpoint of a queue that a message goes to, or nil if none takes it
-// now.
+// selectEndpoint returns the endpoint of a queue to which a message is sent now, or nil if no
+// endpoint may get it.
 func (d *Dispatcher) selectEndpoint(q *queue, m *message) *endpoint {
 	var best *endpoint
 	for _, ep := range q.endpoints {
 		if !d.acceptsCall(ep) || !d.retryAllowed(m, ep) {
 			continue
 		}
-		if ep.health.isUnhealthy() && !d.mayTry(q, m) {
+		if ep.health.isUnhealthy() && !d.trialAllowed(q, m) {
 			continue
 		}
 		if best == nil || d.preferred(m, ep, best) {
@@ -18,12 +18,12 @@
 	return best
 }
 
-// preferred reports whether a message goes to endpoint a rather than to b: to an unhealthy one
-// whose trial request is due, else to a responsive one that has not failed the message or its
-// class, with the fewest calls in flight, in the relay's own zone.
+// preferred reports whether endpoint a is preferred to endpoint b for a message. The criteria, in
+// order: an unhealthy endpoint, whose trial request is due; a responsive endpoint; the lower
+// penalty; fewer calls in flight; the relay's own zone; preferredByLastUse.
 func (d *Dispatcher) preferred(m *message, a, b *endpoint) bool {
 	if a.health.isUnhealthy() != b.health.isUnhealthy() {
-		return a.health.isUnhealthy() // its trial request is due
+		return a.health.isUnhealthy() // a trial request is due
 	}
 	if unresponsiveA, unresponsiveB := d.unresponsive(a), d.unresponsive(b); unresponsiveA != unresponsiveB {
 		return unresponsiveB
@@ -40,10 +40,10 @@
 	return d.preferredByLastUse(a, b)
 }
 
-// preferredByLastUse reports whether a goes before b among equals. Where relays keep idle
-// connections it is the endpoint used last, whose connection may still be open. Where they don't,
-// endpoints take turns, from a random one on: that guards against a fleet in which each relay has
-// reason to take the same endpoint, the first listed and then the one it took last.
+// preferredByLastUse reports whether a is preferred to b if all other criteria are equal. In a
+// fleet that keeps idle connections, the endpoint used last is preferred, because its connection
+// may still be open. In a larger fleet, each relay uses its endpoints in rotation and starts at a
+// random one; otherwise all relays would use the endpoint listed first and then stay with it.
 func (d *Dispatcher) preferredByLastUse(a, b *endpoint) bool {
 	if d.keepsIdleConns() {
 		return a.lastUsed > b.lastUsed
@@ -51,8 +51,9 @@
 	return a.lastUsed < b.lastUsed || a.lastUsed == b.lastUsed && a.tieBreaker < b.tieBreaker
 }
 
-// penalty counts what speaks against an endpoint for a message: consecutive failures of its class,
-// and its own last attempt there. An endpoint may fail one class and serve the others.
+// penalty returns the consecutive failures of the message's class at an endpoint, plus one if the
+// message's last attempt went there. Failures are counted by class because an endpoint may fail one
+// class and serve the others.
 func (m *message) penalty(ep *endpoint) float64 {
 	failures := ep.classFailures[m.Class]
 	if i := len(m.attempts); i > 0 && m.attempts[i-1].call.endpoint == ep {
@@ -75,8 +76,8 @@
 	return !d.unresponsive(ep) || len(ep.inFlight) < maxTrialCalls
 }
 
-// unresponsive reports whether an endpoint has a call in flight for far longer than usual and no
-// success since it was sent.
+// unresponsive reports whether an endpoint's oldest call is overdue by unresponsiveFactor and no
+// call to the endpoint has succeeded since that call was sent.
 func (d *Dispatcher) unresponsive(ep *endpoint) bool {
 	if len(ep.inFlight) == 0 || ep.queue.latency.mean == 0 {
 		return false
--- a/policy/endpoint_selection_test.go
+++ b/policy/endpoint_selection_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// TestSelectEndpoint_AvoidsEndpointThatFailsTheClass guards against an endpoint that fails one
-// class and serves the others.
+// TestSelectEndpoint_AvoidsEndpointThatFailsTheClass guards against sending messages of a class to
+// an endpoint that fails this class and serves the others.
 func TestSelectEndpoint_AvoidsEndpointThatFailsTheClass(t *testing.T) {
 	s := testSettings()
 	d := newDispatcher(t, s, Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	d.Handle(0, []Event{arrival("m", 0)})
 	wantActions(t, "a retry goes to the other endpoint", d.Handle(ms, []Event{ended("m", Failed)}), "m>b")
 	d.Handle(2*ms, []Event{AttemptEnded{ID: "m", Endpoint: "b", Attempt: 1, Outcome: Succeeded, Final: true}})
-	wantActions(t, "so does another message of its class", d.Handle(3*ms, []Event{arrival("n", 0)}), "n>b")
+	wantActions(t, "another message of the class goes to the other endpoint", d.Handle(3*ms, []Event{arrival("n", 0)}), "n>b")
 	d.Handle(4*ms, []Event{delivered("n", "b")})
 	d.endpoints["a"].lastUsed = 4 * ms
-	wantActions(t, "other classes do not", d.Handle(5*ms, []Event{arrival("o", 1)}), "o>a")
+	wantActions(t, "a message of another class", d.Handle(5*ms, []Event{arrival("o", 1)}), "o>a")
 }
 
-// Relays that keep no idle connections do not all take the endpoint that is listed first, and each
-// takes all in turns. A few relays stay with the one whose connection may still be open.
+// In a large fleet, where relays keep no idle connections, each relay starts at a random endpoint
+// and rotates through all of them. In a small fleet, each relay stays with the endpoint whose
+// connection may still be open.
 func TestSelectEndpoint_TakesTurnsInLargeFleet(t *testing.T) {
 	for _, relays := range []int{3, 80} {
 		first := map[string]int{}
@@ -48,7 +49,7 @@
 			}
 		}
 		if relays == 80 && (first["a"] < 8 || first["b"] < 8 || first["c"] < 8) {
-			t.Errorf("first choices of %d relays: %v", 60, first)
+			t.Errorf("first endpoints of %d relays: %v", 60, first)
 		}
 	}
 }
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -13,7 +13,7 @@
 	}
 	fails := step{"fails", func(d *Dispatcher, ep *endpoint) { d.markUnhealthy(ep) }}
 	succeeds := step{"succeeds", func(d *Dispatcher, ep *endpoint) { d.recordSuccess(ep, false) }}
-	recoveryRead := step{"recovery read from an earlier process", func(d *Dispatcher, ep *endpoint) {
+	recoveryRead := step{"recovery recorded by an earlier process", func(d *Dispatcher, ep *endpoint) {
 		d.recoverHealth(HealthRecovered{Endpoint: ep.ID, At: d.now})
 	}}
 	timePasses := step{"slow start ends", func(d *Dispatcher, ep *endpoint) {
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// watchRetryDelay is the wait before a failed watch of the endpoint list is asked for again.
+// watchRetryDelay is the delay before another watch is requested after a watch of the endpoint list
+// has failed.
 const watchRetryDelay = 500 * time.Millisecond
 
-// retryWatch asks for another watch of the endpoint list after a delay.
+// retryWatch schedules another watch of the endpoint list.
 func (d *Dispatcher) retryWatch() {
 	if d.settings.WatchEndpoints {
 		d.watchAt = d.now + watchRetryDelay
 	}
 }
 
-// watchEndpoints asks for changes of the endpoint list where that is due.
+// watchEndpoints requests a watch of the endpoint list if one is due.
 func (d *Dispatcher) watchEndpoints() {
 	if d.now >= d.watchAt {
 		d.watchAt = never
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Event is something that happened to a dispatcher. The set is closed: all events are in this file.
+// Event is an input of a Dispatcher. The set is closed: all events are declared in this file.
 type Event interface{ event() }
 
-// Arrived submits a message. Its dispatcher gives it exactly one terminal outcome.
+// Arrived submits a message. The Dispatcher gives each message exactly one terminal outcome.
 type Arrived struct {
 	ID          string
 	Class       int
 	Destination int
 	TimeLeft    time.Duration // until its deadline
-	OrderKey    string        // of ordered classes, or empty
-	// Terms are those of its class at its acceptance, where they may have changed since; nil: as in
-	// the settings.
+	OrderKey    string        // for ordered classes; may be empty
+	// Terms are the terms of the message's class at the time of its acceptance. They are set if the
+	// terms may have changed since; nil means the terms in the settings.
 	Terms *Class
-	// Recovered says that an earlier process of this relay accepted the message: it does not pass
-	// admission again. PriorAttempts are that process's attempts, which count like this one's.
+	// Recovered says that an earlier process of this relay accepted the message, so that admission
+	// is not repeated. PriorAttempts are the attempts made by earlier processes. They count like
+	// attempts of this process.
 	Recovered     bool
 	PriorAttempts []PriorAttempt
-	// OutcomeDecided says of a recovered message that its outcome was given and is not acknowledged
-	// yet: Acknowledged will follow.
+	// OutcomeDecided says that a recovered message already has its terminal outcome, which is not
+	// acknowledged yet. An Acknowledged event will follow.
 	OutcomeDecided bool
-	// Background says that the message waited elsewhere until nothing else needed the capacity, and
-	// can go on waiting there: it is rejected unless it can be sent at once, and after one attempt
-	// that did not deliver it.
+	// Background says that the message is stored elsewhere, waits there for spare capacity, and can
+	// wait longer. It is rejected if it cannot be sent immediately, and it gets only one attempt.
 	Background bool
 }
 
@@ -32,32 +32,33 @@
 type PriorAttempt struct {
 	Endpoint    string
 	SentAt      time.Duration
-	NotExecuted bool // proved not to have executed
-	// InFlight says that the attempt has no outcome yet, and that an AttemptEnded will follow: this
-	// process took over the connections of the earlier one. Only the last attempt of a message can
-	// be in flight.
+	NotExecuted bool // the attempt provably did not execute
+	// InFlight says that the attempt has no outcome yet and that an AttemptEnded will follow,
+	// because this process has taken over the connections of the earlier one. Only the last attempt
+	// of a message can be in flight.
 	InFlight bool
 }
 
-// Outcome says how one attempt ended.
+// Outcome is the outcome of an attempt.
 type Outcome int
 
-// The outcomes of an attempt. Rejected, ConnectError and NotSent prove that it did not execute.
+// The outcomes of an attempt. Rejected, ConnectError and NotSent prove that the attempt did not
+// execute.
 const (
 	Succeeded       Outcome = iota // delivered
-	Failed                         // answered with an error
-	Rejected                       // rejected: above the rate limit, queue full, unavailable or draining
+	Failed                         // the destination answered with an error
+	Rejected                       // the destination rejected it: rate limit, full queue, unavailable or draining
 	TimedOut                       // no answer in time
-	ConnectError                   // no connection
+	ConnectError                   // no connection was established
 	ConnectionReset                // the connection broke while the attempt was in flight
-	Canceled                       // cancelled by this dispatcher
+	Canceled                       // cancelled by this Dispatcher
 	NotSent                        // never sent: no slot, no time or no attempts left
 )
 
-// LoadReport is a destination's report of its own load.
+// LoadReport is the report of a destination about its own load.
 type LoadReport struct {
-	Remaining float64 // share of the rate limit's allowance that is left
-	RateLimit float64 // calls per second; 0 where there is no limit
+	Remaining float64 // share of the rate limit allowance that is left
+	RateLimit float64 // calls per second; 0 if there is no limit
 }
 
 // AttemptEnded reports how an attempt ended.
@@ -66,22 +67,22 @@
 	Endpoint          string
 	Attempt           int
 	Outcome           Outcome
-	RetryAfter        time.Duration // time for which the destination asked not to be called
+	RetryAfter        time.Duration // from the destination; 0 if it sent none
 	Latency           time.Duration
 	Final             bool        // the message has its terminal outcome
-	AttemptsExhausted bool        // the message has had all its attempts
-	OutcomeUnknown    bool        // it may have executed, whatever Outcome otherwise proves
+	AttemptsExhausted bool        // the message may have no further attempts
+	OutcomeUnknown    bool        // the attempt may have executed, even if Outcome otherwise proves that it did not
 	LoadReport        *LoadReport // or nil
 }
 
-// DeadlineExceeded says that a message's deadline passed while an attempt is in flight: its
-// terminal outcome is due, and that of the attempt still follows.
+// DeadlineExceeded says that a message's deadline passed while an attempt is in flight. The message
+// gets its terminal outcome now; the outcome of the attempt still follows.
 type DeadlineExceeded struct{ ID string }
 
-// Acknowledged says that the terminal outcome of a message has reached the party it was owed to.
+// Acknowledged says that the recipient of a message's terminal outcome has acknowledged it.
 type Acknowledged struct{ ID string }
 
-// MessageCanceled says that nobody wants a message any more; no outcome is owed.
+// MessageCanceled says that a message was cancelled. It needs no terminal outcome.
 type MessageCanceled struct{ ID string }
 
 // Endpoint is one entry of the endpoint list.
@@ -90,12 +91,12 @@
 	Destination int
 	Kind        int
 	Zone        int
-	Weight      float64 // see Weights
-	Draining    bool    // takes no new calls
-	Removed     bool    // has left the list
+	Weight      float64 // meaning: see Weights
+	Draining    bool    // accepts no new calls
+	Removed     bool    // no longer listed
 }
 
-// EndpointsChanged changes the endpoint list, or replaces it when Full.
+// EndpointsChanged updates the endpoint list, or replaces it if Full is set.
 type EndpointsChanged struct {
 	Full      bool
 	Endpoints []Endpoint
@@ -104,26 +105,27 @@
 // WatchFailed says that a watch of the endpoint list failed or was dropped.
 type WatchFailed struct{}
 
-// HealthRecovered carries the health of a listed endpoint that an earlier process of this relay
-// recorded.
+// HealthRecovered is the health of an endpoint as recorded by an earlier process of this relay. It
+// is ignored if the endpoint is not listed.
 type HealthRecovered PersistHealth
 
-// SnapshotRestored carries what the preceding process had learned, whose place this one takes. It
-// comes after the endpoint list and before messages.
+// SnapshotRestored carries the snapshot of this process's predecessor. It must follow the endpoint
+// list and precede all messages.
 type SnapshotRestored struct{ Snapshot *Snapshot }
 
-// SettingsChanged replaces the settings. Their classes must come from MergeClasses: those that were
-// there keep their numbers. Messages accepted before keep the terms of their class, and what
-// stricter idempotency forbids is forbidden too.
+// SettingsChanged replaces the settings. Their classes must be a result of MergeClasses, so that
+// existing classes keep their numbers. Messages accepted earlier keep the terms of their class; if
+// the new terms have stricter idempotency, that applies to these messages too.
 type SettingsChanged struct{ Settings Settings }
 
-// Quiesced says that this process is about to end: nothing more is sent until Resumed.
+// Quiesced says that this process is about to end. No calls are sent until a Resumed event.
 type Quiesced struct{}
 
-// Resumed takes Quiesced back.
+// Resumed cancels the effect of Quiesced.
 type Resumed struct{}
 
-// TimerFired says that a timer fell due. It carries nothing: each batch decides by the clock.
+// TimerFired says that a timer fired. It has no fields, because every batch checks which times have
+// passed.
 type TimerFired struct{}
 
 func (Arrived) event()          {}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// testSettings returns settings with one class of each kind of idempotency, and capacity for
-// everything.
+// testSettings returns settings with one class of each kind of idempotency, and limits that most
+// tests do not reach.
 func testSettings() Settings {
 	return Settings{
 		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, CanCancel: true,
@@ -38,17 +38,17 @@
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, OrderKey: "k"}
 }
 
-// ended is the outcome of the first attempt of a message, at endpoint a.
+// ended returns the outcome of a message's first attempt at endpoint a.
 func ended(id string, outcome Outcome) AttemptEnded {
 	return AttemptEnded{ID: id, Endpoint: "a", Outcome: outcome}
 }
 
-// delivered is the success of the first attempt of a message.
+// delivered returns the success of a message's first attempt.
 func delivered(id, endpoint string) AttemptEnded {
 	return AttemptEnded{ID: id, Endpoint: endpoint, Outcome: Succeeded, Final: true}
 }
 
-// summary lists actions in short, without timers and timeouts.
+// summary returns a short form of actions, without timers and timeouts.
 func summary(actions []Action) string {
 	var out []string
 	for _, a := range actions {
@@ -75,7 +75,8 @@
 	}
 }
 
-// recovered is a message that an earlier process accepted, with the attempts that it made.
+// recovered returns the arrival of a message that an earlier process accepted, with the attempts
+// made by that process.
 func recovered(id string, class int, tried ...PriorAttempt) Event {
 	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: tried}
 }
--- a/policy/idle_connections.go
+++ b/policy/idle_connections.go
@@ -3,42 +3,47 @@
 import "math"
 
 const (
-	// minConnReuses of a connection must be expected within its idle time, or it is closed after a
-	// call. At half of this, failed connections cost more than the handshakes saved.
+	// minConnReuses is the number of calls per endpoint that must be expected within
+	// IdleConnTimeout for a connection to stay open after a call. With half of this number,
+	// failures to connect cost more than the saved handshakes gain.
 	minConnReuses = 4
-	// smallFleet is the largest number of relays that may all keep their idle connections: even
-	// small destinations take as many.
+	// smallFleet is the largest number of relays that may keep all their idle connections: even
+	// small destinations accept that many connections.
 	smallFleet = 6
-	// mediumFleet is about all the connections that a small destination takes: in a larger fleet a
-	// connection that idles at one relay is a call rejected at another, and no relay keeps any.
+	// mediumFleet is the largest number of relays that may keep any idle connections, which is
+	// about the connection limit of a small destination. In a larger fleet, an idle connection of
+	// one relay causes the rejection of a call of another.
 	mediumFleet = 9
-	// maxTokenDebt calls may be sent ahead of the send rate on a connection that has just carried a
-	// call, where idle connections are not kept: a new connection takes one of the destination's
-	// few places for some round trips before its call has begun, and a call on an open one does
-	// not. The send rate then falls behind by as many.
-	maxTokenDebt = 3
-	// tokenDebtShare of what a destination takes in a counting span is the most sent ahead, so that
-	// a few relays do not fill it.
-	tokenDebtShare = 1.0 / 16
-	// connLimitIncrease is added to a learned connection limit by each success.
+	// maxBorrowedTokens is the largest number of send tokens that calls on reusable connections may
+	// borrow in a fleet that keeps no idle connections. A new connection counts against the
+	// destination's connection limit for some round trips before its call begins; a call on an open
+	// connection avoids that. The send rate repays the borrowed tokens.
+	maxBorrowedTokens = 3
+	// borrowedTokensShare limits the borrowed tokens of one relay to this share of the calls that
+	// the destination accepts per rateLimitWindow, so that a few relays cannot use up the rate
+	// limit.
+	borrowedTokensShare = 1.0 / 16
+	// connLimitIncrease is the amount by which each success raises an estimated connection limit.
 	connLimitIncrease = 0.05
 )
 
-// keepsIdleConns reports whether relays are few enough for any of them to keep idle connections.
+// keepsIdleConns reports whether the fleet is small enough for relays to keep idle connections.
 func (d *Dispatcher) keepsIdleConns() bool { return d.settings.Instances <= mediumFleet }
 
-// closesIdleConn reports whether a connection to an endpoint is closed after its call: it would
-// idle until its timeout, or the endpoint takes few connections, and many relays that keep idle
-// ones leave no room for each other. It costs a handshake where that is wrong.
+// closesIdleConn reports whether a connection to an endpoint is closed after its call: because it
+// would probably stay idle until its timeout, because the endpoint has reached its connection limit
+// before, or because idle connections of a large fleet would exhaust that limit. Closing a
+// connection that would have been used again costs a handshake.
 func (d *Dispatcher) closesIdleConn(ep *endpoint) bool {
-	// Counted, not as a rate: at the start one arrival looks like many.
+	// The decayed count is used instead of the rate, because the rate of a new counter is high
+	// after a single arrival.
 	expected := ep.queue.arrivals.count(d.now) * float64(d.settings.IdleConnTimeout) / float64(counterTimeConstant)
 	return ep.connLimit > 0 || !d.keepsIdleConns() ||
 		d.settings.Instances > smallFleet && expected < minConnReuses*float64(max(1, len(ep.queue.endpoints)))
 }
 
-// closeIdleConns closes connections that have ended their calls in this batch and carry no further
-// one, where they are not worth keeping open. None is reusable after the batch.
+// closeIdleConns closes the connections whose calls ended in this batch and that carry no further
+// call, unless they are worth keeping open. No connection counts as reusable after the batch.
 func (d *Dispatcher) closeIdleConns() {
 	for _, ep := range d.idleCandidates {
 		ep.queue.reusableConn = nil
@@ -50,12 +55,12 @@
 	d.idleCandidates = nil
 }
 
-// tokenDebt returns how many calls a queue may send on a reusable connection before its send rate
-// allows them: none where the rate limit was lowered or has rejected a call not long ago, since
-// there the send rate is what keeps the sum of all relays within it.
-func (d *Dispatcher) tokenDebt(q *queue) float64 {
+// borrowableTokens returns how many send tokens a queue may borrow for calls on a reusable
+// connection. It returns 0 if the reported rate limit is lowered, or has caused a rejection within
+// unavailableAfter: only the relays' send rates then keep their total within the rate limit.
+func (d *Dispatcher) borrowableTokens(q *queue) float64 {
 	if q.totalRate() < q.listedRate || q.lastLimitRejection > 0 && d.now-q.lastLimitRejection < unavailableAfter {
 		return 0
 	}
-	return math.Min(maxTokenDebt, tokenDebtShare*q.totalRate()*countingSpan.Seconds())
+	return math.Min(maxBorrowedTokens, borrowedTokensShare*q.totalRate()*rateLimitWindow.Seconds())
 }
--- a/policy/idle_connections_test.go
+++ b/policy/idle_connections_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestConnectError_LearnsConnectionLimit guards against taking a connection limit for an outage.
+// TestConnectError_LearnsConnectionLimit guards against treating a connection limit as an outage.
 func TestConnectError_LearnsConnectionLimit(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	d.Handle(0, []Event{arrival("m1", 0), arrival("m2", 0)})
@@ -24,21 +24,21 @@
 	}
 }
 
-// TestCloseIdleConns_LowTraffic guards against many relays whose idle connections use up those of a
-// small endpoint.
+// TestCloseIdleConns_LowTraffic guards against idle connections of many relays that use up the
+// connection limit of a small endpoint.
 func TestCloseIdleConns_LowTraffic(t *testing.T) {
 	tests := []struct {
-		name     string
-		interval time.Duration // between messages
-		connCap  float64
-		relays   int
-		closes   bool
+		name      string
+		interval  time.Duration // between messages
+		connLimit float64
+		relays    int
+		closes    bool
 	}{
-		{"one in many seconds", 15 * time.Second, 0, 8, true},
-		{"one per second", time.Second, 0, 8, false},
-		{"one per second, few connections", time.Second, 2, 8, true},
-		{"few relays", 15 * time.Second, 0, 3, false},
-		{"more relays than an endpoint takes connections", 100 * ms, 0, 80, true},
+		{"one message per 15 s", 15 * time.Second, 0, 8, true},
+		{"one message per second", time.Second, 0, 8, false},
+		{"one message per second, connection limit reached", time.Second, 2, 8, true},
+		{"small fleet", 15 * time.Second, 0, 3, false},
+		{"more relays than the connection limit of an endpoint", 100 * ms, 0, 80, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,21 +49,22 @@
 			for i := range 5 {
 				at, id := time.Duration(i+1)*tt.interval, fmt.Sprint("m", i)
 				d.Handle(at, []Event{arrival(id, 0)})
-				d.endpoints["a"].connLimit = tt.connCap
+				d.endpoints["a"].connLimit = tt.connLimit
 				closes = false
 				for _, a := range d.Handle(at+50*ms, []Event{delivered(id, "a")}) {
 					closes = closes || a == CloseIdleConns{Endpoint: "a"}
 				}
 			}
 			if closes != tt.closes {
-				t.Errorf("closes %v", closes)
+				t.Errorf("connection closed: %v", closes)
 			}
 		})
 	}
 }
 
-// afterFirstCall returns a relay of a large fleet whose first call, of n messages for one
-// destination, has just ended at endpoint a, and the actions on that.
+// afterFirstCall returns the Dispatcher of a relay in a large fleet, with n messages for one
+// destination, whose first call has just ended at endpoint a with e. It also returns the actions on
+// that event.
 func afterFirstCall(t *testing.T, n int, e AttemptEnded) (*Dispatcher, []Action) {
 	t.Helper()
 	s := testSettings()
@@ -81,8 +82,9 @@
 	return d, d.Handle(time.Second+200*ms, []Event{e})
 }
 
-// Where relays keep no idle connections, one that has carried a call carries the next queued
-// message, ahead of the send rate. It is closed when nothing is queued.
+// In a fleet that keeps no idle connections, the connection of a call that has ended carries the
+// next queued message, for which the queue may borrow send tokens. If no message may be sent on it,
+// the connection is closed.
 func TestReusableConn_CarriesQueuedMessages(t *testing.T) {
 	ok := AttemptEnded{Outcome: Succeeded, Final: true, LoadReport: &LoadReport{Remaining: 0.9, RateLimit: 80}}
 	full := ok
@@ -90,7 +92,7 @@
 	for _, tt := range []struct {
 		name   string
 		end    AttemptEnded
-		next   string // sent next
+		next   string // expected next call
 		closed int
 	}{
 		{"allowance left", ok, "m1>a", 0},
@@ -109,26 +111,28 @@
 		})
 	}
 
-	// So many calls ahead, and no more; the send rate catches up.
+	// The tokens that may be borrowed limit the consecutive calls on a connection. The send rate
+	// repays these tokens.
 	d, actions := afterFirstCall(t, 9, ok)
 	sent, now := 1, time.Second+200*ms
 	for ; summary(actions) != ""; sent++ {
-		wantActions(t, "in a row", actions, fmt.Sprintf("m%d>a", sent))
+		wantActions(t, "consecutive calls on one connection", actions, fmt.Sprintf("m%d>a", sent))
 		now += 60 * ms
 		end := ok
 		end.ID, end.Endpoint, end.Latency = fmt.Sprint("m", sent), "a", 60*ms
 		actions = d.Handle(now, []Event{end})
 	}
-	if sent < 1+maxTokenDebt || sent > 2+maxTokenDebt || countCloses(actions) != 1 {
-		t.Errorf("%d calls in a row, %d closes", sent, countCloses(actions))
+	if sent < 1+maxBorrowedTokens || sent > 2+maxBorrowedTokens || countCloses(actions) != 1 {
+		t.Errorf("%d consecutive calls on one connection, closed %d times", sent, countCloses(actions))
 	}
 	q := d.queues[0]
-	if q.sendBucket.tokens > 1-maxTokenDebt || q.sendBucket.tokens < -maxTokenDebt {
+	if q.sendBucket.tokens > 1-maxBorrowedTokens || q.sendBucket.tokens < -maxBorrowedTokens {
 		t.Errorf("%v tokens left", q.sendBucket.tokens)
 	}
 
-	// None ahead where the limit rejected a call just now or was lowered, nor more than a part of
-	// what is taken in a counting span.
+	// No tokens may be borrowed after a recent rejection by the rate limit or under a lowered
+	// limit, and never more than borrowedTokensShare of the calls that are accepted per
+	// rateLimitWindow.
 	q = &queue{listedRate: 80}
 	for i, change := range []func(){
 		func() {},
@@ -137,13 +141,13 @@
 		func() { q.listedRate, q.reportedLimit = 16, 0 },
 	} {
 		change()
-		if got, want := d.tokenDebt(q), []float64{maxTokenDebt, 0, 0, 1}[i]; got != want {
-			t.Errorf("case %d: %v calls ahead, want %v", i, got, want)
+		if got, want := d.borrowableTokens(q), []float64{maxBorrowedTokens, 0, 0, 1}[i]; got != want {
+			t.Errorf("case %d: %v borrowable tokens, want %v", i, got, want)
 		}
 	}
 
-	// A rejection of the connection holds back new connections, and not what has one; one by the
-	// rate limit does both.
+	// The backoff after a rejection of the connection applies to new connections only. The backoff
+	// after a rejection by the rate limit applies to open connections too.
 	for _, ofConnection := range []bool{true, false} {
 		d, actions := afterFirstCall(t, 1, ok)
 		wantActions(t, "nothing queued", actions, "")
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// latencyGain is the weight of a new outcome in a mean latency: about the last ten calls count.
+// latencyGain is the weight of a new sample in a moving average of latencies, which thus covers
+// about the last ten calls.
 const latencyGain = 0.1
 
-// latencyStats are mean latencies in seconds; 0 for unknown.
+// latencyStats holds moving averages of latencies, in seconds; 0 if unknown.
 type latencyStats struct {
-	samples int       // outcomes counted
-	mean    float64   // of all classes
-	byClass []float64 // means by class
+	samples int       // number of samples
+	mean    float64   // over all classes
+	byClass []float64 // by class
 }
 
-// observe adds a latency to the means; the first ones weigh more, as what was there comes from
-// other destinations.
+// observe adds a sample to the means. The first samples get a higher weight, because the initial
+// means were measured at other destinations.
 func (l *latencyStats) observe(class int, latency float64) {
 	l.samples++
 	gain := math.Max(latencyGain, 1/float64(l.samples+1))
@@ -21,7 +22,7 @@
 	observeMean(&l.byClass[class], latency, gain)
 }
 
-// observeMean moves a mean towards a latency; an unknown one becomes it.
+// observeMean moves a mean towards a sample. An unknown mean is set to the sample.
 func observeMean(mean *float64, latency, gain float64) {
 	if *mean == 0 {
 		*mean = latency
@@ -29,7 +30,7 @@
 	*mean += gain * (latency - *mean)
 }
 
-// latencyOfKind returns the latencies of all destinations of a kind.
+// latencyOfKind returns the latency statistics over all destinations of a kind.
 func (d *Dispatcher) latencyOfKind(kind int) *latencyStats {
 	if d.kindLatency[kind] == nil {
 		d.kindLatency[kind] = &latencyStats{byClass: make([]float64, len(d.settings.Classes))}
@@ -37,8 +38,8 @@
 	return d.kindLatency[kind]
 }
 
-// fillUnknownLatency fills what a queue does not know of its latencies from all destinations of its
-// kind.
+// fillUnknownLatency sets the unknown mean latencies of a queue to the means over all destinations
+// of its kind.
 func (d *Dispatcher) fillUnknownLatency(q *queue) {
 	ofKind := d.latencyOfKind(q.kind)
 	if ofKind.samples == 0 {
@@ -54,8 +55,8 @@
 	}
 }
 
-// agedLatency returns the mean latency of a queue with the ages of calls in flight counted in, so
-// that a hang shows before any outcome.
+// agedLatency returns the mean latency of a queue, updated with the age of each call in flight that
+// is older than the mean, so that a hang raises the value before any outcome arrives.
 func (d *Dispatcher) agedLatency(q *queue) float64 {
 	mean := q.latency.mean
 	for _, c := range q.inFlight {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLatency_UnknownFilledFromKind guards against queues without a known latency: a lost first
-// call would keep its slot until the deadline.
+// TestLatency_UnknownFilledFromKind guards against queues without a known latency, in which a lost
+// first call is never overdue and keeps its slot until the deadline.
 func TestLatency_UnknownFilledFromKind(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Destination: 1})
 	d.Handle(0, []Event{arrival("m", 0)})
@@ -17,10 +17,10 @@
 	})
 	q := d.queues[1]
 	if q.latency.byClass[0] != 0.4 || q.latency.mean != 0.4 {
-		t.Errorf("b has %v, %v, want the latency of a", q.latency.byClass[0], q.latency.mean)
+		t.Errorf("latencies of b: %v and %v, want 0.4 as at a", q.latency.byClass[0], q.latency.mean)
 	}
 	q.latency.observe(0, 0.2)
 	if got := q.latency.byClass[0]; math.Abs(got-0.3) > 1e-9 {
-		t.Errorf("own first outcome counts half: %v, want 0.3", got)
+		t.Errorf("latency after the first sample: %v, want 0.3, the mean of sample and initial value", got)
 	}
 }
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	// loweredLimitShare is the share of its listed rate under which a reported limit counts:
-	// reports are noisy, and a destination that lowers its limit lowers it by far more.
+	// loweredLimitShare is the share of the listed rate below which a reported rate limit replaces
+	// the listed rate. Reports are noisy, and a destination that lowers its limit lowers it by far
+	// more than the noise.
 	loweredLimitShare = 0.7
-	// reportGain is the weight of a new report in the reported limit.
+	// reportGain is the weight of a new report in the moving average of reported limits.
 	reportGain = 0.3
-	// minRemaining of its allowance a destination must report for a send rate to rise, where it
-	// reports at all.
+	// minRemaining is the share of its rate limit allowance that a destination must report as left
+	// for the send rate to rise. It does not apply to answers without a load report.
 	minRemaining = 0.5
 )
 
-// recordReportedLimit learns from the rate limit that a destination reports: it may take less than
-// it is listed with for a while, and rejects what it gets above that. The send rate starts anew at
-// the even share where the limit has changed.
+// recordReportedLimit records the rate limit that a destination reports. A destination may accept
+// less than its listed rate for a while and reject calls above its reported limit. If the effective
+// limit has changed, the send rate is reset to the relay's even share.
 func (d *Dispatcher) recordReportedLimit(q *queue, limit float64) {
 	if !(limit > 0) || math.IsInf(limit, 0) || q.listedRate == 0 {
 		return
@@ -32,7 +33,7 @@
 	}
 }
 
-// hasChanged reports whether a rate differs from an earlier one by more than noise.
+// hasChanged reports whether two rates differ by more than the noise of load reports.
 func hasChanged(before, now float64) bool {
 	return now < loweredLimitShare*before || before < loweredLimitShare*now
 }
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A destination that lowers its limit reports that in its answers: the send rate goes to this
-// relay's share of what is left. Noise about the listed rate changes nothing, and the next report
-// ends the lower limit.
+// If a destination reports a lower rate limit, the send rate is reset to this relay's share of that
+// limit. Noise around the listed rate changes nothing. A later report near the listed rate ends the
+// lowered limit.
 func TestLoadReport_SendRateFollowsReportedLimit(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 2
@@ -24,7 +24,7 @@
 		{-3, 10, 10}, // noise, and unusable values
 		{4, 2, 2},
 		{4.4, 2, 2.06}, // lowered
-		{20, 10, 10},   // back
+		{20, 10, 10},   // restored
 		{0.2, 0.2, 0.1},
 		{1e9, 10, 10}, // the listed rate bounds it
 	} {
@@ -39,10 +39,10 @@
 		d.recordSuccess(d.endpoints["a"], true)
 	}
 	if q.sendRate != 4 {
-		t.Errorf("send rate %v after many successes, want the 4 reported", q.sendRate)
+		t.Errorf("send rate %v after many successes, want the reported limit of 4", q.sendRate)
 	}
 	unlisted := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
 	if unlisted.recordReportedLimit(unlisted.queues[0], 4); unlisted.queues[0].sendRate != 0 {
-		t.Errorf("send rate %v where no rate is listed", unlisted.queues[0].sendRate)
+		t.Errorf("send rate %v without a listed rate, want 0", unlisted.queues[0].sendRate)
 	}
 }
--- a/policy/message.go
+++ b/policy/message.go
@@ -2,60 +2,61 @@
 
 import "time"
 
-// backgroundSeqOffset puts a background message behind all others of its queue: no process accepts
-// as many.
+// backgroundSeqOffset is added to the sequence number of a background message, so that the message
+// is queued behind all others. It is larger than the number of messages that a process can accept.
 const backgroundSeqOffset = 1 << 40
 
-// messageState says what a message still owes and is owed. The transitions:
+// messageState says whether a message has its terminal outcome, and whether that outcome still has
+// to be acknowledged. The transitions:
 //
-//	from            to              by
+//	from            to              on
 //	active          completed       delivery, cancellation, or an outcome without acknowledgement
 //	active          unacknowledged  an outcome that must be acknowledged (completeWithNotice)
 //	unacknowledged  completed       Acknowledged
 //
-// An active message is queued (queue is set) or has attempts in flight. A completed one is evicted
-// once none of its attempts is in flight and its order key has cooled down.
+// An active message is queued (queue is set), has attempts in flight or awaits admission in the
+// current batch. A completed message is evicted when none of its attempts is in flight and the
+// cooldown of its order key has ended.
 type messageState int
 
 const (
-	messageActive         messageState = iota // has no terminal outcome yet
-	messageUnacknowledged                     // its terminal outcome was given and is not acknowledged yet
-	messageCompleted                          // nothing is owed any more
+	messageActive         messageState = iota // no terminal outcome yet
+	messageUnacknowledged                     // terminal outcome given, but not acknowledged yet
+	messageCompleted                          // terminal outcome given, no acknowledgement pending
 )
 
-// message is a message that was accepted and is not evicted yet.
+// message is a message that has arrived and is not evicted yet.
 type message struct {
 	Arrived
-	// terms are those of its class that hold for it: as at its acceptance, or stricter by the
-	// settings since.
+	// terms are the class terms that apply to the message: those at its acceptance, made stricter
+	// where later settings have stricter idempotency.
 	terms         *Class
-	seq           int // order in its queue
+	seq           int // position in a queue: lower numbers first
 	deadline      time.Duration
 	state         messageState
-	queue         *queue // where it is queued; nil while it is not
+	queue         *queue // nil if the message is not queued
 	attempts      []attempt
-	openAttempts  int           // those in flight
-	cooldownUntil time.Duration // its order key stays blocked until then
+	openAttempts  int           // attempts in flight
+	cooldownUntil time.Duration // end of the cooldown of its order key
 }
 
-// attemptState says whether an attempt may have executed.
+// attemptState says whether an attempt has an outcome and whether it may have executed.
 type attemptState int
 
 const (
-	attemptInFlight    attemptState = iota // has no outcome yet, and may execute
-	attemptEnded                           // has an outcome, and may have executed
-	attemptNotExecuted                     // has an outcome that proves that it did not execute
+	attemptInFlight    attemptState = iota // no outcome yet; may have executed
+	attemptEnded                           // has an outcome; may have executed
+	attemptNotExecuted                     // has an outcome that proves that the attempt did not execute
 )
 
-// attempt is one attempt of a message: its part of a call.
+// attempt is an attempt of a message, carried by a call.
 type attempt struct {
 	call  *call
 	sent  time.Duration
 	state attemptState
 }
 
-// accept registers a new message. One of an unknown class, or with an ID that is in use, is
-// ignored.
+// accept registers a new message. A message with an unknown class or an ID in use is ignored.
 func (d *Dispatcher) accept(e Arrived) {
 	if e.Class < 0 || e.Class >= len(d.settings.Classes) || d.messages[e.ID] != nil {
 		return
@@ -80,7 +81,7 @@
 	d.arrivals = append(d.arrivals, m)
 }
 
-// firstExecuted returns the first attempt that executed or may have, or nil.
+// firstExecuted returns the first attempt that may have executed, or nil.
 func (m *message) firstExecuted() *attempt {
 	for i := range m.attempts {
 		if m.attempts[i].state != attemptNotExecuted {
--- a/policy/order.go
+++ b/policy/order.go
@@ -5,17 +5,19 @@
 	"slices"
 )
 
-// ordered reports whether a message is sent in order with others of its key.
+// ordered reports whether a message must be sent in order with the other messages of its order key.
 func (m *message) ordered() bool { return m.terms.Ordered && m.OrderKey != "" }
 
-// inTurn reports whether no earlier message with the order key of m blocks it.
-func (d *Dispatcher) inTurn(m *message) bool {
+// isNextInOrder reports whether order allows m to be sent: m is not ordered, or no earlier message
+// blocks its order key.
+func (d *Dispatcher) isNextInOrder(m *message) bool {
 	return !m.ordered() || d.orderKeys[m.OrderKey][0] == m
 }
 
-// coolDown reports whether a completed message still blocks its order key: its last attempt may
-// still be executing.
-func (d *Dispatcher) coolDown(m *message) bool {
+// trackKeyCooldown reports whether a completed message still blocks its order key, because its last
+// attempt may still be executing. It adds the message to coolingDown, or removes it if the cooldown
+// has ended.
+func (d *Dispatcher) trackKeyCooldown(m *message) bool {
 	if d.now >= m.cooldownUntil {
 		d.coolingDown = remove(d.coolingDown, m)
 		return false
@@ -26,14 +28,15 @@
 	return true
 }
 
-// endKeyCooldowns evicts the completed messages whose order keys have cooled down.
+// endKeyCooldowns evicts the completed messages whose cooldown has ended.
 func (d *Dispatcher) endKeyCooldowns() {
 	for _, m := range slices.Clone(d.coolingDown) {
 		d.evict(m)
 	}
 }
 
-// releaseOrderKey lets the next message of an order key go.
+// releaseOrderKey removes a message from its order key, so that the next message with that key may
+// be sent.
 func (d *Dispatcher) releaseOrderKey(m *message) {
 	if waiting := remove(d.orderKeys[m.OrderKey], m); len(waiting) > 0 {
 		d.orderKeys[m.OrderKey] = waiting
@@ -42,13 +45,13 @@
 	}
 }
 
-// restoredTerms are the terms of the messages that stand for a predecessor's cooldowns: of their
-// class only the order matters.
-var restoredTerms = Class{Ordered: true}
+// cooldownOnlyTerms are the terms of the placeholder messages of restoreKeyCooldown. They only mark
+// the placeholders as ordered.
+var cooldownOnlyTerms = Class{Ordered: true}
 
-// keyCooldowns returns the order keys that are blocked after a message with an outcome, also those
-// whose cooldown begins to count only once that outcome is acknowledged: the next process gets such
-// a message without its attempts. They are sorted by key.
+// keyCooldowns returns the order keys in cooldown after a message with a terminal outcome, sorted
+// by key. They include the keys of unacknowledged messages, which are not in coolingDown yet: the
+// successor process gets these messages without their attempts, and could not compute the cooldown.
 func (d *Dispatcher) keyCooldowns() (cooldowns []KeyCooldownSnapshot) {
 	add := func(m *message) {
 		if m.ordered() && d.now < m.cooldownUntil {
@@ -69,12 +72,12 @@
 	return cooldowns
 }
 
-// restoreKeyCooldown blocks an order key that a predecessor knew to be cooling down. What stands
-// for the predecessor's message has no ID, no class and no queue; it meets evict, coolDown,
-// ordered and the timer, and is never among d.messages.
+// restoreKeyCooldown blocks an order key that was in cooldown in the predecessor process. It
+// creates a placeholder for the predecessor's message, which has no ID, class or queue and is never
+// in d.messages. Only evict, trackKeyCooldown, ordered and armTimer process the placeholder.
 func (d *Dispatcher) restoreKeyCooldown(cooldown KeyCooldownSnapshot) {
 	m := &message{
-		Arrived: Arrived{OrderKey: cooldown.Key}, terms: &restoredTerms, state: messageCompleted,
+		Arrived: Arrived{OrderKey: cooldown.Key}, terms: &cooldownOnlyTerms, state: messageCompleted,
 		cooldownUntil: cooldown.Until,
 	}
 	d.orderKeys[cooldown.Key] = append(d.orderKeys[cooldown.Key], m)
--- a/policy/order_test.go
+++ b/policy/order_test.go
@@ -16,8 +16,9 @@
 	wantActions(t, "after cooldown", d.Handle(1300*ms, []Event{TimerFired{}}), "n>a")
 }
 
-// Where acknowledgements are awaited, the next message of a key waits for that of the one before: a
-// call that overtakes it is out of turn. What has no key, and what was delivered, blocks nothing.
+// With AwaitAcknowledgement, the next message with an order key waits until the outcome of the
+// message before it is acknowledged; otherwise it could be sent before the client learns that
+// outcome. Messages without an order key and delivered messages block nothing.
 func TestOrder_WaitsForAcknowledgement(t *testing.T) {
 	for _, awaits := range []bool{false, true} {
 		s := testSettings()
@@ -27,12 +28,12 @@
 		got := summary(d.Handle(ms, []Event{ended("m", Failed)}))
 		if !awaits {
 			if got != "fail m n>a" {
-				t.Errorf("not awaited: %q", got)
+				t.Errorf("without AwaitAcknowledgement: %q", got)
 			}
 			continue
 		}
 		if got != "fail m" {
-			t.Errorf("given up: %q", got)
+			t.Errorf("after a failed attempt: %q", got)
 		}
 		wantActions(t, "acknowledgement of another message", d.Handle(2*ms, []Event{
 			Acknowledged{ID: "x"},
@@ -44,8 +45,8 @@
 			ended("o", Failed),
 			Arrived{ID: "p", Class: 2, TimeLeft: time.Second},
 		}), "fail o p>a")
-		if n := len(d.orderKeys); n != 1 { // o's, which is not acknowledged
-			t.Errorf("%d order keys", n)
+		if n := len(d.orderKeys); n != 1 { // key of o, whose outcome is not acknowledged
+			t.Errorf("%d order keys, want 1", n)
 		}
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// unhealthyThreshold consecutive failures make an endpoint unhealthy; single errors are
-	// ordinary.
+	// unhealthyThreshold is the number of weighted consecutive failures that make an endpoint
+	// unhealthy. It is above 1 because single errors are common.
 	unhealthyThreshold = 2
-	// answeredFailureWeight is what an error or a broken connection counts: something is alive
-	// there.
+	// answeredFailureWeight is the weight of an error answer or a broken connection. It is below 1
+	// because something at the endpoint responded.
 	answeredFailureWeight = 0.5
-	// unavailableAfter of nothing but rejections means that the destination is unavailable rather
-	// than at its limit: longer than the spans in which destinations commonly count calls.
+	// unavailableAfter is the time of consecutive rejections after which a destination counts as
+	// unavailable rather than at its rate limit. It is longer than common rate limit windows.
 	unavailableAfter = 2500 * time.Millisecond
 	// earlyUnhealthyChance is the probability that a single failure makes an endpoint unhealthy;
 	// see unhealthyEarly.
 	earlyUnhealthyChance = 0.5
 )
 
-// recordFailure counts a failure of an endpoint, with a weight. One of a call sent before its last
-// success tells nothing new.
+// recordFailure counts a weighted failure of an endpoint and marks the endpoint unhealthy if there
+// were enough consecutive failures. A failure of a call sent before the endpoint's last success
+// does not count towards the endpoint's health, since it may be older than that success.
 func (d *Dispatcher) recordFailure(ep *endpoint, c *call, weight float64) {
 	for _, m := range c.messages {
 		ep.classFailures[m.Class] += weight / float64(len(c.messages))
@@ -33,12 +34,13 @@
 	}
 }
 
-// recordConnFailure counts a connection that was not to be had against all endpoints of a
-// destination. It guards against an outage of them all that shows at each one late, where relays
-// are so many that each has few calls; where they are so few that a third failure is long in
-// coming, two do. An endpoint that is down by itself is unhealthy before the count gets there. A
-// broken link looks like machines that are down: what is behind it is treated as cold as well, as
-// it may be.
+// recordConnFailure counts consecutive failures to connect across all endpoints of a queue, and
+// marks all of them unhealthy when there were too many. In a large fleet each relay makes so few
+// calls that it would detect an outage of the whole destination late at each endpoint. With low
+// traffic, where a third failure would take long to occur, two failures suffice. A single endpoint
+// that is down becomes unhealthy by its own failures before the count of the queue reaches the
+// limit. A network partition cannot be distinguished from an outage, so endpoints behind a
+// partition are treated as cold too, which they may be.
 func (d *Dispatcher) recordConnFailure(ep *endpoint, c *call) {
 	q := ep.queue
 	if d.keepsIdleConns() || ep.health.isUnhealthy() || q.lastSuccess > c.sent {
@@ -50,11 +52,14 @@
 	}
 }
 
-// unhealthyEarly reports whether so many failures or rejections are all that may be seen before a
-// destination counts as unhealthy. That costs what the recovery rate holds back where the
-// destination was only at its limit; other relays, which were not rejected, use the capacity. Half
-// of the relays may send one more trial request, by chance, but not after a Retry-After, when all
-// would; and an outage that began after a success just now is not about to end.
+// unhealthyEarly reports whether the given number of failures or rejections suffices to treat a
+// destination as unhealthy. This applies to low traffic only, where further requests would exceed
+// this relay's share of what a cold destination bears. If the destination was merely at its rate
+// limit, the cost is the calls that the recovery rate holds back; other relays, which were not
+// rejected, use that capacity. After a single failure each relay decides at random, so that half of
+// the relays may send one more trial request. A Retry-After excludes that, since all relays would
+// send at its end. A success within unavailableAfter excludes an early decision: the outage has
+// only just begun and is not about to end.
 func (d *Dispatcher) unhealthyEarly(q *queue, failures int) bool {
 	if !d.lowTraffic(q) || q.lastSuccess > 0 && d.now-q.lastSuccess <= unavailableAfter {
 		return false
@@ -69,8 +74,8 @@
 	}
 }
 
-// markUnhealthy marks an endpoint unhealthy, if it isn't yet, and lets the messages of its route
-// select another.
+// markUnhealthy marks an endpoint unhealthy if it is not yet. If the endpoint is a separate route,
+// the messages queued for it select their routes again.
 func (d *Dispatcher) markUnhealthy(ep *endpoint) {
 	if ep.health.isUnhealthy() {
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against taking a share of failing
-// calls for an outage.
+// TestRecordFailure_UnhealthyAfterConsecutiveFailures guards against treating occasional failures
+// as an outage.
 func TestRecordFailure_UnhealthyAfterConsecutiveFailures(t *testing.T) {
 	tests := []struct {
 		outcome   Outcome
@@ -23,20 +23,20 @@
 			})
 		}
 		if got := d.endpoints["a"].health.isUnhealthy(); got != tt.unhealthy {
-			t.Errorf("%d of outcome %d: unhealthy %v", tt.n, tt.outcome, got)
+			t.Errorf("%d attempts with outcome %d: unhealthy %v", tt.n, tt.outcome, got)
 		}
 	}
 }
 
-// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose further trial
-// requests overload a destination that comes back cold: the even share of 4 calls per second is
-// 0.01 for one of 400, and 2 for one of 2.
+// TestUnhealthyEarly_FewTrialsInLargeFleet guards against hundreds of relays whose repeated trial
+// requests overload a destination that recovers cold. The even share of 4 calls per second is 0.01
+// for each of 400 relays, and 2 for each of 2 relays.
 func TestUnhealthyEarly_FewTrialsInLargeFleet(t *testing.T) {
 	for _, tt := range []struct {
 		relays      int
 		outcome     Outcome
 		wait        time.Duration
-		least, most int // of 40 relays count it unhealthy after one
+		least, most int // relays of 40 that mark the endpoint unhealthy after one failure
 	}{
 		{400, Rejected, 0, 10, 30},
 		{400, ConnectError, 0, 10, 30},
@@ -62,7 +62,7 @@
 			}
 			d.recordRejection(d.queues[0], false)
 			if d.recordRejection(d.queues[0], false); tt.relays > 2 && !d.endpoints["a"].health.isUnhealthy() {
-				t.Errorf("%d relays, outcome %d: not unhealthy after more", tt.relays, tt.outcome)
+				t.Errorf("%d relays, outcome %d: not unhealthy after two more rejections", tt.relays, tt.outcome)
 			}
 		}
 		if unhealthy < tt.least || unhealthy > tt.most {
@@ -71,27 +71,27 @@
 	}
 }
 
-// Where relays are many, an outage of all endpoints of a destination is detected after more
-// consecutive failures to connect than one endpoint may have, at whichever of them. Errors, late
-// answers, a success in between, few relays and an endpoint that is down by itself are no such
-// outage.
+// In a large fleet, consecutive failures to connect are counted across all endpoints of a
+// destination, and more of them than unhealthyThreshold indicate an outage of the whole
+// destination. Errors, late answers, a success between the failures, a small fleet and a single
+// endpoint that is down do not.
 func TestConnFailure_OutageOfAllEndpoints(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		relays    int
 		weight    float64
-		ends      string // of each call: c connection refused, n no connection in time, e error, t too late, o delivered
-		unhealthy int    // endpoints of eight
+		ends      string // outcomes of the calls: c connection refused, n connection timeout, e error, t answer timeout, o delivered
+		unhealthy int    // unhealthy endpoints of eight
 	}{
-		{"as many as one may have", 300, 3000, "cc", 0},
-		{"one more", 300, 3000, "ccc", 8},
+		{"as many failures as make one endpoint unhealthy", 300, 3000, "cc", 0},
+		{"one failure more", 300, 3000, "ccc", 8},
 		{"errors", 300, 3000, "eeeee", 0},
-		{"connections that do not come up", 300, 3000, "nnn", 8},
+		{"connection timeouts", 300, 3000, "nnn", 8},
 		{"late answers", 300, 3000, "ttttt", 0},
-		{"a success between", 300, 3000, "ccocc", 0},
-		{"where a relay has few calls", 300, 120, "cc", 8},
-		{"one is not enough there either", 300, 120, "c", 0},
-		{"few relays, each with many calls", 3, 3000, "ccccc", 0},
+		{"a success between the failures", 300, 3000, "ccocc", 0},
+		{"low traffic", 300, 120, "cc", 8},
+		{"low traffic, one failure", 300, 120, "c", 0},
+		{"small fleet, many calls per relay", 3, 3000, "ccccc", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings()
@@ -139,7 +139,7 @@
 		})
 	}
 
-	// One of two that is down by itself: the other answers, and stays healthy.
+	// Only one of two endpoints is down: the other one answers and stays healthy.
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 300
 	d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 3000}, Endpoint{ID: "b", Weight: 3000})
@@ -147,7 +147,7 @@
 	for i := range 12 {
 		id := fmt.Sprint("m", i)
 		now += 500 * ms
-		d.endpoints["a"].classFailures[0] = 0 // else b gets all messages of the class
+		d.endpoints["a"].classFailures[0] = 0 // otherwise b gets all messages of the class
 		for _, a := range d.Handle(now, []Event{arrival(id, 0)}) {
 			if send, ok := a.(Send); ok {
 				end := AttemptEnded{ID: id, Endpoint: send.Endpoint, Outcome: ConnectError, Latency: 40 * ms}
@@ -164,17 +164,17 @@
 	}
 }
 
-// What happens: a destination that fails nearly all calls for ten seconds and comes back cold is overloaded at its return (bench, site
-// seedbank-lots, throng+brink+mass, seed 340045587386: "sent 3.8 times what it could then do", six plays of six). Why: where no weight is
-// listed a relay never took its traffic for low, so that it waited for four failures in a row; of thirty relays with a call in some
-// seconds each, most never had as many. Evidence: a log line for each call to an endpoint that is out or in slow start had none before the
-// destination's return; calls went out as to a healthy one.
+// TestUnhealthyEarly_FewCallsWithoutListedWeight guards against an outage that goes undetected
+// where no weight is listed. Relays then never counted their traffic as low and waited for four
+// failures in a row. Of thirty relays with one call in some seconds each, most never had four
+// failures during an outage of ten seconds, kept sending as to a healthy destination, and
+// overloaded it with 3.8 times its capacity when it recovered cold.
 func TestUnhealthyEarly_FewCallsWithoutListedWeight(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		interval    time.Duration // between calls
-		least, most int           // of 40 relays count the destination unhealthy after three failures
-	}{{"a call in four seconds", 4 * time.Second, 25, 40}, {"five calls a second", 200 * ms, 0, 0}} {
+		least, most int           // relays of 40 that mark the destination unhealthy after three failures
+	}{{"a call every four seconds", 4 * time.Second, 25, 40}, {"five calls per second", 200 * ms, 0, 0}} {
 		t.Run(tt.name, func(t *testing.T) {
 			unhealthy := 0
 			for seed := range int64(40) {
@@ -201,7 +201,7 @@
 				}
 			}
 			if unhealthy < tt.least || unhealthy > tt.most {
-				t.Errorf("%d of 40 relays count it unhealthy, want %d to %d", unhealthy, tt.least, tt.most)
+				t.Errorf("%d of 40 relays mark the destination unhealthy, want %d to %d", unhealthy, tt.least, tt.most)
 			}
 		})
 	}
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,55 +6,57 @@
 	"time"
 )
 
-// queue is one of the paper's parallel first-come queues: the messages for a destination, or for
-// one route of it, and what is known of the endpoints behind it.
+// queue is one of the paper's parallel first-come, first-served queues. It holds the messages for a
+// destination, or for one separate route of a destination, and the statistics and limits of the
+// endpoints that serve it.
 type queue struct {
 	destination   *destination
-	kind          int // of its endpoints
-	maxBatch      int // most messages in one call
+	kind          int // kind of the destination, as in Endpoint
+	maxBatch      int // largest number of messages in a call
 	separateRoute bool
 	endpoints     []*endpoint
 	queued        []*message // in order of arrival
 	inFlight      []*call
-	active        bool // among Dispatcher.activeQueues
+	active        bool // in Dispatcher.activeQueues
 
 	latency    latencyStats
-	listedRate float64 // calls per second from all relays by the endpoint list; 0 for unknown
-	// reportedLimit is the same by the destination's load reports; 0 for unknown.
+	listedRate float64 // rate limit in the endpoint list, in calls per second of all relays; 0 if unknown
+	// reportedLimit is the rate limit in the destination's load reports, in calls per second of all
+	// relays; 0 if unknown.
 	reportedLimit float64
-	sendRate      float64 // calls per second of this relay; 0 for unknown
+	sendRate      float64 // of this relay, in calls per second; 0 if not limited
 	sendBucket    tokenBucket
 
-	retryAfterUntil time.Duration // end of the time for which the destination asked not to be called
+	retryAfterUntil time.Duration // end of the destination's last Retry-After
 	backoffUntil    time.Duration // end of the backoff after a rejection
-	connHoldUntil   time.Duration // end of a backoff that holds back new connections only
-	backoffStart    time.Duration // start of the latest backoff of either sort
+	connHoldUntil   time.Duration // end of a backoff that applies to new connections only
+	backoffStart    time.Duration // start of the last backoff of either kind
 
 	rejections         int           // consecutive rejections
-	firstRejection     time.Duration // the first of them
-	lastLimitRejection time.Duration // the last rejection by a rate limit; 0 for never
-	lastSuccess        time.Duration // 0 for never
-	connFailures       float64       // consecutive failures to connect to endpoints that were not unhealthy
-	unhealthy          bool          // the latest news of an endpoint's health was bad
+	firstRejection     time.Duration // time of the first of these rejections
+	lastLimitRejection time.Duration // time of the last rejection by a rate limit; 0 if there was none
+	lastSuccess        time.Duration // time of the last successful call; 0 if there was none
+	connFailures       float64       // consecutive failures to connect, at endpoints that were not unhealthy
+	unhealthy          bool          // an endpoint became unhealthy after the last successful call
 
 	arrivals decayingCounter
-	// The shadow queue gets the same arrivals under the basic rule alone; see feedShadowQueue.
+	// The shadow queue gets the same arrivals and admits by the basic admission policy alone; see
+	// recordShadowArrival.
 	shadowRejections decayingCounter
 	shadowBacklog    float64 // seconds
 	shadowAt         time.Duration
 
-	// reusableConn is an endpoint at which a call succeeded in this batch: its connection may carry
-	// the next one.
+	// reusableConn is an endpoint at which a call succeeded in the current batch, so that the
+	// connection of that call may carry the next call; nil if there is none.
 	reusableConn *endpoint
 }
 
-// pausedUntil returns when the next call may leave on a new connection, as far as Retry-After and
-// backoff tell.
+// pausedUntil returns the time from which Retry-After and backoff allow a call on a new connection.
 func (q *queue) pausedUntil() time.Duration {
 	return max(q.retryAfterUntil, q.backoffUntil, q.connHoldUntil)
 }
 
-// acceptsWork reports whether a queue has an endpoint that takes new calls.
+// acceptsWork reports whether a queue has an endpoint that is neither draining nor removed.
 func (q *queue) acceptsWork() bool {
 	for _, ep := range q.endpoints {
 		if !ep.Draining && !ep.Removed {
@@ -64,7 +66,7 @@
 	return false
 }
 
-// enqueue puts a message into a queue, by its order of arrival.
+// enqueue inserts a message into a queue by its sequence number.
 func (d *Dispatcher) enqueue(q *queue, m *message) {
 	i := sort.Search(len(q.queued), func(i int) bool { return q.queued[i].seq > m.seq })
 	q.queued = slices.Insert(q.queued, i, m)
@@ -72,7 +74,7 @@
 	d.activate(q)
 }
 
-// dequeue takes a message out of its queue, if it is in one.
+// dequeue removes a message from its queue if it is queued.
 func (m *message) dequeue() {
 	if m.queue != nil {
 		m.queue.queued = remove(m.queue.queued, m)
@@ -80,7 +82,7 @@
 	}
 }
 
-// activate notes that a queue has something to do.
+// activate adds a queue to the active queues.
 func (d *Dispatcher) activate(q *queue) {
 	if !q.active {
 		q.active = true
@@ -88,8 +90,8 @@
 	}
 }
 
-// deactivateQueues drops the queues that have nothing to do from the active ones, and removes
-// routes that have left the list.
+// deactivateQueues removes the queues without queued messages and calls in flight from the active
+// queues, and deletes the queues of separate routes that are no longer listed.
 func (d *Dispatcher) deactivateQueues() {
 	d.activeQueues = slices.DeleteFunc(d.activeQueues, func(q *queue) bool {
 		q.active = len(q.queued) > 0 || len(q.inFlight) > 0
@@ -100,7 +102,7 @@
 	})
 }
 
-// remove deletes the first v from a list and keeps the order.
+// remove deletes the first occurrence of v from a list and keeps the order.
 func remove[T comparable](list []T, v T) []T {
 	if i := slices.Index(list, v); i >= 0 {
 		return append(list[:i], list[i+1:]...)
--- a/policy/rate_control_test.go
+++ b/policy/rate_control_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSendRate_FallsOnRejectionAndRisesOnSuccess guards against a send rate that rejections lower
-// for good, and against one that rises although the destination reports that its allowance is used
-// up.
+// TestSendRate_FallsOnRejectionAndRisesOnSuccess guards against a send rate that stays low after
+// rejections, and against a send rate that rises although the destination reports that its rate
+// limit allowance is used up.
 func TestSendRate_FallsOnRejectionAndRisesOnSuccess(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 4
@@ -24,7 +24,7 @@
 	q.queued = []*message{{}}
 	d.recordSuccess(d.endpoints["a"], false)
 	if q.sendRate != 2*rateDecrease {
-		t.Errorf("send rate %v rose without allowance left", q.sendRate)
+		t.Errorf("send rate %v: raised without allowance left", q.sendRate)
 	}
 	d.recordSuccess(d.endpoints["a"], true)
 	if want := 2*rateDecrease + 2*rateIncrease; math.Abs(q.sendRate-want) > 1e-9 {
@@ -33,12 +33,12 @@
 }
 
 // TestSendRate_StartsAtEvenShareOrMinimum guards against a send rate that starves relays whose even
-// share is a call in many seconds.
+// share is only one call in many seconds.
 func TestSendRate_StartsAtEvenShareOrMinimum(t *testing.T) {
 	for _, tt := range []struct {
 		relays int
 		want   float64
-	}{{2, 2}, {400, minCallsPerSpan}} { // 4 per second are 2 for one of 2, 0.01 for one of 400: chance decides
+	}{{2, 2}, {400, minCallsPerWindow}} { // of 4 calls per second, the even share of each of 400 relays is 0.01, which is below the minimum
 		s := testSettings()
 		s.Instances, s.Weights = tt.relays, WeightsNominal
 		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: 4})
@@ -48,8 +48,8 @@
 	}
 }
 
-// A rate that is absent, not a number or negative is none: there is no send rate then, and what was
-// known before stays.
+// A listed rate that is absent, infinite, not a number or negative is ignored: a new queue gets no
+// send rate, and an earlier rate is kept.
 func TestListedRate_IgnoresUnusableRates(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.Instances = WeightsNominal, 80
@@ -66,20 +66,20 @@
 	}
 }
 
-// The send rate of a destination that takes many calls rises no faster in a second than that of one
-// that takes few.
+// Relative to the even share, the send rate rises no faster for a destination with a high rate
+// limit than for a destination with a low one.
 func TestSendRate_BoundedIncreasePerSecond(t *testing.T) {
 	for _, rate := range []float64{8, 80, 800} {
 		s := testSettings()
 		s.Weights, s.Instances = WeightsNominal, 2
 		d := newDispatcher(t, s, Endpoint{ID: "a", Weight: rate})
 		q := d.queues[0]
-		for range int(q.sendRate) / 2 { // as many successes as in half a second at the even share
+		for range int(q.sendRate) / 2 { // the successes of half a second at the even share
 			q.queued = []*message{{}}
 			d.recordSuccess(d.endpoints["a"], true)
 		}
 		if most := (1 + rateIncrease*maxIncreasesPerSecond/2) * d.evenShare(q); q.sendRate <= d.evenShare(q) || q.sendRate > most+1e-9 {
-			t.Errorf("a limit of %v per second: send rate %v after half a second, want more than %v and %v at most",
+			t.Errorf("limit of %v per second: send rate %v after half a second, want more than %v and at most %v",
 				rate, q.sendRate, d.evenShare(q), most)
 		}
 	}
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -1,8 +1,8 @@
 package policy
 
-// recoverMessage puts a message that an earlier process accepted back into its queue, with the
-// attempts made for it. One whose outcome is decided blocks its order key until that is
-// acknowledged.
+// recoverMessage restores a message that an earlier process accepted, with its attempts, and queues
+// it unless an attempt is in flight. A message whose outcome is decided only blocks its order key
+// until the outcome is acknowledged.
 func (d *Dispatcher) recoverMessage(m *message) {
 	if m.OutcomeDecided {
 		d.completeWithNotice(m)
@@ -12,16 +12,16 @@
 		d.recoverAttempt(m, prior)
 	}
 	if m.openAttempts > 0 {
-		return // its AttemptEnded decides what becomes of it
+		return // the AttemptEnded that follows determines how the message continues
 	}
 	if m.Background && len(m.attempts) > 0 {
-		d.giveUp(m) // it had its one attempt
+		d.giveUp(m) // a background message has one attempt
 		return
 	}
 	d.enqueue(d.selectRoute(m), m)
 }
 
-// recoverAttempt adds an attempt that an earlier process made.
+// recoverAttempt adds an attempt of an earlier process to a message.
 func (d *Dispatcher) recoverAttempt(m *message, prior PriorAttempt) {
 	ep := d.endpoints[prior.Endpoint]
 	if ep == nil {
@@ -32,7 +32,7 @@
 	switch {
 	case prior.InFlight:
 		a.state = attemptInFlight
-		c.open = 1
+		c.pendingOutcomes = 1
 		m.openAttempts++
 		d.trackCall(c)
 	case prior.NotExecuted:
@@ -43,8 +43,8 @@
 	m.attempts = append(m.attempts, a)
 }
 
-// unlistedEndpoint returns an endpoint that has left the list. Its zone is not known any more: a
-// repeat that has to stay in that zone has nowhere to go.
+// unlistedEndpoint returns an endpoint that is no longer listed. Its zone is unknown, so a retry
+// that must stay in the zone of an attempt there is not possible.
 func (d *Dispatcher) unlistedEndpoint(id string, destination int) *endpoint {
 	return &endpoint{
 		Endpoint:      Endpoint{ID: id, Destination: destination, Zone: unknownZone, Removed: true},
@@ -53,8 +53,9 @@
 	}
 }
 
-// recoverHealth restores an endpoint's outage or slow start from an earlier process, so that a
-// restart in the middle of either does not send to a cold destination as to a warm one.
+// recoverHealth restores an endpoint's outage or slow start as recorded by an earlier process, so
+// that a relay restarted during either does not send calls to a cold destination at the rate of a
+// warm one.
 func (d *Dispatcher) recoverHealth(e HealthRecovered) {
 	ep := d.endpoints[e.Endpoint]
 	switch {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -23,7 +23,7 @@
 		{"idempotent, may have executed", recovered("m", idempotent, executed(time.Second)), "m>a"},
 		{"by key, within its TTL", recovered("m", byKey, executed(3*time.Second)), "m>a"},
 		{"by key, past its TTL", recovered("m", byKey, executed(4*time.Second)), "reject m"},
-		{"by key, TTL counted from the first that may have executed", recovered("m", byKey, executed(4*time.Second), executed(ms)), "reject m"},
+		{"by key, TTL counted from the first attempt that may have executed", recovered("m", byKey, executed(4*time.Second), executed(ms)), "reject m"},
 		{"not idempotent, may have executed", recovered("m", notIdempotent, executed(time.Second)), "fail m"},
 		{"not idempotent, not executed", recovered("m", notIdempotent, notExecuted, notExecuted), "m>a"},
 		{"all attempts made", recovered("m", idempotent, exhausted...), "reject m"},
@@ -45,7 +45,7 @@
 	wantActions(t, "a recovered message", d.Handle(time.Second, []Event{recovered("m", 0)}), "")
 }
 
-// After a restart in an outage, or in the slow start after one, sending goes on as before it.
+// After a restart during an outage or slow start, the limits on calls of that state still apply.
 func TestRecovery_EndpointHealth(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
@@ -64,7 +64,7 @@
 	}
 	healthy := sends()
 	if out := sends(HealthRecovered{Endpoint: "a", Unhealthy: true, At: time.Hour - time.Minute}); out > maxTrialCalls || out >= healthy {
-		t.Errorf("in an outage: %d calls at once, %d when healthy", out, healthy)
+		t.Errorf("during an outage: %d calls at once, %d when healthy", out, healthy)
 	}
 	if ramp := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Second}); ramp >= healthy {
 		t.Errorf("in slow start: %d calls at once, %d when healthy", ramp, healthy)
@@ -94,13 +94,13 @@
 		AttemptEnded{ID: "m", Endpoint: "a", Attempt: 1, Outcome: ConnectError},
 	}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", Unhealthy: true, At: 3 * time.Second}) {
-		t.Errorf("an outage: %v", got)
+		t.Errorf("persisted on an outage: %v", got)
 	}
-	wantActions(t, "the next trial request", d.Handle(7*time.Second, []Event{TimerFired{}}), "m>a")
+	wantActions(t, "next trial request", d.Handle(7*time.Second, []Event{TimerFired{}}), "m>a")
 	got = persisted(d.Handle(8*time.Second, []Event{
 		AttemptEnded{ID: "m", Endpoint: "a", Attempt: 2, Outcome: Succeeded, Final: true},
 	}))
 	if len(got) != 1 || got[0] != (PersistHealth{Endpoint: "a", At: 8 * time.Second}) {
-		t.Errorf("the recovery: %v", got)
+		t.Errorf("persisted on the recovery: %v", got)
 	}
 }
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// backoffCalls at the send rate is the first backoff after a rejection.
+	// backoffCalls is the first backoff after a rejection, as the number of calls that the send
+	// rate allows in that time.
 	backoffCalls = 0.5
-	// minBackoff is the first backoff where no send rate is known.
+	// minBackoff is the least first backoff if there is no send rate.
 	minBackoff = 100 * time.Millisecond
-	// maxBackoff is the longest: about the longest span in which destinations count calls.
+	// maxBackoff is the longest backoff before randomization, unless the first backoff is longer.
+	// It is about the longest rate limit window of destinations.
 	maxBackoff = time.Second
 )
 
-// recordRejection learns from a rejection by the destination: it lowers the send rate and begins a
-// backoff. A run of rejections is a destination that is unavailable. A rejection of the connection,
-// before the rate limit was looked at, says nothing of the limit: it leaves the send rate and holds
-// back new connections only.
+// recordRejection records a rejection by the destination: it lowers the send rate and starts a
+// backoff. After a series of rejections, the destination counts as unavailable and its endpoints as
+// unhealthy. A rejection of the connection occurs before the destination checks its rate limit. It
+// therefore leaves the send rate unchanged, and its backoff applies to new connections only.
 func (d *Dispatcher) recordRejection(q *queue, ofConnection bool) {
 	if q.rejections++; q.rejections == 1 {
 		q.firstRejection = d.now
@@ -27,7 +29,7 @@
 	}
 	backoffUntil := d.now + time.Duration(d.rejectionBackoff(q)*float64(time.Second))
 	if ofConnection {
-		q.connHoldUntil = max(q.connHoldUntil, backoffUntil) // open connections may go on
+		q.connHoldUntil = max(q.connHoldUntil, backoffUntil) // calls on open connections may continue
 	} else {
 		q.lastLimitRejection = d.now
 		q.backoffUntil = max(q.backoffUntil, backoffUntil)
@@ -39,9 +41,10 @@
 	}
 }
 
-// rejectionBackoff returns the seconds to wait after a rejection: twice as long for each in a row,
-// since rejected calls may count against the limit, and at random within half to three halves of
-// that, so that relays that were rejected together do not come back together.
+// rejectionBackoff returns the backoff after a rejection, in seconds. It doubles with each
+// consecutive rejection, since rejected calls may count against the rate limit. A random factor
+// from 0.5 to 1.5 keeps relays that were rejected at the same time from sending again at the same
+// time.
 func (d *Dispatcher) rejectionBackoff(q *queue) float64 {
 	first := math.Max(minBackoff.Seconds(), q.latency.mean)
 	if q.sendRate > 0 {
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -10,7 +10,7 @@
 	for _, tt := range []struct {
 		kind int
 		want string
-	}{{0, ""}, {2, "n>b"}} { // by one endpoint for the whole destination, or for a separate route
+	}{{0, ""}, {2, "n>b"}} { // Retry-After of one endpoint applies to the whole destination, or only to its separate route
 		d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: tt.kind}, Endpoint{ID: "b", Kind: tt.kind})
 		d.Handle(0, []Event{arrival("m", 0)})
 		d.Handle(ms, []Event{
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against losing a Retry-After that comes with
-// the first of several outcomes of one call.
+// TestRetryAfter_HoldsFromFirstOutcomeOfBatch guards against losing a Retry-After that arrives with
+// the first of several outcomes of a call.
 func TestRetryAfter_HoldsFromFirstOutcomeOfBatch(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a", Kind: 1})
 	wantActions(t, "one call", d.Handle(0, []Event{arrival("m", 0), arrival("n", 0)}), "m>a n>a")
@@ -36,9 +36,9 @@
 	wantActions(t, "before Retry-After has passed", got, "")
 }
 
-// Attempts to a destination that answers with Retry-After are cancelled where they have not left:
-// they did not execute, and are retried after that time. Calls to others, and rejections without
-// Retry-After, cancel nothing.
+// When a destination answers with Retry-After, its attempts of which no byte has been sent are
+// cancelled. They did not execute and are retried after Retry-After. Attempts at other destinations
+// are not cancelled, and a rejection without Retry-After cancels nothing.
 func TestRetryAfter_CancelsBeforeSend(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestRejection_BackoffIsRandomized guards against relays that are rejected together and come back
-// together.
+// TestRejection_BackoffIsRandomized guards against relays that are rejected at the same time and
+// then send again at the same time.
 func TestRejection_BackoffIsRandomized(t *testing.T) {
 	s := testSettings()
 	s.Instances, s.Weights = 400, WeightsNominal
@@ -102,12 +102,12 @@
 		seen[d.queues[0].backoffUntil] = true
 	}
 	if len(seen) < 4 {
-		t.Errorf("five relays come back at %d different times", len(seen))
+		t.Errorf("five relays send again at %d different times, want at least 4", len(seen))
 	}
 }
 
-// Calls that were in flight together and are rejected together are one rejection: all were sent
-// before the first outcome.
+// Calls that were in flight at the same time and are all rejected count as one rejection, because
+// all of them were sent before the first rejection arrived.
 func TestRejection_CallsRejectedTogetherCountOnce(t *testing.T) {
 	s := testSettings()
 	s.Weights, s.MaxInFlight = WeightsNominal, 16
@@ -127,7 +127,7 @@
 	if q.rejections != 1 || q.sendRate != 100*rateDecrease && q.sendRate != (100+100)/2 || q.backoffUntil > 50*ms+20*ms {
 		t.Errorf("%d consecutive rejections, send rate %v, backoff %v", q.rejections, q.sendRate, q.backoffUntil-50*ms)
 	}
-	// The first one that is sent after the backoff and rejected is the second rejection.
+	// The next call sent after the backoff and rejected counts as the second rejection.
 	at := 50 * ms
 	for n := 2; n < 6; n++ {
 		at = max(q.backoffUntil, at) + 50*ms
@@ -136,7 +136,7 @@
 			t.Fatalf("nothing is sent after the backoff, at %v", at)
 		}
 		at += 10 * ms
-		c := q.inFlight[len(q.inFlight)-1] // the latest
+		c := q.inFlight[len(q.inFlight)-1] // the newest call
 		m := c.messages[0]
 		d.Handle(at, []Event{AttemptEnded{ID: m.ID, Endpoint: "a", Attempt: len(m.attempts) - 1, Outcome: Rejected}})
 		if q.rejections != n {
@@ -148,8 +148,9 @@
 	}
 }
 
-// A destination that reports its limit and rejects without a report has no connection left: the
-// send rate stays, and a run of such rejections is a destination that is unavailable all the same.
+// A destination that reports its rate limit, but rejects a call without a report, has reached its
+// connection limit. The send rate stays unchanged, but a series of such rejections still makes the
+// destination unavailable.
 func TestRejection_OfConnectionLeavesSendRate(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -159,7 +160,7 @@
 	}{
 		{"by the rate limit", true, &LoadReport{Remaining: 0, RateLimit: 20}, true},
 		{"of the connection", true, nil, false},
-		{"where nothing is reported", false, nil, true},
+		{"of a destination without load reports", false, nil, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// attemptAllowed reports whether limits and order allow another attempt of a queued message now.
+// attemptAllowed reports whether MaxAttempts, the deadline and the message order allow another
+// attempt of a queued message now.
 func (d *Dispatcher) attemptAllowed(m *message) bool {
-	return len(m.attempts) < d.settings.MaxAttempts && d.now < m.deadline && d.inTurn(m)
+	return len(m.attempts) < d.settings.MaxAttempts && d.now < m.deadline && d.isNextInOrder(m)
 }
 
-// retryAllowed reports whether idempotency allows another attempt, at ep unless that is nil.
+// retryAllowed reports whether idempotency allows another attempt of a message at endpoint ep, or
+// at any endpoint if ep is nil.
 func (d *Dispatcher) retryAllowed(m *message, ep *endpoint) bool {
 	first := m.firstExecuted()
 	switch {
@@ -21,13 +23,13 @@
 	return d.now < d.keyExpiry(m)
 }
 
-// keyExpiry returns when a destination may have forgotten the idempotency key of a message that may
-// have executed there.
+// keyExpiry returns the time after which the idempotency key of a message that may have executed is
+// not relied on: KeyTTL after its first such attempt, less a margin of two batch intervals.
 func (d *Dispatcher) keyExpiry(m *message) time.Duration {
 	return m.firstExecuted().sent + m.terms.KeyTTL - 2*d.settings.BatchInterval
 }
 
-// retryableCall reports whether every message of a call may be sent again after it.
+// retryableCall reports whether every message of a call may be sent again if the call is cancelled.
 func (d *Dispatcher) retryableCall(c *call) bool {
 	for _, m := range c.messages {
 		if m.terms.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts || !d.retryAllowed(m, nil) {
@@ -37,8 +39,8 @@
 	return true
 }
 
-// afterAttempt decides what becomes of a message after one of its attempts: it is complete, waits
-// for another attempt in flight, is given up, or is queued for a retry.
+// afterAttempt determines how a message continues after an attempt has ended: it is completed,
+// waits for another attempt in flight, is given up, or is queued for a retry.
 func (d *Dispatcher) afterAttempt(m *message, e *AttemptEnded) {
 	switch {
 	case e.Final || e.Outcome == Succeeded:
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -50,8 +50,9 @@
 	wantActions(t, "key expired", got, "reject m")
 }
 
-// Where only the zone of the first attempt drops repeats, a message that may have executed at an
-// endpoint which has left the list is not sent after a restart: that zone is not known any more.
+// With KeyPerZone, only the zone of the first attempt drops repeats. A message that may have
+// executed at an endpoint that is no longer listed is therefore not sent again after a restart,
+// because the zone of that endpoint is unknown.
 func TestRetry_KeyPerZoneAndUnknownZone(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].KeyPerZone = true
@@ -77,8 +78,8 @@
 	}
 }
 
-// A retry of a message that may have executed has to leave before its idempotency key expires,
-// however late its connection comes up.
+// A retry of a message that may have executed must be written before its idempotency key expires,
+// however long its connection takes to establish.
 func TestRetry_WriteWithinKeyTTL(t *testing.T) {
 	const latency = 500 * ms
 	for _, tt := range []struct {
@@ -99,13 +100,13 @@
 		})
 		for now := latency; summary(actions) == "" && now < 3*time.Second; now += ms {
 			actions = d.Handle(now, []Event{TimerFired{}})
-			tt.want = max(0, tt.want-ms) // stays 0 in the backoff after a rejection
+			tt.want = max(0, tt.want-ms) // stays 0 during the backoff after a rejection
 		}
 		i := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok })
 		if i < 0 {
 			t.Errorf("class %d, outcome %d: not sent again: %v", tt.class, tt.outcome, actions)
 		} else if got := actions[i].(Send).WriteWithin; got != tt.want {
-			t.Errorf("class %d, outcome %d: within %v, want %v", tt.class, tt.outcome, got, tt.want)
+			t.Errorf("class %d, outcome %d: WriteWithin %v, want %v", tt.class, tt.outcome, got, tt.want)
 		}
 	}
 }
--- a/policy/route_selection.go
+++ b/policy/route_selection.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// maxExpectedSeconds bounds an expected latency, so that it fits into a time.Duration.
+// maxExpectedSeconds bounds an expected latency so that it fits into a time.Duration.
 const maxExpectedSeconds = 1e6
 
-// selectRoute returns the queue for a message. Among separate routes it is the one with the least
-// cost.
+// selectRoute returns the queue for a message. Among separate routes, it selects the route with the
+// least cost.
 func (d *Dispatcher) selectRoute(m *message) *queue {
 	queues := d.destination(m.Destination).queues
-	best, least := queues[0], math.Inf(1)
+	best, leastCost := queues[0], math.Inf(1)
 	for _, q := range queues {
 		d.fillUnknownLatency(q)
 		if !q.separateRoute || !q.acceptsWork() {
 			continue
 		}
-		if cost := d.routeCost(q, m); cost < least {
-			best, least = q, cost
+		if cost := d.routeCost(q, m); cost < leastCost {
+			best, leastCost = q, cost
 		}
 	}
 	return best
 }
 
-// routeCost returns the cost that a message adds on a route, in the manner of the paper's rule
-// (25): the value lost by lateness, the work left (priced so that a whole deadline of it costs one
-// message) and the fee of the route's zone.
+// routeCost returns the cost that a message adds on a route, modelled on the paper's rule (25). It
+// is the sum of the value that the message loses by lateness, the price of the work left on the
+// route, and the cost of the route's zone. Work that takes as long as the message's deadline is
+// priced at one message of mean priority weight.
 func (d *Dispatcher) routeCost(q *queue, m *message) float64 {
 	latency := d.backlog(q) + math.Max(q.latency.byClass[m.Class], d.agedLatency(q))
 	timeLeft := m.deadline - d.now - time.Duration(math.Min(latency, maxExpectedSeconds)*float64(time.Second))
@@ -40,7 +41,7 @@
 	return cost
 }
 
-// rerouteQueued lets the queued messages of a queue select their route again.
+// rerouteQueued selects the routes of the messages of a queue again.
 func (d *Dispatcher) rerouteQueued(q *queue) {
 	for _, m := range slices.Clone(q.queued) {
 		m.dequeue()
--- a/policy/route_selection_test.go
+++ b/policy/route_selection_test.go
@@ -10,5 +10,5 @@
 	d := newDispatcher(t, s, Endpoint{ID: "a", Kind: 2}, Endpoint{ID: "b", Kind: 2, Zone: 1})
 	wantActions(t, "the cheaper of two idle routes", d.Handle(0, []Event{arrival("m", 0)}), "m>b")
 	d.queues[1].latency.mean, d.queues[1].latency.byClass[0] = 5, 5
-	wantActions(t, "the faster at a higher cost", d.Handle(0, []Event{arrival("n", 0)}), "n>a")
+	wantActions(t, "the faster of two routes at a higher zone cost", d.Handle(0, []Event{arrival("n", 0)}), "n>a")
 }
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -7,21 +7,21 @@
 	"frostlink/policy"
 )
 
-const answerTolerance = 20 * time.Millisecond
+const outcomeTolerance = 20 * time.Millisecond
 
-// checker follows events and actions and reports the first action that breaks one of the six rules:
+// checker tracks events and actions and reports the first violation of one of six rules:
 //
 //  1. Each message gets exactly one terminal outcome, by its deadline.
-//  2. No second attempt, and no rejection, that idempotency forbids.
-//  3. Nothing is sent to an endpoint that drains or was removed.
+//  2. A message gets no second attempt and no rejection that its idempotency forbids.
+//  3. No message is sent to an endpoint that is draining or removed.
 //  4. An endpoint in an outage gets no more calls than a cold destination bears.
-//  5. Messages with one order key are sent one at a time, in order of arrival.
-//  6. Nothing is sent before a Retry-After has passed.
+//  5. Messages with the same order key are sent one at a time, in order of arrival.
+//  6. No message is sent before a Retry-After has passed.
 //
-// It is written from the wording of the rules and shares no code with the module.
+// The checker implements the rules independently and shares no code with the package under test.
 type checker struct {
 	settings        policy.Settings
-	now             time.Duration // of the batch
+	now             time.Duration // time of the current batch
 	messages        map[string]*messageHistory
 	order           []*messageHistory // in order of arrival
 	endpoints       map[string]*endpointHistory
@@ -29,17 +29,17 @@
 	failures        map[string]int             // consecutive failures, by endpoint
 	lastSuccess     map[string]time.Duration   // by endpoint
 	lastFailureSent map[string]time.Duration   // by endpoint
-	sends           map[string][]time.Duration // during outages, by endpointHistory.scope
+	sends           map[string][]time.Duration // send times during outages, by endpointHistory.scope
 }
 
-// messageHistory is a message with its attempts.
+// messageHistory is the history of a message.
 type messageHistory struct {
 	policy.Arrived
 	class         policy.Class
 	deadline      time.Duration
 	attempts      []attemptHistory
 	completed     bool
-	cancelledAt   time.Duration // an outcome in the same batch breaks no rule
+	cancelledAt   time.Duration // a terminal outcome in the same batch is no violation
 	cooldownUntil time.Duration
 }
 
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// attemptHistory is one attempt of a message.
+// attemptHistory is the history of an attempt.
 type attemptHistory struct {
 	endpoint    string
 	sent        time.Duration
@@ -62,11 +62,11 @@
 	timeout     time.Duration
 }
 
-// endpointHistory is an endpoint of the list.
+// endpointHistory is an endpoint that is or was listed.
 type endpointHistory struct {
 	policy.Endpoint
 	closed bool
-	scope  string // what Retry-After and outages bind: the destination, or the separate route
+	scope  string // what Retry-After and outages apply to: the destination or the separate route
 }
 
 func newChecker(s policy.Settings) *checker {
@@ -78,8 +78,8 @@
 	}
 }
 
-// list applies a change of the endpoint list.
-func (c *checker) list(e policy.EndpointsChanged) {
+// applyEndpoints applies a change of the endpoint list.
+func (c *checker) applyEndpoints(e policy.EndpointsChanged) {
 	named := map[string]bool{}
 	for _, x := range e.Endpoints {
 		named[x.ID] = true
@@ -100,8 +100,8 @@
 	}
 }
 
-// ended applies the outcome of an attempt.
-func (c *checker) ended(e policy.AttemptEnded) {
+// attemptEnded applies the outcome of an attempt.
+func (c *checker) attemptEnded(e policy.AttemptEnded) {
 	m := c.messages[e.ID]
 	if m == nil || e.Attempt >= len(m.attempts) || !m.attempts[e.Attempt].open {
 		return
@@ -117,7 +117,8 @@
 		m.completed = true
 		c.failures[t.endpoint], c.lastSuccess[t.endpoint] = 0, c.now
 	case t.sent <= max(c.lastSuccess[t.endpoint], c.lastFailureSent[t.endpoint]):
-		// Tells nothing new: an old call, or another message of a batch.
+		// No new information: the call is older than another outcome, or the failure of its batch
+		// is already counted.
 	case e.Outcome == policy.Failed || e.Outcome == policy.ConnectionReset || e.Outcome == policy.ConnectError:
 		c.failures[t.endpoint]++
 		c.lastFailureSent[t.endpoint] = t.sent
@@ -139,29 +140,29 @@
 			c.messages[e.ID] = m
 			c.order = append(c.order, m)
 		case policy.AttemptEnded:
-			c.ended(e)
+			c.attemptEnded(e)
 		case policy.MessageCanceled:
 			if m := c.messages[e.ID]; m != nil && !m.completed {
 				m.completed, m.cancelledAt = true, now
 			}
 		case policy.EndpointsChanged:
-			c.list(e)
+			c.applyEndpoints(e)
 		}
 	}
 }
 
-// actions checks the actions on a batch.
-func (c *checker) actions(actions []policy.Action) error {
+// checkActions checks the actions of a batch.
+func (c *checker) checkActions(actions []policy.Action) error {
 	for _, a := range actions {
 		var err error
 		switch a := a.(type) {
 		case policy.Send:
-			err = c.send(a)
+			err = c.checkSend(a)
 		case policy.Reject:
-			err = c.reject(a)
+			err = c.checkReject(a)
 		case policy.Fail:
 			if m := c.messages[a.ID]; m == nil || m.completed && m.cancelledAt != c.now {
-				err = fmt.Errorf("rule 1: %s failed, but it is completed", a.ID)
+				err = fmt.Errorf("rule 1: %s failed after it was completed", a.ID)
 			} else {
 				m.completed = true
 			}
@@ -171,37 +172,37 @@
 		}
 	}
 	for _, m := range c.order {
-		if !m.completed && c.now > m.deadline+answerTolerance {
-			return fmt.Errorf("at %v: rule 1: %s has no outcome by %v", c.now, m.ID, m.deadline)
+		if !m.completed && c.now > m.deadline+outcomeTolerance {
+			return fmt.Errorf("at %v: rule 1: %s has no terminal outcome, deadline %v", c.now, m.ID, m.deadline)
 		}
 	}
 	return nil
 }
 
-// reject checks a rejection.
-func (c *checker) reject(a policy.Reject) error {
+// checkReject checks a rejection.
+func (c *checker) checkReject(a policy.Reject) error {
 	m := c.messages[a.ID]
 	if m == nil || m.completed && m.cancelledAt != c.now {
-		return fmt.Errorf("rule 1: %s rejected, but it is completed", a.ID)
+		return fmt.Errorf("rule 1: %s rejected after it was completed", a.ID)
 	}
 	m.completed = true
 	safe := m.class.Idempotency == policy.Idempotent || m.class.Idempotency == policy.IdempotentByKey && !m.class.KeyPerZone
 	if m.firstExecuted() != nil && !safe {
-		return fmt.Errorf("rule 2: %s rejected, but it may have executed", a.ID)
+		return fmt.Errorf("rule 2: %s rejected although it may have executed", a.ID)
 	}
 	return nil
 }
 
-// send checks the start of an attempt.
-func (c *checker) send(a policy.Send) error {
+// checkSend checks the start of an attempt.
+func (c *checker) checkSend(a policy.Send) error {
 	m, p := c.messages[a.ID], c.endpoints[a.Endpoint]
 	switch {
 	case m == nil || m.completed:
-		return fmt.Errorf("rule 1: %s sent, but it is completed", a.ID)
+		return fmt.Errorf("rule 1: %s sent after it was completed", a.ID)
 	case p == nil || p.Destination != m.Destination:
-		return fmt.Errorf("%s sent to %s, which is not its destination's", a.ID, a.Endpoint)
+		return fmt.Errorf("%s sent to %s, which is not an endpoint of its destination", a.ID, a.Endpoint)
 	case p.closed:
-		return fmt.Errorf("rule 3: %s sent to %s, which drains or was removed", a.ID, a.Endpoint)
+		return fmt.Errorf("rule 3: %s sent to %s, which is draining or removed", a.ID, a.Endpoint)
 	case c.now < c.retryAfterUntil[p.scope]:
 		return fmt.Errorf("rule 6: %s sent to %s before Retry-After has passed", a.ID, a.Endpoint)
 	}
@@ -213,22 +214,22 @@
 	if t := m.firstExecuted(); t != nil {
 		switch {
 		case m.class.Idempotency == policy.NotIdempotent:
-			return fmt.Errorf("rule 2: %s sent again, which is not idempotent", a.ID)
+			return fmt.Errorf("rule 2: %s sent again although it is not idempotent", a.ID)
 		case m.class.Idempotency == policy.IdempotentByKey && c.now > t.sent+m.class.KeyTTL:
-			return fmt.Errorf("rule 2: %s sent after its key expired", a.ID)
+			return fmt.Errorf("rule 2: %s sent after its idempotency key expired", a.ID)
 		case m.class.Idempotency == policy.IdempotentByKey && m.class.KeyPerZone && c.endpoints[t.endpoint].Zone != p.Zone:
-			return fmt.Errorf("rule 2: %s sent with its key to another zone", a.ID)
+			return fmt.Errorf("rule 2: %s sent to another zone than its idempotency key", a.ID)
 		}
 	}
-	if err := c.inTurn(m); err != nil {
+	if err := c.checkOrder(m); err != nil {
 		return err
 	}
 	m.attempts = append(m.attempts, attemptHistory{endpoint: a.Endpoint, sent: c.now, open: true, timeout: a.Timeout})
-	return c.outage(p)
+	return c.checkOutage(p)
 }
 
-// inTurn checks the order of messages with one order key.
-func (c *checker) inTurn(m *messageHistory) error {
+// checkOrder checks the order of messages with the same order key.
+func (c *checker) checkOrder(m *messageHistory) error {
 	if !m.class.Ordered || m.OrderKey == "" {
 		return nil
 	}
@@ -250,12 +251,12 @@
 	return nil
 }
 
-// outage checks the calls to an endpoint that only fails against this relay's part of what a cold
-// destination bears, with room for one call per endpoint, one that another endpoint's recovery
-// brings forward and two by chance.
-func (c *checker) outage(p *endpointHistory) error {
-	const certain = 5 // consecutive failures that no chance explains
-	if c.failures[p.ID] < certain {
+// checkOutage checks that an endpoint whose calls all fail gets no more calls than this relay's
+// share of what a cold destination bears. The budget also allows one call per endpoint, one call
+// that is brought forward by the recovery of another endpoint, and two by chance.
+func (c *checker) checkOutage(p *endpointHistory) error {
+	const outageFailures = 5 // consecutive failures that certainly mean an outage
+	if c.failures[p.ID] < outageFailures {
 		return nil
 	}
 	list := c.sends[p.scope]
@@ -279,7 +280,7 @@
 	}
 	allRelays := c.settings.OverloadFactor * c.settings.ColdCapacity * weight * c.settings.OverloadWindow.Seconds()
 	if budget := allRelays/float64(c.settings.Instances) + float64(endpoints+3); float64(len(list)) > budget {
-		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d endpoints %v %+v",
+		return fmt.Errorf("rule 4: %d sends to %s within %v, %.1f allowed, %d endpoints, sent at %v, settings %+v",
 			len(list), p.ID, c.settings.OverloadWindow, budget, endpoints, list, c.settings)
 	}
 	return nil
--- a/policy/rules_generator_test.go
+++ b/policy/rules_generator_test.go
@@ -8,8 +8,8 @@
 	"frostlink/policy"
 )
 
-// drawSettings draws settings.
-func drawSettings(r *rand.Rand) policy.Settings {
+// randomSettings returns random settings.
+func randomSettings(r *rand.Rand) policy.Settings {
 	s := policy.Settings{
 		Instances: []int{1, 2, 3, 4, 40, 400}[r.Intn(6)], MaxInFlight: 1 + r.Intn(12), MaxQueued: 20 + r.Intn(80), MaxAttempts: 2 + r.Intn(10),
 		Hedging: r.Intn(2) == 0, CanCancel: r.Intn(4) > 0, WatchEndpoints: r.Intn(2) == 0,
@@ -29,21 +29,21 @@
 	return s
 }
 
-// generator draws legal events from a seed. It does not model destinations.
+// generator generates random valid events. It does not model destinations.
 type generator struct {
 	random       *rand.Rand
 	settings     policy.Settings
-	checker      *checker // knows the messages and endpoints
+	checker      *checker // tracks the messages and endpoints
 	now          time.Duration
 	next         int // number of the next endpoint or message
 	timers       []time.Duration
 	endpoints    []policy.Endpoint
-	usualOutcome []policy.Outcome          // of most attempts just now, by destination
-	callOutcome  map[string]policy.Outcome // by endpoint and time of the call
+	usualOutcome []policy.Outcome          // current outcome of most attempts, by destination
+	callOutcome  map[string]policy.Outcome // by endpoint and start time of the call
 }
 
-// list draws a change of the endpoint list.
-func (g *generator) list() policy.EndpointsChanged {
+// endpointsChanged returns a random change of the endpoint list.
+func (g *generator) endpointsChanged() policy.EndpointsChanged {
 	full := g.random.Intn(3) == 0 || len(g.endpoints) == 0
 	if len(g.endpoints) == 0 || g.random.Intn(3) == 0 {
 		destination := g.random.Intn(4)
@@ -75,8 +75,8 @@
 	return policy.EndpointsChanged{Full: full, Endpoints: changed}
 }
 
-// batch moves the clock to the next time at which something is due and returns the events of that
-// time.
+// batch advances the time to the next point at which something is due, and returns the events of
+// that time.
 func (g *generator) batch() []policy.Event {
 	at := g.now + time.Duration(1+g.random.Intn(60))*5*time.Millisecond
 	for _, t := range g.timers {
@@ -105,7 +105,7 @@
 	g.timers = remaining
 	events = append(events, g.outcomes()...)
 	if g.random.Intn(12) == 0 {
-		events = append(events, g.list())
+		events = append(events, g.endpointsChanged())
 	}
 	if g.random.Intn(40) == 0 {
 		events = append(events, policy.WatchFailed{})
@@ -125,7 +125,8 @@
 	return events
 }
 
-// outcomes ends attempts: those whose timeout or deadline has passed, and others by chance.
+// outcomes returns the outcomes of attempts whose timeout or deadline has passed, and of others at
+// random.
 func (g *generator) outcomes() []policy.Event {
 	var events []policy.Event
 	for d := range g.usualOutcome {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -11,10 +11,10 @@
 	"frostlink/policy"
 )
 
-// play runs a dispatcher on seeded events under the checker and returns its actions.
-func play(seed int64, steps int) ([]policy.Action, error) {
+// runSeed runs a Dispatcher on random events under the checker and returns its actions.
+func runSeed(seed int64, steps int) ([]policy.Action, error) {
 	r := rand.New(rand.NewSource(seed))
-	s := drawSettings(r)
+	s := randomSettings(r)
 	d, err := policy.New(s, seed)
 	if err != nil {
 		return nil, err
@@ -25,7 +25,7 @@
 	}
 	var all []policy.Action
 	for range steps {
-		if r.Intn(600) == 0 { // the process is killed and starts anew
+		if r.Intn(600) == 0 { // the process is killed and restarted
 			if d, err = policy.New(s, seed); err != nil {
 				return nil, err
 			}
@@ -45,7 +45,7 @@
 				m.attempts[a.Attempt].timeout = max(1, g.now-m.attempts[a.Attempt].sent)
 			}
 		}
-		if err := g.checker.actions(actions); err != nil {
+		if err := g.checker.checkActions(actions); err != nil {
 			return all, err
 		}
 	}
@@ -54,7 +54,7 @@
 
 func TestRules_SeededEvents(t *testing.T) {
 	for seed := range int64(150) {
-		if _, err := play(seed, 500); err != nil {
+		if _, err := runSeed(seed, 500); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
@@ -63,7 +63,7 @@
 func FuzzRules(f *testing.F) {
 	f.Add(int64(1))
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if _, err := play(seed, 300); err != nil {
+		if _, err := runSeed(seed, 300); err != nil {
 			t.Error(err)
 		}
 	})
@@ -71,18 +71,18 @@
 
 func TestHandle_SameEventsSameActions(t *testing.T) {
 	for seed := range int64(10) {
-		a, _ := play(seed, 300)
-		b, _ := play(seed, 300)
+		a, _ := runSeed(seed, 300)
+		b, _ := runSeed(seed, 300)
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: two runs on the same events differ", seed)
 		}
 	}
 }
 
-// TestHandle_InterleavedDispatchers feeds two dispatchers in turns with the events of one that runs
-// alone.
+// TestHandle_InterleavedDispatchers guards against state shared between Dispatchers: two that run
+// interleaved must give the same actions as one that runs alone.
 func TestHandle_InterleavedDispatchers(t *testing.T) {
-	s := drawSettings(rand.New(rand.NewSource(3)))
+	s := randomSettings(rand.New(rand.NewSource(3)))
 	feed := func(d *policy.Dispatcher, i int) []policy.Action {
 		var events []policy.Event
 		if i == 0 {
@@ -111,18 +111,18 @@
 	for i := range 100 {
 		want := feed(alone, i)
 		if got := feed(a, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("batch %d: %v, alone %v", i, got, want)
+			t.Fatalf("batch %d: first interleaved Dispatcher %v, alone %v", i, got, want)
 		}
 		if got := feed(b, i); !reflect.DeepEqual(got, want) {
-			t.Fatalf("batch %d: %v, alone %v", i, got, want)
+			t.Fatalf("batch %d: second interleaved Dispatcher %v, alone %v", i, got, want)
 		}
 	}
 }
 
-// TestChecker_CatchesViolations shows for each rule a sequence that breaks it and that the checker
-// catches.
+// TestChecker_CatchesViolations checks for each rule that the checker detects a sequence that
+// violates it.
 func TestChecker_CatchesViolations(t *testing.T) {
-	s := drawSettings(rand.New(rand.NewSource(1)))
+	s := randomSettings(rand.New(rand.NewSource(1)))
 	s.Hedging, s.Instances, s.OrderKeyCooldown = false, 2, 0
 	s.Classes = []policy.Class{
 		{Deadline: 5 * time.Second, Idempotency: policy.Idempotent},
@@ -195,12 +195,12 @@
 			var err error
 			for _, st := range tests[name] {
 				c.events(st.at, st.events)
-				if err = c.actions(st.actions); err != nil {
+				if err = c.checkActions(st.actions); err != nil {
 					break
 				}
 			}
 			if err == nil {
-				t.Error("not caught")
+				t.Error("violation not detected")
 			}
 		})
 	}
--- a/policy/settings_change.go
+++ b/policy/settings_change.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// MergeClasses returns the table of classes after new settings: a name that was there keeps its
-// number and gets its new terms, new names follow, and what the settings no longer have stays as
-// retired. So no class is renumbered under a message.
+// MergeClasses returns the class table that results from a change of settings. Existing classes
+// keep their numbers and get their new terms, new classes are appended, and classes that the
+// settings no longer contain are marked as retired. Thus the class number of a message stays valid.
 func MergeClasses(table, settings []Class) []Class {
 	merged := slices.Clone(table)
 	for i := range merged {
@@ -23,8 +23,8 @@
 	return merged
 }
 
-// applySettings replaces the settings. Accepted messages keep the terms of their class; where its
-// idempotency is stricter now, both hold.
+// applySettings replaces the settings. Accepted messages keep the terms of their class, but
+// stricter idempotency in the new settings applies to them as well.
 func (d *Dispatcher) applySettings(s Settings) {
 	d.settings = s
 	d.updateMeanPriorityWeight()
@@ -34,7 +34,7 @@
 	}
 	for _, q := range d.queues {
 		if q.sendRate > 0 {
-			q.sendRate = math.Min(math.Max(q.sendRate, minShareOfEven*d.evenShare(q)), q.listedRate)
+			q.sendRate = math.Min(math.Max(q.sendRate, minFractionOfEvenShare*d.evenShare(q)), q.listedRate)
 		}
 	}
 	if !s.WatchEndpoints {
@@ -42,13 +42,13 @@
 	}
 }
 
-// stricterTerms returns the terms of class c under which an attempt must be allowed both by c and
-// by what the settings say now. A message of a class that was idempotent has no key for a
-// destination to remember: where the class needs one now, the message is repeated only if it never
-// executed.
+// stricterTerms returns the terms of class c with the idempotency tightened, so that they allow an
+// attempt only if both c and the current terms now allow it. If the class was Idempotent and is now
+// IdempotentByKey, the result is NotIdempotent: the message may have been accepted without an
+// idempotency key, so it is sent again only if no earlier attempt may have executed.
 func (c *Class) stricterTerms(now *Class) *Class {
-	keyTermsHold := c.Idempotency != IdempotentByKey || now.KeyTTL >= c.KeyTTL && (c.KeyPerZone || !now.KeyPerZone)
-	if now.Retired || now.Idempotency == c.Idempotency && keyTermsHold {
+	keyTermsAsStrict := c.Idempotency != IdempotentByKey || now.KeyTTL >= c.KeyTTL && (c.KeyPerZone || !now.KeyPerZone)
+	if now.Retired || now.Idempotency == c.Idempotency && keyTermsAsStrict {
 		return c
 	}
 	both := *c
@@ -56,14 +56,14 @@
 	case c.Idempotency == NotIdempotent || now.Idempotency == NotIdempotent,
 		c.Idempotency == Idempotent && now.Idempotency == IdempotentByKey:
 		both.Idempotency = NotIdempotent
-	case now.Idempotency == IdempotentByKey: // and so is c
+	case now.Idempotency == IdempotentByKey: // c is IdempotentByKey too
 		both.KeyTTL, both.KeyPerZone = min(c.KeyTTL, now.KeyTTL), c.KeyPerZone || now.KeyPerZone
 	}
 	return &both
 }
 
-// growClassTables makes room for the classes that new settings brought, wherever something is
-// stored by class.
+// growClassTables extends all slices that are indexed by class number to the current number of
+// classes.
 func (d *Dispatcher) growClassTables() {
 	grow := func(byClass *[]float64) {
 		if more := len(d.settings.Classes) - len(*byClass); more > 0 {
@@ -81,7 +81,7 @@
 	}
 	for _, m := range d.messages {
 		for _, a := range m.attempts {
-			grow(&a.call.endpoint.classFailures) // also of an endpoint that has left the list
+			grow(&a.call.endpoint.classFailures) // the endpoint may no longer be listed
 			grow(&a.call.endpoint.queue.latency.byClass)
 		}
 	}
--- a/policy/settings_change_test.go
+++ b/policy/settings_change_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The table of classes keeps every number, whatever settings come.
+// Every class keeps its number in the class table through any sequence of settings.
 func TestMergeClasses_KeepsNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), 1, 5, rapid.ID[string])
@@ -22,24 +22,24 @@
 			table = MergeClasses(table, settings)
 			for i, c := range table {
 				if n, had := number[c.Name]; had && n != i {
-					t.Fatalf("%s was number %d and is %d", c.Name, n, i)
+					t.Fatalf("class %s had number %d and now has %d", c.Name, n, i)
 				}
 				number[c.Name] = i
 				if c.Retired == in[c.Name] {
-					t.Fatalf("%s: retired %v, in the settings %v", c.Name, c.Retired, in[c.Name])
+					t.Fatalf("class %s: retired %v, in the settings %v", c.Name, c.Retired, in[c.Name])
 				}
 			}
 			for name := range in {
 				if _, ok := number[name]; !ok {
-					t.Fatalf("%s has no number", name)
+					t.Fatalf("class %s has no number", name)
 				}
 			}
 		}
 	})
 }
 
-// An attempt must be allowed both by the terms under which a message was accepted and by those of
-// the settings now.
+// An attempt must be allowed both by the terms under which the message was accepted and by the
+// terms in the current settings.
 func TestStricterTerms(t *testing.T) {
 	class := func(e Idempotency, ttl time.Duration, perZone bool) Class {
 		return Class{Name: "c", Deadline: 10 * time.Second, Idempotency: e, KeyTTL: ttl, KeyPerZone: perZone}
@@ -54,7 +54,7 @@
 		old, now, want Class
 	}{
 		{"the same", k5, k5, k5},
-		{"idempotent, by key now: it may have come without a key", s, k5, class(NotIdempotent, 0, false)},
+		{"idempotent, by key now: it may have arrived without a key", s, k5, class(NotIdempotent, 0, false)},
 		{"idempotent, not now", s, u, u},
 		{"by key, not idempotent now", k5, u, class(NotIdempotent, 5*time.Second, false)},
 		{"by key, idempotent now", k5, s, k5},
@@ -75,8 +75,9 @@
 	}
 }
 
-// New settings bind messages under way: fewer attempts end what has had them, a message keeps its
-// class when that is retired, and a new class is served beside the old ones.
+// New settings apply to unfinished messages: a message that has used up a lowered number of
+// attempts is ended, a message keeps its class when the class is retired, and messages of a new
+// class are served besides those of the old ones.
 func TestSettingsChanged_BindsMessagesUnderWay(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
@@ -97,14 +98,15 @@
 		t.Fatalf("class 0 is %+v", got)
 	}
 	added := len(next.Classes) - 1
-	wantActions(t, "new settings end nothing in flight", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "")
+	wantActions(t, "new settings end no attempt in flight", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "")
 	wantActions(t, "a message of a new class", d.Handle(now+3*ms, []Event{
 		Arrived{ID: "n", Class: added, TimeLeft: 5 * time.Second},
 	}), "n>a")
-	wantActions(t, "it is delivered", d.Handle(now+4*ms, []Event{ended("n", Succeeded)}), "")
+	wantActions(t, "delivered", d.Handle(now+4*ms, []Event{ended("n", Succeeded)}), "")
 	wantActions(t, "no third attempt", d.Handle(now+5*ms, []Event{reset("m", 1)}), "reject m")
 
-	// A queued message with as many attempts as the settings now allow is given up at once.
+	// A queued message that has used up the number of attempts in the new settings is given up at
+	// once.
 	d = newDispatcher(t, s, Endpoint{ID: "a"})
 	full := AttemptEnded{ID: "h", Endpoint: "a", Outcome: Rejected, RetryAfter: 5 * time.Second}
 	d.Handle(now, []Event{arrival("h", 0)})
@@ -112,8 +114,8 @@
 	next.MaxAttempts = 1
 	wantActions(t, "given up", d.Handle(now+2*ms, []Event{SettingsChanged{next}}), "reject h")
 
-	// A class that was idempotent and is not now: a message that was in flight under it and may
-	// have executed is neither sent again nor rejected.
+	// A class changes from idempotent to not idempotent: a message of the class that was in flight
+	// and may have executed is neither sent again nor rejected.
 	d = newDispatcher(t, s, Endpoint{ID: "a"})
 	d.Handle(now, []Event{arrival("m", 0)})
 	next = s
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -8,8 +8,8 @@
 
 func TestNew_RefusesUnusableSettings(t *testing.T) {
 	tests := []struct {
-		field string
-		spoil func(*Settings)
+		field      string
+		invalidate func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
@@ -24,14 +24,14 @@
 	for _, tt := range tests {
 		t.Run(tt.field, func(t *testing.T) {
 			s := testSettings()
-			tt.spoil(&s)
+			tt.invalidate(&s)
 			_, err := New(s, 1)
 			if err == nil || !strings.Contains(err.Error(), tt.field) {
 				t.Fatalf("error %v", err)
 			}
 			var setting *SettingError
 			if !errors.As(err, &setting) || setting.Setting != tt.field {
-				t.Errorf("error %#v, want a SettingError of %s", err, tt.field)
+				t.Errorf("error %#v, want a SettingError for %s", err, tt.field)
 			}
 		})
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,18 +6,22 @@
 )
 
 const (
-	// recoverySafety is the share used of what a cold destination bears by the settings: the rest
-	// is for other relays' uneven shares and for chance.
+	// recoverySafety is the share of the load that a cold destination bears, according to the
+	// settings, which all relays together use. The rest is a margin for uneven shares of the relays
+	// and for random variation.
 	recoverySafety = 0.8
-	// lowTrafficSafety is that share where many relays have less than a call each in
-	// OverloadWindow: with second trial requests of half of those rejected, it never reaches two
-	// thirds of what overloads the destination.
+	// lowTrafficSafety replaces recoverySafety at low traffic, where many relays each make less
+	// than one call per OverloadWindow. Even with a second trial request by half of the rejected
+	// relays (see unhealthyEarly), the total stays below two thirds of the load that overloads the
+	// destination.
 	lowTrafficSafety = 0.42
-	// recoveryBurstShare of the calls that OverloadWindow allows may be sent at once.
+	// recoveryBurstShare is the share of the calls allowed per OverloadWindow that may be sent at
+	// once.
 	recoveryBurstShare = 1.0 / 3
 )
 
-// startSlowStart begins the slow start of an endpoint that was unhealthy.
+// startSlowStart starts the slow start of an unhealthy endpoint. It also allows a trial request to
+// each other endpoint of the queue, because outages mostly end for a whole destination.
 func (d *Dispatcher) startSlowStart(ep *endpoint) {
 	d.recoveryTokens(ep)
 	ep.health, ep.recoveredAt = slowStart, d.now
@@ -26,20 +30,20 @@
 	}
 	ep.recoveryBucket.tokens = math.Max(ep.recoveryBucket.tokens, d.initialRecoveryTokens(ep))
 	d.emit(PersistHealth{Endpoint: ep.ID, At: d.now})
-	for _, other := range ep.queue.endpoints { // outages mostly end for a whole destination
+	for _, other := range ep.queue.endpoints {
 		other.recoveryBucket.tokens = math.Max(other.recoveryBucket.tokens, 1)
 	}
 }
 
-// endSlowStart ends a slow start whose time has passed.
+// endSlowStart ends the slow start of an endpoint if SlowStartTime has passed.
 func (d *Dispatcher) endSlowStart(ep *endpoint) {
 	if ep.health.hasRecovery() && d.timeSinceRecovery(ep) >= d.settings.SlowStartTime {
 		ep.health = ep.health.recoveryEnded()
 	}
 }
 
-// recoveryTokens returns how many calls to an endpoint that is unhealthy or in slow start are
-// allowed now.
+// recoveryTokens returns the number of calls that an endpoint may get now while it is unhealthy or
+// in slow start.
 func (d *Dispatcher) recoveryTokens(ep *endpoint) float64 {
 	d.endSlowStart(ep)
 	rate := d.recoveryRate(ep, d.timeSinceRecovery(ep))
@@ -56,8 +60,8 @@
 	}
 }
 
-// timeSinceRecovery returns how long an endpoint has been back from its outage, SlowStartTime at
-// most; 0 while it is unhealthy.
+// timeSinceRecovery returns the time since an endpoint recovered from its last outage, at most
+// SlowStartTime. It returns 0 for an unhealthy endpoint.
 func (d *Dispatcher) timeSinceRecovery(ep *endpoint) time.Duration {
 	if ep.health.isUnhealthy() {
 		return 0
@@ -65,14 +69,15 @@
 	return min(d.now-ep.recoveredAt, d.settings.SlowStartTime)
 }
 
-// recoveryRate returns the calls per second that this relay may make to an endpoint that has been
-// back for so long: its part of what a destination bears after an outage by the settings. Where no
-// rate is listed, that is one call per OverloadWindow of full capacity.
-func (d *Dispatcher) recoveryRate(ep *endpoint, back time.Duration) float64 {
+// recoveryRate returns the calls per second that this relay may make to an endpoint at the given
+// time since its recovery: the relay's share of the load that the destination bears after an outage
+// by the settings. If no rate is listed, the full capacity is assumed to be one call per second and
+// relay.
+func (d *Dispatcher) recoveryRate(ep *endpoint, sinceRecovery time.Duration) float64 {
 	capacity := 1.0
 	if d.settings.SlowStartTime > 0 {
 		cold := d.settings.ColdCapacity
-		capacity = cold + (1-cold)*float64(back)/float64(d.settings.SlowStartTime)
+		capacity = cold + (1-cold)*float64(sinceRecovery)/float64(d.settings.SlowStartTime)
 	}
 	listedRate := ep.queue.listedRate
 	if listedRate == 0 {
@@ -86,9 +91,11 @@
 	return allRelays / float64(d.settings.Instances*max(1, len(ep.queue.endpoints)))
 }
 
-// initialRecoveryTokens returns what a recovery rate of less than a call per OverloadWindow starts
-// with: a random part of a call, so that of many relays with a call in a minute each some try at
-// any time, and the total is what the settings allow.
+// initialRecoveryTokens returns the initial tokens of an endpoint that becomes unhealthy or enters
+// slow start: a random fraction of a call, less the calls that the recovery rate allows per
+// OverloadWindow. In a large fleet, where each relay may make a call only every minute or so, the
+// random fraction spreads the trial requests of the relays over time, so that their total stays at
+// the rate that the settings allow.
 func (d *Dispatcher) initialRecoveryTokens(ep *endpoint) float64 {
 	part := d.random.Float64()
 	rate := d.recoveryRate(ep, d.timeSinceRecovery(ep))
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestOutage_TrialRequestsWithinRecoveryRate plays each kind of outage: trial requests stay within
-// the recovery rate.
+// TestOutage_TrialRequestsWithinRecoveryRate checks for each kind of outage that trial requests
+// stay within the recovery rate.
 func TestOutage_TrialRequestsWithinRecoveryRate(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -33,7 +33,7 @@
 				}
 			}
 		}
-		// In 4 s a cold destination may take 2 × 0.2 × 5 × 4 = 8 calls.
+		// In 4 s a cold destination bears 2 × 0.2 × 5 × 4 = 8 calls.
 		if sends > 8 || sends == 0 {
 			t.Errorf("outcome %d: %d calls in 4 s of an outage", outcome, sends)
 		}
@@ -60,18 +60,18 @@
 	}
 }
 
-// TestSlowStart_SuccessAllowsTrialOfSiblings guards against slow detection of a recovery: outages
-// mostly end for a whole destination.
+// TestSlowStart_SuccessAllowsTrialOfSiblings guards against late detection of the recovery of other
+// endpoints, since outages mostly end for a whole destination.
 func TestSlowStart_SuccessAllowsTrialOfSiblings(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
 	d.markUnhealthy(a)
 	d.markUnhealthy(b)
 	if d.acceptsCall(b) {
-		t.Error("a trial request at once")
+		t.Error("trial request allowed directly after the endpoint became unhealthy")
 	}
 	d.recordSuccess(a, true)
 	if !d.acceptsCall(b) {
-		t.Error("no trial request after the other endpoint's recovery")
+		t.Error("no trial request allowed after the other endpoint's recovery")
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Snapshot is what a dispatcher has learned of its destinations, for the process that takes its
-// place. Times are those of its clock, which the two processes share. The JSON names are those of
-// the stored form.
+// Snapshot is the state of a Dispatcher that is handed over to the successor process: the
+// statistics of its destinations and the order keys in cooldown. Times are readings of a clock that
+// both processes share. The JSON names are those of the stored form.
 type Snapshot struct {
 	Queues          []QueueSnapshot         `json:"queues"`
 	Endpoints       []EndpointSnapshot      `json:"endpoints"`
@@ -17,7 +17,7 @@
 	KeyCooldowns    []KeyCooldownSnapshot   `json:"rests,omitempty"`
 }
 
-// KeyCooldownSnapshot is an order key that is blocked after a completed message.
+// KeyCooldownSnapshot is an order key that is blocked after a message with a terminal outcome.
 type KeyCooldownSnapshot struct {
 	Key   string        `json:"key"`
 	Until time.Duration `json:"until"`
@@ -30,15 +30,15 @@
 	ByClass []float64 `json:"class,omitempty"`
 }
 
-// CounterSnapshot is a decaying counter.
+// CounterSnapshot is the state of a decaying counter.
 type CounterSnapshot struct {
 	Value     float64       `json:"n,omitempty"`
 	UpdatedAt time.Duration `json:"at,omitempty"`
 	StartedAt time.Duration `json:"since,omitempty"`
 }
 
-// QueueSnapshot is what is known of a destination, or of the route of it that is named by its
-// endpoint.
+// QueueSnapshot is the state of the queue of a destination or, if Route is set, of the separate
+// route whose endpoint has the ID Route.
 type QueueSnapshot struct {
 	Destination        int             `json:"destination"`
 	Route              string          `json:"route,omitempty"`
@@ -64,7 +64,7 @@
 	Unhealthy          bool            `json:"ill,omitempty"`
 }
 
-// EndpointSnapshot is what is known of a listed endpoint.
+// EndpointSnapshot is the state of a listed endpoint.
 type EndpointSnapshot struct {
 	ID                  string        `json:"id"`
 	ConsecutiveFailures float64       `json:"failures,omitempty"`
@@ -82,12 +82,12 @@
 	ConnLimit           float64       `json:"conn_cap,omitempty"`
 }
 
-// Snapshot returns what this dispatcher has learned.
+// Snapshot returns the state to hand over to the successor process.
 func (d *Dispatcher) Snapshot() *Snapshot {
 	s := &Snapshot{
 		Kinds: map[int]LatencySnapshot{}, UnansweredShare: d.unansweredShare, KeyCooldowns: d.keyCooldowns(),
 	}
-	// In order: the same state gives the same snapshot.
+	// Sorted, so that the same state gives the same snapshot.
 	for _, number := range slices.Sorted(maps.Keys(d.destinations)) {
 		for _, q := range d.destinations[number].queues {
 			s.Queues = append(s.Queues, q.snapshot(number))
@@ -110,7 +110,7 @@
 	return CounterSnapshot{Value: c.value, UpdatedAt: c.updatedAt, StartedAt: c.startedAt}
 }
 
-// snapshot returns what is known of a queue of a destination.
+// snapshot returns the state of a queue. The parameter is the number of its destination.
 func (q *queue) snapshot(destination int) QueueSnapshot {
 	s := QueueSnapshot{
 		Destination:        destination,
@@ -141,7 +141,6 @@
 	return s
 }
 
-// snapshot returns what is known of an endpoint.
 func (ep *endpoint) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
 		ID:                  ep.ID,
@@ -161,9 +160,10 @@
 	}
 }
 
-// restoreSnapshot takes over what the preceding process had learned; the endpoint list comes before
-// it. What it names and the list does not have any more is left out, but for a destination's
-// backoff and Retry-After: they hold for whatever endpoint comes next.
+// restoreSnapshot restores the snapshot of the predecessor process. The endpoint list must have
+// been applied before. Endpoints and separate routes that are no longer listed are skipped. The
+// queue of a destination is restored even if none of its endpoints is listed, because its backoff
+// and Retry-After apply to any endpoint listed later.
 func (d *Dispatcher) restoreSnapshot(s *Snapshot) {
 	d.unansweredShare = s.UnansweredShare
 	for _, cooldown := range s.KeyCooldowns {
@@ -180,18 +180,18 @@
 	}
 }
 
-// restore takes latencies over; classes are matched by number, which both processes share.
+// restore replaces the latency statistics. Both processes use the same class numbers.
 func (l *latencyStats) restore(s LatencySnapshot) {
 	l.samples, l.mean = s.Samples, s.Mean
 	copy(l.byClass, s.ByClass)
 }
 
-// counter returns the counter of a snapshot.
+// counter returns the counter with the state in the snapshot.
 func (s CounterSnapshot) counter() decayingCounter {
 	return decayingCounter{value: s.Value, updatedAt: s.UpdatedAt, startedAt: s.StartedAt}
 }
 
-// restoreQueue takes over what was known of a destination or route.
+// restoreQueue restores the queue of a destination or separate route.
 func (d *Dispatcher) restoreQueue(s *QueueSnapshot) {
 	q := d.destination(s.Destination).queues[0]
 	if s.Route != "" {
@@ -207,7 +207,7 @@
 	q.rejections, q.firstRejection = s.Rejections, s.FirstRejection
 	q.lastSuccess, q.connFailures, q.unhealthy = s.LastSuccess, s.ConnFailures, s.Unhealthy
 	q.reportedLimit = s.ReportedLimit
-	if q.listedRate == s.ListedRate { // else another rate is listed since, and the send rate started anew
+	if q.listedRate == s.ListedRate { // otherwise the listed rate has changed, and setListedRate has reset the send rate
 		q.sendRate = s.SendRate
 		q.sendBucket = tokenBucket{tokens: s.Tokens, refilledAt: s.RefilledAt}
 	}
@@ -215,7 +215,7 @@
 	q.shadowBacklog, q.shadowAt = s.ShadowBacklog, s.ShadowAt
 }
 
-// restoreEndpoint takes over what was known of an endpoint.
+// restoreEndpoint restores the state of an endpoint.
 func (d *Dispatcher) restoreEndpoint(s *EndpointSnapshot) {
 	ep := d.endpoints[s.ID]
 	if ep == nil {
@@ -235,7 +235,7 @@
 	ep.latestSuccessSent, ep.lastLatency, ep.connLimit = s.LatestSuccessSent, s.LastLatency, s.ConnLimit
 }
 
-// health returns the health that a snapshot carries as two flags.
+// health returns the health state that the snapshot stores as two flags.
 func (s *EndpointSnapshot) health() health {
 	switch {
 	case s.Unhealthy && s.SlowStart:
--- a/policy/snapshot_chain_test.go
+++ b/policy/snapshot_chain_test.go
@@ -17,8 +17,8 @@
 	chainCooldown = 700 * ms
 )
 
-// handoverChain drives processes that replace each other within the cooldowns of order keys, and
-// knows until when each key is blocked.
+// handoverChain runs a sequence of processes that hand over to each other during cooldowns of order
+// keys, and records until when each key is blocked.
 type handoverChain struct {
 	random       *rand.Rand
 	settings     Settings
@@ -32,8 +32,8 @@
 	handovers    int
 }
 
-// A chain of processes, each of which hands over within the cooldowns that it was handed, keeps
-// every cooldown, meets new settings and timers, and never panics.
+// In a sequence of processes, each of which hands over before the cooldowns from its predecessor
+// have ended, every cooldown is kept, also across new settings and timers, and no process panics.
 func TestSnapshot_ChainOfHandoversKeepsCooldowns(t *testing.T) {
 	handovers := 0
 	for seed := range uint64(chainSeeds) {
@@ -47,7 +47,7 @@
 		handovers += c.handovers
 	}
 	if handovers < chainSeeds {
-		t.Errorf("%d hand-overs only", handovers)
+		t.Errorf("only %d hand-overs in all seeds, want at least one per seed", handovers)
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// step lets some time pass and something happen.
+// step advances the time and applies a random event or a hand-over.
 func (c *handoverChain) step(t *testing.T) {
 	t.Helper()
 	c.now += time.Duration(c.random.IntN(120)) * ms
@@ -106,7 +106,7 @@
 	return id, key, true
 }
 
-// handle applies events, and checks the attempts that begin.
+// handle applies events and checks that no attempt starts during the cooldown of its order key.
 func (c *handoverChain) handle(t *testing.T, events []Event) {
 	t.Helper()
 	for _, a := range c.dispatcher.Handle(c.now, events) {
@@ -118,12 +118,12 @@
 		delete(c.queued, send.ID)
 		c.open[send.ID] = key
 		if c.now < c.blockedUntil[key] {
-			t.Errorf("%v: %s leaves, its key cools down until %v", c.now, send.ID, c.blockedUntil[key])
+			t.Errorf("%v: %s sent during the cooldown of its order key, which ends at %v", c.now, send.ID, c.blockedUntil[key])
 		}
 	}
 }
 
-// handOver replaces the process. The snapshot goes through its stored form.
+// handOver replaces the process. The snapshot is encoded to its stored form and decoded again.
 func (c *handoverChain) handOver(t *testing.T) {
 	t.Helper()
 	raw, err := json.Marshal(c.dispatcher.Snapshot())
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The limit that a destination reported is carried over to the next process.
+// The rate limit that a destination reported is handed over to the next process.
 func TestSnapshot_CarriesReportedLimit(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -17,8 +17,8 @@
 	}
 }
 
-// An order key that is blocked after a completed message stays blocked in the next process, and a
-// message whose outcome is decided blocks its key there until that is acknowledged.
+// An order key in cooldown after a completed message stays blocked in the next process. There, a
+// message whose outcome is decided blocks its order key until the outcome is acknowledged.
 func TestSnapshot_CarriesKeyCooldowns(t *testing.T) {
 	s := testSettings()
 	s.OrderKeyCooldown, s.AwaitAcknowledgement = 2*time.Second, true
@@ -33,7 +33,7 @@
 	}), "")
 	wantActions(t, "after cooldown", next.Handle(3*time.Second, []Event{TimerFired{}}), "n>a")
 	if len(next.coolingDown) != 0 {
-		t.Errorf("%d keys in cooldown", len(next.coolingDown))
+		t.Errorf("%d order keys still in cooldown", len(next.coolingDown))
 	}
 	next = newDispatcher(t, s, Endpoint{ID: "a"})
 	decided := arrival("m", 2).(Arrived)
@@ -42,8 +42,8 @@
 	wantActions(t, "acknowledged", next.Handle(2*ms, []Event{Acknowledged{ID: "m"}}), "n>a")
 }
 
-// A process that took the place of another can be replaced itself while an order key still cools down that its predecessor
-// told it of.
+// A process can hand over while an order key is still in a cooldown that the process got from its
+// own predecessor.
 func TestSnapshot_AfterRestoredKeyCooldown(t *testing.T) {
 	settings := Settings{
 		Instances: 1, MaxInFlight: 4, MaxQueued: 100, MaxAttempts: 8, OrderKeyCooldown: 2 * time.Second,
@@ -67,19 +67,20 @@
 	second.Handle(1500*time.Millisecond, []Event{list, SnapshotRestored{Snapshot: first.Snapshot()}})
 	defer func() {
 		if p := recover(); p != nil {
-			t.Fatalf("the second hand-over panics: %v", p)
+			t.Fatalf("second hand-over panics: %v", p)
 		}
 	}()
 	if cooldowns := second.Snapshot().KeyCooldowns; len(cooldowns) != 1 || cooldowns[0].Key != "k" {
-		t.Errorf("key cooldowns %v, want that of k", cooldowns)
+		t.Errorf("key cooldowns %v, want one for key k", cooldowns)
 	}
 }
 
-// What happens: a message of an ordered class ends with an attempt that may still be executing, and its outcome waits for its
-// acknowledgement as the process hands over. The next process acknowledged it and released the order key at once, although
-// the key had to cool down. Why: a snapshot held the cooldowns of acknowledged messages alone, and a message whose outcome is
-// decided is handed over without its attempts. Evidence: the actions after the acknowledgement had "n>a" 2.5 s before the
-// cooldown's end.
+// TestSnapshot_CarriesKeyCooldownOfUnacknowledged guards against an order key that is released
+// before its cooldown has ended. A message ends with an attempt that may still be executing, and
+// the process hands over before the outcome is acknowledged. A message whose outcome is decided is
+// handed over without its attempts, and the snapshot held the cooldowns of acknowledged messages
+// only. The next process therefore sent the next message directly after the acknowledgement, 2.5 s
+// too early.
 func TestSnapshot_CarriesKeyCooldownOfUnacknowledged(t *testing.T) {
 	s := testSettings()
 	s.OrderKeyCooldown, s.AwaitAcknowledgement = 4*time.Second, true
--- a/policy/stuck_attempts.go
+++ b/policy/stuck_attempts.go
@@ -6,76 +6,79 @@
 	"time"
 )
 
-// The following factors count usual latencies of a call; see overdueAt.
+// The following factors are multiples of the usual latency of a call; see overdueAt.
 const (
-	// unresponsiveFactor without an outcome make an endpoint unresponsive, and a call that a later
-	// one has overtaken lost.
+	// unresponsiveFactor is the factor for the time in flight after which a call makes its endpoint
+	// unresponsive, and after which a call is cancelled as lost if a call sent later has succeeded.
 	unresponsiveFactor = 6
-	// stuckFactor make a call stuck where its slot is wanted and overdue calls, mostly, are never
-	// answered.
+	// stuckFactor is the factor for the time in flight after which a call is cancelled as stuck if
+	// its slot is needed and most overdue calls are never answered.
 	stuckFactor = 3
-	// lastAttemptFactor times as long is waited before a call is cancelled whose message then
-	// fails: a slot serves a message worth as much in each mean latency.
-	lastAttemptFactor = 2
-	// mostlyUnanswered is the share of overdue calls without a success above which stuckFactor
-	// holds.
-	mostlyUnanswered = 0.5
+	// nonRetryableFactor multiplies the time before a call is cancelled whose message cannot be
+	// sent again and therefore fails. The failure is made up for by the slot, which can serve
+	// another message of equal value in each mean latency.
+	nonRetryableFactor = 2
+	// unansweredThreshold is the share of overdue calls that do not succeed above which stuckFactor
+	// applies instead of unresponsiveFactor.
+	unansweredThreshold = 0.5
 )
 
 // cancelStuck cancels calls that are in flight far longer than usual, so that their messages can be
-// sent again. It guards against lost calls and answers, and against hangs that fill the slots,
-// whatever the cause. It costs the work of a call that was merely slow, so calls are cancelled
-// later with each attempt, and those that no later call has overtaken only for want of a slot. A
-// call that may not be repeated is cancelled for want of a slot alone, lastAttemptFactor times as
-// late: its message fails, but the slot serves others.
+// sent again. It handles lost calls, lost answers, and calls that hang and occupy the slots,
+// whatever the cause. Cancelling a call that was merely slow wastes the work done for it. Calls are
+// therefore cancelled later with each attempt, and a call that no later call has overtaken is
+// cancelled only if its slot is needed. A call whose messages cannot be sent again is cancelled
+// only if its slot is needed, and only after nonRetryableFactor times as long: its messages fail,
+// but other messages can use the slot.
 func (d *Dispatcher) cancelStuck() {
 	if !d.settings.CanCancel {
 		return
 	}
-	slotWanted := d.slotWanted()
+	slotNeeded := d.slotNeeded()
 	for _, q := range d.activeQueues {
 		for _, c := range q.inFlight {
 			if c.cancelled {
 				continue
 			}
-			switch lost := d.lost(c); {
+			switch lost := d.presumedLost(c); {
 			case lost && d.now >= d.overdueAt(c, unresponsiveFactor):
 				d.cancelCall(c)
-			case slotWanted && d.overdueForSlot(c):
+			case slotNeeded && d.overdueForSlot(c):
 				d.cancelCall(c)
-				slotWanted = lost // one call that may still be answered is given up for a slot, not more
+				slotNeeded = lost // cancel at most one call per batch that may still be answered
 			}
 		}
 	}
 }
 
-// slotWanted reports whether all slots are in use and a queue has a message to send.
-func (d *Dispatcher) slotWanted() bool {
+// slotNeeded reports whether all slots are in use while a queue has a message to send.
+func (d *Dispatcher) slotNeeded() bool {
 	return d.inFlight >= d.settings.MaxInFlight && slices.ContainsFunc(d.activeQueues, func(q *queue) bool {
 		_, m := d.nextSend(q)
 		return m != nil
 	})
 }
 
-// lost reports whether a call that may be repeated was overtaken: one sent later has succeeded.
-func (d *Dispatcher) lost(c *call) bool {
+// presumedLost reports whether a call is retryable and a call sent later to the same endpoint has
+// succeeded.
+func (d *Dispatcher) presumedLost(c *call) bool {
 	return d.retryableCall(c) && c.endpoint.latestSuccessSent > c.sent
 }
 
-// overdueForSlot reports whether a call is cancelled where its slot is wanted.
+// overdueForSlot reports whether a call is overdue enough to be cancelled if its slot is needed.
 func (d *Dispatcher) overdueForSlot(c *call) bool {
 	factor := d.cancelFactor()
 	if !d.retryableCall(c) {
-		factor *= lastAttemptFactor
+		factor *= nonRetryableFactor
 	}
 	return d.now >= d.overdueAt(c, factor)
 }
 
-// cancelFactor returns the number of usual latencies after which a call that may be repeated is
-// cancelled for want of a slot: fewer where overdue calls have mostly not been answered at all
-// (loss, hangs) than where they have (slowness, heavy work).
+// cancelFactor returns the number of usual latencies after which a retryable call is cancelled if
+// its slot is needed. It is lower if most overdue calls have not succeeded (lost or hanging calls)
+// than if most have (slow destinations, expensive messages).
 func (d *Dispatcher) cancelFactor() float64 {
-	if d.unansweredShare > mostlyUnanswered {
+	if d.unansweredShare > unansweredThreshold {
 		return stuckFactor
 	}
 	return unresponsiveFactor
@@ -91,16 +94,17 @@
 	}
 }
 
-// openAttemptOf returns the number of a message's last attempt, if that is in flight as part of a
-// call.
+// openAttemptOf returns the number of a message's last attempt, and whether that attempt is in
+// flight as part of call c.
 func (m *message) openAttemptOf(c *call) (number int, ok bool) {
 	last := len(m.attempts) - 1
 	a := &m.attempts[last]
 	return last, a.call == c && a.state == attemptInFlight
 }
 
-// overdueAt returns when a call has been in flight for so many usual latencies, doubled with each
-// earlier attempt of its message; never where no latency is known.
+// overdueAt returns the time at which a call has been in flight for the given number of usual
+// latencies. That time doubles with each earlier attempt of the call's first message. It returns
+// never if no latency is known.
 func (d *Dispatcher) overdueAt(c *call, factor float64) time.Duration {
 	usual := math.Max(c.endpoint.queue.latency.mean, c.endpoint.lastLatency)
 	for _, m := range c.messages {
