--- a/policy/terminal.go
+++ b/policy/terminal.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// complete notes that a message needs nothing more to be decided for it, and evicts it where
-// nothing else is pending.
+// complete moves an active message to the given state, and evicts the message if nothing else is
+// pending for it.
 func (d *Dispatcher) complete(m *message, state messageState) {
 	if m.state == messageActive {
 		m.state = state
@@ -16,8 +16,8 @@
 	d.evict(m)
 }
 
-// completeWithNotice completes a message whose terminal outcome was just given: where
-// acknowledgements are awaited, its order key is free once that is acknowledged.
+// completeWithNotice completes a message that has just got its terminal outcome. With
+// AwaitAcknowledgement, an ordered message blocks its order key until the outcome is acknowledged.
 func (d *Dispatcher) completeWithNotice(m *message) {
 	if d.settings.AwaitAcknowledgement && m.ordered() {
 		d.complete(m, messageUnacknowledged)
@@ -26,7 +26,7 @@
 	}
 }
 
-// acknowledge notes that a message's terminal outcome has reached the party it was owed to.
+// acknowledge records that a message's terminal outcome was acknowledged.
 func (d *Dispatcher) acknowledge(id string) {
 	if m := d.messages[id]; m != nil && m.state == messageUnacknowledged {
 		m.state = messageCompleted
@@ -34,17 +34,17 @@
 	}
 }
 
-// evict drops a completed message that has nothing in flight, and lets the next of its order key
-// go.
+// evict removes a completed message and releases its order key, unless an attempt is in flight or
+// the order key is in cooldown.
 func (d *Dispatcher) evict(m *message) {
-	if m.state != messageCompleted || m.openAttempts > 0 || d.coolDown(m) {
+	if m.state != messageCompleted || m.openAttempts > 0 || d.trackKeyCooldown(m) {
 		return
 	}
 	delete(d.messages, m.ID)
 	d.releaseOrderKey(m)
 }
 
-// cancelMessage drops a message that nobody wants any more.
+// cancelMessage completes a message without a terminal outcome and cancels its attempts in flight.
 func (d *Dispatcher) cancelMessage(id string) {
 	m := d.messages[id]
 	if m == nil || m.state != messageActive {
@@ -58,16 +58,16 @@
 	}
 }
 
-// deadlineExceeded gives a terminal outcome to a message whose attempt is still in flight.
+// deadlineExceeded gives up an active message whose deadline has passed.
 func (d *Dispatcher) deadlineExceeded(id string) {
 	if m := d.messages[id]; m != nil && m.state == messageActive {
 		d.giveUp(m)
 	}
 }
 
-// expireQueued gives terminal outcomes to queued messages that have no time left for another
-// attempt of mean latency, and to those that can't be sent again any more, also since new settings
-// allow fewer attempts.
+// expireQueued gives up queued messages whose time left is too short for another attempt of mean
+// latency, and queued messages that cannot be sent again, for example because new settings allow
+// fewer attempts.
 func (d *Dispatcher) expireQueued() {
 	var expired []*message
 	for _, m := range d.unfinished {
@@ -83,13 +83,15 @@
 	}
 }
 
-// giveUpTime returns when a queued message is given up: its time left is then its expected latency.
+// giveUpTime returns the time at which a queued message is given up, because its time left equals
+// its expected latency, or two batch intervals if these are longer.
 func (d *Dispatcher) giveUpTime(m *message) time.Duration {
 	latency := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
 	return m.deadline - max(2*d.settings.BatchInterval, latency)
 }
 
-// giveUp ends a message: it is rejected where submitting it again is harmless, and fails otherwise.
+// giveUp ends a message that was not delivered. The message is rejected if the client may safely
+// submit it again, and fails otherwise.
 func (d *Dispatcher) giveUp(m *message) {
 	if m.safeToResubmit() {
 		d.reject(m, 0)
@@ -99,13 +101,15 @@
 	d.completeWithNotice(m)
 }
 
-// safeToResubmit reports whether a client may submit a message again without a second execution.
+// safeToResubmit reports whether a client may submit a message again: a second execution is either
+// impossible or harmless.
 func (m *message) safeToResubmit() bool {
 	return m.firstExecuted() == nil || m.terms.Idempotency == Idempotent ||
 		m.terms.Idempotency == IdempotentByKey && !m.terms.KeyPerZone
 }
 
-// reject ends a message undelivered, with the seconds after which submitting it again may help.
+// reject ends a message that was not delivered and asks the client to wait for retryAfter seconds,
+// at most MaxRetryAfter, before it submits the message again.
 func (d *Dispatcher) reject(m *message, retryAfter float64) {
 	seconds := math.Min(math.Max(0, retryAfter), d.settings.MaxRetryAfter.Seconds())
 	d.emit(Reject{ID: m.ID, RetryAfter: time.Duration(seconds * float64(time.Second))})
--- a/policy/terminal_test.go
+++ b/policy/terminal_test.go
@@ -18,8 +18,8 @@
 	wantActions(t, "late outcome", d.Handle(at+ms, []Event{AttemptEnded{ID: "m", Outcome: Succeeded}}), "")
 }
 
-// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that take a slot and can't
-// end in time.
+// TestQueuedMessage_GivenUpWithoutTimeForAttempt guards against attempts that occupy a slot but
+// cannot end before the deadline.
 func TestQueuedMessage_GivenUpWithoutTimeForAttempt(t *testing.T) {
 	d := newDispatcher(t, testSettings())
 	d.Handle(0, []Event{arrival("m", 0)})
@@ -28,9 +28,9 @@
 	wantActions(t, "0.4 s left, 0.5 s needed", d.Handle(9600*ms, []Event{TimerFired{}}), "reject m")
 }
 
-// A message whose deadline passes while its attempt is in flight gets its terminal outcome at once,
-// and once. The call goes on: the next message of its key waits for the outcome, and a Retry-After
-// with it binds the others.
+// A message whose deadline passes while its attempt is in flight gets exactly one terminal outcome,
+// immediately. Its call stays in flight: the next message with its order key waits for the outcome
+// of the attempt, and a Retry-After in that outcome applies to other messages.
 func TestDeadlineExceeded_WhileAttemptInFlight(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -44,13 +44,13 @@
 			wantActions(t, "at the deadline", d.Handle(10*time.Second, []Event{DeadlineExceeded{ID: "m"}}), tt.want)
 			wantActions(t, "again", d.Handle(10*time.Second+ms, []Event{DeadlineExceeded{ID: "m"}}), "")
 			if d.inFlight != 1 || d.messages["m"] == nil {
-				t.Errorf("%d calls in flight, known: %v", d.inFlight, d.messages["m"] != nil)
+				t.Errorf("%d calls in flight, want 1; message kept: %v, want true", d.inFlight, d.messages["m"] != nil)
 			}
 			next := "n>b"
 			if tt.class == 2 {
-				next = "" // ordered: until the attempt has an outcome
+				next = "" // ordered: waits for the outcome of the attempt
 			}
-			wantActions(t, "the next", d.Handle(10*time.Second+2*ms, []Event{arrival("n", tt.class)}), next)
+			wantActions(t, "next message", d.Handle(10*time.Second+2*ms, []Event{arrival("n", tt.class)}), next)
 			ep := d.messages["m"].attempts[0].call.endpoint.ID
 			wantActions(t, "Retry-After", d.Handle(10*time.Second+10*ms,
 				[]Event{
@@ -58,7 +58,7 @@
 					arrival("o", 0),
 				}), "")
 			if d.messages["m"] != nil {
-				t.Error("the message is still known")
+				t.Error("message not evicted")
 			}
 			if got := summary(d.Handle(12*time.Second+20*ms, []Event{TimerFired{}})); got == "" {
 				t.Error("nothing is sent after Retry-After")
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// timeoutShare of the time left is waited for an answer where the message may be sent again.
+	// timeoutShare is the timeout of an attempt that may be followed by another, as a share of the
+	// message's time left.
 	timeoutShare = 1.0 / 3
-	// timeoutLatencies mean latencies are waited at least: slow destinations are not timed out for
-	// nothing.
+	// timeoutLatencies is the least timeout as a multiple of the mean latency, so that calls to
+	// slow destinations do not time out needlessly.
 	timeoutLatencies = 8
 )
 
-// attemptTimeout returns how long the answer to an attempt is waited for; 0 is until the deadline.
-// A message that is not idempotent waits that long, since after a timeout it could only fail, and
-// so does the last attempt.
+// attemptTimeout returns the timeout of an attempt; 0 means the message's deadline. An attempt of a
+// message that is not idempotent has no earlier timeout, since the message could only fail after
+// it. Neither has the last allowed attempt of a message.
 func (d *Dispatcher) attemptTimeout(m *message, c *call) time.Duration {
 	timeLeft := m.deadline - d.now
 	if m.terms.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// dueTime collects the times at which something is due, and gives the first of them.
+// dueTime computes the earliest of the times at which something is due.
 type dueTime struct {
-	earliest time.Duration // nothing is due before
+	earliest time.Duration // lower bound: earlier times are moved to it
 	first    time.Duration
 }
 
-// add adds a time at which something is due.
+// add takes a time into account at which something is due.
 func (t *dueTime) add(at time.Duration) { t.first = min(t.first, max(at, t.earliest)) }
 
-// armTimer asks for a timer when something is next due by time alone, unless one is due before.
+// armTimer requests a timer for the next time at which something is due without an event, unless a
+// timer that fires by then is already requested.
 func (d *Dispatcher) armTimer() {
 	due := dueTime{earliest: d.now + d.settings.BatchInterval, first: never}
 	due.add(d.watchAt)
@@ -25,8 +26,8 @@
 	for _, m := range d.coolingDown {
 		due.add(m.cooldownUntil)
 	}
-	// A clock with coarser steps than ours may fire a little before the time: that timer is used
-	// up.
+	// A timer of a clock with a coarser resolution may fire slightly early, so a timer due within
+	// the next batch interval counts as fired.
 	usedUp := d.timerAt < d.now+d.settings.BatchInterval
 	if due.first < never && (usedUp || due.first < d.timerAt) {
 		d.timerAt = due.first
@@ -34,7 +35,7 @@
 	}
 }
 
-// addMessagesDue adds when queued messages are given up.
+// addMessagesDue adds the times at which queued messages are given up.
 func (d *Dispatcher) addMessagesDue(due *dueTime) {
 	for _, m := range d.unfinished {
 		if m.queue == nil {
@@ -47,13 +48,13 @@
 	}
 }
 
-// addOverdueCalls adds when calls in flight become overdue.
+// addOverdueCalls adds the times at which calls in flight become overdue.
 func (d *Dispatcher) addOverdueCalls(due *dueTime, q *queue) {
 	for _, c := range q.inFlight {
 		if c.cancelled {
 			continue
 		}
-		for _, factor := range []float64{stuckFactor, unresponsiveFactor, unresponsiveFactor * lastAttemptFactor} {
+		for _, factor := range []float64{stuckFactor, unresponsiveFactor, unresponsiveFactor * nonRetryableFactor} {
 			if at := d.overdueAt(c, factor); at > d.now {
 				due.add(at)
 			}
@@ -61,8 +62,8 @@
 	}
 }
 
-// addNextSends adds when Retry-After, backoff, the send rate and endpoint health let a queue send
-// again.
+// addNextSends adds the times at which Retry-After, backoff, the send rate and endpoint health
+// allow a queue to send again.
 func (d *Dispatcher) addNextSends(due *dueTime, q *queue) {
 	at := max(q.pausedUntil(), d.now)
 	if q.sendRate > 0 && d.sendTokens(q) < 1 {
--- a/policy/timer_test.go
+++ b/policy/timer_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTimer_NotArmedWhileWaitingForSlot guards against a timer for each batch while a queue with a
-// token waits for a slot.
+// TestTimer_NotArmedWhileWaitingForSlot guards against requesting a timer in every batch while a
+// queue that has a send token waits for a slot.
 func TestTimer_NotArmedWhileWaitingForSlot(t *testing.T) {
 	s := testSettings()
 	s.MaxInFlight, s.Weights = 1, WeightsNominal
@@ -18,14 +18,14 @@
 	}
 }
 
-// TestTimer_RearmedAfterFiringEarly guards against a clock of coarser steps that uses up the only
-// timer for a message.
+// TestTimer_RearmedAfterFiringEarly guards against a message without a timer after its only timer
+// has fired early because of a clock with a coarser resolution.
 func TestTimer_RearmedAfterFiringEarly(t *testing.T) {
 	d := newDispatcher(t, testSettings())
 	got := d.Handle(0, []Event{arrival("m", 0)})
 	at := got[len(got)-1].(SetTimer).After
 	got = d.Handle(at-400, []Event{TimerFired{}})
 	if len(got) != 1 || got[0].(SetTimer).After > 10*ms {
-		t.Fatalf("400 ns early: %v, want another timer", got)
+		t.Fatalf("after a timer that fired 400 ns early: %v, want another timer", got)
 	}
 }
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// tokenBucket holds tokens that come at a rate, up to a depth. Its zero value is empty. Tokens may
-// be negative: a debt.
+// tokenBucket is a token bucket. Its zero value is empty. The number of tokens is negative while
+// more tokens were taken than available.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// refill adds the tokens that came since the last time and returns how many there are.
+// refill adds the tokens for the time since the last refill, up to depth, and returns the number of
+// tokens.
 func (b *tokenBucket) refill(now time.Duration, rate, depth float64) float64 {
 	b.tokens = math.Min(depth, b.tokens+rate*math.Max(0, (now-b.refilledAt).Seconds()))
 	b.refilledAt = max(b.refilledAt, now)
 	return b.tokens
 }
 
-// refillTime returns the time in which so many tokens come at a rate, rounded up, and an hour at
-// most.
+// refillTime returns the time in which the given number of tokens is refilled at a rate, at most an
+// hour, plus a microsecond to round up.
 func refillTime(tokens, rate float64) time.Duration {
-	const mostSeconds = 3600
-	return time.Duration(math.Min(mostSeconds, math.Max(0, tokens)/rate)*float64(time.Second)) + time.Microsecond
+	const maxSeconds = 3600
+	return time.Duration(math.Min(maxSeconds, math.Max(0, tokens)/rate)*float64(time.Second)) + time.Microsecond
 }
--- a/policy/trial_retry_test.go
+++ b/policy/trial_retry_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// What happens: a destination of two endpoints refuses connections, and relays are killed meanwhile. What a restarted relay finds
-// accepted is never sent although the destination is back for seconds: it is given up at its deadline (scenario soak, seed 15).
-// Why: both endpoints are unhealthy, and a message that was tried before was no trial request where a destination has more than
-// one endpoint, even where all of them are out. Only a new message could find the destination back. Evidence: a log line for each
-// batch of relay 19 of that run: tokens=1.000 at both endpoints, trials=0, inflight=0, no backoff, and "0d4335f78dd10000
-// attempts=1" queued for the 1.7 s that it had left; the fleet used 29 calls in a window that allows 303.
+// TestTrialRetry_RestartFindsDestinationOut guards against recovered messages that are never sent
+// although their destination has recovered. A destination with two endpoints refuses connections,
+// and a relay is restarted meanwhile. Both endpoints are unhealthy, and a message with earlier
+// attempts was never sent as a trial request if its destination had more than one endpoint. Only a
+// new message could detect the recovery. Without one, a recovered message stayed queued until its
+// deadline, although trial requests were allowed at both endpoints: the fleet had used 29 of 303
+// allowed calls.
 func TestTrialRetry_RestartFindsDestinationOut(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -25,11 +26,11 @@
 		recovered("m", 2, notExecuted("a"), notExecuted("b")),
 	})
 	if !trialWithin(d, actions, 10*time.Second, 14*time.Second) {
-		t.Error("no trial request in four of the ten seconds that the message has left")
+		t.Error("no trial request within 4 s of the 10 s that the message has left")
 	}
 }
 
-// The same without a restart: connections are refused at both endpoints, and no other message comes.
+// The same without a restart: both endpoints refuse connections, and no other message arrives.
 func TestTrialRetry_OnlyMessageFindsDestinationBack(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -39,7 +40,7 @@
 	for d.UnhealthyEndpoints() < 2 {
 		i := slices.IndexFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok })
 		if i < 0 {
-			t.Fatalf("after %d refused connections no attempt follows, %d endpoints unhealthy", refused, d.UnhealthyEndpoints())
+			t.Fatalf("no further attempt after %d refused connections, %d endpoints unhealthy", refused, d.UnhealthyEndpoints())
 		}
 		now += 10 * ms
 		actions = d.Handle(now, []Event{AttemptEnded{
@@ -48,11 +49,12 @@
 		refused++
 	}
 	if !trialWithin(d, actions, now, 4*time.Second) {
-		t.Error("no trial request in four of the ten seconds that the message has left")
+		t.Error("no trial request within 4 s of the 10 s that the message has left")
 	}
 }
 
-// trialWithin fires timers up to a time, and reports whether an attempt begins.
+// trialWithin fires the requested timers up to the given time, and reports whether an attempt
+// starts.
 func trialWithin(d *Dispatcher, actions []Action, now, until time.Duration) bool {
 	for now <= until {
 		for _, a := range actions {
@@ -61,7 +63,7 @@
 			}
 		}
 		if d.timerAt <= now {
-			return false // nothing more is due
+			return false // no timer is pending
 		}
 		now = d.timerAt
 		actions = d.Handle(now, []Event{TimerFired{}})
@@ -69,7 +71,8 @@
 	return false
 }
 
-// A message that a restart found spreads its attempts over its time: an outage that is shorter than that does not use them up.
+// The attempts of a recovered message are spread over its time left, so that an outage shorter than
+// that does not use them up.
 func TestTrialRetry_SpreadsAttempts(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -90,7 +93,7 @@
 			}
 		}
 		if len(events) > 0 {
-			now += 5 * ms // connections are refused at once
+			now += 5 * ms // connections are refused immediately
 		} else {
 			now = max(d.timerAt, now+5*ms)
 		}
@@ -100,17 +103,17 @@
 		t.Errorf("%d attempts, want all %d", len(sent), s.MaxAttempts)
 	}
 	if last := sent[len(sent)-1]; last < 15*time.Second {
-		t.Errorf("attempts at %v: the last one in the first half of the message's time", sent)
+		t.Errorf("attempts at %v: the last one is in the first half of the message's time left", sent)
 	}
 }
 
-// A retry waits for the endpoint that is not unhealthy, also while that has no room for a connection, and tries the unhealthy one
-// where the other only drains.
+// A retry waits for the endpoint that is not unhealthy, even while that endpoint is at its
+// connection limit. It is sent to the unhealthy endpoint if the other one is draining.
 func TestTrialRetry_WaitsForHealthyEndpoint(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		draining bool
-	}{{"other without room", false}, {"other drains", true}} {
+	}{{"other at its connection limit", false}, {"other draining", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 			d.Handle(0, []Event{HealthRecovered{Endpoint: "a", Unhealthy: true}})
@@ -122,14 +125,14 @@
 			retry := recovered("m", 0, PriorAttempt{Endpoint: "a", SentAt: time.Second, NotExecuted: true})
 			actions := d.Handle(10*time.Second, []Event{retry})
 			if got := trialWithin(d, actions, 10*time.Second, 19*time.Second); got != tt.draining {
-				t.Errorf("a trial request: %v, want %v", got, tt.draining)
+				t.Errorf("trial request: %v, want %v", got, tt.draining)
 			}
 		})
 	}
 }
 
-// A message that an endpoint has answered with an error does not spend its attempts on a destination that fails what it gets: it
-// waits until another message finds the destination back.
+// A message that an endpoint has answered with an error does not use up its attempts on a
+// destination that fails all calls: it waits until another message has detected the recovery.
 func TestTrialRetry_AnsweredWithErrorWaits(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -140,6 +143,6 @@
 		recovered("m", 0, PriorAttempt{Endpoint: "a", SentAt: 7 * time.Second}),
 	})
 	if trialWithin(d, actions, 10*time.Second, 18*time.Second) {
-		t.Error("a trial request")
+		t.Error("trial request for a message that was answered with an error")
 	}
 }
