--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,11 +1,11 @@
-// Package frontend has the terms in which clients submit requests, and the validation of what they
-// submit, whatever their protocol.
+// Package frontend defines the types for requests that clients submit, and validates them. It does
+// not depend on the protocol that a client uses.
 //
 // A [Submission] is a request that passed the [Validator] and waits for the relay's decision, which
-// comes back as a [Response]. What does not pass is a [RejectionError], with the status that the
-// client gets.
+// is returned as a [Response]. A request that does not pass gives a [RejectionError] with the status
+// code that the client receives.
 //
-// The protocol, HTTP/1.1, is in package http1 below.
+// Package http1 in the subfolder implements the protocol, HTTP/1.1.
 //
 // Files:
 //
--- a/internal/frontend/http1/closereason.go
+++ b/internal/frontend/http1/closereason.go
@@ -1,24 +1,25 @@
 package http1
 
-// CloseReason is why the server closes a connection. Its values are in the trace.
+// CloseReason is why the server closes a connection. Its values are written to the trace.
 type CloseReason string
 
 // The reasons.
 const (
-	// CloseForRoom: it is evicted for another connection, or at shutdown.
-	CloseForRoom CloseReason = "room for others"
+	// CloseEvicted: the connection is evicted for another one, for its descriptor, or at shutdown.
+	CloseEvicted CloseReason = "room for others"
 	// CloseTooManyIdle: there are more idle connections than the server allows.
 	CloseTooManyIdle CloseReason = "clients keep more than they use"
-	// CloseDraining: the relay is in standby, and clients are to connect elsewhere.
+	// CloseDraining: the relay is in standby, and clients should connect to another relay.
 	CloseDraining CloseReason = "clients are sent away"
-	// CloseNoRequest: no request came in time, or the client has closed.
+	// CloseNoRequest: no request came within the time-out, or the client closed the connection.
 	CloseNoRequest CloseReason = "no request in time, or its client has left"
-	// CloseClientGone: the client does not await a response any more.
+	// CloseClientGone: the client disconnected before its request was answered.
 	CloseClientGone CloseReason = "nobody waits for an answer"
 	// CloseWriteFailed: the response could not be written.
 	CloseWriteFailed CloseReason = "the answer can't be written"
-	// CloseLastResponse: the response said that it is the last one.
+	// CloseLastResponse: the response announced that the connection is closed after it.
 	CloseLastResponse CloseReason = "the last answer"
-	// CloseConcurrent: another goroutine has closed it. No trace shows this one.
+	// CloseConcurrent: another goroutine has already closed the connection. This reason is not in
+	// the trace, since the first close reports its own.
 	CloseConcurrent CloseReason = "closed meanwhile"
 )
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -17,67 +17,67 @@
 )
 
 const (
-	// writeTimeout bounds the writing of a response: clients read at full speed.
+	// writeTimeout bounds the writing of a response. It is short since clients read at full speed.
 	writeTimeout = time.Second
-	// lingerTimeout and maxLingerBytes bound what is read after a last response, so that it
-	// arrives: a close with unread bytes is a reset, which may overtake the response (RFC 9112,
-	// section 9.6).
+	// lingerTimeout and maxLingerBytes bound the input that is read and discarded after the last
+	// response. Closing with unread bytes would reset the connection, and the reset may overtake
+	// the response (RFC 9112, section 9.6).
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 1 << 20
 )
 
-// connState is where a client's connection stands. The first five are in the order in which
-// connections are evicted. The transitions, and what causes them:
+// connState is the state of a client's connection. The first four are declared in the order in which
+// connections are evicted, with one exception (see evictionRank). The transitions and their causes:
 //
-//	new              → reading          the first byte of a request came
-//	idle             → reading          the same
-//	reading          → awaitingResponse the request was read to its end
-//	reading          → idle | lingering it was answered without a submission, as a health check or a malformed request
-//	awaitingResponse → idle | lingering it was answered
+//	new              → reading          the first byte of a request arrived
+//	idle             → reading          the first byte of a request arrived
+//	reading          → awaitingResponse the request was read completely
+//	reading          → idle | lingering the request was answered without a submission: a health check or a malformed request
+//	awaitingResponse → idle | lingering the request was answered
 //	new, idle, reading → detached       the server is quiesced
-//	any              → closed           lingering is over, or one of the other CloseReasons
+//	any              → closed           lingering has ended, or for one of the other CloseReasons
 type connState int
 
 const (
-	// connLingering: its last response was written, and is to arrive.
+	// connLingering: the last response is written; input is discarded so that the response arrives.
 	connLingering connState = iota
-	// connIdle: it is between two requests.
+	// connIdle: the connection is between two requests.
 	connIdle
-	// connNew: nothing has come on it yet.
+	// connNew: no byte has arrived yet.
 	connNew
-	// connReading: a request has begun.
+	// connReading: a request has been read in part.
 	connReading
-	// connAwaitingResponse: a request was read and is to be answered. Such a connection is never
-	// evicted.
+	// connAwaitingResponse: a request was read completely and is not answered yet. Such a connection
+	// is never evicted.
 	connAwaitingResponse
-	// connDetached: it belongs to a successor process or to Resume, and no longer to the server's
-	// connections.
+	// connDetached: the connection is no longer served here. It is returned by Quiesce, for a
+	// successor process or for Resume.
 	connDetached
-	// connClosed is the end.
+	// connClosed is the final state.
 	connClosed
 
-	connStates = iota // their number
+	connStates = iota // number of states
 )
 
 // conn is a connection from a client.
 type conn struct {
 	*net.TCPConn
-	received *recorder         // what was read of the request, from the connection
-	limit    *io.LimitedReader // what may still be read of the request, from received
+	received *recorder         // reads from the connection and records the current request
+	limit    *io.LimitedReader // reads from received, at most the allowed size of the request
 	in       *bufio.Reader     // reads from limit
 
 	// Guarded by the server's lock.
 	state       connState
-	since       time.Time // in the state
-	interrupted bool      // its reading was ended by Quiesce, and by no timeout of its own
+	since       time.Time // when the connection entered the state
+	interrupted bool      // Quiesce, and not the connection's own time-out, ended the read
 }
 
-// newConn returns a connection of which some bytes were read before.
+// newConn returns a connection. The bytes in read were already read from it and are parsed first.
 func newConn(raw *net.TCPConn, read []byte) *conn {
-	patient := socket.RetryConn{Conn: raw}
-	received := &recorder{from: patient}
+	retrying := socket.RetryConn{Conn: raw}
+	received := &recorder{from: retrying}
 	if len(read) > 0 {
-		received.from = io.MultiReader(bytes.NewReader(read), patient)
+		received.from = io.MultiReader(bytes.NewReader(read), retrying)
 	}
 	limit := &io.LimitedReader{R: received}
 	return &conn{TCPConn: raw, received: received, limit: limit, in: bufio.NewReader(limit), since: time.Now()}
@@ -86,15 +86,15 @@
 // isGone reports whether the connection no longer belongs to the server. The server's lock is held.
 func (c *conn) isGone() bool { return c.state == connDetached || c.state == connClosed }
 
-// hasUnread reports whether something has come that was not read from the socket.
+// hasUnread reports whether the socket has bytes that were not read.
 func (c *conn) hasUnread() bool {
 	n, err := socket.Peek(c.TCPConn)
 	return err == nil && n > 0
 }
 
-// quiet reports whether the client waits and has sent nothing more, and whether it is still
+// quiet reports whether the client is connected and has sent nothing more, and whether the client is
 // connected at all.
-func (c *conn) quiet() (quiet, there bool) {
+func (c *conn) quiet() (quiet, connected bool) {
 	n, err := socket.Peek(c.TCPConn)
 	quiet = errors.Is(err, syscall.EAGAIN)
 	return quiet, n > 0 || quiet
@@ -109,13 +109,13 @@
 		return frontend.RejectMalformed(http.StatusRequestHeaderFieldsTooLarge) // RFC 6585, section 5
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed),
 		errors.Is(err, syscall.ECONNRESET):
-		return frontend.Response{} // the client left in the middle of a request: RFC 9112, section 8
+		return frontend.Response{} // the client disconnected in the middle of a request: RFC 9112, section 8
 	}
 	return frontend.RejectMalformed(http.StatusBadRequest)
 }
 
-// writeContinue writes the interim response that a client may await before it sends a body (RFC
-// 9110, section 10.1.1). It reports whether it was written.
+// writeContinue writes the interim response for which a client may wait before it sends a body (RFC
+// 9110, section 10.1.1). It reports whether the write succeeded.
 func (c *conn) writeContinue() bool {
 	return c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 }
@@ -137,8 +137,8 @@
 }
 
 // write writes a message to the client within writeTimeout, and reports whether all of it was
-// written. Its deadline goes with it: one that is left would have passed when the next write comes
-// on the connection.
+// written. It clears the write deadline afterwards: a deadline left on the connection would have
+// passed by the next write.
 func (c *conn) write(message []byte) bool {
 	if c.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
@@ -147,7 +147,8 @@
 	return err == nil && c.SetWriteDeadline(time.Time{}) == nil
 }
 
-// linger lets a last response arrive before the connection is closed.
+// linger reads and discards input after the last response, so that the response arrives before the
+// connection is closed.
 func (c *conn) linger() {
 	if c.CloseWrite() == nil && c.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 		_, _ = io.CopyN(io.Discard, c.TCPConn, maxLingerBytes)
--- a/internal/frontend/http1/continue_test.go
+++ b/internal/frontend/http1/continue_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A client that asks for 100 Continue on a connection that has been idle for a while gets it. The write deadline of the response
-// before must not end the connection.
+// A client that asks for 100 Continue on a connection that has been idle for longer than writeTimeout gets it. The write deadline
+// of the previous response must not fail the write.
 func TestServer_SendsContinueOnAnIdleConnection(t *testing.T) {
 	_, addr, _ := newTestServer(t, 10)
 	c := dial(t, addr)
@@ -17,7 +17,7 @@
 	if _, err := http.ReadResponse(in, nil); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(writeTimeout + 200*time.Millisecond) // until the deadline of that response has passed
+	time.Sleep(writeTimeout + 200*time.Millisecond) // until the write deadline of that response has passed
 	write(t, c, newRequest("m", "", "Content-Length: 4", "Expect: 100-continue"))
 	if line, err := in.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" {
 		t.Errorf("got %q, %v", line, err)
--- a/internal/frontend/http1/doc.go
+++ b/internal/frontend/http1/doc.go
@@ -1,30 +1,30 @@
 // Package http1 serves clients over HTTP/1.1 (RFC 9110, RFC 9112).
 //
-// A [Server] has one goroutine for each connection, which reads one request after another, has each
-// decided on, and writes its response. A client is owed an answer or a close within 3 s of
-// connecting, whatever it sends. Connections are bounded: at the bound, the one that its client
-// needs least is evicted for a new one.
+// A [Server] runs one goroutine for each connection. It reads one request after another, submits
+// each for a decision, and writes the response. Whatever a client sends, it must get a response or a
+// close within 3 s of connecting. The number of connections is bounded: at the bound, a new
+// connection replaces the one that its client is least likely to need.
 //
-// The server is no http.Server, for two reasons. It does not show what follows a request: the rest
-// of a body whose Content-Length is too short, or a second request. And it does not evict
-// connections by their state.
+// The package does not use net/http's Server, for two reasons. That server hides the bytes that
+// follow a request: the rest of a body whose Content-Length is too short, or a second request. And
+// it does not evict connections by their state.
 //
 // The states of a connection, and their transitions, are listed at connState in conn.go.
 //
-// Handover: [Server.Quiesce] stops accepting, detaches the connections that have no request in
-// flight, with what was read of a request that has begun, and waits for the others, so that a
-// successor process can go on with them ([Server.Adopt]). [Server.Resume] undoes it where the
-// handover fails.
+// Hand-over: [Server.Quiesce] stops accepting, detaches the connections that have no request in
+// flight, together with the bytes of a request that was read in part, and waits for the requests in
+// flight. A successor process continues to serve the detached connections ([Server.Adopt]).
+// [Server.Resume] undoes Quiesce if the hand-over fails.
 //
 // Files:
 //
 //   - server.go: configuration, accepting connections, their registration;
-//   - conn.go: one connection, its state, what is read and written;
+//   - conn.go: one connection, its states, reading and writing;
 //   - serve.go: the loop of a connection, from one request to the next;
 //   - request.go: one request: validation, body, submission;
-//   - recorder.go: what was read of a request that has begun, for a handover;
-//   - memory.go: the budget for bodies;
-//   - evict.go: which connection is evicted for another;
+//   - recorder.go: the bytes read of a request in progress, for a hand-over;
+//   - memory.go: the memory budget for bodies;
+//   - evict.go: the choice of the connection to evict;
 //   - drain.go: closing connections in standby and at shutdown;
 //   - handover.go: quiesce, detach, adopt, resume;
 //   - closereason.go: why connections are closed.
--- a/internal/frontend/http1/drain.go
+++ b/internal/frontend/http1/drain.go
@@ -8,11 +8,11 @@
 	"frostlink/internal/servingmode"
 )
 
-// drainPollInterval is between looks for connections to close while the relay is in standby.
+// drainPollInterval is the interval between checks for connections to close during standby.
 const drainPollInterval = 100 * time.Millisecond
 
-// CloseIdleConns closes connections without a request for as long as the relay is in standby. It
-// returns at once if it is running already.
+// CloseIdleConns closes connections that have no request, until the relay leaves standby. It returns
+// at once if another call is running.
 func (s *Server) CloseIdleConns() {
 	if !s.beginDrain() {
 		return
@@ -30,8 +30,8 @@
 	return !running
 }
 
-// drainOnce closes the connections that have been without a request for too long. It reports false
-// where the relay is no longer in standby.
+// drainOnce closes the connections that have had no request for longer than the serving mode's idle
+// limit. It reports false if the relay is no longer in standby.
 func (s *Server) drainOnce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,20 +52,20 @@
 	return true
 }
 
-// isIdleFor reports whether a connection has been without a request for a limit.
+// isIdleFor reports whether a connection has had no request for at least limit.
 func (c *conn) isIdleFor(limit time.Duration, now time.Time) bool {
 	age := now.Sub(c.since)
 	switch c.state {
 	case connIdle:
 		return age >= limit
 	case connNew:
-		return age >= max(limit, servingmode.MinIdle) // its first request may be on its way
+		return age >= max(limit, servingmode.MinIdle) // the first request may still be in transit
 	default:
 		return false
 	}
 }
 
-// closeIfQuiet closes a connection unless something has come that was not read: a request would be
+// closeIfQuiet closes a connection unless it has unread bytes: they may be a request, which would be
 // lost. s.mu is held.
 func (s *Server) closeIfQuiet(c *conn) {
 	if quiet, _ := c.quiet(); quiet {
@@ -73,9 +73,9 @@
 	}
 }
 
-// Shutdown closes the connections without a request in flight, and waits for the others until ctx
-// ends: also for those whose last response is to arrive, which close by themselves. No connection
-// is accepted any more.
+// Shutdown stops accepting connections, closes those without a request in flight, and waits for the
+// others until ctx ends. Lingering connections, whose last response still has to arrive, close by
+// themselves; Shutdown waits for them too.
 func (s *Server) Shutdown(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
@@ -88,7 +88,7 @@
 	s.maxConns = 0
 	for len(s.conns) > 0 {
 		if err := ctx.Err(); err != nil {
-			return fmt.Errorf("%d connections left: %w", len(s.conns), err)
+			return fmt.Errorf("%d client connections still open: %w", len(s.conns), err)
 		}
 		if !s.evict(connIdle) {
 			s.changed.Wait()
--- a/internal/frontend/http1/drain_test.go
+++ b/internal/frontend/http1/drain_test.go
@@ -8,8 +8,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A shutdown leaves a connection the time in which its last response arrives: it closes by itself.
-// An idle one is closed at once.
+// Shutdown closes an idle connection at once, but not a lingering one, whose last response still has
+// to arrive: that one closes by itself.
 func TestServer_ShutdownLeavesLingeringConnections(t *testing.T) {
 	s := newIdleServer()
 	add := func(state connState) *conn {
--- a/internal/frontend/http1/evict_test.go
+++ b/internal/frontend/http1/evict_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// Connections that are new, have sent half a request, or are idle are evicted for others; one that
-// awaits a response is not. Before, the server stopped accepting.
+// New connections, idle ones and those with a partial request are evicted for further connections;
+// one that awaits a response is not. Without eviction, the server stops accepting connections.
 func TestServer_EvictsForNewConnections(t *testing.T) {
 	const maxConns = 4
 	half := newRequest("half", "", "Content-Length: 5")
@@ -53,8 +53,8 @@
 	}
 }
 
-// Clients that send one request and leave their connection idle have a bounded number of them,
-// since each may have only so many. Before, idle ones took all of them, and none was left for
+// The number of idle connections is bounded. Without the bound, clients that send one request on
+// each connection and leave it idle use up all the connections that they may have, and have none for
 // further requests.
 func TestServer_BoundsIdleConnections(t *testing.T) {
 	s, addr, _ := newTestServer(t, 100)
@@ -78,13 +78,12 @@
 		}
 	}
 	if closed == 0 {
-		t.Error("no response closed its connection")
+		t.Error("no response announced a close")
 	}
 }
 
-// A connection on which a request has come that was not read is not evicted: neither for a new one,
-// nor at shutdown, nor where too many are idle. Nor is a lingering one with bytes that were not
-// read: they would reset it.
+// A connection with an unread request is not evicted: neither for a new one, nor at shutdown, nor
+// when too many are idle. Nor is a lingering one with unread bytes, since closing it would reset it.
 func TestServer_DoesNotEvictWithUnreadRequest(t *testing.T) {
 	for _, state := range []connState{connLingering, connIdle, connNew} {
 		t.Run(fmt.Sprint(int(state)), func(t *testing.T) {
@@ -94,18 +93,18 @@
 			s.addConn(busy, state, time.Now().Add(-time.Hour))
 			sendHealthCheck(t, client, busy)
 			if s.evict(connLingering) || busy.isGone() {
-				t.Error("evicted")
+				t.Error("connection with an unread request was evicted")
 			}
 			if state == connIdle {
 				if !s.hasTooManyIdle() || busy.isGone() {
-					t.Error("closed since too many are idle")
+					t.Error("connection with an unread request was closed since too many are idle")
 				}
 			}
 			_, server = newConnPair(t)
 			quiet := newConn(server, nil)
 			s.addConn(quiet, state, time.Now().Add(-time.Hour))
 			if !s.evict(connLingering) || !quiet.isGone() || busy.isGone() {
-				t.Error("one that is quiet is not evicted")
+				t.Error("connection without unread bytes was not evicted, or the wrong one was")
 			}
 		})
 	}
--- a/internal/frontend/http1/golden_test.go
+++ b/internal/frontend/http1/golden_test.go
@@ -11,7 +11,7 @@
 	"frostlink/internal/goldentest"
 )
 
-// The bytes that clients are answered.
+// The bytes of each kind of response.
 func TestGolden_ResponseBytes(t *testing.T) {
 	var all bytes.Buffer
 	exchange := func(name, request string, decided frontend.Response) {
--- a/internal/frontend/http1/handover.go
+++ b/internal/frontend/http1/handover.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// quiescePollInterval is between looks whether all connections are detached.
+	// quiescePollInterval is the interval between checks whether all connections are detached.
 	quiescePollInterval = time.Millisecond
-	// wakeAcceptInterval is between attempts to wake Serve.
+	// wakeAcceptInterval is the interval between attempts to wake Serve from a blocking accept.
 	wakeAcceptInterval = 10 * time.Millisecond
 )
 
-// errRequestsInFlight is the end of a Quiesce whose context ends first.
-var errRequestsInFlight = errors.New("clients' requests are not answered in time")
+// errRequestsInFlight is the error of a Quiesce whose context ends before all requests are answered.
+var errRequestsInFlight = errors.New("client requests not answered before the hand-over's deadline")
 
-// DetachedConn is a connection that no goroutine reads.
+// DetachedConn is a client's connection that no goroutine serves.
 type DetachedConn struct {
 	Conn     *net.TCPConn
-	Buffered []byte    // what was read of a request that has begun
-	Unused   bool      // nothing has ever come on it
-	Since    time.Time // in its state since
+	Buffered []byte    // bytes already read of a request in progress
+	Unused   bool      // no byte has ever arrived
+	Since    time.Time // when the connection entered its state
 }
 
-// handoverState is what the server needs while it is quiesced. It is guarded by the server's lock.
+// handoverState is the server's state while it is quiesced. It is guarded by the server's lock.
 type handoverState struct {
 	resumed      chan struct{} // closed by Resume; nil: the server is not quiesced
 	detached     []DetachedConn
-	acceptPaused bool // Serve waits for resumed
+	acceptPaused bool // Serve has stopped accepting and waits for resumed
 }
 
 func (h *handoverState) isQuiesced() bool { return h.resumed != nil }
 
-// setReadTimeout bounds the reading of a connection. While the server is quiesced nothing more is
-// read.
+// setReadTimeout sets the time-out of reads from a connection. While the server is quiesced it
+// interrupts them instead, so that nothing more is read.
 func (s *Server) setReadTimeout(c *conn, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,22 +50,22 @@
 	_ = c.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// interrupt ends the reading of a connection. The server's lock is held.
+// interrupt ends a pending read from a connection. The server's lock is held.
 func (c *conn) interrupt() {
 	c.interrupted = true
 	_ = c.SetReadDeadline(socket.PastDeadline)
 }
 
-// isInterrupted reports whether a connection could not be read only since the server is quiesced.
-// It may be resumed by then: that is no reason to take it for a client's timeout.
+// isInterrupted reports whether a read failed only because the server was quiesced. It stays true
+// after Resume, since an interrupted read must not be taken for a client's time-out.
 func (s *Server) isInterrupted(c *conn, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.interrupted && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// detach takes a connection out of the server's for Quiesce to return, or goes on with it where the
-// server was resumed meanwhile. s.mu is held.
+// detach removes a connection from the server and adds it to those that Quiesce returns. If the
+// server has been resumed meanwhile, it serves the connection again. s.mu is held.
 func (s *Server) detach(c *conn) {
 	if c.isGone() {
 		return
@@ -79,9 +79,9 @@
 	s.handover.detached = append(s.handover.detached, detached)
 }
 
-// Quiesce accepts no connection any more, detaches those without a request in flight, and returns
-// them once the requests in flight are answered or their clients have gone. Where some are left
-// when ctx ends it returns an error, and Resume is to follow.
+// Quiesce stops accepting connections, detaches those without a request in flight, and returns them
+// once the requests in flight are answered or their clients have disconnected. If requests are still
+// in flight when ctx ends, it returns an error, and the caller has to call Resume.
 func (s *Server) Quiesce(ctx context.Context) ([]DetachedConn, error) {
 	s.beginQuiesce()
 	lastWake := time.Now()
@@ -101,7 +101,7 @@
 	}
 }
 
-// beginQuiesce interrupts accepting, and the reading of connections without a request in flight.
+// beginQuiesce interrupts accept, and reads from connections without a request in flight.
 func (s *Server) beginQuiesce() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +116,9 @@
 	}
 }
 
-// takeDetached returns the detached connections, once all are that do not linger and Serve waits: a
-// connection that was accepted as Quiesce began is still to be detached.
+// takeDetached returns the detached connections once all connections that do not linger are detached
+// and Serve has stopped accepting. Serve counts since it may have accepted a connection just as
+// Quiesce began, and that connection has to be detached too.
 func (s *Server) takeDetached() (detached []DetachedConn, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,8 +131,7 @@
 	return detached, true
 }
 
-// Resume ends Quiesce: it goes on with the connections that were detached, and accepts others
-// again.
+// Resume undoes Quiesce: the server serves the detached connections again and accepts new ones.
 func (s *Server) Resume(detached []DetachedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,15 +149,16 @@
 	s.handover.detached = nil
 }
 
-// Adopt goes on with a connection of another process, within the bound on connections; beyond that
-// it closes it.
+// Adopt serves a connection that another process has detached. It closes the connection if the bound
+// on connections is reached and none can be evicted.
 func (s *Server) Adopt(c DetachedConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.resumeConn(c)
 }
 
-// resumeConn goes on with a detached connection. s.mu is held.
+// resumeConn serves a detached connection again. It closes the connection if the bound on
+// connections is reached and none can be evicted. s.mu is held.
 func (s *Server) resumeConn(d DetachedConn) {
 	if len(s.conns) >= s.maxConns && !s.evict(connLingering) {
 		_ = d.Conn.Close()
@@ -178,9 +179,9 @@
 	return s.listener
 }
 
-// makeNonblocking has accepting wait in the runtime, where a deadline ends it, and not in the
-// kernel. Whoever starts a process with the socket as one of its descriptors may make it a blocking
-// one, for all processes that have it.
+// makeNonblocking sets the listening socket to non-blocking mode, so that accept waits in Go's
+// runtime, where a deadline ends it, and not in the kernel. Starting another process with the socket
+// as one of its descriptors may set it to blocking mode, for all processes that share it.
 func (s *Server) makeNonblocking() {
 	l := s.tcpListener()
 	if l == nil {
@@ -191,8 +192,8 @@
 	}
 }
 
-// wakeAccept connects to the server itself: an accept that waits in the kernel all the same returns
-// with the connection.
+// wakeAccept connects to the server itself, so that an accept that still waits in the kernel returns
+// with this connection.
 func (s *Server) wakeAccept() {
 	if c, err := net.DialTimeout("tcp", s.tcpListener().Addr().String(), wakeAcceptInterval); err == nil {
 		_ = c.Close()
--- a/internal/frontend/http1/handover_test.go
+++ b/internal/frontend/http1/handover_test.go
@@ -15,7 +15,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// waitForCounts waits until so many connections are new and reading.
+// waitForCounts waits until the given numbers of connections are in the states new and reading.
 func waitForCounts(t *testing.T, s *Server, isNew, reading int) {
 	t.Helper()
 	for end := time.Now().Add(waittest.Long); ; time.Sleep(time.Millisecond) {
@@ -26,13 +26,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("connections are not accepted")
+			t.Fatal("connections did not reach the expected states in time")
 		}
 	}
 }
 
-// Quiesce detaches a new connection and one with half a request, once the request in flight is
-// answered. Resume goes on with both, and accepts others again.
+// Quiesce returns a new connection and one with a partial request, once the request in flight is
+// answered. Resume serves both again and accepts new connections.
 func TestServer_QuiesceAndResume(t *testing.T) {
 	s, addr, admitted := newTestServer(t, 10)
 	unused, half, busy := dial(t, addr), dial(t, addr), dial(t, addr)
@@ -60,11 +60,11 @@
 	inFlight.Response <- frontend.Response{Status: http.StatusAccepted, Close: true}
 	r := waittest.Receive(t, quiesced)
 	if r.err != nil || len(r.detached) != 2 {
-		t.Fatalf("%d connections, %v", len(r.detached), r.err)
+		t.Fatalf("%d connections detached, err %v; want 2", len(r.detached), r.err)
 	}
 	for _, d := range r.detached {
 		if d.Unused != (len(d.Buffered) == 0) || !d.Unused && string(d.Buffered) != request[:begun] {
-			t.Errorf("unused %v, with %q", d.Unused, d.Buffered)
+			t.Errorf("unused %v, buffered %q", d.Unused, d.Buffered)
 		}
 	}
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// Where a request is still in flight when its context ends, Quiesce fails, and Resume goes on with
-// what was detached.
+// Quiesce fails if a request is still in flight when its context ends, and Resume serves the
+// detached connections again.
 func TestServer_QuiesceFailsWithRequestInFlight(t *testing.T) {
 	s, addr, admitted := newTestServer(t, 10)
 	unused, busy := dial(t, addr), dial(t, addr)
@@ -108,10 +108,9 @@
 	}
 }
 
-// What happens: a client has sent a part of a line of its request's head when a hand-over begins; it gets 400 and a close in place of being
-// passed on. A line that never ends gets 400 as well, where 408 is due. Why: the parser takes the part of a line that came before
-// the read's deadline for a whole line, and calls it malformed; the deadline's error is lost. Evidence: the log line "request not
-// readable" said `malformed HTTP request "POST /sta"` where a longer part of the head gives "i/o timeout".
+// A connection on which a part of a head line has arrived when a hand-over begins is detached, and not answered with 400. The
+// fault: the parser takes the part of a line that it read before the read deadline for a whole line and reports it as malformed
+// (`malformed HTTP request "POST /sta"`), so the deadline's error ("i/o timeout") is lost.
 func TestServer_DetachesHalfALine(t *testing.T) {
 	request := newRequest("half", "", "Content-Length: 0")
 	for _, begun := range []string{request[:1], request[:len("POST /sta")], request[:len("POST /status HTTP/1.1\r")], request[:strings.Index(request, "Content-Le")+4]} {
@@ -137,7 +136,8 @@
 	}
 }
 
-// A line of a head that does not end in time is answered 408, as is a head that lacks lines (RFC 9110, section 15.5.9).
+// A head whose last line stays incomplete until the time-out is answered with 408, as is a head that lacks lines (RFC 9110,
+// section 15.5.9). It must not be answered with 400 as malformed.
 func TestServer_TimesOutHalfALine(t *testing.T) {
 	for _, begun := range []string{"POST /sta", "POST /status HTTP/1.1\r\nHo", "POST /status HTTP/1.1\r\nHost: x\r\n"} {
 		t.Run(fmt.Sprintf("%q", begun), func(t *testing.T) {
--- a/internal/frontend/http1/memory.go
+++ b/internal/frontend/http1/memory.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// memoryBudget is an amount of memory, in bytes, that requests share.
+// memoryBudget limits the memory, in bytes, that all requests use together.
 type memoryBudget struct {
 	mu   sync.Mutex
 	left int // guarded by mu
 }
 
-// reserve takes n bytes and reports true, if so many are left.
+// reserve takes n bytes from the budget and reports true, if that many are left.
 func (b *memoryBudget) reserve(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -19,7 +19,7 @@
 	return true
 }
 
-// release gives n reserved bytes back.
+// release returns n reserved bytes to the budget.
 func (b *memoryBudget) release(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/frontend/http1/recorder.go
+++ b/internal/frontend/http1/recorder.go
@@ -2,20 +2,21 @@
 
 import "io"
 
-// maxRecorderCapacity bounds the buffer, in bytes, that is reused for the next request. That of a
-// larger request is freed.
+// maxRecorderCapacity bounds the buffer, in bytes, that is kept for the next request. A larger
+// buffer is freed.
 const maxRecorderCapacity = 4 << 10
 
-// recorder records what was read of a request that has begun: the parser does not give it back, and
-// a successor process has to read it again. Nor does it give back why a line ended early: a part of
-// a line that came before an error is a malformed line to it.
+// recorder records the bytes and the last error that were read for a request in progress, since the
+// HTTP parser returns neither. A successor process needs the bytes to parse the request again. The
+// error is needed because the parser takes the part of a line that arrives before a read error for a
+// whole line, and reports that the line is malformed.
 type recorder struct {
 	from io.Reader
 	read []byte
-	err  error // of the last reading; nil: it brought something
+	err  error // of the last read; nil: the read succeeded
 }
 
-// reset drops what was recorded: a request is about to begin, or was read to its end.
+// reset drops the record before a request and after a request that was read completely.
 func (r *recorder) reset() {
 	r.err = nil
 	if r.read = r.read[:0]; cap(r.read) > maxRecorderCapacity {
--- a/internal/frontend/http1/request_test.go
+++ b/internal/frontend/http1/request_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// A request that cannot be read, or leaves unclear where it ends, gets a 4xx and a close (or a
-// close), is not submitted, and nothing behind it is looked at. Before, a request hidden in the
-// body of one with both a Content-Length and a Transfer-Encoding was forwarded, as was one behind a
-// Content-Length that was too short.
+// A request that cannot be read, or whose end is ambiguous, gets a 4xx response and a close (or only
+// a close). It is not submitted, and nothing after it is read as a request. The faults: a request
+// hidden in the body of another one with both a Content-Length and a Transfer-Encoding was
+// forwarded, and so was a request after a Content-Length that was too short.
 func TestServer_RejectsMalformedRequests(t *testing.T) {
 	hidden := newRequest("hidden", "", "Content-Length: 0")
 	tests := []struct {
@@ -59,9 +59,9 @@
 			}
 			select {
 			case submission := <-admitted:
-				// The relay's loop looks last of all at what lies behind a request.
+				// The relay rejects an admitted submission if more bytes have arrived after the request.
 				if quiet, _ := submission.Quiet(); quiet {
-					t.Error("admitted")
+					t.Error("malformed request was admitted")
 				}
 			default:
 			}
@@ -69,7 +69,7 @@
 	}
 }
 
-// A response to a body that is far too large arrives although the client goes on sending.
+// The response to a body that is far too large arrives although the client continues to send.
 func TestServer_RejectsHugeBodyWhileItIsSent(t *testing.T) {
 	_, addr, _ := newTestServer(t, 10)
 	c := dial(t, addr)
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// newConnTimeout is how long a new connection may send nothing, and firstRequestTimeout how
-	// long its first request may take from its first byte on. A client that sends neither is owed
-	// an error or a close within 3 s of connecting.
+	// newConnTimeout bounds the wait for the first byte on a new connection, and
+	// firstRequestTimeout the time from that byte to the end of the first request. Together they
+	// are below 3 s, within which a client must get an error or a close.
 	newConnTimeout      = 2 * time.Second
 	firstRequestTimeout = 600 * time.Millisecond
-	// idleTimeout is how long a connection may be idle, unless it is evicted, and requestTimeout
-	// how long a later request may take from its first byte on: clients send at once.
+	// idleTimeout bounds the time for which a connection may be idle, and requestTimeout the time
+	// from the first byte to the end of a later request: clients send a request without pauses.
 	idleTimeout    = 8 * time.Second
 	requestTimeout = 2500 * time.Millisecond
-	// maxHeadSize bounds a request's head, in bytes.
+	// maxHeadSize bounds the head of a request, in bytes.
 	maxHeadSize = 16 << 10
 )
 
-// connEnd is how the service of a connection ends.
+// connEnd is how serving a connection ended: the connection is detached or has to be closed.
 type connEnd struct {
 	detached bool
-	reason   CloseReason // where it is not detached
+	reason   CloseReason // unless detached
 }
 
 func closedFor(reason CloseReason) *connEnd { return &connEnd{reason: reason} }
 
-// serveConn serves the requests of a connection, one after another, until it is to be closed or
-// detached. It starts in connNew or connIdle.
+// serveConn serves the requests of a connection, one after another, until the connection has to be
+// closed or detached. The state start is connNew or connIdle.
 func (s *Server) serveConn(c *conn, start connState) connEnd {
 	idle, request := newConnTimeout, firstRequestTimeout
 	if start == connIdle {
 		idle, request = idleTimeout, requestTimeout
 	}
-	idle = max(0, idle-time.Since(c.since)) // another process may have waited before
+	idle = max(0, idle-time.Since(c.since)) // a predecessor may already have waited for a part of it
 	for {
 		if end := s.awaitRequest(c, idle); end != nil {
 			return *end
@@ -48,8 +48,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. It returns the connection's end, or nil where
-// a request has begun.
+// awaitRequest waits for the first byte of a request. It returns nil if a request has begun, and
+// otherwise how serving the connection ended.
 func (s *Server) awaitRequest(c *conn, timeout time.Duration) *connEnd {
 	s.setReadTimeout(c, timeout)
 	c.limit.N = maxHeadSize
@@ -58,8 +58,8 @@
 	if err == nil {
 		return nil
 	}
-	// A read whose deadline has passed does not look at the socket: a request that came in that
-	// instant is served.
+	// A read whose deadline has passed fails without reading the socket. A request that arrived at
+	// that moment is served all the same.
 	if !s.isInterrupted(c, err) && c.hasUnread() {
 		return nil
 	}
@@ -69,8 +69,8 @@
 	return closedFor(CloseNoRequest)
 }
 
-// serveRequest reads a request and answers it. It returns the connection's end, or nil where it is
-// idle again.
+// serveRequest reads a request and answers it. It returns nil if the connection is idle again, and
+// otherwise how serving the connection ended.
 func (s *Server) serveRequest(c *conn, timeout time.Duration) *connEnd {
 	if !s.enter(c, connReading) {
 		return closedFor(CloseConcurrent)
@@ -78,7 +78,7 @@
 	s.setReadTimeout(c, timeout)
 	response, err := s.handleRequest(c)
 	if err != nil {
-		slog.Debug("request not readable", logkey.Err, err)
+		slog.Debug("cannot read request", logkey.Err, err)
 		if s.isInterrupted(c, err) {
 			return &connEnd{detached: true}
 		}
--- a/internal/frontend/http1/serve_test.go
+++ b/internal/frontend/http1/serve_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// timedOutReader is a connection whose first read finds its deadline passed, whatever has come: as
-// in a process that was not scheduled for long.
+// timedOutReader is a connection whose first read fails since the deadline has passed, even if bytes
+// have arrived, as in a process that was not scheduled for a long time.
 type timedOutReader struct {
 	io.Reader
 	read atomic.Bool
@@ -26,8 +26,8 @@
 	return r.Reader.Read(b)
 }
 
-// A request that has come when its connection has been idle for too long is answered, and the
-// connection not closed.
+// A request that arrives at the moment of its connection's idle time-out is answered, and the
+// connection is not closed.
 func TestServer_AnswersRequestInTheInstantOfTheTimeout(t *testing.T) {
 	client, server := newConnPair(t)
 	c := newConn(server, nil)
@@ -40,6 +40,6 @@
 	_ = client.SetDeadline(time.Now().Add(waittest.Long))
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("%v, %v", resp, err)
+		t.Errorf("response %v, %v", resp, err)
 	}
 }
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// bodyMemoryFraction of the relay's memory is for bodies of requests that are being read or
-	// decided on.
+	// bodyMemoryFraction is the fraction of the relay's memory for the bodies of requests that are
+	// being read or await a decision.
 	bodyMemoryFraction = 1.0 / 16
-	// minAcceptBackoff is the pause after a failed accept, and maxAcceptBackoff after several in a
-	// row.
+	// minAcceptBackoff is the pause after the first failed accept, and maxAcceptBackoff the longest
+	// pause after several failures in a row.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 )
@@ -30,11 +30,11 @@
 type Config struct {
 	Validator    *frontend.Validator
 	Mode         *servingmode.Mode
-	MemoryMB     float64 // of the relay
+	MemoryMB     float64 // memory of the whole relay
 	MaxConns     int
 	MaxIdleConns int
-	// OnClose, where set, is called with the CloseReason of each connection that is closed. The
-	// server's lock is held.
+	// OnClose, if set, is called with the CloseReason of each connection that is closed. The server's
+	// lock is held during the call.
 	OnClose func(reason string)
 }
 
@@ -47,19 +47,19 @@
 	onClose   func(reason string)
 	bodies    memoryBudget
 
-	mu       sync.Mutex // guards all below
-	changed  sync.Cond  // a connection has gone, or may be evicted now
+	mu       sync.Mutex // guards the fields below
+	changed  sync.Cond  // signalled when a connection is removed or becomes evictable
 	maxConns int
 	maxIdle  int
 	conns    map[*conn]bool
-	counts   [connStates]int // of conns, by state
-	draining bool            // a goroutine is in CloseIdleConns
+	counts   [connStates]int // number of conns by state
+	draining bool            // CloseIdleConns is running
 	listener *net.TCPListener
 	handover handoverState
 }
 
-// New returns a server. Its admit is called with each submission that passes validation, and onShed
-// with the class of each for whose body there is no memory.
+// New returns a server. It calls admit with each submission that passes validation, and onShed with
+// the class of each that is shed because there is no memory for its body.
 func New(c Config, admit func(*frontend.Submission), onShed func(class string)) *Server {
 	bodyMemory := int(bodyMemoryFraction * c.MemoryMB * (1 << 20))
 	s := &Server{
@@ -72,10 +72,10 @@
 	return s
 }
 
-// SetValidator validates the submissions that come from now on by other settings.
+// SetValidator replaces the validator for requests that are read from now on.
 func (s *Server) SetValidator(v *frontend.Validator) { s.validator.Store(v) }
 
-// Unanswered returns how many requests were read and have no response yet.
+// Unanswered returns the number of requests that were read completely and have no response yet.
 func (s *Server) Unanswered() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case syserr.Classify(syserr.Accept, err) == syserr.Local:
-			// Guards against a process that ends for a shortage that passes.
+			// A temporary shortage on this machine must not end the process.
 			slog.Warn("connection not accepted", logkey.Err, err)
 			if syserr.IsDescriptorShortage(err) {
 				s.evictForDescriptor()
@@ -112,7 +112,7 @@
 	}
 }
 
-// accept serves a connection as soon as the bound on connections allows.
+// accept serves a connection as soon as the number of connections is below its bound.
 func (s *Server) accept(raw *net.TCPConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +122,8 @@
 	s.start(newConn(raw, nil), connNew)
 }
 
-// start serves a connection in a goroutine of its own, which ends with the connection. s.mu is
-// held.
+// start serves a connection in a new goroutine, which runs until the connection is closed or
+// detached. s.mu is held.
 func (s *Server) start(c *conn, state connState) {
 	c.state = state
 	s.conns[c] = true
@@ -141,7 +141,7 @@
 	}()
 }
 
-// enter moves a connection to a state and reports true, unless it is gone.
+// enter moves a connection to a state. It reports false if the connection is closed or detached.
 func (s *Server) enter(c *conn, to connState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,12 +152,12 @@
 	s.counts[to]++
 	c.state, c.since = to, time.Now()
 	if to <= connIdle {
-		s.changed.Broadcast() // it may be evicted now
+		s.changed.Broadcast() // the connection is evictable now
 	}
 	return true
 }
 
-// close closes a connection, also while its goroutine serves it. s.mu is held.
+// close closes a connection, even while its goroutine is serving it. s.mu is held.
 func (s *Server) close(c *conn, reason CloseReason) {
 	if c.isGone() {
 		return
@@ -169,7 +169,7 @@
 	}
 }
 
-// remove takes a connection out of the server's. s.mu is held.
+// remove removes a connection from the server's connections. s.mu is held.
 func (s *Server) remove(c *conn, to connState) {
 	delete(s.conns, c)
 	s.counts[c.state]--
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -19,7 +19,7 @@
 // healthRequest is a request that is answered without a submission.
 const healthRequest = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// newTestServer serves clients over so many connections at most; admitted gets the submissions.
+// newTestServer starts a server with a bound on its connections. It sends submissions to admitted.
 func newTestServer(t *testing.T, maxConns int) (s *Server, addr string, admitted chan *frontend.Submission) {
 	t.Helper()
 	validator := &frontend.Validator{
@@ -38,7 +38,7 @@
 	return s, l.Addr().String(), admitted
 }
 
-// newIdleServer returns a server that accepts no connections by itself, and allows one idle one.
+// newIdleServer returns a server that is not accepting connections and permits one idle connection.
 func newIdleServer() *Server {
 	return New(Config{Validator: &frontend.Validator{}, Mode: &servingmode.Mode{}, MemoryMB: 64, MaxConns: 4, MaxIdleConns: 1},
 		func(*frontend.Submission) {}, func(string) {})
@@ -69,7 +69,7 @@
 	}
 }
 
-// newRequest returns a valid submission with an id, with lines added to its head.
+// newRequest returns a valid request with an id, a body, and lines added to its head.
 func newRequest(id, body string, lines ...string) string {
 	head := fmt.Sprintf("POST /status HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nTenant: acme\r\nRequest-Timeout: 5\r\n"+
 		"X-Envelope: dest=7\r\n", id)
@@ -79,7 +79,7 @@
 	return head + "\r\n" + body
 }
 
-// newConnPair returns both sides of a client's connection.
+// newConnPair returns both ends of a client's connection.
 func newConnPair(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,18 +102,18 @@
 	return c.(*net.TCPConn), s.(*net.TCPConn)
 }
 
-// sendHealthCheck sends a request, and waits until it has come.
+// sendHealthCheck sends a request, and waits until its bytes have arrived.
 func sendHealthCheck(t *testing.T, client *net.TCPConn, c *conn) {
 	t.Helper()
 	write(t, client, healthRequest)
 	for end := time.Now().Add(waittest.Long); !c.hasUnread(); {
 		if time.Now().After(end) {
-			t.Fatal("the request did not come")
+			t.Fatal("the request did not arrive")
 		}
 	}
 }
 
-// fullListener is a listener that has one connection, and then no descriptor for another.
+// fullListener is a listener that accepts one connection and then fails with a descriptor shortage.
 type fullListener struct {
 	first  chan net.Conn
 	tried  chan struct{}
@@ -138,8 +138,8 @@
 func (l *fullListener) Close() error   { return nil }
 func (l *fullListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A connection that was just accepted is not closed to free a descriptor: its request may be on its
-// way, and would be lost.
+// A connection that was just accepted is not closed to free a descriptor: its first request may be in
+// transit and would be lost.
 func TestServer_DescriptorShortageKeepsNewConnections(t *testing.T) {
 	client, server := newConnPair(t)
 	s := newIdleServer()
@@ -152,12 +152,11 @@
 	}
 	_ = client.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 	if _, err := client.Read(make([]byte, 1)); !os.IsTimeout(err) {
-		t.Errorf("a new connection is closed: %v", err)
+		t.Errorf("a new connection was closed: %v", err)
 	}
 }
 
-// A client that sends nothing or half a request gets a response or a close in the time in which it
-// is owed one.
+// A client that sends nothing, or a partial request, gets a response or a close within 3 s.
 func TestServer_ClosesUnresponsiveClients(t *testing.T) {
 	_, addr, _ := newTestServer(t, 10)
 	nothing, half := dial(t, addr), dial(t, addr)
@@ -168,14 +167,14 @@
 		}
 	}
 	if newConnTimeout+firstRequestTimeout >= 3*time.Second || requestTimeout >= 3*time.Second {
-		t.Error("a response or a close within 3 s is owed")
+		t.Error("the time-outs do not guarantee a response or a close within 3 s")
 	}
 }
 
-// Traces are searched for these values.
+// Traces are searched for these values, so they must not change.
 func TestCloseReason_Values(t *testing.T) {
 	for reason, want := range map[CloseReason]string{
-		CloseForRoom:      "room for others",
+		CloseEvicted:      "room for others",
 		CloseTooManyIdle:  "clients keep more than they use",
 		CloseDraining:     "clients are sent away",
 		CloseNoRequest:    "no request in time, or its client has left",
@@ -190,7 +189,7 @@
 	}
 }
 
-// OnClose gets the reason of each connection that is closed.
+// OnClose is called with the reason of each close.
 func TestServer_ReportsCloseReason(t *testing.T) {
 	reasons := make(chan string, 10)
 	s := New(Config{
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// RejectionReason is why a request is rejected before it reaches the relay's decisions.
+// RejectionReason is why a request is rejected before the relay decides on it.
 type RejectionReason string
 
-// The reasons. The first group is of HTTP/1.1's framing, the second of the submission.
+// The reasons. The first group concerns HTTP/1.1 framing, the second the submission itself.
 const (
 	RejectProtocol         RejectionReason = "protocol"
 	RejectTransferEncoding RejectionReason = "transfer encoding"
@@ -25,18 +25,18 @@
 	RejectOrderingCookie RejectionReason = "ordering cookie"
 )
 
-// RejectionError is a request that is rejected since it breaks the protocol.
+// RejectionError is the error for a request that is rejected because it violates the protocol.
 type RejectionError struct {
-	Status int // what the client gets
+	Status int // HTTP status code for the client
 	Reason RejectionReason
-	Err    error // what is wrong, for logs
+	Err    error // details, for logs
 }
 
 func (e *RejectionError) Error() string { return e.Err.Error() }
 
 func (e *RejectionError) Unwrap() error { return e.Err }
 
-// Reject returns a rejection whose message is a format with its arguments.
+// Reject returns a rejection whose error is formatted as by [fmt.Errorf].
 func Reject(status int, reason RejectionReason, format string, args ...any) *RejectionError {
 	return &RejectionError{Status: status, Reason: reason, Err: fmt.Errorf(format, args...)}
 }
--- a/internal/frontend/submission.go
+++ b/internal/frontend/submission.go
@@ -8,25 +8,25 @@
 
 // Submission is a request that a client submits.
 type Submission struct {
-	Entry      *journal.Entry // without its times, which are of the relay's timeline
-	ReceivedAt time.Time      // when this process had read its head
-	TimeLeft   time.Duration  // from ReceivedAt until its deadline
+	Entry      *journal.Entry // its times are unset: the relay sets them on its own timeline
+	ReceivedAt time.Time      // when this process had read the request's head
+	TimeLeft   time.Duration  // from ReceivedAt until the request's deadline
 	Response   chan Response  // buffered, for one response
-	// ClientRetry is what the client says of an earlier submission of the request; empty if it says
-	// nothing. It is for the trace alone.
+	// ClientRetry is the value of the Client-Retry header, in which a client describes its earlier
+	// submission of the same request; empty without the header. It is only written to the trace.
 	ClientRetry string
-	// Quiet reports whether the client has sent nothing after the request, and whether it is still
-	// connected.
-	Quiet func() (quiet, there bool)
+	// Quiet reports whether the client has sent nothing after the request, and whether the client
+	// is still connected.
+	Quiet func() (quiet, connected bool)
 }
 
-// Response is what a client is answered.
+// Response is the relay's response to a client.
 type Response struct {
-	Status     int           // 0 where the client is gone and nothing is written
-	RetryAfter time.Duration // when the client may submit again; 0 if it has no header for that
-	Close      bool          // the connection takes no further request
+	Status     int           // 0: the client has disconnected, and no response is written
+	RetryAfter time.Duration // value of the Retry-After header; 0: the response has no such header
+	Close      bool          // this is the last response on the connection
 }
 
-// RejectMalformed returns the response to a request that breaks the protocol. It is the last on its
-// connection, since what follows cannot be distinguished from a part of the malformed request.
+// RejectMalformed returns the response to a request that violates the protocol. The response closes
+// the connection, since the bytes that follow may be a part of the malformed request.
 func RejectMalformed(status int) Response { return Response{Status: status, Close: true} }
--- a/internal/frontend/validator.go
+++ b/internal/frontend/validator.go
@@ -16,33 +16,34 @@
 )
 
 const (
-	// MaxBodySize is the protocol's bound on a body, in bytes.
+	// MaxBodySize is the largest body that the protocol permits, in bytes.
 	MaxBodySize = 64 << 10
-	// MaxNameLength bounds an id or a key that a client sends, in bytes.
+	// MaxNameLength bounds the value of each submission header and the order key, in bytes.
 	MaxNameLength = 256
-	// maxTimeout is the longest timeout that is accepted: no class gives a request a day, and a
-	// client that asks for more has a fault.
+	// maxTimeout is the longest Request-Timeout that is accepted. No class gives a request a whole
+	// day, so a longer timeout is a fault of the client.
 	maxTimeout = 24 * time.Hour
-	// orderingCookie is the cookie with the ordering key of a request whose class is ordered.
+	// orderingCookie is the name of the cookie with the order key of a request in an ordered class.
 	orderingCookie = "subject"
 )
 
-// destinationField finds the destination in the X-Envelope header.
+// destinationField matches the destination's number in the X-Envelope header.
 var destinationField = regexp.MustCompile(`(?:^|[,;\s])dest=(\d{1,9})(?:$|[,;\s])`)
 
-// Validator validates submissions by the settings.
+// Validator validates submissions against the settings.
 type Validator struct {
 	Classes map[string]*policy.Class
-	Tenants map[string]bool // none: any tenant is accepted
-	// Subjects extract the subject of a class's requests, for the dead-letter store.
+	Tenants map[string]bool // empty: any tenant is accepted
+	// Subjects maps a class to the rule that extracts the subject of its requests for the
+	// dead-letter store.
 	Subjects map[string]*deadletter.Subject
 }
 
-// submissionHeaders are the headers that describe a submission.
+// submissionHeaders has the values of the headers that describe a submission.
 type submissionHeaders struct{ tenant, id, idempotencyKey, envelope, timeout string }
 
-// Parse validates the head of a request and returns its submission, which lacks the body and what
-// comes with it.
+// Parse validates the head of a request and returns its submission. The caller has to set the
+// submission's Quiet function and, in its entry, the body and the subject.
 func (v *Validator) Parse(r *http.Request) (*Submission, *RejectionError) {
 	receivedAt := time.Now()
 	if r.Method != http.MethodPost {
@@ -81,7 +82,7 @@
 	}, nil
 }
 
-// readHeaders reads the headers that describe a submission; those that are missing are empty.
+// readHeaders reads the headers that describe a submission. A missing header gives an empty value.
 func readHeaders(h http.Header) (headers submissionHeaders, rejection *RejectionError) {
 	for _, field := range []struct {
 		name string
@@ -100,9 +101,9 @@
 	return headers, nil
 }
 
-// singleValue returns the only value of a header; empty if there is none. The value has to be
-// printable ASCII, as ids and keys are forwarded unchanged and go through the journal, whose JSON
-// would change other characters.
+// singleValue returns the value of a header that may occur once; empty if the header is missing. The
+// value must be printable ASCII, since ids and keys are forwarded unchanged and are stored in the
+// journal, whose JSON encoding would change other bytes.
 func singleValue(h http.Header, name string) (string, *RejectionError) {
 	reject := func(format string, args ...any) *RejectionError {
 		return Reject(http.StatusBadRequest, RejectHeader, name+": "+format, args...)
@@ -114,11 +115,11 @@
 	case len(values) > 1:
 		return "", reject("%d values", len(values))
 	case len(values[0]) > MaxNameLength:
-		return "", reject("too long")
+		return "", reject("value too long")
 	}
 	for _, b := range []byte(values[0]) {
 		if b < ' ' || b > '~' {
-			return "", reject("not printable")
+			return "", reject("value is not printable ASCII")
 		}
 	}
 	return values[0], nil
@@ -130,38 +131,38 @@
 	case len(v.Tenants) > 0 && !v.Tenants[headers.tenant]:
 		return Reject(http.StatusBadRequest, RejectUnknownTenant, "unknown tenant %q", headers.tenant)
 	case headers.id == "":
-		return Reject(http.StatusBadRequest, RejectNoID, "no id")
+		return Reject(http.StatusBadRequest, RejectNoID, "missing Request-Id header")
 	case headers.idempotencyKey == "" && class.Idempotency == policy.IdempotentByKey:
-		return Reject(http.StatusBadRequest, RejectNoKey, "no key in a keyed class")
+		return Reject(http.StatusBadRequest, RejectNoKey, "missing Idempotency-Key header: class is idempotent by key")
 	}
 	return nil
 }
 
-// parseDestination returns the destination's number in the value of X-Envelope.
+// parseDestination returns the destination's number from the value of the X-Envelope header.
 func parseDestination(envelope string) (int, *RejectionError) {
 	match := destinationField.FindStringSubmatch(envelope)
 	if match == nil {
-		return 0, Reject(http.StatusBadRequest, RejectNoDestination, "no destination")
+		return 0, Reject(http.StatusBadRequest, RejectNoDestination, "X-Envelope: no valid dest field")
 	}
 	number, err := strconv.Atoi(match[1])
 	if err != nil {
-		return 0, Reject(http.StatusBadRequest, RejectDestination, "destination: %w", err)
+		return 0, Reject(http.StatusBadRequest, RejectDestination, "X-Envelope: destination: %w", err)
 	}
 	return number, nil
 }
 
-// parseTimeout returns the time that a client gives a request, from when it sent it, in the value
-// of Request-Timeout. No class gives a request more than its deadline.
+// parseTimeout returns the timeout of a request from the value of the Request-Timeout header, in
+// seconds since the client sent the request. It is limited to the deadline of the class.
 func parseTimeout(text string, class *policy.Class) (time.Duration, *RejectionError) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= maxTimeout.Seconds()) {
-		return 0, Reject(http.StatusBadRequest, RejectTimeout, "time-out %q", text)
+		return 0, Reject(http.StatusBadRequest, RejectTimeout, "invalid Request-Timeout %q", text)
 	}
 	return settings.Seconds(min(seconds, class.Deadline.Seconds())), nil
 }
 
-// orderKeyOf returns the ordering key of a request whose class is ordered: requests with one key
-// are delivered one after another. Empty: the request is free of order.
+// orderKeyOf returns the order key of a request in an ordered class; requests with the same key are
+// delivered one after another. An empty key means that the request is delivered in no order.
 func orderKeyOf(r *http.Request, class *policy.Class) (string, *RejectionError) {
 	if !class.Ordered {
 		return "", nil
@@ -172,17 +173,17 @@
 	switch found := r.CookiesNamed(orderingCookie); {
 	case len(found) == 0:
 		return "", nil
-	case len(found) > 1: // it is ambiguous by which one it is ordered
+	case len(found) > 1: // it is ambiguous which of the values is the order key
 		return "", reject("%d values", len(found))
 	case len(found[0].Value) > MaxNameLength:
-		return "", reject("too long")
+		return "", reject("value too long")
 	default:
 		return found[0].Value, nil
 	}
 }
 
-// clientRetry returns what a client says of an earlier submission. It is for the trace alone, so
-// that a malformed value rejects nothing.
+// clientRetry returns the value of the Client-Retry header. A malformed value counts as missing and
+// does not reject the request, since the header is only written to the trace.
 func clientRetry(h http.Header) string {
 	retry, rejection := singleValue(h, "Client-Retry")
 	if rejection != nil {
@@ -191,9 +192,9 @@
 	return retry
 }
 
-// ReadSubject sets the subject of a request in its entry. A request whose subject cannot be read is
-// served as any other. While it may have been delivered, no older request of its class and
-// destination is redelivered.
+// ReadSubject sets the subject and the order of a request in its entry. A request whose subject
+// cannot be read is served like any other, but as long as it may have been delivered, no older
+// request of its class and destination is redelivered.
 func (v *Validator) ReadSubject(e *journal.Entry, h http.Header) {
 	subject := v.Subjects[e.Class]
 	if subject == nil {
@@ -201,7 +202,7 @@
 	}
 	name, order, err := subject.Read(h, e.Body)
 	if err != nil {
-		slog.Debug("subject not readable", logkey.RequestID, e.ID, logkey.Err, err)
+		slog.Debug("cannot read subject of request", logkey.RequestID, e.ID, logkey.Err, err)
 	}
 	e.Subject, e.Order = name, &order
 }
--- a/internal/frontend/validator_test.go
+++ b/internal/frontend/validator_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// newRequest returns a valid submission to a class, changed by a function.
+// newRequest returns a valid request of a class after change has modified it.
 func newRequest(t *testing.T, class string, change func(r *http.Request)) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "/"+class, nil)
@@ -36,7 +36,7 @@
 	return r
 }
 
-// Each rejection has a status, a reason, and the message that logs show.
+// Each rejection has a status, a reason, and a message for logs.
 func TestValidator_Rejects(t *testing.T) {
 	set := func(name, value string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set(name, value) }
@@ -52,35 +52,35 @@
 		{"method", "status", func(r *http.Request) { r.Method = http.MethodPut }, 405, RejectMethod, "method PUT"},
 		{"class", "news", func(*http.Request) {}, 404, RejectUnknownClass, `unknown class "news"`},
 		{"two ids", "status", func(r *http.Request) { r.Header.Add("Request-Id", "n") }, 400, RejectHeader, "Request-Id: 2 values"},
-		{"long id", "status", set("Request-Id", strings.Repeat("m", MaxNameLength+1)), 400, RejectHeader, "Request-Id: too long"},
-		{"id not printable", "status", set("Request-Id", "m\xff"), 400, RejectHeader, "Request-Id: not printable"},
+		{"long id", "status", set("Request-Id", strings.Repeat("m", MaxNameLength+1)), 400, RejectHeader, "Request-Id: value too long"},
+		{"id not printable", "status", set("Request-Id", "m\xff"), 400, RejectHeader, "Request-Id: value is not printable ASCII"},
 		{"tenant", "status", set("Tenant", "other"), 400, RejectUnknownTenant, `unknown tenant "other"`},
-		{"no id", "status", set("Request-Id", ""), 400, RejectNoID, "no id"},
-		{"no key", "fee", func(*http.Request) {}, 400, RejectNoKey, "no key in a keyed class"},
-		{"no destination", "status", set("X-Envelope", "dest=x"), 400, RejectNoDestination, "no destination"},
-		{"no timeout", "status", set("Request-Timeout", ""), 400, RejectTimeout, `time-out ""`},
-		{"timeout not a number", "status", set("Request-Timeout", "NaN"), 400, RejectTimeout, `time-out "NaN"`},
-		{"timeout of 0", "status", set("Request-Timeout", "0"), 400, RejectTimeout, `time-out "0"`},
-		{"timeout over a day", "status", set("Request-Timeout", "86401"), 400, RejectTimeout, `time-out "86401"`},
-		{"two ordering keys", "ordered", set("Cookie", "subject=a; subject=b"), 400, RejectOrderingCookie, "cookie subject: 2 values"},
+		{"no id", "status", set("Request-Id", ""), 400, RejectNoID, "missing Request-Id header"},
+		{"no key", "fee", func(*http.Request) {}, 400, RejectNoKey, "missing Idempotency-Key header: class is idempotent by key"},
+		{"no destination", "status", set("X-Envelope", "dest=x"), 400, RejectNoDestination, "X-Envelope: no valid dest field"},
+		{"no timeout", "status", set("Request-Timeout", ""), 400, RejectTimeout, `invalid Request-Timeout ""`},
+		{"timeout not a number", "status", set("Request-Timeout", "NaN"), 400, RejectTimeout, `invalid Request-Timeout "NaN"`},
+		{"timeout of 0", "status", set("Request-Timeout", "0"), 400, RejectTimeout, `invalid Request-Timeout "0"`},
+		{"timeout over a day", "status", set("Request-Timeout", "86401"), 400, RejectTimeout, `invalid Request-Timeout "86401"`},
+		{"two order keys", "ordered", set("Cookie", "subject=a; subject=b"), 400, RejectOrderingCookie, "cookie subject: 2 values"},
 		{
-			"long ordering key", "ordered", set("Cookie", "subject="+strings.Repeat("a", MaxNameLength+1)),
-			400, RejectOrderingCookie, "cookie subject: too long",
+			"long order key", "ordered", set("Cookie", "subject="+strings.Repeat("a", MaxNameLength+1)),
+			400, RejectOrderingCookie, "cookie subject: value too long",
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, rejection := newTestValidator().Parse(newRequest(t, tt.class, tt.change))
 			if rejection == nil {
-				t.Fatal("accepted")
+				t.Fatal("request accepted, want a rejection")
 			}
 			if rejection.Status != tt.status || rejection.Reason != tt.reason || rejection.Error() != tt.message {
-				t.Errorf("%d, %q, %q", rejection.Status, rejection.Reason, rejection.Error())
+				t.Errorf("status %d, reason %q, message %q", rejection.Status, rejection.Reason, rejection.Error())
 			}
 		})
 	}
 }
 
-// What a submission says of its request is in its entry.
+// The headers and the cookie of a valid request are copied to its submission and its entry.
 func TestValidator_Accepts(t *testing.T) {
 	s, rejection := newTestValidator().Parse(newRequest(t, "ordered", func(r *http.Request) {
 		r.Header.Set("Idempotency-Key", "k")
@@ -100,8 +100,8 @@
 	}
 }
 
-// No class gives a request more time than its deadline, and what is said of an earlier submission
-// rejects nothing.
+// The timeout is limited to the deadline of the class, and a malformed Client-Retry header does not
+// reject the request.
 func TestValidator_BoundsTimeAndIgnoresBadRetry(t *testing.T) {
 	s, rejection := newTestValidator().Parse(newRequest(t, "status", func(r *http.Request) {
 		r.Header.Set("Request-Timeout", "3600")
@@ -112,6 +112,6 @@
 		t.Fatal(rejection)
 	}
 	if s.TimeLeft != 30*time.Second || s.ClientRetry != "" || s.Entry.OrderKey != "" {
-		t.Errorf("%v left, retry %q, ordering key %q", s.TimeLeft, s.ClientRetry, s.Entry.OrderKey)
+		t.Errorf("time left %v, client retry %q, order key %q", s.TimeLeft, s.ClientRetry, s.Entry.OrderKey)
 	}
 }
