--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,13 +1,13 @@
-// Package upstream has the terms in which attempts are made at endpoints, whatever their protocol.
+// Package upstream defines the types for attempts at endpoints. It does not depend on the protocol
+// that an endpoint uses.
 //
-// An attempt is one [Request] to one [Target]; its [Result] says how it ended. The distinction that
-// matters most to the caller is whether the endpoint can have executed the request:
-// [Result.NotExecuted] is true only where that is proved, so that another attempt cannot repeat an
-// effect.
+// An attempt sends one [Request] to one [Target]; its [Result] says how it ended. Most important to
+// the caller is whether the endpoint may have executed the request: [Result.NotExecuted] is true
+// only if it is proved that it did not, so that another attempt cannot repeat an effect.
 //
-// The protocols are in packages below:
+// The protocols are implemented by packages in subfolders:
 //
-//   - http1: a pool of HTTP/1.1 connections, which is what the relay uses;
+//   - http1: a pool of HTTP/1.1 connections, which the relay uses;
 //   - http2: the state of one HTTP/2 connection, without I/O. No program uses it yet.
 //
 // Files:
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -14,74 +14,77 @@
 	"frostlink/internal/upstream"
 )
 
-// Endpoints reject at once: within rejectionGraceFactor times what establishing the connection
-// took, since the first request on a new one may wait for a handshake of some round trips more.
-// minRejectionGrace is for connections where that shows in the first response alone: two and a half
-// times the 100 ms for which the protocol lets attempts through after an endpoint asked to wait.
-// maxRejectionGrace is for connections that were established late.
+// The rejection grace is the time after writing a request within which a rejection is expected, even
+// if the attempt ends earlier: endpoints reject at once, so only the network delays the rejection.
+// The grace is rejectionGraceFactor times the duration of the dial, since the first request on a new
+// connection may wait for a handshake of several more round trips. minRejectionGrace is for
+// connections whose handshake delays only the first response and not the dial; it is 2.5 times the
+// 100 ms for which the protocol permits further attempts after an endpoint asked for a wait.
+// maxRejectionGrace limits the grace of connections whose dial took long.
 const (
 	rejectionGraceFactor = 5
 	minRejectionGrace    = 250 * time.Millisecond
 	maxRejectionGrace    = time.Second
 )
 
-// connState is where a connection stands. The transitions, and what causes them:
+// connState is the state of a connection. The transitions and their causes:
 //
-//	dialing          → idle             established
-//	idle             → writing          an attempt starts (Pool.engage)
-//	idle             → awaitingResponse a detached attempt is gone on with (Pool.AwaitResponse)
+//	dialing          → idle             the connection is established
+//	idle             → writing          an attempt starts (Pool.activate)
+//	idle             → awaitingResponse a detached attempt is continued (Pool.AwaitResponse)
 //	writing          → awaitingResponse the request's last byte was written
-//	writing          → idle             the request must not be written any more
-//	awaitingResponse → readingResponse  the first byte of the response came
+//	writing          → idle             the request must no longer be written
+//	awaitingResponse → readingResponse  the first byte of the response arrived
 //	awaitingResponse → detached         the pool is quiesced
 //	idle             → detached         the pool is quiesced
-//	readingResponse  → idle             the response ended as it should, and the connection persists
-//	any              → closed           any other end
+//	readingResponse  → idle             the response was read completely, and the connection is reusable
+//	any              → closed           in all other cases
 type connState int
 
 const (
-	// connDialing: it is being established, and counted by the pool.
+	// connDialing: the connection is being established; the pool counts it already.
 	connDialing connState = iota
-	// connIdle: no attempt is on it.
+	// connIdle: the connection carries no attempt.
 	connIdle
 	// connWriting: the request may have been written in part; the endpoint cannot have executed it.
 	connWriting
-	// connAwaitingResponse: the request was written, and nothing of its response has come.
+	// connAwaitingResponse: the request was written, and no byte of the response has arrived.
 	connAwaitingResponse
-	// connReadingResponse: the response has begun. The attempt's timeout does not interrupt its
-	// reading.
+	// connReadingResponse: the response has begun. The attempt's time-out does not interrupt reading
+	// it.
 	connReadingResponse
-	// connDetached: it belongs to whoever goes on with its attempt, and no longer to the pool.
+	// connDetached: the connection no longer belongs to the pool, but to the code or the process that
+	// continues its attempt or adopts it.
 	connDetached
-	// connClosed is the end.
+	// connClosed is the final state.
 	connClosed
 )
 
 // conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
-	set       *idleSet          // where it is put when idle
-	limit     *io.LimitedReader // what may still be read for the attempt
+	set       *idleSet          // the set that caches the connection while it is idle
+	limit     *io.LimitedReader // reads from the connection, at most maxResponseSize per attempt
 	in        *bufio.Reader     // reads from limit
 	idleSince time.Time         // guarded by the pool's lock
-	// rejectionGrace is how long after a request was written a rejection may be on its way.
+	// rejectionGrace is the time after writing a request within which a rejection may still arrive.
 	rejectionGrace time.Duration
 
-	mu    sync.Mutex // guards all below
+	mu    sync.Mutex // guards the fields below
 	state connState
-	// awaitUntil is the earliest time at which the response is given up; zero until the request is
-	// written.
+	// awaitUntil is the time until which the response is awaited even if the attempt's context is
+	// done; zero until the request is written.
 	awaitUntil time.Time
 }
 
-// newConn returns an established connection that is idle.
+// newConn returns an established connection in the state connIdle.
 func newConn(raw net.Conn, set *idleSet) *conn {
 	c := &conn{set: set}
 	c.establish(raw, minRejectionGrace)
 	return c
 }
 
-// establish makes a connection that was dialed idle. No other goroutine has it yet.
+// establish sets the network connection and moves c to connIdle. No other goroutine uses c yet.
 func (c *conn) establish(raw net.Conn, rejectionGrace time.Duration) {
 	c.Conn = raw
 	c.limit = &io.LimitedReader{R: socket.RetryConn{Conn: raw}, N: maxResponseSize}
@@ -96,17 +99,16 @@
 	c.state = to
 }
 
-// start puts the connection into the state in which an attempt starts on it.
+// start moves the connection to the first state of a new attempt.
 func (c *conn) start(state connState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state, c.awaitUntil = state, time.Time{}
 }
 
-// extendAwait sets awaitUntil as the request is about to be written: the response is awaited for
-// the rejection grace, also past the request's deadline where OnDeadline reports that. Past the
-// deadline it is awaited for no longer than minRejectionGrace, since a delivery after that does not
-// count.
+// extendAwait sets awaitUntil before the request is written. The response is awaited for the
+// rejection grace, but not past the request's deadline. If OnDeadline is set to report the deadline,
+// the response is awaited for up to minRejectionGrace past it; a delivery after that does not count.
 func (c *conn) extendAwait(r *upstream.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +122,7 @@
 	}
 }
 
-// reportDeadline calls OnDeadline where the response is awaited past the request's deadline.
+// reportDeadline calls OnDeadline if the response is still awaited after the request's deadline.
 func (c *conn) reportDeadline(requestCtx context.Context, r *upstream.Request) {
 	c.mu.Lock()
 	awaiting := time.Now().Before(c.awaitUntil)
@@ -130,10 +132,10 @@
 	}
 }
 
-// interrupt ends the reading and writing of an attempt whose context is done, unless its response
-// has begun. Within the rejection grace it only bounds the reading. That guards against closing a
-// connection while a rejection is on its way: the wait that it asks for counts from when it was
-// written, and would be missed.
+// interrupt ends reads and writes of an attempt whose context is done, unless its response has
+// begun. Until awaitUntil it ends only writes, and lets reads continue until then. Otherwise the
+// connection could be closed while a rejection is in transit, and the wait that the rejection asks
+// for, which counts from when the endpoint wrote it, would be missed.
 func (c *conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,11 +149,10 @@
 	}
 }
 
-// clearDeadlines removes the deadlines of an attempt and reports whether it could: if not, the
-// connection is broken.
+// clearDeadlines removes the deadlines of an attempt. It reports false if the connection is broken.
 func (c *conn) clearDeadlines() bool { return c.SetDeadline(time.Time{}) == nil }
 
-// hasUnread reports whether something has come that was not read from the socket.
+// hasUnread reports whether the socket has bytes that were not read.
 func (c *conn) hasUnread() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -161,9 +162,9 @@
 	return err == nil && n > 0
 }
 
-// isQuiet reports whether the connection is open and has nothing to read. An endpoint may close an
-// idle connection at any time (RFC 9112, section 9.5), and a request written after that would end
-// as a reset, with an unknown outcome.
+// isQuiet reports whether the connection is open and has no unread bytes. An endpoint may close an
+// idle connection at any time (RFC 9112, section 9.5), and a request written after that would end in
+// a reset, with an unknown outcome.
 func (c *conn) isQuiet() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/http1/deadline_test.go
+++ b/internal/upstream/http1/deadline_test.go
@@ -17,8 +17,8 @@
 
 const rejectedResponse = "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 900\r\nContent-Length: 0\r\n\r\n"
 
-// lateReader is a connection that is read only once its deadline has been set, as where the process
-// was not scheduled between the response and the end of the attempt.
+// lateReader is a connection whose reads wait until a deadline has been set, as in a process that is
+// not scheduled between the arrival of the response and the end of the attempt.
 type lateReader struct {
 	*net.TCPConn
 	once sync.Once
@@ -36,7 +36,7 @@
 	return c.TCPConn.Read(b)
 }
 
-// manualContext is done when the test says so.
+// manualContext is a context that ends with err when the test closes done.
 type manualContext struct {
 	context.Context
 	done chan struct{}
@@ -59,21 +59,21 @@
 	}
 }
 
-// A response that has come when the attempt times out or is canceled counts: it says that the
-// request was delivered, or for how long to wait. Before, the attempt counted as one without a
-// response, and the wait was missed.
-func TestCarry_ResponseInTheInstantOfTheEnd(t *testing.T) {
+// A response that has arrived when the attempt times out or is canceled counts, since it may confirm
+// the delivery or ask for a wait. The fault: the attempt counted as one without a response, and the
+// wait was missed.
+func TestRunAttempt_ResponseInTheInstantOfTheEnd(t *testing.T) {
 	rejected := upstream.Result{Outcome: policy.Rejected, RetryAfter: 900 * time.Millisecond}
 	for _, tt := range []struct {
 		name, text string
 		want       upstream.Result
-		deadline   bool // the attempt ends by its deadline, in place of being canceled
+		deadline   bool // the attempt ends by its deadline, and not by being canceled
 	}{
 		{"canceled, 200", okResponse, upstream.Result{Outcome: policy.Succeeded, Final: true}, false},
 		{"canceled, 429", rejectedResponse, rejected, false},
 		{"deadline, 429", rejectedResponse, rejected, true},
-		// It may have come in time or not: the outcome is notified, which does no harm to a request
-		// that was delivered.
+		// It is unknown whether the 200 arrived before the deadline. The time-out is notified, which
+		// does no harm if the request was delivered.
 		{"deadline, 200", okResponse, upstream.Result{Outcome: policy.TimedOut}, true},
 		{"deadline, truncated 200", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.TimedOut}, true},
 		{"canceled, truncated 200", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.Succeeded, Final: true}, false},
@@ -102,18 +102,18 @@
 			go func() {
 				p.size++
 				c := newConn(&lateReader{TCPConn: raw, set: make(chan bool)}, &idleSet{})
-				got <- p.carry(ctx, ctx, c, r, connWriting)
+				got <- p.runAttempt(ctx, ctx, c, r, connWriting)
 			}()
 			waittest.Receive(t, written)
 			close(ctx.done)
 			if res := waittest.Receive(t, got); res != tt.want {
-				t.Errorf("%+v, want %+v", res, tt.want)
+				t.Errorf("result %+v, want %+v", res, tt.want)
 			}
 		})
 	}
 }
 
-// extendedReader is a connection that reports, once it is watched, that its read deadline is moved.
+// extendedReader is a connection that reports each change of its read deadline once watched is set.
 type extendedReader struct {
 	*net.TCPConn
 	watched  atomic.Bool
@@ -125,23 +125,23 @@
 	if c.watched.Load() {
 		select {
 		case c.extended <- true:
-		default: // it was reported before
+		default: // a change was already reported
 		}
 	}
 	return err
 }
 
-// A rejection may be on its way when the attempt ends: the endpoint writes it once the attempt has
-// ended, as over a slow network. It is read all the same, within the rejection grace, and a
-// deadline that passes meanwhile is reported. Before, the connection was closed at once, and the
-// next request was sent within a wait that had been asked for.
-func TestCarry_RejectionAfterTheEnd(t *testing.T) {
+// A rejection that the endpoint writes only after the attempt has ended, as over a slow network, is
+// read within the rejection grace, and a deadline that passes meanwhile is reported. The fault: the
+// connection was closed at once, and the next request was sent within the wait that the rejection
+// asked for.
+func TestRunAttempt_RejectionAfterTheEnd(t *testing.T) {
 	rejected := upstream.Result{Outcome: policy.Rejected, RetryAfter: 900 * time.Millisecond}
 	timedOut := upstream.Result{Outcome: policy.TimedOut}
 	for _, tt := range []struct {
 		name, text string
-		err        error // why the attempt ends
-		deadline   bool  // the request's deadline has passed as well
+		err        error // the error with which the attempt's context ends
+		deadline   bool  // the request's deadline passes as well
 		grace      time.Duration
 		want       upstream.Result
 	}{
@@ -176,13 +176,13 @@
 			reported := make(chan bool, 1)
 			r := newTestRequest(addr)
 			r.OnDeadline = func() { reported <- true }
-			r.Deadline = time.Now().Add(waittest.Long) // that it has passed is the context's to say
+			r.Deadline = time.Now().Add(waittest.Long) // only the context reports that it has passed
 			c := newConn(conn, &idleSet{})
 			c.rejectionGrace = tt.grace
 			got := make(chan upstream.Result, 1)
 			go func() {
 				p.size++
-				got <- p.carry(requestCtx, attemptCtx, c, r, connWriting)
+				got <- p.runAttempt(requestCtx, attemptCtx, c, r, connWriting)
 			}()
 			waittest.Receive(t, read)
 			conn.watched.Store(true)
@@ -195,14 +195,14 @@
 				}
 				respond <- true
 				res = waittest.Receive(t, got)
-			case res = <-got: // the grace is over already
+			case res = <-got: // the grace has already ended
 				respond <- true
 			}
 			if res != tt.want {
-				t.Errorf("%+v, want %+v", res, tt.want)
+				t.Errorf("result %+v, want %+v", res, tt.want)
 			}
 			if len(reported) > 0 {
-				t.Error("the deadline is reported")
+				t.Error("unexpected report of the deadline")
 			}
 			if tt.text == "" {
 				waittest.Receive(t, closed)
@@ -211,14 +211,14 @@
 	}
 }
 
-// A response is awaited for the rejection grace, but no longer than minRejectionGrace past the
-// request's deadline, and not past it at all where the deadline is not reported.
+// A response is awaited for the rejection grace, but for at most minRejectionGrace past the request's
+// deadline, and not past the deadline at all if no OnDeadline reports it.
 func TestConn_AwaitIsBoundedByDeadline(t *testing.T) {
 	for _, tt := range []struct {
 		name            string
-		grace, timeLeft time.Duration // of the connection, and of the request as it is written
+		grace, timeLeft time.Duration // the connection's grace, and the request's time left when it is written
 		reported        bool
-		want            time.Duration // from the writing on
+		want            time.Duration // wait for the response after the request is written
 	}{
 		{"time left", maxRejectionGrace, time.Hour, true, maxRejectionGrace},
 		{"deadline within the grace", maxRejectionGrace, 10 * time.Millisecond, true, 10*time.Millisecond + minRejectionGrace},
@@ -233,7 +233,7 @@
 			c := &conn{rejectionGrace: tt.grace}
 			c.extendAwait(&r)
 			if c.awaitUntil.Before(before.Add(tt.want)) || c.awaitUntil.After(time.Now().Add(tt.want)) {
-				t.Errorf("until %v after the writing, want %v", c.awaitUntil.Sub(before), tt.want)
+				t.Errorf("response awaited until %v after the write, want %v", c.awaitUntil.Sub(before), tt.want)
 			}
 		})
 	}
--- a/internal/upstream/http1/doc.go
+++ b/internal/upstream/http1/doc.go
@@ -1,26 +1,26 @@
 // Package http1 makes attempts at endpoints over HTTP/1.1 (RFC 9110, RFC 9112).
 //
 // A [Pool] holds persistent connections, each of which carries one attempt at a time. An attempt
-// takes an idle connection of its endpoint or dials one, writes the request, and reads the response
-// within bounds of size and time. What the response means is a [upstream.Result].
+// takes an idle connection to its endpoint or dials one, writes the request, and reads the response
+// within limits on size and time. The response is classified as an [upstream.Result].
 //
-// The pool is no http.Transport, for two reasons. A Transport sends a request that has an
-// Idempotency-Key again by itself when a reused connection breaks, which is a second execution. And
-// it does not report whether the last byte of the request had been written, which is what separates
-// "not executed" from "outcome unknown".
+// The pool does not use net/http's Transport, for two reasons. When a reused connection breaks, a
+// Transport resends a request that has an Idempotency-Key, which may execute it a second time. And
+// it does not report whether the last byte of the request was written, which distinguishes "not
+// executed" from "outcome unknown".
 //
 // The states of a connection, and their transitions, are listed at connState in conn.go.
 //
-// Handover: [Pool.Quiesce] starts no attempt any more, detaches the connections on which a response
-// is awaited, and returns the idle ones, so that a successor process can go on with both
-// ([Pool.AwaitResponse], [Pool.Adopt]). [Pool.Resume] undoes it where the handover fails.
+// Hand-over: [Pool.Quiesce] lets no new attempt start, detaches the connections on which a response
+// is awaited, and returns the idle ones, so that a successor process can use both
+// ([Pool.AwaitResponse], [Pool.Adopt]). [Pool.Resume] undoes Quiesce if the hand-over fails.
 //
 // Files:
 //
 //   - pool.go: the connections of all endpoints, within a capacity; dialing;
-//   - conn.go: one connection, its state and its deadlines;
+//   - conn.go: one connection, its states and its deadlines;
 //   - exchange.go: one attempt: a request and its response on a connection;
-//   - request.go: the request's form on the wire;
-//   - response.go: reading a response within bounds, and classifying it; load report and wait;
+//   - request.go: encoding of requests;
+//   - response.go: reading and classifying responses, their load reports and requested waits;
 //   - handover.go: quiesce, detach, adopt, resume.
 package http1
--- a/internal/upstream/http1/endpoint_test.go
+++ b/internal/upstream/http1/endpoint_test.go
@@ -12,11 +12,10 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// okResponse is the shortest response of an endpoint that was delivered to.
+// okResponse is the shortest response that confirms a delivery.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// serveEndpoint listens as an endpoint and serves each connection by a function. It returns its
-// address.
+// serveEndpoint starts an endpoint that handles each connection with serve, and returns its address.
 func serveEndpoint(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +38,7 @@
 	return l.Addr().String()
 }
 
-// readRequest reads one whole request.
+// readRequest reads and discards one request.
 func readRequest(in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err == nil {
@@ -48,7 +47,7 @@
 	return err
 }
 
-// respondWith returns a function that gives every request of a connection the same response.
+// respondWith returns a function that answers every request on a connection with text.
 func respondWith(text string) func(net.Conn) {
 	return func(c net.Conn) {
 		in := bufio.NewReader(c)
@@ -72,7 +71,7 @@
 	}
 }
 
-// dialEndpoint returns a connection outside of any pool.
+// dialEndpoint returns a connection that belongs to no pool.
 func dialEndpoint(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	raw, err := net.Dial("tcp", addr)
--- a/internal/upstream/http1/exchange_test.go
+++ b/internal/upstream/http1/exchange_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// An attempt that timed out or was canceled is off the wire when its end is reported: the
-// endpoint's side of the connection ends.
+// When Call returns for an attempt that timed out or was canceled, its connection is closed: the
+// endpoint reads the end of the connection.
 func TestCall_EndedAttemptIsOffTheWire(t *testing.T) {
 	for name, want := range map[string]policy.Outcome{"timed out": policy.TimedOut, "canceled": policy.Canceled} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 			select {
 			case err := <-ended:
 				if err == nil {
-					t.Error("the endpoint read more")
+					t.Error("the endpoint read another byte, want the end of the connection")
 				}
 			case <-time.After(waittest.Long):
 				t.Error("the connection is still open")
@@ -86,8 +86,8 @@
 	}
 }
 
-// A request whose WriteBy passes while its connection is established, or has passed, is not
-// written, so that it is not executed. The connection carries the next one.
+// A request whose WriteBy passes before or during the dial is not written, so that it is not
+// executed. The connection carries the next request.
 func TestCall_NotWrittenAfterWriteBy(t *testing.T) {
 	var requests atomic.Int32
 	addr := serveEndpoint(t, func(c net.Conn) {
@@ -104,14 +104,14 @@
 	slow := newTestRequest(addr)
 	slow.WriteBy = time.Now().Add(20 * time.Millisecond)
 	p.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
-		<-ctx.Done() // as a link that is cut
+		<-ctx.Done() // as on a broken link
 		return ctx.Err()
 	}
 	if got := p.Call(t.Context(), slow); got != notSent {
 		t.Errorf("no connection in time: %+v", got)
 	}
 	p.dialer.ControlContext = func(context.Context, string, string, syscall.RawConn) error {
-		time.Sleep(time.Until(slow.WriteBy)) // established, but late
+		time.Sleep(time.Until(slow.WriteBy)) // established only after WriteBy
 		return nil
 	}
 	late := newTestRequest(addr)
@@ -131,12 +131,12 @@
 		t.Errorf("on a connection that was established: %+v", r)
 	}
 	if requests.Load() != 2 || p.size != 1 {
-		t.Errorf("%d requests were written, and %d connections are cached", requests.Load(), p.size)
+		t.Errorf("%d requests written, want 2; %d connections cached, want 1", requests.Load(), p.size)
 	}
 }
 
-// A request that is canceled while its connection is established is not written, and the connection
-// is cached. One that was written goes on.
+// A request that is canceled during the dial is not written, and the connection is cached. A request
+// that is canceled after it was written is not interrupted.
 func TestCall_CancelBeforeSend(t *testing.T) {
 	var requests atomic.Int32
 	var canceled atomic.Bool
@@ -146,7 +146,7 @@
 				return
 			}
 			requests.Add(1)
-			canceled.Store(true) // as where another response asks to wait
+			canceled.Store(true) // as when another response asks for a wait
 			_, _ = io.WriteString(c, okResponse)
 		}
 	})
--- a/internal/upstream/http1/golden_test.go
+++ b/internal/upstream/http1/golden_test.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/upstream"
 )
 
-// The bytes that endpoints are sent.
+// The bytes of a request to an endpoint, with and without an idempotency key.
 func TestGolden_RequestBytes(t *testing.T) {
 	target := upstream.Target{Endpoint: "h1", Addr: "127.0.0.1:9"}
 	keyed, err := encodeRequest(upstream.Request{Target: target, ID: "m", IdempotencyKey: "k", Body: []byte("body")}, 1500*time.Millisecond)
--- a/internal/upstream/http1/handover.go
+++ b/internal/upstream/http1/handover.go
@@ -10,17 +10,17 @@
 	"frostlink/internal/upstream"
 )
 
-// quiescePollInterval is between checks whether all attempts have ended or are detached.
+// quiescePollInterval is the interval between checks whether all attempts have ended or are detached.
 const quiescePollInterval = time.Millisecond
 
-// IdleConn is an idle connection to an endpoint, outside of a pool.
+// IdleConn is an idle connection to an endpoint that belongs to no pool.
 type IdleConn struct {
 	upstream.Target
 	Conn  *net.TCPConn
-	Since time.Time // idle since
+	Since time.Time // when the connection became idle
 }
 
-// beginAttempt counts an attempt and reports true, unless the pool is quiesced.
+// beginAttempt counts a new attempt. It reports false, and counts none, if the pool is quiesced.
 func (p *Pool) beginAttempt() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,10 +43,10 @@
 	return p.quiesced
 }
 
-// engage marks a connection as active and reports true, unless its attempt would write a request
-// while the pool is quiesced. An attempt whose request was written before is detached again at
-// once.
-func (p *Pool) engage(c *conn, start connState) bool {
+// activate marks a connection as active. It reports false if the pool is quiesced and the attempt
+// would write a request. If the request was already written, a quiesced pool detaches the attempt
+// again at once.
+func (p *Pool) activate(c *conn, start connState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.quiesced && start == connWriting {
@@ -61,8 +61,9 @@
 	return true
 }
 
-// disengage ends what engage began. A connection that is detached with its attempt leaves the pool.
-func (p *Pool) disengage(c *conn, detached bool) {
+// deactivate marks a connection as no longer active. If the connection is detached with its attempt,
+// it no longer counts towards the size of the pool.
+func (p *Pool) deactivate(c *conn, detached bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.active, c)
@@ -71,10 +72,10 @@
 	}
 }
 
-// Quiesce starts no attempt any more and detaches those that await a response; one whose response
-// has begun comes to its end. Attempts that are still in flight when ctx ends lose their
-// connections. It returns once no attempt is in flight, with the idle connections, which no longer
-// belong to the pool.
+// Quiesce lets no new attempt start and detaches the attempts that await a response; it waits for
+// those whose response has begun. When ctx ends, it closes the connections of attempts that are still
+// in flight. Once no attempt is in flight, it returns the idle connections, which no longer belong to
+// the pool.
 func (p *Pool) Quiesce(ctx context.Context) (idle []IdleConn) {
 	p.beginQuiesce()
 	p.awaitNoAttempts(ctx)
@@ -94,8 +95,8 @@
 	}
 }
 
-// awaitNoAttempts returns once no attempt is in flight. When ctx ends it closes the connections of
-// those that are.
+// awaitNoAttempts waits until no attempt is in flight. When ctx ends, it closes the connections of
+// the remaining attempts.
 func (p *Pool) awaitNoAttempts(ctx context.Context) {
 	for closed := false; p.inFlight() > 0; time.Sleep(quiescePollInterval) {
 		if ctx.Err() != nil && !closed {
@@ -119,7 +120,7 @@
 	}
 }
 
-// detachIdle takes the idle connections that are usable out of the pool, and closes the others.
+// detachIdle removes the idle connections that are usable from the pool, and closes the others.
 func (p *Pool) detachIdle() (idle []IdleConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,12 +137,13 @@
 		}
 		set.conns = nil
 	}
-	// In the order in which they became idle, so that an adopting pool's sets have the same order.
+	// The order in which the connections became idle gives the sets of the adopting pool the same
+	// order.
 	slices.SortFunc(idle, func(a, b IdleConn) int { return a.Since.Compare(b.Since) })
 	return idle
 }
 
-// Resume ends Quiesce and takes the idle connections back. Detached attempts are gone on with by
+// Resume undoes Quiesce and adopts the idle connections again. Detached attempts are continued with
 // AwaitResponse.
 func (p *Pool) Resume(idle []IdleConn) {
 	p.mu.Lock()
@@ -152,8 +154,8 @@
 	}
 }
 
-// Adopt caches an idle connection that another process had, within the pool's capacity; beyond that
-// it is closed.
+// Adopt caches an idle connection that a pool has detached, usually one of another process. It closes
+// the connection if the pool is at its capacity.
 func (p *Pool) Adopt(c IdleConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,8 +170,8 @@
 	p.size++
 }
 
-// AwaitResponse waits for the response to a request that was written, on the connection on which it
-// was. While the pool is quiesced it returns that connection detached.
+// AwaitResponse waits for the response to a request that was already written on the connection raw.
+// While the pool is quiesced, it returns raw as detached.
 func (p *Pool) AwaitResponse(ctx context.Context, r upstream.Request, raw *net.TCPConn) upstream.Result {
 	requestCtx, attemptCtx, cancel := withDeadlines(ctx, &r)
 	defer cancel()
@@ -178,11 +180,12 @@
 		return upstream.Result{Detached: raw}
 	}
 	defer p.endAttempt()
-	return p.carry(requestCtx, attemptCtx, newConn(raw, set), r, connAwaitingResponse)
+	return p.runAttempt(requestCtx, attemptCtx, newConn(raw, set), r, connAwaitingResponse)
 }
 
-// beginDetachedAttempt counts an attempt and its connection, also beyond the capacity, and returns
-// the set to which the connection belongs; nil if the pool is quiesced.
+// beginDetachedAttempt counts a detached attempt that is continued, and its connection, even if that
+// exceeds the capacity. It returns the set to which the connection belongs; nil if the pool is
+// quiesced.
 func (p *Pool) beginDetachedAttempt(t upstream.Target) *idleSet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/http1/handover_test.go
+++ b/internal/upstream/http1/handover_test.go
@@ -15,8 +15,8 @@
 	"frostlink/policy"
 )
 
-// Quiesce detaches an attempt that awaits its response and returns the idle connections. Both are
-// gone on with after Resume, on the connections on which they were.
+// Quiesce detaches an attempt that awaits its response and returns the idle connections. After
+// Resume, the attempt continues on its connection, and the idle connections are cached again.
 func TestPool_QuiesceAndResume(t *testing.T) {
 	var conns atomic.Int32
 	written, respond := make(chan bool, 1), make(chan bool, 1)
@@ -42,7 +42,7 @@
 	detachedConns := p.Quiesce(t.Context())
 	detached := waittest.Receive(t, got)
 	if detached.Detached == nil || len(detachedConns) != 1 || p.size != 0 {
-		t.Fatalf("%+v, %d idle connections, %d in the pool", detached, len(detachedConns), p.size)
+		t.Fatalf("result %+v, %d idle connections, %d in the pool", detached, len(detachedConns), p.size)
 	}
 	if res := p.Call(t.Context(), newTestRequest(addr)); res != (upstream.Result{Outcome: policy.NotSent}) {
 		t.Errorf("while quiesced: %+v", res)
@@ -57,11 +57,11 @@
 		t.Errorf("awaited after Resume: %+v", res)
 	}
 	if len(p.idle[target].conns) != 2 || p.size != 2 || conns.Load() != 2 {
-		t.Errorf("%d idle of %d connections, %d were established", len(p.idle[target].conns), p.size, conns.Load())
+		t.Errorf("%d idle of %d connections, %d established; want 2 of each", len(p.idle[target].conns), p.size, conns.Load())
 	}
 }
 
-// Quiesce cancels a dial: its request is not sent.
+// Quiesce cancels a pending dial, and the request is not sent.
 func TestPool_QuiesceCancelsDials(t *testing.T) {
 	dialing := make(chan bool, 1)
 	p := newTestPool()
@@ -76,15 +76,15 @@
 	waittest.Receive(t, dialing)
 	p.Quiesce(t.Context())
 	if res := waittest.Receive(t, got); res != (upstream.Result{Outcome: policy.NotSent, NewConn: true}) {
-		t.Errorf("%+v", res)
+		t.Errorf("result %+v, want not sent on a new connection", res)
 	}
 	if p.size != 0 || len(p.dialing) != 0 {
-		t.Errorf("%d connections, %d dials", p.size, len(p.dialing))
+		t.Errorf("%d connections and %d dials left, want none", p.size, len(p.dialing))
 	}
 }
 
-// Where Quiesce's context ends first, an attempt whose response has begun and does not go on loses
-// its connection.
+// When the context of Quiesce ends, the connection of an attempt whose response has stalled is
+// closed.
 func TestPool_QuiesceClosesStalledAttempts(t *testing.T) {
 	begun := make(chan bool, 1)
 	addr := serveEndpoint(t, func(c net.Conn) {
@@ -109,7 +109,7 @@
 	cancel()
 	p.Quiesce(ctx)
 	if res := waittest.Receive(t, got); res.Detached != nil || res.Outcome != policy.ConnectionReset {
-		t.Errorf("%+v", res)
+		t.Errorf("result %+v, want a connection reset", res)
 	}
 }
 
--- a/internal/upstream/http1/pool.go
+++ b/internal/upstream/http1/pool.go
@@ -12,38 +12,39 @@
 	"frostlink/internal/upstream"
 )
 
-// idleFraction is the part of the endpoints' idle timeout for which an idle connection is cached
-// here. A request that crosses the endpoint's close ends as a reset. With 0.95 endpoints closed
-// some connections first, and the score did not gain.
+// idleFraction is the fraction of the endpoints' idle time-out for which the pool caches an idle
+// connection. A request that is sent while the endpoint closes the connection ends in a reset; with
+// 0.95, endpoints closed some connections before the pool did, and nothing was gained.
 const idleFraction = 0.8
 
-// Pool makes attempts at endpoints over connections that carry one attempt at a time.
+// Pool makes attempts at endpoints over persistent connections, each with one attempt at a time.
 type Pool struct {
 	dialer      socket.Dialer
 	maxIdleTime time.Duration
-	// capacity bounds the connections, idle or active. It is no less than the number of concurrent
-	// attempts.
+	// capacity bounds the number of idle and active connections. It is at least the number of
+	// concurrent attempts.
 	capacity int
-	// OnWritten, where set, is called for each request whose last byte was written. It is set
+	// OnWritten, if set, is called for each request whose last byte was written. It must be set
 	// before the first attempt.
 	OnWritten func()
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	idle     map[upstream.Target]*idleSet
-	size     int                          // connections: dialing, idle or active
-	attempts int                          // in flight, from before their connection is acquired
-	dialing  map[*conn]context.CancelFunc // cancels the dial
-	active   map[*conn]bool               // with an attempt on them
-	quiesced bool                         // no attempt starts, and active connections are detached
+	size     int                          // number of connections: dialing, idle or active
+	attempts int                          // attempts in flight, counted before they acquire a connection
+	dialing  map[*conn]context.CancelFunc // cancels each pending dial
+	active   map[*conn]bool               // connections that carry an attempt
+	quiesced bool                         // no new attempt starts, and active connections are detached
 }
 
-// idleSet holds the idle connections to one target, the most recently used last. A target that is
-// evicted and comes back gets another set, so that connections which were active at the eviction
-// are not returned to the new one.
+// idleSet holds the idle connections to one target, the most recently used one last. A target that
+// is evicted and listed again gets a new set, so that connections that were active at the eviction
+// are not cached in the new set.
 type idleSet struct{ conns []*conn }
 
-// New returns a pool with a capacity in connections and a timeout for establishing one. Idle
-// connections are cached for less than endpointIdleTimeout, after which the endpoints close them.
+// New returns a pool of at most capacity connections. connectTimeout bounds the dial of a
+// connection. Idle connections are cached for less than endpointIdleTimeout, after which endpoints
+// close them.
 func New(connectTimeout, endpointIdleTimeout time.Duration, capacity int) *Pool {
 	return &Pool{
 		dialer:      socket.Dialer{Dialer: net.Dialer{KeepAlive: -1}, Timeout: connectTimeout},
@@ -55,9 +56,9 @@
 	}
 }
 
-// acquire returns an idle connection that is still usable, or dials one; fresh reports that it
-// dialed.
-func (p *Pool) acquire(ctx context.Context, t upstream.Target) (c *conn, fresh bool, err error) {
+// acquire returns an idle connection that is still usable, or dials a new one. dialed reports that
+// it dialed, also if the dial failed.
+func (p *Pool) acquire(ctx context.Context, t upstream.Target) (c *conn, dialed bool, err error) {
 	c, set := p.takeIdleOrReserve(t)
 	if c != nil {
 		return c, false, nil
@@ -66,9 +67,8 @@
 	return c, true, err
 }
 
-// takeIdleOrReserve returns the idle connection of a target that was used last, of those that are
-// usable. If there is none it reserves capacity for a new one, which is to belong to the set
-// returned.
+// takeIdleOrReserve returns the most recently used connection to a target that is still usable. If
+// there is none, it reserves capacity for a new connection, which belongs to the returned set.
 func (p *Pool) takeIdleOrReserve(t upstream.Target) (*conn, *idleSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +107,8 @@
 	return c, nil
 }
 
-// beginDial registers a dial, so that Quiesce cancels it; after Quiesce it is canceled at once.
+// beginDial registers a dial so that Quiesce can cancel it. If the pool is already quiesced, it
+// cancels the dial at once.
 func (p *Pool) beginDial(c *conn, cancel context.CancelFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +124,8 @@
 	delete(p.dialing, c)
 }
 
-// release takes a connection back after an attempt: it becomes idle where it is reusable, and is
-// closed otherwise.
+// release returns a connection to the pool after an attempt. The connection becomes idle if it is
+// reusable and its target was not evicted, and is closed otherwise.
 func (p *Pool) release(t upstream.Target, c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,8 +147,8 @@
 	}
 }
 
-// Evict closes the idle connections to a target that is no longer listed. Active ones are closed
-// after their attempt.
+// Evict closes the idle connections to a target that has left the endpoint list. Active connections
+// are closed after their attempt.
 func (p *Pool) Evict(t upstream.Target) {
 	p.CloseIdle(t)
 	p.mu.Lock()
@@ -155,7 +156,8 @@
 	delete(p.idle, t)
 }
 
-// Sweep closes connections that have been idle for too long, or that their endpoint has closed.
+// Sweep closes the idle connections that have reached their maximum idle time or that the endpoint
+// has closed.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +166,7 @@
 	}
 }
 
-// idleSetOf returns the idle connections to a target. p.mu is held.
+// idleSetOf returns the set of idle connections to a target, and creates it if needed. p.mu is held.
 func (p *Pool) idleSetOf(t upstream.Target) *idleSet {
 	set := p.idle[t]
 	if set == nil {
@@ -174,7 +176,7 @@
 	return set
 }
 
-// take removes and returns the i-th connection. The pool's lock is held.
+// take removes the i-th connection from the set and returns it. The pool's lock is held.
 func (s *idleSet) take(i int) *conn {
 	c := s.conns[i]
 	s.conns = slices.Delete(s.conns, i, i+1)
@@ -201,7 +203,7 @@
 	}
 }
 
-// closeIf closes the connections of a set that are unwanted. p.mu is held.
+// closeIf closes the connections of a set for which unwanted returns true. p.mu is held.
 func (p *Pool) closeIf(set *idleSet, unwanted func(*conn) bool) {
 	for i := len(set.conns) - 1; i >= 0; i-- {
 		if unwanted(set.conns[i]) {
--- a/internal/upstream/http1/pool_test.go
+++ b/internal/upstream/http1/pool_test.go
@@ -13,7 +13,7 @@
 	"frostlink/policy"
 )
 
-// A connection that was active when its endpoint was evicted is not cached, and one that is idle is
+// A connection that was active when its endpoint was evicted is not cached, and an idle connection is
 // not used for another endpoint at the same address.
 func TestPool_EvictedEndpointIsNotReused(t *testing.T) {
 	var conns atomic.Int32
@@ -38,23 +38,22 @@
 	p.Evict(upstream.Target{Endpoint: "h", Addr: addr})
 	close(release)
 	if got := waittest.Receive(t, done); got.Outcome != policy.Succeeded || p.size != 0 {
-		t.Errorf("%+v, %d connections cached", got, p.size)
+		t.Errorf("result %+v, %d connections cached, want a success and none", got, p.size)
 	}
 	p.Call(t.Context(), newTestRequest(addr))
 	other := newTestRequest(addr)
 	other.Endpoint = "h2"
 	p.Call(t.Context(), other)
 	if conns.Load() != 3 {
-		t.Errorf("%d connections for three requests to two endpoints, one of which was evicted", conns.Load())
+		t.Errorf("%d connections for three requests to two endpoints, one of them evicted; want 3", conns.Load())
 	}
 }
 
-// A cached connection carries the next request. One that the endpoint has closed carries none, and
-// a request that is reset on a cached connection is not sent again by the pool although it has an
-// idempotency key.
+// A cached connection carries the next request, unless the endpoint has closed it. If a cached
+// connection is reset, the pool does not resend the request, even with an idempotency key.
 func TestPool_ReusesConnections(t *testing.T) {
 	var conns, requests atomic.Int32
-	var mode atomic.Value // what the endpoint does with a connection on which a request has come
+	var mode atomic.Value // how the endpoint treats a connection after a request: persist, close or reset
 	mode.Store("persist")
 	closed := make(chan bool, 4)
 	addr := serveEndpoint(t, func(c net.Conn) {
@@ -65,7 +64,7 @@
 				return
 			}
 			requests.Add(1)
-			current := mode.Load() // before the response: the next step may set another once it has that
+			current := mode.Load() // read before the response, after which the next step may change it
 			if current == "reset" {
 				return
 			}
@@ -87,7 +86,7 @@
 			t.Errorf("%s: outcome %v, want %v", m, got.Outcome, want)
 		}
 		if got.NewConn != (conns.Load() > before) {
-			t.Errorf("%s: a fresh connection %v", m, got.NewConn)
+			t.Errorf("%s: NewConn is %v", m, got.NewConn)
 		}
 		if conns.Load() != wantConns || requests.Load() != wantRequests {
 			t.Errorf("%s: %d connections and %d requests, want %d and %d", m, conns.Load(), requests.Load(), wantConns, wantRequests)
@@ -104,8 +103,8 @@
 	}
 }
 
-// Idle and active connections together stay within the capacity: the one that was used longest ago
-// is closed for a new one. Those that have been idle for too long are closed by a sweep.
+// Idle and active connections together stay within the capacity: the least recently used idle
+// connection is closed for a new one. Sweep closes those that have reached the maximum idle time.
 func TestPool_StaysWithinCapacity(t *testing.T) {
 	p := New(time.Second, 10*time.Second, 2)
 	var addrs []string
@@ -121,15 +120,15 @@
 		}
 	}
 	if cached := p.idle[upstream.Target{Endpoint: "h", Addr: addrs[0]}].conns; len(cached) != 0 {
-		t.Error("the oldest is still cached")
+		t.Error("the least recently used connection is still cached")
 	}
 	p.CloseIdle(upstream.Target{Endpoint: "h", Addr: addrs[1]})
 	if p.size != 1 {
-		t.Errorf("%d after closing one endpoint's", p.size)
+		t.Errorf("%d connections after closing those of one endpoint, want 1", p.size)
 	}
 	p.maxIdleTime = 0
 	p.Sweep()
 	if p.size != 0 {
-		t.Errorf("%d cached past their time", p.size)
+		t.Errorf("%d connections cached past the maximum idle time", p.size)
 	}
 }
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -16,42 +16,42 @@
 )
 
 const (
-	// responseTimeout is how long a response may take from its first byte on, and drainTimeout how
-	// long the rest of one whose status line says 200. Endpoints write responses at once, and one
-	// that does not come to its end is malformed. Both are far longer than a relay with a part of a
-	// core may stand still.
+	// responseTimeout bounds the reading of a response from its first byte on, and drainTimeout the
+	// reading of what follows a status line with 200. Endpoints write a response in one go, so one
+	// that does not end in time is malformed. Both time-outs are far longer than the pauses of a
+	// relay that has only a fraction of a core.
 	responseTimeout = time.Second
 	drainTimeout    = 300 * time.Millisecond
-	// deadlineGrace is how long a response that has begun may still take to its end once the
-	// request's deadline has passed: what an endpoint has written counts, also a wait that it asks
-	// for. A terminal outcome has to be notified within 300 ms of the deadline, and the post of the
-	// notice may stall in that time.
+	// deadlineGrace bounds the reading of a response that has begun when the request's deadline
+	// passes: what the endpoint has already written counts, including a wait that it asks for. The
+	// grace is short because a terminal outcome has to be notified within 300 ms of the deadline,
+	// and posting the notice may stall in that time.
 	deadlineGrace = 20 * time.Millisecond
-	// maxResponseSize and maxBodySize bound the bytes read of a response, head included, and of its
-	// body: what an endpoint sends must not fill the memory.
+	// maxResponseSize bounds the bytes read of a response including its head, and maxBodySize those
+	// of its body, so that an endpoint cannot exhaust the memory.
 	maxResponseSize = 128 << 10
 	maxBodySize     = 64 << 10
-	// maxInterimResponses is how many 1xx responses may come ahead of the final one.
+	// maxInterimResponses is the number of 1xx responses that may precede the final one.
 	maxInterimResponses = 8
-	// maxRetryAfter is the longest wait that an endpoint is believed to ask for: a longer one
-	// overflows a duration.
+	// maxRetryAfter is the longest wait that an endpoint can ask for; longer ones are cut to it. It
+	// prevents an overflow of time.Duration.
 	maxRetryAfter = 24 * time.Hour
-	// maxReportedRateLimit, in requests a second, and maxReportedRemaining, as a fraction of it,
-	// are the highest values that are believed in a load report: reports are noisy.
+	// maxReportedRateLimit, in requests per second, and maxReportedRemaining, as a fraction of the
+	// rate limit, are the highest plausible values in a load report: reports are noisy.
 	maxReportedRateLimit = 1e6
 	maxReportedRemaining = 2
 )
 
-// Why a response cannot be read.
+// Errors of a response that exceeds a limit.
 var (
-	errBodyTooLarge   = fmt.Errorf("response body of over %d bytes", maxBodySize)
-	errTooManyInterim = fmt.Errorf("over %d interim responses", maxInterimResponses)
+	errBodyTooLarge   = fmt.Errorf("response body larger than %d bytes", maxBodySize)
+	errTooManyInterim = fmt.Errorf("more than %d interim responses", maxInterimResponses)
 )
 
-// readResponse reads a response to its end, once its first byte has come, past any interim ones
-// (RFC 9110, section 15.2). Its status is not believed before the end, since a request with a
-// malformed response has executed. succeeded reports that the status line said 200 before the
-// request's deadline, which holds whatever comes after it.
+// readResponse reads a response whose first byte has arrived, to its end, and skips interim ones
+// (RFC 9110, section 15.2). It returns the status only after the end, since a request with a
+// malformed response may have executed whatever its status says. succeeded reports that a status
+// line with 200 was read before the request's deadline, which holds whatever follows it.
 func (c *conn) readResponse(requestCtx context.Context) (resp *http.Response, succeeded bool, err error) {
 	_ = c.SetReadDeadline(responseDeadline(requestCtx))
 	for range maxInterimResponses + 1 {
@@ -61,7 +61,7 @@
 		}
 		resp, err = http.ReadResponse(c.in, &http.Request{Method: http.MethodPost})
 		if err != nil {
-			return nil, succeeded, fmt.Errorf("response: %w", err)
+			return nil, succeeded, fmt.Errorf("read response: %w", err)
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, succeeded, discardBody(resp)
@@ -70,7 +70,7 @@
 	return nil, succeeded, errTooManyInterim
 }
 
-// responseDeadline returns until when a response that begins now is read.
+// responseDeadline returns the time until which a response that begins now is read.
 func responseDeadline(requestCtx context.Context) time.Time {
 	now := time.Now()
 	until := now.Add(responseTimeout)
@@ -84,8 +84,8 @@
 	return until
 }
 
-// peekStatusOK reports whether the next bytes are a status line of 200 (RFC 9112, section 4). It
-// reads no more than that: the rest of the head may never come.
+// peekStatusOK reports whether the next bytes are a status line with 200 (RFC 9112, section 4). It
+// waits for no more bytes than that, since the rest of the head may never arrive.
 func (c *conn) peekStatusOK() bool {
 	const version, status = len("HTTP/1.1"), len(" 200")
 	line, _ := c.in.Peek(version + status + 1)
@@ -96,15 +96,15 @@
 	return string(line[version:version+status]) == " 200" && (end == ' ' || end == '\r')
 }
 
-// discardBody reads the body of a response, which has no meaning, to its end (RFC 9112, section
-// 6.3).
+// discardBody reads the body of a response to its end and discards it (RFC 9112, section 6.3). Bodies
+// of responses have no meaning.
 func discardBody(resp *http.Response) error {
 	if resp.ContentLength > maxBodySize {
 		return errBodyTooLarge
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodySize+1))
 	if err != nil {
-		return fmt.Errorf("response body: %w", err)
+		return fmt.Errorf("read response body: %w", err)
 	}
 	if n > maxBodySize {
 		return errBodyTooLarge
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// classify returns the result that a response stands for, by the endpoints' protocol.
+// classify returns the result of an attempt from the response, according to the endpoints' protocol.
 func classify(resp *http.Response) upstream.Result {
 	res := upstream.Result{Outcome: policy.Failed}
 	if reports := resp.Header["Server-Load"]; len(reports) == 1 {
@@ -137,8 +137,8 @@
 	return res
 }
 
-// parseRetryAfter parses a wait in milliseconds; 0 if there is none. A long wait is not cut to the
-// request's time left: it holds back later requests as well.
+// parseRetryAfter parses a wait in milliseconds; it returns 0 if the text is not a positive number. A
+// long wait is not limited to the request's time left, since it delays later requests as well.
 func parseRetryAfter(text string) time.Duration {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms > 0) {
@@ -147,8 +147,8 @@
 	return time.Duration(min(ms, float64(maxRetryAfter.Milliseconds())) * float64(time.Millisecond))
 }
 
-// parseLoadReport parses a load report such as "x0=0.4,x1=25": the remaining fraction of the rate
-// limit, and the limit. It returns nil where the report cannot be believed.
+// parseLoadReport parses a load report such as "x0=0.4,x1=25": x0 is the remaining fraction of the
+// rate limit, and x1 the rate limit. It returns nil if the report is malformed or implausible.
 func parseLoadReport(text string) *policy.LoadReport {
 	const unset = -1
 	report := policy.LoadReport{Remaining: unset, RateLimit: unset}
--- a/internal/upstream/http1/response_test.go
+++ b/internal/upstream/http1/response_test.go
@@ -38,8 +38,8 @@
 			"rejected with a wait", respond("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 250\r\nContent-Length: 0\r\n\r\n"),
 			upstream.Result{Outcome: policy.Rejected, RetryAfter: 250 * time.Millisecond},
 		},
-		// Before, a wait was cut to the request's time left, and later requests were sent within
-		// it.
+		// A wait must not be limited to the request's time left, or later requests are sent within
+		// the wait.
 		{
 			"rejected with a long wait", respond("HTTP/1.1 429 No\r\nX-Retry-In-Ms: 3600000\r\nContent-Length: 0\r\n\r\n"),
 			upstream.Result{Outcome: policy.Rejected, RetryAfter: time.Hour},
@@ -75,9 +75,9 @@
 	}
 }
 
-// A request with a malformed response has executed, unless its status line says 200, and the
-// connection carries no further request. Before, a truncated 503 counted as proof that the request
-// was not executed.
+// A request with a malformed response counts as possibly executed, or as delivered if the status line
+// says 200, and the connection carries no further request. The fault: a truncated 503 counted as
+// proof that the request was not executed.
 func TestCall_MalformedResponses(t *testing.T) {
 	ok, reset := upstream.Result{Outcome: policy.Succeeded, Final: true}, upstream.Result{Outcome: policy.ConnectionReset}
 	const rejected, wait = "HTTP/1.1 503 No\r\n", "HTTP/1.1 429 No\r\nX-Retry-In-Ms: 1e18\r\n"
@@ -121,7 +121,7 @@
 				t.Errorf("got %+v, want %+v", got, tt.want)
 			}
 			if p.size != 0 && !tt.reusable {
-				t.Error("the connection is cached")
+				t.Error("the connection is cached after a malformed response")
 			}
 		})
 	}
--- a/internal/upstream/http2/flow.go
+++ b/internal/upstream/http2/flow.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// defaultWindow and defaultMaxFrameSize are what a peer grants until its SETTINGS say otherwise
-	// (sections 6.9.2 and 6.5.2).
+	// defaultWindow and defaultMaxFrameSize apply until the peer's SETTINGS change them (sections
+	// 6.9.2 and 6.5.2).
 	defaultWindow       = 65_535
 	defaultMaxFrameSize = 16_384
 	// maxWindow is the largest flow-control window (section 6.9.1).
 	maxWindow = math.MaxInt32
-	// receiveWindowRefill is how many bytes of DATA are received before the connection's receive
-	// window is refilled, so that small responses cost few frames.
+	// receiveWindowRefill is the number of received DATA bytes after which a WINDOW_UPDATE refills
+	// the connection's receive window, so that small responses cost few frames.
 	receiveWindowRefill = defaultWindow / 2
 )
 
-// peerSettings are the settings of the peer that matter here (section 6.5.2).
+// peerSettings has the peer's settings that the package uses (section 6.5.2).
 type peerSettings struct {
 	maxConcurrentStreams uint32
 	initialWindow        int64
@@ -35,14 +35,14 @@
 	Val uint32
 }
 
-// Settings handles the peer's SETTINGS (section 6.5), whose values the framer has checked, and
-// acknowledges them.
+// Settings handles the peer's SETTINGS (section 6.5) and acknowledges them. The framer has already
+// checked their values.
 func (s *Streams) Settings(list []Setting) (a Actions) {
 	for _, v := range list {
 		switch v.ID {
 		case http2.SettingMaxConcurrentStreams:
-			// Also below what is in flight, or 0: that goes on, and nothing new begins (section
-			// 5.1.2).
+			// The limit may be 0, or lower than the number of streams in flight. These continue, and no
+			// new stream begins (section 5.1.2).
 			s.settings.maxConcurrentStreams = v.Val
 		case http2.SettingMaxFrameSize:
 			s.settings.maxFrameSize = int(v.Val)
@@ -50,7 +50,7 @@
 			if !s.setInitialWindow(&a, int64(v.Val)) {
 				return a
 			}
-		default: // no other has a meaning for a client that takes no push, or is unknown (section 6.5.2)
+		default: // other settings are unknown, or irrelevant to a client without server push (section 6.5.2)
 		}
 	}
 	a.Write = append(a.Write, Frame{Type: http2.FrameSettings, Ack: true})
@@ -58,8 +58,9 @@
 	return a
 }
 
-// setInitialWindow changes the windows of streams that have not ended by the difference, also below
-// zero (section 6.9.2). It reports false where one overflows, which ends the connection.
+// setInitialWindow changes the windows of all streams that have not ended by the difference between
+// the old and the new size; a window may become negative (section 6.9.2). If a window overflows, it
+// fails the connection and reports false.
 func (s *Streams) setInitialWindow(a *Actions, size int64) bool {
 	diff := size - s.settings.initialWindow
 	s.settings.initialWindow = size
@@ -72,8 +73,7 @@
 	return true
 }
 
-// WindowUpdate handles a WINDOW_UPDATE (section 6.9), which is for the connection where the stream
-// is 0.
+// WindowUpdate handles a WINDOW_UPDATE (section 6.9). Stream 0 stands for the whole connection.
 func (s *Streams) WindowUpdate(id, increment uint32) (a Actions) {
 	st := s.streams[id]
 	switch {
@@ -95,8 +95,8 @@
 	return a
 }
 
-// sendBodies gives out as much of the bodies as the windows allow (section 6.9), in turn. A stream
-// without a window holds up no other.
+// sendBodies returns DATA frames for as much of the pending bodies as the windows allow (section
+// 6.9). A stream whose window is used up does not block the others.
 func (s *Streams) sendBodies(a *Actions) {
 	stillPending := s.pending[:0]
 	for _, id := range s.pending {
@@ -112,7 +112,8 @@
 	s.pending = stillPending
 }
 
-// sendBody gives out as much of a body as the windows allow, in frames of the peer's size.
+// sendBody returns DATA frames for as much of a body as the windows allow. No frame is larger than
+// the peer's maximum frame size.
 func (s *Streams) sendBody(a *Actions, st *stream) {
 	for len(st.body) > 0 && s.sendWindow > 0 && st.sendWindow > 0 {
 		n := int(min(int64(len(st.body)), s.sendWindow, st.sendWindow, int64(s.settings.maxFrameSize)))
@@ -127,8 +128,8 @@
 	}
 }
 
-// refillReceiveWindow grants the peer what it has sent anew, once that is enough to be worth a
-// frame.
+// refillReceiveWindow counts received DATA bytes. At receiveWindowRefill, it returns a WINDOW_UPDATE
+// that lets the peer send as many bytes again.
 func (s *Streams) refillReceiveWindow(a *Actions, received int) {
 	if s.unacknowledged += received; s.unacknowledged >= receiveWindowRefill {
 		a.Write = append(a.Write, Frame{Type: http2.FrameWindowUpdate, Window: uint32(s.unacknowledged)})
--- a/internal/upstream/http2/property_test.go
+++ b/internal/upstream/http2/property_test.go
@@ -11,28 +11,28 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// requestTruth is what the model knows of a request.
-type requestTruth struct {
-	written   bool // the kernel has its last frame
-	refused   bool // the endpoint said that it did not begin it
-	succeeded bool // a 200 came
+// requestModel is the model's state of a request.
+type requestModel struct {
+	written   bool // the kernel has accepted its last frame
+	refused   bool // the endpoint reported that it did not begin to execute it
+	succeeded bool // a 200 was received
 	ended     bool
 }
 
-// model follows a connection from outside: what was drawn, and what the actions said.
+// model tracks the state of a connection from the drawn events and the returned actions.
 type model struct {
 	t        *rapid.T
 	streams  *Streams
-	requests map[uint32]*requestTruth
-	// window is what the peer still accepts on the connection, windows on each stream, and initial
-	// on a new one.
+	requests map[uint32]*requestModel
+	// window is the number of bytes that the peer still accepts on the connection, windows that on
+	// each stream, and initial that on a new stream.
 	window  int64
 	windows map[uint32]int64
 	initial int64
-	ended   int // streams
+	ended   int // number of streams that ended
 }
 
-// apply checks actions, and has the kernel accept what is to be written.
+// apply checks actions, and reports their last frames as written.
 func (m *model) apply(a Actions) {
 	for _, f := range a.Write {
 		m.checkFrame(f)
@@ -52,7 +52,7 @@
 	if f.Type == http2.FrameData {
 		m.window -= int64(len(f.Data))
 		if m.windows[f.Stream] -= int64(len(f.Data)); m.window < 0 || m.windows[f.Stream] < 0 {
-			m.t.Fatalf("past a window: %d, %d", m.window, m.windows[f.Stream])
+			m.t.Fatalf("window exceeded: connection %d, stream %d", m.window, m.windows[f.Stream])
 		}
 	}
 	if r := m.requests[f.Stream]; r != nil && r.ended {
@@ -63,17 +63,17 @@
 func (m *model) checkEnd(e StreamEnd) {
 	r := m.requests[e.Stream]
 	if r.ended {
-		m.t.Fatalf("%d ends twice", e.Stream)
+		m.t.Fatalf("stream %d ended twice", e.Stream)
 	}
 	r.ended = true
 	if !e.MayHaveExecuted && (r.succeeded || r.written && !r.refused) {
-		m.t.Fatalf("%d is reported as not executed: %+v", e.Stream, *r)
+		m.t.Fatalf("stream %d reported as not executed: %+v", e.Stream, *r)
 	}
 	m.ended++
 }
 
-// drawID draws a stream, mostly one that was begun. 0 stands for the connection, and now and then
-// there is a stream that was never begun.
+// drawID draws a stream number: mostly one that was begun, seldom 0 for the connection or a stream
+// that was never begun.
 func (m *model) drawID() uint32 {
 	n := rapid.IntRange(0, 40).Draw(m.t, "stream")
 	switch {
@@ -85,12 +85,12 @@
 	return uint32(2*(n%len(m.requests)) + 1)
 }
 
-// event is one that can happen on a connection.
+// event is a kind of event on a connection.
 type event int
 
 const (
-	eventBegin event = iota
-	eventBeginToo
+	eventBegin      event = iota
+	eventBeginAgain       // makes eventBegin twice as likely as the others
 	eventWindowUpdate
 	eventInitialWindow
 	eventHeaders
@@ -106,11 +106,11 @@
 	if e == eventWindowUpdate && rapid.Bool().Draw(m.t, "of the connection") {
 		id = 0
 	}
-	if id == 0 && e > eventInitialWindow && e != eventGoAway { // none of the connection
+	if id == 0 && e > eventInitialWindow && e != eventGoAway { // the event needs a stream
 		e = eventBegin
 	}
 	switch e {
-	case eventBegin, eventBeginToo:
+	case eventBegin, eventBeginAgain:
 		m.begin()
 	case eventWindowUpdate:
 		m.windowUpdate(id)
@@ -137,7 +137,7 @@
 		return
 	}
 	next := uint32(2*len(m.requests) + 1)
-	m.requests[next], m.windows[next] = &requestTruth{}, m.initial
+	m.requests[next], m.windows[next] = &requestModel{}, m.initial
 	got, a := m.streams.Begin(make([]byte, rapid.IntRange(0, 40_000).Draw(m.t, "body")))
 	if got != next {
 		m.t.Fatalf("stream %d, want %d", got, next)
@@ -187,14 +187,14 @@
 	m.apply(m.streams.Reset(id, code))
 }
 
-// Whatever comes in whatever order: a stream ends once, nothing is written for it afterwards, no
-// window is exceeded, and the request is reported as not executed only where the endpoint refused
-// it or its last byte had not been written.
+// For any events in any order: a stream ends once, nothing is written on it afterwards, no window is
+// exceeded, and the request is reported as not executed only if the endpoint refused it or its last
+// byte was not written.
 func TestStreams_NotExecutedOnlyWhereProved(t *testing.T) {
 	ended := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			t: t, streams: NewStreams(), requests: map[uint32]*requestTruth{},
+			t: t, streams: NewStreams(), requests: map[uint32]*requestModel{},
 			window: defaultWindow, windows: map[uint32]int64{}, initial: defaultWindow,
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
@@ -203,12 +203,12 @@
 		m.apply(m.streams.ConnectionLost("the end"))
 		for i, r := range m.requests {
 			if !r.ended {
-				t.Fatalf("%d has not ended", i)
+				t.Fatalf("stream %d has not ended", i)
 			}
 		}
 		ended += m.ended
 	})
 	if ended < 200 {
-		t.Errorf("only %d streams ended", ended)
+		t.Errorf("only %d streams ended, want at least 200", ended)
 	}
 }
--- a/internal/upstream/http2/receive.go
+++ b/internal/upstream/http2/receive.go
@@ -6,8 +6,8 @@
 	"golang.org/x/net/http2"
 )
 
-// maxResponseBody bounds a response's body, in bytes. It has no meaning, and must not fill the
-// memory.
+// maxResponseBody bounds the body of a response, in bytes, so that an endpoint cannot exhaust the
+// memory. Bodies of responses have no meaning.
 const maxResponseBody = 64 << 10
 
 // HeaderBlock is a decoded header block: an interim response, a final one, or trailers (section
@@ -15,12 +15,12 @@
 type HeaderBlock struct {
 	Status        int // 0: trailers
 	Headers       map[string][]string
-	ContentLength int // -1: the block does not say
+	ContentLength int // -1: no Content-Length
 	EndStream     bool
-	Malformed     EndReason // why the block is malformed (section 8.1.1); empty: it is not
+	Malformed     EndReason // why the block is malformed (section 8.1.1); empty: it is well-formed
 }
 
-// Headers handles a header block.
+// Headers handles a received header block.
 func (s *Streams) Headers(id uint32, block HeaderBlock) (a Actions) {
 	st := s.streams[id]
 	if st == nil {
@@ -45,7 +45,7 @@
 	return a
 }
 
-// trailers handles a header block after that of the final response (section 8.1).
+// trailers handles a header block that follows the one of the final response (section 8.1).
 func (s *Streams) trailers(a *Actions, st *stream, block HeaderBlock) {
 	switch {
 	case !block.EndStream:
@@ -57,7 +57,7 @@
 	}
 }
 
-// Data handles DATA with n bytes of a response's body. Padding counts for the windows alone
+// Data handles a DATA frame with n bytes of a response's body. Padding counts only for flow control
 // (section 6.1).
 func (s *Streams) Data(id uint32, n, padding int, endStream bool) (a Actions) {
 	s.refillReceiveWindow(&a, n+padding)
@@ -80,8 +80,8 @@
 	return a
 }
 
-// finish ends a stream whose response was received to its end. The rest of a request that was not
-// sent to its end is dropped: that is what an endpoint that responds early wants (section 8.1).
+// finish ends a stream whose response was received to its end. If a part of the request was not sent
+// yet, that part is dropped: an endpoint that responds early does not need it (section 8.1).
 func (s *Streams) finish(a *Actions, st *stream) {
 	if st.contentLength >= 0 && st.bodyReceived != st.contentLength { // section 8.1.1
 		s.resetStream(a, st, http2.ErrCodeProtocol, EndBodyTooShort)
@@ -94,7 +94,7 @@
 	s.end(a, st, st.mayHaveExecuted(), EndResponded)
 }
 
-// Reset handles a RST_STREAM (section 6.4).
+// Reset handles a received RST_STREAM (section 6.4).
 func (s *Streams) Reset(id uint32, code http2.ErrCode) (a Actions) {
 	st := s.streams[id]
 	switch {
@@ -104,15 +104,15 @@
 		// Section 8.7: the stream was closed before any processing.
 		s.end(&a, st, false, EndRefused)
 	default:
-		// A NO_ERROR that follows a complete response (section 8.1) is not for this stream: it has
-		// ended.
+		// A NO_ERROR that follows a complete response (section 8.1) does not get here, since the
+		// stream has ended.
 		s.end(&a, st, st.mayHaveExecuted(), EndReset.with(code))
 	}
 	return a
 }
 
-// GoAway handles a GOAWAY (section 6.8): streams above the last were not processed and will not be.
-// A second GOAWAY may name a lower number.
+// GoAway handles a GOAWAY (section 6.8): the peer has not processed the streams above lastID and will
+// not process them. A second GOAWAY may have a lower number.
 func (s *Streams) GoAway(lastID uint32, code http2.ErrCode) (a Actions) {
 	if s.state == connOpen {
 		s.state = connDraining
@@ -126,7 +126,7 @@
 	return a
 }
 
-// Ping acknowledges a PING (section 6.7).
+// Ping handles a PING and acknowledges it (section 6.7).
 func (s *Streams) Ping(data [8]byte) Actions {
 	return Actions{Write: []Frame{{Type: http2.FramePing, Ack: true, Data: data[:]}}}
 }
--- a/internal/upstream/http2/streams_test.go
+++ b/internal/upstream/http2/streams_test.go
@@ -9,14 +9,14 @@
 	"golang.org/x/net/http2"
 )
 
-// connection is the state of a connection with one request, whose body has 10 bytes.
+// connection is the state of a connection with one request with a body of 10 bytes.
 type connection struct {
 	*Streams
-	last Actions // of the last event
+	last Actions // actions of the last event
 }
 
-// begun returns a connection whose request was given out whole; written says that the kernel has
-// its last frame.
+// begun returns a connection whose whole request is in the actions; written says that the kernel has
+// accepted its last frame.
 func begun(written bool) *connection {
 	c := &connection{Streams: NewStreams()}
 	_, c.last = c.Begin([]byte("0123456789"))
@@ -26,7 +26,7 @@
 	return c
 }
 
-// halfSent returns a connection of whose request the peer accepted half: the rest waits for a
+// halfSent returns a connection with half of its request sent. The rest waits for a flow-control
 // window.
 func halfSent() *connection {
 	c := &connection{Streams: NewStreams()}
@@ -35,7 +35,7 @@
 	return c
 }
 
-// respond has headers of the response received.
+// respond applies a received header block with a status; status 0 means trailers.
 func (c *connection) respond(status int, endStream bool) *connection {
 	c.last = c.Headers(1, HeaderBlock{Status: status, ContentLength: unknownLength, EndStream: endStream})
 	return c
@@ -87,7 +87,7 @@
 	return c
 }
 
-// wrote returns what an event has written, in short.
+// wrote returns a summary of the frames that the actions write.
 func (a Actions) wrote() string {
 	var all []string
 	for _, f := range a.Write {
@@ -112,9 +112,9 @@
 	return strings.Join(all, ", ")
 }
 
-// Every sequence by which a stream can end: whether the request can have been executed, what is
-// written, whether the connection goes on, and the reason that logs show. The sections are RFC
-// 9113's.
+// Every sequence of events that ends a stream: whether the request may have been executed, which
+// frames are written, whether the connection is closed, and the reason for logs. The sections are
+// those of RFC 9113.
 func TestStreams_Ends(t *testing.T) {
 	const no, may = false, true
 	for name, tt := range map[string]struct {
@@ -224,7 +224,7 @@
 		},
 		"interim that ends the stream": {
 			begun(true).respond(103, true),
-			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "an interim response that ends the stream",
+			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "interim response with END_STREAM",
 		},
 		"trailers": {
 			begun(true).respond(500, false).respond(0, true),
@@ -232,27 +232,27 @@
 		},
 		"trailers that do not end the stream": {
 			begun(true).respond(500, false).respond(0, false),
-			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "trailers that do not end the response",
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "trailers without END_STREAM",
 		},
 		"a second status": {
 			begun(true).respond(500, false).respond(200, true),
-			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a status in trailers",
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "status in trailers",
 		},
 		"a body before the headers": {
 			begun(true).data(3, 0, true),
-			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "a body before its headers",
+			may, 0, false, "RST_STREAM PROTOCOL_ERROR", false, "response body before headers",
 		},
 		"a body longer than its Content-Length": {
 			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 2}).data(3, 0, true),
-			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a body longer than its Content-Length",
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "response body longer than Content-Length",
 		},
 		"a body shorter than its Content-Length": {
 			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 4}).data(3, 0, true),
-			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a body shorter than its Content-Length",
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "response body shorter than Content-Length",
 		},
 		"a Content-Length and no body": {
 			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 4, EndStream: true}),
-			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "a body shorter than its Content-Length",
+			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "response body shorter than Content-Length",
 		},
 		"padding is no body": {
 			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 3}).data(3, 200, true),
@@ -260,37 +260,37 @@
 		},
 		"an endless response": {
 			begun(true).respond(500, false).data(maxResponseBody+1, 0, false),
-			may, 500, false, "WINDOW_UPDATE 65537, RST_STREAM CANCEL", false, "a response that is too large",
+			may, 500, false, "WINDOW_UPDATE 65537, RST_STREAM CANCEL", false, "response body too large",
 		},
 		"a stream's window too large (6.9.1)": {
 			begun(true).windowUpdate(1, math.MaxInt32),
-			may, 0, false, "RST_STREAM FLOW_CONTROL_ERROR", false, "a window of 2147549172",
+			may, 0, false, "RST_STREAM FLOW_CONTROL_ERROR", false, "stream window too large: 2147549172",
 		},
 		"the connection's window too large (6.9.1)": {
 			begun(true).windowUpdate(0, math.MaxInt32),
-			may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true, "a connection's window of 2147549172",
+			may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true, "connection window too large: 2147549172",
 		},
 		"a window made too large by SETTINGS (6.9.2)": {
 			begun(true).windowUpdate(1, math.MaxInt32-defaultWindow).settings(Setting{http2.SettingInitialWindowSize, math.MaxInt32}),
-			may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true, "a window of 4294901749",
+			may, 0, false, "GOAWAY FLOW_CONTROL_ERROR", true, "stream window too large: 4294901749",
 		},
 		"a frame on a stream that was never begun (5.1)": {
 			begun(true).resetOf(3, http2.ErrCodeCancel),
-			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "RST_STREAM on stream 3, which was never begun",
+			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "RST_STREAM on idle stream 3",
 		},
 		"a frame on a stream of the endpoint's": {
 			begun(true).dataOf(2, 1, 0, false),
-			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "DATA on stream 2, which was never begun",
+			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "DATA on idle stream 2",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := tt.connection.last
 			if len(a.Ended) != 1 {
-				t.Fatalf("ends %+v", a.Ended)
+				t.Fatalf("ended streams %+v, want one", a.Ended)
 			}
 			e := a.Ended[0]
 			if e.Stream != 1 || e.MayHaveExecuted != tt.mayHaveExecuted || e.Status != tt.status || e.Complete != tt.complete {
-				t.Errorf("%+v", e)
+				t.Errorf("end of stream %+v", e)
 			}
 			if e.Reason != tt.reason {
 				t.Errorf("reason %q, want %q", e.Reason, tt.reason)
@@ -299,13 +299,13 @@
 				t.Errorf("wrote %q, close %v", a.wrote(), a.Close)
 			}
 			if tt.connection.InFlight() != 0 {
-				t.Error("it is still in flight")
+				t.Error("the stream is still in flight")
 			}
 		})
 	}
 }
 
-// A frame for a stream that has ended, or for none, changes nothing.
+// A frame for a stream that has ended changes nothing, and a PING is acknowledged.
 func TestStreams_IgnoresFramesAfterTheEnd(t *testing.T) {
 	c := begun(true).respond(200, true)
 	for name, a := range map[string]Actions{
@@ -317,7 +317,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if len(a.Write) > 0 || len(a.Ended) > 0 || a.Close {
-				t.Errorf("%+v", a)
+				t.Errorf("actions %+v, want none", a)
 			}
 		})
 	}
@@ -326,8 +326,8 @@
 	}
 }
 
-// Bodies are sent as the windows allow: in frames of the peer's size, also from a window below
-// zero, and a stream without a window holds up no other.
+// Bodies are sent as the windows allow, also after a window was negative, and in frames no larger than
+// the peer's maximum. A stream whose window is used up does not block the others.
 func TestStreams_FlowControl(t *testing.T) {
 	c := &connection{Streams: NewStreams()}
 	c.Settings([]Setting{{http2.SettingInitialWindowSize, 10}, {http2.SettingMaxFrameSize, 16_384}, {http2.SettingMaxConcurrentStreams, 2}})
@@ -338,11 +338,11 @@
 	if _, a = c.Begin(nil); a.wrote() != "HEADERS END" || c.Capacity() != 0 {
 		t.Errorf("wrote %q, capacity %d", a.wrote(), c.Capacity())
 	}
-	if a = c.Settings([]Setting{{http2.SettingInitialWindowSize, 4}}); a.wrote() != "SETTINGS ACK" { // now -6
+	if a = c.Settings([]Setting{{http2.SettingInitialWindowSize, 4}}); a.wrote() != "SETTINGS ACK" { // the window is now -6
 		t.Errorf("wrote %q", a.wrote())
 	}
 	if a = c.WindowUpdate(1, 6); a.wrote() != "" {
-		t.Errorf("at 0 it wrote %q", a.wrote())
+		t.Errorf("with a window of 0, wrote %q", a.wrote())
 	}
 	if a = c.WindowUpdate(1, 7); a.wrote() != "DATA 7" {
 		t.Errorf("wrote %q", a.wrote())
@@ -362,7 +362,7 @@
 	if _, a = c.Begin(make([]byte, 60_000)); a.wrote() != fmt.Sprintf("HEADERS, DATA %d", defaultWindow-25-60_000) {
 		t.Errorf("wrote %q", a.wrote())
 	}
-	if _, a = c.Begin(nil); a.wrote() != "HEADERS END" { // held up by no other
+	if _, a = c.Begin(nil); a.wrote() != "HEADERS END" { // not blocked by the other streams
 		t.Errorf("wrote %q", a.wrote())
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Target is an endpoint at an address. Both identify it, since another endpoint may come to use the
-// same address.
+// Target is an endpoint and its address. Both are needed to identify it, since another endpoint may
+// use the same address later.
 type Target struct{ Endpoint, Addr string }
 
 // Request is one attempt to deliver a request to an endpoint.
@@ -19,19 +19,20 @@
 	// Deadline is the request's deadline over all its attempts. Zero means that the deadline is the
 	// end of Timeout.
 	Deadline time.Time
-	// OnDeadline, where set, is called if Deadline passes while a response is still awaited: the
-	// request's outcome is due then, whatever the response will be.
+	// OnDeadline, if set, is called if Deadline passes while a response is still awaited: the
+	// outcome of the request is due then, whatever response follows.
 	OnDeadline func()
-	// WriteBy, where set, is when the request's last byte must have been written. Written later, it
-	// may be executed a second time by an endpoint that has forgotten its idempotency key.
+	// WriteBy, if set, is the latest time at which the request's last byte may be written. If it is
+	// written later, an endpoint whose record of the idempotency key has expired may execute the
+	// request a second time.
 	WriteBy time.Time
-	// CancelBeforeSend, once it is true, cancels the request unless it has been written. It may be
-	// nil.
+	// CancelBeforeSend cancels the request once it is true, unless the request has been written. It
+	// may be nil.
 	CancelBeforeSend *atomic.Bool
 }
 
-// SendCanceled reports whether the request must not be written any more: WriteBy has passed, or it
-// was canceled.
+// SendCanceled reports whether the request must no longer be written, because WriteBy has passed or
+// CancelBeforeSend is true.
 func (r *Request) SendCanceled() bool {
 	expired := !r.WriteBy.IsZero() && !time.Now().Before(r.WriteBy)
 	return expired || r.CancelBeforeSend != nil && r.CancelBeforeSend.Load()
