--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// Why watches end.
+// The errors that end a watch.
 var (
-	// ErrSilentWatch: no byte came for maxSilence. A cut link ends no connection by itself.
-	ErrSilentWatch = errors.New("no byte came for too long")
-	// ErrStaleList: a list came whose sequence number is lower than that of the last one.
-	ErrStaleList = errors.New("a list older than the one that is held")
+	// ErrSilentWatch: no byte arrived for maxSilence. A broken link does not close the connection.
+	ErrSilentWatch = errors.New("no data received within the silence time-out")
+	// ErrStaleList: a list has a lower sequence number than the one before it.
+	ErrStaleList = errors.New("received list is older than the current one")
 	// ErrListTooLarge: a list is larger than maxListSize.
-	ErrListTooLarge = fmt.Errorf("a list of over %d bytes", maxListSize)
+	ErrListTooLarge = fmt.Errorf("list larger than %d bytes", maxListSize)
 	// ErrWatchClosed: discovery ended the response.
-	ErrWatchClosed = errors.New("end of the answer")
+	ErrWatchClosed = errors.New("discovery closed the watch")
 )
 
-// StatusError is a response of discovery that is no watch.
+// StatusError is a response of discovery with a status other than 200.
 type StatusError struct {
 	Status string // such as "503 Service Unavailable"
 }
 
-func (e *StatusError) Error() string { return "discovery answered " + e.Status }
+func (e *StatusError) Error() string { return "discovery responded with status " + e.Status }
 
-// UnreadableListError is a list that cannot be read. What it held is lost to the changes that
-// follow.
+// UnreadableListError is a list that cannot be decoded. Later changes do not repeat its content, so
+// the whole list has to be requested.
 type UnreadableListError struct{ Err error }
 
 func (e *UnreadableListError) Error() string { return "unreadable list: " + e.Err.Error() }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/goldentest"
 )
 
-// The form of the endpoint list as discovery sends it, and as the journal stores it.
+// The JSON encoding of the endpoint list, which discovery sends and the journal stores.
 func TestGolden_ListForm(t *testing.T) {
 	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "list", Value: &EndpointList{}})
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,28 +10,28 @@
 // EndpointList is the endpoint list, or a change of it, as discovery sends it.
 type EndpointList struct {
 	Seq       int64      `json:"seq"`
-	Full      bool       `json:"whole"` // the whole list; else the endpoints that have changed
+	Full      bool       `json:"whole"` // this is the whole list; false: only the endpoints that changed
 	Endpoints []Endpoint `json:"hosts"`
 }
 
 // Endpoint is one endpoint of the list.
 type Endpoint struct {
-	ID          string  `json:"host"`   // its id
-	Address     string  `json:"dial"`   // its address
-	Zone        string  `json:"site"`   // its zone
+	ID          string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
 	Kind        string  `json:"class"`  // the kind of its machine
 	Destination int     `json:"block"`  // the number of its destination
-	Health      string  `json:"health"` // Draining, Deleted or another, which means that it serves
-	Weight      float64 `json:"share"`  // its weight
+	Health      string  `json:"health"` // Draining, Deleted, or any other value: the endpoint takes requests
+	Weight      float64 `json:"share"`
 }
 
-// The health of an endpoint that takes no new requests.
+// The values of Health for an endpoint that takes no new requests.
 const (
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// Event returns the list in the policy's terms.
+// Event converts the list to an event for the policy.
 func (l EndpointList) Event(s *settings.Settings) policy.EndpointsChanged {
 	e := policy.EndpointsChanged{Full: l.Full}
 	for _, endpoint := range l.Endpoints {
@@ -45,8 +45,7 @@
 	return e
 }
 
-// Apply returns the whole list as it is after a change. The receiver may be nil: then the change is
-// the first list.
+// Apply returns the whole list after a change. If the receiver is nil, the change is the first list.
 func (l *EndpointList) Apply(change EndpointList) *EndpointList {
 	if change.Full || l == nil {
 		change.Endpoints = slices.Clone(change.Endpoints)
@@ -58,7 +57,7 @@
 	return &change
 }
 
-// without returns the endpoints of the list other than those changed.
+// without returns the endpoints of the list whose ids are not among those changed.
 func (l *EndpointList) without(changed []Endpoint) []Endpoint {
 	ids := map[string]bool{}
 	for _, e := range changed {
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A change replaces the endpoints that it names and removes deleted ones; a whole list replaces
-// all.
+// A change replaces the endpoints that it contains and removes deleted ones. A whole list replaces
+// all endpoints.
 func TestEndpointList_Apply(t *testing.T) {
 	list := &EndpointList{Seq: 1, Full: true, Endpoints: []Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	for _, tt := range []struct {
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// minBackoff is the shortest span of the backoff, and smallFleetBackoff the longest of a few
-	// relays: what discovery has to tell is held against a relay after 6 s.
+	// minBackoff is the shortest window of the backoff, and smallFleetBackoff the longest one of a
+	// small fleet. It is short because a relay is required to act on a change in the list after 6 s.
 	minBackoff        = 250 * time.Millisecond
 	smallFleetBackoff = 2 * time.Second
-	// requestInterval is the time in which discovery is trusted to work on one request, whoever
-	// makes it: relays spread their requests over as much for each relay of the fleet, and after
-	// failures over up to maxBackoffFactor times that. Requests that discovery gives up on have
-	// cost it their work all the same: sent faster than it works, all of them fail from then on.
+	// requestInterval is the time that discovery is assumed to need for one request of any relay.
+	// The relays of a fleet spread their requests over requestInterval times their number, and after
+	// failures over up to maxBackoffFactor times that. Discovery also spends time on requests that
+	// it gives up later, so if requests arrive faster than it can serve them, all of them fail from
+	// then on.
 	requestInterval  = 100 * time.Millisecond
 	maxBackoffFactor = 4
-	// largeFleet relays or more spread their first requests too, and all requests over
-	// minLargeFleetSpread at least: what serves a small fleet is sized for it, and may take some
-	// seconds for a request of each relay.
+	// A fleet of largeFleet relays or more also spreads its first requests, and all requests over at
+	// least minLargeFleetSpread. A discovery service that is sized for a small fleet may need some
+	// seconds to serve one request of each relay.
 	largeFleet          = 10
 	minLargeFleetSpread = 4 * time.Second
-	// maxSpread is the longest first span, however many relays share discovery: it can work on one
-	// request of every relay in 2 to 8 s at any scale (all_call_s of the site's ranges), and serves
-	// watches and changes beside. A relay that asks later than it must knows nothing of drains and
-	// new endpoints meanwhile.
+	// maxSpread bounds the first window, whatever the number of relays that share discovery. At any
+	// scale, discovery can serve one request of every relay in 2 to 8 s (all_call_s in the site's
+	// ranges), in addition to watches and changes. A longer window would leave relays without news
+	// of draining and new endpoints for longer than necessary.
 	maxSpread = 10 * time.Second
-	// maxSilenceSpread is what the requests after watches that fell silent are spread over at most,
-	// beside the 2 s over which they are found silent: a relay that has no list 6 s after that is
-	// held to what it could not know.
+	// maxSilenceSpread bounds the spread of requests after watches that fell silent, in addition to
+	// the 2 s over which the relays detect the silence. A relay that has no list 6 s after the
+	// watch fell silent is required to act on changes that it could not receive.
 	maxSilenceSpread = 1500 * time.Millisecond
-	// minEstablished is how long a watch must have lasted for the backoff to begin anew: the first
-	// line may come before discovery has done its work, which it gives up on after 2 s.
+	// minEstablished is the time that a watch must last before the backoff is reset. The first line
+	// may arrive before discovery has finished its work on the request, which it gives up after 2 s.
 	minEstablished = 2500 * time.Millisecond
 )
 
-// Schedule says when one relay of a fleet asks discovery for a watch, so that not all ask at once.
+// Schedule determines when one relay of a fleet requests a watch, so that the relays do not all send
+// their requests at the same time.
 type Schedule struct {
 	retry, silence *backoff.Backoff
 	spreadStart    bool
 }
 
-// NewSchedule returns the schedule of one of so many relays that share discovery. The seed is that
-// relay's own.
+// NewSchedule returns the schedule of one relay, given the number of relays that share discovery.
+// Each relay must have a seed of its own.
 func NewSchedule(relays int, seed int64) *Schedule {
 	span := time.Duration(max(1, relays)) * requestInterval
 	if relays >= largeFleet {
@@ -56,9 +58,9 @@
 	}
 }
 
-// Start returns the delay of the first request. It guards against a release that starts the whole
-// fleet: each relay would ask at once for a list that it has, all but the first few in vain, and
-// their retries would have discovery work on requests that nobody waits for any more.
+// Start returns the delay of the first request. Without a delay, a release that restarts the whole
+// fleet makes all relays request at once a list that they already have. All but the first few
+// requests fail, and the retries keep discovery working on requests whose relays no longer wait.
 func (s *Schedule) Start() time.Duration {
 	if !s.spreadStart {
 		return 0
@@ -66,7 +68,7 @@
 	return s.retry.Start()
 }
 
-// Retry returns the delay of the next request after a watch that has lasted for a time.
+// Retry returns the delay of the next request after a watch that lasted for the given time.
 func (s *Schedule) Retry(lasted time.Duration) time.Duration {
 	if lasted >= minEstablished {
 		s.retry.Reset()
@@ -74,7 +76,7 @@
 	return s.retry.Next()
 }
 
-// AfterSilence returns the delay of the next request after a watch that fell silent, or had no
-// response: a link may be cut, and the time runs after which the relay is held to what it misses.
-// It does not grow.
+// AfterSilence returns the delay of the next request after a watch that fell silent or had no
+// response. The delay does not grow with repeated failures: a link may be broken, and the relay has
+// little time left before it is required to act on changes that it misses.
 func (s *Schedule) AfterSilence() time.Duration { return s.silence.Start() }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -8,8 +8,9 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A few relays ask at once. Of ten or more the first requests are spread over the whole span, and
-// later ones over windows that double from it, until a watch is established.
+// The relays of a small fleet send their first requests at once. In a fleet of ten or more, the first
+// requests are spread over the first window. Later requests are spread over windows that double from
+// the first one, until a watch is established.
 func TestSchedule_SpreadsRelays(t *testing.T) {
 	for _, tt := range []struct {
 		relays      int
@@ -24,20 +25,20 @@
 		{160, 10 * time.Second, 40 * time.Second, true},
 		{300, 10 * time.Second, 40 * time.Second, true},
 	} {
-		var start, first, last, afterReset time.Duration // the longest of all seeds
+		var start, first, last, afterReset time.Duration // the longest delays of all seeds
 		for seed := range int64(300) {
 			s := NewSchedule(tt.relays, seed)
 			start = max(start, s.Start())
 			first = max(first, s.Retry(0))
 			for range 6 {
-				s.Retry(minEstablished - 1) // its first line came, and no more
+				s.Retry(minEstablished - 1) // the watch ended just before it counted as established
 			}
 			last = max(last, s.Retry(0))
 			afterReset = max(afterReset, s.Retry(minEstablished))
 		}
 		near := func(got, window time.Duration) bool { return got <= window && got >= window*9/10 }
 		if tt.spreadStart != near(start, tt.first) || !tt.spreadStart && start != 0 {
-			t.Errorf("%d relays: first requests come up to %v late", tt.relays, start)
+			t.Errorf("%d relays: first requests are delayed by up to %v", tt.relays, start)
 		}
 		if !near(first, tt.first) || !near(last, tt.last) || !near(afterReset, tt.first) {
 			t.Errorf("%d relays: windows of %v, %v and, after an established watch, %v; want %v and %v", tt.relays, first, last, afterReset, tt.first, tt.last)
@@ -45,67 +46,69 @@
 	}
 }
 
-// Watches that fall silent at a whole fleet are opened anew within the 6 s after which a relay is
-// held to what it misses. The 6 s run from the silence, which is found up to 2 s after the last
-// byte; the policy's pause before it asks again, and 1 s for the response, are counted in.
+// If the watches of a whole fleet fall silent, every relay has a new list within the 6 s after which
+// it is required to act on changes that it misses. The 6 s run from the moment at which a watch falls
+// silent, up to 2 s after its last byte; the test takes the worst case, the last byte itself. They
+// include the detection of the silence, the policy's pause before it subscribes again, and 1 s for the
+// response.
 func TestSchedule_SilentFleetIsInTime(t *testing.T) {
 	const deadline, policyPause, response = 6 * time.Second, 500 * time.Millisecond, time.Second
 	for _, relays := range []int{1, 24, 300, 3000} {
 		for seed := range int64(200) {
 			s := NewSchedule(relays, seed)
 			s.Start()
-			for i := range 4 { // also several in a row
+			for i := range 4 { // the delay must not grow with several silent watches in a row
 				if at := maxSilence + policyPause + s.AfterSilence() + response; at > deadline {
-					t.Fatalf("%d relays, silence %d: a list %v after the last byte", relays, i, at)
+					t.Fatalf("%d relays, silent watch %d: a list only %v after the last byte", relays, i, at)
 				}
 			}
 		}
 	}
 }
 
-// Each watch that falls silent is followed by a request without the backoff of failed ones, the
-// first one of all as well.
+// After a silent watch, including the very first one, the next request is sent without the backoff
+// for failed requests.
 func TestWatcher_DoesNotBackOffAfterSilence(t *testing.T) {
 	const relays = 3000
 	seed := int64(0)
-	for ; ; seed++ { // one whose first request comes soon, and whose backoff outlasts what the test waits for
+	for ; ; seed++ { // a seed with a short first delay and a backoff longer than the test waits
 		s := NewSchedule(relays, seed)
 		if s.Start() < time.Second/2 && s.Retry(0) > 0 && s.Retry(0) > 0 && s.Retry(0) > waittest.Long+waittest.Long/2 {
 			break
 		}
 	}
-	asked := make(chan bool, 10)
+	requested := make(chan bool, 10)
 	w := newTestWatcher(t, 50*time.Millisecond, func(_ http.ResponseWriter, r *http.Request) {
-		asked <- true
-		<-r.Context().Done() // no byte at all
+		requested <- true
+		<-r.Context().Done() // sends no byte at all
 	})
 	w.ShareWith(relays, seed)
 	w.onWatchEnd = func(int) { w.Subscribe() }
 	w.Subscribe()
 	go w.Run(t.Context())
 	for range 5 {
-		waittest.Receive(t, asked)
+		waittest.Receive(t, requested)
 	}
 }
 
-// A watcher of a large fleet follows its schedule from its first request on.
+// In a large fleet, the first request of a watcher is delayed by the schedule.
 func TestWatcher_LargeFleetDelaysFirstWatch(t *testing.T) {
 	seed := int64(0)
-	for ; ; seed++ { // one that need not be waited for long
+	for ; ; seed++ { // a seed with a short first delay
 		if d := NewSchedule(80, seed).Start(); d > 300*time.Millisecond && d < 600*time.Millisecond {
 			break
 		}
 	}
-	asked := make(chan time.Time, 10)
+	requested := make(chan time.Time, 10)
 	start := time.Now()
 	w := newTestWatcher(t, waittest.Long, func(rw http.ResponseWriter, _ *http.Request) {
-		asked <- time.Now()
+		requested <- time.Now()
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	})
 	w.ShareWith(80, seed)
 	go w.Run(t.Context())
 	w.Subscribe()
-	if waited, want := waittest.Receive(t, asked).Sub(start), NewSchedule(80, seed).Start(); waited < want {
-		t.Errorf("asked after %v, before %v is due", waited, want)
+	if waited, want := waittest.Receive(t, requested).Sub(start), NewSchedule(80, seed).Start(); waited < want {
+		t.Errorf("first request after %v, want at least %v", waited, want)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// maxSilence without a byte means that a watch is dead: an empty line comes every 2 s, and a
-	// response begins within the 2 s that discovery works on a request. What a relay misses is held
-	// against it 6 s after the watch fell silent, whether or not it came: that leaves time for a
-	// new watch, also where all relays want one at once (see maxSilenceSpread).
+	// maxSilence is the time without a byte after which a watch counts as dead. Discovery sends an
+	// empty line every 2 s, and begins a response within the 2 s for which it works on a request.
+	// From 6 s after a watch fell silent, a relay is required to act on changes that it has missed.
+	// Until then there is time for a new watch, even if all relays request one at the same time
+	// (see maxSilenceSpread).
 	maxSilence = 3 * time.Second
 	// maxListSize bounds one list of a watch, in bytes.
 	maxListSize = 1 << 20
-	// listPath is where discovery serves the list.
+	// listPath is the path at which discovery serves the list.
 	listPath = "/catalog/members"
 )
 
-// watch follows one watch to its end, and returns how many lists it brought.
+// watch runs one watch until it ends, and returns the number of lists that it reported and the error
+// that ended it.
 func (w *Watcher) watch(ctx context.Context) (lists int, err error) {
 	if w.OnSubscribe != nil {
 		w.OnSubscribe()
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// Guards against a watch that has fallen silent: a cut link ends no connection.
+	// Ends a watch that has fallen silent, since a broken link does not close the connection.
 	silence := time.AfterFunc(w.maxSilence, func() { cancel(ErrSilentWatch) })
 	defer silence.Stop()
 	defer func() {
 		if err != nil && errors.Is(context.Cause(ctx), ErrSilentWatch) {
-			err = ErrSilentWatch // in place of what the cancellation led to
+			err = ErrSilentWatch // instead of the error that the cancellation caused
 		}
 	}()
 	resp, err := w.openWatch(ctx)
@@ -50,36 +52,36 @@
 	return w.readLists(&boundedReader{from: resp.Body, onBytes: func() { silence.Reset(w.maxSilence) }})
 }
 
-// openWatch asks for what follows the list that is known.
+// openWatch requests the changes after the list with the number w.Seq.
 func (w *Watcher) openWatch(ctx context.Context) (*http.Response, error) {
 	query := url.Values{"stream": {"1"}, "index": {strconv.FormatInt(w.Seq, 10)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address+listPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return nil, fmt.Errorf("watch: %w", err)
+		return nil, fmt.Errorf("watch request: %w", err)
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("watch: %w", err)
+		return nil, fmt.Errorf("watch request: %w", err)
 	}
 	return resp, nil
 }
 
-// readLists reports the lists of a watch until one cannot be believed or the watch ends. It returns
-// how many it reported.
+// readLists reports the lists of a watch until one is unreadable or stale, or the watch ends. It
+// returns the number of reported lists.
 func (w *Watcher) readLists(in *boundedReader) (lists int, err error) {
-	for decoder := json.NewDecoder(in); ; lists++ { // a list may be indented, over several lines
+	for decoder := json.NewDecoder(in); ; lists++ { // a list may be indented and span several lines
 		in.left = maxListSize
 		list, err := decodeList(decoder)
 		if errors.As(err, new(*UnreadableListError)) {
-			w.Seq = 0 // what the list held is missing: ask for the whole list
+			w.Seq = 0 // the content of the list is lost: the next watch requests the whole list
 		}
 		if err != nil {
 			return lists, err
 		}
 		if list.Seq < w.Seq {
-			// Guards against a list that was delayed: endpoints that drain would be served again.
-			// The whole list that is asked for next is what discovery has, also where its numbers
-			// have begun anew.
+			// A list that was delayed would make draining endpoints take requests again. The next
+			// watch requests the whole list, which is correct even if discovery has restarted its
+			// sequence numbers.
 			w.Seq = 0
 			return lists, ErrStaleList
 		}
@@ -88,7 +90,7 @@
 	}
 }
 
-// decodeList reads one list.
+// decodeList reads and decodes one list.
 func decodeList(decoder *json.Decoder) (list EndpointList, err error) {
 	err = decoder.Decode(&list)
 	switch {
@@ -99,10 +101,10 @@
 	case errors.As(err, new(*json.SyntaxError)), errors.As(err, new(*json.UnmarshalTypeError)), errors.Is(err, ErrListTooLarge):
 		return list, &UnreadableListError{Err: err}
 	}
-	return list, fmt.Errorf("watch: %w", err)
+	return list, fmt.Errorf("read watch: %w", err)
 }
 
-// boundedReader reads no more than left bytes, and reports each read that brought some.
+// boundedReader reads at most left bytes, and calls onBytes after each read that returned some.
 type boundedReader struct {
 	from    io.Reader
 	left    int
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,7 +13,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// newTestWatcher returns a watcher of a handler, which does not run yet and reports nothing.
+// newTestWatcher returns a watcher of a discovery service that serve implements. It is not running,
+// and its callbacks do nothing.
 func newTestWatcher(t *testing.T, maxSilence time.Duration, serve http.HandlerFunc) *Watcher {
 	t.Helper()
 	s := httptest.NewServer(serve)
@@ -26,8 +27,8 @@
 	return w
 }
 
-// startWatcher follows a handler's watches, and returns the lists and the ends of watches that the
-// watcher reports.
+// startWatcher runs a watcher of a discovery service that serve implements, with one subscription. It
+// returns the reported lists and ends of watches.
 func startWatcher(t *testing.T, maxSilence time.Duration, serve http.HandlerFunc) (w *Watcher, lists chan EndpointList, ends chan bool) {
 	t.Helper()
 	lists, ends = make(chan EndpointList, 10), make(chan bool, 10)
@@ -38,8 +39,8 @@
 	return w, lists, ends
 }
 
-// A watch that falls silent is ended, and the next one asks for what follows the last list that
-// came.
+// A watch that falls silent is ended, and the next one requests the changes after the last received
+// list.
 func TestWatcher_EndsSilentWatch(t *testing.T) {
 	indexes := make(chan string, 10)
 	w, lists, ends := startWatcher(t, 300*time.Millisecond, func(rw http.ResponseWriter, r *http.Request) {
@@ -49,7 +50,7 @@
 		<-r.Context().Done()
 	})
 	if got := waittest.Receive(t, indexes); got != "40" {
-		t.Errorf("first index %s", got)
+		t.Errorf("first watch has index %s, want 40", got)
 	}
 	if list := waittest.Receive(t, lists); list.Seq != 41 || !list.Full {
 		t.Errorf("reported %+v", list)
@@ -57,12 +58,12 @@
 	waittest.Receive(t, ends)
 	w.Subscribe()
 	if got := waittest.Receive(t, indexes); got != "41" {
-		t.Errorf("second index %s", got)
+		t.Errorf("second watch has index %s, want 41", got)
 	}
 }
 
-// A list that cannot be read is skipped, and since what it held is missing the whole list is asked
-// for.
+// An unreadable list is skipped, and the next watch requests the whole list, since the content of the
+// unreadable one is lost.
 func TestWatcher_AsksForWholeListAfterUnreadableOne(t *testing.T) {
 	indexes := make(chan string, 10)
 	w, lists, ends := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
@@ -84,29 +85,29 @@
 	}
 }
 
-// While discovery is down it is asked again, not at once and not too late.
+// While discovery is down, the watcher repeats its request after the backoff.
 func TestWatcher_BacksOff(t *testing.T) {
-	asked := make(chan time.Time, 10)
+	requested := make(chan time.Time, 10)
 	w, _, ends := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, _ *http.Request) {
-		asked <- time.Now()
+		requested <- time.Now()
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	})
 	var times []time.Time
 	for range 3 {
 		waittest.Receive(t, ends)
-		times = append(times, waittest.Receive(t, asked))
+		times = append(times, waittest.Receive(t, requested))
 		w.Subscribe()
 	}
 	if gap := times[1].Sub(times[0]); gap < minBackoff {
-		t.Errorf("asked again after %v", gap)
+		t.Errorf("second request too early, after %v", gap)
 	}
 	if gap := times[2].Sub(times[1]); gap < minBackoff {
-		t.Errorf("then after %v", gap)
+		t.Errorf("third request too early, after %v", gap)
 	}
 }
 
-// A list that is indented over several lines is read as one on a line. Before, it was unreadable,
-// and its watch ended.
+// A list that is indented and spans several lines is read like one on a single line. The fault: such
+// a list was unreadable and ended its watch.
 func TestWatcher_ReadsIndentedList(t *testing.T) {
 	_, lists, _ := startWatcher(t, waittest.Long, func(rw http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(rw, "\n{\n  \"seq\": 41,\n  \"whole\": true,\n  \"hosts\": [\n    {\"host\": \"h\"}\n  ]\n}\n\n{\"seq\":42}\n")
@@ -117,12 +118,12 @@
 		t.Errorf("reported %+v", list)
 	}
 	if list := waittest.Receive(t, lists); list.Seq != 42 {
-		t.Errorf("then %+v", list)
+		t.Errorf("second list %+v", list)
 	}
 }
 
-// A list that is truncated, stale or endless is not believed: the whole list is asked for, and
-// accepted whatever its number.
+// After a malformed, stale or endless list, the whole list is requested. The whole list is accepted
+// whatever its sequence number is.
 func TestWatcher_AsksForWholeListAfterBadOne(t *testing.T) {
 	for name, first := range map[string]string{
 		"cut in two": "{\"seq\":41,\"who\nle\":true}\n",
@@ -152,21 +153,21 @@
 	}
 }
 
-// Each end of a watch has a type of its own, and a message that logs show.
+// Each error that ends a watch has its own value or type, and a message for logs.
 func TestWatch_Errors(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		serve   http.HandlerFunc
 		is      func(error) bool
-		message string // empty: not checked, as it has an address in it
+		message string // empty: not checked, since it contains an address
 	}{
 		{
 			"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-			func(err error) bool { return errors.Is(err, ErrSilentWatch) }, "no byte came for too long",
+			func(err error) bool { return errors.Is(err, ErrSilentWatch) }, "no data received within the silence time-out",
 		},
 		{
 			"stale list", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, `{"seq":39}`) },
-			func(err error) bool { return errors.Is(err, ErrStaleList) }, "a list older than the one that is held",
+			func(err error) bool { return errors.Is(err, ErrStaleList) }, "received list is older than the current one",
 		},
 		{
 			"list too large",
@@ -176,7 +177,7 @@
 			func(err error) bool {
 				return errors.Is(err, ErrListTooLarge) && errors.As(err, new(*UnreadableListError))
 			},
-			"unreadable list: a list of over 1048576 bytes",
+			"unreadable list: list larger than 1048576 bytes",
 		},
 		{
 			"not JSON", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, "what?") },
@@ -185,11 +186,11 @@
 		},
 		{
 			"closed", func(http.ResponseWriter, *http.Request) {},
-			func(err error) bool { return errors.Is(err, ErrWatchClosed) }, "end of the answer",
+			func(err error) bool { return errors.Is(err, ErrWatchClosed) }, "discovery closed the watch",
 		},
 		{
 			"status", func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) },
-			func(err error) bool { return errors.As(err, new(*StatusError)) }, "discovery answered 503 Service Unavailable",
+			func(err error) bool { return errors.As(err, new(*StatusError)) }, "discovery responded with status 503 Service Unavailable",
 		},
 		{
 			"truncated", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, `{"seq":`) },
@@ -204,7 +205,7 @@
 			w := newTestWatcher(t, maxSilence, tt.serve)
 			_, err := w.watch(t.Context())
 			if !tt.is(err) {
-				t.Errorf("got %v", err)
+				t.Errorf("unexpected error %v", err)
 			}
 			if tt.message != "" && fmt.Sprint(err) != tt.message {
 				t.Errorf("message %q, want %q", fmt.Sprint(err), tt.message)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,31 +13,31 @@
 	"frostlink/internal/wait"
 )
 
-// Watcher watches discovery's endpoint list. It starts a watch each time that it is asked to, and
-// reports when it ends; whether to ask again is the caller's decision, the backoff while discovery
-// is down the watcher's.
+// Watcher watches the endpoint list of the discovery service. It starts a watch each time the caller
+// subscribes, and reports when the watch ends. The caller decides whether to subscribe again; the
+// watcher applies the backoff while discovery is down.
 type Watcher struct {
-	address    string // discovery's
+	address    string // address of the discovery service
 	client     *http.Client
-	maxSilence time.Duration // maxSilence, but in tests
-	subscribed chan struct{} // has room for one: a watch is wanted
-	addresses  chan string   // where discovery is from now on
-	done       chan struct{} // closed when Run has returned
+	maxSilence time.Duration // the constant maxSilence, except in tests
+	subscribed chan struct{} // buffers one request for a watch
+	addresses  chan string   // new addresses of the discovery service
+	done       chan struct{} // closed when Run returns
 
 	onList     func(list EndpointList, address string)
 	onWatchEnd func(lists int)
-	relays     int   // that share discovery
-	seed       int64 // of the spread of watches
+	relays     int   // number of relays that share discovery
+	seed       int64 // seed of the schedule
 
-	// Seq is the sequence number of the list as it is known. It is set before Run.
+	// Seq is the sequence number of the last received list. It must be set before Run.
 	Seq int64
-	// OnSubscribe, where set, is called as each watch is asked for. It is set before Run.
+	// OnSubscribe, if set, is called before each request for a watch. It must be set before Run.
 	OnSubscribe func()
 }
 
-// NewWatcher returns a watcher of discovery at an address. Once it runs, onList gets each list or
-// change of it, with the address that it came from, and onWatchEnd is called as each watch ends,
-// with how many lists it had brought.
+// NewWatcher returns a watcher of the discovery service at an address. While it runs, it calls onList
+// with each list or change and the address from which it was received, and onWatchEnd at the end of
+// each watch with the number of lists that the watch reported.
 func NewWatcher(address string, onList func(list EndpointList, address string), onWatchEnd func(lists int)) *Watcher {
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: new(socket.Dialer).DialContext}
 	return &Watcher{
@@ -47,20 +47,20 @@
 	}
 }
 
-// ShareWith sets how many relays share discovery, this one included, and the seed of what spreads
-// their watches. It is called before Run.
+// ShareWith sets the number of relays that share discovery, including this one, and the seed of the
+// schedule that spreads their watches. It must be called before Run.
 func (w *Watcher) ShareWith(relays int, seed int64) { w.relays, w.seed = max(1, relays), seed }
 
-// Subscribe asks for a watch. It never blocks.
+// Subscribe requests a watch. It never blocks.
 func (w *Watcher) Subscribe() {
 	select {
 	case w.subscribed <- struct{}{}:
-	default: // one is asked for already
+	default: // a watch is already requested
 	}
 }
 
-// SetAddress ends the watch and starts one at another address, at once and without a call of
-// onWatchEnd.
+// SetAddress ends the current watch without a call of onWatchEnd, and at once requests one from
+// another address.
 func (w *Watcher) SetAddress(address string) {
 	select {
 	case w.addresses <- address:
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run serves what is asked for until ctx ends.
+// Run runs the requested watches, one at a time, until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	defer close(w.done)
 	for ctx.Err() == nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// runAtAddress follows discovery at its address until that changes or ctx ends.
+// runAtAddress runs watches at the current address until the address changes or ctx ends.
 func (w *Watcher) runAtAddress(ctx context.Context) {
 	followCtx, stop := context.WithCancel(ctx)
 	var follower sync.WaitGroup
@@ -88,14 +88,14 @@
 	case address := <-w.addresses:
 		stop()
 		follower.Wait()
-		// Sequence numbers of another discovery need not continue those of the last one: only its
-		// whole list tells what has changed.
+		// The sequence numbers of another discovery service need not continue those of the previous
+		// one, so the whole list is needed.
 		w.address, w.Seq = address, 0
 		w.Subscribe()
 	}
 }
 
-// follow starts the watches that are asked for, by the schedule, until ctx ends.
+// follow runs the requested watches, with the delays of the schedule, until ctx ends.
 func (w *Watcher) follow(ctx context.Context) {
 	schedule := NewSchedule(w.relays, w.seed)
 	delay := schedule.Start()
--- a/internal/socket/dial.go
+++ b/internal/socket/dial.go
@@ -9,11 +9,11 @@
 	"frostlink/internal/wait"
 )
 
-// Dialer makes TCP connections. A connect that fails for a shortage on this machine is repeated within
-// the timeout: nothing was sent, and the other side is not at fault.
+// Dialer dials TCP connections. A connect that fails because of a shortage on this machine is retried
+// within the time-out, since nothing was sent and the peer is not at fault.
 type Dialer struct {
 	net.Dialer
-	// Timeout bounds all attempts together; 0: only the context does.
+	// Timeout bounds all attempts together; 0: only the context bounds them.
 	Timeout time.Duration
 }
 
--- a/internal/socket/doc.go
+++ b/internal/socket/doc.go
@@ -1,15 +1,15 @@
-// Package socket makes TCP connections hold through shortages of this machine, and looks at sockets
-// beneath net's connections.
+// Package socket retries calls on TCP sockets that fail because of a temporary shortage on this machine,
+// and checks sockets for unread bytes.
 //
-// A call that fails for a shortage here (syserr.Local: descriptors, buffers, ports, a route) says nothing
-// of the other side. Such calls are repeated within a bound, against requests that are rejected,
-// connections that are closed, and endpoints that count as unhealthy for a temporary error.
+// A call that fails because of such a shortage (syserr.Local: descriptors, buffers, ports, a route) is no
+// sign of a fault of the peer. It is retried within limits, so that a temporary error does not reject
+// requests, close connections or make endpoints count as unhealthy.
 //
 // # Files
 //
 //   - dial.go: Dialer, for outgoing connections
-//   - listen.go: Listen
-//   - retry_conn.go: reads and writes that are repeated
-//   - peek.go: Peek, for what a connection has to read
-//   - socket.go: what they share
+//   - listen.go: Listen, for listening sockets
+//   - retry_conn.go: RetryConn, whose reads and writes are retried
+//   - peek.go: Peek, which checks a connection for unread bytes
+//   - socket.go: shared constants and functions
 package socket
--- a/internal/socket/listen.go
+++ b/internal/socket/listen.go
@@ -12,12 +12,12 @@
 	"frostlink/internal/wait"
 )
 
-// listenTimeout bounds how long a start waits for an address on which it can't listen: a relay has to be
-// ready within 10 s.
+// listenTimeout bounds the time for which Listen retries. It is below the 10 s within which a relay has
+// to be ready after its start.
 const listenTimeout = 8 * time.Second
 
-// Listen listens on a TCP address. Where this machine is short of something, or another process still
-// has the address, it is repeated until listenTimeout: against a start that fails for a temporary error.
+// Listen listens on a TCP address. It retries until listenTimeout if there is a shortage on this machine
+// or another process still uses the address, so that a temporary error does not fail the start.
 func Listen(address string) (net.Listener, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), listenTimeout)
 	defer cancel()
@@ -33,7 +33,7 @@
 		}
 		if !logged {
 			logged = true
-			slog.Warn("an address can't be listened on yet", logkey.Address, address, logkey.Err, err)
+			slog.Warn("cannot listen on address; retrying", logkey.Address, address, logkey.Err, err)
 		}
 	}
 }
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -8,12 +8,12 @@
 	"frostlink/internal/syserr"
 )
 
-// maxPeekAttempts is how often a look that a signal interrupts is attempted.
+// maxPeekAttempts bounds the attempts of Peek if signals interrupt the system call.
 const maxPeekAttempts = 10
 
-// Peek returns what a connection has to read, without waiting: n > 0 bytes, 0 at its end, or the error
-// EAGAIN where there is nothing. A look that fails for a shortage on this machine is EAGAIN too, against
-// requests that are dropped and connections that are closed for a temporary error.
+// Peek reports, without waiting and without reading, whether a connection has unread bytes: n > 0 if it
+// has, n = 0 at the end of the stream, or the error EAGAIN if nothing has arrived. A shortage on this
+// machine also gives EAGAIN, so that a temporary error drops no request and closes no connection.
 func Peek(c syscall.Conn) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/socket/retry_conn.go
+++ b/internal/socket/retry_conn.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// maxIOAttempts is how often a read or write is attempted for which this machine is short of
-	// something, ioRetryPause apart: 0.1 s in all, a quarter of what a client waits for its response.
+	// maxIOAttempts bounds the attempts of a read or write during a shortage on this machine, with
+	// ioRetryPause between them. Together they take 0.1 s, a quarter of the time that a client waits for
+	// its response.
 	maxIOAttempts = 50
 	ioRetryPause  = 2 * time.Millisecond
 )
 
-// RetryConn is a connection whose reads and writes are repeated where one fails for a shortage on this
-// machine, as with ENOMEM or ENOBUFS (recv(2), send(2)): the connection itself is intact. Its deadlines
-// hold.
+// RetryConn is a connection that retries reads and writes that fail because of a shortage on this
+// machine, such as ENOMEM or ENOBUFS (recv(2), send(2)), since the connection itself is intact. Its
+// deadlines still apply.
 type RetryConn struct{ net.Conn }
 
-// Read reads what has come.
-func (p RetryConn) Read(b []byte) (n int, err error) {
+// Read reads bytes that have arrived, as io.Reader does.
+func (c RetryConn) Read(b []byte) (n int, err error) {
 	for range maxIOAttempts {
-		n, err = p.Conn.Read(b)
+		n, err = c.Conn.Read(b)
 		if n > 0 || !isLocal(syserr.Read, err) {
 			break
 		}
@@ -31,11 +32,11 @@
 	return n, err //nolint:wrapcheck // io.Reader's contract: the end is io.EOF itself
 }
 
-// Write writes all of b.
-func (p RetryConn) Write(b []byte) (written int, err error) {
+// Write writes all of b. A retry continues after the bytes that were already written.
+func (c RetryConn) Write(b []byte) (written int, err error) {
 	for range maxIOAttempts {
 		var n int
-		n, err = p.Conn.Write(b[written:])
+		n, err = c.Conn.Write(b[written:])
 		written += n
 		if !isLocal(syserr.Write, err) {
 			break
--- a/internal/socket/retry_conn_test.go
+++ b/internal/socket/retry_conn_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// flakyConn fails with each of errs before a call succeeds. Its reads give data, its writes take one
-// byte before they fail.
+// flakyConn is a connection whose calls fail with each of errs in turn, and then succeed. Reads return
+// "data". A write that fails has written one byte.
 type flakyConn struct {
 	net.Conn
 	errs    []error
@@ -61,18 +61,18 @@
 			b := make([]byte, 10)
 			n, err := RetryConn{c}.Read(b)
 			if string(b[:n]) != test.want || !errors.Is(err, test.wantErr) || c.calls != test.wantCalls {
-				t.Errorf("%q, err %v, %d calls", b[:n], err, c.calls)
+				t.Errorf("read %q, err %v, %d calls", b[:n], err, c.calls)
 			}
 		})
 	}
 }
 
-// What a write that fails has written is not written again.
+// The bytes that a failed write has already written are not written again.
 func TestRetryConn_ContinuesWriteAfterShortage(t *testing.T) {
 	c := &flakyConn{errs: []error{syscall.ENOBUFS, syscall.ENOBUFS}}
 	n, err := RetryConn{c}.Write([]byte("data"))
 	if n != 4 || err != nil || c.written.String() != "data" {
-		t.Errorf("%d bytes, err %v, %q on the wire", n, err, c.written.String())
+		t.Errorf("wrote %d bytes, err %v, peer received %q", n, err, c.written.String())
 	}
 }
 
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -46,23 +46,23 @@
 func TestPeek_ReportsWhatIsThere(t *testing.T) {
 	local, peer := connect(t)
 	if _, err := Peek(local); !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("nothing sent: err %v, want EAGAIN", err)
+		t.Errorf("nothing sent: Peek err %v, want EAGAIN", err)
 	}
 	if _, err := peer.Write([]byte("data")); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := awaitPeek(t, local); n != 1 || err != nil {
-		t.Errorf("data sent: %d, err %v", n, err)
+		t.Errorf("data sent: Peek returned %d, err %v; want 1", n, err)
 	}
 	b := make([]byte, 10)
 	if n, err := local.Read(b); string(b[:n]) != "data" {
-		t.Errorf("read %q, err %v: a look must leave all there", b[:n], err)
+		t.Errorf("read %q, err %v: Peek must consume no bytes", b[:n], err)
 	}
 	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := awaitPeek(t, local); n != 0 || err != nil {
-		t.Errorf("closed: %d, err %v", n, err)
+		t.Errorf("closed by the peer: Peek returned %d, err %v; want 0", n, err)
 	}
 }
 
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	if _, err := new(Dialer).DialContext(t.Context(), "tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("err %v", err)
+		t.Errorf("err %v, want ECONNREFUSED", err)
 	}
 }
 
--- a/internal/syserr/backoff_test.go
+++ b/internal/syserr/backoff_test.go
@@ -14,6 +14,6 @@
 	}
 	b.Reset()
 	if got = append(got, b.Next()); fmt.Sprint(got) != "[2ns 4ns 8ns 10ns 10ns 2ns]" {
-		t.Errorf("pauses: %v", got)
+		t.Errorf("pauses %v", got)
 	}
 }
--- a/internal/syserr/classify.go
+++ b/internal/syserr/classify.go
@@ -17,55 +17,57 @@
 	Connect
 	Read  // of a connection
 	Write // to a connection
-	File  // open, read, write, ftruncate, fsync and rename of files
+	File  // open, read, write, ftruncate, fsync and rename
 
 	operationCount
 )
 
-// Class says what an error means.
+// Class is the cause of an error.
 type Class int
 
 // The classes.
 const (
-	// Fatal errors are a mistake of the program or of its configuration: another attempt changes nothing.
+	// Fatal errors are caused by a mistake of the program or its configuration. A retry does not help.
 	Fatal Class = iota
-	// Local errors are temporary: this machine is short of something. They say nothing of the other side,
-	// and nothing was sent.
+	// Local errors are caused by a temporary shortage on this machine. They are no sign of a fault of the
+	// peer, and nothing was sent.
 	Local
-	// Peer errors are of the other side, or of the network: the connection could not be made, or is broken.
+	// Peer errors are caused by the peer or the network: the connection could not be established, or is
+	// broken.
 	Peer
 )
 
 func (c Class) String() string { return [...]string{"fatal", "local", "peer"}[c] }
 
-// anyOperation has the local errors of any operation (errno(3)).
+// anyOperation has the errors that are local for every operation (errno(3)).
 var anyOperation = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM, syscall.ENOBUFS, syscall.EMFILE, syscall.ENFILE,
 }
 
-// brokenConnection has the errors of a connection that is broken or can't be made.
+// brokenConnection has the errors of a connection that is broken or cannot be established.
 var brokenConnection = []syscall.Errno{
 	syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ETIMEDOUT,
 	syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENETRESET,
 	syscall.ENONET, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENOTCONN, syscall.ESHUTDOWN,
 }
 
-// errnos are the errors of one operation by class. An errno in both is local; one in neither is fatal.
+// errnos has the errors of one operation by class. An errno in both lists is local, and one in neither
+// list is fatal.
 type errnos struct{ local, peer []syscall.Errno }
 
-// table has the errors of each operation beside those of anyOperation.
+// table has the errors of each operation in addition to those of anyOperation.
 var table = [operationCount]errnos{
 	// accept(2): "Linux accept() passes already-pending network errors on the new socket as an error code
-	// ... treat them like EAGAIN by retrying". EPERM is a firewall's.
+	// ... treat them like EAGAIN by retrying". EPERM comes from a firewall.
 	Accept: {local: append(slices.Clone(brokenConnection), syscall.EPERM)},
 
 	Socket: {},
 
-	// bind(2), listen(2): a port may be free again in a moment.
+	// bind(2), listen(2): the port may soon be free again.
 	Bind: {local: []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL}},
 
-	// connect(2), ip(7): no ephemeral port, no route, or a firewall's verdict. A route that stays away is a
-	// peer's error, see ClassifyPersistent.
+	// connect(2), ip(7): no ephemeral port is free, there is no route, or a firewall forbids the
+	// connection. If the route stays missing, the error is a peer error; see ClassifyPersistent.
 	Connect: {
 		local: []syscall.Errno{
 			syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN,
@@ -85,8 +87,8 @@
 	}},
 }
 
-// Classify returns the class of an operation's error. One that wraps no errno is fatal: it is not of a
-// system call.
+// Classify returns the class of an operation's error. An error that wraps no errno is fatal, since it
+// does not come from a system call.
 func Classify(operation Operation, err error) Class {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -101,8 +103,8 @@
 	return Fatal
 }
 
-// ClassifyPersistent returns the class of a connect's error that has outlasted all attempts: a missing
-// route counts as the other side's then.
+// ClassifyPersistent returns the class of a connect error that is left after all attempts. A missing
+// route then counts as a peer error.
 func ClassifyPersistent(err error) Class {
 	if errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN) {
 		return Peer
@@ -110,7 +112,8 @@
 	return Classify(Connect, err)
 }
 
-// IsDescriptorShortage reports whether an error is a shortage of descriptors: closing one relieves it.
+// IsDescriptorShortage reports whether an error is a shortage of file descriptors, which closing one
+// relieves.
 func IsDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
--- a/internal/syserr/classify_test.go
+++ b/internal/syserr/classify_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// wrap returns an errno as the standard library does.
+// wrap returns an errno wrapped as by the net package of the standard library.
 func wrap(errno syscall.Errno) error {
 	return fmt.Errorf("connect: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})
 }
@@ -73,12 +73,12 @@
 
 func TestIsDescriptorShortage(t *testing.T) {
 	if !IsDescriptorShortage(wrap(syscall.ENFILE)) || IsDescriptorShortage(wrap(syscall.ENOBUFS)) {
-		t.Error("want true for ENFILE, false for ENOBUFS")
+		t.Error("want a descriptor shortage for ENFILE, and none for ENOBUFS")
 	}
 }
 
 func TestClassifyPersistent(t *testing.T) {
 	if ClassifyPersistent(wrap(syscall.ENETUNREACH)) != Peer || ClassifyPersistent(wrap(syscall.EADDRNOTAVAIL)) != Local {
-		t.Error("want a missing route to be the peer's error, a missing port a local one")
+		t.Error("want a peer error for a missing route, and a local error for a missing port")
 	}
 }
