--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -8,7 +8,7 @@
 // The errors that end a watch.
 var (
 	// ErrSilentWatch: no byte arrived for maxSilence. A broken link does not close the connection.
-	ErrSilentWatch = errors.New("no data received within the silence time-out")
+	ErrSilentWatch = errors.New("no data received within the silence timeout")
 	// ErrStaleList: a list has a lower sequence number than the one before it.
 	ErrStaleList = errors.New("received list is older than the current one")
 	// ErrListTooLarge: a list is larger than maxListSize.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -163,7 +163,7 @@
 	}{
 		{
 			"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-			func(err error) bool { return errors.Is(err, ErrSilentWatch) }, "no data received within the silence time-out",
+			func(err error) bool { return errors.Is(err, ErrSilentWatch) }, "no data received within the silence timeout",
 		},
 		{
 			"stale list", func(rw http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(rw, `{"seq":39}`) },
--- a/internal/frontend/http1/closereason.go
+++ b/internal/frontend/http1/closereason.go
@@ -11,7 +11,7 @@
 	CloseTooManyIdle CloseReason = "clients keep more than they use"
 	// CloseDraining: the relay is in standby, and clients should connect to another relay.
 	CloseDraining CloseReason = "clients are sent away"
-	// CloseNoRequest: no request came within the time-out, or the client closed the connection.
+	// CloseNoRequest: no request came within the timeout, or the client closed the connection.
 	CloseNoRequest CloseReason = "no request in time, or its client has left"
 	// CloseClientGone: the client disconnected before its request was answered.
 	CloseClientGone CloseReason = "nobody waits for an answer"
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -69,7 +69,7 @@
 	// Guarded by the server's lock.
 	state       connState
 	since       time.Time // when the connection entered the state
-	interrupted bool      // Quiesce, and not the connection's own time-out, ended the read
+	interrupted bool      // Quiesce, and not the connection's own timeout, ended the read
 }
 
 // newConn returns a connection. The bytes in read were already read from it and are parsed first.
--- a/internal/frontend/http1/continue_test.go
+++ b/internal/frontend/http1/continue_test.go
@@ -8,7 +8,7 @@
 )
 
 // A client that asks for 100 Continue on a connection that has been idle for longer than writeTimeout gets it. The write deadline
-// of the previous response must not fail the write.
+// of the previous response must not make the write fail.
 func TestServer_SendsContinueOnAnIdleConnection(t *testing.T) {
 	_, addr, _ := newTestServer(t, 10)
 	c := dial(t, addr)
--- a/internal/frontend/http1/drain.go
+++ b/internal/frontend/http1/drain.go
@@ -30,8 +30,8 @@
 	return !running
 }
 
-// drainOnce closes the connections that have had no request for longer than the serving mode's idle
-// limit. It reports false if the relay is no longer in standby.
+// drainOnce closes the connections that have had no request for the serving mode's idle limit. It
+// reports false if the relay is no longer in standby.
 func (s *Server) drainOnce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/http1/handover.go
+++ b/internal/frontend/http1/handover.go
@@ -38,7 +38,7 @@
 
 func (h *handoverState) isQuiesced() bool { return h.resumed != nil }
 
-// setReadTimeout sets the time-out of reads from a connection. While the server is quiesced it
+// setReadTimeout sets the timeout of reads from a connection. While the server is quiesced it
 // interrupts them instead, so that nothing more is read.
 func (s *Server) setReadTimeout(c *conn, timeout time.Duration) {
 	s.mu.Lock()
@@ -57,7 +57,7 @@
 }
 
 // isInterrupted reports whether a read failed only because the server was quiesced. It stays true
-// after Resume, since an interrupted read must not be taken for a client's time-out.
+// after Resume, since an interrupted read must not be taken for a client's timeout.
 func (s *Server) isInterrupted(c *conn, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +117,8 @@
 }
 
 // takeDetached returns the detached connections once all connections that do not linger are detached
-// and Serve has stopped accepting. Serve counts since it may have accepted a connection just as
-// Quiesce began, and that connection has to be detached too.
+// and Serve has stopped accepting. It waits for Serve because a connection that was accepted just as
+// Quiesce began has to be detached too.
 func (s *Server) takeDetached() (detached []DetachedConn, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/http1/handover_test.go
+++ b/internal/frontend/http1/handover_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// A head whose last line stays incomplete until the time-out is answered with 408, as is a head that lacks lines (RFC 9110,
+// A head whose last line stays incomplete until the timeout is answered with 408, as is a head that lacks lines (RFC 9110,
 // section 15.5.9). It must not be answered with 400 as malformed.
 func TestServer_TimesOutHalfALine(t *testing.T) {
 	for _, begun := range []string{"POST /sta", "POST /status HTTP/1.1\r\nHo", "POST /status HTTP/1.1\r\nHost: x\r\n"} {
--- a/internal/frontend/http1/request.go
+++ b/internal/frontend/http1/request.go
@@ -96,8 +96,8 @@
 }
 
 // health returns the response to a health check. The status is 200 unless the serving mode is
-// unhealthy, as in standby. The relay listens only after it has replayed its journal, so a health
-// check need not wait for that.
+// unhealthy, as in standby. The replay of the journal needs no check, since the relay listens only
+// after it.
 func (s *Server) health() frontend.Response {
 	if !s.mode.Healthy() {
 		return frontend.Response{Status: http.StatusServiceUnavailable}
--- a/internal/frontend/http1/serve_test.go
+++ b/internal/frontend/http1/serve_test.go
@@ -26,7 +26,7 @@
 	return r.Reader.Read(b)
 }
 
-// A request that arrives at the moment of its connection's idle time-out is answered, and the
+// A request that arrives at the moment of its connection's idle timeout is answered, and the
 // connection is not closed.
 func TestServer_AnswersRequestInTheInstantOfTheTimeout(t *testing.T) {
 	client, server := newConnPair(t)
--- a/internal/frontend/http1/server_test.go
+++ b/internal/frontend/http1/server_test.go
@@ -167,7 +167,7 @@
 		}
 	}
 	if newConnTimeout+firstRequestTimeout >= 3*time.Second || requestTimeout >= 3*time.Second {
-		t.Error("the time-outs do not guarantee a response or a close within 3 s")
+		t.Error("the timeouts do not guarantee a response or a close within 3 s")
 	}
 }
 
--- a/internal/frontend/validator.go
+++ b/internal/frontend/validator.go
@@ -113,7 +113,7 @@
 	case len(values) == 0:
 		return "", nil
 	case len(values) > 1:
-		return "", reject("%d values", len(values))
+		return "", reject("%d values, want one", len(values))
 	case len(values[0]) > MaxNameLength:
 		return "", reject("value too long")
 	}
@@ -162,7 +162,7 @@
 }
 
 // orderKeyOf returns the order key of a request in an ordered class; requests with the same key are
-// delivered one after another. An empty key means that the request is delivered in no order.
+// delivered one after another. If the key is empty, the request need not be delivered in order.
 func orderKeyOf(r *http.Request, class *policy.Class) (string, *RejectionError) {
 	if !class.Ordered {
 		return "", nil
@@ -174,7 +174,7 @@
 	case len(found) == 0:
 		return "", nil
 	case len(found) > 1: // it is ambiguous which of the values is the order key
-		return "", reject("%d values", len(found))
+		return "", reject("%d values, want one", len(found))
 	case len(found[0].Value) > MaxNameLength:
 		return "", reject("value too long")
 	default:
--- a/internal/frontend/validator_test.go
+++ b/internal/frontend/validator_test.go
@@ -51,7 +51,7 @@
 	}{
 		{"method", "status", func(r *http.Request) { r.Method = http.MethodPut }, 405, RejectMethod, "method PUT"},
 		{"class", "news", func(*http.Request) {}, 404, RejectUnknownClass, `unknown class "news"`},
-		{"two ids", "status", func(r *http.Request) { r.Header.Add("Request-Id", "n") }, 400, RejectHeader, "Request-Id: 2 values"},
+		{"two ids", "status", func(r *http.Request) { r.Header.Add("Request-Id", "n") }, 400, RejectHeader, "Request-Id: 2 values, want one"},
 		{"long id", "status", set("Request-Id", strings.Repeat("m", MaxNameLength+1)), 400, RejectHeader, "Request-Id: value too long"},
 		{"id not printable", "status", set("Request-Id", "m\xff"), 400, RejectHeader, "Request-Id: value is not printable ASCII"},
 		{"tenant", "status", set("Tenant", "other"), 400, RejectUnknownTenant, `unknown tenant "other"`},
@@ -62,7 +62,7 @@
 		{"timeout not a number", "status", set("Request-Timeout", "NaN"), 400, RejectTimeout, `invalid Request-Timeout "NaN"`},
 		{"timeout of 0", "status", set("Request-Timeout", "0"), 400, RejectTimeout, `invalid Request-Timeout "0"`},
 		{"timeout over a day", "status", set("Request-Timeout", "86401"), 400, RejectTimeout, `invalid Request-Timeout "86401"`},
-		{"two order keys", "ordered", set("Cookie", "subject=a; subject=b"), 400, RejectOrderingCookie, "cookie subject: 2 values"},
+		{"two order keys", "ordered", set("Cookie", "subject=a; subject=b"), 400, RejectOrderingCookie, "cookie subject: 2 values, want one"},
 		{
 			"long order key", "ordered", set("Cookie", "subject="+strings.Repeat("a", MaxNameLength+1)),
 			400, RejectOrderingCookie, "cookie subject: value too long",
--- a/internal/socket/dial.go
+++ b/internal/socket/dial.go
@@ -10,7 +10,7 @@
 )
 
 // Dialer dials TCP connections. A connect that fails because of a shortage on this machine is retried
-// within the time-out, since nothing was sent and the peer is not at fault.
+// within the timeout, since nothing was sent and the peer is not at fault.
 type Dialer struct {
 	net.Dialer
 	// Timeout bounds all attempts together; 0: only the context bounds them.
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -50,7 +50,7 @@
 	connWriting
 	// connAwaitingResponse: the request was written, and no byte of the response has arrived.
 	connAwaitingResponse
-	// connReadingResponse: the response has begun. The attempt's time-out does not interrupt reading
+	// connReadingResponse: the response has begun. The attempt's timeout does not interrupt reading
 	// it.
 	connReadingResponse
 	// connDetached: the connection no longer belongs to the pool, but to the code or the process that
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -27,8 +27,8 @@
 	return exchangeResult{Result: upstream.Result{Outcome: outcome}}
 }
 
-// Call makes one attempt. When it returns, nothing of the attempt can arrive any more: its response
-// was read, its connection is closed, or the connection is detached.
+// Call makes one attempt. When it returns, the attempt is no longer on the wire: its response was
+// read, its connection is closed, or the connection is detached.
 func (p *Pool) Call(ctx context.Context, r upstream.Request) upstream.Result {
 	requestCtx, attemptCtx, cancel := withDeadlines(ctx, &r)
 	defer cancel()
@@ -65,8 +65,8 @@
 }
 
 // withDeadlines returns two contexts: requestCtx ends at the request's deadline, and attemptCtx,
-// which is derived from it, at the attempt's time-out. If the request has no deadline, it sets the
-// deadline to the end of the time-out.
+// which is derived from it, at the attempt's timeout. If the request has no deadline, it sets the
+// deadline to the end of the timeout.
 func withDeadlines(ctx context.Context, r *upstream.Request) (requestCtx, attemptCtx context.Context, cancel func()) {
 	if r.Deadline.IsZero() {
 		r.Deadline = time.Now().Add(r.Timeout)
@@ -77,7 +77,7 @@
 }
 
 // runAttempt makes an attempt on a connection, within the request's deadline and the attempt's
-// time-out, and then releases the connection. The attempt starts in connWriting, or in
+// timeout, and then releases the connection. The attempt starts in connWriting, or in
 // connAwaitingResponse if the request was already written.
 func (p *Pool) runAttempt(requestCtx, attemptCtx context.Context, c *conn, r upstream.Request, start connState) upstream.Result {
 	if !p.activate(c, start) {
@@ -150,7 +150,7 @@
 		return exchangeResult{Result: upstream.Result{Detached: raw}}
 	}
 	// A read whose deadline has passed fails without reading the socket. Without this check, a
-	// response that arrived at the moment of the time-out would be lost, and the request would be
+	// response that arrived at the moment of the timeout would be lost, and the request would be
 	// sent again, or within a wait that the response asked for.
 	begun := err == nil || attemptCtx.Err() != nil && c.hasUnread()
 	if !begun {
--- a/internal/upstream/http1/pool.go
+++ b/internal/upstream/http1/pool.go
@@ -12,9 +12,10 @@
 	"frostlink/internal/upstream"
 )
 
-// idleFraction is the fraction of the endpoints' idle time-out for which the pool caches an idle
-// connection. A request that is sent while the endpoint closes the connection ends in a reset; with
-// 0.95, endpoints closed some connections before the pool did, and nothing was gained.
+// idleFraction is the fraction of the endpoints' idle timeout for which the pool caches an idle
+// connection. The margin avoids requests that end in a reset because the endpoint closes the
+// connection at the same time. With 0.95, endpoints close some connections before the pool does,
+// without any benefit.
 const idleFraction = 0.8
 
 // Pool makes attempts at endpoints over persistent connections, each with one attempt at a time.
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -18,7 +18,7 @@
 const (
 	// responseTimeout bounds the reading of a response from its first byte on, and drainTimeout the
 	// reading of what follows a status line with 200. Endpoints write a response in one go, so one
-	// that does not end in time is malformed. Both time-outs are far longer than the pauses of a
+	// that does not end in time is malformed. Both timeouts are far longer than the pauses of a
 	// relay that has only a fraction of a core.
 	responseTimeout = time.Second
 	drainTimeout    = 300 * time.Millisecond
