--- a/internal/frontend/http1/handover_test.go
+++ b/internal/frontend/http1/handover_test.go
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if _, err := s.Quiesce(ctx); !errors.Is(err, errRequestsInFlight) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("Quiesce: unexpected error %v", err)
 	}
 	s.Resume(nil)
 	inFlight.Response <- frontend.Response{Status: http.StatusAccepted}
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := new(Dialer).DialContext(ctx, "tcp", "127.0.0.1:9"); err == nil {
-		t.Error("no error")
+		t.Error("no error with a canceled context")
 	}
 }
 
@@ -103,6 +103,6 @@
 
 func TestListen_ReportsFatalError(t *testing.T) {
 	if _, err := Listen("no address"); err == nil {
-		t.Error("no error")
+		t.Error("no error for an invalid address")
 	}
 }
--- a/internal/upstream/http1/pool_test.go
+++ b/internal/upstream/http1/pool_test.go
@@ -99,7 +99,7 @@
 	step("reset", policy.ConnectionReset, 2, 4)
 	p.Sweep()
 	if p.size != 0 {
-		t.Errorf("%d connections cached after a reset", p.size)
+		t.Errorf("%d connections cached after a reset, want none", p.size)
 	}
 }
 
