--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/admin.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// The sizes of a page, in messages, and how many messages are scanned for one, so that a filter that few match does
-	// not hold up the store.
+	// The default and the largest size of a page, in messages, and the largest number of messages scanned for a page. The
+	// last is limited so that a filter that matches few messages does not keep the store busy.
 	defaultPageSize, maxPageSize, maxScanned = 100, 10_000, 200_000
-	// maxRequestBody bounds a request, in bytes: an import has one message a request.
+	// maxRequestBody limits the body of a request, in bytes. It must hold one message, as an import has one per request.
 	maxRequestBody = 1 << 20
 )
 
 // Listing is a page of messages.
 type Listing struct {
 	Messages []*Record `json:"messages"`
-	Next     uint64    `json:"next,omitempty"` // where the next page begins; 0: this is the last one
+	Next     uint64    `json:"next,omitempty"` // number of the record at which the next page begins; 0: this is the last page
 	Damaged  int       `json:"damaged,omitempty"`
 }
 
@@ -37,26 +37,26 @@
 	Faults []Fault `json:"faults"`
 }
 
-// Exported is a message in the form in which it is exported and imported: a line of JSON.
+// Exported is the exported form of a message: one line of JSON.
 type Exported struct {
 	Record
 	Body []byte `json:"body"`
 }
 
-// Admin serves operators' requests, over the Unix socket of a running relay or on the folder of a stopped one. Its
+// Admin serves operators' requests, over the Unix socket of a running relay or for the folder of a stopped one. Its
 // responses are JSON.
 type Admin struct {
 	Store *Store
 	Now   func() time.Time
-	// Classes are the relay's; nil for the folder of a stopped relay.
+	// Classes are the classes of the relay; nil for the folder of a stopped relay.
 	Classes []Class
-	// newClasses replace Classes once the settings were reloaded.
+	// newClasses replaces Classes after the settings were reloaded.
 	newClasses atomic.Pointer[[]Class]
 	// Changed notifies the relay that a command has changed a message; nil for the folder of a stopped relay.
 	Changed func()
 }
 
-// SetClasses replaces the classes.
+// SetClasses replaces the classes. It may be called while requests are served.
 func (a *Admin) SetClasses(classes []Class) { a.newClasses.Store(&classes) }
 
 // Handler returns the handler of operators' requests.
@@ -70,7 +70,7 @@
 				w.WriteHeader(status(err))
 				response = map[string]string{"error": err.Error()}
 			}
-			_ = json.NewEncoder(w).Encode(response) // fails where the client has gone
+			_ = json.NewEncoder(w).Encode(response) // fails if the client has disconnected
 		})
 	}
 	handle("GET /messages", a.list)
@@ -121,8 +121,9 @@
 	return Stats{totals, append([]Group{}, groups...), a.Store.Size()}, err
 }
 
-// importMessage stores a message that was exported from another store. It is held until a rule or an operator decides
-// otherwise, and its attestations count as used: an attestation holds for the store in which it was made.
+// importMessage stores a message that was exported from another store. The message is held until a rule or an operator
+// decides otherwise. Its attestations are marked as used, because an attestation is valid only in the store in which it was
+// made.
 func (a *Admin) importMessage(r *http.Request) (any, error) {
 	var message Exported
 	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&message); err != nil {
--- a/internal/deadletter/admin_error.go
+++ b/internal/deadletter/admin_error.go
@@ -5,13 +5,13 @@
 	"net/http"
 )
 
-// errBadRequest is a request that is malformed, whatever is stored.
+// errBadRequest is the error for a request that is malformed, independently of the store's content.
 var errBadRequest = errors.New("bad request")
 
-// conflictError is why a command can't be applied to a message in its present state.
+// conflictError says why a command can't be applied to a message in its current state.
 type conflictError struct{ error }
 
-// status returns the HTTP status of an error.
+// status returns the HTTP status that represents an error.
 func status(err error) int {
 	conflict := conflictError{}
 	switch {
--- a/internal/deadletter/admin_test.go
+++ b/internal/deadletter/admin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// serve has an admin serve a request, decodes a successful response and returns its status.
+// serve makes an Admin serve a request, decodes a successful response and returns the status.
 func serve(t *testing.T, a *Admin, method, path, body string, into any) int {
 	t.Helper()
 	recorder := httptest.NewRecorder()
@@ -23,7 +23,7 @@
 	return recorder.Code
 }
 
-// newAdmin returns an admin of an empty store, at noon.
+// newAdmin returns an Admin with an empty store, whose clock always shows noon.
 func newAdmin(t *testing.T) *Admin {
 	t.Helper()
 	return &Admin{Store: openStore(t, t.TempDir()), Now: func() time.Time { return noon }}
@@ -53,7 +53,7 @@
 	}
 	for _, query := range []string{"?state=gone", "?reason=x", "?partner=x", "?most=0", "?from=-1", "?may_have_run=perhaps"} {
 		if code := serve(t, a, "GET", "/messages"+query, "", nil); code != 400 {
-			t.Errorf("%q: %d", query, code)
+			t.Errorf("%q: status %d, want 400", query, code)
 		}
 	}
 	var s Stats
@@ -70,12 +70,12 @@
 	}
 }
 
-// A message that is exported from one store is stored once in another, and its attestations allow no redelivery there.
+// A message exported from one store can be imported into another only once, and its attestations allow no redelivery there.
 func TestAdmin_ImportsExportedMessageOnce(t *testing.T) {
 	source, target := newAdmin(t), newAdmin(t)
 	storeMessages(t, source.Store, "a")
 	if serve(t, source, "POST", "/messages/a/attest", `{"by":"Amina","evidence":"ledger"}`, nil) != 200 {
-		t.Fatal("not attested")
+		t.Fatal("the attest command failed")
 	}
 	r, err := source.Store.Get("a")
 	if err != nil {
@@ -96,11 +96,11 @@
 		t.Errorf("imported %+v, %v", got, err)
 	}
 	if body, _ := target.Store.Body("a"); !bytes.Equal(body, []byte("body of a")) {
-		t.Errorf("its body: %q", body)
+		t.Errorf("imported body: %q", body)
 	}
 	for _, invalid := range []string{"", "{}", `{"id":"x"}`, `{"id":"x","version":9,"lives":[{"id":"x"}]}`} {
 		if code := serve(t, target, "POST", "/import", invalid, nil); code != 400 {
-			t.Errorf("%q: %d", invalid, code)
+			t.Errorf("import of %q: status %d, want 400", invalid, code)
 		}
 	}
 }
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// scanBatch is how many records one round scans for each bound, and removeBatch how many it removes in one transaction:
-// between transactions the store takes new messages.
+// scanBatch limits the records that one round scans for each bound, and removeBatch the records that it removes in one
+// transaction. The store can accept new messages between transactions.
 const scanBatch, removeBatch = 20_000, 500
 
 // bytesPerMB is the unit of Bound.MaxMB.
 const bytesPerMB = 1e6
 
-// Bounds enforces the limits on age, number and size, a bounded number of messages a round.
+// Bounds enforces the limits on the age, number and size of messages. Each round removes a limited number of messages.
 type Bounds struct {
 	store   *Store
 	section *Section
 	dir     string
-	cursors []uint64 // where the next round goes on: for the store as a whole, then for each bound
+	cursors []uint64 // record numbers at which the next round continues: for the whole store, then for each bound
 }
 
-// NewBounds returns the bounds that a section sets on a store.
+// NewBounds returns the bounds that a section defines for a store.
 func NewBounds(store *Store, s *Section) *Bounds {
 	return &Bounds{store: store, section: s, dir: s.Folder, cursors: make([]uint64, len(s.Bounds)+1)}
 }
 
-// Enforce removes messages that exceed the bounds, a bounded number at once, and returns how many it removed. Where the
-// store is full, messages that have ended are removed too, the oldest first.
+// Enforce runs one round, which removes a limited number of messages that exceed the bounds, and returns how many it
+// removed. If the store is full, it also removes messages in a final state, the oldest first.
 func (b *Bounds) Enforce(now time.Time, full bool) (removed int, err error) {
 	totals, groups, err := b.store.Totals()
 	if err != nil {
@@ -53,7 +53,8 @@
 	return removed, nil
 }
 
-// excess is by how many messages its groups exceed a bound: by number or, at their mean size, by bytes.
+// excess returns by how many messages the groups of a bound exceed it. An excess of bytes is converted to messages of the
+// groups' mean size.
 func (b *Bound) excess(groups []Group) int {
 	messages, bytes := 0, int64(0)
 	for _, g := range groups {
@@ -72,14 +73,14 @@
 	return excess
 }
 
-// enforce removes the messages that exceed the bound with an index among the cursors, see exceeded.
+// enforce removes messages that exceed a bound, as exceeded selects them. index is the position of the bound's cursor.
 func (b *Bounds) enforce(index int, bound Bound, excess int, ended bool, now time.Time) (removed int, err error) {
 	if excess == 0 && bound.MaxAge == 0 && !ended {
 		return 0, nil
 	}
 	from := b.cursors[index]
 	if excess > 0 {
-		from = 0 // the oldest first
+		from = 0 // start with the oldest message
 	}
 	var expired []*Record
 	expired, b.cursors[index], _, err = b.store.Page(from, removeBatch, scanBatch, bound.exceeded(excess, ended, now))
@@ -98,8 +99,9 @@
 	return len(ids), b.store.Remove(ids)
 }
 
-// exceeded returns a filter of the messages that exceed a bound, for records in the order of their age: those that are too
-// old, excess more, and where ended is set those that have ended. A message that is being redelivered never matches.
+// exceeded returns a filter that selects the messages to remove, for records that come in order of age: messages that are
+// too old, excess further messages and, if ended is set, messages in a final state. It never selects a message that is being
+// redelivered.
 func (b *Bound) exceeded(excess int, ended bool, now time.Time) func(r *Record) bool {
 	return func(r *Record) bool {
 		if r.State == Redelivering || b.Class != "" && b.Class != r.Class || b.Tenant != "" && b.Tenant != r.Tenant {
@@ -114,8 +116,8 @@
 	}
 }
 
-// export appends messages that are about to be removed to the day's file. One that was written and not removed, since the
-// process ended between, is written again: an import stores it once.
+// export appends messages that are about to be removed to the day's file. If the process ends before the messages are
+// removed, they are exported again later; an import stores such a message once.
 func (b *Bounds) export(records []*Record, now time.Time) (err error) {
 	path := filepath.Join(b.dir, "left-"+now.UTC().Format("20060102")+".jsonl")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
--- a/internal/deadletter/bounds_test.go
+++ b/internal/deadletter/bounds_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// fillStore stores messages of two classes and tenants in turn, a minute apart, the oldest first.
+// fillStore stores n messages that alternate between two classes and two tenants. They are accepted a minute apart and
+// stored oldest first.
 func fillStore(t *testing.T, s *Store, n int) {
 	t.Helper()
 	for i := range n {
@@ -35,8 +36,8 @@
 		"a tenant":             {Section{MaxMessages: 99, Bounds: []Bound{{Tenant: "sahiwal", MaxMessages: 3}}}, false, "m0 m1 m3 m4 m5 m6 m7"},
 		"a class of a tenant":  {Section{MaxMessages: 99, Bounds: []Bound{{Class: "parcel-status", Tenant: "lahore", MaxAge: 60}}}, false, "m0 m2 m3 m4 m6 m7"},
 		"bytes":                {Section{MaxMessages: 99, Bounds: []Bound{{Class: "fee-payment", MaxMB: 25e-6}}}, false, "m1 m3 m4 m5 m6 m7"},
-		"full: what has ended": {Section{MaxMessages: 99}, true, "m0 m1 m2 m4 m5 m6 m7"},
-		"many: what has ended": {Section{MaxMessages: 8}, false, "m0 m1 m2 m4 m5 m6 m7"},
+		"full: ended messages": {Section{MaxMessages: 99}, true, "m0 m1 m2 m4 m5 m6 m7"},
+		"many: ended messages": {Section{MaxMessages: 8}, false, "m0 m1 m2 m4 m5 m6 m7"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := openStore(t, t.TempDir())
@@ -45,19 +46,19 @@
 				t.Fatal(err)
 			}
 			b := NewBounds(s, &c.section)
-			for range 2 { // a second round finds nothing more
+			for range 2 { // the second round must remove nothing more
 				if _, err := b.Enforce(noon, c.full); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if got := storedIDs(t, s); got != c.want {
-				t.Errorf("%s, want %s", got, c.want)
+				t.Errorf("stored: %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// Messages are exported before a bound removes them, and can be imported again.
+// Messages are exported before they are removed by a bound, and the export can be imported.
 func TestBounds_ExportBeforeRemoval(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -71,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v", info.Mode())
+		t.Errorf("the export has mode %v, want 0600", info.Mode())
 	}
 	other := newAdmin(t)
 	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
@@ -80,14 +81,15 @@
 		}
 	}
 	if got := storedIDs(t, other.Store); got != "m0 m1" {
-		t.Errorf("exported %s", got)
+		t.Errorf("imported %s, want m0 m1", got)
 	}
 	if body, err := other.Store.Body("m1"); err != nil || string(body) != "body of m1" {
 		t.Errorf("%q, %v", body, err)
 	}
 }
 
-// Space of removed messages is reused: the file does not grow past its quota however much goes through it.
+// The space of removed messages is reused, so the file does not grow far beyond its quota, however many messages are stored
+// and removed.
 func TestStore_ReusesSpaceOfRemovedMessages(t *testing.T) {
 	dir := t.TempDir()
 	const quota = 1 << 20
@@ -103,7 +105,7 @@
 		m.State, m.Body = Delivered, make([]byte, 1000)
 		for err = s.Put([]Message{m}); errors.Is(err, ErrFull); err = s.Put([]Message{m}) {
 			if timesFull++; timesFull > 4000 {
-				t.Fatal("nothing can be removed")
+				t.Fatal("the store stays full although ended messages can be removed")
 			}
 			if _, err := b.Enforce(noon, true); err != nil {
 				t.Fatal(err)
@@ -114,6 +116,6 @@
 		}
 	}
 	if timesFull == 0 || s.Size() > 2*quota {
-		t.Errorf("full %d times, %d bytes at the end", timesFull, s.Size())
+		t.Errorf("the store was full %d times and has %d bytes at the end", timesFull, s.Size())
 	}
 }
--- a/internal/deadletter/client.go
+++ b/internal/deadletter/client.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// requestTimeout bounds one request: to verify a store is to read all of it.
+	// requestTimeout limits the time for one request. It is long because a verification reads the whole store.
 	requestTimeout = 5 * time.Minute
-	// readHeaderTimeout bounds how long the relay waits for a request's header; only the relay's own user can connect.
+	// readHeaderTimeout limits how long the relay waits for the header of a request. The socket's mode lets only the
+	// relay's own user connect.
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Client reaches a store: that of a running relay over its socket, or that of a stopped one in its folder.
+// Client accesses the store of a running relay over its socket, or the store of a stopped relay in its folder.
 type Client struct {
 	client http.Client
-	store  *Store // nil: reached over a socket
+	store  *Store // nil: accessed over a socket
 }
 
-// Connect returns a client of a running relay. It fails where nothing answers on the socket.
+// Connect returns a client of a running relay. It fails if no relay listens on the socket.
 func Connect(socket string) (*Client, error) {
 	conn, err := net.Dial("unix", socket)
 	if err != nil {
@@ -40,15 +41,15 @@
 	}}}, nil
 }
 
-// OpenFolder returns a client of the store of a relay that is not running; write allows changes.
+// OpenFolder returns a client of the store of a stopped relay. Changes are possible only if write is set.
 func OpenFolder(dir string, write bool) (*Client, error) {
-	store, err := OpenToRead(dir) // also before writing: Open would create a folder that was named wrongly
+	store, err := OpenToRead(dir) // also if write is set, because Open would create a store in a misspelled folder
 	if err == nil && write {
 		_ = store.Close()
 		store, err = Open(dir, 0, 0)
 	}
 	if errors.Is(err, ErrInUse) {
-		err = fmt.Errorf("%w: a relay that runs is asked by its socket", err)
+		err = fmt.Errorf("%w: to access the store of a running relay, use its socket", err)
 	}
 	if err != nil {
 		return nil, err
@@ -57,7 +58,7 @@
 	return &Client{store: store, client: http.Client{Transport: handlerTransport{admin.Handler()}}}, nil
 }
 
-// Close closes the store of a folder; a client over a socket needs none.
+// Close closes a store that was opened in a folder. It does nothing for a client that uses a socket.
 func (c *Client) Close() error {
 	if c.store != nil {
 		return c.store.Close()
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// request makes one request and decodes its response.
+// request sends one request and decodes the response.
 func (c *Client) request(ctx context.Context, method, path string, body, into any) error {
 	var content io.Reader
 	if body != nil {
@@ -83,12 +84,12 @@
 	if err != nil {
 		return fmt.Errorf("request to the store: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // only read
+	defer func() { _ = resp.Body.Close() }() // an error does not matter after reading
 	if resp.StatusCode != http.StatusOK {
 		return responseError(resp)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
-		return fmt.Errorf("answer of the store: %w", err)
+		return fmt.Errorf("response of the store: %w", err)
 	}
 	return nil
 }
@@ -97,7 +98,7 @@
 func responseError(resp *http.Response) error {
 	var body struct{ Error string }
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || body.Error == "" {
-		return fmt.Errorf("the store answers %d", resp.StatusCode)
+		return fmt.Errorf("the store responded with status %d", resp.StatusCode)
 	}
 	if resp.StatusCode == http.StatusNotFound {
 		return fmt.Errorf("%w (%s)", ErrUnknown, body.Error)
@@ -105,7 +106,7 @@
 	return errors.New(body.Error)
 }
 
-// List returns a page of messages that match a filter: limit at most, from a record's number on.
+// List returns a page of at most limit messages that match a filter, beginning at a record's number.
 func (c *Client) List(ctx context.Context, filter *Filter, from uint64, limit int) (listing Listing, err error) {
 	query := filter.Query()
 	query.Set("from", fmt.Sprint(from))
@@ -127,13 +128,13 @@
 	return response.Body, err
 }
 
-// Command applies a command to a message, and returns the message after it. The name is hold, resend, discard or attest.
+// Command applies a command to a message, and returns the changed message. The name is hold, resend, discard or attest.
 func (c *Client) Command(ctx context.Context, name, id string, command Command) (r *Record, err error) {
 	r = &Record{}
 	return r, c.request(ctx, http.MethodPost, "/messages/"+url.PathEscape(id)+"/"+name, command, r)
 }
 
-// Import stores a message that was exported, and reports whether it was not in the store yet.
+// Import stores an exported message. It reports false if the store had the message already.
 func (c *Client) Import(ctx context.Context, message *Exported) (stored bool, err error) {
 	var response struct{ Kept bool }
 	err = c.request(ctx, http.MethodPost, "/import", message, &response)
@@ -146,7 +147,7 @@
 	return stats, err
 }
 
-// Check returns what rules would do with the present content of the store.
+// Check returns what rules would do with the current content of the store.
 func (c *Client) Check(ctx context.Context, dryRun DryRunRequest) (results []DryRunResult, err error) {
 	err = c.request(ctx, http.MethodPost, "/check", dryRun, &results)
 	return results, err
--- a/internal/deadletter/client_test.go
+++ b/internal/deadletter/client_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkReads checks what a client reads of a store with the messages a, b and c.
+// checkReads checks what a client reads from a store with the messages a, b and c.
 func checkReads(t *testing.T, client *Client) {
 	t.Helper()
 	listing, err := client.List(t.Context(), &Filter{Class: "fee-payment"}, 0, 2)
@@ -39,7 +39,7 @@
 		t.Errorf("body: %q, %v", body, err)
 	}
 	if _, err := client.Get(t.Context(), "z"); !errors.Is(err, ErrUnknown) {
-		t.Errorf("an unknown one: %v", err)
+		t.Errorf("get of an unknown message: %v", err)
 	}
 	if stats, err := client.Stats(t.Context()); err != nil || stats.Messages != 3 {
 		t.Errorf("stats: %+v, %v", stats, err)
@@ -49,7 +49,7 @@
 	}
 }
 
-// A client gets the same over the socket of a running relay and from the folder of a stopped one.
+// A client reads the same messages over the socket of a running relay and from the folder of a stopped one.
 func TestClient_ReachesStoreBySocketAndByFolder(t *testing.T) {
 	dir := t.TempDir()
 	folder, socket := filepath.Join(dir, "store"), filepath.Join(dir, "s")
@@ -57,7 +57,7 @@
 	storeMessages(t, s, "a", "b", "c")
 	running, stop := serveOnSocket(t, s, socket)
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the socket's mode: %v, %v", info.Mode(), err)
+		t.Errorf("the socket has mode %v, want 0600; %v", info.Mode(), err)
 	}
 	if err := Serve(t.Context(), socket, &Admin{Store: s}); !errors.Is(err, ErrInUse) {
 		t.Errorf("a second relay on the socket: %v", err)
@@ -80,7 +80,7 @@
 	}
 	checkReads(t, reader)
 	if _, err := reader.Command(t.Context(), "hold", "b", Command{By: "Amina"}); err == nil {
-		t.Error("a reader may change")
+		t.Error("a client without write access can change a message")
 	}
 	_ = reader.Close()
 
--- a/internal/deadletter/command.go
+++ b/internal/deadletter/command.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The names of the commands on a message, as the administration's paths have them.
+// The names of the commands on a message, as they occur in request paths.
 const (
 	HoldCommand      = "hold"
 	DiscardCommand   = "discard"
@@ -15,14 +15,14 @@
 	AttestCommand    = "attest"
 )
 
-// Command says who wants a command applied to a message, and why.
+// Command is the request body of a command on a message.
 type Command struct {
 	By       string `json:"by"`
 	Reason   string `json:"why,omitempty"`
 	Evidence string `json:"evidence,omitempty"`
 }
 
-// command applies an operator's command to a message.
+// command handles an operator's command on a message.
 func (a *Admin) command(r *http.Request) (any, error) {
 	var command Command
 	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRequestBody)).Decode(&command); err != nil {
@@ -47,7 +47,7 @@
 	return changed, nil
 }
 
-// apply changes a record as the named command says, and returns when it is due next.
+// apply changes a record according to the command with a name, and returns when the record is due next.
 func (c *Command) apply(name string, r *Record, now time.Time) (due time.Time, err error) {
 	conflict := func(format string, args ...any) (time.Time, error) {
 		return r.Due, conflictError{fmt.Errorf("%s: "+format, append([]any{r.ID}, args...)...)}
@@ -82,12 +82,12 @@
 			return conflict("an attest for it is there already, and serves for one resend")
 		}
 		r.Attestations = append(r.Attestations, Attestation{By: c.By, Evidence: c.Evidence, At: now})
-		return now, nil // a rule may redeliver it now
+		return now, nil // with the attestation, a rule may redeliver the message
 	}
 	return r.Due, fmt.Errorf("%w: nothing is called %q", errBadRequest, name)
 }
 
-// suffix returns the reason that a command gives, if any, to be appended to a text.
+// suffix returns ": " and a reason, or "" if there is no reason.
 func suffix(reason string) string {
 	if reason == "" {
 		return ""
--- a/internal/deadletter/command_test.go
+++ b/internal/deadletter/command_test.go
@@ -37,14 +37,14 @@
 		t.Errorf("attestations %+v", r.Attestations)
 	}
 	if r, _ := a.Store.Get("a"); !strings.Contains(r.Reason, "Amina") || !strings.Contains(r.Reason, "booked by hand") {
-		t.Errorf("reason: %q", r.Reason)
+		t.Errorf("reason %q does not contain who discarded the message and why", r.Reason)
 	}
-	// No rule redelivers what an operator holds.
+	// No rule redelivers a message that an operator holds.
 	if serve(t, a, "POST", "/messages/c/hold", `{"by":"Amina"}`, nil) != 200 {
-		t.Fatal("not held")
+		t.Fatal("the hold command failed")
 	}
 	rec, _ := a.Store.Get("c")
 	if plan := Decide([]Rule{{Action: Redeliver, MaxIncarnations: 9, Rate: 1}}, testClass(Idempotent), rec, nil, noon.Add(time.Hour)); plan.Action != Hold {
-		t.Errorf("a rule decides %+v", plan)
+		t.Errorf("a rule decides %+v on a message that an operator holds", plan)
 	}
 }
--- a/internal/deadletter/damage_test.go
+++ b/internal/deadletter/damage_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// pageSize is that of the test's files: bbolt takes it from the system.
+// pageSize is the page size of the test's files. bbolt uses the page size of the system.
 var pageSize = os.Getpagesize()
 
-// A flipped bit or a torn page is found, and the rest is still there.
+// Verify finds a flipped bit and a page of zeros, and the other messages stay readable.
 func TestStore_VerifyFindsDamage(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -61,7 +61,7 @@
 	}
 }
 
-// To open a store of which only the first pages can be read is an error, and no crash.
+// Opening a store of which only the first two pages are readable returns an error and does not crash.
 func TestOpen_FailsOnUnreadableStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -78,9 +78,9 @@
 	if err := os.WriteFile(path, file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the first attempt leaves no lock behind
+	for range 2 { // the failed first attempt must leave no lock behind
 		if s, err := Open(dir, 0, 0); err == nil || errors.Is(err, ErrInUse) {
-			t.Errorf("opened: %v, %v", s, err)
+			t.Errorf("open of a damaged store: %v, %v", s, err)
 		}
 	}
 }
--- a/internal/deadletter/doc.go
+++ b/internal/deadletter/doc.go
@@ -1,14 +1,14 @@
 // Package deadletter stores messages that were accepted and not delivered, and decides which of them may be sent
 // again.
 //
-// A message in the store is a [Record]. Each time that it was accepted or redelivered is an [Incarnation], which lists the
-// attempts made for it: the first one is the client's request, each further one a redelivery under a new id. What is known
-// of an attempt's effect is its [Execution]; an attempt of which nothing is known may have been executed.
+// A message in the store is a [Record]. Its first [Incarnation] is the request that the client submitted, and each
+// redelivery adds another under a new id. An incarnation lists its attempts. [Execution] says whether the destination
+// executed an attempt; an attempt without that information may have been executed.
 //
 // Three decisions are pure functions of their arguments; they read neither the clock nor a file: whether a message may be
-// sent again at all ([Allowed]), what the operator's rules do with it and when ([Decide]), and whether a newer message on
-// the same [Topic] supersedes it ([Newest]). [Redeliverer] applies them to a [Store] at a bounded rate for each
-// destination. Operators read and change a store through [Admin].
+// sent again at all ([Allowed]), what the operator's rules do with the message and when ([Decide]), and whether a newer
+// message of the same [Topic] supersedes it ([Newest]). [Redeliverer] applies these decisions to a [Store] and limits the
+// rate of redeliveries to each destination. Operators read and change a store through [Admin].
 //
 // # Files
 //
@@ -17,19 +17,19 @@
 //   - record.go: a stored message, its incarnations and attempts
 //   - permission.go: whether a message may be sent again, or only after an operator's [Attestation]
 //   - rule.go, rule_hours.go: the operator's rules, and the hours of the day in which they apply
-//   - plan.go: what the rules do with a message, and when to decide on it next
-//   - subject.go, json_pointer.go, order.go: reading what a message is about and its order from a request
+//   - plan.go: what the rules do with a message, and when they are next applied to it
+//   - subject.go, json_pointer.go, order.go: reading the subject and the order of a message from its request
 //   - newest.go: the newest message of each topic
-//   - inflight.go: accepted messages that have not ended yet
+//   - inflight.go: accepted messages without a terminal outcome
 //
 // The store, one bbolt file:
 //
 //   - store.go: the file, its buckets and its version
 //   - messages.go, checksum.go: writing and reading messages
-//   - due.go: when to decide on a message next
+//   - due.go: the index of the times at which messages are due for a decision
 //   - pages.go: listing messages
-//   - totals.go: counts of what is stored
-//   - removal.go: removing messages, and listing those that could not be stored
+//   - totals.go: counts of stored, removed, dropped and rejected messages
+//   - removal.go: removing messages, and the list of messages that could not be stored
 //   - bounds.go: limits on age, number and size
 //   - verify.go: checking the whole file for damage
 //   - subject_store.go, subject_buckets.go: the newest message of each topic, in the same file
@@ -38,13 +38,13 @@
 // Redelivery:
 //
 //   - redelivery.go: which messages are offered to the relay, and when
-//   - redelivery_result.go: recording their results
+//   - redelivery_result.go: recording the results of redeliveries
 //   - throttle.go: the rate of each destination
 //
 // Access:
 //
-//   - section.go: the section of the operator's file
-//   - admin.go, admin_error.go: the handler of operators' requests
-//   - command.go, filter.go, dry_run.go: commands, filters, and what rules would do
-//   - socket.go, client.go, handler_transport.go: reaching it over a Unix socket, or in the folder of a stopped relay
+//   - section.go: the section [undelivered] of the operator's file
+//   - admin.go, admin_error.go: the HTTP handler of operators' requests
+//   - command.go, filter.go, dry_run.go: commands on messages, filters, and dry runs of rules
+//   - socket.go, client.go, handler_transport.go: access over a Unix socket, or to the folder of a stopped relay
 package deadletter
--- a/internal/deadletter/dry_run.go
+++ b/internal/deadletter/dry_run.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// dryRunBatch is how many records one transaction of a dry run reads, and maxSamples how many messages it names a rule.
+	// dryRunBatch limits the records that one transaction of a dry run reads, and maxSamples the messages that a result
+	// lists for each rule.
 	dryRunBatch, maxSamples = 2000, 3
-	// maxRulesBody bounds the request of a dry run, in bytes.
+	// maxRulesBody limits the body of a dry-run request, in bytes.
 	maxRulesBody = 1 << 20
 )
 
-// DryRunRequest has rules applied without effect. Where the relay is not running, it includes the classes.
+// DryRunRequest asks what rules would do with the stored messages. It includes the classes if the relay is not running.
 type DryRunRequest struct {
 	Rules   []Rule  `json:"rules"`
 	Classes []Class `json:"classes,omitempty"`
 }
 
-// DryRunResult is what one rule would do with the present content of the store; rule 0 stands for messages that no rule
-// matches.
+// DryRunResult is what one rule would do with the current content of the store. The result of rule 0 counts the messages
+// that no rule matches.
 type DryRunResult struct {
 	Rule    int            `json:"rule"`
-	Faults  []string       `json:"faults,omitempty"` // why the rule is rejected
+	Faults  []string       `json:"faults,omitempty"` // conflicts of the rule with its class
 	Matches int            `json:"matches"`
-	Actions map[Action]int `json:"actions,omitempty"` // how many messages each would apply to now
-	Samples []string       `json:"samples,omitempty"` // ids, with action and reason
+	Actions map[Action]int `json:"actions,omitempty"` // number of messages for each action that would be taken now
+	Samples []string       `json:"samples,omitempty"` // ids of some messages, with action and reason
 }
 
-// check runs rules without effect.
+// check handles a dry-run request.
 func (a *Admin) check(r *http.Request) (any, error) {
 	var dryRun DryRunRequest
 	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxRulesBody)).Decode(&dryRun); err != nil {
@@ -46,7 +47,7 @@
 	return results, a.applyRules(dryRun.Rules, classes, results)
 }
 
-// classesFor returns the relay's classes, or those of the request where the relay is not running.
+// classesFor returns the classes of the relay or, if it is not running, the classes of the request.
 func (a *Admin) classesFor(dryRun *DryRunRequest) ([]Class, error) {
 	classes := a.Classes
 	if changed := a.newClasses.Load(); changed != nil {
@@ -61,7 +62,8 @@
 	return classes, nil
 }
 
-// prepare parses the rules' hours, and returns a result for each rule that lists its faults and counts no message yet.
+// prepare parses the hours of the rules. It returns the results of rule 0 and of each rule, which list the conflicts and
+// count no message yet.
 func (d *DryRunRequest) prepare(classes []Class) ([]DryRunResult, error) {
 	results := make([]DryRunResult, len(d.Rules)+1)
 	for i := range d.Rules {
@@ -77,7 +79,7 @@
 	return results, nil
 }
 
-// applyRules counts what the rules would do with each message that has not ended.
+// applyRules counts what the rules would do with each message that is not in a final state.
 func (a *Admin) applyRules(rules []Rule, classes []Class, results []DryRunResult) error {
 	byName := map[string]*Class{}
 	for i := range classes {
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// count counts a message by what the rule plans for it.
+// count counts a message under the action that is planned for it.
 func (r *DryRunResult) count(id string, plan Plan) {
 	if r.Actions == nil {
 		r.Actions = map[Action]int{}
--- a/internal/deadletter/dry_run_test.go
+++ b/internal/deadletter/dry_run_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("a rule that redelivers: %+v", got[2])
 	}
 	if r, _ := a.Store.Get("s"); r.State != Held || len(r.Incarnations) != 1 {
-		t.Errorf("a dry run left %+v", r)
+		t.Errorf("the dry run changed a message to %+v", r)
 	}
 	if code := serve(t, a, "POST", "/check", "{}", nil); code != 400 {
 		t.Errorf("without classes: %d", code)
--- a/internal/deadletter/due.go
+++ b/internal/deadletter/due.go
@@ -9,20 +9,20 @@
 	"go.etcd.io/bbolt"
 )
 
-// The parts of a key of the bucket due, in bytes from its start.
+// Offsets of the parts of a key in the bucket due, in bytes.
 const (
 	dueTimeOffset   = 4
 	dueNumberOffset = 12
 )
 
-// dueKey is the key under which a record is due. The destination comes first, so that the many records of one that is down
-// are not read before the few of another.
+// dueKey returns the key of a record in the bucket due. The key begins with the destination, so that a long backlog of one
+// destination is not read before the records of another.
 func dueKey(destination int, at time.Time, number uint64) []byte {
 	key := binary.BigEndian.AppendUint32(nil, uint32(destination))
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(key, uint64(at.UnixMilli())), number)
 }
 
-// updateDue changes when a record is due; the zero time stands for never.
+// updateDue moves a record from one due time to another; the zero time means never.
 func updateDue(tx *bbolt.Tx, destination int, number uint64, from, to time.Time) error {
 	bucket := tx.Bucket(dueBucket)
 	if !from.IsZero() {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// Due returns the messages that are due at a time: of each destination the first ones, as many as limit allows it.
+// Due returns the messages that are due at a given time: for each destination those that are due longest, at most limit.
 func (s *Store) Due(at time.Time, limit func(destination int) int) (due []*Record, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		cursor := tx.Bucket(dueBucket).Cursor()
@@ -56,7 +56,7 @@
 	return due, err
 }
 
-// dueOf returns the messages that are due of one destination, from a cursor's present key on, limit at most.
+// dueOf returns at most limit due messages of one destination, beginning at key, which is the cursor's current key.
 func dueOf(tx *bbolt.Tx, cursor *bbolt.Cursor, key []byte, at time.Time, limit int) (due []*Record) {
 	destination := binary.BigEndian.Uint32(key)
 	for ; key != nil && len(due) < limit && binary.BigEndian.Uint32(key) == destination; key, _ = cursor.Next() {
--- a/internal/deadletter/errors.go
+++ b/internal/deadletter/errors.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/boltfile"
 )
 
-// The errors by which callers branch.
+// The errors that callers test for.
 var (
 	ErrInUse   = errors.New("the store is in use by another process")
 	ErrUnknown = errors.New("no such message in the store")
@@ -14,6 +14,6 @@
 	ErrDamaged = boltfile.ErrDamaged
 	ErrNewer   = errors.New("the store was written by a newer version")
 
-	// errNoRecord is a file that has no version yet: it is new.
-	errNoRecord = errors.New("no record")
+	// errNoVersion is the error for a file that has no version, because it was just created.
+	errNoVersion = errors.New("the store has no version")
 )
--- a/internal/deadletter/filter.go
+++ b/internal/deadletter/filter.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Filter selects messages. A field that is left out matches any message.
+// Filter selects messages. A field that is not set matches any message.
 type Filter struct {
 	Class, Tenant   string
 	Destination     *int
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Query encodes a filter as the parameters of a request.
+// Query encodes a filter as URL query parameters.
 func (f *Filter) Query() url.Values {
 	query := url.Values{}
 	set := func(name, v string) {
@@ -51,7 +51,7 @@
 	return query
 }
 
-// ParseFilter decodes a filter from the parameters of a request.
+// ParseFilter decodes a filter from URL query parameters.
 func ParseFilter(query url.Values) (*Filter, error) {
 	f := &Filter{Class: query.Get("class"), Tenant: query.Get("tenant"), Reason: Reason(query.Get("reason")), State: State(query.Get("state"))}
 	if f.Reason != "" && !slices.Contains(reasons, f.Reason) {
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -17,7 +17,7 @@
 		goldentest.Form{Name: "fault", Value: &Fault{}}, goldentest.Form{Name: "subject", Value: &Subject{}})
 }
 
-// A store that an earlier build has written can be read in full.
+// A store written by an earlier build can be read completely.
 func TestStore_ReadsGoldenFile(t *testing.T) {
 	goldentest.Regenerate(t, "store.db", fileName, func(dir string) {
 		s := openStore(t, dir)
--- a/internal/deadletter/handler_transport.go
+++ b/internal/deadletter/handler_transport.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// handlerTransport is an http.RoundTripper that has requests served by a handler in this process.
+// handlerTransport is an http.RoundTripper that passes requests to a handler in this process.
 type handlerTransport struct{ http.Handler }
 
 func (t handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -18,7 +18,7 @@
 	return &http.Response{StatusCode: recorder.status, Header: recorder.header, Body: io.NopCloser(&recorder.body), Request: r}, nil
 }
 
-// responseRecorder is an http.ResponseWriter that keeps the response.
+// responseRecorder is an http.ResponseWriter that keeps the response in memory.
 type responseRecorder struct {
 	header http.Header
 	status int
--- a/internal/deadletter/helpers_test.go
+++ b/internal/deadletter/helpers_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// noon is the present time of most tests.
+// noon is the current time in most tests.
 var noon = time.Date(2026, 6, 30, 12, 0, 0, 0, time.UTC)
 
 // testClass returns a class named c.
@@ -36,7 +36,7 @@
 	return &Record{Version: Version, ID: "a", Class: "c", Incarnations: incarnations, State: Held, Since: noon.Add(-time.Second)}
 }
 
-// newMessage returns a held payment that may have been executed.
+// newMessage returns a held payment with one attempt that may have been executed.
 func newMessage(id string) Message {
 	return Message{Record: Record{
 		ID: id, Class: "fee-payment", Tenant: "lahore", Destination: 3, State: Held, Since: noon,
@@ -79,7 +79,7 @@
 	return strings.Join(ids, " ")
 }
 
-// tempDir returns a folder that lasts for one draw of a property.
+// tempDir returns a folder that is removed after one draw of a property test.
 func tempDir(t *rapid.T) string {
 	dir, err := os.MkdirTemp("", "undelivered")
 	if err != nil {
--- a/internal/deadletter/inflight.go
+++ b/internal/deadletter/inflight.go
@@ -1,8 +1,8 @@
 package deadletter
 
-// InFlightMessages tracks the accepted messages of each topic that have not ended.
+// InFlightMessages tracks the accepted messages of each topic that have no terminal outcome yet.
 type InFlightMessages struct {
-	orders map[Topic]map[string]Order // by id
+	orders map[Topic]map[string]Order // by topic and message id
 }
 
 // Add adds a message that was accepted.
@@ -16,15 +16,16 @@
 	m.orders[topic][id] = order
 }
 
-// Remove removes a message that has ended. A delivered one has to be known to the store by then.
+// Remove removes a message that has its terminal outcome. A delivery must have been recorded in the store before.
 func (m *InFlightMessages) Remove(id string, topic Topic) {
 	if delete(m.orders[topic], id); len(m.orders[topic]) == 0 {
 		delete(m.orders, topic)
 	}
 }
 
-// NewestAfter returns the newest message of a topic that is newer than an order, or "". known is false where there is none
-// and a message whose subject can't be read is in flight: it may be of any topic of its class and destination.
+// NewestAfter returns the id of the newest message of a topic if it is newer than an order, or "". known is false if it
+// returns "" while a message with an unreadable subject is in flight, because that message may belong to any topic of its
+// class and destination.
 func (m *InFlightMessages) NewestAfter(topic Topic, order Order) (newest string, known bool) {
 	newestOrder := order
 	for id, o := range m.orders[topic] {
@@ -36,7 +37,7 @@
 	return newest, newest != "" || len(unreadable) == 0
 }
 
-// OlderThan returns the messages of a topic that are older than an order.
+// OlderThan returns the ids of the messages of a topic that are older than an order.
 func (m *InFlightMessages) OlderThan(topic Topic, order Order) (older []string) {
 	for id, o := range m.orders[topic] {
 		if o.compare(order) < 0 {
--- a/internal/deadletter/inflight_test.go
+++ b/internal/deadletter/inflight_test.go
@@ -8,7 +8,7 @@
 	wantNewest := func(after Order, want string, wantKnown bool) {
 		t.Helper()
 		if got, known := m.NewestAfter(topic, after); got != want || known != wantKnown {
-			t.Errorf("after %v: %q, %v", after.Whole, got, known)
+			t.Errorf("newest after %v: %q, known %v", after.Whole, got, known)
 		}
 	}
 	wantNewest(orderOf(1), "", true)
@@ -29,6 +29,6 @@
 	m.Remove("b", topic)
 	m.Remove("e", elsewhere)
 	if len(m.orders) != 0 {
-		t.Errorf("left: %v", m.orders)
+		t.Errorf("after all messages were removed, %v is left", m.orders)
 	}
 }
--- a/internal/deadletter/json_pointer.go
+++ b/internal/deadletter/json_pointer.go
@@ -10,24 +10,24 @@
 	"strings"
 )
 
-// pointerTokens returns the names that a JSON pointer consists of (RFC 6901, sections 3 and 4).
+// pointerTokens returns the unescaped reference tokens of a JSON pointer (RFC 6901, sections 3 and 4).
 func pointerTokens(pointer string) ([]string, error) {
 	if !strings.HasPrefix(pointer, "/") {
-		return nil, fmt.Errorf("%q is no JSON pointer: it begins with a slash", pointer)
+		return nil, fmt.Errorf("%q is not a JSON pointer: it must begin with a slash", pointer)
 	}
 	names := strings.Split(pointer[1:], "/")
 	for i, name := range names {
 		if rest := strings.NewReplacer("~0", "", "~1", "").Replace(name); strings.Contains(rest, "~") {
-			return nil, fmt.Errorf("%q is no JSON pointer: a ~ is written ~0, a slash in a name ~1", pointer)
+			return nil, fmt.Errorf("%q is not a JSON pointer: in a name, ~ must be written as ~0 and / as ~1", pointer)
 		}
 		names[i] = strings.ReplaceAll(strings.ReplaceAll(name, "~1", "/"), "~0", "~")
 	}
 	return names, nil
 }
 
-// resolvePointer returns the string or number that a JSON pointer refers to (RFC 6901). It reads the decoder's tokens rather
-// than decoded values: those would have the last of two members of one name, where a destination may use the first, and
-// numbers as floats.
+// resolvePointer returns the string or number that a JSON pointer refers to (RFC 6901). It reads the decoder's tokens
+// because a decoded value would contain only the last of two members with the same name, while a destination may use the
+// first, and because decoded numbers are floats.
 func resolvePointer(body []byte, pointer string) (value string, err error) {
 	names, err := pointerTokens(pointer)
 	if err != nil {
@@ -40,7 +40,7 @@
 		return "", fmt.Errorf("%s: %w", pointer, err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return "", fmt.Errorf("%s: more behind the JSON text", pointer)
+		return "", fmt.Errorf("%s: data after the JSON text", pointer)
 	}
 	switch v := found.(type) {
 	case string:
@@ -48,16 +48,16 @@
 	case json.Number:
 		return v.String(), nil
 	case nil:
-		return "", fmt.Errorf("%s: not there", pointer)
+		return "", fmt.Errorf("%s: the body has no such value", pointer)
 	}
 	return "", fmt.Errorf("%s: neither a string nor a number", pointer)
 }
 
-// resolveIn reads one value and returns what a pointer's names refer to in it: nil for nothing, and a json.Delim for an
-// object or an array. depth is how many levels of nesting are left.
+// resolveIn reads one value and returns the part of it to which a pointer's names refer: nil if there is no such part, and
+// a json.Delim if the part is an object or an array. depth is the number of further levels of nesting that are allowed.
 func resolveIn(d *json.Decoder, names []string, depth int) (found any, err error) {
 	if depth == 0 {
-		return nil, errors.New("nested too deep")
+		return nil, errors.New("nested too deeply")
 	}
 	token, err := nextToken(d)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return found, err
 }
 
-// nextToken reads a token. Its errors include the offset in the text.
+// nextToken reads the next JSON token.
 func nextToken(d *json.Decoder) (json.Token, error) {
 	token, err := d.Token()
 	if err != nil {
@@ -107,17 +107,17 @@
 // memberNames returns the names of an object's members, or the indexes of an array's elements.
 type memberNames struct {
 	isObject bool
-	tracked  bool // a pointer may refer to one of the members: a name must not occur twice
+	tracked  bool // the pointer may refer to one of the members, so that names must not be repeated
 	index    int
 	seen     map[string]bool
 }
 
-// next reads the name of the next member. A repeated name is an error: it guards against a body that two readers understand
-// differently.
+// next reads the name of the next member. A repeated name is an error if names are tracked, because the destination could
+// use another of the members than the relay.
 func (m *memberNames) next(d *json.Decoder) (string, error) {
 	if !m.isObject {
 		m.index++
-		return strconv.Itoa(m.index - 1), nil // "-" and leading zeros name no element
+		return strconv.Itoa(m.index - 1), nil // never equal to "-" or to an index with leading zeros
 	}
 	token, err := nextToken(d)
 	if err != nil {
@@ -125,10 +125,10 @@
 	}
 	name, ok := token.(string)
 	if !ok {
-		return "", fmt.Errorf("a member's name is %v", token)
+		return "", fmt.Errorf("member name %v is not a string", token)
 	}
 	if m.seen[name] {
-		return "", fmt.Errorf("%q is there twice", name)
+		return "", fmt.Errorf("member %q occurs twice", name)
 	}
 	if m.tracked {
 		m.seen[name] = true
--- a/internal/deadletter/json_pointer_test.go
+++ b/internal/deadletter/json_pointer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The examples of RFC 6901, section 5, and pointers and documents that are invalid.
+// The test covers the examples of RFC 6901, section 5, and invalid pointers and documents.
 func TestResolvePointer_FollowsRFC6901(t *testing.T) {
 	const document = `{"foo":["bar","baz"],"":0,"a/b":1,"c%d":2,"e^f":3,"g|h":4,"i\\j":5,"k\"l":6," ":7,"m~n":8,"o":{"p":{"q":"x"}},"n":null,"b":true,"01":9}`
 	for pointer, want := range map[string]string{
@@ -18,12 +18,12 @@
 	}
 	for _, pointer := range []string{"/foo", "/foo/2", "/foo/-", "/foo/00", "/foo/bar", "/o/p", "/none", "/n", "/b", "foo", "", "/~2", "/m~", "/o/p/q/r"} {
 		if got, err := resolvePointer([]byte(document), pointer); err == nil {
-			t.Errorf("%s: %q", pointer, got)
+			t.Errorf("%s: got %q, want an error", pointer, got)
 		}
 	}
 	for _, body := range []string{``, `{"a":1`, `{"a":1}{`, `{"a":1,"a":2}`, `{"a":1} 2`, `{"a" 1}`, `[1]`, strings.Repeat("[", 60_000), `{"a":` + strings.Repeat("[", 99)} {
 		if got, err := resolvePointer([]byte(body), "/a"); err == nil {
-			t.Errorf("%.40s: %q", body, got)
+			t.Errorf("%.40s: got %q, want an error", body, got)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	f.Fuzz(func(t *testing.T, body []byte, pointer string) {
 		value, err := resolvePointer(body, pointer)
 		if repeated, err2 := resolvePointer(body, pointer); repeated != value || (err == nil) != (err2 == nil) {
-			t.Errorf("%q, then %q", value, repeated)
+			t.Errorf("the first call returned %q, the second %q", value, repeated)
 		}
 		_, _ = numberOrder(value)
 	})
--- a/internal/deadletter/kill_test.go
+++ b/internal/deadletter/kill_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// changedPages returns the pages at which two states of a file differ, in the order in which bbolt writes them: by number,
-// but the meta pages, of which one commits, last.
+// changedPages returns the pages in which two states of a file differ, in the order in which bbolt writes them: by number,
+// except that the two meta pages come last, because writing one of them commits the transaction.
 func changedPages(before, after []byte) (pages []int) {
 	for n := 0; n*pageSize < len(after); n++ {
 		from, to := n*pageSize, min(len(after), (n+1)*pageSize)
@@ -22,8 +22,8 @@
 	return pages
 }
 
-// partlyWritten returns a file as it is after some of its changed pages were written, and of the next one the first half
-// where torn is set.
+// partlyWritten returns the state of a file after some of its changed pages were written. If torn is set, the first half of
+// the next page was written too.
 func partlyWritten(before, after []byte, pages []int, written int, torn bool) []byte {
 	file := append(append([]byte{}, before...), make([]byte, max(0, len(after)-len(before)))...)
 	for i, page := range pages[:min(len(pages), written+1)] {
@@ -42,18 +42,18 @@
 // killStep is a change of a store.
 type killStep struct {
 	change func(s *Store) error
-	done   func(s *Store) bool // the change is in the store
+	done   func(s *Store) bool // reports whether the change is in the store
 }
 
-// A process that is killed between any two writes of a change, or during one, leaves all that was stored before, and the
-// change as a whole or not at all. The change can then be repeated.
+// If a process is killed between two writes of a change, or during a write, everything stored before remains, and the
+// change is stored either completely or not at all. The change can then be repeated.
 func TestStore_SurvivesKillAtEveryWrite(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	storeMessages(t, s, "a", "b", "c")
 	trackSubjects(t, s, time.Hour)
 	_ = s.Close()
-	for _, c := range []struct { // each on the result of the one before
+	for _, c := range []struct { // each step begins with the result of the previous one
 		name string
 		step killStep
 	}{
@@ -85,7 +85,7 @@
 	}
 }
 
-// killAtEveryWrite makes a change to the store in a folder, and checks every state of the file on the way.
+// killAtEveryWrite makes a change to the store in a folder, and checks each state that the file can have in between.
 func killAtEveryWrite(t *testing.T, dir string, step killStep) {
 	t.Helper()
 	path := filepath.Join(dir, fileName)
@@ -98,9 +98,9 @@
 	after, _ := os.ReadFile(path)
 	pages := changedPages(before, after)
 	if len(pages) < 3 {
-		t.Fatalf("%d pages differ: the test sees no writes", len(pages))
+		t.Fatalf("%d pages differ, want at least 3: the test can't simulate a kill between writes", len(pages))
 	}
-	seen := map[bool]int{} // how often the change was done and not
+	seen := map[bool]int{} // number of states with and without the change
 	for written := 0; written <= len(pages); written++ {
 		for _, torn := range []bool{false, true} {
 			folder := t.TempDir()
@@ -122,15 +122,15 @@
 			done := step.done(s)
 			seen[done]++
 			if done && written < len(pages)-1 {
-				t.Errorf("done after %d writes of %d", written, len(pages))
+				t.Errorf("the change is stored after only %d writes of %d", written, len(pages))
 			}
 			if err := step.change(s); err != nil || !step.done(s) {
-				t.Errorf("repeated after %d writes: %v", written, err)
+				t.Errorf("the change repeated after %d writes: %v", written, err)
 			}
 			_ = s.Close()
 		}
 	}
 	if seen[true] == 0 || seen[false] == 0 {
-		t.Errorf("done %d times, not done %d times", seen[true], seen[false])
+		t.Errorf("%d states with the change, %d without; want some of both", seen[true], seen[false])
 	}
 }
--- a/internal/deadletter/measure_test.go
+++ b/internal/deadletter/measure_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// measure enables the measurements of the design note.
+// measure enables a measurement that takes too long for a normal test run.
 var measure = flag.Bool("measure", false, "measure the store with a million messages")
 
 func TestMeasureAMillion(t *testing.T) {
--- a/internal/deadletter/memory_subjects_test.go
+++ b/internal/deadletter/memory_subjects_test.go
@@ -6,7 +6,7 @@
 type memorySubjects struct {
 	epochs          map[string]*trackingEpoch
 	delivered       map[Topic]newestMessage
-	order           []Topic // put longest ago first
+	order           []Topic // the topic that was put longest ago comes first
 	waitingMessages map[Topic][]newestMessage
 }
 
--- a/internal/deadletter/messages.go
+++ b/internal/deadletter/messages.go
@@ -18,11 +18,11 @@
 // recordKeySize is the length of a record's key, in bytes.
 const recordKeySize = 8
 
-// recordKey is the key of the record with a number.
+// recordKey returns the key under which the record with a number is stored.
 func recordKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
-// Put stores messages. One whose id is stored already changes nothing: after a crash the journal submits it again. Where
-// there is no capacity for all, none is stored, and the error is ErrFull.
+// Put stores messages. A message whose id is in the store already is skipped, because the journal submits messages again
+// after a crash. If the store has no capacity for all of them, Put stores none and returns ErrFull.
 func (s *Store) Put(messages []Message) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		totals, err := readTotals(tx)
@@ -38,7 +38,7 @@
 	})
 }
 
-// putMessage stores one message, with its index entries and in the totals.
+// putMessage stores one message with its index entries, and counts it in the totals.
 func (s *Store) putMessage(tx *bbolt.Tx, totals *Totals, m *Message) error {
 	if stored, err := s.replaceRejected(tx, totals, m); stored || err != nil {
 		return err
@@ -73,8 +73,8 @@
 	return changeGroup(tx, m.Class, m.Tenant, 1, int64(len(m.Body)))
 }
 
-// replaceRejected reports whether a message is stored already under one of its ids. A stored one that was rejected on arrival
-// is deleted where the message was accepted later under the same id.
+// replaceRejected reports whether a message is stored already under one of its ids. If the stored message was rejected on
+// arrival and m was accepted under the same id, replaceRejected deletes the stored one instead, so that m can be stored.
 func (s *Store) replaceRejected(tx *bbolt.Tx, totals *Totals, m *Message) (stored bool, err error) {
 	for _, incarnation := range m.Incarnations {
 		key := tx.Bucket(idsBucket).Get([]byte(incarnation.ID))
@@ -83,7 +83,7 @@
 		}
 		old, err := readRecord(tx.Bucket(recordsBucket), key)
 		if err != nil || !old.neverAccepted() || m.neverAccepted() {
-			return true, nil // a record that can't be read stays, for Verify to report
+			return true, nil // an unreadable record stays in place; Verify reports it
 		}
 		if err := s.deleteRecord(tx, totals, append([]byte{}, key...), old); err != nil {
 			return false, err
@@ -92,7 +92,7 @@
 	return false, nil
 }
 
-// indexIDs makes a record found by the ids of incarnations.
+// indexIDs adds the ids of incarnations to the index of a record.
 func indexIDs(tx *bbolt.Tx, number uint64, incarnations []Incarnation) error {
 	ids := tx.Bucket(idsBucket)
 	for _, incarnation := range incarnations {
@@ -128,7 +128,7 @@
 	return r, nil
 }
 
-// findKey returns the key of a message by the id of any of its incarnations.
+// findKey returns the key of the record that has an incarnation with an id.
 func findKey(tx *bbolt.Tx, id string) ([]byte, error) {
 	key := tx.Bucket(idsBucket).Get([]byte(id))
 	if key == nil {
@@ -169,8 +169,8 @@
 	return body, err
 }
 
-// Change changes a message in one transaction. The function edits the record and returns when it is due next, zero for
-// never; where it returns an error nothing is changed.
+// Change changes a message in one transaction. edit modifies the record and returns the time at which the message is due
+// for the next decision; the zero time means never. If edit returns an error, nothing is stored.
 func (s *Store) Change(id string, edit func(r *Record) (due time.Time, err error)) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		key, err := findKey(tx, id)
@@ -191,7 +191,8 @@
 	})
 }
 
-// rewriteRecord writes a record that was changed, and what depends on it: its ids, when it is due, its subject and the totals.
+// rewriteRecord writes a changed record and updates the index of ids, the due time, the newest message of its topic and
+// the totals.
 func (s *Store) rewriteRecord(tx *bbolt.Tx, number uint64, before, r *Record) error {
 	if err := writeRecord(tx.Bucket(recordsBucket), number, r); err != nil {
 		return err
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -2,57 +2,61 @@
 
 import "time"
 
-// newestMessage is the newest message of a topic that was delivered, or may have been.
+// newestMessage is the newest message of a topic that was delivered or may have been delivered.
 type newestMessage struct {
 	ID    string `json:"id"`
 	Order Order  `json:"order"`
-	// NeverEvicted is set where the topic can't have been evicted before: of one that is stored after evictions, a newer message
-	// may have been evicted.
+	// NeverEvicted is set if no earlier entry of the topic can have been evicted. If it is not set, a newer message of the
+	// topic than this one may have been evicted.
 	NeverEvicted bool `json:"sure,omitempty"`
-	// Version is that of the epoch's definition: orders under two definitions can't be compared.
+	// Version is the version of the subject definition under which Order was read. Orders of different versions can't be
+	// compared.
 	Version int `json:"version,omitempty"`
 }
 
-// trackingEpoch is what holds for all topics of a class since its subjects have been read in one way without a gap.
+// trackingEpoch is a period in which the deliveries of a class were recorded without a gap, and its subjects were read by
+// one definition. Its fields apply to all topics of the class.
 type trackingEpoch struct {
-	Since         time.Time     `json:"since"`             // every delivery from then on is known
-	Definition    string        `json:"reading"`           // how its subjects are read
-	Version       int           `json:"version,omitempty"` // how often the definition has changed
-	NewestEvicted *Order        `json:"horizon,omitempty"` // the newest message that was evicted since, of any topic
-	Unreadable    map[int]int64 `json:"unread,omitempty"`  // by destination: arrival of the last one delivered whose subject can't be read
+	Since         time.Time     `json:"since"`             // every delivery since then is recorded
+	Definition    string        `json:"reading"`           // how subjects are read; empty: they are no longer read
+	Version       int           `json:"version,omitempty"` // number of changes of the definition so far
+	NewestEvicted *Order        `json:"horizon,omitempty"` // order of the newest message evicted in this epoch, of any topic
+	Unreadable    map[int]int64 `json:"unread,omitempty"`  // by destination: arrival of the last delivered message whose subject can't be read
 }
 
-// active reports whether the class's subjects are read at present.
+// active reports whether the class's subjects are currently read.
 func (e *trackingEpoch) active() bool { return e != nil && e.Definition != "" }
 
-// subjectStorage is where Newest stores its state. An implementation returns what it can't read as absent, and reports the
-// error to whoever uses it.
+// subjectStorage stores the state of Newest. An implementation returns an entry that it can't read as absent, and keeps the
+// error for its owner.
 type subjectStorage interface {
-	epoch(class string) *trackingEpoch // nil: nothing is known of the class
+	epoch(class string) *trackingEpoch // nil: the class was never tracked
 	setEpoch(class string, e *trackingEpoch)
-	newest(t Topic) *newestMessage // nil: none is known
+	newest(t Topic) *newestMessage // nil: no entry
 	put(t Topic, m newestMessage)
-	// evictOldest removes the topic that was put longest ago, and returns its class; nil where there is none.
+	// evictOldest removes the entry that was put longest ago, and returns it with its class; m is nil if there is no entry.
 	evictOldest() (class string, m *newestMessage)
 	size() int
-	// waiting returns the newest message of a topic that waits in the store and was read under a version, or nil.
+	// waiting returns the newest message of a topic that waits in the store and whose order was read under a version of the
+	// definition, or nil.
 	waiting(t Topic, version int) *newestMessage
 }
 
-// Newest knows the newest delivered message of each topic, for a bounded number of topics. It reports what it can't know
-// since it was evicted.
+// Newest tracks the newest delivered message of each topic, for a bounded number of topics. It also tracks what was evicted,
+// so that it can report when it can't tell whether a newer message was delivered.
 type Newest struct {
 	storage     subjectStorage
-	maxSubjects int // 0: unbounded, for a command on the store of a stopped relay
-	// settlingTime after a class's subjects were first read, what is known of them begins to be relied on: before, a newer
-	// message may have been delivered unread. Clients submit messages of one topic out of order by less than that.
+	maxSubjects int // 0: unlimited, for a command on the store of a stopped relay
+	// settlingTime is how long after the start of an epoch a message must have been accepted before it is relied on that
+	// there is no newer one: a newer message may have been delivered before the epoch. Clients submit messages of one topic
+	// out of order by less than this time.
 	settlingTime time.Duration
-	// exclusive is set where no other relay can have delivered a message of a topic.
+	// exclusive is set if no other relay can have delivered a message of a topic that this relay receives.
 	exclusive bool
 }
 
-// Begin starts tracking classes, by the definition of how their subjects are read. One whose definition has changed begins
-// a new epoch, as do all of them where deliveries may have been missed.
+// Begin starts tracking classes, given the definition of how the subjects of each are read. A class whose definition has
+// changed begins a new epoch. If deliveries may have been missed, every class begins a new epoch.
 func (n *Newest) Begin(definitions map[string]string, missed bool, now time.Time) {
 	for class, definition := range definitions {
 		e := n.storage.epoch(class)
@@ -69,7 +73,7 @@
 	}
 }
 
-// Delivered records a message that was delivered, or that may have been and is no longer in the store.
+// Delivered records a message that was delivered, or that may have been delivered and is no longer in the store.
 func (n *Newest) Delivered(id string, t Topic, o Order) {
 	e := n.storage.epoch(t.Class)
 	if !e.active() {
@@ -90,8 +94,8 @@
 	n.evict()
 }
 
-// deliveredUnreadable records a delivered message whose subject could not be read: it may be of any subject of its class and
-// destination.
+// deliveredUnreadable records a delivered message whose subject could not be read. It may belong to any subject of its class
+// and destination.
 func (n *Newest) deliveredUnreadable(e *trackingEpoch, t Topic, o Order) {
 	if o.Arrival <= e.Unreadable[t.Destination] {
 		return
@@ -103,7 +107,8 @@
 	n.storage.setEpoch(t.Class, e)
 }
 
-// evict evicts the topics that were stored longest ago while there are too many, and records the newest message among them.
+// evict removes the topics that were stored longest ago until the limit is met, and records the newest order among the
+// removed messages.
 func (n *Newest) evict() {
 	for n.maxSubjects > 0 && n.storage.size() > n.maxSubjects {
 		class, evicted := n.storage.evictOldest()
@@ -121,17 +126,18 @@
 	}
 }
 
-// NewerThan returns the id of a newer message of the same topic, or "". known reports whether "" proves that there is none.
+// NewerThan returns the id of a newer message of the same topic, or "" if it finds none. known is false if it finds none but
+// there may be one.
 func (n *Newest) NewerThan(r *Record) (id string, known bool) {
 	if r.Subject == "" || r.Order == nil {
-		return "", false // what it would overwrite is unknown
+		return "", false // its topic or its order is unknown
 	}
 	e, t := n.storage.epoch(r.Class), r.topic()
 	if !e.active() {
 		return "", false
 	}
 	newest := newestMessage{Order: *r.Order}
-	// A message that is newer than every evicted one has no newer one among them.
+	// If the message is newer than every evicted message, no evicted message is newer than it.
 	known = e.NewestEvicted == nil || r.Order.compare(*e.NewestEvicted) > 0
 	if delivered := n.storage.newest(t); delivered != nil && delivered.Version == e.Version {
 		known = known || delivered.NeverEvicted
--- a/internal/deadletter/newest_test.go
+++ b/internal/deadletter/newest_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// newTestNewest returns a Newest that has tracked class c since an hour before noon, and its storage.
+// newTestNewest returns a Newest that has tracked class c since an hour before noon, and the storage that it uses.
 func newTestNewest(maxSubjects int) (*Newest, *memorySubjects) {
 	storage := newMemorySubjects()
 	n := &Newest{storage: storage, maxSubjects: maxSubjects, exclusive: true, settlingTime: 10 * time.Minute}
@@ -16,7 +16,7 @@
 	return n, storage
 }
 
-// orderOf returns the order of a number.
+// orderOf returns the order of a message whose order is a number.
 func orderOf(number int64) Order { return Order{Whole: number} }
 
 // recordAbout returns the record of a message of a subject to destination 3, accepted a minute before noon.
@@ -26,7 +26,7 @@
 	return r
 }
 
-// evictAll makes a Newest of four subjects evict all that it knew.
+// evictAll makes a Newest with a limit of four subjects evict all its entries.
 func evictAll(n *Newest) {
 	for i := range 4 {
 		n.Delivered(fmt.Sprint(i), Topic{"c", 9, fmt.Sprint("other ", i)}, orderOf(0))
@@ -108,14 +108,14 @@
 			c.prepare(n, storage)
 			permission := Allowed(class, c.record, n.NewerThan, noon)
 			if permission.Superseded != c.superseded || permission.Allowed != c.allowed || permission.Reason == "" {
-				t.Errorf("%+v", permission)
+				t.Errorf("unexpected permission %+v", permission)
 			}
 		})
 	}
 }
 
-// Whatever is delivered in whatever order, and whatever is evicted: no message is allowed after a newer one of its topic was
-// delivered. The storage in the store decides as the one in memory does.
+// For random deliveries and evictions, no message is allowed once a newer one of its topic was delivered. The storage in
+// bbolt leads to the same decision as the storage in memory.
 func TestNewest_NeverAllowsOverwritingNewerMessage(t *testing.T) {
 	class := testClass(Idempotent)
 	class.HasSubject = true
@@ -150,13 +150,13 @@
 			t.Fatalf("in the store %+v, in memory %+v", stored, permission)
 		}
 		if newest, ok := newestOrders[r.topic()]; ok && permission.Allowed && newest.compare(*r.Order) > 0 {
-			t.Fatalf("%+v is allowed, and %+v was delivered", r.Order, newest)
+			t.Fatalf("order %+v is allowed although %+v was delivered", r.Order, newest)
 		}
 		if permission.Allowed {
 			allowed++
 		}
 	})
 	if allowed == 0 {
-		t.Error("nothing was ever allowed")
+		t.Error("no draw allowed a message")
 	}
 }
--- a/internal/deadletter/order_test.go
+++ b/internal/deadletter/order_test.go
@@ -15,7 +15,7 @@
 		strings.Repeat("1", maxNumber+1), "1e", "0b1",
 	} {
 		if o, err := numberOrder(text); err == nil {
-			t.Errorf("%q: %+v", text, o)
+			t.Errorf("%q: got %+v, want an error", text, o)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -24,7 +24,7 @@
 		orderA, err := numberOrder(a)
 		orderB, err2 := numberOrder(b)
 		if err != nil || err2 != nil {
-			return // more places than an Order has
+			return // more digits than an Order can represent
 		}
 		ratA, _ := new(big.Rat).SetString(a)
 		ratB, _ := new(big.Rat).SetString(b)
@@ -35,6 +35,6 @@
 	later, err := timeOrder("1969-12-31T23:59:59.5Z")
 	earlier, err2 := timeOrder("1969-12-31T23:59:59.25Z")
 	if err != nil || err2 != nil || later.compare(earlier) <= 0 || later.compare(Order{Whole: time.Unix(0, 0).Unix()}) >= 0 {
-		t.Errorf("%+v %+v", later, earlier)
+		t.Errorf("times before 1970: %+v does not compare as after %+v and before 1970", later, earlier)
 	}
 }
--- a/internal/deadletter/pages.go
+++ b/internal/deadletter/pages.go
@@ -6,9 +6,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// Page returns the messages that a filter matches, limit at most, from a record's number on, and the number from which the
-// next page goes on; 0 at the end. It scans maxScan records at most, so that a filter that few match does not hold up
-// others. Damaged records are skipped and counted.
+// Page returns at most limit messages that a filter matches, beginning at a record's number, and the number at which the
+// next page begins; 0 means that there is no next page. It scans at most maxScan records, so that a filter that matches few
+// records does not keep the store busy. It skips damaged records and counts them.
 func (s *Store) Page(from uint64, limit, maxScan int, matches func(r *Record) bool) (page []*Record, next uint64, damaged int, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		records := tx.Bucket(recordsBucket)
@@ -34,8 +34,8 @@
 	return page, next, damaged, err
 }
 
-// Slice returns records from a number on, limit at most, and the number after the last one that was read. Damaged records
-// are skipped.
+// Slice returns at most limit records, beginning at a number, and the number after the last record that it read. It skips
+// damaged records.
 func (s *Store) Slice(from uint64, limit int) (list []*Record, next uint64, err error) {
 	next = from
 	err = s.view(func(tx *bbolt.Tx) error {
--- a/internal/deadletter/permission.go
+++ b/internal/deadletter/permission.go
@@ -5,48 +5,50 @@
 	"time"
 )
 
-// Idempotency is whether a message may be executed a second time, as the settings say of its class.
+// Idempotency says whether the messages of a class may be executed a second time. The settings define it for each class.
 type Idempotency int
 
-// The degrees of idempotency.
+// The values of Idempotency.
 const (
 	Idempotent      Idempotency = iota // a second execution does no harm
-	IdempotentByKey                    // destinations drop a repeat while they remember its key
-	NotIdempotent                      // it must not be executed twice
+	IdempotentByKey                    // destinations drop a repeated message while its key's TTL lasts
+	NotIdempotent                      // a message must not be executed twice
 )
 
-// Class is what the rules need to know of a class of messages.
+// Class is the part of a class's settings on which redelivery depends.
 type Class struct {
 	Name            string        `json:"Name"`
 	Idempotency     Idempotency   `json:"Effect"`
-	KeyTTL          time.Duration `json:"Memory"`   // idempotent by key: how long destinations remember one
-	MaxAttempts     int           `json:"Attempts"` // over all incarnations of a message
+	KeyTTL          time.Duration `json:"Memory"`   // for IdempotentByKey: how long destinations remember an idempotency key
+	MaxAttempts     int           `json:"Attempts"` // limit over all incarnations of a message
 	ClientsResubmit bool          `json:"Returns"`  // clients submit rejected messages again, to this relay or another
 	HasSubject      bool          `json:"Subject"`  // its messages have a subject, and an older one must not overwrite a newer one
 }
 
-// keyMargin is the part at the end of a key's TTL that is not used: an attempt that begins now reaches the destination
-// later, and clocks differ.
+// keyMargin is how long before the end of a key's TTL redeliveries stop, because an attempt reaches the destination some
+// time after it begins, and because clocks differ.
 const keyMargin = 2 * time.Second
 
 // Permission is the decision whether a message may be sent again.
 type Permission struct {
 	Allowed     bool
-	Superseded  string       // id of a newer message that supersedes it, if any
-	Attestation *Attestation // the one that the redelivery uses; nil: it needs none
-	Reason      string       // for people
-	RetryAt     time.Time    // not allowed: when to decide again; zero: time alone changes nothing
+	Superseded  string       // id of a newer message that supersedes the message, or ""
+	Attestation *Attestation // the attestation that the redelivery uses up; nil: it needs none
+	Reason      string       // in words for operators
+	RetryAt     time.Time    // if not allowed: when to decide again; zero: time alone does not change the decision
 }
 
-// Newer looks up a newer message of the same topic. It returns its id, or "" and whether that proves that there is none.
+// Newer looks up a newer message of the same topic. It returns the id of that message, or "" if it finds none. known is
+// false if it finds none but there may be one.
 type Newer func(r *Record) (id string, known bool)
 
-// denied is the decision that a message may not be sent again, with the reason.
+// denied returns the decision that a message may not be sent again, with the reason.
 func denied(format string, args ...any) Permission {
 	return Permission{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Allowed decides whether a message may be sent again at a time. Every redelivery goes through it.
+// Allowed decides whether a message may be sent again at a given time. Every redelivery depends on it, also one that an
+// operator asks for.
 func Allowed(c *Class, r *Record, newer Newer, now time.Time) Permission {
 	switch {
 	case c == nil:
@@ -58,7 +60,7 @@
 	case len(r.Incarnations) == 0:
 		return denied("its record has no history")
 	case now.Before(r.latest()):
-		// Guards against a clock that was set back: how long ago an attempt was is not known.
+		// The clock was set back, so the time since the last attempt is unknown.
 		permission := denied("the clock stands before the last that is known of it, %s", r.latest().Format(time.RFC3339))
 		permission.RetryAt = r.latest()
 		return permission
@@ -78,14 +80,14 @@
 	return allowedByIdempotency(c, r, now)
 }
 
-// allowedByIdempotency decides by whether a message may be executed twice, and by what is known of its attempts.
+// allowedByIdempotency decides by the idempotency of the message's class, and by whether an attempt may have been executed.
 func allowedByIdempotency(c *Class, r *Record, now time.Time) Permission {
 	attempt := r.MayHaveExecuted()
 	switch {
 	case c.Idempotency == Idempotent:
 		return Permission{Allowed: true, Reason: "its class is safe to repeat"}
 	case c.ClientsResubmit && r.wasReturnedToClient():
-		// Guards against an execution under two ids: the client may have submitted it again, and any relay delivered that.
+		// The client may have submitted the message again under another id, and any relay may have delivered that one.
 	case attempt == nil:
 		return Permission{Allowed: true, Reason: "no attempt can have run"}
 	case c.Idempotency == IdempotentByKey && attempt.Execution != Executed && now.Add(keyMargin).Before(attempt.StartedAt.Add(c.KeyTTL)):
--- a/internal/deadletter/permission_test.go
+++ b/internal/deadletter/permission_test.go
@@ -50,13 +50,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if permission := Allowed(testClass(c.idempotency), c.record, nil, c.now); permission.Allowed != c.want || permission.Reason == "" {
-				t.Errorf("%+v, want %v", permission, c.want)
+				t.Errorf("got %+v, want allowed %v", permission, c.want)
 			}
 		})
 	}
 }
 
-// A payment that was rejected may have been submitted again, to any relay: it is redelivered with an attestation only.
+// The client may have submitted a rejected payment again, to any relay. The payment is redelivered only with an attestation.
 func TestAllowed_DeniesWhatClientMayHaveResubmitted(t *testing.T) {
 	for name, c := range map[string]struct {
 		idempotency     Idempotency
@@ -82,7 +82,7 @@
 			}
 			permission := Allowed(class, r, nil, noon)
 			if permission.Allowed != c.want || permission.Reason == "" || c.attested != (permission.Attestation != nil) {
-				t.Errorf("%+v", permission)
+				t.Errorf("unexpected permission %+v", permission)
 			}
 		})
 	}
--- a/internal/deadletter/plan.go
+++ b/internal/deadletter/plan.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Plan is what the rules decide on a message at a time.
+// Plan is the decision of the rules on a message at a given time.
 type Plan struct {
 	Action      Action
-	Rule        int       // from 1; 0: no rule matched
-	At          time.Time // when to act, or to decide again; zero: never by itself
-	Rate        float64   // of redeliveries, a second and destination
+	Rule        int       // number of the rule that decided, from 1; 0: no rule matched
+	At          time.Time // when to act or to decide again; zero: time alone does not change the decision
+	Rate        float64   // redeliveries per second to the destination
 	Reason      string
-	Attestation *Attestation // the one that a redelivery uses
+	Attestation *Attestation // the attestation that a redelivery uses up; nil: none
 }
 
-// Decide applies rules to a message: the first one that matches decides, and a message that none matches is held. So is one
-// whose class does not allow its redelivery, whatever the rule says.
+// Decide applies rules to a message. The first rule that matches decides. A message is held if no rule matches it, or if a
+// rule redelivers it but its class does not allow that.
 func Decide(rules []Rule, c *Class, rec *Record, newer Newer, now time.Time) Plan {
 	if rec.HeldByOperator {
 		return Plan{Action: Hold, Reason: rec.Reason}
@@ -28,7 +28,7 @@
 		}
 		plan := r.plan(c, rec, newer, now)
 		plan.Rule = i + 1
-		// A rule before it may match when the message is older.
+		// An earlier rule may match once the message is older.
 		if at := nextMatch(rules[:i], rec, now); plan.Action == Hold && !at.IsZero() && (plan.At.IsZero() || at.Before(plan.At)) {
 			plan.At = at
 		}
@@ -37,7 +37,7 @@
 	return Plan{Action: Hold, Reason: "no rule matches it", At: nextMatch(rules, rec, now)}
 }
 
-// nextMatch is when the message will be old enough for one of the rules that does not match it yet; zero for none.
+// nextMatch returns the next time at which the message becomes old enough for one of the rules; zero if there is none.
 func nextMatch(rules []Rule, rec *Record, now time.Time) (next time.Time) {
 	for i := range rules {
 		r := &rules[i]
@@ -52,7 +52,7 @@
 	return next
 }
 
-// plan is what a rule that matches decides on a message.
+// plan returns the decision of a rule on a message that it matches.
 func (r *Rule) plan(c *Class, rec *Record, newer Newer, now time.Time) Plan {
 	switch r.Action {
 	case Discard:
@@ -68,7 +68,7 @@
 	}
 }
 
-// planRedelivery is what a rule that redelivers decides on a message.
+// planRedelivery returns the decision of a rule whose action is Redeliver.
 func (r *Rule) planRedelivery(c *Class, rec *Record, newer Newer, now time.Time) Plan {
 	permission := Allowed(c, rec, newer, now)
 	switch {
--- a/internal/deadletter/plan_property_test.go
+++ b/internal/deadletter/plan_property_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// mayExecuteTwice reports whether a redelivery now could be a second execution. It looks at the history alone, and shares no
-// code with Allowed, which is checked against it.
+// mayExecuteTwice reports whether a redelivery now could be a second execution. It depends only on the message's history and
+// class, and shares no code with Allowed, because Allowed is checked against it.
 func mayExecuteTwice(c *Class, r *Record, now time.Time) bool {
 	if c.Idempotency == Idempotent {
 		return false
@@ -21,7 +21,7 @@
 	var risky []Attempt
 	for _, incarnation := range r.Incarnations {
 		if incarnation.Attestation != nil {
-			risky = nil // an operator has attested what came before
+			risky = nil // the attestation covers the earlier attempts
 		}
 		for _, a := range incarnation.Attempts {
 			if a.Execution != NotExecuted {
@@ -40,7 +40,8 @@
 	return false
 }
 
-// risksSecondExecution draws a history and rules, and reports whether a decision on them redelivers what it must not.
+// risksSecondExecution draws a message's history and rules, and reports whether decide redelivers the message although it
+// could be executed a second time or has had all its attempts.
 func risksSecondExecution(t *rapid.T, decide func([]Rule, *Class, *Record, Newer, time.Time) Plan) bool {
 	class := testClass(Idempotency(rapid.IntRange(0, 2).Draw(t, "idempotency")))
 	r := newRecord()
@@ -78,12 +79,12 @@
 func TestDecide_NeverRisksSecondExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if risksSecondExecution(t, Decide) {
-			t.Fatal("a redelivery that could be a second execution")
+			t.Fatal("a redelivery could be a second execution, or exceeds the class's attempts")
 		}
 	})
 }
 
-// A decision without Allowed fails the property above.
+// The property above fails for a decision that does not call Allowed.
 func TestDecide_PropertyCatchesMissingPermissionCheck(t *testing.T) {
 	mutant := func(rules []Rule, _ *Class, r *Record, _ Newer, now time.Time) Plan {
 		for i := range rules {
@@ -96,6 +97,6 @@
 	caught := false
 	rapid.Check(t, func(t *rapid.T) { caught = risksSecondExecution(t, mutant) || caught })
 	if !caught {
-		t.Error("a decision that redelivers whatever the rules say passes")
+		t.Error("the property holds for a decision that does not call Allowed")
 	}
 }
--- a/internal/deadletter/plan_test.go
+++ b/internal/deadletter/plan_test.go
@@ -63,7 +63,7 @@
 		t.Run(name, func(t *testing.T) {
 			plan := Decide(rules, testClass(Idempotent), c.record, nil, c.now)
 			if plan.Action != c.action || plan.Rule != c.rule || !plan.At.Equal(c.next) || plan.Reason == "" {
-				t.Errorf("%+v", plan)
+				t.Errorf("unexpected plan %+v", plan)
 			}
 		})
 	}
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Version is the version of the form in which records are written; older ones are still read.
+// Version is the version of the format in which records are written. Records of earlier versions can still be read.
 const Version = 1
 
-// Execution is what is known of whether an attempt was executed.
+// Execution says whether the destination executed the message of an attempt, as far as the relay can tell.
 type Execution string
 
-// What may be known. An attempt of which nothing is known may have been executed.
+// The values of Execution. An attempt without a value may have been executed too.
 const (
 	NotExecuted      Execution = "never"
 	ExecutionUnknown Execution = "may"
@@ -18,19 +18,19 @@
 // Reason is why a message was not delivered.
 type Reason string
 
-// The reasons.
+// The values of Reason.
 const (
 	ShedAfterAcceptance Reason = "refused-late"     // shed after it had been accepted
 	DeadlineExceeded    Reason = "out-of-time"      // its deadline passed
 	AttemptsExhausted   Reason = "attempts-spent"   // it had all attempts that its class allows
-	OutcomeUnknown      Reason = "may-have-run"     // it may have been executed, and must not be repeated
-	SettingsChanged     Reason = "settings-changed" // its class or destination is no longer known
+	OutcomeUnknown      Reason = "may-have-run"     // it may have been executed, and its class must not be executed twice
+	SettingsChanged     Reason = "settings-changed" // the settings no longer contain its class or destination
 	ProcessEnded        Reason = "process-ended"    // its deadline had passed when a later process read it from the journal
-	OvertakenByNewer    Reason = "overtaken"        // a newer message came before its redelivery, or while that was in flight
-	RejectedOnArrival   Reason = "refused"          // never accepted: rejected on arrival
+	OvertakenByNewer    Reason = "overtaken"        // a newer message was accepted before its redelivery was sent, or while that was in flight
+	RejectedOnArrival   Reason = "refused"          // it was never accepted
 )
 
-// reasons are all reasons.
+// reasons lists all values of Reason.
 var reasons = []Reason{ShedAfterAcceptance, DeadlineExceeded, AttemptsExhausted, OutcomeUnknown, SettingsChanged, ProcessEnded, OvertakenByNewer, RejectedOnArrival}
 
 // Attempt is one attempt to deliver a message to an endpoint.
@@ -42,7 +42,7 @@
 	Execution Execution `json:"ran"`
 }
 
-// Incarnation is a message under one id: as the client submitted it, or as one redelivery.
+// Incarnation is a message under one id: as the client submitted it, or as it was redelivered.
 type Incarnation struct {
 	ID          string       `json:"id"`
 	Relay       string       `json:"relay"`
@@ -50,12 +50,12 @@
 	Deadline    time.Time    `json:"expires"` // the client's deadline, or the redelivery's
 	CompletedAt time.Time    `json:"over"`
 	Reason      Reason       `json:"reason"`
-	Status      string       `json:"status"` // of the notice that the platform got
+	Status      string       `json:"status"` // status in the notice sent to the platform
 	Attempts    []Attempt    `json:"attempts"`
-	Attestation *Attestation `json:"attest,omitempty"` // the one that its redelivery used
+	Attestation *Attestation `json:"attest,omitempty"` // the attestation that allowed this redelivery, if it needed one
 }
 
-// Attestation is an operator's statement that a destination does not have a message. It allows one redelivery.
+// Attestation is an operator's statement that the destination does not have a message. It allows one redelivery.
 type Attestation struct {
 	By       string    `json:"by"`
 	Evidence string    `json:"evidence"`
@@ -69,20 +69,20 @@
 // The states. Delivered, Superseded and Discarded are final.
 const (
 	Held         State = "held"
-	Due          State = "due" // by a rule, or because an operator asked
-	Redelivering State = "out" // being redelivered
+	Due          State = "due" // waits for a redelivery that a rule or an operator asks for
+	Redelivering State = "out" // a redelivery is in flight
 	Delivered    State = "delivered"
 	Superseded   State = "superseded"
 	Discarded    State = "discarded"
 )
 
-// states are all states.
+// states lists all values of State.
 var states = []State{Held, Due, Redelivering, Delivered, Superseded, Discarded}
 
 // Ended reports whether a state is final.
 func (s State) Ended() bool { return s == Delivered || s == Superseded || s == Discarded }
 
-// Record is what is stored of a message beside its body. Its id is that of its first incarnation.
+// Record is everything that is stored of a message except its body. Its id is the id of its first incarnation.
 type Record struct {
 	Version             int           `json:"version"`
 	ID                  string        `json:"id"`
@@ -90,24 +90,24 @@
 	Tenant              string        `json:"tenant,omitempty"`
 	Destination         int           `json:"partner"`
 	IdempotencyKey      string        `json:"key,omitempty"`
-	OrderKey            string        `json:"item,omitempty"`    // messages with one key are delivered in order, where its class asks for that
-	Subject             string        `json:"subject,omitempty"` // what it is about, where the operator's file says how to read that
+	OrderKey            string        `json:"item,omitempty"`    // in a class with ordered delivery, messages with the same key are delivered in order
+	Subject             string        `json:"subject,omitempty"` // empty unless the operator's file defines how to read it for the class
 	Order               *Order        `json:"order,omitempty"`
 	Incarnations        []Incarnation `json:"lives"`
 	State               State         `json:"state"`
-	Reason              string        `json:"why,omitempty"`   // of its state, for people
-	Since               time.Time     `json:"since"`           // of its state
-	Due                 time.Time     `json:"due,omitzero"`    // when to decide on it next; zero: not by itself
+	Reason              string        `json:"why,omitempty"`   // why it is in its state, in words for operators
+	Since               time.Time     `json:"since"`           // when it entered its state
+	Due                 time.Time     `json:"due,omitzero"`    // when the rules are next applied to it; zero: not until something else makes it due
 	RequestedByOperator bool          `json:"asked,omitempty"` // an operator asked for its redelivery
-	HeldByOperator      bool          `json:"kept,omitempty"`  // an operator holds it: no rule applies
+	HeldByOperator      bool          `json:"kept,omitempty"`  // an operator holds it, and rules do not apply
 	Attestations        []Attestation `json:"attests,omitempty"`
 	BodySize            int           `json:"body_size"`
 }
 
-// topic is the topic of a message.
+// topic returns the topic of a message.
 func (r *Record) topic() Topic { return Topic{r.Class, r.Destination, r.Subject} }
 
-// Last is the latest incarnation.
+// Last returns the latest incarnation.
 func (r *Record) Last() *Incarnation { return &r.Incarnations[len(r.Incarnations)-1] }
 
 // Attempts counts the attempts of all incarnations.
@@ -118,8 +118,9 @@
 	return n
 }
 
-// MayHaveExecuted returns the first attempt of all incarnations that may have been executed, or nil. Attempts before a
-// redelivery that used an attestation do not count: an operator has stated that the destination does not have the message.
+// MayHaveExecuted returns the first attempt of all incarnations that may have been executed, or nil if there is none. It
+// ignores attempts before a redelivery that used an attestation: an operator has stated that the destination does not have
+// the message from them.
 func (r *Record) MayHaveExecuted() *Attempt {
 	from := 0
 	for i := range r.Incarnations {
@@ -137,11 +138,11 @@
 	return nil
 }
 
-// deferred is the status of a notice that lets the client submit a message again.
+// deferred is the status of a notice after which the client may submit the message again.
 const deferred = "deferred"
 
-// wasReturnedToClient reports whether the client was notified that it may submit the message again, and no operator has
-// attested since that it did not.
+// wasReturnedToClient reports whether the client was notified that it may submit the message again, and no redelivery has
+// used an attestation since.
 func (r *Record) wasReturnedToClient() bool {
 	if r.Incarnations[0].Status != deferred && r.Incarnations[0].Reason != RejectedOnArrival {
 		return false
@@ -159,7 +160,7 @@
 	return len(r.Incarnations) == 1 && r.Incarnations[0].Reason == RejectedOnArrival
 }
 
-// latest is the latest time in a record at which something happened to the message.
+// latest returns the time of the latest change that a record lists.
 func (r *Record) latest() time.Time {
 	latest := r.Since
 	for i := range r.Incarnations {
--- a/internal/deadletter/redelivery.go
+++ b/internal/deadletter/redelivery.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// The backoff of a destination's redeliveries after the relay had no capacity for one (busy) or one failed (failure):
-	// each in a row doubles it, so that a destination that is down gets few.
+	// The backoff of a destination's redeliveries after the relay had no capacity for a redelivery (busy) or a redelivery
+	// failed (failure). Each further one in a row doubles the backoff, so that a destination that is down gets few.
 	minBusyBackoff, maxBusyBackoff       = 200 * time.Millisecond, 5 * time.Second
 	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
-	// tokenBurst is how many redeliveries a destination may get at once after a pause.
+	// tokenBurst is the capacity of a destination's token bucket, in redeliveries.
 	tokenBurst = 1.0
-	// maxPerRound is how many messages of a destination one round decides on.
+	// maxPerRound limits the messages of a destination that one round decides on.
 	maxPerRound = 20
-	// sweepBatch is how many messages one round of a sweep makes due, and sweepScan how many it scans for them.
+	// sweepBatch limits the messages that one round of a sweep makes due, and sweepScan the records that it scans.
 	sweepBatch, sweepScan = 500, 5000
-	// lostAfter is how long after its deadline a redelivery of which the relay knows nothing counts as lost.
+	// lostAfter is how long after its deadline a redelivery counts as lost if the relay does not have it in flight.
 	lostAfter = 30 * time.Second
-	// minTimeToLive is the least time that a redelivery gets.
+	// minTimeToLive is the shortest time between the start of a redelivery and its deadline.
 	minTimeToLive = time.Second
-	// requestedRate is the rate of redeliveries that an operator asked for, a second and destination.
+	// requestedRate is the rate, per second and destination, of redeliveries that an operator asked for.
 	requestedRate = 1.0
 )
 
 // Result is the terminal outcome of a redelivery.
 type Result struct {
-	Incarnation Incarnation // with the id of the redelivery
+	Incarnation Incarnation // the redelivery's incarnation, as it ended
 	Delivered   bool
-	Overtaken   string // id of a newer message that was accepted before the redelivery was sent, if any
+	Overtaken   string // id of a newer message that was accepted before the redelivery ended, or ""
 }
 
 // Offer is a message that the relay is to redeliver as a background message.
 type Offer struct {
 	Record      *Record
-	Incarnation *Incarnation // the new one, under which it is sent
+	Incarnation *Incarnation // the new incarnation under whose id the message is sent
 }
 
 // Redeliverer decides which messages of a store are redelivered, in which order and at which rate. It is not safe for
-// concurrent use. It reads no clock: times are arguments.
+// concurrent use. It does not read the clock: callers pass the time.
 type Redeliverer struct {
 	store     *Store
 	rules     []Rule
@@ -46,8 +46,8 @@
 	relay     string
 	newID     func() string
 	throttles map[int]*throttle
-	gate      Gate   // nil: there is none
-	sweepFrom uint64 // the record from which a sweep goes on; 0: none is under way
+	gate      Gate   // nil: redeliveries need no permission
+	sweepFrom uint64 // number of the record at which the sweep continues; 0: no sweep is running
 }
 
 // NewRedeliverer returns a redeliverer for a store. newID returns ids that are unique among all relays.
@@ -60,10 +60,10 @@
 	return r
 }
 
-// SetGate makes redeliveries pass a gate from now on.
+// SetGate makes further redeliveries depend on the permission of a gate.
 func (r *Redeliverer) SetGate(g Gate) { r.gate = g }
 
-// SetClasses replaces the classes.
+// SetClasses replaces the classes by those of reloaded settings.
 func (r *Redeliverer) SetClasses(classes []Class) {
 	clear(r.classes)
 	for i := range classes {
@@ -71,10 +71,10 @@
 	}
 }
 
-// Sweep makes every held message due again. It is called when the rules have changed.
+// Sweep makes every held message due again, so that changed rules are applied to messages held under the old ones.
 func (r *Redeliverer) Sweep() { r.sweepFrom = 1 }
 
-// continueSweep makes the next held messages due.
+// continueSweep makes the next batch of held messages due.
 func (r *Redeliverer) continueSweep(now time.Time) error {
 	page, next, _, err := r.store.Page(r.sweepFrom, sweepBatch, sweepScan, func(rec *Record) bool { return rec.State == Held && rec.Due.IsZero() })
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // Round decides on the messages that are due, stores the decisions, and returns the redeliveries that the relay is to make.
-// inFlight reports whether the relay still has a message under an id.
+// inFlight reports whether the relay still has a message with an id in flight.
 func (r *Redeliverer) Round(now time.Time, inFlight func(id string) bool) (offers []Offer, err error) {
 	if r.sweepFrom > 0 {
 		if err := r.continueSweep(now); err != nil {
@@ -118,10 +118,10 @@
 	return offers, nil
 }
 
-// errThrottled leaves a message unchanged, as its destination may get no redelivery now.
+// errThrottled aborts the change of a message whose destination may not get a redelivery now.
 var errThrottled = errors.New("throttled")
 
-// decide decides on one message that is due. It returns an offer where the message is to be redelivered, else nil.
+// decide decides on one message that is due. It returns an offer if the message is to be redelivered, and nil otherwise.
 func (r *Redeliverer) decide(rec *Record, now time.Time, inFlight func(id string) bool) (offer *Offer, err error) {
 	if rec.State == Redelivering {
 		return nil, r.handleLost(rec, now, inFlight)
@@ -161,20 +161,20 @@
 	return &Offer{Record: rec, Incarnation: rec.Last()}
 }
 
-// lostAt is when the redelivery counts as lost if the relay knows nothing of it.
+// lostAt returns the time at which the redelivery counts as lost, unless the relay still has it in flight.
 func (o *Offer) lostAt() time.Time { return o.Incarnation.Deadline.Add(lostAfter) }
 
-// newerOf looks up a newer message of the same topic before the transaction that changes a record, as the store can't be
-// read within that.
+// newerOf looks up a newer message of the same topic. It does so before the transaction that changes the record, because
+// the store can't be read while that transaction is open.
 func (r *Redeliverer) newerOf(rec *Record) Newer {
 	if c := r.classes[rec.Class]; c == nil || !c.HasSubject {
-		return nil // it will not be called
+		return nil // Allowed calls it only for classes with a subject
 	}
 	id, known := r.store.Newer(rec)
 	return func(*Record) (string, bool) { return id, known }
 }
 
-// plan decides on a message by the rules, or by the request of an operator.
+// plan decides on a message by an operator's request for a redelivery or, if there is none, by the rules.
 func (r *Redeliverer) plan(rec *Record, newer Newer, now time.Time) Plan {
 	c := r.classes[rec.Class]
 	if rec.State == Due && rec.RequestedByOperator {
@@ -184,7 +184,7 @@
 	return Decide(r.rules, c, rec, newer, now)
 }
 
-// applyPlan changes a record by a plan other than a redelivery, and returns when to decide on it next.
+// applyPlan changes a record according to a plan that is not a redelivery, and returns when the record is due next.
 func (r *Redeliverer) applyPlan(rec *Record, plan Plan, now time.Time) (due time.Time) {
 	rec.Reason, rec.Since, rec.RequestedByOperator = plan.Reason, now, false
 	switch plan.Action {
@@ -200,7 +200,8 @@
 	}
 }
 
-// timeToLive is how long a redelivery of a message may take: as long as the message had when it was first accepted.
+// timeToLive returns how long a redelivery of a message may take: as long as the client allowed for the first incarnation,
+// but at least minTimeToLive.
 func (r *Record) timeToLive() time.Duration {
 	return max(minTimeToLive, r.Incarnations[0].Deadline.Sub(r.Incarnations[0].AcceptedAt))
 }
--- a/internal/deadletter/redelivery_helpers_test.go
+++ b/internal/deadletter/redelivery_helpers_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// always redelivers all there is without a limit that matters.
+// always redelivers every message. Its limits are too high to take effect.
 var always = Rule{Action: Redeliver, MaxIncarnations: 9, Rate: 1000}
 
-// redelivererHarness is a Redeliverer with a store; the test acts as the relay, and its clock is the harness's.
+// redelivererHarness is a Redeliverer with a store and a clock. The test acts as the relay.
 type redelivererHarness struct {
 	*Redeliverer
 	t        *testing.T
 	now      time.Time
-	inFlight map[string]bool // ids that the relay still has
+	inFlight map[string]bool // ids of redeliveries that the relay still has in flight
 }
 
 // newRedelivererHarness returns a harness at noon. Its redeliveries have the ids r1, r2 and so on.
@@ -26,7 +26,7 @@
 	return &redelivererHarness{NewRedeliverer(openStore(t, t.TempDir()), rules, classes, "relay", newID), t, noon, map[string]bool{}}
 }
 
-// storeDue stores messages that failed without having been executed, and are due at noon.
+// storeDue stores messages that failed, were not executed, and are due at noon.
 func (h *redelivererHarness) storeDue(ids ...string) {
 	h.t.Helper()
 	for _, id := range ids {
@@ -38,7 +38,7 @@
 	}
 }
 
-// round advances the clock and runs a round. It returns the offers, as "message=redelivery " each.
+// round advances the clock and runs a round. It returns the offers, each written as "message=redelivery ".
 func (h *redelivererHarness) round(elapsed time.Duration) (offered string) {
 	h.t.Helper()
 	h.now = h.now.Add(elapsed)
@@ -56,7 +56,7 @@
 func (h *redelivererHarness) complete(id string, delivered bool, attempts ...Attempt) {
 	h.t.Helper()
 	result := Result{Incarnation: Incarnation{ID: id, Reason: AttemptsExhausted, CompletedAt: h.now, Attempts: attempts}, Delivered: delivered}
-	for range 2 { // repeated, as after a crash
+	for range 2 { // after a crash, a result may be reported twice
 		if err := h.HandleResults([]Result{result}, h.now); err != nil {
 			h.t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 	return r
 }
 
-// manualGate is a gate that is open while it has a token.
+// manualGate is a gate that allows redeliveries while its token is not 0.
 type manualGate struct {
 	token  uint64
 	rounds int
--- a/internal/deadletter/redelivery_result.go
+++ b/internal/deadletter/redelivery_result.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// unknown is the status of a lost redelivery, and the outcome of the attempt that it may have had.
+// unknown is the status of a lost redelivery, and the outcome of the attempt that is assumed for it.
 const unknown = "unknown"
 
-// handleLost ends a redelivery whose deadline is long past, unless the relay still has it in flight. Whether it was sent is
-// not known: its process was killed before it was journalled, or its machine was lost with the journal.
+// handleLost ends a redelivery whose deadline is long past, unless the relay still has it in flight. Such a redelivery may
+// have been sent: its process was killed before it was journalled, or the machine was lost together with the journal.
 func (r *Redeliverer) handleLost(rec *Record, now time.Time, inFlight func(id string) bool) error {
 	if inFlight(rec.Last().ID) {
 		return r.store.Change(rec.ID, func(*Record) (time.Time, error) { return now.Add(lostAfter), nil })
@@ -21,20 +21,20 @@
 	return r.HandleResults([]Result{{Incarnation: incarnation}}, now)
 }
 
-// HandleResults stores the results of redeliveries. A repeated one changes nothing.
+// HandleResults stores the results of redeliveries. It ignores a result that was stored before.
 func (r *Redeliverer) HandleResults(results []Result, now time.Time) error {
 	for i := range results {
 		result := &results[i]
 		destination, applied := 0, false
 		err := r.store.Change(result.Incarnation.ID, func(rec *Record) (time.Time, error) {
 			if rec.State != Redelivering || rec.Last().ID != result.Incarnation.ID {
-				return rec.Due, nil // it was applied before
+				return rec.Due, nil // the result was applied before
 			}
 			destination, applied = rec.Destination, true
 			return rec.applyResult(result, now), nil
 		})
 		if errors.Is(err, ErrUnknown) {
-			continue // its record was removed by a bound, or the store is another one
+			continue // the record was removed by a bound, or the redelivery came from another store
 		}
 		if err != nil {
 			return err
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// applyResult changes a record by the result of its redelivery, and returns when to decide on it next.
+// applyResult changes a record according to the result of its redelivery, and returns when the record is due next.
 func (r *Record) applyResult(result *Result, now time.Time) time.Time {
 	r.Since, r.RequestedByOperator = now, r.RequestedByOperator && len(result.Incarnation.Attempts) == 0
 	switch {
@@ -54,7 +54,7 @@
 		r.endIncarnation(result)
 		r.State, r.Reason = Delivered, "delivered as "+r.Last().ID
 		return time.Time{}
-	case result.Overtaken != "" && len(result.Incarnation.Attempts) > 0: // it was in flight already: whether it was executed is not known
+	case result.Overtaken != "" && len(result.Incarnation.Attempts) > 0: // it was sent already, and may have been executed
 		r.endIncarnation(result)
 		r.State, r.Reason = Superseded, fmt.Sprintf("%s, newer of %q, came while its resend was out", result.Overtaken, r.Subject)
 		return time.Time{}
@@ -76,14 +76,14 @@
 	return now
 }
 
-// endIncarnation replaces the latest incarnation by that of a result.
+// endIncarnation replaces the latest incarnation by the one of a result, and keeps its attestation.
 func (r *Record) endIncarnation(result *Result) {
 	attestation := r.Last().Attestation
 	*r.Last() = result.Incarnation
 	r.Last().Attestation = attestation
 }
 
-// cancelIncarnation drops the latest incarnation, which was never sent, and makes its attestation unused again.
+// cancelIncarnation removes the latest incarnation, which was never sent, and marks its attestation as unused again.
 func (r *Record) cancelIncarnation() {
 	attestation := r.Last().Attestation
 	r.Incarnations = r.Incarnations[:len(r.Incarnations)-1]
--- a/internal/deadletter/redelivery_result_test.go
+++ b/internal/deadletter/redelivery_result_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A redelivery for which the relay had no capacity is no incarnation, uses no attestation, and is retried after a short backoff.
+// A redelivery for which the relay had no capacity adds no incarnation, uses up no attestation, and is retried after a short
+// backoff.
 func TestRedeliverer_RetriesWhenRelayHadNoCapacity(t *testing.T) {
 	h := newRedelivererHarness(t, NotIdempotent, always)
 	m := newMessage("a") // it may have been executed
@@ -23,11 +24,11 @@
 		}
 		h.complete(fmt.Sprint("r", n), false)
 		if r := h.expect("a", Held, 1); r.Attestations[0].Used {
-			t.Error("its attestation is used by nothing")
+			t.Error("the attestation is marked as used although the redelivery was not sent")
 		}
 	}
 	if got := h.round(minBusyBackoff / 2); got != "" {
-		t.Errorf("offered %q at once", got)
+		t.Errorf("offered %q within the backoff", got)
 	}
 	h.round(10 * time.Second)
 	h.complete("r4", false, Attempt{Endpoint: "h", StartedAt: h.now, Execution: ExecutionUnknown})
@@ -37,7 +38,8 @@
 	h.expect("a", Held, 2)
 }
 
-// A redelivery that fails keeps the earlier incarnations, counts against the rule's limit, and does not loop for ever.
+// A failed redelivery leaves the earlier incarnations in the record and counts towards the rule's limit, so that redelivery
+// does not go on forever.
 func TestRedeliverer_StopsAtMaxIncarnations(t *testing.T) {
 	h := newRedelivererHarness(t, Idempotent, Rule{Action: Redeliver, MaxIncarnations: 3, Rate: 1000})
 	h.storeDue("a")
@@ -48,28 +50,28 @@
 		h.complete(fmt.Sprint("r", n), false, Attempt{Endpoint: "h", StartedAt: h.now, Execution: NotExecuted})
 	}
 	if got := h.round(time.Hour); got != "" {
-		t.Errorf("offered %q beyond the rule's incarnations", got)
+		t.Errorf("offered %q beyond the rule's limit of incarnations", got)
 	}
 	if r := h.expect("a", Held, 3); r.Attempts() != 3 || r.Incarnations[1].ID != "r1" {
 		t.Errorf("incarnations %+v", r.Incarnations)
 	}
 }
 
-// A redelivery of which the relay knows nothing, long after its deadline, may have been executed.
+// A redelivery that the relay does not have in flight long after its deadline counts as one that may have been executed.
 func TestRedeliverer_TreatsLostRedeliveryAsMaybeExecuted(t *testing.T) {
 	h := newRedelivererHarness(t, NotIdempotent, always)
 	h.storeDue("a")
 	h.round(0)
 	h.inFlight["r1"] = true
 	h.round(time.Hour)
-	h.expect("a", Redelivering, 2)    // the relay still has it
-	h.throttles = map[int]*throttle{} // another process
+	h.expect("a", Redelivering, 2)    // the relay still has it in flight
+	h.throttles = map[int]*throttle{} // the relay is restarted
 	delete(h.inFlight, "r1")
 	h.round(time.Hour)
 	if r := h.expect("a", Held, 2); r.MayHaveExecuted() == nil || r.Last().Reason != ProcessEnded {
-		t.Errorf("%+v", r)
+		t.Errorf("the lost redelivery left %+v", r)
 	}
 	if got := h.round(time.Hour); got != "" {
-		t.Errorf("offered %q", got)
+		t.Errorf("offered %q, though the lost redelivery may have been executed", got)
 	}
 }
--- a/internal/deadletter/redelivery_test.go
+++ b/internal/deadletter/redelivery_test.go
@@ -18,14 +18,15 @@
 	h.complete("r1", true, Attempt{Endpoint: "h", StartedAt: h.now, Execution: Executed})
 	r := h.expect("a", Delivered, 2)
 	if r.Last().ID != "r1" || len(r.Last().Attempts) != 1 {
-		t.Errorf("its last incarnation: %+v", r.Last())
+		t.Errorf("last incarnation: %+v", r.Last())
 	}
 	if got := h.round(time.Second); got != "b=r2 " {
-		t.Errorf("then %q", got)
+		t.Errorf("offered %q after the delivery", got)
 	}
 }
 
-// What an operator asks for is redelivered once, if it is allowed; a sweep applies new rules to what was held under the old ones.
+// A message whose redelivery an operator asks for is redelivered once, if Allowed permits it. A sweep applies changed rules
+// to messages that were held under the old ones.
 func TestRedeliverer_ServesOperatorRequestsAndNewRules(t *testing.T) {
 	h := newRedelivererHarness(t, NotIdempotent)
 	h.storeDue("a", "b")
@@ -42,16 +43,16 @@
 		}
 	}
 	if got := h.round(time.Second); got != "a=r1 " {
-		t.Errorf("requested: offered %q", got)
+		t.Errorf("offered %q after the operator's requests", got)
 	}
 	h.complete("r1", true, Attempt{Execution: Executed})
 	h.round(time.Second)
-	h.expect("unknown", Held, 1) // it may have been executed, whoever asks
+	h.expect("unknown", Held, 1) // it may have been executed, so an operator's request does not redeliver it
 	if changed, err := h.store.SetRules([]byte("new")); err != nil || !changed {
-		t.Errorf("changed %v, %v", changed, err)
+		t.Errorf("SetRules of new rules: changed %v, %v", changed, err)
 	}
 	if changed, _ := h.store.SetRules([]byte("new")); changed {
-		t.Error("the same rules have changed")
+		t.Error("SetRules of the same rules reports a change")
 	}
 	h.rules = []Rule{always}
 	if got := h.round(time.Second); got != "" {
@@ -59,6 +60,6 @@
 	}
 	h.Sweep()
 	if got := h.round(time.Second); got != "b=r2 " {
-		t.Errorf("after a sweep: %q", got)
+		t.Errorf("offered %q after a sweep", got)
 	}
 }
--- a/internal/deadletter/removal.go
+++ b/internal/deadletter/removal.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// Remove deletes messages that exceed a bound, and counts them by class and tenant.
+// Remove deletes messages that exceed a bound, and counts them in Totals.RemovedByBound. It ignores unknown ids.
 func (s *Store) Remove(ids []string) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		totals, err := readTotals(tx)
@@ -32,7 +32,7 @@
 	})
 }
 
-// removeCounted deletes a record, and counts it.
+// removeCounted deletes a record, and counts it in Totals.RemovedByBound.
 func (s *Store) removeCounted(tx *bbolt.Tx, totals *Totals, key []byte) error {
 	r, err := readRecord(tx.Bucket(recordsBucket), key)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return s.deleteRecord(tx, totals, key, r)
 }
 
-// deleteRecord deletes a record, with its body and index entries and from the totals.
+// deleteRecord deletes a record with its body and index entries, and subtracts it from the totals.
 func (s *Store) deleteRecord(tx *bbolt.Tx, totals *Totals, key []byte, r *Record) error {
 	number := binary.BigEndian.Uint64(key)
 	if err := s.updateSubject(tx, r, number, !r.State.Ended(), false); err != nil {
@@ -68,7 +68,7 @@
 	return changeGroup(tx, r.Class, r.Tenant, -1, -int64(r.BodySize))
 }
 
-// MarkDropped lists the ids of messages that could not be stored, with the reason and the time.
+// MarkDropped records the ids of messages that could not be stored, with the reason and the time.
 func (s *Store) MarkDropped(ids []string, reason string, at time.Time) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		totals, err := readTotals(tx)
--- a/internal/deadletter/rule.go
+++ b/internal/deadletter/rule.go
@@ -8,39 +8,39 @@
 	"frostlink/internal/strictconfig"
 )
 
-// Action is what is done with a message.
+// Action is what a rule or a plan does with a message.
 type Action string
 
-// The actions of a rule.
+// The values of Action.
 const (
 	Hold      Action = "hold"
 	Redeliver Action = "resend"
 	Discard   Action = "discard"
-	// supersede is no action of a rule: a plan has it where a newer message has overtaken the one that a rule redelivers.
+	// supersede is an action of plans only, not of rules: a rule redelivers the message, but a newer one has superseded it.
 	supersede = Action(Superseded)
 )
 
-// actions are the actions that a rule may have.
+// actions lists the actions that a rule may have.
 var actions = []Action{Hold, Redeliver, Discard}
 
-// Rule is what the operator wants done with messages that match it. A field that is left out matches any message.
+// Rule selects messages by its fields, and says what is done with them. A field that is not set matches any message.
 type Rule struct {
 	Class           string  `json:"Class" toml:"class"`
 	Tenant          string  `json:"Tenant" toml:"tenant"`
 	Destination     *int    `json:"Partner" toml:"partner"`
 	Reason          string  `json:"Reason" toml:"reason"`
 	MayHaveExecuted *bool   `json:"MayHaveRun" toml:"may_have_run"`
-	OlderThan       float64 `json:"OlderThan" toml:"older_than_s"` // since it failed last
+	OlderThan       float64 `json:"OlderThan" toml:"older_than_s"` // seconds since the message last failed
 	Action          Action  `json:"Action" toml:"action,required"`
-	Delay           float64 `json:"After" toml:"after_s"`   // resend: since it failed last
-	MaxIncarnations int     `json:"Most" toml:"most"`       // resend: incarnations in all, the first one counted
-	Rate            float64 `json:"Rate" toml:"rate"`       // resend: a second and destination
-	Hours           string  `json:"Hours" toml:"hours"`     // resend: of the day, as "08:00-18:30", local time
-	DiscardAge      float64 `json:"Age" toml:"after_age_s"` // discard: since it was first accepted
+	Delay           float64 `json:"After" toml:"after_s"`   // for redelivery: seconds since the message last failed
+	MaxIncarnations int     `json:"Most" toml:"most"`       // for redelivery: limit on all incarnations, including the first
+	Rate            float64 `json:"Rate" toml:"rate"`       // for redelivery: messages per second to each destination
+	Hours           string  `json:"Hours" toml:"hours"`     // for redelivery: hours of the day in local time, such as "08:00-18:30"
+	DiscardAge      float64 `json:"Age" toml:"after_age_s"` // for discard: seconds since the message was first accepted
 	hours           [2]time.Duration
 }
 
-// Check adds the faults of a rule to those of its document; at is its key.
+// Check adds the errors of a rule to its document; at is the rule's key in the document.
 func (r *Rule) Check(d *strictconfig.Document, at string) {
 	if r.Action != "" && !slices.Contains(actions, r.Action) {
 		d.AddError(at+".action", "%q is none of hold, resend, discard", r.Action)
@@ -63,7 +63,8 @@
 	}
 }
 
-// checkAction adds keys that have no meaning for the rule's action, and those that it lacks.
+// checkAction adds an error for each key that has no meaning for the rule's action, and for each key that the action needs
+// and the rule lacks.
 func (r *Rule) checkAction(d *strictconfig.Document, at string) {
 	only := func(key string, action Action) {
 		if d.Has(at+"."+key) && r.Action != action {
@@ -77,16 +78,16 @@
 	only("after_age_s", Discard)
 	switch {
 	case r.Action == Discard && !(r.DiscardAge > 0):
-		d.AddError(at+".after_age_s", "is missing: nothing is discarded without an age")
+		d.AddError(at+".after_age_s", "is missing: a discard rule needs a minimum age")
 	case r.Action == Redeliver && r.MaxIncarnations < minIncarnations:
-		d.AddError(at+".most", "%d lives in all leave no resend; 2 at least, the first one counted", r.MaxIncarnations)
+		d.AddError(at+".most", "%d incarnations allow no resend: the first one counts, so the minimum is 2", r.MaxIncarnations)
 	}
 	if r.Action == Redeliver && !(r.Rate > 0) {
-		d.AddError(at+".rate", "is missing: how many a second a partner gets at most")
+		d.AddError(at+".rate", "is missing: the maximum number of messages per second to each partner")
 	}
 }
 
-// minIncarnations is the smallest number of incarnations that allows a redelivery: the first one counts.
+// minIncarnations is the smallest limit that allows a redelivery, because the first incarnation counts too.
 const minIncarnations = 2
 
 // matches reports whether a rule applies to a message at a time.
@@ -94,7 +95,7 @@
 	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().CompletedAt) >= seconds(r.OlderThan))
 }
 
-// matchesAttributes reports whether a rule applies to a message once that is old enough.
+// matchesAttributes reports whether a rule applies to a message that is old enough.
 func (r *Rule) matchesAttributes(rec *Record) bool {
 	last := rec.Last()
 	switch {
@@ -108,11 +109,11 @@
 	return true
 }
 
-// seconds converts a value of the operator's file.
+// seconds converts a number of seconds from the operator's file.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// Conflicts returns what a rule asks for that the class which it names never allows. A rule for all classes has none: it
-// holds what a class does not allow.
+// Conflicts describes what a rule asks for although the class that it names never allows it. A rule for all classes has no
+// conflicts: where a class does not allow a redelivery, the rule holds the message.
 func (r *Rule) Conflicts(classes []Class) (faults []string) {
 	if r.Action != Redeliver {
 		return nil
@@ -133,7 +134,7 @@
 	return faults
 }
 
-// conflictsWith returns what a rule asks for that its class never allows.
+// conflictsWith describes what a rule asks for although its class never allows it.
 func (r *Rule) conflictsWith(c *Class) (faults []string) {
 	mayHaveExecuted := r.MayHaveExecuted != nil && *r.MayHaveExecuted || r.Reason == string(OutcomeUnknown)
 	switch {
--- a/internal/deadletter/rule_hours.go
+++ b/internal/deadletter/rule_hours.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// day is the length of a day. A rule's hours are those of the wall clock.
+// day is the length of a day. A rule's hours refer to local time.
 const day = 24 * time.Hour
 
-// parseHours parses a span such as "08:00-18:30", as times since midnight. A span may include midnight.
+// parseHours parses a span such as "08:00-18:30" into two times since midnight. A span may include midnight.
 func parseHours(text string) (span [2]time.Duration, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	if !ok {
-		return span, fmt.Errorf("%q is no span such as \"08:00-18:30\"", text)
+		return span, fmt.Errorf("%q is not a span such as \"08:00-18:30\"", text)
 	}
 	for i, part := range []string{from, to} {
 		t, err := time.Parse("15:04", strings.TrimSpace(part))
 		if err != nil {
-			return span, fmt.Errorf("%q is no time of the day such as 08:00", part)
+			return span, fmt.Errorf("%q is not a time of day such as 08:00", part)
 		}
 		span[i] = time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 	}
 	if span[0] == span[1] {
-		return span, fmt.Errorf("%q is a span of nothing", text)
+		return span, fmt.Errorf("%q is an empty span", text)
 	}
 	return span, nil
 }
 
-// inHours reports whether a time is within a rule's hours, and if not when they begin.
+// inHours reports whether a time is within a rule's hours. If it is not, from is when the hours begin next.
 func (r *Rule) inHours(now time.Time) (in bool, from time.Time) {
 	if r.Hours == "" {
 		return true, now
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -9,29 +9,31 @@
 
 // Section is the section [undelivered] of the operator's file.
 type Section struct {
-	Folder       string  `toml:"folder,required"` // of the store; mode 0700
-	QuotaMB      float64 `toml:"quota_mb"`        // of the store's file
-	MaxMessages  int     `toml:"messages"`        // stored at most
-	MaxAge       float64 `toml:"age_s"`           // since they were first accepted
-	Export       bool    `toml:"export"`          // messages that exceed a bound are written to a file of the folder before they are removed
-	KeepRejected bool    `toml:"refused"`         // store also messages that were rejected on arrival; else they are only counted
-	Socket       string  `toml:"socket"`          // Unix socket for operators' requests; empty: none
+	Folder       string  `toml:"folder,required"` // folder of the store; created with mode 0700
+	QuotaMB      float64 `toml:"quota_mb"`        // limit of the store's file
+	MaxMessages  int     `toml:"messages"`        // limit on the number of stored messages
+	MaxAge       float64 `toml:"age_s"`           // in seconds since a message was first accepted; 0: unlimited
+	Export       bool    `toml:"export"`          // write messages that exceed a bound to a file in the folder before they are removed
+	KeepRejected bool    `toml:"refused"`         // store messages that were rejected on arrival, instead of only counting them
+	Socket       string  `toml:"socket"`          // path of the Unix socket for operators' requests; empty: no socket
 	Bounds       []Bound `toml:"bound"`
 	Rules        []Rule  `toml:"rule"`
 
-	// ClientsResubmit says that clients submit again what was rejected or shed. Then payments, and whatever else is not
-	// idempotent, are redelivered only where they failed for good, or with an attestation. True where it is left out.
+	// ClientsResubmit says that clients submit rejected and shed messages again. If it is set, messages that are not
+	// idempotent, such as payments, are redelivered only if they failed for good or an operator has attested them. If the
+	// key is absent, it counts as true.
 	ClientsResubmit *bool `toml:"clients_return"`
 
 	Subjects       []Subject `toml:"subject"`
-	MaxSubjects    int       `toml:"subjects_most"`  // whose newest message is known
-	StickySubjects bool      `toml:"subjects_stick"` // a subject always comes to the same relay
-	// SubjectSettlingTime is how long after a class's subjects were first read a message may have a newer one that was
-	// delivered before that, in seconds: by how much clients submit messages out of their order at most.
+	MaxSubjects    int       `toml:"subjects_most"`  // limit on the topics whose newest message is tracked
+	StickySubjects bool      `toml:"subjects_stick"` // all messages of a subject are submitted to the same relay
+	// SubjectSettlingTime is how long, in seconds, a class's subjects must have been read before the tracked messages are
+	// relied on: until then, a newer message may have been delivered before tracking began. It is the longest time by
+	// which clients submit messages out of order.
 	SubjectSettlingTime float64 `toml:"subjects_settle_s"`
 }
 
-// Bound limits the messages of a class, of a tenant, or of a class of a tenant.
+// Bound limits the stored messages of a class, of a tenant, or of one class of a tenant.
 type Bound struct {
 	Class       string  `toml:"class"`
 	Tenant      string  `toml:"tenant"`
@@ -40,25 +42,25 @@
 	MaxAge      float64 `toml:"age_s"`
 }
 
-// Subject is where in a class's messages their subject is, and their order among those of the same subject.
+// Subject defines where the messages of a class contain their subject, and their order among the messages of that subject.
 type Subject struct {
 	Class   string `json:"Class" toml:"class,required"`
-	Header  string `json:"Header" toml:"header"`   // of the request, or
-	Pointer string `json:"Pointer" toml:"pointer"` // into a JSON body (RFC 6901)
+	Header  string `json:"Header" toml:"header"`   // request header that contains the subject, or
+	Pointer string `json:"Pointer" toml:"pointer"` // JSON pointer (RFC 6901) to the subject in the body
 	Order   string `json:"Order" toml:"order"`     // number, time (RFC 3339) or arrival
-	// Where the order is, unless it is arrival.
+	// The header or JSON pointer of the order; neither if the order is arrival.
 	OrderHeader  string `json:"OrderHeader" toml:"order_header"`
 	OrderPointer string `json:"OrderPointer" toml:"order_pointer"`
 }
 
-// The orders of a subject's messages.
+// The values of Subject.Order.
 const (
 	byNumber  = "number"
 	byTime    = "time"
 	byArrival = "arrival"
 )
 
-// Defaults of a section: for a store on a disk of its own, and as many subjects as take some 30 MB.
+// Defaults of a section. The store is assumed to have a disk of its own, and the subjects take about 30 MB.
 const (
 	defaultQuotaMB      = 1024
 	defaultMaxMessages  = 1_000_000
@@ -69,7 +71,7 @@
 // minQuotaMB is the smallest quota that is accepted.
 const minQuotaMB = 0.25
 
-// Check fills in defaults, and adds the section's faults to those of its document; at is its key.
+// Check sets defaults, and adds the section's errors to its document; at is the section's key in the document.
 func (s *Section) Check(d *strictconfig.Document, at string) {
 	if !d.Has(at + ".quota_mb") {
 		s.QuotaMB = defaultQuotaMB
@@ -101,7 +103,7 @@
 	}
 }
 
-// checkValues adds values that are out of range.
+// checkValues adds an error for each value that is out of range.
 func (s *Section) checkValues(d *strictconfig.Document, at string) {
 	if s.SubjectSettlingTime < 0 {
 		d.AddError(at+".subjects_settle_s", "%v is below 0", s.SubjectSettlingTime)
@@ -113,7 +115,7 @@
 		d.AddError(at+".quota_mb", "%v is below %v", s.QuotaMB, minQuotaMB)
 	}
 	if s.MaxMessages < 1 {
-		d.AddError(at+".messages", "%d keeps none: leave the section out to keep none", s.MaxMessages)
+		d.AddError(at+".messages", "%d is below 1; to store no messages, leave the section out", s.MaxMessages)
 	}
 	if s.MaxAge < 0 {
 		d.AddError(at+".age_s", "%v is below 0", s.MaxAge)
@@ -123,24 +125,24 @@
 	}
 }
 
-// check adds the faults of a bound to those of its document.
+// check adds the errors of a bound to its document.
 func (b *Bound) check(d *strictconfig.Document, at string) {
 	if b.Class == "" && b.Tenant == "" {
 		d.AddError(at, "names neither a class nor a tenant")
 	}
 	if b.MaxMessages <= 0 && b.MaxMB <= 0 && b.MaxAge <= 0 {
-		d.AddError(at, "bounds nothing: messages, mb or age_s, above 0")
+		d.AddError(at, "sets no limit: one of messages, mb and age_s must be above 0")
 	}
 	if b.MaxMessages < 0 || b.MaxMB < 0 || b.MaxAge < 0 {
-		d.AddError(at, "messages, mb and age_s are above 0 where they are given")
+		d.AddError(at, "messages, mb and age_s must not be below 0")
 	}
 }
 
-// check adds the faults of a subject to those of its document.
+// check adds the errors of a subject to its document.
 func (s *Subject) check(d *strictconfig.Document, at string) {
-	checkPlace := func(header, pointer, headerKey, pointerKey string) {
+	checkSource := func(header, pointer, headerKey, pointerKey string) {
 		if (header == "") == (pointer == "") {
-			d.AddError(at+"."+headerKey, "either %s or %s says where it is", headerKey, pointerKey)
+			d.AddError(at+"."+headerKey, "exactly one of %s and %s must be set", headerKey, pointerKey)
 		}
 		if pointer != "" {
 			if _, err := pointerTokens(pointer); err != nil {
@@ -148,14 +150,14 @@
 			}
 		}
 	}
-	checkPlace(s.Header, s.Pointer, "header", "pointer")
+	checkSource(s.Header, s.Pointer, "header", "pointer")
 	if !slices.Contains([]string{byNumber, byTime, byArrival}, s.Order) {
 		d.AddError(at+".order", "%q is none of number, time, arrival", s.Order)
 		return
 	}
 	if s.Order != byArrival {
-		checkPlace(s.OrderHeader, s.OrderPointer, "order_header", "order_pointer")
+		checkSource(s.OrderHeader, s.OrderPointer, "order_header", "order_pointer")
 	} else if s.OrderHeader != "" || s.OrderPointer != "" {
-		d.AddError(at+".order", "by arrival, and yet a place for it is named")
+		d.AddError(at+".order", "is arrival, which allows neither order_header nor order_pointer")
 	}
 }
--- a/internal/deadletter/socket.go
+++ b/internal/deadletter/socket.go
@@ -9,8 +9,8 @@
 	"os"
 )
 
-// Serve serves operators' requests on a Unix socket of mode 0600 until the context ends. A socket that an earlier process
-// left behind is replaced; where another process serves on it, the error is ErrInUse.
+// Serve serves operators' requests on a Unix socket of mode 0600 until the context is cancelled. It replaces a socket that
+// an earlier process left behind. If another process listens on the socket, the error is ErrInUse.
 func Serve(ctx context.Context, path string, admin *Admin) error {
 	if conn, err := net.Dial("unix", path); err == nil {
 		_ = conn.Close()
@@ -18,7 +18,7 @@
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return fmt.Errorf("undelivered: socket %s: a file that is no socket is there", path)
+			return fmt.Errorf("undelivered: socket %s: the path is a file that is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return fmt.Errorf("undelivered: %w", err)
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -18,21 +18,21 @@
 
 // The store is one bbolt file with these buckets, and those of subject_buckets.go:
 //
-//	meta      "version" -> 4 bytes; "totals" -> Totals as JSON; "rules" -> a digest of the rules last used; "id" -> the store's id
-//	records   number (8 bytes, big endian, rising) -> checksum (4 bytes, CRC-32C of the rest) + Record as JSON
+//	meta      "version" -> 4 bytes; "totals" -> Totals as JSON; "rules" -> digest of the rules used last; "id" -> the store's id
+//	records   number (8 bytes, big endian, increasing) -> checksum (4 bytes, CRC-32C of the rest) + Record as JSON
 //	bodies    number -> checksum + body
 //	ids       id of any incarnation -> number
-//	due       destination (4 bytes) + time (8 bytes, Unix milliseconds) + number -> nothing: when to decide on a record next
+//	due       destination (4 bytes) + time (8 bytes, Unix milliseconds) + number -> empty: when the record is due for a decision
 //	groups    class 0x00 tenant -> Group as JSON
-//	unkept    id -> when and why, of messages that could not be stored
+//	unkept    id of a message that could not be stored -> time and reason
 //
-// Nothing is synced: what was written survives SIGKILL of the process, as the journal's records do, and not a crash of the
-// machine.
+// Writes are not synced to the disk: like the journal's records, they survive a SIGKILL of the process, but not a crash of
+// the machine.
 const (
 	fileName     = "undelivered.db"
-	storeVersion = 2 // 1: without subjects
+	storeVersion = 2 // version 1 had no subjects
 	versionSize  = 4 // bytes
-	// growthSize is by how much the file grows at once, in bytes: a small quota is exceeded by little.
+	// growthSize is the step in which the file grows, in bytes. It is small so that the file exceeds a small quota by little.
 	growthSize = 128 << 10
 )
 
@@ -49,14 +49,14 @@
 type Store struct {
 	db          *boltfile.File
 	path        string
-	maxBytes    int64 // of the file; 0: unbounded
-	maxMessages int   // 0: unbounded
+	maxBytes    int64 // limit of the file's size; 0: unlimited
+	maxMessages int   // 0: unlimited
 
-	section atomic.Pointer[Section] // how subjects are read; nil before TrackSubjects
+	section atomic.Pointer[Section] // defines how subjects are read; nil before TrackSubjects
 }
 
-// Open opens the store in a folder, both of which it creates if need be. Limits of 0 mean none. Where another process has
-// the store open, the error is ErrInUse.
+// Open opens the store in a folder. It creates the folder and the store if they do not exist. A limit of 0 means no limit.
+// If another process has the store open, the error is ErrInUse.
 func Open(dir string, maxBytes int64, maxMessages int) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("undelivered: %w", err)
@@ -64,7 +64,7 @@
 	return open(dir, maxBytes, maxMessages, false)
 }
 
-// OpenToRead opens the store of a relay that is not running for reading only.
+// OpenToRead opens the store of a stopped relay read-only. It fails if the folder has no store.
 func OpenToRead(dir string) (*Store, error) {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
 		return nil, fmt.Errorf("undelivered: no store: %w", err)
@@ -72,7 +72,7 @@
 	return open(dir, 0, 0, true)
 }
 
-// open opens a store. Only one that is not read only is created or upgraded.
+// open opens a store. It creates or upgrades the file unless readOnly is set.
 func open(dir string, maxBytes int64, maxMessages int, readOnly bool) (*Store, error) {
 	path := filepath.Join(dir, fileName)
 	db, err := boltfile.Open(path, boltfile.Options{ReadOnly: readOnly, NoSync: true})
@@ -91,7 +91,8 @@
 	return s, nil
 }
 
-// prepare checks the version, and upgrades a new file or one of an earlier version unless the store is read only.
+// prepare checks the version of the file. Unless the store is read-only, it upgrades a new file or a file of an earlier
+// version.
 func (s *Store) prepare(readOnly bool) error {
 	version := 0
 	err := s.db.View(func(tx *bbolt.Tx) (err error) {
@@ -99,32 +100,32 @@
 		return err
 	})
 	switch {
-	case errors.Is(err, errNoRecord) && !readOnly: // a new file
+	case errors.Is(err, errNoVersion) && !readOnly: // a new file
 	case err != nil || readOnly || version == storeVersion:
 		return err
 	}
 	return s.db.Update(upgrade)
 }
 
-// readVersion returns the version of a store's format, or errNoRecord for a new file.
+// readVersion returns the version of a store's format, or errNoVersion for a new file.
 func readVersion(tx *bbolt.Tx) (version int, err error) {
 	meta := tx.Bucket(metaBucket)
 	if meta == nil {
-		return 0, errNoRecord
+		return 0, errNoVersion
 	}
 	raw := meta.Get(versionKey)
 	if len(raw) != versionSize {
-		return 0, fmt.Errorf("its version: %w", ErrDamaged)
+		return 0, fmt.Errorf("version of the store: %w", ErrDamaged)
 	}
 	version = int(binary.BigEndian.Uint32(raw))
 	if version > storeVersion {
-		return 0, fmt.Errorf("%w: %d, this program knows %d", ErrNewer, version, storeVersion)
+		return 0, fmt.Errorf("%w: version %d, this program supports up to %d", ErrNewer, version, storeVersion)
 	}
 	return version, nil
 }
 
-// upgrade creates the buckets that a new file or one of an earlier version lacks, and gives the store a new id: what was
-// delivered while an earlier program ran is not known.
+// upgrade creates the buckets that a new file or a file of an earlier version lacks, and gives the store a new id, because
+// an earlier version of the program did not record which messages were delivered.
 func upgrade(tx *bbolt.Tx) error {
 	for _, name := range buckets {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// Size is the file's size in bytes; 0 where it can't be read.
+// Size returns the size of the file in bytes, or 0 if the size can't be read.
 func (s *Store) Size() int64 {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -152,13 +153,13 @@
 	return info.Size()
 }
 
-// bytesUsed is how much of the file is in use: pages of what was removed are reused.
+// bytesUsed returns how many bytes of the file are in use. It leaves out free pages, which bbolt reuses.
 func (s *Store) bytesUsed(tx *bbolt.Tx) int64 {
 	stats := s.db.Stats()
 	return tx.Size() - int64(stats.FreePageN+stats.PendingPageN)*int64(s.db.Info().PageSize)
 }
 
-// update runs a transaction that writes.
+// update runs a read-write transaction.
 func (s *Store) update(run func(tx *bbolt.Tx) error) error {
 	if err := s.db.Update(run); err != nil {
 		return fmt.Errorf("undelivered: %w", err)
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// view runs a transaction that reads.
+// view runs a read-only transaction.
 func (s *Store) view(run func(tx *bbolt.Tx) error) error {
 	if err := s.db.View(run); err != nil {
 		return fmt.Errorf("undelivered: %w", err)
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// SetRules stores the digest of the rules in use, and reports whether it differs from that of the rules used last.
+// SetRules stores the digest of the rules in use, and reports whether it differs from the digest stored before.
 func (s *Store) SetRules(digest []byte) (changed bool, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		changed = !bytes.Equal(tx.Bucket(metaBucket).Get(rulesKey), digest)
@@ -183,7 +184,7 @@
 	return changed, err
 }
 
-// ID returns the store's id, which no other store has.
+// ID returns the random id that distinguishes this store from every other.
 func (s *Store) ID() (id string, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		id = string(tx.Bucket(metaBucket).Get(storeIDKey))
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -37,10 +37,10 @@
 		t.Errorf("body %q, %v", body, err)
 	}
 	if _, err := s.Get("z"); !errors.Is(err, ErrUnknown) {
-		t.Errorf("an unknown id: %v", err)
+		t.Errorf("get of an unknown id: %v", err)
 	}
 	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v, %v", info.Mode(), err)
+		t.Errorf("the file has mode %v, want 0600; %v", info.Mode(), err)
 	}
 }
 
@@ -80,7 +80,7 @@
 	if err := s.Remove([]string{"o"}); err != nil {
 		t.Fatal(err)
 	}
-	// A redelivery has a new id; the message is found by either.
+	// A redelivery has a new id. The message is found by both ids.
 	err := s.Change("a", func(r *Record) (time.Time, error) {
 		r.State, r.Incarnations = Redelivering, append(r.Incarnations, Incarnation{ID: "a2"})
 		return time.Time{}, nil
@@ -91,7 +91,7 @@
 	if r, err := s.Get("a2"); err != nil || r.ID != "a" || r.State != Redelivering {
 		t.Errorf("by its second id: %+v, %v", r, err)
 	}
-	storeMessages(t, s, "a2") // submitted again, as after a crash: no second record
+	storeMessages(t, s, "a2") // submitted again, as after a crash; adds no second record
 	if totals, _, _ := s.Totals(); totals.Messages != 3 || totals.States[Redelivering] != 1 || totals.States[Held] != 2 {
 		t.Errorf("%+v", totals)
 	}
@@ -99,10 +99,10 @@
 		t.Errorf("due after a redelivery began: %q", got)
 	}
 	if err := s.Change("b", func(r *Record) (time.Time, error) { r.State = Discarded; return noon, errors.New("no") }); err == nil {
-		t.Error("no error")
+		t.Error("Change did not return the error of edit")
 	}
 	if r, _ := s.Get("b"); r.State != Held {
-		t.Error("a change that failed was stored")
+		t.Error("a failed change was stored")
 	}
 	if err := s.Remove([]string{"b", "z", "a2"}); err != nil {
 		t.Fatal(err)
@@ -150,21 +150,21 @@
 	defer s.Close()
 	storeMessages(t, s, "a", "b", "c")
 	if err := s.Put([]Message{newMessage("d"), newMessage("e")}); !errors.Is(err, ErrFull) {
-		t.Errorf("more than its messages: %v", err)
+		t.Errorf("put beyond the limit of messages: %v", err)
 	}
 	if totals, _, _ := s.Totals(); totals.Messages != 3 {
-		t.Errorf("a batch that did not fit left %d", totals.Messages)
+		t.Errorf("after a batch that did not fit, %d messages are stored, want 3", totals.Messages)
 	}
 	big := newMessage("big")
 	big.Body = make([]byte, 300<<10)
 	if err := s.Put([]Message{big}); !errors.Is(err, ErrFull) {
-		t.Errorf("more than its bytes: %v", err)
+		t.Errorf("put beyond the limit of bytes: %v", err)
 	}
 	if err := s.MarkDropped([]string{"d", "e", "d"}, "full", noon); err != nil {
 		t.Fatal(err)
 	}
 	if totals, _, _ := s.Totals(); totals.Dropped != 2 {
-		t.Errorf("%d listed as dropped", totals.Dropped)
+		t.Errorf("%d messages are listed as dropped, want 2", totals.Dropped)
 	}
 }
 
@@ -173,10 +173,10 @@
 	s := openStore(t, dir)
 	storeMessages(t, s, "a")
 	if _, err := Open(dir, 0, 0); !errors.Is(err, ErrInUse) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("open by a second writer: %v", err)
 	}
 	if _, err := OpenToRead(dir); !errors.Is(err, ErrInUse) {
-		t.Errorf("a reader while a writer is open: %v", err)
+		t.Errorf("open by a reader while a writer is open: %v", err)
 	}
 	_ = s.Close()
 	reader, err := OpenToRead(dir)
@@ -187,7 +187,7 @@
 		t.Error(err)
 	}
 	if err := reader.Put([]Message{newMessage("b")}); err == nil {
-		t.Error("a reader may write")
+		t.Error("a read-only store accepted a message")
 	}
 	_ = reader.Close()
 	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, nil)
@@ -200,9 +200,9 @@
 	}
 	_ = db.Close()
 	if _, err := Open(dir, 0, 0); !errors.Is(err, ErrNewer) {
-		t.Errorf("a newer version: %v", err)
+		t.Errorf("open of a newer version: %v", err)
 	}
 	if _, err := OpenToRead(t.TempDir()); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no store: %v", err)
+		t.Errorf("open of a folder without a store: %v", err)
 	}
 }
--- a/internal/deadletter/subject.go
+++ b/internal/deadletter/subject.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxSubject bounds a subject, in bytes: it is journalled with each message.
+	// maxSubject limits the size of a subject, in bytes, because the journal stores the subject of each message.
 	maxSubject = 256
-	// maxNumber bounds the text of a number, in bytes, and maxExponent its exponent: 1e999999999 is short to write, and
-	// long to compute.
+	// maxNumber limits the text of a number, in bytes. maxExponent limits its exponent, because a short text such as
+	// 1e999999999 takes very long to compute.
 	maxNumber, maxExponent = 64, 30
-	// maxDepth bounds how deep a body may be nested: each level is one recursive call.
+	// maxDepth limits how deeply a body may be nested, because each level is one recursive call.
 	maxDepth = 64
-	// perWhole is how many units of Order.Part make one of Order.Whole.
-	perWhole = 1_000_000_000_000_000_000
+	// partsPerWhole is the number of units of Order.Part in one unit of Order.Whole.
+	partsPerWhole = 1_000_000_000_000_000_000
 )
 
-// Topic identifies the messages that supersede one another: those of one class and subject to one destination. A message
-// whose subject can't be read has the empty one.
+// Topic identifies messages that supersede one another: messages of the same class and subject to the same destination. The
+// subject is empty if it can't be read.
 type Topic struct {
 	Class       string
 	Destination int
 	Subject     string
 }
 
-// Read returns the subject of a message and its order, without its arrival. The error says why they can't be read.
+// Read returns the subject of a message and its order. It leaves Order.Arrival unset.
 func (s *Subject) Read(header http.Header, body []byte) (subject string, order Order, err error) {
 	value, err := valueOf(header, s.Header, s.Pointer, body)
 	if err != nil {
@@ -40,7 +40,7 @@
 	case len(subject) > maxSubject:
 		return "", order, fmt.Errorf("subject: %d bytes, more than %d", len(subject), maxSubject)
 	case !utf8.ValidString(subject), strings.ContainsRune(subject, utf8.RuneError):
-		// Guards against two subjects that become equal once their invalid bytes are replaced.
+		// Different subjects could become equal when invalid bytes are replaced.
 		return "", order, errors.New("subject: not UTF-8")
 	case s.Order == byArrival:
 		return subject, order, nil
@@ -59,7 +59,8 @@
 	return subject, order, nil
 }
 
-// valueOf returns the value to which a pointer refers in the body, or where none is set the one value of a header.
+// valueOf returns the value in the body to which a JSON pointer refers. If no pointer is set, it returns the value of a
+// header, which must have exactly one.
 func valueOf(header http.Header, name, pointer string, body []byte) (value string, err error) {
 	if pointer != "" {
 		return resolvePointer(body, pointer)
--- a/internal/deadletter/subject_buckets.go
+++ b/internal/deadletter/subject_buckets.go
@@ -11,47 +11,47 @@
 	"go.etcd.io/bbolt"
 )
 
-// The state of Newest is in these buckets of the store, where a topic is represented by a part of its hash, see topicKey:
+// These buckets of the store hold the state of Newest. The key of a topic is a part of its hash, see topicKey:
 //
 //	newest   topic (16 bytes) -> number (8 bytes) + class + 0x00 + newestMessage as JSON
-//	young    number (8 bytes, rising) -> topic: the one that was put longest ago comes first
+//	young    number (8 bytes, increasing) -> topic: the topic that was put longest ago comes first
 //	waiting  topic + number of the record -> newestMessage as JSON
 //	eras     class -> trackingEpoch as JSON
 //
-// and in the bucket meta "topics" -> how many topics there are (8 bytes).
+// The bucket meta holds "topics" -> the number of topics (8 bytes).
 var (
 	newestBucket, insertionBucket = []byte("newest"), []byte("young")
 	waitingBucket, epochsBucket   = []byte("waiting"), []byte("eras")
 	storeIDKey, subjectCountKey   = []byte("id"), []byte("topics")
 )
 
-// topicKeySize is how many bytes of a topic's hash are its key: two of a million topics collide once in 1e26 stores.
+// topicKeySize is how many bytes of a topic's hash are its key. With a million topics, one store in 1e26 has a collision.
 const topicKeySize = 16
 
-// counterSize is the size of numbers in these buckets, in bytes.
+// counterSize is the size of the numbers in these buckets, in bytes.
 const counterSize = 8
 
-// topicKey is the key of a topic.
+// topicKey returns the key of a topic.
 func topicKey(t Topic) []byte {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s\x00%d\x00%s", t.Class, t.Destination, t.Subject))
 	return sum[:topicKeySize]
 }
 
-// boltSubjects is a subjectStorage within one transaction. It keeps its first error, which commit returns: with it the
+// boltSubjects is a subjectStorage within one transaction. It keeps its first error, which commit returns, so that the
 // transaction fails.
 type boltSubjects struct {
 	tx     *bbolt.Tx
-	epochs map[string]*trackingEpoch // that were read or set, by class
-	count  int                       // of topics; -1: not read yet
+	epochs map[string]*trackingEpoch // cache of the epochs that were read or set, by class
+	count  int                       // number of topics; -1: not read yet
 	err    error
 }
 
-// newBoltSubjects returns the storage of a transaction.
+// newBoltSubjects returns a storage that works within a transaction.
 func newBoltSubjects(tx *bbolt.Tx) *boltSubjects {
 	return &boltSubjects{tx: tx, epochs: map[string]*trackingEpoch{}, count: -1}
 }
 
-// recordError keeps an error if it is the first one.
+// recordError keeps an error unless an earlier one is kept already.
 func (s *boltSubjects) recordError(err error) {
 	if err != nil && s.err == nil {
 		s.err = err
@@ -82,7 +82,7 @@
 		return e
 	}
 	e := &trackingEpoch{}
-	// A store of an earlier version that was opened for reading has no such bucket.
+	// A store of an earlier version that was opened read-only lacks the bucket.
 	if b := s.tx.Bucket(epochsBucket); b == nil || !s.decode(b.Get([]byte(class)), e) {
 		e = nil
 	}
@@ -159,7 +159,7 @@
 	return newest
 }
 
-// commit writes the count of topics, and returns the first error.
+// commit writes the number of topics, and returns the first error of all operations.
 func (s *boltSubjects) commit() error {
 	if s.count >= 0 {
 		s.recordError(s.tx.Bucket(metaBucket).Put(subjectCountKey, binary.BigEndian.AppendUint64(nil, uint64(s.count))))
--- a/internal/deadletter/subject_store.go
+++ b/internal/deadletter/subject_store.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// newestIn returns the Newest of the store, in a storage.
+// newestIn returns a Newest that has the store's settings and uses a storage.
 func (s *Store) newestIn(storage subjectStorage) *Newest {
 	section := s.section.Load()
 	if section == nil {
@@ -20,8 +20,8 @@
 	}
 }
 
-// TrackSubjects makes the store track the newest message of each topic, for the classes whose subjects a section reads.
-// missed says that messages may have been delivered of which the store was not informed.
+// TrackSubjects makes the store track the newest message of each topic, for the classes whose subjects a section defines.
+// missed is set if messages may have been delivered that the store did not record.
 func (s *Store) TrackSubjects(section *Section, missed bool, now time.Time) error {
 	s.section.Store(section)
 	definitions := map[string]string{}
@@ -41,7 +41,7 @@
 	})
 }
 
-// endEpochs ends the epochs of classes whose subjects are no longer read.
+// endEpochs ends the epochs of classes for which no definition of subjects is left.
 func (s *boltSubjects) endEpochs(definitions map[string]string) {
 	var unread []string
 	s.recordError(s.tx.Bucket(epochsBucket).ForEach(func(class, _ []byte) error {
@@ -57,14 +57,14 @@
 	}
 }
 
-// Delivery is a delivered message, by its topic.
+// Delivery is a delivered message with its topic.
 type Delivery struct {
 	ID string
 	Topic
 	Order Order
 }
 
-// RecordDelivered records deliveries. One that is recorded again changes nothing.
+// RecordDelivered records deliveries. Recording the same delivery again changes nothing.
 func (s *Store) RecordDelivered(deliveries []Delivery) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		storage := newBoltSubjects(tx)
@@ -76,8 +76,8 @@
 	})
 }
 
-// Newer returns the id of a newer message of the same topic that was delivered or waits in the store, or "". known reports
-// whether "" proves that there is none.
+// Newer returns the id of a newer message of the same topic that was delivered or waits in the store, or "" if it finds
+// none. known is false if it finds none but there may be one.
 func (s *Store) Newer(r *Record) (id string, known bool) {
 	err := s.view(func(tx *bbolt.Tx) error {
 		storage := newBoltSubjects(tx)
@@ -90,12 +90,12 @@
 	return id, known
 }
 
-// updateSubject updates the state of a record's topic as the record is stored, ends or is deleted: wasWaiting and isWaiting
-// say whether it waits for a delivery before and after.
+// updateSubject updates the newest and waiting messages of a record's topic when the record is stored, reaches a final
+// state or is deleted. wasWaiting and isWaiting say whether the record waits for a delivery before and after that change.
 func (s *Store) updateSubject(tx *bbolt.Tx, r *Record, number uint64, wasWaiting, isWaiting bool) error {
 	storage := newBoltSubjects(tx)
 	if r.Subject == "" || r.Order == nil {
-		// Of whichever subject it is, it may have been delivered.
+		// Its subject is unknown, and it may have been delivered.
 		if !wasWaiting && r.Order != nil && r.MayHaveExecuted() != nil {
 			s.newestIn(storage).Delivered(r.ID, r.topic(), *r.Order)
 		}
--- a/internal/deadletter/subject_store_test.go
+++ b/internal/deadletter/subject_store_test.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// sectionWith returns a section that reads class c's subjects, with a change.
+// sectionWith returns a section that defines the subjects of class c, after a change to it.
 func sectionWith(change func(s *Section)) *Section {
 	section := &Section{
 		MaxSubjects: 100, StickySubjects: true, SubjectSettlingTime: defaultSettlingTime,
@@ -18,7 +18,7 @@
 	return section
 }
 
-// trackSubjects makes a store track 100 topics since some time before noon.
+// trackSubjects makes a store track up to 100 topics, beginning some time before noon.
 func trackSubjects(t *testing.T, s *Store, ago time.Duration) {
 	t.Helper()
 	if err := s.TrackSubjects(sectionWith(func(*Section) {}), false, noon.Add(-ago)); err != nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-// messageAbout returns a held message of topic s.
+// messageAbout returns a held message whose subject is s.
 func messageAbout(id string, order int64, attempts ...Attempt) Message {
 	r := recordAbout("s", orderOf(order))
 	r.ID, r.Incarnations = id, []Incarnation{newIncarnation(id, DeadlineExceeded, attempts...)}
@@ -78,14 +78,14 @@
 			}
 			c.then(t, s)
 			_ = s.Close()
-			s = openStore(t, dir) // as the next process does
+			s = openStore(t, dir) // as a restarted relay does
 			trackSubjects(t, s, 0)
 			r, err := s.Get("a")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if id, known := s.Newer(r); id != c.want || !known {
-				t.Errorf("%q, %v", id, known)
+				t.Errorf("newer: %q, known %v", id, known)
 			}
 		})
 	}
@@ -126,19 +126,19 @@
 				t.Fatal(err)
 			}
 			if id, known := s.Newer(r); id != "" || !known {
-				t.Errorf("before: %q, %v", id, known)
+				t.Errorf("newer before the change: %q, known %v", id, known)
 			}
 			if err := change(s); err != nil {
 				t.Error(err)
 			}
 			if id, known := s.Newer(r); id != "" || known {
-				t.Errorf("%q, %v", id, known)
+				t.Errorf("newer after the change: %q, known %v", id, known)
 			}
 		})
 	}
 }
 
-// A store of version 1 knows no topics: it can be read, and tracks them once it was opened for writing.
+// A store of version 1 has no topics. It can be read, and tracks topics once it was opened for writing.
 func TestOpen_UpgradesEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -161,11 +161,11 @@
 	}
 	r, err := s.Get("b")
 	if err != nil || r.ID != "b" {
-		t.Errorf("read only: %+v, %v", r, err)
+		t.Errorf("read-only: %+v, %v", r, err)
 	}
 	r.Subject, r.Order = "s", &Order{}
 	if id, known := s.Newer(r); id != "" || known {
-		t.Errorf("newer, read only: %q, %v", id, known)
+		t.Errorf("newer, read-only: %q, known %v", id, known)
 	}
 	_ = s.Close()
 	s = openStore(t, dir)
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	if id, known := s.Newer(r); id != "e" || !known {
-		t.Errorf("newer: %q, %v", id, known)
+		t.Errorf("newer: %q, known %v", id, known)
 	}
 	if totals, _, err := s.Totals(); err != nil || totals.Messages != 4 {
 		t.Errorf("%+v, %v", totals, err)
--- a/internal/deadletter/throttle.go
+++ b/internal/deadletter/throttle.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// throttle limits the redeliveries to one destination: one is in flight at a time, at the rate of its rule, with a backoff
-// after one that was not delivered.
+// throttle limits the redeliveries to one destination: only one is in flight at a time, they keep to the rate of their rule,
+// and there is a backoff after a redelivery that was not delivered.
 type throttle struct {
-	tokens         float64 // of a token bucket
+	tokens         float64 // tokens in the token bucket at updatedAt
 	updatedAt      time.Time
 	pausedUntil    time.Time
 	busyBackoff    time.Duration
 	failureBackoff time.Duration
 	inFlight       string    // id of the incarnation in flight; empty: none
-	lostAt         time.Time // when that counts as lost
-	gateToken      uint64    // of the gate's turn that was used last
+	lostAt         time.Time // when the incarnation in flight counts as lost
+	gateToken      uint64    // token of the relay's last turn at the destination, see Gate
 }
 
-// Gate allows redeliveries where only one relay of a fleet at a time redelivers to a destination.
+// Gate gives the relays of a fleet turns at a destination, so that only one of them at a time redelivers to it.
 type Gate interface {
-	// Begin allows redeliveries to a destination until End, or denies them. Each turn of a relay has a token of its own.
+	// Begin reports whether the relay has its turn at a destination, and may redeliver to it until End. The token identifies
+	// the turn: no two turns have the same one.
 	Begin(destination int) (token uint64, ok bool)
-	// End says that all redeliveries which were decided on since Begin have been offered.
+	// End reports that all redeliveries decided on since Begin have been offered.
 	End()
 }
 
-// gatePause is how long a destination is paused after the gate denied it.
+// gatePause is how long a destination gets no redelivery after the gate denied one.
 const gatePause = 100 * time.Millisecond
 
-// passGate reports whether the gate allows a redelivery. A turn begins without tokens: another relay may just have used the
-// destination's rate.
+// passGate reports whether the gate allows a redelivery. At the start of a turn the token bucket is empty, because another
+// relay may have redelivered to the destination at its full rate just before.
 func (r *Redeliverer) passGate(t *throttle, destination int, now time.Time) bool {
 	if r.gate == nil {
 		return true
@@ -53,12 +54,12 @@
 	return t
 }
 
-// blocked reports whether the destination gets nothing at a time, whatever the rate.
+// blocked reports whether the destination may get no redelivery at a given time, whatever the rate.
 func (t *throttle) blocked(now time.Time) bool {
 	return t.pausedUntil.After(now) || t.inFlight != "" && t.lostAt.After(now)
 }
 
-// takeToken consumes the token of one redelivery, and reports whether there was one.
+// takeToken takes a token for one redelivery, and reports whether there was one.
 func (t *throttle) takeToken(rate float64, now time.Time) bool {
 	t.tokens = min(tokenBurst, t.tokens+max(0, now.Sub(t.updatedAt).Seconds())*rate)
 	t.updatedAt = now
@@ -69,7 +70,7 @@
 	return true
 }
 
-// handleResult adjusts the backoff by the result of a redelivery.
+// handleResult adjusts the backoff according to the result of a redelivery.
 func (t *throttle) handleResult(result *Result, now time.Time) {
 	if t.inFlight == result.Incarnation.ID {
 		t.inFlight = ""
@@ -79,7 +80,7 @@
 		t.pausedUntil = now.Add(*backoff)
 	}
 	switch {
-	case result.Overtaken != "": // says nothing of the destination
+	case result.Overtaken != "": // does not show whether the destination is healthy
 	case result.Delivered:
 		t.busyBackoff, t.failureBackoff = 0, 0
 	case len(result.Incarnation.Attempts) == 0:
--- a/internal/deadletter/throttle_test.go
+++ b/internal/deadletter/throttle_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// While the destination is down it gets few redeliveries, further and further apart.
+// While the destination is down, it gets few redeliveries, at growing intervals.
 func TestRedeliverer_BacksOffWhileDestinationIsDown(t *testing.T) {
 	h := newRedelivererHarness(t, Idempotent, always)
 	for i := range 50 {
 		h.storeDue(fmt.Sprint("m", i))
 	}
 	offered := 0
-	for range 4 * 60 { // an hour, a round every quarter of a minute
+	for range 4 * 60 { // an hour with a round every 15 s
 		got := h.round(15 * time.Second)
 		if got == "" {
 			continue
@@ -22,7 +22,7 @@
 		h.complete(fmt.Sprint("r", offered), false, Attempt{Endpoint: "h", StartedAt: h.now, Execution: NotExecuted})
 	}
 	if offered < 10 || offered > 25 {
-		t.Errorf("%d redeliveries in an hour to a destination that is down", offered)
+		t.Errorf("%d redeliveries in an hour to a destination that is down, want 10 to 25", offered)
 	}
 }
 
@@ -46,12 +46,12 @@
 		}
 	}
 	if offered != 3 {
-		t.Errorf("%d of three were offered", offered)
+		t.Errorf("%d of three messages were offered", offered)
 	}
 }
 
-// All messages of a destination are due at once: one is in flight at a time, at the rule's rate, failures back off, and the
-// few messages of another destination are not delayed.
+// If 5,000 messages of a destination are due at once, one is in flight at a time, the rule's rate is kept, failures cause a
+// backoff, and the message of another destination is not delayed.
 func TestRedeliverer_PacesBacklogOfOneDestination(t *testing.T) {
 	const backlog, rate, roundsPerMinute = 5_000, 5.0, 300
 	const interval = time.Minute / roundsPerMinute
@@ -92,7 +92,7 @@
 				h.complete(o.Incarnation.ID, delivered, attempt)
 			}
 			if offered += inRound; inRound > 1 {
-				t.Fatalf("%d are in flight at once", inRound)
+				t.Fatalf("one round offered %d redeliveries to a destination, want one", inRound)
 			}
 		}
 		return offered, otherOffered
@@ -100,13 +100,13 @@
 	if offered, otherOffered := runMinute(true); offered < 250 || offered > 60*rate+1 || !otherOffered {
 		t.Errorf("offered in a minute: %d, to the other destination: %v", offered, otherOffered)
 	}
-	if offered, _ := runMinute(false); offered > 5 { // after 5, 10, 20 and 40 s
+	if offered, _ := runMinute(false); offered > 5 { // the backoff is 5, 10, 20 and 40 s
 		t.Errorf("%d offered in a minute to a destination that is down", offered)
 	}
 }
 
-// Nothing is redelivered without a turn, and a turn begins without the tokens of the one before: another relay may just have
-// used the rate.
+// No message is redelivered without a turn of the gate. A turn begins with an empty token bucket, because another relay may
+// just have redelivered at the destination's full rate.
 func TestRedeliverer_WaitsForGate(t *testing.T) {
 	rule := always
 	rule.Rate = 1
--- a/internal/deadletter/totals.go
+++ b/internal/deadletter/totals.go
@@ -7,17 +7,17 @@
 	"go.etcd.io/bbolt"
 )
 
-// Totals counts what is stored, and what was not or no longer is.
+// Totals counts the stored messages, and the messages that were removed, dropped or rejected.
 type Totals struct {
 	Messages       int            `json:"messages"`
-	Bytes          int64          `json:"bytes"` // of bodies
+	Bytes          int64          `json:"bytes"` // size of the stored bodies
 	States         map[State]int  `json:"states"`
-	RemovedByBound map[string]int `json:"left_by_a_bound"`              // by class and tenant
-	Dropped        int            `json:"not_kept"`                     // could not be stored
-	Rejected       map[string]int `json:"refused_at_arrival,omitempty"` // only counted, by class and tenant
+	RemovedByBound map[string]int `json:"left_by_a_bound"`              // messages removed because they exceeded a bound, by class and tenant
+	Dropped        int            `json:"not_kept"`                     // messages that could not be stored
+	Rejected       map[string]int `json:"refused_at_arrival,omitempty"` // messages rejected on arrival that are counted but not stored, by class and tenant
 }
 
-// Group counts what is stored of one class and tenant.
+// Group counts the stored messages of one class and tenant.
 type Group struct {
 	Class    string `json:"class"`
 	Tenant   string `json:"tenant"`
@@ -25,7 +25,7 @@
 	Bytes    int64  `json:"bytes"`
 }
 
-// count changes how many messages are in a state.
+// count adds to the number of messages in a state.
 func (t *Totals) count(s State, by int) {
 	if t.States == nil {
 		t.States = map[State]int{}
@@ -35,7 +35,6 @@
 	}
 }
 
-// readTotals reads the totals.
 func readTotals(tx *bbolt.Tx) (*Totals, error) {
 	t := &Totals{}
 	if raw := tx.Bucket(metaBucket).Get(totalsKey); raw != nil {
@@ -46,7 +45,6 @@
 	return t, nil
 }
 
-// writeTotals writes the totals.
 func writeTotals(tx *bbolt.Tx, t *Totals) error {
 	raw, err := json.Marshal(t)
 	if err != nil {
@@ -58,7 +56,7 @@
 	return nil
 }
 
-// CountRejected adds messages that were rejected on arrival to Totals.Rejected.
+// CountRejected adds counts of messages that were rejected on arrival to Totals.Rejected.
 func (s *Store) CountRejected(counts map[string]int) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		t, err := readTotals(tx)
@@ -75,7 +73,7 @@
 	})
 }
 
-// changeGroup changes the counts of a class and tenant.
+// changeGroup adds to the counts of a class and tenant.
 func changeGroup(tx *bbolt.Tx, class, tenant string, messages int, bytes int64) error {
 	bucket, key := tx.Bucket(groupsBucket), []byte(class+"\x00"+tenant)
 	group := Group{Class: class, Tenant: tenant}
--- a/internal/deadletter/verify.go
+++ b/internal/deadletter/verify.go
@@ -9,19 +9,20 @@
 	"frostlink/internal/boltfile"
 )
 
-// Fault is a place in the store that can't be read.
+// Fault is an unreadable part of the store.
 type Fault struct {
 	Where string `json:"where"`
 	What  string `json:"what"`
 }
 
-// Verify reads the whole store, continuing after what is damaged. It returns how many messages are readable, and the faults.
+// Verify reads the whole store and continues after damaged parts. It returns the number of readable messages, and the
+// damaged parts.
 func (s *Store) Verify() (good int, faults []Fault) {
 	add := func(where string, err error) { faults = append(faults, Fault{where, err.Error()}) }
 	for from := uint64(0); ; {
 		last, next, err := s.verifyFrom(from, &good, add)
 		if err != nil {
-			// A page could not be read: continue after it.
+			// A page could not be read: continue with the first readable record after the page.
 			add(fmt.Sprintf("a page behind record %d", last), err)
 			readable, found := s.nextReadable(last)
 			if !found {
@@ -39,8 +40,8 @@
 // verifyBatch is how many records one transaction of Verify reads.
 const verifyBatch = 1000
 
-// verifyFrom reads records from a number on. It returns the number of the last one that it reached, and of the next one to
-// read; 0 at the end.
+// verifyFrom reads one batch of records, beginning at a number. It returns the number of the last record that it reached,
+// and the number at which the next batch begins; 0 means that there is no next batch.
 func (s *Store) verifyFrom(from uint64, good *int, add func(string, error)) (last, next uint64, err error) {
 	last = from
 	err = s.view(func(tx *bbolt.Tx) error {
@@ -69,15 +70,16 @@
 	return last, next, err
 }
 
-// verifyBody checks a body. A page of it that can't be read is a fault of this body alone.
+// verifyBody checks the body stored under a key. An unreadable page becomes an error of this body, and does not end the
+// batch.
 func verifyBody(bodies *bbolt.Bucket, key []byte) (err error) {
 	defer boltfile.Guard(&err)
 	_, err = verifyChecksum(bodies.Get(key))
 	return err
 }
 
-// nextReadable returns the number of the first record that can be read after one at which a page could not be. It looks past
-// the damaged pages at growing distances, and then searches the stretch in between by halves for their end.
+// nextReadable returns the number of the first readable record after a record whose page is damaged. It probes at doubling
+// distances until it finds a readable record, and then finds the end of the damaged pages by binary search.
 func (s *Store) nextReadable(after uint64) (number uint64, ok bool) {
 	highest, err := s.highestNumber()
 	if err != nil {
@@ -101,7 +103,7 @@
 	return 0, false
 }
 
-// highestNumber is the highest number that a record was stored under.
+// highestNumber returns the highest number that a record has ever been stored under.
 func (s *Store) highestNumber() (number uint64, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		number = tx.Bucket(recordsBucket).Sequence()
@@ -110,9 +112,10 @@
 	return number, err
 }
 
-// firstFrom returns the number of the first record from a number on, or 0 where there is none or its page can't be read.
+// firstFrom returns the number of the first record whose number is at least from, or 0 if there is none or its page can't
+// be read.
 func (s *Store) firstFrom(from uint64) (number uint64) {
-	_ = s.view(func(tx *bbolt.Tx) error { // an error leaves 0
+	_ = s.view(func(tx *bbolt.Tx) error { // after an error the number is 0
 		if key, _ := tx.Bucket(recordsBucket).Cursor().Seek(recordKey(from)); key != nil {
 			number = binary.BigEndian.Uint64(key)
 		}
