--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -44,7 +44,7 @@
 	}
 	err = f.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucketName).ForEach(func(_, value []byte) error {
-			_ = Checksum(value) // touches all of it
+			_ = Checksum(value) // reads every byte
 			return nil
 		})
 	})
@@ -73,7 +73,7 @@
 	}
 }
 
-// A file that could not be opened is not locked afterwards.
+// A failed attempt to open a file leaves no lock on the file.
 func TestOpen_UnlocksDamagedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(path, bytes.Repeat([]byte("x"), 1<<16), 0o600); err != nil {
@@ -81,7 +81,7 @@
 	}
 	for range 2 {
 		if _, err := Open(path, Options{}); err == nil || errors.Is(err, ErrInUse) {
-			t.Errorf("err %v, want one that the file is damaged", err)
+			t.Errorf("err %v, want an error of a damaged file", err)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
-	if err := f.Update(func(*bbolt.Tx) error { panic("page makes no sense") }); !errors.Is(err, ErrDamaged) {
+	if err := f.Update(func(*bbolt.Tx) error { panic("invalid page") }); !errors.Is(err, ErrDamaged) {
 		t.Errorf("err %v, want %v", err, ErrDamaged)
 	}
 }
@@ -127,7 +127,7 @@
 			raw[pageSize+pageHeaderSize+metaPageCountAt] ^= 1
 			return raw
 		},
-		"cut short": func(raw []byte) []byte { return raw[:metaPages*pageSize] },
+		"truncated": func(raw []byte) []byte { return raw[:metaPages*pageSize] },
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := createFile(t)
--- a/internal/boltfile/errors.go
+++ b/internal/boltfile/errors.go
@@ -6,9 +6,9 @@
 )
 
 var (
-	// ErrDamaged says that a part of a file makes no sense or is missing.
+	// ErrDamaged is returned if a part of a file is invalid or missing.
 	ErrDamaged = errors.New("damaged")
-	// ErrInUse says that another process has the file open.
+	// ErrInUse is returned if another process has the file open.
 	ErrInUse = errors.New("in use by another process")
 )
 
--- a/internal/boltfile/file.go
+++ b/internal/boltfile/file.go
@@ -11,22 +11,20 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// lockTimeout is how long another process may have the file open: one that is about to end is waited
-// for.
+// lockTimeout is how long Open waits for another process to close the file. It allows for a process that is just ending.
 const lockTimeout = 300 * time.Millisecond
 
-// File is an open file. Its transactions return ErrDamaged where bbolt panics.
+// File is an open file. Its transactions return ErrDamaged if bbolt panics.
 type File struct{ *bbolt.DB }
 
-// Options says how a file is opened.
+// Options defines how a file is opened.
 type Options struct {
 	ReadOnly bool
-	// NoSync: what was written survives the process, but not a crash of the machine.
+	// NoSync omits the sync of each write: written data survives a crash of the process, but not a crash of the machine.
 	NoSync bool
 }
 
-// Open opens a file, and creates it where there is none. It returns ErrInUse where another process has
-// it open.
+// Open opens a file, and creates it if it does not exist. It returns ErrInUse if another process has the file open.
 func Open(path string, o Options) (f *File, err error) {
 	var file *os.File
 	defer func() {
@@ -45,7 +43,7 @@
 		OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 			var err error
 			file, err = os.OpenFile(name, flag, mode)
-			return file, err //nolint:wrapcheck // for bbolt, and wrapped below
+			return file, err //nolint:wrapcheck // bbolt returns it to the code below, which wraps it
 		},
 	})
 	switch {
@@ -57,10 +55,10 @@
 	return &File{db}, nil
 }
 
-// unlock closes a file that could not be opened as a database. bbolt leaves it mapped into memory then,
-// and with it its lock in place.
+// unlock unlocks and closes a file that could not be opened as a database. bbolt leaves such a file mapped into memory,
+// which also keeps its lock.
 func unlock(file *os.File) {
-	_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // the error before is the one that matters
+	_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN) // Open returns its own error instead
 	_ = file.Close()
 }
 
@@ -68,12 +66,12 @@
 func (f *File) Update(transact func(tx *bbolt.Tx) error) (err error) {
 	defer panicOnFault()()
 	defer Guard(&err)
-	return f.DB.Update(transact) //nolint:wrapcheck // mostly transact's own error, which says what failed
+	return f.DB.Update(transact) //nolint:wrapcheck // mostly the error of transact, which says what failed
 }
 
 // View runs a read-only transaction.
 func (f *File) View(transact func(tx *bbolt.Tx) error) (err error) {
 	defer panicOnFault()()
 	defer Guard(&err)
-	return f.DB.View(transact) //nolint:wrapcheck // mostly transact's own error, which says what failed
+	return f.DB.View(transact) //nolint:wrapcheck // mostly the error of transact, which says what failed
 }
--- a/internal/boltfile/meta.go
+++ b/internal/boltfile/meta.go
@@ -7,8 +7,7 @@
 	"os"
 )
 
-// The layout of a meta page of bbolt v1, all little endian. It stands behind the header that each page
-// has.
+// The layout of a meta page of bbolt v1, which follows the header that every page has. All numbers are little endian.
 //
 //	offset  size  field
 //	0       4     magic
@@ -16,10 +15,10 @@
 //	8       4     page size
 //	12      4     flags
 //	16      16    root bucket
-//	32      8     page of the free list
-//	40      8     pages in the file
+//	32      8     page number of the free list
+//	40      8     number of pages in the file
 //	48      8     number of the transaction
-//	56      8     checksum of all these: FNV-1a, 64 bits
+//	56      8     checksum of the fields above: FNV-1a, 64 bits
 const (
 	pageHeaderSize  = 16
 	metaMagic       = 0xED0CDAED
@@ -28,7 +27,7 @@
 	metaChecksumAt  = 56
 	metaSize        = metaChecksumAt + 8
 
-	// metaPages are the first pages of a file. Transactions write them in turn.
+	// metaPages is the number of meta pages, which are the first pages of a file. Transactions write them alternately.
 	metaPages = 2
 )
 
@@ -39,7 +38,7 @@
 
 func (m *meta) pageCount() int64 { return int64(binary.LittleEndian.Uint64(m[metaPageCountAt:])) }
 
-// isValid reports whether the page is of a bbolt file, and its checksum is right.
+// isValid reports whether the page has bbolt's magic number and a correct checksum.
 func (m *meta) isValid() bool {
 	sum := fnv.New64a()
 	_, _ = sum.Write(m[:metaChecksumAt]) // a hash's Write returns no error
@@ -47,16 +46,15 @@
 		binary.LittleEndian.Uint64(m[metaChecksumAt:]) == sum.Sum64()
 }
 
-// CheckMetaPages checks that both meta pages can be read. bbolt uses the older one where the newer can't be: a
-// file that has lost its last transaction then looks like one that never had it, which matters where
-// that transaction was acknowledged. A page that was torn when the machine lost power can't be told from
-// one that was damaged later.
+// CheckMetaPages checks that both meta pages of a file are valid. If the newer one is invalid, bbolt uses the older one
+// without an error, and the last transaction is lost even though it may have been acknowledged. The check can't tell a page
+// that was only partly written when the machine lost power from a page that was damaged later.
 func CheckMetaPages(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("check meta pages: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // an error does not matter after reading
 	info, err := f.Stat()
 	if err != nil {
 		return fmt.Errorf("check meta pages: %w", err)
@@ -75,7 +73,7 @@
 	return nil
 }
 
-// readMeta reads the meta page at an offset of the file, and checks it.
+// readMeta reads the meta page at an offset of the file, and verifies its checksum.
 func readMeta(f *os.File, offset int64) (*meta, error) {
 	var m meta
 	if _, err := f.ReadAt(m[:], offset+pageHeaderSize); err != nil {
--- a/internal/trace/event.go
+++ b/internal/trace/event.go
@@ -5,10 +5,10 @@
 	"encoding/hex"
 )
 
-// Version is the version of the lines' form that this program writes and reads.
+// Version is the version of the line format that this program writes and reads.
 const Version = 1
 
-// Kind says what happened. The package's comment has a table of the kinds and the keys that each uses.
+// Kind says what happened. The package comment has a table of the kinds and the keys that each uses.
 type Kind string
 
 // The kinds of event.
@@ -31,22 +31,22 @@
 	ClockStepped       Kind = "step"
 )
 
-// The terminal outcomes of requests, as Event.Outcome has them. An attempt's outcome is the policy's name for it.
+// The values of Event.Outcome for the terminal outcome of a request. The outcomes of attempts have other names.
 const (
 	Delivered     = "delivered"
 	Deferred      = "deferred"
 	Undeliverable = "undeliverable"
-	Withdrawn     = "withdrawn" // an endpoint answered that the request is withdrawn: no notification is owed
+	Withdrawn     = "withdrawn" // an endpoint responded that the request is withdrawn; the platform gets no notification
 )
 
-// The idempotency of a request, as Event.Idempotency has it: what a second execution would do.
+// The values of Event.Idempotency.
 const (
 	Idempotent      = "safe"
 	IdempotentByKey = "keyed"
 	NotIdempotent   = "unsafe"
 )
 
-// Event is one line.
+// Event is one line of a trace.
 type Event struct {
 	Version           int     `json:"trace"`
 	At                float64 `json:"at"` // Unix time in milliseconds
@@ -59,28 +59,29 @@
 	Outcome           string  `json:"how,omitempty"`
 	Count             int     `json:"n,omitempty"`
 	DurationMs        float64 `json:"ms,omitempty"`      // a duration in milliseconds; which one is in the table of kinds
-	RemainingFraction float64 `json:"left,omitempty"`    // fraction of the destination's rate limit that is left, by its load report
-	RateLimit         float64 `json:"limit,omitempty"`   // the rate limit in requests a second, by its load report
-	NewConn           bool    `json:"fresh,omitempty"`   // a connection was opened for the attempt, or the opening of one failed
-	Full              bool    `json:"whole,omitempty"`   // the endpoint list is complete, and no change of it
-	Late              bool    `json:"late,omitempty"`    // after its class's latency objective
-	RetryAfterMs      float64 `json:"wait_ms,omitempty"` // with AttemptEnded: the Retry-After
-	TimeLeftMs        float64 `json:"left_ms,omitempty"` // with AttemptStarted, and a term: the time to the request's deadline
+	RemainingFraction float64 `json:"left,omitempty"`    // unused fraction of the destination's rate limit, from its load report
+	RateLimit         float64 `json:"limit,omitempty"`   // the rate limit in requests per second, from its load report
+	NewConn           bool    `json:"fresh,omitempty"`   // a connection was opened, or could not be opened, for the attempt
+	Full              bool    `json:"whole,omitempty"`   // the event has the complete endpoint list, not a change of it
+	Late              bool    `json:"late,omitempty"`    // the outcome came after the latency objective of the request's class
+	RetryAfterMs      float64 `json:"wait_ms,omitempty"` // with AttemptEnded: the Retry-After of the response
+	TimeLeftMs        float64 `json:"left_ms,omitempty"` // with AttemptStarted, and as a term: the time until the request's deadline
 	Reason            string  `json:"why,omitempty"`     // with Rejected, Completed and ConnClosed
 
 	// The terms of a request, with Accepted, Rejected and Recovered.
 
 	Key         string  `json:"key,omitempty"`       // digest of its idempotency key
-	Retry       string  `json:"retry,omitempty"`     // what its client says of earlier submissions; with Resubmitted too
+	Retry       string  `json:"retry,omitempty"`     // the client's statement about earlier submissions; also with Resubmitted
 	Deadline    float64 `json:"due,omitempty"`       // Unix time in milliseconds
-	Idempotency string  `json:"effect,omitempty"`    // of its class
-	KeyTTLMs    float64 `json:"memory_ms,omitempty"` // for how long a destination remembers its key
+	Idempotency string  `json:"effect,omitempty"`    // idempotency of its class
+	KeyTTLMs    float64 `json:"memory_ms,omitempty"` // how long destinations remember its key
 }
 
-// digestBytes of a SHA-256 are enough that no two keys of a trace are taken for one.
+// digestBytes is how many bytes of a key's SHA-256 form its digest: enough to make a collision in one trace improbable.
 const digestBytes = 8
 
-// Digest returns what stands for an idempotency key in a trace: the same for equal keys, and a key can't be had from it.
+// Digest returns the digest that represents an idempotency key in a trace. Equal keys have equal digests, and a key can't be
+// derived from its digest.
 func Digest(key string) string {
 	if key == "" {
 		return ""
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Section is [trace] of the operator's file.
+// Section is the section [trace] of the operator's file.
 type Section struct {
 	Log bool `toml:"log"` // write each event into the relay's log
 }
 
 // Recorder writes events. A nil Recorder writes none. It is safe for concurrent use.
 type Recorder struct {
-	mu  sync.Mutex // guards out: a line is written as a whole
+	mu  sync.Mutex // guards out, so that lines are not mixed
 	out io.Writer
 }
 
-// New returns a recorder that writes to out, or nil where the section is absent or does not ask for one.
+// New returns a recorder that writes to out, or nil if the section is absent or does not turn the trace on.
 func New(s *Section, out io.Writer) *Recorder {
 	if s == nil || !s.Log {
 		return nil
@@ -26,8 +26,8 @@
 	return &Recorder{out: out}
 }
 
-// Record writes an event with its time, which is a Unix time. An event that can't be encoded or written is dropped: a trace must not
-// stop the relay.
+// Record writes an event. at is the time since 1970. Record drops an event that can't be encoded or written, because a trace must
+// not stop the relay.
 func (r *Recorder) Record(at time.Duration, e Event) {
 	if r == nil {
 		return
@@ -35,7 +35,7 @@
 	e.Version, e.At = Version, float64(at.Microseconds())/1000
 	line, err := json.Marshal(e)
 	if err != nil {
-		return // NaN or an infinity, which the parsers of load reports reject
+		return // a NaN or an infinity; does not happen, because the parsers of load reports reject them
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,7 +13,7 @@
 	want := Event{Kind: AttemptEnded, ID: "a", Destination: 3, Endpoint: "h", Outcome: Delivered, Count: 1, DurationMs: 41.5, RemainingFraction: 0.4, RateLimit: 25, NewConn: true}
 	r.Record(1500*time.Millisecond, want)
 	want.Version, want.At = Version, 1500
-	got, ok, err := Parse(append([]byte("0.014 "), log.Bytes()...)) // a platform puts its own time in front
+	got, ok, err := Parse(append([]byte("0.014 "), log.Bytes()...)) // the platform writes its own time in front
 	if !ok || err != nil || got != want {
 		t.Errorf("got %+v, %v, %v; want %+v", got, ok, err, want)
 	}
@@ -32,13 +32,13 @@
 	} {
 		t.Run(line, func(t *testing.T) {
 			if _, ok, err := Parse([]byte(line)); ok != want.ok || (err != nil) != want.bad {
-				t.Errorf("got %v, %v", ok, err)
+				t.Errorf("got ok %v, error %v", ok, err)
 			}
 		})
 	}
 	var version VersionError
 	if _, _, err := Parse([]byte(`{"trace":2,"at":15,"ev":"send","dest":1}`)); !errors.As(err, &version) || version != 2 {
-		t.Errorf("a line of version 2: %v", err)
+		t.Errorf("parsing a line of version 2: error %v", err)
 	}
 }
 
@@ -46,14 +46,14 @@
 	var log bytes.Buffer
 	New(nil, &log).Record(0, Event{})
 	if log.Len() > 0 {
-		t.Errorf("no section, and it wrote %q", log.Bytes())
+		t.Errorf("without a section, the recorder wrote %q", log.Bytes())
 	}
 	if New(&Section{}, &log) != nil {
-		t.Error("a section that does not ask for a trace gives a recorder")
+		t.Error("New returned a recorder although the section does not turn the trace on")
 	}
 }
 
-// The digests of one trace are compared with those that other relays, and other versions, wrote.
+// Digests must not change, because the digests of a trace are compared with those that other relays and other versions wrote.
 func TestDigest_OfEqualKeysIsEqual(t *testing.T) {
 	for key, want := range map[string]string{"": "", "a": "ca978112ca1bbdca", "b": "3e23e8160039594a"} {
 		if got := Digest(key); got != want {
