--- a/internal/trace/fleet/counts.go
+++ b/internal/trace/fleet/counts.go
@@ -2,33 +2,33 @@
 
 import "frostlink/internal/trace"
 
-// The outcomes of attempts that are counted apart, as the trace names them.
+// The outcomes of attempts that are treated separately, by their names in the trace.
 const (
 	outcomeRejected      = "turned away"
 	outcomeConnectFailed = "no connection"
 	outcomeNotSent       = "not sent"
 )
 
-// Counts are what happened in a time or at a destination.
+// Counts counts the events of a second, of a destination or of the whole fleet.
 type Counts struct {
 	FirstAttempts int `json:"first"`
 	Retries       int `json:"again"`
-	Delivered     int `json:"delivered"` // attempts
-	OverLimit     int `json:"limit"`     // attempts rejected with a load report: the rate limit, or a full queue
-	// ConnectionsRejected are attempts rejected on a new connection and without a load report, as by endpoints that are
-	// closed or have all the connections that they accept.
+	Delivered     int `json:"delivered"` // delivered attempts
+	OverLimit     int `json:"limit"`     // attempts rejected on an open connection or with a load report: rate limit or full queue
+	// ConnectionsRejected counts attempts that were rejected on a new connection without a load report. An endpoint that is
+	// closed, or has all the connections that it accepts, rejects in this way.
 	ConnectionsRejected int `json:"door"`
 	ConnectFailures     int `json:"unmade"`  // attempts for which no connection could be established
-	OtherFailures       int `json:"other"`   // attempts that ended otherwise: errors, resets, time-outs
-	NewConnections      int `json:"fresh"`   // opened, or tried to be
-	Accepted            int `json:"taken"`   // messages
-	Rejected            int `json:"refused"` // messages, on arrival
+	OtherFailures       int `json:"other"`   // attempts that ended in another way: errors, resets, time-outs
+	NewConnections      int `json:"fresh"`   // attempts for which a connection was opened or could not be opened
+	Accepted            int `json:"taken"`   // accepted messages
+	Rejected            int `json:"refused"` // messages rejected on arrival
 	DeliveredLate       int `json:"late"`    // messages delivered after their latency objective
-	Deferred            int `json:"back"`    // messages accepted, and deferred later
-	Undeliverable       int `json:"failed"`  // messages
+	Deferred            int `json:"back"`    // messages deferred after acceptance
+	Undeliverable       int `json:"failed"`  // undeliverable messages
 }
 
-// countedKinds are the kinds of events that Counts.add counts. Each concerns a destination.
+// countedKinds are the kinds of events that Counts.add counts. Each of them has a destination.
 var countedKinds = map[trace.Kind]bool{
 	trace.Accepted:       true,
 	trace.Rejected:       true,
@@ -49,7 +49,7 @@
 		c.addAttemptOutcome(e)
 	case trace.Completed:
 		c.addOutcome(e)
-	default: // concerns no destination
+	default: // has no destination, or is not counted
 	}
 }
 
--- a/internal/trace/fleet/history.go
+++ b/internal/trace/fleet/history.go
@@ -8,33 +8,34 @@
 	"frostlink/internal/trace"
 )
 
-// History is what became of one message, over all relays that had it.
+// History is what happened to one message at all relays that had it.
 type History struct {
 	ID          string       `json:"id"`
 	Class       string       `json:"class,omitempty"`
 	Destination int          `json:"dest"`
 	Idempotency string       `json:"effect,omitempty"`
-	Events      []RelayEvent `json:"events"` // in order of time, each relay's in the order of its log
+	Events      []RelayEvent `json:"events"` // sorted by time; the message's events with equal times keep the order of their relay's log
 	Violations  []Violation  `json:"faults,omitempty"`
-	// Gaps are what the logs do not tell: no violation, and no proof that there is none.
+	// Gaps describes missing or unclear parts of the logs. A gap is no violation, but because of it the logs can't prove
+	// that there is none.
 	Gaps []string `json:"unsure,omitempty"`
-	// Related are other ids under which a message with the same key was submitted, with the relays that had them.
+	// Related lists the submissions with the same idempotency key under other ids.
 	Related []Submission `json:"kin,omitempty"`
 }
 
-// Submission is another submission of a message.
+// Submission is another submission of a message, under an id of its own.
 type Submission struct {
 	ID       string  `json:"id"`
 	Relay    string  `json:"relay"`
 	At       float64 `json:"at"`
-	Decision string  `json:"how"` // accepted or rejected, in the words of the reports
+	Decision string  `json:"how"` // whether it was accepted or rejected, as named in decisions
 	Retry    string  `json:"retry,omitempty"`
 }
 
-// decisions are the words for what became of a submission.
+// decisions are the names of the decisions on a submission in reports.
 var decisions = map[trace.Kind]string{trace.Accepted: "taken on", trace.Rejected: "refused"}
 
-// History returns the history of a message, or nil where no log names it.
+// History returns the history of a message, or nil if no log contains its id.
 func (x *Index) History(id string) *History {
 	events := x.messages[id]
 	if len(events) == 0 {
@@ -63,7 +64,7 @@
 	return h
 }
 
-// addProcessEvents adds the starts and shutdowns of a relay while it had the message.
+// addProcessEvents adds the starts and shutdowns of a relay during the time in which it had the message.
 func (h *History) addProcessEvents(audit *relayAudit) {
 	add := func(kind trace.Kind, times []float64) {
 		for _, at := range times {
@@ -76,7 +77,7 @@
 	add(trace.ShutdownRequested, audit.log.shutdowns)
 }
 
-// addRelated finds the other submissions of a message.
+// addRelated adds the other submissions of a message, and the gaps that its submissions show.
 func (x *Index) addRelated(h *History, events []RelayEvent) {
 	key := ""
 	for _, e := range events {
@@ -86,7 +87,7 @@
 		return
 	}
 	submissions := x.submissions[key]
-	if len(submissions) == 0 { // a relay that recovered it named its key
+	if len(submissions) == 0 { // the key is only in the event of a relay that recovered the message
 		h.Gaps = append(h.Gaps, "no hand-in of it is in the logs: one is missing")
 		return
 	}
--- a/internal/trace/fleet/index.go
+++ b/internal/trace/fleet/index.go
@@ -8,29 +8,29 @@
 	"frostlink/internal/trace"
 )
 
-// clockTolerance, in milliseconds, is how far a relay's clock may step back from one line to the next before that is
-// reported: lines of different goroutines may change places by less.
+// clockTolerance, in milliseconds, is the largest decrease of time from one line of a log to the next that is not reported as
+// a step of the clock. Smaller decreases occur because goroutines write their lines concurrently.
 const clockTolerance = 20
 
-// Index is a fleet's traces by relay, message and key.
+// Index holds the traces of a fleet by relay, message and idempotency key.
 type Index struct {
-	FleetSize int      // relays by the settings that one of them started with; 0: none started
-	Gaps      []string // what is missing from the logs as a whole, in words
+	FleetSize int      // largest number of relays in the settings with which a relay started; 0: the logs contain no start
+	Gaps      []string // descriptions of what is missing from the logs as a whole
 
 	relays      map[string]*relayLog
-	messages    map[string][]RelayEvent // by id, in the order of the logs
-	submissions map[string][]RelayEvent // accepted and rejected ones, by key
+	messages    map[string][]RelayEvent // events by message id, in the order of the logs
+	submissions map[string][]RelayEvent // events Accepted and Rejected, by key
 }
 
-// relayLog is what one relay's log says of its processes.
+// relayLog holds the process events of one relay's log.
 type relayLog struct {
 	starts       []float64
 	shutdowns    []float64
-	lastEvent    float64 // its log ends here
-	backwardStep float64 // the largest one beyond clockTolerance
+	lastEvent    float64 // latest time in the log
+	backwardStep float64 // largest backward step of the clock that exceeds clockTolerance; 0: none
 }
 
-// NewIndex indexes events in the order of the logs, each relay's together.
+// NewIndex indexes the events of logs. The events of each relay must be consecutive and in the order of its log.
 func NewIndex(logs *Logs) *Index {
 	index := &Index{
 		relays:      map[string]*relayLog{},
@@ -67,7 +67,7 @@
 		x.FleetSize = max(x.FleetSize, e.Count)
 	case trace.ShutdownRequested:
 		relay.shutdowns = append(relay.shutdowns, e.At)
-	default: // says nothing of a process
+	default: // not a process event
 	}
 }
 
@@ -90,15 +90,15 @@
 	x.Gaps = append(x.Gaps, fmt.Sprintf(format, args...))
 }
 
-// MessageCount is how many ids the logs name.
+// MessageCount returns the number of message ids in the logs.
 func (x *Index) MessageCount() int { return len(x.messages) }
 
-// startedWithin tells whether a process of the relay began after one time and no later than another.
+// startedWithin reports whether a process of the relay started after from and not later than to.
 func (r *relayLog) startedWithin(from, to float64) bool {
 	return slices.ContainsFunc(r.starts, func(at float64) bool { return at > from && at <= to })
 }
 
-// shutDownForGood tells whether the last that is known of the relay is that it was to shut down.
+// shutDownForGood reports whether the relay was not started again after its last shutdown request.
 func (r *relayLog) shutDownForGood() bool {
 	n := len(r.shutdowns)
 	return n > 0 && !r.startedWithin(r.shutdowns[n-1], r.lastEvent)
--- a/internal/trace/fleet/outage.go
+++ b/internal/trace/fleet/outage.go
@@ -3,29 +3,30 @@
 import "frostlink/internal/trace"
 
 const (
-	// minOutage, in milliseconds, without a delivery and with at least minFailures failed attempts is an outage: shorter
-	// gaps are common where a rate limit binds.
+	// An outage is a time without a delivery that lasts at least minOutage, in milliseconds, and has at least minFailures
+	// failed attempts. Shorter gaps are common while a rate limit is reached.
 	minOutage   = 1000
 	minFailures = 10
-	// recoveryWindow, in milliseconds, after an outage is looked at closely: a destination that recovers is warming up.
+	// recoveryWindow, in milliseconds, is the time after an outage in which attempts are counted separately, because a
+	// destination is warming up then.
 	recoveryWindow = 3000
 )
 
 // Outage is a time in which a destination delivered nothing.
 type Outage struct {
-	From     float64 `json:"from_s"`
+	From     float64 `json:"from_s"` // seconds since the first event of the traces
 	To       float64 `json:"to_s"`
-	Attempts int     `json:"calls"`  // made in it
-	Relays   int     `json:"relays"` // that made them
+	Attempts int     `json:"calls"`  // attempts started during the outage
+	Relays   int     `json:"relays"` // relays that started them
 
-	// Within the recovery window: attempts, the relays that made them, and those of the relays that had made none in the
-	// outage, and so could not know of it.
+	// The attempts started within the recovery window, the relays that started them, and how many of these relays had
+	// started none during the outage and so could not have detected it.
 	RecoveryAttempts int `json:"knocks"`
 	RecoveryRelays   int `json:"knockers"`
 	UnawareRelays    int `json:"unwarned"`
 }
 
-// outages finds the times without a delivery.
+// outages finds the outages of the destination. start is the time of the first event of the traces.
 func (d *destinationEvents) outages(start float64) []Outage {
 	var out []Outage
 	failures := 0
@@ -36,7 +37,7 @@
 		if !delivered {
 			failures++
 			if failures == 1 {
-				from = e.At - e.DurationMs // it was sent while the destination was unhealthy already
+				from = e.At - e.DurationMs // the destination was already unhealthy when the attempt was sent
 			}
 		}
 		if !delivered && i < len(d.ended)-1 {
--- a/internal/trace/fleet/read.go
+++ b/internal/trace/fleet/read.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxLine bounds a line of a log, in bytes.
+	// maxLine limits the length of a line, in bytes.
 	maxLine = 1 << 20
-	// readBuffer is how much of a log is read at once, in bytes.
+	// readBuffer is the size of the buffer for reading a log, in bytes.
 	readBuffer = 64 << 10
-	// logSuffix is that of a relay's log: the rest of the file's name is the relay's.
+	// logSuffix is the suffix of a relay's log file. The rest of the file name is the name of the relay.
 	logSuffix = ".log"
 )
 
-// BadLine is a line of the trace that could not be used.
+// BadLine is a line of a trace that can't be used.
 type BadLine struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -35,17 +35,18 @@
 type Logs struct {
 	Events       []RelayEvent
 	BadLines     []BadLine
-	OtherLines   int      // lines without a trace
-	OtherVersion *BadLine // the first of the bad lines that another version of the program wrote
+	OtherLines   int      // number of lines that contain no event
+	OtherVersion *BadLine // the first bad line whose version this program can't read; nil: none
 }
 
-// EmptyFolderError says that a folder holds no log.
+// EmptyFolderError is the error for a folder that contains no log.
 type EmptyFolderError struct{ Folder string }
 
 func (e EmptyFolderError) Error() string { return e.Folder + ": has no file that ends in " + logSuffix }
 
-// ReadFiles reads logs: files, or folders with one *.log for each relay. A relay is named by its file. It fails where a
-// file can't be read, with [EmptyFolderError] where a folder has none; lines that can't be used are no failure.
+// ReadFiles reads logs. Each path is a log file, or a folder with one *.log file for each relay. A relay has the name of its
+// file. ReadFiles fails if a file can't be read, and with [EmptyFolderError] if a folder contains no log. Lines that can't be
+// used are listed in Logs.BadLines and cause no error.
 func ReadFiles(paths []string) (*Logs, error) {
 	logs := &Logs{}
 	for _, path := range paths {
@@ -62,18 +63,18 @@
 	return logs, nil
 }
 
-// logFiles returns the logs that a path names, in order of their names.
+// logFiles returns a path if it is a file, or else the log files in the folder, sorted by name.
 func logFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, err //nolint:wrapcheck // names the path
+		return nil, err //nolint:wrapcheck // contains the path
 	}
 	if !info.IsDir() {
 		return []string{path}, nil
 	}
 	files, err := filepath.Glob(filepath.Join(path, "*"+logSuffix))
 	if err != nil {
-		return nil, err //nolint:wrapcheck // names the pattern
+		return nil, err //nolint:wrapcheck // the only possible error is that of an invalid pattern
 	}
 	if len(files) == 0 {
 		return nil, EmptyFolderError{path}
@@ -85,7 +86,7 @@
 func (l *Logs) readFile(name string) error {
 	f, err := os.Open(name)
 	if err != nil {
-		return err //nolint:wrapcheck // names the file
+		return err //nolint:wrapcheck // contains the name of the file
 	}
 	err = l.Read(name, f)
 	if err = errors.Join(err, f.Close()); err != nil {
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// Read reads one relay's log. The last line may be torn, as by a kill: it is named like any that can't be used.
+// Read reads the log of one relay. The last line may be incomplete if the relay was killed; it is listed in Logs.BadLines
+// like any other line that can't be used.
 func (l *Logs) Read(name string, in io.Reader) error {
 	relay := strings.TrimSuffix(filepath.Base(name), logSuffix)
 	lines := bufio.NewReaderSize(in, readBuffer)
@@ -137,7 +139,8 @@
 	l.BadLines = append(l.BadLines, BadLine{name, number, reason})
 }
 
-// readLine reads a line without its end; of one that is too long it keeps the first part.
+// readLine reads a line without its line break. If the line is longer than maxLine, readLine returns its first part and sets
+// tooLong.
 func readLine(in *bufio.Reader) (line []byte, tooLong bool, err error) {
 	for {
 		part, err := in.ReadSlice('\n')
--- a/internal/trace/fleet/relay_audit.go
+++ b/internal/trace/fleet/relay_audit.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// outcomeTolerance, in milliseconds, after its deadline a message must have its outcome at the latest: the protocol's
-	// 300 ms, and the 50 ms that each limit is longer on sockets.
+	// outcomeTolerance, in milliseconds, is how long after its deadline a message may get its outcome: the 300 ms that the
+	// protocol allows, and 50 ms by which every limit is longer over real sockets.
 	outcomeTolerance = 350
-	// restartTolerance, in milliseconds, after a relay is ready again its outcomes may be overdue.
+	// restartTolerance, in milliseconds, is how long after a restarted relay is ready its outcomes may be overdue.
 	restartTolerance = 1500
-	// keyTTLTolerance, in milliseconds, is what a key's TTL is longer on sockets.
+	// keyTTLTolerance, in milliseconds, is by how much a key's TTL is longer over real sockets.
 	keyTTLTolerance = 50
 )
 
 // provesNotExecuted are the outcomes of attempts that prove that the message was not executed.
 var provesNotExecuted = map[string]bool{outcomeRejected: true, outcomeConnectFailed: true, outcomeNotSent: true}
 
-// relayAudit checks the events of one message at one relay, which come in the order of its log.
+// relayAudit checks the events of one message at one relay. The events are added in the order of the relay's log.
 type relayAudit struct {
 	history *History
 	relay   string
@@ -36,18 +36,19 @@
 	idempotency string
 	keyTTL      float64
 
-	attempts int         // the highest number seen
-	inFlight *RelayEvent // the start of the attempt that is in flight
+	attempts int         // the highest number of an attempt so far
+	inFlight *RelayEvent // the event AttemptStarted of the attempt in flight; nil: none
 
-	executedAt      float64 // when the first attempt was sent that may have been executed; 0: none
-	executedOutcome string  // and how it ended
+	executedAt      float64 // when the first attempt that may have been executed was sent; 0: none
+	executedOutcome string  // outcome of that attempt
 
 	outcome     string // empty: none yet
 	completedAt float64
 	notified    bool
 }
 
-// until is when the relay was done with the message, as far as the logs tell.
+// until returns when the relay's work on the message ended, as far as the logs show: at the message's last event or, without
+// an outcome, at the end of the log.
 func (a *relayAudit) until() float64 {
 	if a.outcome != "" {
 		return a.lastEvent
@@ -87,7 +88,7 @@
 		a.completed(&e)
 	case trace.Notified:
 		a.notified = true
-	default: // says nothing of a message's terms
+	default: // does not affect the terms of a message
 	}
 }
 
@@ -97,14 +98,15 @@
 	a.keyTTL = max(a.keyTTL, e.KeyTTLMs)
 }
 
-// recovered notes that a process recovered the message from the journal: an attempt in flight may have been executed.
+// recovered handles the recovery of the message from the journal by a new process. An attempt that was in flight when the
+// previous process ended may have been executed.
 func (a *relayAudit) recovered(e *RelayEvent) {
 	if a.inFlight != nil {
 		a.mayHaveExecuted(a.inFlight, "out when the process ended")
 		a.inFlight = nil
 	}
 	if e.Outcome != "" && a.outcome == "" {
-		// Its outcome was journalled, and the line of the trace was not written any more, or stands in another log.
+		// The outcome was journalled, but its line was not written to the trace before the process ended, or is in another log.
 		a.outcome = e.Outcome
 		a.completedAt = e.At
 	}
@@ -143,7 +145,7 @@
 	a.inFlight = e
 }
 
-// checkRetry checks an attempt after one that may have been executed.
+// checkRetry checks an attempt that follows one that may have been executed.
 func (a *relayAudit) checkRetry(e *RelayEvent) {
 	elapsed := e.At - a.executedAt
 	switch {
@@ -156,7 +158,8 @@
 	}
 }
 
-// keyExpired tells whether a key has expired so many milliseconds after the first attempt that may have been executed.
+// keyExpired reports whether the message's key has expired, elapsed milliseconds after the first attempt that may have been
+// executed.
 func (a *relayAudit) keyExpired(elapsed float64) bool {
 	return a.idempotency == trace.IdempotentByKey && a.keyTTL > 0 && elapsed > a.keyTTL+keyTTLTolerance
 }
@@ -172,8 +175,8 @@
 		return
 	}
 	a.mayHaveExecuted(attempt, e.Outcome)
-	// A connection may be established long after the attempt was decided on: its last byte left before the response, and
-	// no more is known.
+	// The connection may have been established long after the attempt was decided on. All that is known is that the last
+	// byte of the attempt was sent before the response.
 	started := attempt.At - a.executedAt
 	ended := e.At - a.executedAt
 	if started > 0 && a.keyExpired(ended) && !a.keyExpired(started) {
@@ -188,7 +191,7 @@
 		a.outcome = e.Outcome
 		a.completedAt = e.At
 	case a.outcome == e.Outcome && a.log.startedWithin(a.completedAt, e.At):
-		// The process was killed before it had journalled the outcome.
+		// The first process was killed before it could journal the outcome, and the next one reached the same outcome.
 	default:
 		a.violation(TwoOutcomes, e.At, "%s, and %s %.0f ms before", e.Outcome, a.outcome, e.At-a.completedAt)
 	}
@@ -196,14 +199,15 @@
 	if a.deadline == 0 || e.At <= due || e.Outcome == trace.Withdrawn {
 		return
 	}
-	if !a.excused(due, e.At) {
+	if !a.mayCompleteLate(due, e.At) {
 		a.violation(LateOutcome, e.At, "%s %.0f ms after its time was up", e.Outcome, e.At-a.deadline)
 	}
 }
 
-// excused tells whether the relay could not complete a message when it was due: from a shutdown, or the last line of a
-// process that was killed, until the next process is ready and has had restartTolerance.
-func (a *relayAudit) excused(due, completed float64) bool {
+// mayCompleteLate reports whether a completion after due is no violation, because the relay was shut down, killed or starting
+// when the message was due: either a process started after the message's first event and the completion came at most
+// restartTolerance after that start, or no process started between a shutdown request and due.
+func (a *relayAudit) mayCompleteLate(due, completed float64) bool {
 	for _, start := range a.log.starts {
 		if start > a.firstEvent && completed <= start+restartTolerance {
 			return true
@@ -212,7 +216,7 @@
 	return slices.ContainsFunc(a.log.shutdowns, func(at float64) bool { return at <= due && !a.log.startedWithin(at, due) })
 }
 
-// finish checks what is left open at the end of the logs.
+// finish checks for a missing outcome and a missing notification at the end of the log.
 func (a *relayAudit) finish() {
 	if a.accepted && a.rejected {
 		a.gap("taken on and refused: two hand-ins under one id")
--- a/internal/trace/fleet/summary.go
+++ b/internal/trace/fleet/summary.go
@@ -9,37 +9,37 @@
 
 const millisecondsPerSecond = 1000
 
-// Second is one second of the fleet.
+// Second counts the events of the fleet in one second.
 type Second struct {
 	At              int `json:"at"` // seconds since the first event
 	Starts          int `json:"starts"`
 	WatchRequests   int `json:"asks"`
-	EmptyWatches    int `json:"turned"` // watches that ended before they had brought anything
-	EndpointUpdates int `json:"told"`   // endpoint lists and changes that came
+	EmptyWatches    int `json:"turned"` // watches that ended before a list was received
+	EndpointUpdates int `json:"told"`   // received endpoint lists and changes of them
 	Counts
 }
 
-// Destination is what went to one destination.
+// Destination counts the events of one destination.
 type Destination struct {
 	Number            int     `json:"dest"`
 	Endpoints         int     `json:"hosts"`
-	Relays            int     `json:"relays"` // that had messages for it
-	RateLimit         float64 `json:"limit"`  // median of what it reported, in requests a second
-	RemainingFraction float64 `json:"left"`   // mean of what it reported
+	Relays            int     `json:"relays"` // relays to which messages for the destination were submitted
+	RateLimit         float64 `json:"limit"`  // median of the reported rate limits, in requests per second
+	RemainingFraction float64 `json:"left"`   // mean of the reported unused fractions of the rate limit
 	Counts
 	Outages []Outage `json:"outages,omitempty"`
 }
 
-// Summary is all that was counted.
+// Summary is the result of Summarize.
 type Summary struct {
-	Relays       int           `json:"relays"` // whose traces were read
-	FleetSize    int           `json:"told"`   // relays by the settings that one of them started with; 0: none started
+	Relays       int           `json:"relays"` // number of relays with events
+	FleetSize    int           `json:"told"`   // largest number of relays in the settings with which a relay started; 0: no start logged
 	Seconds      []Second      `json:"seconds"`
 	Destinations []Destination `json:"destinations"`
 	Total        Counts        `json:"total"`
 }
 
-// RelayEvent is an event with the relay in whose log it stood.
+// RelayEvent is an event with the name of the relay that logged it.
 type RelayEvent struct {
 	Relay string
 	trace.Event
@@ -81,8 +81,8 @@
 	return summary
 }
 
-// second returns the row of a second, which is the last one or a later one. Seconds in which nothing was logged have no
-// row, so that a clock that was far off makes no endless table.
+// second returns the row of a second, which must be the last row's or a later one. Seconds without events have no row, so
+// that a log with a very wrong clock does not make the table extremely long.
 func (s *Summary) second(at int) *Second {
 	if n := len(s.Seconds); n == 0 || s.Seconds[n-1].At != at {
 		s.Seconds = append(s.Seconds, Second{At: at})
@@ -90,7 +90,7 @@
 	return &s.Seconds[len(s.Seconds)-1]
 }
 
-// addFleetEvent counts what concerns no destination.
+// addFleetEvent counts an event that has no destination.
 func (s *Second) addFleetEvent(e *trace.Event) {
 	switch e.Kind {
 	case trace.RelayStarted:
@@ -103,17 +103,17 @@
 		if e.Count == 0 {
 			s.EmptyWatches++
 		}
-	default: // counted by Counts, or not at all
+	default: // counted by Counts.add, or not at all
 	}
 }
 
-// destinationEvents gathers the events of one destination, which come in order of time.
+// destinationEvents collects the events of one destination. They are added in order of time.
 type destinationEvents struct {
 	counts     Counts
 	endpoints  map[string]bool
 	relays     map[string]bool
 	rateLimits []float64
-	remaining  float64 // sum of the remaining fractions that came with rateLimits
+	remaining  float64 // sum of the remaining fractions reported together with rateLimits
 	started    []RelayEvent
 	ended      []RelayEvent
 }
@@ -138,7 +138,7 @@
 			d.rateLimits = append(d.rateLimits, e.RateLimit)
 			d.remaining += e.RemainingFraction
 		}
-	default: // only counted
+	default: // only counted, above
 	}
 }
 
--- a/internal/trace/fleet/summary_test.go
+++ b/internal/trace/fleet/summary_test.go
@@ -27,20 +27,20 @@
 	}
 }
 
-// Each thing is counted once, in its second and at its destination, over all relays.
+// Each event of all relays is counted once in its second and once at its destination.
 func TestSummarize_CountsEachEventOnce(t *testing.T) {
 	dir := t.TempDir()
-	answer := func(at float64, how string, fresh bool, limit float64) trace.Event {
-		return trace.Event{At: at, Kind: trace.AttemptEnded, Destination: 1, Endpoint: "h", Outcome: how, NewConn: fresh, RateLimit: limit, RemainingFraction: limit / 20}
+	attemptEnded := func(at float64, outcome string, newConn bool, rateLimit float64) trace.Event {
+		return trace.Event{At: at, Kind: trace.AttemptEnded, Destination: 1, Endpoint: "h", Outcome: outcome, NewConn: newConn, RateLimit: rateLimit, RemainingFraction: rateLimit / 20}
 	}
 	writeLog(t, dir, "n0", trace.Event{At: 100, Kind: trace.RelayStarted, Count: 80}, trace.Event{At: 100, Kind: trace.WatchRequested},
 		trace.Event{At: 100.5, Kind: trace.Accepted, Destination: 1}, trace.Event{At: 100.5, Kind: trace.AttemptStarted, Destination: 1, Endpoint: "h", Count: 1},
-		answer(100.6, "turned away", true, 0), trace.Event{At: 101, Kind: trace.AttemptStarted, Destination: 1, Endpoint: "g", Count: 2},
-		answer(101.2, "delivered", true, 10), trace.Event{At: 101.2, Kind: trace.Completed, Destination: 1, Outcome: trace.Delivered, Late: true},
+		attemptEnded(100.6, "turned away", true, 0), trace.Event{At: 101, Kind: trace.AttemptStarted, Destination: 1, Endpoint: "g", Count: 2},
+		attemptEnded(101.2, "delivered", true, 10), trace.Event{At: 101.2, Kind: trace.Completed, Destination: 1, Outcome: trace.Delivered, Late: true},
 		trace.Event{At: 102, Kind: trace.WatchEnded})
 	writeLog(t, dir, "n1", trace.Event{At: 100.7, Kind: trace.EndpointsReceived, Count: 4}, trace.Event{At: 101.3, Kind: trace.Rejected, Destination: 0},
-		answer(101.4, "turned away", true, 10), answer(101.5, "turned away", false, 0), answer(101.5, "no connection", true, 0),
-		answer(101.6, "timed out", false, 0), trace.Event{At: 101.7, Kind: trace.Completed, Destination: 1, Outcome: trace.Deferred},
+		attemptEnded(101.4, "turned away", true, 10), attemptEnded(101.5, "turned away", false, 0), attemptEnded(101.5, "no connection", true, 0),
+		attemptEnded(101.6, "timed out", false, 0), trace.Event{At: 101.7, Kind: trace.Completed, Destination: 1, Outcome: trace.Deferred},
 		trace.Event{At: 101.7, Kind: trace.Completed, Destination: 1, Outcome: trace.Undeliverable}, trace.Event{At: 102.5, Kind: trace.WatchEnded, Count: 3})
 	logs, err := ReadFiles([]string{dir})
 	if err != nil || len(logs.BadLines) > 0 {
@@ -71,22 +71,23 @@
 	}
 }
 
-// An outage is a time in which no attempt got through, and its return is looked at for relays that sent to it without having seen the outage.
+// An outage is a time in which all attempts failed. The attempts just after it are counted, with the relays that had sent none
+// during the outage.
 func TestSummarize_FindsOutages(t *testing.T) {
 	var events []RelayEvent
-	call := func(relay string, at float64, how string) {
+	addAttempt := func(relay string, at float64, outcome string) {
 		events = append(events, RelayEvent{relay, trace.Event{At: at * 1000, Kind: trace.AttemptStarted, Destination: 3, Count: 1}},
-			RelayEvent{relay, trace.Event{At: at*1000 + 50, Kind: trace.AttemptEnded, Destination: 3, Outcome: how, DurationMs: 50}})
+			RelayEvent{relay, trace.Event{At: at*1000 + 50, Kind: trace.AttemptEnded, Destination: 3, Outcome: outcome, DurationMs: 50}})
 	}
-	call("a", 0, "delivered")
+	addAttempt("a", 0, "delivered")
 	for i := range 12 {
-		call([]string{"a", "b"}[i%2], 1+0.2*float64(i), "no connection")
+		addAttempt([]string{"a", "b"}[i%2], 1+0.2*float64(i), "no connection")
 	}
-	call("b", 5, "delivered")
-	call("c", 5.5, "delivered")
-	call("a", 9, "delivered")
-	for i := range 9 { // too few for an outage
-		call("a", 10+0.2*float64(i), "turned away")
+	addAttempt("b", 5, "delivered")
+	addAttempt("c", 5.5, "delivered")
+	addAttempt("a", 9, "delivered")
+	for i := range 9 { // too few failures for an outage
+		addAttempt("a", 10+0.2*float64(i), "turned away")
 	}
 	got := Summarize(events).Destinations[0].Outages
 	want := []Outage{{From: 1, To: 5.05, Attempts: 13, Relays: 2, RecoveryAttempts: 1, RecoveryRelays: 1, UnawareRelays: 1}}
@@ -95,7 +96,8 @@
 	}
 }
 
-// Torn, foreign and endless lines are named with their place, and what is no trace is counted.
+// Incomplete lines, lines of another version and lines that are too long are listed with their line numbers. Lines without an
+// event are counted.
 func TestRead_NamesBadLines(t *testing.T) {
 	text := "0.1 2026/12/01 WARN watch ended\n" + `0.2 {"trace":1,"at":1,"ev":"ask","dest":0}` + "\n" + `{"trace":9,"at":1}` + "\n" +
 		`{"trace":1,"x":"` + strings.Repeat("y", maxLine) + "\"}\n" + `{"trace":1,"at":1,"ev":"se`
@@ -113,11 +115,11 @@
 	}
 	folder := t.TempDir()
 	if _, err := ReadFiles([]string{folder}); !errors.Is(err, EmptyFolderError{folder}) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("reading an empty folder: %v", err)
 	}
 }
 
-// No text makes the reader panic or lose count of its lines.
+// Read does not panic on any text, and counts every line exactly once.
 func FuzzRead(f *testing.F) {
 	f.Add(`{"trace":1,"at":1,"ev":"answer","dest":2,"how":"delivered","ms":1}` + "\nx\n" + `{"trace":1,`)
 	f.Fuzz(func(t *testing.T, text string) {
@@ -130,7 +132,7 @@
 			lines++
 		}
 		if got := len(l.Events) + len(l.BadLines) + l.OtherLines; got != lines {
-			t.Fatalf("%d lines read, %d there", got, lines)
+			t.Fatalf("%d lines were counted, the text has %d", got, lines)
 		}
 		Summarize(l.Events)
 	})
--- a/internal/trace/fleet/violation.go
+++ b/internal/trace/fleet/violation.go
@@ -10,18 +10,20 @@
 
 // The kinds of violations.
 const (
-	// MissingOutcome: accepted, its deadline has passed, and its relay has run on without an outcome.
+	// MissingOutcome: the message was accepted and its deadline has passed, but its relay, which kept running, has logged no
+	// outcome.
 	MissingOutcome ViolationKind = "no end"
-	// PossibleDuplicate: sent again though an earlier attempt may have been executed, and its class forbids that.
+	// PossibleDuplicate: the message was sent again although an earlier attempt may have been executed, and its class forbids
+	// a second execution.
 	PossibleDuplicate ViolationKind = "may have run twice"
 	TwoOutcomes       ViolationKind = "two ends"
-	// ConcurrentAttempts: sent while an earlier attempt was in flight.
+	// ConcurrentAttempts: an attempt was sent while an earlier one was in flight.
 	ConcurrentAttempts  ViolationKind = "two copies out"
 	LateOutcome         ViolationKind = "late end"
 	AttemptAfterOutcome ViolationKind = "sent after its end"
 )
 
-// bySeverity are the kinds, the worst first.
+// bySeverity lists the kinds, the worst first.
 var bySeverity = []ViolationKind{
 	MissingOutcome, PossibleDuplicate, TwoOutcomes, ConcurrentAttempts, LateOutcome, AttemptAfterOutcome,
 }
@@ -30,7 +32,7 @@
 	return cmp.Compare(slices.Index(bySeverity, a), slices.Index(bySeverity, b))
 }
 
-// Violation is one term of a message that was broken at one relay.
+// Violation is the violation of one of a message's terms at one relay.
 type Violation struct {
 	Kind   ViolationKind `json:"what"`
 	At     float64       `json:"at"` // Unix time in milliseconds
