--- a/internal/deadletter/admin_test.go
+++ b/internal/deadletter/admin_test.go
@@ -48,7 +48,7 @@
 			ids = append(ids, r.ID)
 		}
 		if got := strings.Join(ids, " "); code != 200 || got != want {
-			t.Errorf("%q: %d, %q, want %q", query, code, got, want)
+			t.Errorf("%q: status %d, messages %q, want %q", query, code, got, want)
 		}
 	}
 	for _, query := range []string{"?state=gone", "?reason=x", "?partner=x", "?most=0", "?from=-1", "?may_have_run=perhaps"} {
@@ -58,15 +58,15 @@
 	}
 	var s Stats
 	if code := serve(t, a, "GET", "/stats", "", &s); code != 200 || s.Messages != 3 || len(s.Groups) != 2 || s.File == 0 {
-		t.Errorf("%d, %+v", code, s)
+		t.Errorf("stats: status %d, %+v", code, s)
 	}
 	var v Verified
 	if code := serve(t, a, "GET", "/verify", "", &v); code != 200 || v.Good != 3 || len(v.Faults) != 0 {
-		t.Errorf("%d, %+v", code, v)
+		t.Errorf("verify: status %d, %+v", code, v)
 	}
 	var body struct{ Body []byte }
 	if code := serve(t, a, "GET", "/messages/a/body", "", &body); code != 200 || string(body.Body) != "body of a" {
-		t.Errorf("%d, %q", code, body.Body)
+		t.Errorf("body: status %d, %q", code, body.Body)
 	}
 }
 
@@ -88,7 +88,7 @@
 	for i, want := range []bool{true, false} {
 		var got map[string]bool
 		if code := serve(t, target, "POST", "/import", string(line), &got); code != 200 || got["kept"] != want {
-			t.Errorf("import %d: %d, %v", i+1, code, got)
+			t.Errorf("import %d: status %d, %v", i+1, code, got)
 		}
 	}
 	got, err := target.Store.Get("a")
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -53,8 +53,8 @@
 	return removed, nil
 }
 
-// excess returns by how many messages the groups of a bound exceed it. An excess of bytes is converted to messages of the
-// groups' mean size.
+// excess returns by how many messages the stored messages that a bound covers exceed it. An excess of bytes is converted to
+// a number of messages of their mean size.
 func (b *Bound) excess(groups []Group) int {
 	messages, bytes := 0, int64(0)
 	for _, g := range groups {
--- a/internal/deadletter/bounds_test.go
+++ b/internal/deadletter/bounds_test.go
@@ -64,7 +64,7 @@
 	s := openStore(t, dir)
 	fillStore(t, s, 4)
 	if n, err := NewBounds(s, &Section{Folder: dir, MaxMessages: 99, MaxAge: 150, Export: true}).Enforce(noon, false); err != nil || n != 2 {
-		t.Fatalf("%d removed, %v", n, err)
+		t.Fatalf("%d messages removed, want 2; %v", n, err)
 	}
 	path := filepath.Join(dir, "left-20260630.jsonl")
 	raw, err := os.ReadFile(path)
@@ -77,14 +77,14 @@
 	other := newAdmin(t)
 	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
 		if code := serve(t, other, "POST", "/import", line, nil); code != 200 {
-			t.Errorf("import: %d", code)
+			t.Errorf("import: status %d", code)
 		}
 	}
 	if got := storedIDs(t, other.Store); got != "m0 m1" {
 		t.Errorf("imported %s, want m0 m1", got)
 	}
 	if body, err := other.Store.Body("m1"); err != nil || string(body) != "body of m1" {
-		t.Errorf("%q, %v", body, err)
+		t.Errorf("imported body %q, %v", body, err)
 	}
 }
 
--- a/internal/deadletter/command_test.go
+++ b/internal/deadletter/command_test.go
@@ -30,7 +30,7 @@
 	} {
 		r = Record{}
 		if code := serve(t, a, "POST", "/messages/"+c.path, c.body, &r); code != c.status || r.State != c.state {
-			t.Errorf("%s %s: %d, state %q; want %d, %q", c.path, c.body, code, r.State, c.status, c.state)
+			t.Errorf("%s %s: status %d, state %q; want %d, %q", c.path, c.body, code, r.State, c.status, c.state)
 		}
 	}
 	if r, _ := a.Store.Get("b"); len(r.Attestations) != 1 || r.Attestations[0].By != "Amina" || r.Attestations[0].Used {
--- a/internal/deadletter/damage_test.go
+++ b/internal/deadletter/damage_test.go
@@ -23,7 +23,7 @@
 		storeMessages(t, s, fmt.Sprintf("m%03d", i))
 	}
 	if good, faults := s.Verify(); good != n || len(faults) > 0 {
-		t.Fatalf("%d good, %v", good, faults)
+		t.Fatalf("before the damage: %d good, faults %v", good, faults)
 	}
 	_ = s.Close()
 	intact, err := os.ReadFile(path)
--- a/internal/deadletter/dry_run_test.go
+++ b/internal/deadletter/dry_run_test.go
@@ -25,7 +25,7 @@
 	}
 	var got []DryRunResult
 	if code := serve(t, a, "POST", "/check", string(request), &got); code != 200 || len(got) != 3 {
-		t.Fatalf("%d, %+v", code, got)
+		t.Fatalf("dry run: status %d, results %+v", code, got)
 	}
 	if got[1].Matches != 2 || got[1].Actions[Hold] != 2 || len(got[1].Faults) != 1 || len(got[1].Samples) != 2 {
 		t.Errorf("a rule that conflicts with its class: %+v", got[1])
@@ -37,6 +37,6 @@
 		t.Errorf("the dry run changed a message to %+v", r)
 	}
 	if code := serve(t, a, "POST", "/check", "{}", nil); code != 400 {
-		t.Errorf("without classes: %d", code)
+		t.Errorf("dry run without classes: status %d, want 400", code)
 	}
 }
--- a/internal/deadletter/due.go
+++ b/internal/deadletter/due.go
@@ -15,8 +15,8 @@
 	dueNumberOffset = 12
 )
 
-// dueKey returns the key of a record in the bucket due. The key begins with the destination, so that a long backlog of one
-// destination is not read before the records of another.
+// dueKey returns the key of a record in the bucket due. The key begins with the destination, so that the long backlog of
+// a destination that is down is not read before the few records of another.
 func dueKey(destination int, at time.Time, number uint64) []byte {
 	key := binary.BigEndian.AppendUint32(nil, uint32(destination))
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(key, uint64(at.UnixMilli())), number)
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -29,7 +29,7 @@
 	s := openStore(t, goldentest.Copy(t, "store.db", fileName))
 	totals, groups, err := s.Totals()
 	if err != nil || totals.Messages != 3 || totals.States[Held] != 3 || len(groups) != 1 || groups[0].Messages != 3 {
-		t.Errorf("%+v, %+v, %v", totals, groups, err)
+		t.Errorf("totals %+v, groups %+v, %v", totals, groups, err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		r, err := s.Get(id)
--- a/internal/deadletter/json_pointer.go
+++ b/internal/deadletter/json_pointer.go
@@ -95,7 +95,7 @@
 	return found, err
 }
 
-// nextToken reads the next JSON token.
+// nextToken reads the next JSON token. Its errors wrap those of the decoder; a json.SyntaxError has the offset in the text.
 func nextToken(d *json.Decoder) (json.Token, error) {
 	token, err := d.Token()
 	if err != nil {
--- a/internal/deadletter/kill_test.go
+++ b/internal/deadletter/kill_test.go
@@ -109,15 +109,15 @@
 			}
 			s, err := Open(folder, 0, 0)
 			if err != nil {
-				t.Fatalf("%d writes of %d: %v", written, len(pages), err)
+				t.Fatalf("open after %d writes of %d: %v", written, len(pages), err)
 			}
 			for _, id := range []string{"b", "c"} {
 				if _, err := s.Get(id); err != nil {
-					t.Errorf("%d writes of %d: %s: %v", written, len(pages), id, err)
+					t.Errorf("after %d writes of %d: message %s: %v", written, len(pages), id, err)
 				}
 			}
 			if _, faults := s.Verify(); len(faults) > 0 {
-				t.Errorf("%d writes: %v", written, faults)
+				t.Errorf("after %d writes: faults %v", written, faults)
 			}
 			done := step.done(s)
 			seen[done]++
--- a/internal/deadletter/newest.go
+++ b/internal/deadletter/newest.go
@@ -47,9 +47,9 @@
 type Newest struct {
 	storage     subjectStorage
 	maxSubjects int // 0: unlimited, for a command on the store of a stopped relay
-	// settlingTime is how long after the start of an epoch a message must have been accepted before it is relied on that
-	// there is no newer one: a newer message may have been delivered before the epoch. Clients submit messages of one topic
-	// out of order by less than this time.
+	// settlingTime is the longest time by which clients submit messages of one topic out of order. For a message that was
+	// accepted earlier than settlingTime after the start of the epoch, a newer message may have been delivered before the
+	// epoch, so that the tracked messages do not prove that there is none.
 	settlingTime time.Duration
 	// exclusive is set if no other relay can have delivered a message of a topic that this relay receives.
 	exclusive bool
--- a/internal/deadletter/order_test.go
+++ b/internal/deadletter/order_test.go
@@ -29,7 +29,7 @@
 		ratA, _ := new(big.Rat).SetString(a)
 		ratB, _ := new(big.Rat).SetString(b)
 		if orderA.compare(orderB) != ratA.Cmp(ratB) || orderA.Part < 0 {
-			t.Fatalf("%s and %s: %d, want %d", a, b, orderA.compare(orderB), ratA.Cmp(ratB))
+			t.Fatalf("comparing %s with %s: got %d, want %d", a, b, orderA.compare(orderB), ratA.Cmp(ratB))
 		}
 	})
 	later, err := timeOrder("1969-12-31T23:59:59.5Z")
--- a/internal/deadletter/redelivery.go
+++ b/internal/deadletter/redelivery.go
@@ -10,7 +10,7 @@
 	// failed (failure). Each further one in a row doubles the backoff, so that a destination that is down gets few.
 	minBusyBackoff, maxBusyBackoff       = 200 * time.Millisecond, 5 * time.Second
 	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
-	// tokenBurst is the capacity of a destination's token bucket, in redeliveries.
+	// tokenBurst is the capacity of a destination's token bucket: how many redeliveries it may get at once after a pause.
 	tokenBurst = 1.0
 	// maxPerRound limits the messages of a destination that one round decides on.
 	maxPerRound = 20
@@ -63,7 +63,7 @@
 // SetGate makes further redeliveries depend on the permission of a gate.
 func (r *Redeliverer) SetGate(g Gate) { r.gate = g }
 
-// SetClasses replaces the classes by those of reloaded settings.
+// SetClasses replaces the classes after the settings were reloaded.
 func (r *Redeliverer) SetClasses(classes []Class) {
 	clear(r.classes)
 	for i := range classes {
--- a/internal/deadletter/redelivery_result.go
+++ b/internal/deadletter/redelivery_result.go
@@ -9,8 +9,9 @@
 // unknown is the status of a lost redelivery, and the outcome of the attempt that is assumed for it.
 const unknown = "unknown"
 
-// handleLost ends a redelivery whose deadline is long past, unless the relay still has it in flight. Such a redelivery may
-// have been sent: its process was killed before it was journalled, or the machine was lost together with the journal.
+// handleLost ends a redelivery whose deadline is long past, unless the relay still has it in flight. A redelivery is lost if
+// the process is killed before the redelivery is journalled, or if the machine is lost together with the journal. It may have
+// been sent before.
 func (r *Redeliverer) handleLost(rec *Record, now time.Time, inFlight func(id string) bool) error {
 	if inFlight(rec.Last().ID) {
 		return r.store.Change(rec.ID, func(*Record) (time.Time, error) { return now.Add(lostAfter), nil })
--- a/internal/deadletter/rule.go
+++ b/internal/deadletter/rule.go
@@ -90,7 +90,7 @@
 // minIncarnations is the smallest limit that allows a redelivery, because the first incarnation counts too.
 const minIncarnations = 2
 
-// matches reports whether a rule applies to a message at a time.
+// matches reports whether a rule applies to a message at a given time.
 func (r *Rule) matches(rec *Record, now time.Time) bool {
 	return r.matchesAttributes(rec) && (r.OlderThan == 0 || now.Sub(rec.Last().CompletedAt) >= seconds(r.OlderThan))
 }
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -27,9 +27,9 @@
 	Subjects       []Subject `toml:"subject"`
 	MaxSubjects    int       `toml:"subjects_most"`  // limit on the topics whose newest message is tracked
 	StickySubjects bool      `toml:"subjects_stick"` // all messages of a subject are submitted to the same relay
-	// SubjectSettlingTime is how long, in seconds, a class's subjects must have been read before the tracked messages are
-	// relied on: until then, a newer message may have been delivered before tracking began. It is the longest time by
-	// which clients submit messages out of order.
+	// SubjectSettlingTime is the longest time, in seconds, by which clients submit messages of a subject out of order. For a
+	// message that was accepted earlier than this time after a class's subjects were first read, a newer message may have
+	// been delivered before they were read, so that the message is not redelivered.
 	SubjectSettlingTime float64 `toml:"subjects_settle_s"`
 }
 
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -25,7 +25,7 @@
 	s = openStore(t, dir)
 	totals, groups, err := s.Totals()
 	if err != nil || totals.Messages != 3 || totals.States[Held] != 3 || len(groups) != 1 || groups[0].Messages != 3 {
-		t.Errorf("%+v, %+v, %v", totals, groups, err)
+		t.Errorf("totals %+v, groups %+v, %v", totals, groups, err)
 	}
 	r, err := s.Get("b")
 	want := newMessage("b").Record
@@ -67,7 +67,7 @@
 		t.Errorf("due %q", got)
 	}
 	if got := dueIDs(noon.Add(time.Hour), 2); got != "ca" {
-		t.Errorf("at most two: %q", got)
+		t.Errorf("due, with a limit of two: %q", got)
 	}
 	other := newMessage("o")
 	other.Destination, other.Due = 9, noon.Add(time.Minute)
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if got := dueIDs(noon.Add(time.Hour), 1); got != "co" {
-		t.Errorf("one of each destination: %q", got)
+		t.Errorf("due, with a limit of one for each destination: %q", got)
 	}
 	if err := s.Remove([]string{"o"}); err != nil {
 		t.Fatal(err)
@@ -89,11 +89,11 @@
 		t.Fatal(err)
 	}
 	if r, err := s.Get("a2"); err != nil || r.ID != "a" || r.State != Redelivering {
-		t.Errorf("by its second id: %+v, %v", r, err)
+		t.Errorf("get by the second id: %+v, %v", r, err)
 	}
 	storeMessages(t, s, "a2") // submitted again, as after a crash; adds no second record
 	if totals, _, _ := s.Totals(); totals.Messages != 3 || totals.States[Redelivering] != 1 || totals.States[Held] != 2 {
-		t.Errorf("%+v", totals)
+		t.Errorf("totals after a redelivery began: %+v", totals)
 	}
 	if got := dueIDs(noon.Add(time.Hour), 9); got != "cb" {
 		t.Errorf("due after a redelivery began: %q", got)
@@ -109,7 +109,7 @@
 	}
 	totals, groups, _ := s.Totals()
 	if totals.Messages != 1 || totals.RemovedByBound["fee-payment of lahore"] != 3 || groups[0].Messages != 1 || groups[0].Bytes != int64(len("body of c")) {
-		t.Errorf("%+v %+v", totals, groups)
+		t.Errorf("after two messages were removed: totals %+v, groups %+v", totals, groups)
 	}
 	if got := dueIDs(noon.Add(time.Hour), 9); got != "c" {
 		t.Errorf("due after two were removed: %q", got)
@@ -130,7 +130,7 @@
 	for from, rounds := uint64(0), 0; rounds == 0 || from > 0; rounds++ {
 		page, next, damaged, err := s.Page(from, 4, 6, even)
 		if err != nil || damaged > 0 || len(page) > 4 || rounds > 20 {
-			t.Fatalf("%d, %d, %v", len(page), damaged, err)
+			t.Fatalf("page of %d messages, %d damaged, %v", len(page), damaged, err)
 		}
 		for _, r := range page {
 			got = append(got, r.ID)
--- a/internal/deadletter/subject_store_test.go
+++ b/internal/deadletter/subject_store_test.go
@@ -181,7 +181,7 @@
 		t.Errorf("newer: %q, known %v", id, known)
 	}
 	if totals, _, err := s.Totals(); err != nil || totals.Messages != 4 {
-		t.Errorf("%+v, %v", totals, err)
+		t.Errorf("totals %+v, %v", totals, err)
 	}
 	if id, err := s.ID(); err != nil || len(id) != 16 {
 		t.Errorf("id %q, %v", id, err)
--- a/internal/deadletter/subject_test.go
+++ b/internal/deadletter/subject_test.go
@@ -39,7 +39,7 @@
 					t.Errorf("error %v, want %s", err, c.err)
 				}
 			} else if err != nil || subject != "k-7" || order != c.want {
-				t.Errorf("%q, %+v, %v", subject, order, err)
+				t.Errorf("subject %q, order %+v, %v", subject, order, err)
 			}
 		})
 	}
--- a/internal/deadletter/throttle_test.go
+++ b/internal/deadletter/throttle_test.go
@@ -101,7 +101,7 @@
 		t.Errorf("offered in a minute: %d, to the other destination: %v", offered, otherOffered)
 	}
 	if offered, _ := runMinute(false); offered > 5 { // the backoff is 5, 10, 20 and 40 s
-		t.Errorf("%d offered in a minute to a destination that is down", offered)
+		t.Errorf("%d redeliveries in a minute to a destination that is down, want at most 5", offered)
 	}
 }
 
--- a/internal/trace/fleet/history_test.go
+++ b/internal/trace/fleet/history_test.go
@@ -94,7 +94,7 @@
 			t.Errorf("%s: gaps %q, want %q", tt.name, all, tt.gap)
 		}
 		if named := len(index.Violating()) == 1; named != (len(tt.violations) > 0) {
-			t.Errorf("%s: listed by Violating: %v", tt.name, named)
+			t.Errorf("%s: Violating returns its history: %v", tt.name, named)
 		}
 	}
 }
--- a/internal/trace/fleet/summary_test.go
+++ b/internal/trace/fleet/summary_test.go
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if len(l.Events) != 1 || l.Events[0].Relay != "n7" || l.OtherLines != 1 || len(l.BadLines) != 3 {
-		t.Fatalf("%d events, %d other lines, bad: %v", len(l.Events), l.OtherLines, l.BadLines)
+		t.Fatalf("%d events, %d other lines, bad lines %v", len(l.Events), l.OtherLines, l.BadLines)
 	}
 	for i, line := range []int{3, 4, 5} {
 		if got := l.BadLines[i]; got.Line != line || !strings.HasPrefix(got.String(), fmt.Sprintf("n7.log:%d: ", line)) {
