--- a/internal/deadletter/rule_hours.go
+++ b/internal/deadletter/rule_hours.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// day is the length of a day. A rule's hours are those of the wall clock.
+// day is the length of a day. A rule's hours refer to local time.
 const day = 24 * time.Hour
 
-// parseHours parses a span such as "08:00-18:30", as times since midnight. A span may include midnight.
+// parseHours parses a span such as "08:00-18:30" into two times since midnight. A span may include midnight.
 func parseHours(text string) (span [2]time.Duration, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	if !ok {
@@ -28,7 +28,7 @@
 	return span, nil
 }
 
-// inHours reports whether a time is within a rule's hours, and if not when they begin.
+// inHours reports whether a time is within a rule's hours. If it is not, from is when the hours begin next.
 func (r *Rule) inHours(now time.Time) (in bool, from time.Time) {
 	if r.Hours == "" {
 		return true, now
