--- a/internal/journal/changes.go
+++ b/internal/journal/changes.go
@@ -7,83 +7,84 @@
 	"frostlink/policy"
 )
 
-// SetTerms gives a request that is to be accepted the present terms of its class. They stay its own
-// when the settings change.
+// SetTerms records the current settings of its class in a request that is about to be accepted. The
+// request keeps them when the settings change.
 func (j *Journal) SetTerms(e *Entry, class policy.Class) { e.TermsNumber = j.termsNumber(class) }
 
-// termsNumber returns the number of terms, and notes them where they are new.
+// termsNumber returns the number of these class settings, and records them if they are new.
 func (j *Journal) termsNumber(class policy.Class) int {
 	if j.terms[j.lastTermsNumber] == class {
-		return j.lastTermsNumber // the usual case: as of the request before
+		return j.lastTermsNumber // the usual case: the same settings as those of the previous request
 	}
 	for number, known := range j.terms {
 		if known == class {
 			return number
 		}
 	}
-	j.note(record{Kind: kindTerms, Terms: &class, Count: int64(j.lastTermsNumber + 1)})
+	j.addRecord(record{Kind: kindTerms, Terms: &class, Count: int64(j.lastTermsNumber + 1)})
 	return j.lastTermsNumber
 }
 
-// Accept notes a request that was accepted.
-func (j *Journal) Accept(e *Entry) { j.note(record{Kind: kindAccepted, Entry: e, Body: e.Body}) }
+// Accept records an accepted request.
+func (j *Journal) Accept(e *Entry) { j.addRecord(record{Kind: kindAccepted, Entry: e, Body: e.Body}) }
 
-// BeginAttempt notes an attempt. It must be committed before the attempt's first byte is sent.
+// BeginAttempt records the start of an attempt. The record must be committed before the attempt's first
+// byte is sent.
 func (j *Journal) BeginAttempt(e *Entry, endpoint string, at clock.Instant) {
-	j.note(record{Kind: kindAttemptStarted, ID: e.ID, Endpoint: endpoint, At: at})
+	j.addRecord(record{Kind: kindAttemptStarted, ID: e.ID, Endpoint: endpoint, At: at})
 }
 
-// EndAttempt notes the outcome of a request's last attempt. notExecuted: the endpoint is proved not to
-// have executed it.
+// EndAttempt records the outcome of a request's last attempt. notExecuted is set if it is proved that
+// the endpoint did not execute the attempt.
 func (j *Journal) EndAttempt(e *Entry, notExecuted bool, outcome string, at clock.Instant) {
 	r := record{Kind: kindAttemptEnded, ID: e.ID, NotExecuted: notExecuted}
 	if j.detailed {
 		r.Reason, r.At = outcome, at
 	}
-	j.note(r)
+	j.addRecord(r)
 }
 
-// DecideOutcome notes a request's terminal outcome. The notice is pending until Complete.
+// DecideOutcome records a request's terminal outcome. The notice is pending until Complete.
 func (j *Journal) DecideOutcome(e *Entry, n notification.Notice, reason string, at clock.Instant) {
 	r := record{Kind: kindOutcomeDecided, ID: e.ID, Notice: &n}
 	if j.detailed {
 		r.Reason, r.At = reason, at
 	}
-	j.note(r)
+	j.addRecord(r)
 }
 
-// MarkDelivered notes that a request was delivered, and that the dead-letter store is to be notified.
-func (j *Journal) MarkDelivered(e *Entry) { j.note(record{Kind: kindDelivered, ID: e.ID}) }
+// MarkDelivered records that a request was delivered and that the dead-letter store has to be notified.
+func (j *Journal) MarkDelivered(e *Entry) { j.addRecord(record{Kind: kindDelivered, ID: e.ID}) }
 
-// Complete notes that nothing more is owed for a request, from a time on.
+// Complete records that a request is completed: the relay has nothing left to do for it from then on.
 func (j *Journal) Complete(e *Entry, at clock.Instant) {
-	j.note(record{Kind: kindCompleted, ID: e.ID, At: at})
+	j.addRecord(record{Kind: kindCompleted, ID: e.ID, At: at})
 }
 
-// SetStore notes the name of the dead-letter store that knows of all deliveries, or gets them from this
-// journal. Empty: there is none.
+// SetStore records the name that Store returns. An empty name means that no dead-letter store has, or
+// will get from this journal, a complete record of deliveries.
 func (j *Journal) SetStore(store string) {
-	j.note(record{Kind: kindStore, Source: store, Count: j.lastArrival})
+	j.addRecord(record{Kind: kindStore, Source: store, Count: j.lastArrival})
 }
 
-// SetHealth notes what later processes have to know of an endpoint's outage.
+// SetHealth records the state of an endpoint's outage for later processes.
 func (j *Journal) SetHealth(endpoint string, h Health) {
-	j.note(record{Kind: kindHealth, Endpoint: endpoint, Health: &h})
+	j.addRecord(record{Kind: kindHealth, Endpoint: endpoint, Health: &h})
 }
 
-// DeleteHealth drops the health of an endpoint that was removed. The file drops it with the next
-// compaction.
+// DeleteHealth drops the health of an endpoint that was removed. The next compaction drops it from the
+// file.
 func (j *Journal) DeleteHealth(endpoint string) { delete(j.health, endpoint) }
 
-// UpdateEndpoints notes the endpoint list, or a change of it, and the discovery that sent it.
+// UpdateEndpoints records the endpoint list, or a change of it, and the discovery service that sent it.
 func (j *Journal) UpdateEndpoints(list discovery.EndpointList, source string) {
-	j.note(record{Kind: kindEndpoints, Endpoints: &list, Source: source})
+	j.addRecord(record{Kind: kindEndpoints, Endpoints: &list, Source: source})
 }
 
-// AddCompleted adds a completed request of which another process has notified this one. It reaches the
-// file with the next compaction.
+// AddCompleted adds a completed request that another process has reported to this one. The next
+// compaction writes it to the file.
 func (j *Journal) AddCompleted(c CompletedRequest) { j.completed.add(c) }
 
-// ExpireCompleted drops the requests that were completed before a time. The file drops them with the
-// next compaction.
+// ExpireCompleted drops the requests that were completed before a time. The next compaction drops them
+// from the file.
 func (j *Journal) ExpireCompleted(before clock.Instant) { j.completed.expire(before) }
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// note applies a record, and buffers it for the next Commit.
-func (j *Journal) note(r record) {
+// addRecord applies a record to the state in memory, and buffers it for the next Commit.
+func (j *Journal) addRecord(r record) {
 	j.apply(r)
-	j.noted++
+	j.recordCount++
 	j.buffer = appendRecord(j.buffer, r)
 }
 
-// LastRecord returns the number of the last record that was noted.
-func (j *Journal) LastRecord() uint64 { return j.noted }
+// LastRecord returns the number of the last record that was added.
+func (j *Journal) LastRecord() uint64 { return j.recordCount }
 
-// Durable reports whether a later process finds the record of this number.
+// Durable reports whether a later process that replays the file will read the record with this number.
 func (j *Journal) Durable(record uint64) bool { return record <= j.durable }
 
-// Commit writes what was noted. After an error no effect that relies on these records may be carried
-// out; the next Commit writes a new file from the state in memory.
+// Commit writes the buffered records. After an error, no effect that relies on them may be carried out;
+// the next Commit writes a new file from the state in memory.
 func (j *Journal) Commit() error {
 	j.reservedSize = 0
 	if len(j.buffer) == 0 && !j.failed {
@@ -28,11 +28,11 @@
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	j.durable, j.mayHoldUncommitted = j.noted, false
+	j.durable, j.mayHoldUncommitted = j.recordCount, false
 	return nil
 }
 
-// write appends the buffer to the file, or compacts the file where that is due.
+// write appends the buffer to the file, or compacts the file if a compaction is due.
 func (j *Journal) write() error {
 	if j.compactionDue() {
 		return j.compact()
@@ -40,9 +40,9 @@
 	return j.append(j.buffer)
 }
 
-// compactionDue reports whether the next commit has to write a new file: nothing may be appended to one
-// that failed, the file and its next compaction have to fit under the limit, and the file must not
-// grow far beyond its live content.
+// compactionDue reports whether the next commit has to write a new file. Nothing may be appended to a
+// file after a failed commit, the file and its next compaction have to fit under the size limit
+// together, and the file must not grow far beyond its live content.
 func (j *Journal) compactionDue() bool {
 	grown := j.fileSize + len(j.buffer)
 	return j.failed ||
@@ -50,8 +50,9 @@
 		grown > 2*(j.liveSize+j.completedSize)+compactionSlack
 }
 
-// append writes records at the end of the file. What a failed write leaves there is cut off again:
-// against a later process that recovers requests whose clients were notified of a rejection.
+// append writes records at the end of the file. If the write fails, append truncates the file to its
+// previous size; otherwise a later process could recover requests whose clients were told that they
+// were rejected.
 func (j *Journal) append(records []byte) error {
 	if _, err := j.file.Write(records); err != nil {
 		if j.file.Truncate(int64(j.fileSize)) != nil {
@@ -63,10 +64,10 @@
 	return nil
 }
 
-// Failed reports whether the last commit failed. Later processes then know only the records committed
-// before it.
+// Failed reports whether the last commit failed. A later process then reads only the records of earlier
+// commits, except as MayHoldUncommitted reports.
 func (j *Journal) Failed() bool { return j.failed }
 
-// MayHoldUncommitted reports whether commits that failed since the last good one may have left records
-// in the file.
+// MayHoldUncommitted reports whether a commit that failed since the last successful one may have left
+// its records in the file.
 func (j *Journal) MayHoldUncommitted() bool { return j.mayHoldUncommitted }
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -5,7 +5,8 @@
 	"os"
 )
 
-// Compact commits, and compacts the file: another process is about to read it.
+// Compact commits the buffered records and compacts the file. It is called before another process reads
+// the file.
 func (j *Journal) Compact() error {
 	if err := j.Commit(); err != nil {
 		return err
@@ -17,7 +18,7 @@
 	return nil
 }
 
-// compact replaces the file by one with the live records.
+// compact replaces the file by a new one with the live records only.
 func (j *Journal) compact() error {
 	j.accepted = j.Entries()
 	j.dropUnusedTerms()
@@ -40,7 +41,7 @@
 		return err
 	}
 	if j.file != nil {
-		_ = j.file.Close() // its name is the new file's by now: nothing of it can be lost
+		_ = j.file.Close() // the new file has replaced this one, so an error here loses nothing
 	}
 	j.file, j.fileSize, j.completedSize = file, len(contents), len(completed)
 	return nil
@@ -54,7 +55,7 @@
 	}
 	if _, err = file.Write(contents); err == nil {
 		if err = os.Rename(j.temporaryPath(), j.path); err != nil {
-			j.mayHoldUncommitted = true // rename(2) doesn't say which file stands there after an EIO
+			j.mayHoldUncommitted = true // after an EIO, rename(2) does not guarantee which file has the name
 		}
 	}
 	if err != nil {
@@ -67,7 +68,7 @@
 
 func (j *Journal) temporaryPath() string { return j.path + ".new" }
 
-// dropUnusedTerms deletes the terms that no open request was accepted under.
+// dropUnusedTerms deletes the class settings under which no open request was accepted.
 func (j *Journal) dropUnusedTerms() {
 	used := map[int]bool{}
 	for _, e := range j.accepted {
--- a/internal/journal/completed.go
+++ b/internal/journal/completed.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxCompleted is how many completed requests are remembered, the latest: more than are completed
-	// while any of them could be submitted again.
+	// maxCompleted is the number of completed requests that are remembered, the latest ones. It exceeds
+	// the number that are completed during the period in which a request can be submitted again.
 	maxCompleted = 1 << 16
-	// maxMilliseconds is how far from 1970 a stored time can be, either way: an Instant counts nanoseconds
-	// in 64 bits.
+	// maxMilliseconds is the largest distance of a stored time from 1970, before or after: an Instant
+	// counts nanoseconds in 64 bits.
 	maxMilliseconds = math.MaxInt64 / 1_000_000
 )
 
@@ -23,14 +23,15 @@
 	At clock.Instant
 }
 
-// completedRequests remembers the requests that were completed lately, against accepting one a second
-// time that is submitted again under its id, also after a restart. The zero value is empty.
+// completedRequests remembers the requests that were completed recently, so that a request that is
+// submitted again under the same id is not accepted a second time, even after a restart. The zero value
+// is empty.
 type completedRequests struct {
 	ids     map[string]bool
 	ordered []CompletedRequest // in order of completion
 }
 
-// add remembers a request, in place of the oldest where there are too many.
+// add remembers a request, and drops the oldest request if there are more than maxCompleted.
 func (r *completedRequests) add(c CompletedRequest) {
 	if r.ids[c.ID] {
 		return
@@ -64,7 +65,7 @@
 	}
 }
 
-// latest returns the latest requests whose encoding fits into capacity bytes.
+// latest returns as many of the latest requests as can be encoded in capacity bytes.
 func (r *completedRequests) latest(capacity int) []CompletedRequest {
 	first := len(r.ordered)
 	for first > 0 {
@@ -77,7 +78,7 @@
 	return r.ordered[first:]
 }
 
-// encodeCompleted encodes completed requests one after the other; of none it is empty.
+// encodeCompleted returns the concatenated encodings of completed requests.
 func encodeCompleted(requests []CompletedRequest) []byte {
 	var b []byte
 	for _, c := range requests {
@@ -94,7 +95,8 @@
 	return binary.AppendVarint(b, c.At.Milliseconds())
 }
 
-// readCompleted decodes what encodeCompleted returned. Of a malformed body it returns nothing.
+// readCompleted decodes the result of encodeCompleted. If any part of it is malformed, readCompleted
+// returns no requests at all.
 func readCompleted(raw []byte) ([]CompletedRequest, error) {
 	var requests []CompletedRequest
 	for len(raw) > 0 {
@@ -116,8 +118,7 @@
 	return requests, nil
 }
 
-// IsCompleted reports whether a request of this id was accepted and is completed, as far as that is
-// remembered.
+// IsCompleted reports whether the journal remembers a completed request with this id.
 func (j *Journal) IsCompleted(id string) bool { return j.completed.ids[id] }
 
 // CompletedRequests returns the completed requests that are remembered, in order of completion.
--- a/internal/journal/completed_test.go
+++ b/internal/journal/completed_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/clock"
 )
 
-// Completed requests are remembered through replay and compaction, in order, until they expire; one whose
-// time an earlier program did not write is not.
+// Completed requests are remembered through replay and compaction, in order, until they expire. A request
+// whose completion time an earlier version of the program did not write is not remembered.
 func TestCompletedRequests_SurviveRestartUntilExpired(t *testing.T) {
 	dir, at := t.TempDir(), clock.FromMilliseconds(clock.New().Now().Milliseconds())
 	j := openJournal(t, dir, 3)
@@ -24,9 +24,9 @@
 	}
 	old := &Entry{ID: "old"}
 	j.Accept(old)
-	j.note(record{Kind: kindCompleted, ID: "old"}) // as an earlier program, which wrote no time
+	j.addRecord(record{Kind: kindCompleted, ID: "old"}) // as written by an earlier version, without a time
 	commit(t, j)
-	for range 3 { // from the log, from its compaction, and from a compaction of that
+	for range 3 { // from the appended records, from their compaction, and from a second compaction
 		j = openJournal(t, dir, 3)
 		completed := j.CompletedRequests()
 		if len(completed) != 5 || completed[0].ID != "m0" || completed[4].At != at.Add(4*time.Second) ||
@@ -43,8 +43,8 @@
 	}
 }
 
-// However many requests are completed, memory holds the latest maxCompleted and the file the latest for
-// which it has capacity, and requests are accepted as if there were none.
+// However many requests are completed, memory contains only the latest maxCompleted of them, the file only
+// as many of the latest as fit into completedCapacity, and they never cause a new request to be rejected.
 func TestCompletedRequests_AreBounded(t *testing.T) {
 	const mb = 1
 	dir, at := t.TempDir(), clock.New().Now()
@@ -53,7 +53,7 @@
 	for i := range maxCompleted + 100 {
 		e := &Entry{ID: fmt.Sprintf("%s%08d", strings.Repeat("i", 24), i)}
 		if !j.Reserve(e) {
-			t.Fatalf("request %d is rejected", i)
+			t.Fatalf("request %d was rejected", i)
 		}
 		j.Accept(e)
 		j.Complete(e, at)
@@ -64,7 +64,7 @@
 			compactions++
 		}
 		if sizeBefore = j.fileSize; j.fileSize+j.liveSize > mb*1e6 {
-			t.Fatalf("%d bytes on disk with %d live", j.fileSize, j.liveSize)
+			t.Fatalf("file of %d bytes and %d live bytes exceed the limit", j.fileSize, j.liveSize)
 		}
 	}
 	commit(t, j)
@@ -82,11 +82,11 @@
 	n := len(reopened.CompletedRequests())
 	capacity := completedFraction * usableFraction * mb * 1e6
 	if n < int(capacity)/50 || n > int(capacity)/32 || !reopened.IsCompleted(last.ID) {
-		t.Errorf("%d completed requests read from a capacity of %.0f bytes", n, capacity)
+		t.Errorf("%d completed requests read from a file with capacity for %.0f bytes of them", n, capacity)
 	}
 }
 
-// A malformed record of completed requests loses these and nothing else.
+// If the record of completed requests is malformed, only these are lost.
 func TestReplay_SkipsMalformedCompletedRequests(t *testing.T) {
 	dir := t.TempDir()
 	raw := appendRecord(nil, record{Kind: kindCompletedRequests, Body: []byte{200, 'x'}})
@@ -99,7 +99,8 @@
 	}
 }
 
-// What readCompleted accepts it reads in the same way again when encoded, in no more bytes.
+// Requests that readCompleted has decoded are the same after they are encoded and decoded again, and their
+// encoding is not longer than the input.
 func FuzzReadCompleted(f *testing.F) {
 	f.Add(encodeCompleted([]CompletedRequest{
 		{ID: "9b1f03aa5c7e2d41", At: clock.FromMilliseconds(1764625871000)},
@@ -115,15 +116,15 @@
 		b := encodeCompleted(completed)
 		again, err := readCompleted(b)
 		if err != nil || len(again) != len(completed) {
-			t.Fatalf("%v read again as %v, %v", completed, again, err)
+			t.Fatalf("%v encoded and decoded is %v, err %v", completed, again, err)
 		}
 		for i := range completed {
 			if again[i].ID != completed[i].ID || again[i].At != completed[i].At {
-				t.Fatalf("%v read again as %v", completed[i], again[i])
+				t.Fatalf("%v encoded and decoded is %v", completed[i], again[i])
 			}
 		}
 		if len(b) > len(raw) || len(b) == len(raw) && !bytes.Equal(b, raw) {
-			t.Fatalf("%x written again as %x", raw, b)
+			t.Fatalf("%x decoded and encoded is %x", raw, b)
 		}
 	})
 }
--- a/internal/journal/dead_letter_test.go
+++ b/internal/journal/dead_letter_test.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/deadletter"
 )
 
-// The highest arrival, the store's name and the deliveries of which it is still to be notified survive
-// restarts, until a process runs without a store.
+// The highest arrival number, the store's name and the deliveries that have not been reported to the store
+// survive restarts. A process without a store clears the name.
 func TestStore_SurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	open := func(detailed bool) *Journal {
@@ -30,7 +30,7 @@
 	if err := j.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // as written, and as compacted
+	for range 2 { // from the appended records, and from their compaction
 		j = open(true)
 		e := j.Entry("b")
 		if j.lastArrival != 900 || j.store != "store" || e == nil || !e.Delivered || e.Subject != "k-1" || *e.Order != *delivered.Order {
@@ -38,9 +38,9 @@
 		}
 	}
 	if j = open(false); j.store != "" {
-		t.Errorf("a process without a store leaves %q", j.store)
+		t.Errorf("store %q in a process without a store", j.store)
 	}
 	if j = open(true); j.store != "" || j.lastArrival != 900 {
-		t.Errorf("after it: store %q, last arrival %d", j.store, j.lastArrival)
+		t.Errorf("after a process without a store: store %q, last arrival %d", j.store, j.lastArrival)
 	}
 }
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -1,9 +1,11 @@
-// Package journal stores the requests that a relay has accepted in a file that outlives its process.
+// Package journal stores the requests that a relay has accepted in a file that outlives the relay's
+// process.
 //
-// One goroutine owns a Journal. It notes each change of state, which is applied in memory and
-// buffered, and calls Commit before any effect that relies on the change: before a client is notified
-// that its request was accepted, before the first byte of an attempt is sent, before a notice goes to
-// the platform. A later process replays the file and finds every committed change.
+// One goroutine owns a Journal. It adds a record of each change of state; the record is applied to the
+// state in memory and buffered. The goroutine calls Commit before any effect that relies on the change:
+// before a client is notified that its request was accepted, before the first byte of an attempt is
+// sent, and before a notice is sent to the platform. A later process that replays the file restores
+// every committed change.
 //
 // # File format
 //
@@ -20,63 +22,64 @@
 // The member "op" of the JSON part is the kind of the record:
 //
 //	op        members                  meaning
-//	"anchor"  anchor                   the clock.Anchor of the timeline that all instants are of
-//	"terms"   terms, count             class settings, under the number count
+//	"anchor"  anchor                   the clock.Anchor of the timeline to which all instants belong
+//	"terms"   terms, count             class settings, stored under the number count
 //	"taken"   entry; body              a request was accepted; the body is its payload
-//	"begun"   id, host, at             an attempt to the endpoint starts
+//	"begun"   id, host, at             an attempt to the endpoint host starts
 //	"ended"   id, unrun, why, at       the last attempt of the request ended, with outcome why
-//	"done"    id                       delivered; the dead-letter store is still to be notified
-//	"owed"    id, notice, why, at      the terminal outcome is decided; the platform is still to get the notice
-//	"over"    id, at                   completed: nothing more is owed for the request
+//	"done"    id                       delivered; the dead-letter store has not been notified yet
+//	"owed"    id, notice, why, at      terminal outcome decided; the platform has not acknowledged the notice
+//	"over"    id, at                   completed: the relay has nothing left to do for the request
 //	"past"    body                     completed requests, see appendCompleted
-//	"list"    list, from               endpoint list, or a change of it, and the discovery that sent it
+//	"list"    list, from               endpoint list, or a change of it, and the discovery service that sent it
 //	"store"   from, count              name of the dead-letter store, and the highest arrival number
 //	"health"  host, health             health of an endpoint
 //
 // The members why and at of "ended" and "owed" are written only where a dead-letter store is
-// configured. Records of an unknown kind, or of a request that is not open, have no effect.
+// configured. A record of an unknown kind, or one about a request that is not open, has no effect.
 //
 // # Replay
 //
-// Replay applies records from the start of the file and stops at the first that is cut short, fails
-// its checksum or is no JSON. The rest of the file is skipped and reported as a CorruptRecordError:
-// a process that was killed while it wrote leaves such a tail. A "past" record whose body can't be
-// decoded is skipped alone.
+// Replay applies records from the start of the file and stops at the first record that is truncated,
+// fails its checksum or has an invalid JSON part. The rest of the file is skipped and reported as a
+// CorruptRecordError: a process that is killed during a write leaves such a tail. If only the body of a
+// "past" record can't be decoded, that record is skipped and replay continues with the next one.
 //
 // # Compaction
 //
-// The file is compacted when it has outgrown its live content, would exceed its size limit, or could
-// not be appended to. The live records are written to "journal.new", which is then renamed to
-// "journal". Until the rename the old file is whole, so a process that is killed at any point of a
-// compaction loses nothing. Acquire compacts too, which drops a corrupt tail before anything is
-// appended behind it.
+// The file is compacted when it is much larger than its live content, when it would exceed its size
+// limit, or after an append has failed. The live records are written to "journal.new", which is then
+// renamed to "journal". The old file stays complete until the rename, so a process that is killed at
+// any point of a compaction loses nothing. Acquire compacts too, to drop a corrupt tail before records
+// are appended after it.
 //
 // # Guarantees
 //
-// After Commit has returned nil every record noted so far survives SIGKILL of the process. Nothing is
-// synced to the disk: a crash of the machine may lose the latest commits. After a failed Commit the
-// records since the last good one are cut off the file again; where that fails as well,
-// MayHoldUncommitted reports that a later process may find them.
+// After Commit has returned nil, every record added so far survives SIGKILL of the process. The file is
+// not synced to the disk, so a crash of the machine may lose the latest commits. A failed Commit
+// truncates the file to its size after the last successful commit; if the truncation fails as well,
+// MayHoldUncommitted reports that a later process may read uncommitted records.
 //
 // # Versions
 //
-// An anchored file starts with an "anchor" record; its instants are of the relay's timeline. An
-// unanchored file was written by a program before that record: its instants are wall time in the same
-// form, and no time counts as passed since then. An "over" record without at is of an earlier
-// program too; its request is not remembered as completed. An "entry" without terms was accepted by
-// an earlier program, and follows the current settings.
+// An anchored file starts with an "anchor" record; its instants belong to the relay's timeline. An
+// unanchored file was written by a program version from before that record existed: its instants are
+// wall-clock times in the same encoding, and the time since the file was written counts as zero. An
+// "over" record without the member at was written by an earlier version too; its request is not
+// remembered as completed. A request whose "entry" has no terms was accepted by an earlier version; the
+// current settings apply to it.
 //
 // # Files
 //
-//   - journal.go: the Journal, opening and inspecting it
-//   - entry.go: what is stored of a request
-//   - changes.go: the changes that callers note
-//   - commit.go: writing them
+//   - journal.go: the Journal type, opening and inspecting a journal
+//   - entry.go: the stored fields of a request
+//   - changes.go: one method for each change of state that callers record
+//   - commit.go: writing the buffered records
 //   - capacity.go: the size limit, and reservations under it
 //   - record.go: the encoding of records
 //   - replay.go: reading a file, and the effect of each kind of record
-//   - compact.go: writing a new file with what is live
+//   - compact.go: writing a new file with the live records
 //   - completed.go: the bounded memory of completed requests, and its encoding
-//   - folder_monitor.go: when to write again after a failure
+//   - folder_monitor.go: backoff and recovery after failed writes
 //   - errors.go: the errors
 package journal
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/notification"
 )
 
-// Entry is a request that was accepted and is not completed. Fields without a JSON form follow from
-// later records.
+// Entry is a request that was accepted and is not completed. Fields with the tag json:"-" are set from
+// the body of the record and from later records.
 type Entry struct {
 	ID          string `json:"id"`
 	Class       string `json:"class,omitempty"`
@@ -15,29 +15,33 @@
 	// Tenant and AcceptedAt are set where a dead-letter store is configured.
 	Tenant     string        `json:"tenant,omitempty"`
 	AcceptedAt clock.Instant `json:"taken,omitzero"`
-	// Redelivery: it comes from the dead-letter store, which gets its outcome in place of the platform.
+	// Redelivery is set if the request comes from the dead-letter store. Its outcome is reported to the
+	// store instead of the platform.
 	Redelivery     bool   `json:"resend,omitempty"`
 	IdempotencyKey string `json:"key,omitempty"`
-	// OrderKey orders the requests of an ordered class: those with the same key are sent one after the
-	// other. Empty: it is unordered, or was accepted by an earlier program.
+	// OrderKey is the order key of a request of an ordered class: requests with the same key are sent one
+	// after the other. It is empty if the request is unordered or was accepted by an earlier version of
+	// the program.
 	OrderKey string        `json:"item,omitempty"`
 	Deadline clock.Instant `json:"expires,omitzero"`
-	// TermsNumber is the number, in this journal, of the terms of its class at acceptance. 0: it was
-	// accepted by an earlier program, and follows the current settings.
+	// TermsNumber identifies, in this journal, the settings of the request's class at acceptance. 0 means
+	// that an earlier version of the program accepted the request; the current settings apply to it.
 	TermsNumber int    `json:"terms,omitempty"`
 	Body        []byte `json:"-"`
-	// Attempts are in the order in which they started.
+	// Attempts are sorted by the time at which they started.
 	Attempts []Attempt `json:"-"`
-	// Subject and Order are set in classes for which the operator configures where the subject stands.
+	// Subject and Order are set in classes for which the operator configures where a message contains its
+	// subject.
 	Subject string            `json:"subject,omitempty"`
 	Order   *deadletter.Order `json:"order,omitempty"`
-	// Delivered: the dead-letter store is still to be notified, so that nothing older of the subject is
-	// redelivered.
+	// Delivered is set if the request was delivered and the dead-letter store has not been notified yet.
+	// The store needs the notification so that it redelivers no older message of the subject.
 	Delivered bool `json:"-"`
-	// PendingNotice is its terminal outcome, until the platform has acknowledged it.
+	// PendingNotice reports the terminal outcome to the platform; it is nil before the outcome is decided.
+	// The entry is open until the platform has acknowledged the notice.
 	PendingNotice *notification.Notice `json:"-"`
-	// Reason of that outcome, and CompletedAt, when it was decided, are set where a dead-letter store is
-	// configured.
+	// Reason is the reason of the terminal outcome, CompletedAt the time at which it was decided. Both are
+	// set where a dead-letter store is configured.
 	Reason      string        `json:"-"`
 	CompletedAt clock.Instant `json:"-"`
 }
@@ -47,13 +51,13 @@
 	Endpoint    string
 	StartedAt   clock.Instant
 	Ended       bool
-	NotExecuted bool // proved: the endpoint did not execute it
+	NotExecuted bool // it is proved that the endpoint did not execute the attempt
 	// EndedAt and Outcome are set where a dead-letter store is configured.
 	EndedAt clock.Instant
 	Outcome string
 }
 
-// Health is what later processes have to know of an endpoint's outage.
+// Health is the state of an endpoint's outage as later processes need it.
 type Health struct {
 	Unhealthy bool          `json:"sick,omitempty"`
 	At        clock.Instant `json:"at,omitzero"`
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// The reasons of a CorruptRecordError, beside malformed JSON.
+// The causes of a CorruptRecordError, besides malformed JSON.
 var (
 	ErrTruncatedHeader  = errors.New("truncated header")
 	ErrTruncatedRecord  = errors.New("truncated record")
 	ErrChecksumMismatch = errors.New("checksum mismatch")
 )
 
-// errMalformedCompleted says that the body of a record of completed requests can't be decoded.
+// errMalformedCompleted is returned if the body of a record of completed requests can't be decoded.
 var errMalformedCompleted = errors.New("malformed completed requests")
 
 // CorruptRecordError reports the first record of a file that can't be read. Replay stops there.
@@ -26,5 +26,5 @@
 	return fmt.Sprintf("corrupt record at offset %d, %d bytes skipped: %v", e.Offset, e.Skipped, e.Err)
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *CorruptRecordError) Unwrap() error { return e.Err }
--- a/internal/journal/failure_test.go
+++ b/internal/journal/failure_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// tornFile writes a part of what it is given and fails, like a full disk.
+// tornFile writes only the first bytes of each write and returns ENOSPC, as a full disk does.
 type tornFile struct {
 	openFile
-	written     int // bytes of a write that reach the file
+	written     int // number of bytes of each write that reach the file
 	truncateErr error
 }
 
@@ -30,9 +30,9 @@
 	return f.openFile.Truncate(size)
 }
 
-// Wherever a write is torn, a later process finds none of a batch whose commit failed: its clients were
-// notified of a rejection. Where the torn write can't be cut off the journal reports
-// that. The next good commit has all.
+// At whichever byte a write fails, a later process reads none of the requests of the failed commit, because
+// their clients were told that they were rejected. If the partial write can't be truncated, the journal
+// reports so. The next successful commit contains all records.
 func TestCommit_CutsOffTornWrite(t *testing.T) {
 	batch := func(j *Journal) {
 		for _, id := range []string{"first", "second"} {
@@ -58,20 +58,20 @@
 			}
 			later, err := Inspect(dir)
 			if err != nil || later.Entry("before") == nil || truncateErr == nil && len(later.Entries()) != 1 {
-				t.Fatalf("%d bytes written: a later process finds %d entries, %v", written, len(later.Entries()), err)
+				t.Fatalf("%d bytes written: a later process reads %d entries, err %v", written, len(later.Entries()), err)
 			}
 			commit(t, j)
 			later, err = Inspect(dir)
 			if err != nil || len(later.Entries()) != 3 || j.MayHoldUncommitted() || !j.Durable(j.LastRecord()) {
-				t.Fatalf("%d bytes written: after the next commit a later process finds %d entries, %v",
+				t.Fatalf("%d bytes written: after the next commit a later process reads %d entries, err %v",
 					written, len(later.Entries()), err)
 			}
 		}
 	}
 }
 
-// A process that is killed at any point of a compaction, its file cut at any byte, loses no record: the
-// old file stands until the new one is complete.
+// A process that is killed at any byte of a compaction loses no record, because the old file is replaced
+// only when the new one is complete.
 func TestCompact_KilledAtAnyPointLosesNothing(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
--- a/internal/journal/folder_monitor.go
+++ b/internal/journal/folder_monitor.go
@@ -6,33 +6,33 @@
 	"frostlink/internal/syserr"
 )
 
-// FolderState says whether a journal's folder can be written.
+// FolderState describes whether a journal's folder can be written.
 type FolderState int
 
-// The states of a folder. A failed commit leads from each to Degraded; successful ones lead from
-// Degraded to Recovering, and from there to Healthy.
+// The states of a folder. A failed commit leads from each state to Degraded; successful commits lead
+// from Degraded to Recovering, and from there to Healthy.
 const (
-	// Healthy: every commit of late succeeded.
+	// Healthy: no recent commit has failed.
 	Healthy FolderState = iota
-	// Degraded: the last commit failed. Nothing is accepted or sent until one succeeds.
+	// Degraded: the last commit failed. The relay accepts and sends nothing until a commit succeeds.
 	Degraded
-	// Recovering: commits succeed again since less than recoveryPeriod. A failure goes on with the longer
-	// backoff.
+	// Recovering: commits have succeeded again for less than recoveryPeriod. If one fails in this state,
+	// the backoff continues to grow from its last value.
 	Recovering
 )
 
 func (s FolderState) String() string { return [...]string{"healthy", "degraded", "recovering"}[s] }
 
 const (
-	// minBackoff and maxBackoff bound the backoff before a folder that failed is written to again: each
-	// attempt writes the whole file.
+	// minBackoff and maxBackoff bound the backoff between commits to a degraded folder. The backoff is
+	// needed because each of these commits writes the whole file.
 	minBackoff, maxBackoff = 20 * time.Millisecond, 100 * time.Millisecond
-	// recoveryPeriod is how long after the first good commit a folder becomes healthy again.
+	// recoveryPeriod is the time between the first successful commit and the state Healthy.
 	recoveryPeriod = time.Second
 )
 
-// FolderMonitor follows a folder through its failures. It has no I/O and no clock: times are offsets on
-// any monotonic clock. Its zero value is healthy.
+// FolderMonitor tracks the state of a folder from the results of commits. It does no I/O and reads no
+// clock: times are offsets on any monotonic clock. Its zero value is healthy.
 type FolderMonitor struct {
 	state     FolderState
 	retryAt   time.Duration // while degraded
@@ -40,7 +40,7 @@
 	backoff   syserr.Backoff
 }
 
-// State returns the state as of the last event.
+// State returns the state after the last commit.
 func (m *FolderMonitor) State() FolderState { return m.state }
 
 // MayWrite reports whether a commit may be attempted now.
@@ -48,16 +48,16 @@
 	return m.state != Degraded || now >= m.retryAt
 }
 
-// RetryAt returns when a degraded folder is to be written to again.
+// RetryAt returns the time from which a commit to a degraded folder may be attempted again.
 func (m *FolderMonitor) RetryAt() time.Duration { return m.retryAt }
 
-// WriteFailed is called after a commit that failed.
+// WriteFailed must be called after a commit that failed.
 func (m *FolderMonitor) WriteFailed(now time.Duration) {
 	m.backoff.Min, m.backoff.Max = minBackoff, maxBackoff
 	m.state, m.retryAt = Degraded, now+m.backoff.Next()
 }
 
-// WriteSucceeded is called after a commit that succeeded.
+// WriteSucceeded must be called after a commit that succeeded.
 func (m *FolderMonitor) WriteSucceeded(now time.Duration) {
 	switch {
 	case m.state == Degraded:
--- a/internal/journal/folder_monitor_test.go
+++ b/internal/journal/folder_monitor_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A folder that fails is written to again after a growing backoff, also through short recoveries, and is
-// healthy only after recoveryPeriod without a failure.
+// The backoff before a write to a degraded folder grows with each failure, also after a recovery shorter
+// than recoveryPeriod. The folder is healthy only after recoveryPeriod without a failure.
 func TestFolderMonitor_BacksOffUntilHealthy(t *testing.T) {
 	const ms = time.Millisecond
 	var m FolderMonitor
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -20,10 +20,10 @@
 		goldentest.Form{Name: "terms", Value: &policy.Class{}})
 }
 
-// goldenStart is when the golden journals were written.
+// goldenStart is the time at which the golden journals begin.
 var goldenStart = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// goldenRecords returns a journal with each kind of record but the anchor.
+// goldenRecords returns the encoding of a journal with each kind of record except the anchor.
 func goldenRecords() []byte {
 	at := func(s int) clock.Instant { return clock.FromTime(goldenStart.Add(time.Duration(s) * time.Second)) }
 	terms := policy.Class{
@@ -58,8 +58,8 @@
 	return appendRecord(b, record{Kind: kindHealth, Endpoint: "h1", Health: &Health{Unhealthy: true, At: at(7)}})
 }
 
-// Files that earlier builds have written are read completely. The first was written before instants
-// were anchored.
+// Files that earlier versions of the program wrote are read completely. The unanchored file is from before
+// the anchor record existed.
 func TestReplay_ReadsGoldenFiles(t *testing.T) {
 	anchor := clock.Anchor{Boot: "1f0e", Since: time.Hour, At: clock.FromTime(goldenStart)}
 	goldentest.Bytes(t, "journal-unanchored.bin", goldenRecords())
@@ -85,7 +85,7 @@
 	}
 }
 
-// checkGoldenJournal compares a journal with what goldenRecords describe.
+// checkGoldenJournal compares a journal with the contents of goldenRecords.
 func checkGoldenJournal(t *testing.T, j *Journal) {
 	t.Helper()
 	if got := len(j.Entries()); got != 4 {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// fill notes three requests: one completed, one with two attempts, one with a pending notice.
+// fill commits three requests: one completed, one with two attempts, and one with a pending notice.
 func fill(t *testing.T, j *Journal, at clock.Instant) {
 	t.Helper()
 	for _, id := range []string{"completed", "attempted", "pending"} {
@@ -52,7 +52,7 @@
 func TestOpen_ReplaysLogAndCompaction(t *testing.T) {
 	dir, at := t.TempDir(), clock.New().Now()
 	fill(t, openJournal(t, dir, 3), at)
-	for range 2 { // from the log, and from the compaction of the first Open
+	for range 2 { // from the appended records, and from the compaction of the first Open
 		j := openJournal(t, dir, 3)
 		list := j.Entries()
 		if len(list) != 2 || list[0].ID != "attempted" || list[1].ID != "pending" {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Of a file that is cut or damaged at any byte all complete records before that are read, and later
-// records are appended behind them.
+// If a file is truncated or damaged at any byte, all complete records before that byte are read, and new
+// records are appended after them.
 func TestOpen_SkipsCorruptTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -108,18 +108,18 @@
 			}
 			j := openJournal(t, other, 3)
 			if list := j.Entries(); len(list) != want || list[0].ID != "a" {
-				t.Fatalf("cut %d at byte %d: %d entries, want %d", i, end, len(list), want)
+				t.Fatalf("damage %d at byte %d: %d entries, want %d", i, end, len(list), want)
 			}
 			j.Accept(&Entry{ID: "c"})
 			commit(t, j)
 			if reopened := openJournal(t, other, 3); reopened.Entry("c") == nil {
-				t.Fatalf("cut %d at byte %d: a later record is lost", i, end)
+				t.Fatalf("damage %d at byte %d: a record that was added afterwards is lost", i, end)
 			}
 		}
 	}
 }
 
-// Requests with the largest bodies never fill the folder beyond its limit, a compaction's new file
+// Requests with bodies of the largest size never fill the folder beyond its limit, the new file of a compaction
 // included.
 func TestCommit_StaysUnderDiskLimit(t *testing.T) {
 	const mb = 1
@@ -140,34 +140,34 @@
 			j.EndAttempt(e, true, "", 0)
 		}
 		commit(t, j)
-		// During a compaction the old file stands beside a new one with all that is live.
+		// During a compaction the old file exists beside a new one with all live records.
 		if j.fileSize+j.liveSize > mb*1e6 {
-			t.Fatalf("%d bytes on disk with %d live", j.fileSize, j.liveSize)
+			t.Fatalf("file of %d bytes and %d live bytes exceed the limit", j.fileSize, j.liveSize)
 		}
 		if st, err := os.Stat(j.path); err != nil || int(st.Size()) != j.fileSize {
-			t.Fatalf("file of %v bytes (%v), %d counted", st, err, j.fileSize)
+			t.Fatalf("file info %v, err %v; the journal counts %d bytes", st, err, j.fileSize)
 		}
 	}
 	if rejected == 0 {
-		t.Error("nothing was rejected")
+		t.Error("no request was rejected")
 	}
 }
 
-// Requests are counted against the limit before their records are committed.
+// Reserved requests count against the size limit before their records are committed.
 func TestReserve_CountsUncommittedRequests(t *testing.T) {
 	j := openJournal(t, t.TempDir(), 1)
 	n := 0
 	for j.Reserve(&Entry{ID: "m", Body: make([]byte, 64<<10)}) {
 		if n++; n > 100 {
-			t.Fatal("no limit")
+			t.Fatal("Reserve enforces no limit")
 		}
 	}
 	if n == 0 || 2*n*64<<10 > 1e6 {
-		t.Errorf("%d reserved at once", n)
+		t.Errorf("%d requests reserved without a commit", n)
 	}
 }
 
-// After a failed commit no request is accepted until a new file was written, which holds all.
+// After a failed commit no request is accepted until a new file with all records has been written.
 func TestCommit_RewritesFileAfterFailure(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -184,13 +184,13 @@
 	}
 }
 
-// The timeline of a journal continues from process to process. An unanchored file is read as it is, and
-// no time counts as passed since.
+// The timeline of a journal continues from one process to the next. The instants of an unanchored file are
+// read unchanged, and the time since it was written counts as zero.
 func TestTimeline_ContinuesAcrossProcesses(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
 	if j.Timeline().SameBoot() {
-		t.Error("an empty folder continues a timeline")
+		t.Error("the journal of an empty folder continues a timeline")
 	}
 	first := j.Timeline().Anchor()
 	fill(t, j, j.Timeline().Now())
@@ -201,7 +201,7 @@
 		}
 	}
 
-	ahead := clock.New().Now().Add(time.Hour) // the wall clock was an hour ahead when this was written
+	ahead := clock.New().Now().Add(time.Hour) // the file was written while the wall clock was an hour ahead
 	unanchored := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "a", Deadline: ahead.Add(time.Minute)}})
 	unanchored = appendRecord(unanchored, record{Kind: kindAttemptStarted, ID: "a", Endpoint: "h", At: ahead})
 	if err := os.WriteFile(filepath.Join(dir, FileName), unanchored, 0o600); err != nil {
@@ -213,6 +213,6 @@
 		t.Fatalf("%+v, continued: %v", e, j.Timeline().SameBoot())
 	}
 	if left := e.Deadline.Sub(j.Timeline().Now()); left > time.Minute {
-		t.Errorf("%v left of a minute", left)
+		t.Errorf("%v left until the deadline, want at most a minute", left)
 	}
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -15,8 +15,8 @@
 
 // Layout of a record's header, see "File format" in the package's documentation.
 const (
-	lengthsSize = 8               // two lengths, which the checksum covers
-	headerSize  = lengthsSize + 4 // and the checksum
+	lengthsSize = 8               // the two lengths, which the checksum covers
+	headerSize  = lengthsSize + 4 // the lengths and the checksum
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -48,12 +48,12 @@
 	Endpoint    string                  `json:"host,omitempty"`
 	At          clock.Instant           `json:"at,omitzero"`
 	NotExecuted bool                    `json:"unrun,omitempty"`
-	Reason      string                  `json:"why,omitempty"` // an attempt's outcome, or the reason of a terminal one
+	Reason      string                  `json:"why,omitempty"` // an attempt's outcome, or the reason of a terminal outcome
 	Notice      *notification.Notice    `json:"notice,omitempty"`
 	Health      *Health                 `json:"health,omitempty"`
 	Endpoints   *discovery.EndpointList `json:"list,omitempty"`
-	Source      string                  `json:"from,omitempty"`  // the discovery of Endpoints, or the store's name
-	Count       int64                   `json:"count,omitempty"` // the number of Terms, or the highest arrival
+	Source      string                  `json:"from,omitempty"`  // the discovery service that sent Endpoints, or the store's name
+	Count       int64                   `json:"count,omitempty"` // the number of Terms, or the highest arrival number
 	Terms       *policy.Class           `json:"terms,omitempty"`
 	Anchor      *clock.Anchor           `json:"anchor,omitempty"`
 
@@ -65,19 +65,19 @@
 func appendRecord(b []byte, r record) []byte {
 	text, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // its types encode without errors
+		panic(err) // unreachable: every field of a record can be encoded
 	}
 	start := len(b)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(r.Body)))
-	b = append(b, 0, 0, 0, 0) // the checksum, once the rest stands
+	b = append(b, 0, 0, 0, 0) // space for the checksum, which is computed last
 	b = append(b, text...)
 	b = append(b, r.Body...)
 	binary.BigEndian.PutUint32(b[start+lengthsSize:], checksum(b[start:]))
 	return b
 }
 
-// readRecord decodes the first record of raw, and returns its size there.
+// readRecord decodes the first record of raw, and returns its encoded size.
 func readRecord(raw []byte) (r record, size int, err error) {
 	if len(raw) < headerSize {
 		return record{}, 0, ErrTruncatedHeader
@@ -97,7 +97,8 @@
 	return r, size, nil
 }
 
-// checksum returns the checksum of an encoded record, of all its bytes but those of the checksum.
+// checksum returns the checksum of an encoded record. It covers all bytes except those of the checksum
+// field.
 func checksum(encoded []byte) uint32 {
 	sum := crc32.Checksum(encoded[:lengthsSize], castagnoli)
 	return crc32.Update(sum, castagnoli, encoded[headerSize:])
--- a/internal/journal/record_test.go
+++ b/internal/journal/record_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Replay reports where a file is corrupt and why, and applies the records before.
+// Replay reports the offset and the cause of a corruption, and applies the records before it.
 func TestReplay_ReportsCorruptRecord(t *testing.T) {
 	first := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "a"}})
 	second := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "b"}, Body: []byte("body")})
@@ -36,7 +36,7 @@
 	}
 }
 
-// A record of an unknown kind, as of a later program, has no effect.
+// A record of an unknown kind, as a later version of the program may write, has no effect.
 func TestReplay_IgnoresUnknownKind(t *testing.T) {
 	j := &Journal{entries: map[string]*Entry{}}
 	raw := appendRecord(nil, record{Kind: kindAccepted, Entry: &Entry{ID: "a"}})
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -12,8 +12,9 @@
 	"frostlink/policy"
 )
 
-// load replays the journal of a folder. Where there is no file, the journal that it returns beside the
-// error is empty. corrupt reports a tail that was skipped; nil: the whole file was read.
+// load replays the journal of a folder. If the file does not exist, load returns an empty journal
+// together with the error. corrupt reports a tail that was skipped, and is nil if the whole file was
+// read.
 func load(dir string) (j *Journal, corrupt *CorruptRecordError, err error) {
 	j = &Journal{
 		path:    filepath.Join(dir, FileName),
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// apply changes the state in memory by one record. A kind of a later program has no effect.
+// apply changes the state in memory by one record. A record of an unknown kind, written by a later
+// version of the program, has no effect.
 func (j *Journal) apply(r record) {
 	j.latest = max(j.latest, r.At)
 	switch r.Kind {
@@ -79,7 +81,7 @@
 		e.PendingNotice, e.Reason, e.CompletedAt = r.Notice, r.Reason, r.At
 	case kindCompleted:
 		j.applyCompleted(e, r.At)
-	default: // of no request
+	default: // the other kinds don't concern a request
 	}
 }
 
@@ -124,7 +126,7 @@
 func (j *Journal) applyCompleted(e *Entry, at clock.Instant) {
 	delete(j.entries, e.ID)
 	j.liveSize -= j.sizeOf(e)
-	if !at.IsZero() { // earlier programs did not write the time
+	if !at.IsZero() { // earlier versions of the program did not write the time
 		j.completed.add(CompletedRequest{ID: e.ID, At: at})
 	}
 }
@@ -132,7 +134,7 @@
 func (j *Journal) applyCompletedRequests(body []byte) {
 	requests, err := readCompleted(body)
 	if err != nil {
-		slog.Warn("journal: unreadable record skipped", logkey.Record, string(kindCompletedRequests), logkey.Err, err)
+		slog.Warn("journal: malformed record skipped", logkey.Record, string(kindCompletedRequests), logkey.Err, err)
 	}
 	for _, c := range requests {
 		j.completed.add(c)
