--- a/internal/handover/acquire.go
+++ b/internal/handover/acquire.go
@@ -12,20 +12,21 @@
 	"frostlink/internal/wait"
 )
 
-// askInterval is the pause before the folder's owner is asked again.
+// askInterval is the pause between two attempts to lock the folder or to get an offer from its owner.
 const askInterval = 20 * time.Millisecond
 
 // Recipient is the relay of the successor.
 type Recipient interface {
-	// Start starts from the journal: no other process owned the folder.
+	// Start starts the relay from the journal. It is called if no other process owned the folder.
 	Start() error
-	// Prepare reads the journal, which it must not change, and makes ready to serve with a state.
+	// Prepare reads the journal, which it must not change, and prepares the relay to serve with the
+	// predecessor's state.
 	Prepare(state json.RawMessage) error
-	// Discard drops what was prepared: the predecessor did not hand over after all.
+	// Discard undoes Prepare. It is called if the predecessor did not hand over.
 	Discard()
-	// Acquire makes the journal ready to be written. It is called when this process has become the owner.
+	// Acquire prepares the journal for writing. It is called when this process has become the owner.
 	Acquire() error
-	// Serve begins, with the connections that were passed.
+	// Serve starts to serve, with the connections that were passed.
 	Serve(conns []Conn) error
 }
 
@@ -37,17 +38,17 @@
 	owner   *Owner
 	link    *link // nil while there is none
 
-	state json.RawMessage // as offered
-	batch []Conn          // received last
-	conns []Conn          // of all batches
-	err   error           // why this process can't go on
+	state json.RawMessage // the predecessor's state
+	batch []Conn          // the last batch received, not yet in conns
+	conns []Conn          // the connections of all accepted batches
+	err   error           // the reason why this process can't continue
 
-	loggedWaiting bool   // that another process holds the folder
-	loggedError   string // why the folder could not be locked last
+	loggedWaiting bool   // it was logged that another process holds the folder
+	loggedError   string // the last logged error of locking the folder
 }
 
-// Acquire locks a folder that no process owns, or takes over from its owner. It returns once the relay
-// serves, and tries until ctx ends.
+// Acquire locks a folder that no process owns, or takes it over from its owner. It tries until ctx ends,
+// and returns once the relay serves.
 func Acquire(ctx context.Context, dir string, relay Recipient) (*Owner, error) {
 	a := &acquisition{dir: dir, relay: relay, owner: &Owner{dir: dir}}
 	actions := []action{actionAsk}
@@ -70,8 +71,8 @@
 	}
 }
 
-// perform carries out actions in order. It returns what came of the last step among them, or that the
-// relay serves.
+// perform carries out actions in order. It returns the result of the last action that has one, or serving
+// true once the relay serves.
 func (a *acquisition) perform(ctx context.Context, actions []action) (next event, serving bool, err error) {
 	for _, do := range actions {
 		switch do {
@@ -83,7 +84,7 @@
 			a.relay.Discard()
 			a.closeLink()
 		case actionServe:
-			go a.link.closeAtEnd() // open to the end of this process, so that the predecessor learns of it
+			go a.link.closeAtEnd() // the link stays open, so that the predecessor notices if this process dies
 			return eventNone, true, a.relay.Serve(a.conns)
 		default:
 			next = a.step(ctx, do)
@@ -108,11 +109,11 @@
 		a.batch = nil
 		return a.receiveBatch()
 	default:
-		panic(fmt.Sprintf("handover: action %d is no step of the successor", do))
+		panic(fmt.Sprintf("handover: unexpected action %d in the successor", do))
 	}
 }
 
-// ask locks the folder if it is free, or has its owner offer its state.
+// ask locks the folder if it is free; otherwise it requests the state of the folder's owner.
 func (a *acquisition) ask(ctx context.Context) event {
 	lock, err := lockFolder(a.dir)
 	if err == nil {
@@ -129,21 +130,21 @@
 	return eventPeerGone
 }
 
-// logLockFailure logs each reason once, not with each attempt.
+// logLockFailure logs the reason of a failure only when it changes, not at each attempt.
 func (a *acquisition) logLockFailure(err error) {
 	switch {
 	case !errors.Is(err, errFolderLocked):
 		if a.loggedError != err.Error() {
 			a.loggedError = err.Error()
-			slog.Error("folder can't be locked yet", logkey.Err, err)
+			slog.Error("relay folder can't be locked; retrying", logkey.Err, err)
 		}
 	case !a.loggedWaiting:
 		a.loggedWaiting = true
-		slog.Info("another process holds the folder: it is asked to hand over")
+		slog.Info("another process holds the relay folder; asking it to hand over")
 	}
 }
 
-// requestOffer sends a hello to the folder's owner, and waits for its state.
+// requestOffer sends a hello to the folder's owner, and receives its state.
 func (a *acquisition) requestOffer() error {
 	var err error
 	if a.link, err = dial(a.dir); err != nil {
@@ -171,7 +172,8 @@
 	return eventPrepared
 }
 
-// reportReady waits for the lock or the end of the link, however late.
+// reportReady reports to the predecessor that this process is ready, and waits without a timeout for the
+// lock or the end of the link.
 func (a *acquisition) reportReady() event {
 	if a.link.send(frameReady, nil) != nil {
 		return eventPeerGone
@@ -191,12 +193,12 @@
 	return a.receiveBatch()
 }
 
-// receiveBatch acknowledges what has come so far and waits for the next batch.
+// receiveBatch acknowledges the lock or the previous batch, and waits for the next batch.
 func (a *acquisition) receiveBatch() event {
 	batch, done, err := a.nextBatch()
 	switch {
 	case err != nil:
-		slog.Warn("connections lost in hand-over", logkey.Err, err, logkey.Connections, len(a.conns))
+		slog.Warn("hand-over ended early; remaining connections are lost", logkey.Err, err, logkey.Connections, len(a.conns))
 		return eventPeerGone
 	case done:
 		return eventAllReceived
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -20,7 +20,7 @@
 
 // The kinds of connection.
 const (
-	ClientConn       ConnKind = "client" // a client's: idle, or with a part of a request read
+	ClientConn       ConnKind = "client" // from a client: idle, or with a part of a request read
 	AttemptConn      ConnKind = "call"   // to an endpoint, with an attempt in flight
 	IdleEndpointConn ConnKind = "host"   // to an endpoint, idle
 )
@@ -28,24 +28,24 @@
 // Conn is a connection that is passed.
 type Conn struct {
 	Kind ConnKind `json:"kind"`
-	// Buffered is what was read of a request or a response that is not complete yet.
+	// Buffered contains the bytes that were read of an incomplete request or response.
 	Buffered []byte `json:"read,omitempty"`
-	// Unused: nothing was ever read from a client's connection.
+	// Unused is set if nothing was ever read from a client's connection.
 	Unused bool `json:"fresh,omitempty"`
 	// Endpoint and Addr are set on idle connections to endpoints.
 	Endpoint string `json:"host,omitempty"`
 	Addr     string `json:"addr,omitempty"`
-	// ID is the id of the request of an attempt.
+	// ID is the id of the request whose attempt uses the connection.
 	ID string `json:"id,omitempty"`
-	// Since is when the connection became idle, or the attempt began.
+	// Since is the time at which the connection became idle, or the attempt began.
 	Since clock.Instant `json:"since,omitzero"`
 
-	// Conn travels as a descriptor.
+	// Conn is sent as a descriptor.
 	Conn *net.TCPConn `json:"-"`
 }
 
-// decodeBatch joins a batch's list with its descriptors. A descriptor that is no TCP connection loses
-// its own entry alone.
+// decodeBatch decodes a batch's list, and adds the connections of its descriptors. An entry whose
+// descriptor is not a TCP connection is skipped.
 func decodeBatch(body []byte, files []*os.File) ([]Conn, error) {
 	var batch []Conn
 	err := json.Unmarshal(body, &batch)
@@ -62,7 +62,7 @@
 	for i, c := range batch {
 		c.Conn, err = tcpConn(files[i])
 		if err != nil {
-			slog.Warn("descriptor in hand-over is no connection", logkey.Err, err)
+			slog.Warn("descriptor received in hand-over is not a TCP connection; connection lost", logkey.Err, err)
 			continue
 		}
 		received = append(received, c)
@@ -70,9 +70,9 @@
 	return received, nil
 }
 
-// tcpConn returns the connection of a descriptor, and closes the file.
+// tcpConn returns the TCP connection of a descriptor, and closes the file.
 func tcpConn(f *os.File) (*net.TCPConn, error) {
-	defer func() { _ = f.Close() }() // FileConn has made a duplicate
+	defer func() { _ = f.Close() }() // net.FileConn duplicates the descriptor
 	conn, err := net.FileConn(f)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -85,8 +85,8 @@
 	return tcp, nil
 }
 
-// duplicate returns another descriptor of a connection's socket, which the caller closes. The socket
-// stays open when the connection is closed.
+// duplicate returns another descriptor of a connection's socket. The caller has to close it; until then
+// the socket stays open, even if the connection is closed.
 func duplicate(c syscall.Conn) (fd int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/handover/errors.go
+++ b/internal/handover/errors.go
@@ -6,14 +6,14 @@
 )
 
 var (
-	// errFolderLocked says that another process holds the folder's lock.
-	errFolderLocked = errors.New("handover: another process holds the folder")
-	// errVersionMismatch says that the other process speaks another version of the protocol.
-	errVersionMismatch = errors.New("handover: version mismatch")
-	// errNotTCP says that a received descriptor is no TCP connection.
+	// errFolderLocked is returned if another process holds the folder's lock.
+	errFolderLocked = errors.New("handover: folder is locked by another process")
+	// errVersionMismatch is returned if the other process uses another version of the protocol.
+	errVersionMismatch = errors.New("handover: protocol version mismatch")
+	// errNotTCP is returned if a received descriptor is not a TCP connection.
 	errNotTCP = errors.New("handover: not a TCP connection")
-	// errDescriptorCount says that a batch came with more or fewer descriptors than connections.
-	errDescriptorCount = errors.New("handover: descriptors don't match connections")
+	// errDescriptorCount is returned if a batch has more or fewer descriptors than connections.
+	errDescriptorCount = errors.New("handover: numbers of descriptors and connections differ")
 )
 
 // unexpectedFrameError reports a frame that the protocol does not allow at this step.
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// Version is the version of the protocol. JSON members may be added without a new one.
+// Version is the version of the protocol. JSON members may be added without a new version.
 const Version = 1
 
 const (
-	// maxFrameBody is the size of a frame's body at most, far less than a Unix socket's buffer.
+	// maxFrameBody is the maximum size of a frame's body. It is far below the size of a Unix socket's
+	// buffer.
 	maxFrameBody = 64 << 10
-	// maxFrameFiles is how many descriptors go with a frame at most, and how many more the two processes
-	// hold together than one relay does.
+	// maxFrameFiles is the maximum number of descriptors in a frame. It also bounds how many descriptors
+	// the two processes hold in addition to those of one relay.
 	maxFrameFiles = 16
 )
 
 const (
-	// quiesceTimeout bounds how long the relay may take to come to a stop, and prepareTimeout the
-	// successor's reading of the journal: clients wait 400 ms for an answer, and all requests in flight
-	// grow older meanwhile.
+	// quiesceTimeout bounds the time until the relay is quiesced, and prepareTimeout the time in which the
+	// successor reads the journal. They are short because clients wait 400 ms for an answer, and the
+	// requests in flight come closer to their deadlines during a hand-over.
 	quiesceTimeout, prepareTimeout = 300 * time.Millisecond, time.Second
-	// helloTimeout is how long a link may take to send its hello.
+	// helloTimeout bounds the time between the accept of a link and its hello.
 	helloTimeout = time.Second
-	// offerTimeout is how long the predecessor may take to quiesce and to send its state.
+	// offerTimeout bounds the time in which the predecessor quiesces and sends its state.
 	offerTimeout = 3 * time.Second
-	// sendTimeout is how long the peer may take to make room for a frame. Without it a predecessor that
-	// has come to a stop would wait with all its clients for a successor that is suspended.
+	// sendTimeout bounds the time until the socket's buffer has space for a frame. Without it a quiesced
+	// predecessor, and all its clients, would wait for a successor that is suspended.
 	sendTimeout = time.Second
-	// ackTimeout is how long a batch may take to come or to be acknowledged before the rest counts as
-	// lost.
+	// ackTimeout bounds the wait for a batch or for its acknowledgement. After it, the connections that
+	// were not passed count as lost.
 	ackTimeout = 2 * time.Second
 )
 
@@ -42,11 +43,11 @@
 const (
 	frameHello        frameKind = 'h'
 	frameState        frameKind = 's' // a part of the state
-	frameOffer        frameKind = 'o' // the state is complete
+	frameOffer        frameKind = 'o' // end of the state
 	frameReady        frameKind = 'r'
-	frameLock         frameKind = 'y' // with the lock's descriptor
+	frameLock         frameKind = 'y' // carries the lock's descriptor
 	frameConns        frameKind = 'c' // a part of a batch's list of connections
-	frameBatch        frameKind = 'b' // the list is complete, with the descriptors
+	frameBatch        frameKind = 'b' // end of the list; carries the descriptors of the batch
 	frameAcknowledged frameKind = 'a'
 	frameDone         frameKind = 'd'
 )
@@ -65,7 +66,7 @@
 	Version int `json:"version"`
 }
 
-// encode returns v as JSON. It panics on values that can't be encoded, of which none is sent.
+// encode returns v as JSON. It panics if v can't be encoded, which no value sent in a frame is.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,11 +19,11 @@
 
 var errNotReady = errors.New("not ready")
 
-// fakeSource is a predecessor's relay. It reports its calls by name.
+// fakeSource is the relay of a predecessor. It sends the name of each method call to calls.
 type fakeSource struct {
 	calls      chan string
 	conns      []Conn
-	quiesceErr error // of the first call of Quiesce
+	quiesceErr error // returned by the first call of Quiesce
 }
 
 func (s *fakeSource) Quiesce(context.Context) (state any, conns []Conn, err error) {
@@ -36,7 +36,7 @@
 
 func (s *fakeSource) Released() { s.calls <- "released" }
 
-// fakeRecipient is a successor's relay.
+// fakeRecipient is the relay of a successor. It records the names of its method calls.
 type fakeRecipient struct {
 	calls      []string
 	state      json.RawMessage
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// startOwner has a process own a folder, and serve a source until stop is called or the test ends.
+// startOwner acquires a free folder, and serves successors from source until stop is called or the test ends.
 func startOwner(t *testing.T, dir string, source *fakeSource) (outcomes <-chan Outcome, stop func()) {
 	t.Helper()
 	r := &fakeRecipient{}
 	owner, err := Acquire(t.Context(), dir, r)
 	if err != nil || fmt.Sprint(r.calls) != "[start]" {
-		t.Fatalf("a free folder is acquired by %v, err %v", r.calls, err)
+		t.Fatalf("calls at the acquisition of a free folder: %v, err %v", r.calls, err)
 	}
 	source.calls = make(chan string, 100)
 	stopped, done, served := make(chan struct{}), make(chan struct{}), make(chan Outcome, 1)
@@ -100,7 +100,7 @@
 	return err
 }
 
-// connect returns n connections, and their other ends.
+// connect returns n connections and their peers.
 func connect(t *testing.T, n int) (conns []Conn, peers []net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,8 +124,8 @@
 	return conns, peers
 }
 
-// The state and the connections of several batches reach the successor, and the predecessor ends when
-// it is asked to stop. A folder whose path is too long for a socket's address makes no difference.
+// The state and the connections of several batches reach the successor, and the predecessor ends when it is
+// asked to stop. This also works in a folder whose path is too long for a socket's address.
 func TestHandover_PassesStateAndConnections(t *testing.T) {
 	for _, test := range []struct{ name, folder string }{
 		{"short path", "."},
@@ -157,7 +157,7 @@
 			}
 			for _, want := range []string{"quiesce", "released"} {
 				if got := waittest.Receive(t, source.calls); got != want {
-					t.Errorf("the source is called to %s, want %s", got, want)
+					t.Errorf("call of the source: %s, want %s", got, want)
 				}
 			}
 			stop()
@@ -168,7 +168,7 @@
 	}
 }
 
-// A relay that can't be quiesced resumes, and is handed over when its successor asks again.
+// After a failed Quiesce the relay resumes, and it is handed over when the successor asks again.
 func TestHandover_RetriesAfterFailedQuiesce(t *testing.T) {
 	dir := t.TempDir()
 	source := &fakeSource{quiesceErr: errNotReady}
@@ -178,12 +178,12 @@
 	}
 	for _, want := range []string{"quiesce", "resume", "quiesce", "released"} {
 		if got := waittest.Receive(t, source.calls); got != want {
-			t.Errorf("the source is called to %s, want %s", got, want)
+			t.Errorf("call of the source: %s, want %s", got, want)
 		}
 	}
 }
 
-// A successor that can't go on from the state ends with its error, and the predecessor resumes.
+// A successor whose Prepare fails returns the error, and the predecessor resumes.
 func TestHandover_ResumesAfterFailedPrepare(t *testing.T) {
 	dir := t.TempDir()
 	source := &fakeSource{}
@@ -193,7 +193,7 @@
 	}
 	for _, want := range []string{"quiesce", "resume"} {
 		if got := waittest.Receive(t, source.calls); got != want {
-			t.Errorf("the source is called to %s, want %s", got, want)
+			t.Errorf("call of the source: %s, want %s", got, want)
 		}
 	}
 	stop()
@@ -202,7 +202,7 @@
 	}
 }
 
-// A successor that dies once it has the lock leaves the folder to its predecessor.
+// If the successor dies after it has received the lock, the predecessor's outcome is SuccessorDied.
 func TestHandover_ReportsDeathOfSuccessor(t *testing.T) {
 	dir := t.TempDir()
 	outcomes, _ := startOwner(t, dir, &fakeSource{})
@@ -226,7 +226,7 @@
 	}
 }
 
-// A hello of another version, and any other frame, is rejected before the relay is touched.
+// A hello of another version, or another first frame, is rejected before the source is called.
 func TestOwner_RejectsInvalidHello(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -250,16 +250,16 @@
 				t.Fatal(err)
 			}
 			if f, err := l.receive(time.Now().Add(waittest.Long)); !errors.Is(err, io.EOF) {
-				t.Errorf("frame %v, err %v; want the end of the link", f.kind, err)
+				t.Errorf("frame %v, err %v; want a closed link", f.kind, err)
 			}
 			if len(source.calls) > 0 {
-				t.Errorf("the source is called to %s", <-source.calls)
+				t.Errorf("unexpected call of the source: %s", <-source.calls)
 			}
 		})
 	}
 }
 
-// A process that is asked to stop while it waits for a folder gives up.
+// Acquire of a locked folder returns when its context ends.
 func TestAcquire_EndsWithContext(t *testing.T) {
 	dir := t.TempDir()
 	lock, err := lockFolder(dir)
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketNetwork has packets whose bounds are preserved (SOCK_SEQPACKET).
+// socketNetwork is the network of the hand-over socket: SOCK_SEQPACKET preserves packet boundaries.
 const socketNetwork = "unixpacket"
 
-// descriptorSize is the size of a descriptor in ancillary data: a C int (cmsg(3)).
+// descriptorSize is the size in bytes of a descriptor in ancillary data: a C int (cmsg(3)).
 const descriptorSize = 4
 
 // link is a connection between the two processes.
@@ -33,7 +33,7 @@
 	return &link{conn}, nil
 }
 
-// send sends a frame with descriptors, which stay the caller's.
+// send sends a frame with descriptors. The caller still has to close its descriptors.
 func (l *link) send(kind frameKind, body []byte, fds ...int) error {
 	var rights []byte
 	if len(fds) > 0 {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// sendLong sends a body in frames of kind part, and a frame of kind end with the descriptors.
+// sendLong sends a body in frames of kind part, followed by a frame of kind end with the descriptors.
 func (l *link) sendLong(part, end frameKind, body []byte, fds ...int) error {
 	for len(body) > 0 {
 		n := min(len(body), maxFrameBody)
@@ -61,7 +61,7 @@
 	return l.send(end, nil, fds...)
 }
 
-// receive waits for the next frame until a deadline; the zero time is none.
+// receive waits for the next frame until the deadline. The zero time means no deadline.
 func (l *link) receive(deadline time.Time) (frame, error) {
 	if err := l.conn.SetReadDeadline(deadline); err != nil {
 		return frame{}, fmt.Errorf("handover: %w", err)
@@ -72,7 +72,7 @@
 	if err != nil {
 		return frame{}, fmt.Errorf("handover: receive frame: %w", err)
 	}
-	if n == 0 { // no frame is empty
+	if n == 0 { // the other side closed the link: every frame has at least its kind
 		return frame{}, net.ErrClosed
 	}
 	files, err := receivedFiles(control[:controlSize])
@@ -82,7 +82,7 @@
 	return frame{kind: frameKind(packet[0]), body: packet[1:n], files: files}, nil
 }
 
-// receivedFiles returns the descriptors that came with a packet.
+// receivedFiles returns the descriptors in the ancillary data of a packet.
 func receivedFiles(control []byte) (files []*os.File, err error) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return files, nil
 }
 
-// receiveLong waits for a body in frames of kind part, and for the frame of another kind that ends it.
-// The deadline is for each frame.
+// receiveLong receives a body in frames of kind part, and returns it with the frame of another kind that
+// follows. The deadline is the same for every frame.
 func (l *link) receiveLong(part frameKind, deadline time.Time) (body []byte, last frame, err error) {
 	for {
 		f, err := l.receive(deadline)
@@ -116,7 +116,8 @@
 	}
 }
 
-// receiveHello waits for the successor's hello. One of another version could misread what it is sent.
+// receiveHello waits for the successor's hello. It rejects another version of the protocol, because such a
+// successor could misinterpret the frames that it receives.
 func (l *link) receiveHello() error {
 	f, err := l.receive(time.Now().Add(helloTimeout))
 	if err != nil {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// closeAtEnd waits until the other side ends the link, and closes it.
+// closeAtEnd waits until the other side closes the link, and closes this side.
 func (l *link) closeAtEnd() {
 	for {
 		if _, err := l.receive(time.Time{}); err != nil {
@@ -145,4 +146,4 @@
 	}
 }
 
-func (l *link) close() { _ = l.conn.Close() } // nothing is buffered that could be lost
+func (l *link) close() { _ = l.conn.Close() } // nothing is buffered, so an error loses nothing
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// linkPair returns two ends of a link.
+// linkPair returns the two ends of a link.
 func linkPair(t *testing.T) (near, far *link) {
 	t.Helper()
 	addr := &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: socketNetwork}
@@ -30,10 +30,10 @@
 	return &link{dialed}, &link{accepted}
 }
 
-// What happens: a successor stops reading while its predecessor sends its state (it is suspended, or gets no processor time). The
-// predecessor stands still with all its clients until the successor ends. Why: frames were written without a deadline, and a state
-// that is larger than the socket's buffer, as of a fleet with thousands of endpoints, waits for the reader. Evidence: sendLong of 4 MB
-// to a peer that reads nothing did not return within the test's time.
+// Guards against a predecessor that is blocked, with all its clients, by a successor that stops reading while the state is sent (because
+// it is suspended or gets no processor time). Frames were written without a deadline, and a write blocks once the socket's buffer is full.
+// A state larger than the buffer, such as that of a fleet with thousands of endpoints, was then blocked until the successor ended:
+// sendLong of 4 MB to a peer that reads nothing did not return within the test's time.
 func TestLink_SendEndsWhereThePeerReadsNothing(t *testing.T) {
 	near, _ := linkPair(t)
 	sent := make(chan error, 1)
@@ -42,14 +42,14 @@
 	select {
 	case err := <-sent:
 		if took := time.Since(begun); err == nil || took > offerTimeout {
-			t.Errorf("ended after %v with %v", took, err)
+			t.Errorf("sendLong returned after %v with err %v", took, err)
 		}
 	case <-time.After(offerTimeout + time.Second):
-		t.Fatal("it waits for a peer that reads nothing")
+		t.Fatal("sendLong to a peer that reads nothing did not return within offerTimeout and a second")
 	}
 }
 
-// A peer that reads late, but within the time for a frame, gets all of it.
+// A peer that starts to read late, but within sendTimeout, receives the whole body.
 func TestLink_SendWaitsForALateReader(t *testing.T) {
 	near, far := linkPair(t)
 	const size = 4 << 20
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -13,13 +13,14 @@
 const (
 	// socketName and lockName are the names of the files in the relay's folder.
 	socketName, lockName = "handover", "lock"
-	// maxSocketPath is the length at most of a path that serves as a Unix socket's address (unix(7): 108
-	// bytes with its end).
+	// maxSocketPath is the maximum length of a path that is used as a Unix socket's address (unix(7) allows
+	// 108 bytes with the terminating zero).
 	maxSocketPath = 100
 )
 
-// socketPath returns the address of a folder's socket. A path that is too long for an address goes by a
-// descriptor of the folder, which release closes after use.
+// socketPath returns the address of a folder's socket. If the path is too long for an address, the address
+// refers to a descriptor of the folder under /proc/self/fd. The caller must call release after use, which
+// closes that descriptor.
 func socketPath(dir string) (path string, release func(), err error) {
 	path = filepath.Join(dir, socketName)
 	if len(path) <= maxSocketPath {
@@ -30,11 +31,11 @@
 		return "", nil, fmt.Errorf("handover: %w", err)
 	}
 	path = "/proc/self/fd/" + strconv.Itoa(int(folder.Fd())) + "/" + socketName
-	return path, func() { _ = folder.Close() }, nil // it was only read
+	return path, func() { _ = folder.Close() }, nil // opened only for reading, so an error loses nothing
 }
 
-// folderLock is the lock on a folder. It belongs to the open file description, not to the process
-// (flock(2)), so it passes with its descriptor and is never free in between.
+// folderLock is the lock on a folder. The lock belongs to the open file description, not to the process
+// (flock(2)), so it passes to another process with the descriptor, and is never released on the way.
 type folderLock struct{ file *os.File }
 
 // lockFolder locks a folder, or returns errFolderLocked.
@@ -42,7 +43,7 @@
 	path := filepath.Join(dir, lockName)
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		// A file that exists can be locked in a folder that can't be written as well.
+		// An existing file can be locked even if the folder can't be written.
 		file, err = os.OpenFile(path, os.O_RDONLY, 0)
 	}
 	if err != nil {
@@ -58,9 +59,10 @@
 	return &folderLock{file}, nil
 }
 
-// close drops this process's descriptor of the lock. The folder is unlocked once no process has one.
+// close closes this process's descriptor of the lock. The folder is unlocked once no process has a
+// descriptor of it.
 func (l *folderLock) close() {
 	if l != nil {
-		_ = l.file.Close() // nothing was written
+		_ = l.file.Close() // nothing was written, so an error loses nothing
 	}
 }
--- a/internal/handover/machine.go
+++ b/internal/handover/machine.go
@@ -7,106 +7,106 @@
 	// eventNone: nothing has happened.
 	eventNone event = iota
 
-	// Of both sides:
+	// Events of both sides:
 
 	// eventPeerGone: the link to the other process has ended.
 	eventPeerGone
-	// eventTimedOut: the step that the machine waits for has taken too long.
+	// eventTimedOut: the current step has exceeded its timeout.
 	eventTimedOut
 
-	// Of the predecessor:
+	// Events of the predecessor:
 
-	// eventHelloReceived: a successor asks for the relay.
+	// eventHelloReceived: a successor asks for a hand-over.
 	eventHelloReceived
-	// eventQuiesced: nothing is in flight any more, and the state is durable.
+	// eventQuiesced: the relay is quiesced, and its state is durable.
 	eventQuiesced
-	// eventQuiesceFailed: the relay could not be brought to that.
+	// eventQuiesceFailed: the relay could not be quiesced, or its state not made durable.
 	eventQuiesceFailed
-	// eventPeerReady: the successor could serve with what it has.
+	// eventPeerReady: the successor has read the state and the journal, and is ready to serve.
 	eventPeerReady
-	// eventBatchAcknowledged: the successor has the connections of the last batch.
+	// eventBatchAcknowledged: the successor has received the lock or the last batch of connections.
 	eventBatchAcknowledged
-	// eventAllPassed: the successor has been sent all connections.
+	// eventAllPassed: all connections were passed to the successor.
 	eventAllPassed
-	// eventStopRequested: the platform wants this process to stop.
+	// eventStopRequested: the platform asks this process to stop.
 	eventStopRequested
 
-	// Of the successor:
+	// Events of the successor:
 
-	// eventLockFree: nobody held the folder's lock; this process has it now.
+	// eventLockFree: the folder's lock was free, and this process has taken it.
 	eventLockFree
 	// eventStateOffered: the predecessor has sent its whole state.
 	eventStateOffered
-	// eventPrepared: the state was read, and this process could serve with it.
+	// eventPrepared: this process has read the state and the journal, and is ready to serve.
 	eventPrepared
-	// eventPrepareFailed: it could not.
+	// eventPrepareFailed: this process could not read the state or the journal.
 	eventPrepareFailed
-	// eventLockTransferred: this process owns the relay, and has the lock.
+	// eventLockTransferred: this process has received the lock, and owns the relay.
 	eventLockTransferred
-	// eventBatchReceived: a batch of connections has come.
+	// eventBatchReceived: a batch of connections was received.
 	eventBatchReceived
-	// eventAllReceived: there are no more.
+	// eventAllReceived: the predecessor has no more connections to pass.
 	eventAllReceived
 )
 
-// action is something that one side is to do.
+// action is something that one side has to do.
 type action int
 
 const (
-	// Of the predecessor:
+	// Actions of the predecessor:
 
-	// actionQuiesce: send, accept and read nothing more, until eventQuiesced or eventQuiesceFailed.
+	// actionQuiesce: stop sending, accepting and reading; ends with eventQuiesced or eventQuiesceFailed.
 	actionQuiesce action = iota
 	// actionOfferState: send the state.
 	actionOfferState
-	// actionResume: serve on as before.
+	// actionResume: undo actionQuiesce and continue to serve.
 	actionResume
-	// actionRejectPeer: end the link; the successor may ask again.
+	// actionRejectPeer: close the link; the successor may ask again.
 	actionRejectPeer
-	// actionTransferLock: send the lock. The one moment at which ownership passes.
+	// actionTransferLock: send the lock. This is the only action by which ownership passes.
 	actionTransferLock
-	// actionPassBatch: send the next batch of connections, or that there are no more.
+	// actionPassBatch: send the next batch of connections, or frameDone if there are no more.
 	actionPassBatch
 	// actionShutDown: shut down gracefully, without a successor.
 	actionShutDown
-	// actionExit: end the process; it owns nothing any more.
+	// actionExit: end the process, which is no longer the owner.
 	actionExit
 	// actionReclaim: the successor has died; lock the folder and start from the journal.
 	actionReclaim
 
-	// Of the successor:
+	// Actions of the successor:
 
-	// actionAsk: lock the folder if it is free, else ask its owner for the relay.
+	// actionAsk: lock the folder if it is free; otherwise ask its owner for a hand-over.
 	actionAsk
 	// actionStart: start from the journal, as the folder's owner.
 	actionStart
-	// actionPrepare: read journal and state, until eventPrepared or eventPrepareFailed.
+	// actionPrepare: read the journal and the state; ends with eventPrepared or eventPrepareFailed.
 	actionPrepare
-	// actionDiscard: drop all that was prepared.
+	// actionDiscard: drop everything that was prepared.
 	actionDiscard
-	// actionReportReady: send that this process is ready, and wait for the lock.
+	// actionReportReady: tell the predecessor that this process is ready, and wait for the lock.
 	actionReportReady
-	// actionAcquireJournal: the journal is this process's now.
+	// actionAcquireJournal: prepare the journal for writing, as its owner.
 	actionAcquireJournal
 	// actionAcceptBatch: add a batch of connections, and acknowledge it.
 	actionAcceptBatch
-	// actionServe: serve; all has come that will come.
+	// actionServe: serve with the connections received so far; no more will arrive.
 	actionServe
 	// actionFail: end the process with an error.
 	actionFail
 )
 
-// transition is what an event leads to: the next state, and the actions to carry out, in order.
+// transition is the effect of an event: the next state, and the actions to carry out, in order.
 type transition[State comparable] struct {
 	to      State
 	actions []action
 }
 
-// transitionTable is a state machine. In each state the events that are not listed are ignored: they
-// were in flight when the previous state ended.
+// transitionTable is a state machine. Events that are not listed for a state are ignored: they were in
+// flight when the previous state ended.
 type transitionTable[State comparable] map[State]map[event]transition[State]
 
-// next returns the state after an event, and the actions to carry out. Callers must not change them.
+// next returns the state after an event, and the actions to carry out. Callers must not modify the slice.
 func (t transitionTable[State]) next(from State, e event) (State, []action) {
 	step, ok := t[from][e]
 	if !ok {
--- a/internal/handover/machine_test.go
+++ b/internal/handover/machine_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// reachable returns the states that a machine can come to from its first one.
+// reachable returns the states that can be reached from the first state.
 func reachable[State comparable](table transitionTable[State], first State) []State {
 	states := []State{first}
 	for i := 0; i < len(states); i++ {
@@ -18,8 +18,8 @@
 	return states
 }
 
-// checkTable checks that all states of a table are reachable, that each event and action in it is of
-// this side, and that a state without an event to leave it is meant to be final.
+// checkTable checks that all states of a table are reachable, that all events and actions in it belong to
+// this side, and that exactly the states in final have no transitions.
 func checkTable[State comparable](
 	t *testing.T, table transitionTable[State], first State, final []State,
 	events func(event) bool, actions func(action) bool,
@@ -38,11 +38,11 @@
 				t.Errorf("state %v, event %d: state %v is not in the table", state, e, step.to)
 			}
 			if !events(e) {
-				t.Errorf("state %v: event %d is of the other side", state, e)
+				t.Errorf("state %v: event %d belongs to the other side", state, e)
 			}
 			for _, a := range step.actions {
 				if !actions(a) {
-					t.Errorf("state %v, event %d: action %d is of the other side", state, e, a)
+					t.Errorf("state %v, event %d: action %d belongs to the other side", state, e, a)
 				}
 			}
 		}
@@ -59,20 +59,20 @@
 			from, to := predecessor{state}, predecessor{step.to}
 			transfers := slices.Contains(step.actions, actionTransferLock)
 			if from.owns() && !to.owns() != transfers {
-				t.Errorf("state %v, event %d: ownership ends, the lock is transferred: %v", state, e, transfers)
+				t.Errorf("state %v, event %d: ownership must end exactly with the transfer of the lock; transferred: %v", state, e, transfers)
 			}
 			if !from.owns() && to.owns() {
-				t.Errorf("state %v, event %d: ownership comes back", state, e)
+				t.Errorf("state %v, event %d: owner again after the lock was transferred", state, e)
 			}
 			if resumes := slices.Contains(step.actions, actionResume); resumes && !to.owns() {
-				t.Errorf("state %v, event %d: a relay is resumed that is not owned", state, e)
+				t.Errorf("state %v, event %d: resumes a relay that it does not own", state, e)
 			}
 		}
 		waits := state != predecessorOwning && state != predecessorShuttingDown && state != predecessorFinished
 		if _, ok := steps[eventPeerGone]; ok != waits {
 			t.Errorf("state %v: handles the end of the link: %v, want %v", state, ok, waits)
 		}
-		// Once all was passed there is nothing left that could take too long.
+		// Once everything is passed there is no step left that could time out.
 		if _, ok := steps[eventTimedOut]; ok != (waits && state != predecessorHandedOver) {
 			t.Errorf("state %v: handles a timeout: %v", state, ok)
 		}
@@ -89,7 +89,7 @@
 			from, to := successor{state}, successor{step.to}
 			locks := e == eventLockFree || e == eventLockTransferred
 			if !from.owns() && to.owns() != locks {
-				t.Errorf("state %v, event %d: owns %v, has the lock %v", state, e, to.owns(), locks)
+				t.Errorf("state %v, event %d: becomes the owner: %v, receives the lock: %v", state, e, to.owns(), locks)
 			}
 			if from.owns() && !to.owns() {
 				t.Errorf("state %v, event %d: ownership ends", state, e)
@@ -101,7 +101,7 @@
 	}
 }
 
-// An event that a state does not list was in flight when the previous state ended: it changes nothing.
+// An event that is not listed for a state has no effect: it was in flight when the previous state ended.
 func TestMachines_IgnoreUnlistedEvents(t *testing.T) {
 	for e := eventNone; e <= eventAllReceived; e++ {
 		for state, steps := range predecessorTransitions {
--- a/internal/handover/owner.go
+++ b/internal/handover/owner.go
@@ -13,38 +13,39 @@
 	"frostlink/internal/syserr"
 )
 
-// minListenBackoff and maxListenBackoff bound the backoff before the owner tries again to listen.
+// minListenBackoff and maxListenBackoff bound the backoff between the owner's attempts to listen.
 const minListenBackoff, maxListenBackoff = 5 * time.Millisecond, 500 * time.Millisecond
 
-// Owner is a process's ownership of a folder, and listens for the successors that ask for it.
+// Owner is a process's ownership of a folder. It listens for successors that ask for a hand-over.
 type Owner struct {
 	dir        string
-	lock       *folderLock // nil once a successor has it
+	lock       *folderLock // nil once the lock was transferred to a successor
 	machine    predecessor
-	successors chan *link // of other processes, once they have sent their hello
+	successors chan *link // links to other processes that have sent a valid hello
 
 	mu       sync.Mutex
-	listener *net.UnixListener // guarded by mu; nil: listening has failed so far
+	listener *net.UnixListener // guarded by mu; nil until listening succeeds
 	released bool              // guarded by mu
 }
 
-// Outcome says why a process is no longer, or will not be, the owner of its folder.
+// Outcome is the reason why a process stops being the owner of its folder.
 type Outcome int
 
 // The outcomes of Serve.
 const (
-	// StopRequested: the platform wants this process to stop. It is still the owner, and has to shut down.
+	// StopRequested: the platform has asked this process to stop. The process is still the owner, and has
+	// to shut down.
 	StopRequested Outcome = iota
-	// HandedOver: the successor owns the folder, and this process has nothing left to do.
+	// HandedOver: the successor owns the folder, and this process can exit.
 	HandedOver
-	// SuccessorDied: the successor owned the folder and has died. The process has to lock the folder and
-	// start from the journal.
+	// SuccessorDied: the successor became the owner of the folder and has died. This process has to lock
+	// the folder and start from the journal.
 	SuccessorDied
 )
 
-// Serve answers successors until stop is closed or the relay is handed over. It is called once.
+// Serve answers successors until stop is closed or the relay is handed over. It must be called only once.
 func (o *Owner) Serve(stop <-chan struct{}, relay Source) Outcome {
-	go o.acceptSuccessors(stop) // ends when the listener is closed, or at stop
+	go o.acceptSuccessors(stop) // returns when the listener or stop is closed
 	for {
 		select {
 		case <-stop:
@@ -74,37 +75,39 @@
 		}
 		l := &link{conn}
 		if err := l.receiveHello(); err != nil {
-			slog.Warn("successor rejected", logkey.Err, err)
+			slog.Warn("successor rejected: no valid hello", logkey.Err, err)
 			l.close()
 			continue
 		}
 		select {
 		case o.successors <- l:
-		case <-stop: // the successor finds the lock free soon
+		case <-stop: // this process shuts down; the successor can take the lock soon
 			l.close()
 		}
 	}
 }
 
-// startListening listens for successors. Where the folder or the machine does not allow it for the
-// moment the relay serves all the same, and Serve tries again: until then there is no hand-over.
+// startListening listens for successors. If the folder or the machine temporarily does not allow this,
+// startListening returns nil: the relay can serve, and Serve tries to listen again. Until that succeeds
+// the relay can't be handed over.
 func (o *Owner) startListening() error {
 	o.successors = make(chan *link)
 	err := o.listen()
 	if err != nil && isTemporary(err) {
-		slog.Warn("hand-over socket not open yet", logkey.Err, err)
+		slog.Warn("hand-over socket can't be opened yet; no hand-over until a retry succeeds", logkey.Err, err)
 		return nil
 	}
 	return err
 }
 
-// isTemporary reports whether listening failed for a shortage on this machine.
+// isTemporary reports whether listening failed because of a local, temporary condition such as a shortage of
+// resources on this machine.
 func isTemporary(err error) bool {
 	return syserr.Classify(syserr.Bind, err) == syserr.Local || syserr.Classify(syserr.File, err) == syserr.Local
 }
 
-// awaitListener tries to listen until it succeeds. It returns nil at stop, or where trying again is of
-// no use.
+// awaitListener tries to listen until it succeeds. It returns nil if stop is closed, or after an error that
+// is not temporary.
 func (o *Owner) awaitListener(stop <-chan struct{}) *net.UnixListener {
 	backoff := syserr.Backoff{Min: minListenBackoff, Max: maxListenBackoff}
 	for {
@@ -117,7 +120,7 @@
 		case <-time.After(backoff.Next()):
 		}
 		if err := o.listen(); err != nil && !isTemporary(err) {
-			slog.Error("hand-over socket can't be opened", logkey.Err, err)
+			slog.Error("hand-over socket can't be opened; this process can't hand over the relay", logkey.Err, err)
 			return nil
 		}
 	}
@@ -136,7 +139,8 @@
 		return err
 	}
 	defer release()
-	// The socket of an earlier process. Nobody listens on it, since this process has the folder's lock.
+	// Remove the socket of an earlier process. No process listens on it, because this one has the folder's
+	// lock.
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("handover: %w", err)
 	}
@@ -144,7 +148,7 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then it may be the next owner's
+	l.SetUnlinkOnClose(false) // by then the path may be that of the next owner's socket
 	if err := os.Chmod(path, 0o600); err != nil {
 		_ = l.Close()
 		return fmt.Errorf("handover: %w", err)
@@ -152,7 +156,7 @@
 	return o.adopt(l)
 }
 
-// adopt makes l the owner's listener, unless the folder was released meanwhile.
+// adopt makes l the owner's listener, or closes it if the folder was released in the meantime.
 func (o *Owner) adopt(l *net.UnixListener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -166,18 +170,18 @@
 	return nil
 }
 
-// Release gives up the folder at the end of the process.
+// Release stops listening and unlocks the folder. It is called when the process ends.
 func (o *Owner) Release() {
 	o.stopListening()
 	o.lock.close()
 }
 
-// stopListening closes the folder's socket, also one that is opened later.
+// stopListening closes the folder's socket, and keeps listen from opening it again.
 func (o *Owner) stopListening() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.released = true
 	if o.listener != nil {
-		_ = o.listener.Close() // no link is accepted any more, whatever the error
+		_ = o.listener.Close() // even after an error no further link is accepted
 	}
 }
--- a/internal/handover/pair_test.go
+++ b/internal/handover/pair_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// maxInFlight is how many events are in flight in one direction at most.
+// maxInFlight is the maximum number of events in flight in one direction.
 const maxInFlight = 4
 
-// mailbox is the events in flight to one side. It is compared by value.
+// mailbox contains the events in flight to one side. It is comparable, as a part of pair.
 type mailbox struct {
 	events [maxInFlight]event
 	count  int
@@ -27,14 +27,15 @@
 	return e
 }
 
-// side is what both processes have.
+// side is the state that both processes have.
 type side struct {
 	alive  bool
-	locked bool // it has a descriptor of the folder's lock
+	locked bool // the process has a descriptor of the folder's lock
 	inbox  mailbox
 }
 
-// pair is a predecessor and a successor, with what is in flight between them. It is compared by value.
+// pair is a model of a predecessor and a successor, with the events in flight between them. It is comparable,
+// because walk uses pairs as map keys.
 type pair struct {
 	old  side
 	new  side
@@ -44,9 +45,9 @@
 	linkUp        bool
 	lockInFlight  bool
 	batchesLeft   int
-	stopRequested bool // of the predecessor
-	reclaimed     bool // the predecessor owns again, from the journal
-	quiescing     bool // the predecessor's machine waits for the relay
+	stopRequested bool // the predecessor was asked to stop
+	reclaimed     bool // the predecessor is the owner again, and started from the journal
+	quiescing     bool // the predecessor's machine waits for the relay to be quiesced
 	prepared      bool
 }
 
@@ -62,10 +63,10 @@
 	}
 }
 
-// closeLink ends the link: what was sent before still arrives, and then the end.
+// closeLink closes the link. Events that were sent before still arrive, followed by the end of the link.
 func (p *pair) closeLink() { p.linkUp = false }
 
-// handleOld gives the predecessor an event, and carries out its actions.
+// handleOld passes an event to the predecessor, and carries out its actions.
 func (p *pair) handleOld(e event) {
 	for _, a := range p.from.handle(e) {
 		switch a {
@@ -83,13 +84,13 @@
 		case actionPassBatch:
 			p.passBatch()
 		case actionReclaim:
-			p.old.locked = false // its descriptor is of the description that the dead successor had too
+			p.old.locked = false // its descriptor shares the open file description of the dead successor's
 			if !p.new.locked && !p.lockInFlight {
 				p.old.locked, p.reclaimed = true, true
 			}
 		case actionExit, actionShutDown:
 			p.killOld()
-		default: // the successor's
+		default: // an action of the successor
 		}
 	}
 }
@@ -104,7 +105,7 @@
 	p.sendToSuccessor(eventBatchReceived)
 }
 
-// handleNew gives the successor an event, and carries out its actions.
+// handleNew passes an event to the successor, and carries out its actions.
 func (p *pair) handleNew(e event) {
 	for _, a := range p.to.handle(e) {
 		switch a {
@@ -114,25 +115,25 @@
 			p.sendToPredecessor(eventPeerReady)
 		case actionAcquireJournal:
 			p.new.locked, p.lockInFlight = true, false
-			p.sendToPredecessor(eventBatchAcknowledged) // the first: of the lock
+			p.sendToPredecessor(eventBatchAcknowledged) // the first acknowledgement is that of the lock
 		case actionAcceptBatch:
 			p.sendToPredecessor(eventBatchAcknowledged)
 		case actionStart:
 			p.new.locked = true
 		case actionPrepare:
 			p.prepared = true
-		default: // the predecessor's, or without effect on the pair
+		default: // an action of the predecessor, or one without effect on the pair
 		}
 	}
 }
 
-// killOld ends the predecessor. What it has sent still arrives.
+// killOld ends the predecessor. The events that it has sent still arrive.
 func (p *pair) killOld() {
 	p.old.alive, p.old.locked = false, false
 	p.closeLink()
 }
 
-// following returns all pairs that this one can become by one step.
+// following returns all pairs that one step can lead to.
 func (p pair) following() []pair {
 	return slices.Concat(p.stepsOfOld(), p.stepsOfNew(), p.deaths())
 }
@@ -152,7 +153,7 @@
 		step(func(q *pair) {
 			e := q.old.inbox.pop()
 			if e == eventBatchAcknowledged {
-				q.old.locked = false // its descriptor is not needed any more
+				q.old.locked = false // the predecessor closes its descriptor, which it no longer needs
 			}
 			q.handleOld(e)
 		})
@@ -173,7 +174,7 @@
 	return to
 }
 
-// oldHasLink reports whether the predecessor is in a state in which it has a link to lose.
+// oldHasLink reports whether the predecessor is in a state in which it has a link.
 func (p pair) oldHasLink() bool {
 	switch p.from.state {
 	case predecessorQuiescing, predecessorQuiescingStopPending,
@@ -217,7 +218,7 @@
 	return to
 }
 
-// newHasLink reports whether the successor is in a state in which it has a link to lose.
+// newHasLink reports whether the successor is in a state in which it has a link.
 func (p pair) newHasLink() bool {
 	switch p.to.state {
 	case successorPreparing, successorAwaitingLock, successorReceiving:
@@ -228,12 +229,13 @@
 	return false
 }
 
-// canConnect reports whether the predecessor listens, and has no link.
+// canConnect reports whether the predecessor listens and has no link.
 func (p pair) canConnect() bool {
 	return p.old.alive && !p.reclaimed && !p.linkUp && p.old.inbox.count == 0 && p.from.state == predecessorOwning
 }
 
-// deaths returns the pair with either process killed: that can happen between any two steps.
+// deaths returns the pairs in which one living process has been killed. This can happen between any two
+// steps.
 func (p pair) deaths() (to []pair) {
 	if p.old.alive {
 		to = append(to, p.after(func(q *pair) {
@@ -267,7 +269,8 @@
 
 func (p pair) newOwns() bool { return p.new.alive && p.to.owns() }
 
-// walk visits every state that a pair can reach, with those that follow it, and returns their number.
+// walk visits every reachable pair, together with the pairs that can follow it, and returns the number of
+// reachable pairs.
 func walk(visit func(p pair, following []pair)) int {
 	start := pair{old: side{alive: true, locked: true}, new: side{alive: true}, batchesLeft: 2}
 	seen := map[pair]bool{start: true}
@@ -286,28 +289,28 @@
 	return len(seen)
 }
 
-// In no state that a death between any two steps can lead to do two living processes own the relay, nor
-// does one own it without the lock.
+// Even if a process dies between any two steps, two living processes never own the relay at the same time,
+// and no process owns it without the lock.
 func TestPair_HasOneOwnerAtMost(t *testing.T) {
 	states := walk(func(p pair, _ []pair) {
 		if p.owners() > 1 {
 			t.Fatalf("two owners: %+v", p)
 		}
 		if p.newOwns() && !p.new.locked {
-			t.Fatalf("the successor owns without the lock: %+v", p)
+			t.Fatalf("the successor owns the relay without the lock: %+v", p)
 		}
 		if p.old.alive && p.from.owns() && !p.old.locked {
-			t.Fatalf("the predecessor owns without the lock: %+v", p)
+			t.Fatalf("the predecessor owns the relay without the lock: %+v", p)
 		}
 	})
 	if states < 100 {
-		t.Errorf("only %d states", states)
+		t.Errorf("%d states reached, want at least 100", states)
 	}
 	t.Logf("%d states", states)
 }
 
-// Once it is asked to stop, a predecessor ends by what happens to it alone, whatever its state: it waits
-// for no frame that may never come.
+// A predecessor that is asked to stop ends in every state, by the stop request and timeouts alone: it never
+// depends on a frame that may not arrive.
 func TestPredecessor_EndsAfterStopRequest(t *testing.T) {
 	walk(func(p pair, _ []pair) {
 		if !p.old.alive || p.reclaimed {
@@ -321,13 +324,13 @@
 			}
 		}
 		if !ended {
-			t.Fatalf("timed out and asked to stop, it does not end: %+v", p)
+			t.Fatalf("the predecessor does not end after a stop request and timeouts: %+v", p)
 		}
 	})
 }
 
-// From every state in which a process lives that was not asked to stop there is a path without further
-// deaths that ends with an owner.
+// From every state with a living process that was not asked to stop, there is a path without further
+// deaths to a state in which one process owns the relay.
 func TestPair_AlwaysReachesAnOwner(t *testing.T) {
 	edges := map[pair][]pair{}
 	walk(func(p pair, following []pair) {
@@ -352,7 +355,7 @@
 		newCanServe := p.new.alive && p.to.state != successorFailed
 		oldCanServe := p.old.alive && !p.stopRequested && p.from.state != predecessorFinished
 		if (newCanServe || oldCanServe) && !reachesOwner[p] {
-			t.Fatalf("no process will own the relay: %+v", p)
+			t.Fatalf("no process can become the owner of the relay: %+v", p)
 		}
 	}
 }
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -1,28 +1,29 @@
 package handover
 
-// predecessorState is where the process that owns a relay stands. The states with a stop pending are
-// those in which the platform wants the process to stop while a hand-over is in progress: it goes on,
-// and the process ends afterwards, whatever its result.
+// predecessorState is the state of the process that owns a relay. In the states with StopPending in their
+// name, the platform has asked the process to stop while a hand-over is in progress: the hand-over
+// continues, and the process ends after it, whether or not it succeeds.
 type predecessorState int
 
 const (
-	// predecessorOwning: it owns the relay, and no successor asks.
+	// predecessorOwning: the process owns the relay, and no hand-over is in progress.
 	predecessorOwning predecessorState = iota
-	// predecessorQuiescing: a successor asks; the relay is brought to a stop.
+	// predecessorQuiescing: a successor has asked for a hand-over, and the relay is being quiesced.
 	predecessorQuiescing
 	predecessorQuiescingStopPending
-	// predecessorOffered: the state is sent, the successor prepares.
+	// predecessorOffered: the state is sent, and the successor prepares.
 	predecessorOffered
 	predecessorOfferedStopPending
-	// predecessorPassing: the successor owns the relay, and gets its connections.
+	// predecessorPassing: the successor owns the relay, and connections are being passed to it.
 	predecessorPassing
 	predecessorPassingStopPending
-	// predecessorHandedOver: nothing is left here. The process waits for its stop, or for the death of
-	// its successor.
+	// predecessorHandedOver: the hand-over is complete. The process waits until it is asked to stop or its
+	// successor dies.
 	predecessorHandedOver
-	// predecessorShuttingDown: a graceful shutdown without a successor. It owns the relay to its end.
+	// predecessorShuttingDown: the process shuts down gracefully without a successor. It owns the relay
+	// until it ends.
 	predecessorShuttingDown
-	// predecessorFinished: its last action is in progress.
+	// predecessorFinished: the process carries out its last action.
 	predecessorFinished
 )
 
@@ -58,8 +59,8 @@
 	predecessorPassing: {
 		eventBatchAcknowledged: {predecessorPassing, []action{actionPassBatch}},
 		eventAllPassed:         {predecessorHandedOver, nil},
-		// The successor owns the relay, whatever delays it. The connections that it has not acknowledged
-		// are lost.
+		// The successor stays the owner of the relay, even if it is slow. The connections that it has not
+		// acknowledged are lost.
 		eventTimedOut:      {predecessorHandedOver, nil},
 		eventPeerGone:      {predecessorFinished, []action{actionReclaim}},
 		eventStopRequested: {predecessorPassingStopPending, nil},
@@ -68,7 +69,7 @@
 		eventBatchAcknowledged: {predecessorPassingStopPending, []action{actionPassBatch}},
 		eventAllPassed:         {predecessorFinished, []action{actionExit}},
 		eventTimedOut:          {predecessorFinished, []action{actionExit}},
-		// The folder is left to the next process that the platform starts.
+		// The next process that the platform starts acquires the folder.
 		eventPeerGone: {predecessorFinished, []action{actionExit}},
 	},
 	predecessorHandedOver: {
@@ -76,16 +77,17 @@
 		eventStopRequested: {predecessorFinished, []action{actionExit}},
 	},
 	predecessorShuttingDown: {
-		// The successor finds the lock free as soon as this process has ended.
+		// The successor can lock the folder as soon as this process has ended.
 		eventHelloReceived: {predecessorShuttingDown, []action{actionRejectPeer}},
 	},
 	predecessorFinished: {},
 }
 
-// predecessor is the state machine of the process that owns a relay. Its zero value owns one.
+// predecessor is the state machine of the process that owns a relay. Its zero value is in the state
+// predecessorOwning.
 type predecessor struct{ state predecessorState }
 
-// handle changes the state by an event, and returns the actions to carry out, in order.
+// handle applies an event to the state, and returns the actions to carry out, in order.
 func (p *predecessor) handle(e event) (actions []action) {
 	p.state, actions = predecessorTransitions.next(p.state, e)
 	return actions
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -1,20 +1,20 @@
 package handover
 
-// successorState is where a process stands that wants to own a relay.
+// successorState is the state of a process that tries to become the owner of a relay.
 type successorState int
 
 const (
-	// successorAsking: it asks for the relay until it gets an answer.
+	// successorAsking: the process tries to lock the folder, and asks its owner for a hand-over.
 	successorAsking successorState = iota
-	// successorPreparing: it reads the journal and the state that it was offered.
+	// successorPreparing: the process reads the journal and the predecessor's state.
 	successorPreparing
-	// successorAwaitingLock: it is ready, and the lock has not come.
+	// successorAwaitingLock: the process is ready to serve, and has not received the lock yet.
 	successorAwaitingLock
-	// successorReceiving: it owns the relay, and gets its connections.
+	// successorReceiving: the process owns the relay, and receives its connections.
 	successorReceiving
-	// successorServing: it owns the relay, with all that has come.
+	// successorServing: the process owns the relay, and no more connections will arrive.
 	successorServing
-	// successorFailed: it could not go on from the state; the predecessor resumes.
+	// successorFailed: the process could not use the journal or the state; the predecessor resumes.
 	successorFailed
 )
 
@@ -30,8 +30,8 @@
 		eventPrepareFailed: {successorFailed, []action{actionFail}},
 		eventPeerGone:      {successorAsking, []action{actionDiscard, actionAsk}},
 	},
-	// No timeout: the predecessor may have sent the lock already, and only the end of the link says that
-	// it has not.
+	// There is no timeout: the predecessor may have sent the lock already, and only the end of the link
+	// proves that it has not.
 	successorAwaitingLock: {
 		eventLockTransferred: {successorReceiving, []action{actionAcquireJournal}},
 		eventPeerGone:        {successorAsking, []action{actionDiscard, actionAsk}},
@@ -46,11 +46,11 @@
 	successorFailed:  {},
 }
 
-// successor is the state machine of a process that wants to own a relay. Its zero value has not asked
-// yet.
+// successor is the state machine of a process that tries to become the owner of a relay. Its zero value is
+// in the state successorAsking.
 type successor struct{ state successorState }
 
-// handle changes the state by an event, and returns the actions to carry out, in order.
+// handle applies an event to the state, and returns the actions to carry out, in order.
 func (s *successor) handle(e event) (actions []action) {
 	s.state, actions = successorTransitions.next(s.state, e)
 	return actions
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -13,24 +13,25 @@
 	"frostlink/internal/logkey"
 )
 
-// Keys of log attributes that only hand-overs have.
+// Keys of log attributes that only hand-overs use.
 const (
-	logTook  = "took" // how long the relay stood still
-	logTotal = "of"   // connections that were to be passed
+	logTook  = "took" // time since the start of the hand-over, in which the relay did not serve
+	logTotal = "of"   // number of connections to pass
 )
 
 // Source is the relay of the predecessor.
 type Source interface {
-	// Quiesce brings the relay to a stop and makes its state durable. It returns the state that is not in
-	// the journal, which is sent as JSON, and the connections to pass.
+	// Quiesce stops the relay from sending, accepting and reading, and makes its state durable. It returns
+	// the state that is not in the journal, which is sent as JSON, and the connections to pass.
 	Quiesce(ctx context.Context) (state any, conns []Conn, err error)
-	// Resume undoes Quiesce, also one that failed.
+	// Resume undoes Quiesce, even if Quiesce failed.
 	Resume()
-	// Released is called just before another process owns the relay. All that still runs has to end.
+	// Released is called just before another process becomes the owner of the relay. It must end
+	// everything of the relay that still runs in this process.
 	Released()
 }
 
-// transfer is one hand-ended to a successor, as the predecessor carries it out.
+// transfer is the predecessor's side of one hand-over.
 type transfer struct {
 	owner *Owner
 	link  *link
@@ -38,12 +39,13 @@
 
 	state  any
 	conns  []Conn
-	passed int   // how many of conns the successor has acknowledged
+	passed int   // number of conns that the successor has acknowledged
 	err    error // of the last step
 }
 
-// run carries out the actions of the state machine, and gives it their results, until ownership has
-// ended with an outcome, or this process owns the relay again (ended is false).
+// run carries out the actions of the state machine, and feeds their results back to it as events. It
+// returns an outcome once this process's ownership has ended, or ended false if this process owns the
+// relay again.
 func (t *transfer) run(stop <-chan struct{}) (outcome Outcome, ended bool) {
 	defer t.link.close()
 	started := time.Now()
@@ -74,9 +76,10 @@
 	}
 }
 
-// perform carries out actions in order. It returns the result of the last step among them, eventNone
-// where there is none; or, where an action ends ownership, its outcome. Results of earlier steps are
-// dropped: after actionTransferLock the first batch is sent whether or not the lock was acknowledged.
+// perform carries out actions in order. It returns the result of the last action that has one, or
+// eventNone if no action has a result. If an action ends this process's ownership, perform returns its
+// outcome. The results of earlier actions are dropped: after actionTransferLock the first batch is sent
+// whether or not the lock was acknowledged.
 func (t *transfer) perform(actions []action, started time.Time) (next event, outcome Outcome, ended bool) {
 	for _, a := range actions {
 		switch a {
@@ -85,10 +88,10 @@
 		case actionShutDown:
 			return eventNone, StopRequested, true
 		case actionReclaim:
-			slog.Warn("successor died")
+			slog.Warn("successor died after it received the lock; locking the folder again")
 			return eventNone, SuccessorDied, true
 		case actionRejectPeer:
-			slog.Warn("not handed over", logkey.Err, t.err, logTook, time.Since(started))
+			slog.Warn("hand-over failed; this process stays the owner of the relay", logkey.Err, t.err, logTook, time.Since(started))
 			t.link.close()
 		case actionResume:
 			t.relay.Resume()
@@ -111,7 +114,7 @@
 	case actionPassBatch:
 		return t.passBatch()
 	default:
-		panic(fmt.Sprintf("handover: action %d is no step of the predecessor", a))
+		panic(fmt.Sprintf("handover: unexpected action %d in the predecessor", a))
 	}
 }
 
@@ -131,8 +134,8 @@
 	return t.await(frameReady, prepareTimeout, eventPeerReady)
 }
 
-// transferLock passes ownership. The relay is released before: once the lock is sent the successor may
-// act at any moment.
+// transferLock passes ownership to the successor. It releases the relay first, because the successor may
+// act as the owner as soon as the lock is sent.
 func (t *transfer) transferLock() event {
 	t.relay.Released()
 	if t.err = t.link.send(frameLock, nil, int(t.owner.lock.file.Fd())); t.err != nil {
@@ -159,8 +162,8 @@
 	return result
 }
 
-// dropLock closes this process's descriptor of the lock, which the successor has: if it dies the folder
-// is free.
+// dropLock closes this process's descriptor of the lock, so that the folder is unlocked if the successor,
+// which has the other descriptor, dies.
 func (t *transfer) dropLock() {
 	t.owner.lock.close()
 	t.owner.lock = nil
@@ -171,7 +174,7 @@
 	var fds []int
 	defer func() {
 		for _, fd := range fds {
-			_ = unix.Close(fd) // a duplicate: the successor has its own by now
+			_ = unix.Close(fd) // a duplicate; the successor receives its own descriptor
 		}
 	}()
 	for _, c := range batch {
@@ -184,7 +187,7 @@
 	return t.link.sendLong(frameConns, frameBatch, encode(batch), fds...)
 }
 
-// await waits for a frame, and returns success if it comes in time.
+// await waits for a frame of kind want, and returns success if it arrives within the timeout.
 func (t *transfer) await(want frameKind, timeout time.Duration, success event) event {
 	f, err := t.link.receive(time.Now().Add(timeout))
 	switch {
@@ -201,14 +204,14 @@
 	return success
 }
 
-// awaitEnd waits for what ends a process that has handed over. Connections that could not be passed are
-// closed.
+// awaitEnd closes the connections that could not be passed, and waits until this process is asked to stop
+// or the successor closes the link.
 func (t *transfer) awaitEnd(stop <-chan struct{}) event {
 	closeConns(t.conns[t.passed:])
 	peerGone := make(chan struct{})
 	go func() {
 		defer close(peerGone)
-		t.link.closeAtEnd() // at the latest when run closes the link
+		t.link.closeAtEnd() // returns at the latest when run closes the link
 	}()
 	select {
 	case <-stop:
@@ -220,6 +223,6 @@
 
 func closeConns(conns []Conn) {
 	for _, c := range conns {
-		_ = c.Conn.Close() // the socket lives on where the successor has it
+		_ = c.Conn.Close() // a passed socket stays open in the successor
 	}
 }
