--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Instant is a point on a Timeline: nanoseconds since 1970, as of its Anchor. The zero Instant is none.
+// Instant is a point on a Timeline, in nanoseconds since 1970 as given by the timeline's Anchor. The zero
+// value means that there is no instant.
 type Instant int64
 
-// Add returns the instant a span later.
+// Add returns the instant i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the span from another instant of the same timeline.
+// Sub returns the span i-other. Both instants must belong to the same timeline.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// IsZero reports whether i is none.
+// IsZero reports whether i is the zero value.
 func (i Instant) IsZero() bool { return i == 0 }
 
-// Time returns the instant as a date, for records and people. It has no monotonic reading: a span to
-// time.Now taken from it would be wall time.
+// Time returns the instant as a date, for records and for people. The result has no monotonic reading, so a
+// span between it and time.Now would depend on the wall clock.
 func (i Instant) Time() time.Time {
 	if i.IsZero() {
 		return time.Time{}
@@ -26,7 +27,7 @@
 	return time.Unix(0, int64(i)).UTC()
 }
 
-// FromTime returns the instant of a date that Time returned.
+// FromTime returns the instant for a result of Time.
 func FromTime(t time.Time) Instant {
 	if t.IsZero() {
 		return 0
@@ -34,14 +35,14 @@
 	return Instant(t.UnixNano())
 }
 
-// Milliseconds returns the instant in milliseconds since 1970, its compact stored form.
+// Milliseconds returns the instant in milliseconds since 1970, its compact encoding in stored data.
 func (i Instant) Milliseconds() int64 { return int64(i) / int64(time.Millisecond) }
 
-// FromMilliseconds returns the instant of what Milliseconds returned.
+// FromMilliseconds returns the instant for a result of Milliseconds.
 func FromMilliseconds(ms int64) Instant { return Instant(ms * int64(time.Millisecond)) }
 
-// MarshalJSON encodes an instant as a date (RFC 3339), the form in which programs before this package
-// wrote wall times.
+// MarshalJSON encodes an instant as a date (RFC 3339). Versions of the program from before this package
+// wrote wall-clock times in the same form.
 func (i Instant) MarshalJSON() ([]byte, error) {
 	raw, err := i.Time().MarshalJSON()
 	if err != nil {
@@ -50,7 +51,7 @@
 	return raw, nil
 }
 
-// UnmarshalJSON decodes what MarshalJSON returned, and dates of any time zone.
+// UnmarshalJSON decodes results of MarshalJSON, and dates of any other time zone.
 func (i *Instant) UnmarshalJSON(raw []byte) error {
 	var t time.Time
 	if err := t.UnmarshalJSON(raw); err != nil {
--- a/internal/clock/instant_test.go
+++ b/internal/clock/instant_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The forms in which earlier programs wrote wall times are read.
+// Wall-clock times are decoded in the forms in which earlier versions of the program wrote them.
 func TestInstant_DecodesDates(t *testing.T) {
 	for text, want := range map[string]Instant{
 		`"2026-12-02T09:57:39.123456789Z"`:      FromTime(time.Date(2026, 12, 2, 9, 57, 39, 123456789, time.UTC)),
--- a/internal/clock/lint_test.go
+++ b/internal/clock/lint_test.go
@@ -15,24 +15,24 @@
 // moduleRoot is the module's root folder.
 const moduleRoot = "../.."
 
-// wallOnly are the methods and functions of package time whose result or argument is wall time without
-// a monotonic reading.
+// wallOnly are the methods and functions of package time whose result or argument is a wall-clock time
+// without a monotonic reading.
 var wallOnly = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
-// allowed are the uses of wall time outside of this package with their reasons. A use is a file, a
-// colon, and what is used there.
+// allowed are the uses of wall-clock time outside of this package, with their reasons. The key is a file, a
+// colon, and what the file uses.
 var allowed = map[string]string{
 	"cmd/frostlinkctl/follow.go: UnixMilli":         "a date of a log, shown to people",
 	"cmd/frostlinkctl/lease.go: UnixMilli":          "a date of a record, shown to people",
 	"internal/socket/socket.go: Unix":               "a deadline that has passed on any clock",
-	"internal/deadletter/due.go: UnixMilli":         "the key of a date that the store was given, and its way back",
-	"internal/deadletter/order.go: Unix":            "an order that clients give as a date",
-	"internal/deadletter/client.go: time.Now":       "the tool on a folder of which no relay runs",
+	"internal/deadletter/due.go: UnixMilli":         "conversion of a date from the store's caller to a key, and back",
+	"internal/deadletter/order.go: Unix":            "an order that clients specify as a date",
+	"internal/deadletter/client.go: time.Now":       "the tool works on a folder without a running relay",
 	"internal/deadletter/record.go: time.Time json": "dates on the relay's timeline, kept for people",
-	"internal/deadletter/newest.go: time.Time json": "the same",
+	"internal/deadletter/newest.go: time.Time json": "dates on the relay's timeline, kept for people",
 }
 
-// wallTimeUses returns the uses of wall time in a file.
+// wallTimeUses returns the uses of wall-clock time in a file.
 func wallTimeUses(path string, file *ast.File) (uses []string) {
 	add := func(what string) { uses = append(uses, filepath.ToSlash(path)+": "+what) }
 	calledFunctions := map[ast.Node]bool{}
@@ -48,11 +48,11 @@
 				add(n.Sel.Name)
 			}
 			if isTimeNow(n) && !calledFunctions[n] {
-				add("time.Now") // as a value: whoever calls it may store the result
+				add("time.Now") // used as a function value: its callers may store the result
 			}
 		case *ast.Field:
 			if isJSONTime(n) {
-				add("time.Time json") // encoding strips its monotonic reading
+				add("time.Time json") // encoding strips the monotonic reading
 			}
 		}
 		return true
@@ -82,14 +82,14 @@
 	return ok && s.Sel.Name == "Time" && f.Tag != nil && strings.Contains(f.Tag.Value, "json:")
 }
 
-// isExempt reports whether a folder is not checked: this package, and the stand-ins of the fault
-// injection, which are other machines, whose clocks are right.
+// isExempt reports whether a folder is not checked. Exempt are hidden folders, this package, and the fault
+// injection, whose stand-ins represent other machines with correct clocks.
 func isExempt(folder string) bool {
 	hidden := strings.HasPrefix(filepath.Base(folder), ".") && folder != "."
 	return hidden || folder == "internal/faultinjection" || folder == "internal/clock"
 }
 
-// No package but this one takes spans from the wall clock.
+// No other package takes spans from the wall clock.
 func TestWallClock_IsReadOnlyHere(t *testing.T) {
 	used := map[string]bool{}
 	err := filepath.WalkDir(moduleRoot, func(path string, d fs.DirEntry, err error) error {
@@ -113,7 +113,7 @@
 		for _, use := range wallTimeUses(relative, file) {
 			used[use] = true
 			if allowed[use] == "" {
-				t.Errorf("%s: use an Instant or a span of internal/clock", use)
+				t.Errorf("%s: wall-clock time; use an Instant or a span from internal/clock", use)
 			}
 		}
 		return nil
@@ -123,12 +123,12 @@
 	}
 	for use := range allowed {
 		if !used[use] {
-			t.Errorf("%s: allowed, but not used", use)
+			t.Errorf("%s: listed as allowed, but not used", use)
 		}
 	}
 }
 
-// Each use of wall time is found, and what resembles one is not.
+// wallTimeUses finds each kind of use, and does not report similar code that keeps the monotonic reading.
 func TestWallTimeUses_FindsEachUse(t *testing.T) {
 	for source, want := range map[string]string{
 		`var at = time.Now().UnixNano()`:                                     "UnixNano",
--- a/internal/clock/step_detector.go
+++ b/internal/clock/step_detector.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// minStep is the smallest change of the wall clock that counts as a step: a clock that is slewed moves
-// by less between two checks a second apart.
+// minStep is the smallest change of the wall clock that counts as a step. A clock that is slewed changes by
+// less between two checks a second apart.
 const minStep = 100 * time.Millisecond
 
-// Keys of log attributes that only clocks have.
+// Keys of log attributes that only this package uses.
 const (
-	keyStep   = "by"    // by how much the wall clock was stepped
-	keyOffset = "ahead" // by how much it is ahead of the timeline since its start
+	keyStep   = "by"    // size of the step of the wall clock
+	keyOffset = "ahead" // difference between the wall clock and the timeline
 )
 
-// StepDetector detects steps of the wall clock, so that log lines from before and after one can be put
+// StepDetector detects steps of the wall clock, so that log messages from before and after a step can be put
 // in order. It is not safe for concurrent use.
 type StepDetector struct {
 	timeline *Timeline
-	offset   time.Duration // of the wall clock, as of the last step
+	offset   time.Duration // of the wall clock to the timeline, after the last step
 }
 
-// NewStepDetector returns a detector. On a timeline that continues an earlier process's, a step since
-// its anchor is detected by the first Check.
+// NewStepDetector returns a detector. If the timeline continues that of an earlier process, the first Check
+// detects a step that has occurred since the timeline's anchor.
 func NewStepDetector(t *Timeline) *StepDetector { return &StepDetector{timeline: t} }
 
-// Check returns by how much the wall clock was stepped since the last call, and logs it.
+// Check reports whether the wall clock was stepped since the last call, and by how much, and logs the step.
 func (d *StepDetector) Check() (step time.Duration, stepped bool) {
 	offset := d.timeline.wallOffset()
 	step = offset - d.offset
@@ -34,6 +34,6 @@
 		return 0, false
 	}
 	d.offset = offset
-	slog.Warn("the wall clock was stepped; deadlines, waits and windows go on unchanged", keyStep, step, keyOffset, offset)
+	slog.Warn("wall clock was stepped; deadlines, waits and time windows are not affected", keyStep, step, keyOffset, offset)
 	return step, true
 }
--- a/internal/clock/step_detector_test.go
+++ b/internal/clock/step_detector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A step is reported once, with its size.
+// Each step is reported once, with its size.
 func TestStepDetector_ReportsEachStepOnce(t *testing.T) {
 	timeline := New()
 	detector := NewStepDetector(timeline)
@@ -14,9 +14,9 @@
 	}
 	timeline.originInstant = timeline.originInstant.Add(time.Hour) // as if the wall clock had been stepped back
 	if step, stepped := detector.Check(); !stepped || (step+time.Hour).Abs() > time.Minute {
-		t.Errorf("a step back by an hour is detected as %v", step)
+		t.Errorf("step of %v detected, want about -1h", step)
 	}
 	if step, stepped := detector.Check(); stepped {
-		t.Errorf("the same step is detected again: %v", step)
+		t.Errorf("the same step was detected again: %v", step)
 	}
 }
--- a/internal/clock/timeline.go
+++ b/internal/clock/timeline.go
@@ -8,34 +8,34 @@
 // Anchor ties a timeline to CLOCK_BOOTTIME, which all processes of one boot share.
 type Anchor struct {
 	Boot  string        `json:"boot"`  // the boot's id
-	Since time.Duration `json:"since"` // CLOCK_BOOTTIME at the anchor
-	At    Instant       `json:"at"`    // the timeline's instant there
+	Since time.Duration `json:"since"` // CLOCK_BOOTTIME when the timeline began
+	At    Instant       `json:"at"`    // the instant at which the timeline began
 }
 
-// Timeline is the clock of a relay, through all its processes of one boot of the machine. It is safe
-// for concurrent use.
+// Timeline is the clock of a relay. All processes of the relay within one boot of the machine share it. It
+// is safe for concurrent use.
 type Timeline struct {
 	anchor        Anchor
-	origin        time.Time // when this process made it, with a monotonic reading
+	origin        time.Time // when this process created the Timeline, with a monotonic reading
 	originInstant Instant   // the instant of origin
 	continued     bool
-	mixed         atomic.Int64 // times without a monotonic reading that InstantOf was given
+	mixed         atomic.Int64 // calls of InstantOf with a time without a monotonic reading
 }
 
-// sources are readings of the clocks from which a timeline is made.
+// sources contains the readings of the clocks from which a timeline is created.
 type sources struct {
 	bootID    string
 	sinceBoot time.Duration
 	wall      time.Time // with a monotonic reading
 }
 
-// New begins a timeline at the wall clock's time.
+// New returns a timeline that begins at the time of the wall clock.
 func New() *Timeline { return Continue(nil, 0) }
 
-// Continue continues the timeline that an earlier process has anchored. latest is the latest instant
-// that is known to have passed on it. Without an anchor of this boot it begins a new timeline at the
-// wall clock's time, but not before latest: against spans below zero where the wall clock was stepped
-// back meanwhile.
+// Continue continues the timeline of the earlier process that stored the anchor. latest is the latest
+// instant that is known to have passed on that timeline. Without an anchor of this boot, Continue begins a
+// new timeline at the time of the wall clock, but not before latest, so that spans are not negative if the
+// wall clock was stepped back in the meantime.
 func Continue(anchor *Anchor, latest Instant) *Timeline {
 	return newTimeline(anchor, latest, sources{bootID: readBootID(), sinceBoot: SinceBoot(), wall: time.Now()})
 }
@@ -57,24 +57,25 @@
 	}
 }
 
-// continuesTo reports whether an anchor is there, and of the boot in which now was read. A boot whose id
-// could not be read is none that can be told from others.
+// continuesTo reports whether there is an anchor from the boot in which now was read. It returns false if
+// the boot's id could not be read, because then one boot can't be told from another.
 func (a *Anchor) continuesTo(now sources) bool {
 	return a != nil && a.Boot != "" && a.Boot == now.bootID && now.sinceBoot >= a.Since
 }
 
-// Anchor returns what a later process needs to continue this timeline.
+// Anchor returns the anchor from which a later process can continue this timeline.
 func (t *Timeline) Anchor() Anchor { return t.anchor }
 
-// SameBoot reports whether this timeline continues an earlier process's: spans between their instants
-// are exact.
+// SameBoot reports whether this timeline continues that of an earlier process. If so, spans between the
+// instants of both processes are exact.
 func (t *Timeline) SameBoot() bool { return t.continued }
 
 // Now returns the present instant.
 func (t *Timeline) Now() Instant { return t.originInstant.Add(time.Since(t.origin)) }
 
-// InstantOf returns the instant of a time that was read in this process. A time without a monotonic
-// reading was not, and is counted: its span to the timeline's origin is wall time.
+// InstantOf returns the instant of a time that was read in this process. A time without a monotonic reading
+// was not read in this process: its span to the timeline's origin depends on the wall clock, so InstantOf
+// counts such calls, see MixedReadings.
 func (t *Timeline) InstantOf(read time.Time) Instant {
 	if !hasMonotonicReading(read) {
 		t.mixed.Add(1)
@@ -82,22 +83,23 @@
 	return t.originInstant.Add(read.Sub(t.origin))
 }
 
-// hasMonotonicReading reports whether t has one: Round(0) strips it. Not by Equal, which ignores it.
+// hasMonotonicReading reports whether t has a monotonic reading, which Round(0) strips. The comparison uses
+// != because Time.Equal ignores monotonic readings.
 func hasMonotonicReading(t time.Time) bool { return t != t.Round(0) }
 
-// MixedReadings returns how often InstantOf was given a time that was not read in this process, since
-// the last call.
+// MixedReadings returns the number of calls of InstantOf with a time that was not read in this process, since
+// the last call of MixedReadings.
 func (t *Timeline) MixedReadings() int64 { return t.mixed.Swap(0) }
 
-// TimeOf returns an instant as a time of this process, for deadlines of sockets and contexts. It has a
-// monotonic reading.
+// TimeOf returns the time.Time of an instant, for deadlines of sockets and contexts. The result has a
+// monotonic reading of this process.
 func (t *Timeline) TimeOf(i Instant) time.Time { return t.origin.Add(i.Sub(t.originInstant)) }
 
-// wallOffset returns by how much the wall clock is ahead of the timeline.
+// wallOffset returns the time by which the wall clock is ahead of the timeline.
 func (t *Timeline) wallOffset() time.Duration {
 	return time.Duration(time.Now().UnixNano() - int64(t.Now()))
 }
 
-// WallMilliseconds returns the wall clock's milliseconds since 1970, for records that people read and
-// from which no span is taken.
+// WallMilliseconds returns the time of the wall clock in milliseconds since 1970. It is only for records that
+// people read; no span may be computed from it.
 func WallMilliseconds() int64 { return time.Now().UnixMilli() }
--- a/internal/clock/timeline_test.go
+++ b/internal/clock/timeline_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// machine has a machine's clocks: CLOCK_BOOTTIME, and a wall clock that is stepped.
+// machine simulates the clocks of a machine: CLOCK_BOOTTIME, and a wall clock that can be stepped.
 type machine struct {
 	bootID    string
 	sinceBoot time.Duration
@@ -19,8 +19,8 @@
 	return sources{bootID: m.bootID, sinceBoot: m.sinceBoot, wall: time.Unix(0, int64(m.wall))}
 }
 
-// Spans between instants of any processes of one boot are those of CLOCK_BOOTTIME, whatever steps the
-// wall clock makes; across a reboot none is below zero.
+// Spans between the instants of any processes of one boot equal those of CLOCK_BOOTTIME, even if the wall
+// clock is stepped. Spans across a reboot are not negative.
 func TestTimeline_SpansSurviveStepsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := machine{bootID: "first", sinceBoot: time.Hour, wall: time.Duration(1_800_000_000) * time.Second}
@@ -36,17 +36,17 @@
 				anchor := timeline.Anchor()
 				timeline = newTimeline(&anchor, startInstant, m.sources())
 				if got, want := timeline.originInstant.Sub(startInstant), m.sinceBoot-start; got != want {
-					t.Fatalf("%v passed by the timeline, want %v", got, want)
+					t.Fatalf("span of %v on the timeline, want %v", got, want)
 				}
 				if !timeline.SameBoot() {
-					t.Fatal("a restart does not continue the timeline")
+					t.Fatal("the timeline was not continued after a restart")
 				}
 			case "reboot":
 				anchor, latest := timeline.Anchor(), startInstant
 				m.bootID, m.sinceBoot = m.bootID+"'", time.Second
 				timeline = newTimeline(&anchor, latest, m.sources())
 				if timeline.originInstant.Sub(latest) < 0 || timeline.SameBoot() {
-					t.Fatalf("after a reboot the timeline is at %v, and was at %v", timeline.originInstant, latest)
+					t.Fatalf("after a reboot the timeline begins at %v, or continues that of the boot before; latest instant before the reboot: %v", timeline.originInstant, latest)
 				}
 				start, startInstant = m.sinceBoot, timeline.originInstant
 			}
@@ -54,7 +54,7 @@
 	})
 }
 
-// A deadline that was stored and read is a time of this process: it has a monotonic reading.
+// TimeOf returns a time with a monotonic reading also for an instant that was stored and read back.
 func TestTimeline_TimeOfHasMonotonicReading(t *testing.T) {
 	timeline := New()
 	raw, err := json.Marshal(timeline.Now().Add(time.Minute))
@@ -69,11 +69,11 @@
 		t.Error("no monotonic reading")
 	}
 	if left := read.Sub(timeline.Now()); left <= 0 || left > time.Minute {
-		t.Errorf("%v left of a minute", left)
+		t.Errorf("%v left until the deadline, want at most a minute", left)
 	}
 }
 
-// A time that lost its monotonic reading is counted where it is used as one of this process.
+// InstantOf counts a time that has lost its monotonic reading.
 func TestTimeline_CountsMixedReadings(t *testing.T) {
 	timeline := New()
 	timeline.InstantOf(time.Now())
--- a/internal/invariant/counts.go
+++ b/internal/invariant/counts.go
@@ -11,16 +11,18 @@
 // invariant.
 const LogMessage = "invariant violated"
 
-// Counts has the violations of a process by kind. It is safe for concurrent use; the zero value has none.
+// Counts counts the violations in a process by kind. It is safe for concurrent use. The zero value is ready
+// to use.
 type Counts struct{ counts [kindCount]atomic.Int64 }
 
-// Record counts and logs a violation. args are further attributes of the log line, as slog takes them.
+// Record counts and logs a violation. args are further attributes of the log message, in the form of
+// slog.Error.
 func (c *Counts) Record(k Kind, requestID string, args ...any) {
 	c.counts[k].Add(1)
 	slog.Error(LogMessage, append([]any{logkey.Kind, k.String(), logkey.RequestID, requestID}, args...)...)
 }
 
-// ByKind returns the counts by the kinds' names, zeros too.
+// ByKind returns the counts by the names of the kinds, including those that are 0.
 func (c *Counts) ByKind() map[string]int64 {
 	byKind := make(map[string]int64, kindCount)
 	for k, name := range kindNames {
--- a/internal/invariant/counts_test.go
+++ b/internal/invariant/counts_test.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// Each kind has a name of its own: ByKind would lose one otherwise.
+// The names of kinds are unique: otherwise ByKind would lose a count.
 func TestKind_NamesAreUnique(t *testing.T) {
 	seen := map[string]Kind{}
 	for k := range kindCount {
--- a/internal/invariant/deadline_queue.go
+++ b/internal/invariant/deadline_queue.go
@@ -2,14 +2,14 @@
 
 import "frostlink/internal/clock"
 
-// deadline is when the terminal outcome of a request is due.
+// deadline is the time at which the terminal outcome of a request is due.
 type deadline struct {
 	requestID string
 	at        clock.Instant
 }
 
-// deadlineQueue is a binary heap, the earliest deadline first. It does not use container/heap, which
-// would allocate an interface for each request.
+// deadlineQueue is a binary heap with the earliest deadline first. It does not use container/heap, which
+// would allocate memory for an interface value for each request.
 type deadlineQueue []deadline
 
 // push adds a deadline.
@@ -36,7 +36,7 @@
 	return first
 }
 
-// siftDown moves the first deadline to its place below.
+// siftDown moves the first deadline down until the heap is ordered again.
 func (q deadlineQueue) siftDown() {
 	for i := 0; ; {
 		least := i
--- a/internal/invariant/deadlines.go
+++ b/internal/invariant/deadlines.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// completionSlack is how long after a request's deadline its terminal outcome may be decided. The
-	// protocol allows 300 ms until the platform is notified.
+	// completionSlack is the time after a request's deadline by which its terminal outcome must be decided.
+	// The protocol allows 300 ms until the platform is notified.
 	completionSlack = 200 * time.Millisecond
-	// stallThreshold is by how much a check may be late before the process counts as stalled, as by a
-	// machine that stood still.
+	// stallThreshold is the delay of a check from which on the process counts as stalled, for example
+	// because the machine was suspended.
 	stallThreshold = 100 * time.Millisecond
 )
 
-// Deadlines finds accepted requests that are not completed in time. The zero value has none; it is not
-// safe for concurrent use.
+// Deadlines finds accepted requests that are not completed in time. The zero value watches no requests. It
+// is not safe for concurrent use.
 type Deadlines struct{ queue deadlineQueue }
 
-// Add has a request watched until it is completed.
+// Add starts to watch a request that expires at its deadline.
 func (d *Deadlines) Add(requestID string, expires clock.Instant) {
 	d.queue.push(deadline{requestID, expires.Add(completionSlack)})
 }
 
-// Next returns when Overdue is to be called next; zero: there is no request to watch.
+// Next returns the time at which Overdue has to be called next, or zero if no request is watched.
 func (d *Deadlines) Next() clock.Instant {
 	if len(d.queue) == 0 {
 		return 0
@@ -33,8 +33,8 @@
 }
 
 // Overdue returns the requests whose terminal outcome is due by now and that isOpen reports as not
-// completed. Each is returned once. Where the call is late the process was stalled, and what completes
-// requests was too: they get completionSlack again.
+// completed. It returns each request once. If a call is later than stallThreshold, the process was stalled,
+// and so was the code that completes requests: such requests get another completionSlack from now on.
 func (d *Deadlines) Overdue(now clock.Instant, isOpen func(requestID string) bool) (overdue []string) {
 	for len(d.queue) > 0 && d.queue[0].at <= now {
 		due := d.queue.pop()
--- a/internal/invariant/deadlines_test.go
+++ b/internal/invariant/deadlines_test.go
@@ -11,7 +11,7 @@
 	"frostlink/internal/clock"
 )
 
-// Requests are overdue in the order of their deadlines, once each, and only those that are open.
+// Overdue returns only open requests, in the order of their deadlines, and each of them once.
 func TestDeadlines_ReportsOverdueOnce(t *testing.T) {
 	var d Deadlines
 	for _, s := range []int{5, 1, 3, 2, 4} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Deadlines leave the queue by time, whatever the order in which they were added.
+// Deadlines leave the queue in the order of time, whatever the order in which they were added.
 func TestDeadlineQueue_PopsEarliestFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q deadlineQueue
@@ -55,11 +55,11 @@
 		slices.Sort(want)
 		for i, at := range want {
 			if got := q.pop().at; got != at {
-				t.Fatalf("%d. is at %d, want %d", i, got, at)
+				t.Fatalf("deadline %d is at %d, want %d", i, got, at)
 			}
 		}
 		if len(q) != 0 {
-			t.Fatalf("%d left", len(q))
+			t.Fatalf("%d deadlines left in the queue", len(q))
 		}
 	})
 }
--- a/internal/invariant/doc.go
+++ b/internal/invariant/doc.go
@@ -1,13 +1,14 @@
-// Package invariant checks at run time what has to hold of every accepted request: whether an attempt
-// may be sent or repeated, whether a terminal outcome is decided once and in time, whether a later
-// process recovers only open requests, and whether each client gets its response.
+// Package invariant checks at run time the invariants of every accepted request: an attempt is sent or
+// repeated only if that is allowed, a terminal outcome is decided once and in time, a later process
+// recovers only open requests, and each client gets its response.
 //
-// The checks are apart from the code that decides. They rest on the journal's entry alone, never on the
-// decision module's state, against a fault there that hides itself.
+// The checks are separate from the code that makes the decisions. They use only the journal's entry of a
+// request and never the state of the decision module, so that a fault in that state can't also hide its
+// own effects from the checks.
 //
-// A check that fails is a violation. Its caller records it with Counts, which logs it under LogMessage
-// with the request's id, and does not carry out the effect that was asked for. The fault injection fails
-// a run in which that message was logged.
+// A check that fails is a violation. The caller records it with Counts, which logs it under LogMessage
+// with the request's id, and does not carry out the effect that was checked. A fault-injection run fails
+// if this message was logged.
 //
 // # Files
 //
@@ -15,5 +16,5 @@
 //   - counts.go: counting and logging violations
 //   - send.go: whether an attempt may be sent
 //   - deadlines.go: requests without a terminal outcome at their deadline
-//   - deadline_queue.go: the priority queue behind that
+//   - deadline_queue.go: the priority queue of deadlines
 package invariant
--- a/internal/invariant/kind.go
+++ b/internal/invariant/kind.go
@@ -1,42 +1,44 @@
 package invariant
 
-// Kind says which invariant is violated.
+// Kind identifies the invariant that is violated.
 type Kind int
 
 // The kinds of violation.
 const (
-	// SendAfterCompletion: an attempt of a request whose terminal outcome is decided.
+	// SendAfterCompletion: an attempt was to be sent after the request's terminal outcome was decided.
 	SendAfterCompletion Kind = iota
-	// SendAfterDeadline: an attempt of a request whose deadline has passed.
+	// SendAfterDeadline: an attempt was to be sent after the request's deadline.
 	SendAfterDeadline
-	// SendUnrecorded: an attempt whose record a later process would not find.
+	// SendUnrecorded: an attempt was to be sent before its journal record was durable.
 	SendUnrecorded
-	// SecondAttempt: an attempt while another of the request is in flight.
+	// SecondAttempt: an attempt was to be sent while another attempt of the request was in flight.
 	SecondAttempt
-	// NonIdempotentRepeat: an attempt of a non-idempotent request after one that may have executed.
+	// NonIdempotentRepeat: a non-idempotent request was to be sent again after an attempt that may have
+	// been executed.
 	NonIdempotentRepeat
-	// ExpiredKeyRepeat: an attempt of a request with an idempotency key after one that may have executed,
-	// when the destination may have forgotten the key.
+	// ExpiredKeyRepeat: a request with an idempotency key was to be sent again after an attempt that may
+	// have been executed, when the destination may no longer remember the key.
 	ExpiredKeyRepeat
-	// CompletedTwice: a second terminal outcome.
+	// CompletedTwice: a second terminal outcome was decided for a request.
 	CompletedTwice
-	// CompletionOverdue: no terminal outcome in time.
+	// CompletionOverdue: a request has no terminal outcome in time.
 	CompletionOverdue
-	// CompletionUnrecorded: a terminal outcome of which the platform was notified before a later process
-	// would find its record.
+	// CompletionUnrecorded: the platform was to be notified of a terminal outcome before its journal record
+	// was durable.
 	CompletionUnrecorded
-	// RecoveredAfterCompletion: a request that a later process recovers though it was completed.
+	// RecoveredAfterCompletion: a later process recovered a request that was completed.
 	RecoveredAfterCompletion
-	// ClosedUnanswered: a client's connection closed with a request that was read and not answered.
+	// ClosedUnanswered: a client's connection was closed after a request was read and before it was
+	// answered.
 	ClosedUnanswered
-	// MixedClocks: a span between readings of two clocks.
+	// MixedClocks: a span was computed between readings of two different clocks.
 	MixedClocks
 
-	// kindCount is how many kinds there are.
+	// kindCount is the number of kinds.
 	kindCount
 )
 
-// kindNames are the names in logs and metrics.
+// kindNames are the names of the kinds in logs and metrics.
 var kindNames = [kindCount]string{
 	SendAfterCompletion:      "send_after_end",
 	SendAfterDeadline:        "send_after_deadline",
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -6,46 +6,46 @@
 	"frostlink/policy"
 )
 
-// Request is what the checks have to know of an accepted request.
+// Request contains the facts about an accepted request that the checks need.
 type Request struct {
-	*journal.Entry               // its attempts are those before the one that is checked
-	Terms          *policy.Class // of its class, as it was accepted; nil: not known
-	Completed      bool          // its terminal outcome is decided
+	*journal.Entry               // Attempts are those before the attempt that is checked
+	Terms          *policy.Class // the class settings at acceptance; nil if they are unknown
+	Completed      bool          // the terminal outcome is decided
 	InFlight       bool          // an attempt of this process is in flight
 }
 
-// CheckSend reports whether another attempt of a request may be sent now, or which invariant that would
-// violate.
-func CheckSend(m Request, now clock.Instant) (k Kind, ok bool) {
+// CheckSend reports whether another attempt of a request may be sent now. If not, k is the invariant that
+// the attempt would violate.
+func CheckSend(r Request, now clock.Instant) (k Kind, ok bool) {
 	switch {
-	case m.Completed:
+	case r.Completed:
 		return SendAfterCompletion, false
-	case m.InFlight:
+	case r.InFlight:
 		return SecondAttempt, false
-	case now >= m.Deadline:
+	case now >= r.Deadline:
 		return SendAfterDeadline, false
 	}
-	return checkRepeat(m, now)
+	return checkRepeat(r, now)
 }
 
-// checkRepeat reports whether an attempt may be sent after those before it.
-func checkRepeat(m Request, now clock.Instant) (k Kind, ok bool) {
-	if m.Terms == nil || m.Terms.Idempotency == policy.Idempotent {
+// checkRepeat reports whether another attempt may be sent after the earlier attempts of a request.
+func checkRepeat(r Request, now clock.Instant) (k Kind, ok bool) {
+	if r.Terms == nil || r.Terms.Idempotency == policy.Idempotent {
 		return 0, true
 	}
-	firstStart, mayHaveExecuted := firstUnknownOutcome(m.Attempts)
+	firstStart, mayHaveExecuted := firstUnknownOutcome(r.Attempts)
 	switch {
 	case !mayHaveExecuted:
 		return 0, true
-	case m.Terms.Idempotency == policy.NotIdempotent:
+	case r.Terms.Idempotency == policy.NotIdempotent:
 		return NonIdempotentRepeat, false
-	case now.Sub(firstStart) > m.Terms.KeyTTL:
+	case now.Sub(firstStart) > r.Terms.KeyTTL:
 		return ExpiredKeyRepeat, false
 	}
 	return 0, true
 }
 
-// firstUnknownOutcome returns the start of the first attempt that may have executed, if there is one.
+// firstUnknownOutcome returns the start of the first attempt that may have been executed, if there is one.
 func firstUnknownOutcome(attempts []journal.Attempt) (start clock.Instant, found bool) {
 	for _, a := range attempts {
 		if !a.Ended || !a.NotExecuted {
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -9,19 +9,19 @@
 	"frostlink/policy"
 )
 
-// Each violation by sending is detected, and what is allowed is not.
+// CheckSend detects each kind of violation, and reports none for an attempt that is allowed.
 func TestCheckSend_DetectsViolations(t *testing.T) {
 	const now = clock.Instant(time.Hour)
 	notExecuted := journal.Attempt{StartedAt: now.Add(-3 * time.Second), Ended: true, NotExecuted: true}
 	outcomeUnknown := journal.Attempt{StartedAt: now.Add(-2 * time.Second), Ended: true}
-	inFlight := journal.Attempt{StartedAt: now.Add(-2 * time.Second)} // of an earlier process
+	inFlight := journal.Attempt{StartedAt: now.Add(-2 * time.Second)} // started by an earlier process
 	idempotent := &policy.Class{Idempotency: policy.Idempotent}
 	shortTTL := &policy.Class{Idempotency: policy.IdempotentByKey, KeyTTL: time.Second}
 	longTTL := &policy.Class{Idempotency: policy.IdempotentByKey, KeyTTL: 3 * time.Second}
 	notIdempotent := &policy.Class{Idempotency: policy.NotIdempotent}
 	none := Kind(-1)
 	for name, test := range map[string]struct {
-		message  Request
+		request  Request
 		timeLeft time.Duration
 		want     Kind
 	}{
@@ -48,14 +48,14 @@
 		"class not known":           {Request{Entry: entryWith(outcomeUnknown)}, time.Second, none},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := test.message
+			m := test.request
 			if m.Entry == nil {
 				m.Entry = entryWith()
 			}
 			m.Deadline = now.Add(test.timeLeft)
 			k, ok := CheckSend(m, now)
 			if ok != (test.want == none) || !ok && k != test.want {
-				t.Errorf("violates %v, allowed: %v", k, ok)
+				t.Errorf("violation %v, allowed: %v", k, ok)
 			}
 		})
 	}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits until d has passed or ctx has ended, and reports whether ctx has not. A d of zero or less
-// does not wait.
+// For waits until d has passed or ctx has ended. It returns true if ctx has not ended. If d is zero or
+// less, For returns at once.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/wait/waittest/waittest.go
+++ b/internal/wait/waittest/waittest.go
@@ -1,4 +1,4 @@
-// Package waittest waits in tests with a bound so long that no result depends on it.
+// Package waittest provides waits for tests, with a timeout so long that a test reaches it only when it fails.
 package waittest
 
 import (
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Long is longer than anything that a test expects takes.
+// Long is longer than any operation that a test waits for.
 const Long = 20 * time.Second
 
-// Receive returns the next value of a channel, or fails the test if none comes.
+// Receive returns the next value of a channel, and fails the test if none arrives within Long.
 func Receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
