--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -12,20 +12,20 @@
 	"frostlink/internal/logkey"
 )
 
-// acceptRetryDelay is the pause after a failed accept, as when the process has no descriptor left.
+// acceptRetryDelay is the pause after a failed accept, for example when the process has no file descriptors left.
 const acceptRetryDelay = 5 * time.Millisecond
 
 // conn is a connection from an operator.
 type conn struct {
 	net.Conn
 	server      *Server
-	requestRead bool // its request is complete: it is answered at once, so it is never closed for another; guarded by server.mu
+	requestRead bool // the request was read and is answered at once, so admit never closes this connection; guarded by server.mu
 }
 
-// connKey is the key of the *conn in a request's context.
+// connKey is the key of the request's *conn in its context.
 type connKey struct{}
 
-// markRequestRead notes on its connection that a request was read, and bounds the request's body.
+// markRequestRead marks the connection of a request that was read, and limits the size of the request's body.
 func (s *Server) markRequestRead(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
@@ -38,14 +38,14 @@
 	})
 }
 
-// limitedListener is a listener that holds to the server's limit on connections.
+// limitedListener is a listener that enforces the server's limit on connections.
 type limitedListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next connection that there is room for. It fails only when the listener is closed; any other failure passes, and
-// must not end the endpoint.
+// Accept returns the next connection that the limit admits. It fails only when the listener is closed: any other error is temporary
+// and must not stop the endpoint.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -58,13 +58,13 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil, fmt.Errorf("accept: %w", err)
 		}
-		slog.Warn("admin connection not accepted", logkey.Err, err)
+		slog.Warn("accept of an admin connection failed; retrying", logkey.Err, err)
 		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// admit adds a connection. At the limit it closes the oldest that has no complete request; where all have one, it closes the new one
-// and returns nil.
+// admit adds a connection. At the limit it closes the oldest connection whose request is not complete. If the requests of all
+// connections are complete, it closes the new connection and returns nil.
 func (s *Server) admit(raw net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return c
 }
 
-// remove takes a connection off the list.
+// remove removes a connection from the list.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// Close closes the connection and makes room for another.
+// Close closes the connection and removes it from the server's list.
 func (c *conn) Close() error {
 	c.server.remove(c)
 	if err := c.Conn.Close(); err != nil {
--- a/internal/admin/handlers.go
+++ b/internal/admin/handlers.go
@@ -28,7 +28,7 @@
 func (s *Server) getMetrics(w http.ResponseWriter, _ *http.Request) {
 	raw, err := s.relay.Metrics()
 	if err != nil {
-		slog.Error("metrics not encoded", logkey.Err, err)
+		slog.Error("metrics can't be encoded; request answered with status 503", logkey.Err, err)
 		writeAnswer(w, false, "no figures")
 		return
 	}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// Metrics holds the counters. Its methods are for one goroutine, the relay's event loop, but for Snapshot and JSON, which any
-// goroutine may call: they return what was published last.
+// Metrics contains the counters. Only one goroutine, the relay's event loop, may call its methods, except Snapshot and JSON: any
+// goroutine may call these, and they return the values that were published last.
 type Metrics struct {
-	// AttemptsSent counts attempts written completely to endpoints. The goroutines that send attempts add to it.
+	// AttemptsSent counts attempts written completely to endpoints. The goroutines that send attempts increment it.
 	AttemptsSent atomic.Int64
 
 	current    Snapshot
@@ -16,7 +16,7 @@
 	published  atomic.Pointer[Snapshot]
 }
 
-// NewMetrics returns metrics, all 0, for the classes that the relay starts with.
+// NewMetrics returns metrics with the value 0 for the classes with which the relay starts.
 func NewMetrics(classes []string) *Metrics {
 	m := &Metrics{classIndex: map[string]int{}}
 	for _, name := range classes {
@@ -26,15 +26,15 @@
 	return m
 }
 
-// class returns the index of a class, which it adds where it is new. Classes are never removed: there are as many as settings have
-// ever named.
+// class returns the index of a class, and adds the class if it is new. Classes are never removed; their number is bounded by the
+// classes that the settings have ever named.
 func (m *Metrics) class(name string) int {
 	if i, ok := m.classIndex[name]; ok {
 		return i
 	}
 	i := len(m.current.Classes)
 	m.classIndex[name] = i
-	// Clipped, so that the list of a published snapshot is not written to.
+	// Clip makes append copy the slice, so that the slice of a published snapshot is not written to.
 	m.current.Classes = append(slices.Clip(m.current.Classes), name)
 	for outcome := range m.current.Completed {
 		m.current.Completed[outcome] = append(m.current.Completed[outcome], 0)
@@ -42,13 +42,13 @@
 	return i
 }
 
-// AddClass shows a class from the next Publish on, even while nothing is counted under it.
+// AddClass adds a class, so that it is shown from the next Publish on even if no request of the class was counted.
 func (m *Metrics) AddClass(class string) { m.class(class) }
 
-// Accepted counts a request as in flight: one accepted from a client, or taken over from an earlier process.
+// Accepted counts a request as in flight. The request was accepted from a client, or recovered from an earlier process.
 func (m *Metrics) Accepted() { m.current.InFlight++ }
 
-// Completed counts the outcome of a request. accepted reports whether Accepted counted the request before.
+// Completed counts the outcome of a request. accepted is set if the request was counted by Accepted before.
 func (m *Metrics) Completed(class string, outcome Outcome, accepted bool) {
 	i := m.class(class)
 	m.current.Completed[outcome][i]++
@@ -57,12 +57,12 @@
 	}
 }
 
-// Withdrawn undoes Accepted for a request that ended with no outcome, as one that its client has withdrawn.
+// Withdrawn undoes Accepted for a request that ended without an outcome, such as a request that its client has withdrawn.
 func (m *Metrics) Withdrawn() { m.current.InFlight-- }
 
-// HandedOver sets the requests in flight to 0: the successor counts them. It publishes nothing. Readers of this process, which ends
-// in a moment, go on seeing the metrics as of the hand-over, because "nothing in flight" would be wrong about the relay until the
-// successor answers.
+// HandedOver sets the requests in flight to 0, because the successor counts them. It does not publish the change: until this process
+// ends, shortly after, its readers see the metrics from the time of the hand-over. To report no requests in flight would be wrong
+// about the relay until the successor answers readers.
 func (m *Metrics) HandedOver() { m.current.InFlight = 0 }
 
 // Reconfigured counts a configuration that was applied (ok) or rejected.
@@ -74,10 +74,10 @@
 	}
 }
 
-// Gauges are the metrics that are read off at each Publish, not counted.
+// Gauges are the metrics that are not counted but passed to each Publish.
 type Gauges struct{ EndpointsListed, EndpointsUnhealthy int }
 
-// Publish makes the counters, as they are now, what readers see.
+// Publish publishes a copy of the current counters, together with the gauges.
 func (m *Metrics) Publish(g Gauges) {
 	s := m.current
 	s.EndpointsListed, s.EndpointsUnhealthy = g.EndpointsListed, g.EndpointsUnhealthy
@@ -87,8 +87,8 @@
 	m.published.Store(&s)
 }
 
-// Snapshot returns what was published last. It is not to be changed.
+// Snapshot returns the values that were published last. Callers must not modify them.
 func (m *Metrics) Snapshot() *Snapshot { return m.published.Load() }
 
-// JSON returns what was published last, in the form of GET /status/metrics.
+// JSON returns the values that were published last, as the response body of GET /status/metrics.
 func (m *Metrics) JSON() ([]byte, error) { return m.Snapshot().json(m.AttemptsSent.Load()) }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// requestTimeout is how long a caller may take to send its request; a connection whose request is not complete by then is
+	// requestTimeout bounds the time in which a caller sends its request. A connection whose request is not complete by then is
 	// closed. Every complete request is answered within 1 s.
 	requestTimeout = 2 * time.Second
-	// responseTimeout is how long a caller may take, after that, to read the response.
+	// responseTimeout bounds the time after requestTimeout in which a caller reads the response.
 	responseTimeout = time.Second
-	// maxHeaderBytes and maxBodyBytes bound what is read of a request; none needs a body.
+	// maxHeaderBytes and maxBodyBytes limit the size of a request. No request needs a body.
 	maxHeaderBytes, maxBodyBytes = 4 << 10, 4 << 10
-	// defaultShutdownTimeout is how long Close waits for responses that are being written: a graceful shutdown of the relay has
-	// 150 ms left by then.
+	// defaultShutdownTimeout bounds the time for which Close waits for responses that are being written. A graceful shutdown of the
+	// relay has 150 ms left when it calls Close.
 	defaultShutdownTimeout = 100 * time.Millisecond
 )
 
-// Relay is what the endpoint reads and controls. Its methods must not block.
+// Relay is the relay that the endpoint observes and controls. Its methods must not block.
 type Relay interface {
-	// Status reports whether this process serves clients, and names its state.
+	// Status reports whether this process serves clients, and the name of its state.
 	Status() (serving bool, state string)
-	// Standby stops serving clients. It may be called at any time and again.
+	// Standby stops serving clients. It may be called at any time, also repeatedly.
 	Standby()
-	// Active serves clients again. It may be called at any time and again.
+	// Active serves clients again. It may be called at any time, also repeatedly.
 	Active()
 	// Metrics returns the metrics as JSON.
 	Metrics() ([]byte, error)
-	// Violations returns how often invariants were violated, by kind.
+	// Violations returns the number of violations of invariants, by kind.
 	Violations() map[string]int64
 }
 
@@ -44,14 +44,14 @@
 	relay           Relay
 	maxConns        int
 	http            http.Server
-	shutdownTimeout time.Duration // defaultShutdownTimeout, but in tests
+	shutdownTimeout time.Duration // defaultShutdownTimeout, except in tests
 
-	mu    sync.Mutex // guards conns and the requestRead of each
+	mu    sync.Mutex // guards conns and the requestRead field of each connection
 	conns []*conn    // in the order in which they were accepted
 }
 
-// New returns a server that holds at most maxConns connections. A further one takes the place of the oldest that has sent no complete
-// request, so that callers that send nothing lock nobody out.
+// New returns a server with at most maxConns open connections. At the limit, a new connection replaces the oldest one without a
+// complete request, so that callers that send no request can't lock out others.
 func New(relay Relay, maxConns int) *Server {
 	s := &Server{relay: relay, maxConns: maxConns, shutdownTimeout: defaultShutdownTimeout}
 	s.http = http.Server{
@@ -64,11 +64,11 @@
 			return context.WithValue(ctx, connKey{}, c)
 		},
 	}
-	s.http.SetKeepAlivesEnabled(false) // one request a connection
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
 	return s
 }
 
-// Serve answers requests until the listener is closed, which it returns nil for.
+// Serve answers requests until the listener is closed, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(&limitedListener{l, s})
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -77,8 +77,8 @@
 	return fmt.Errorf("admin endpoint: %w", err)
 }
 
-// Close closes the listener and waits, for shutdownTimeout at most, until the requests that were read have their responses. Against a
-// reader of metrics whose connection is reset as the process ends or hands over.
+// Close closes the listener and waits, for at most shutdownTimeout, until the requests that were read are answered. Otherwise the
+// connection of a caller that reads metrics could be reset when the process ends or hands over.
 func (s *Server) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), s.shutdownTimeout)
 	defer cancel()
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -22,22 +22,22 @@
 	metricsRequest = "GET /status/metrics HTTP/1.1\r\nHost: x\r\n\r\n"
 )
 
-// fakeRelay records which serving mode it was asked for.
+// fakeRelay records the last serving mode that was requested.
 type fakeRelay struct {
-	metrics *Metrics
-	serving atomic.Bool
-	asked   atomic.Pointer[string]
+	metrics       *Metrics
+	serving       atomic.Bool
+	requestedMode atomic.Pointer[string]
 }
 
 func (r *fakeRelay) Status() (bool, string)   { return r.serving.Load(), "so" }
 func (r *fakeRelay) Standby()                 { r.record("standby") }
 func (r *fakeRelay) Active()                  { r.record("active") }
 func (r *fakeRelay) Metrics() ([]byte, error) { return r.metrics.JSON() }
-func (r *fakeRelay) record(mode string)       { r.asked.Store(&mode) }
+func (r *fakeRelay) record(mode string)       { r.requestedMode.Store(&mode) }
 
 func (r *fakeRelay) Violations() map[string]int64 { return map[string]int64{"end_twice": 3} }
 
-// startServer serves a relay until the test ends.
+// startServer starts a server for a fakeRelay, which runs until the test ends.
 func startServer(t *testing.T) (r *fakeRelay, addr string) {
 	t.Helper()
 	r = &fakeRelay{metrics: NewMetrics([]string{"C"})}
@@ -52,7 +52,7 @@
 	return r, l.Addr().String()
 }
 
-// exchange sends bytes on a new connection and returns all that is read until the server closes it.
+// exchange sends text on a new connection and returns everything that it reads until the server closes the connection.
 func exchange(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -64,7 +64,7 @@
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	out, _ := io.ReadAll(c) // ends with a reset where bytes were left unread
+	out, _ := io.ReadAll(c) // fails with a reset if the server has not read all bytes
 	return string(out)
 }
 
@@ -73,7 +73,7 @@
 	tests := []struct {
 		name, text string
 		status     int
-		mode       string // that the relay was asked for; empty: none
+		mode       string // the serving mode that was requested; empty: none
 	}{
 		{"status", statusRequest, 200, ""},
 		{"metrics", metricsRequest, 200, ""},
@@ -91,20 +91,20 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r.asked.Store(new(string))
+			r.requestedMode.Store(new(string))
 			out := exchange(t, addr, tt.text)
 			statusLine, _, _ := strings.Cut(out, "\r\n")
 			if got := strings.Count(out, "HTTP/1."); got != 1 || !strings.Contains(statusLine, fmt.Sprint(" ", tt.status, " ")) {
 				t.Errorf("%d responses, %q, want one with status %d", got, out, tt.status)
 			}
-			if got := *r.asked.Load(); got != tt.mode {
-				t.Errorf("the relay was asked for mode %q, want %q", got, tt.mode)
+			if got := *r.requestedMode.Load(); got != tt.mode {
+				t.Errorf("requested serving mode %q, want %q", got, tt.mode)
 			}
 		})
 	}
 }
 
-// The bodies are read by the platform's tools.
+// The platform's tools parse the response bodies, so these must not change.
 func TestServer_Bodies(t *testing.T) {
 	r, addr := startServer(t)
 	for request, want := range map[string]string{
@@ -123,8 +123,8 @@
 	}
 }
 
-// Connections that send nothing, or part of a request, lock nobody out however many they are, and no more of them are held than the
-// limit allows.
+// Connections that send nothing, or only a part of a request, can't lock out other callers, however many there are. The server does not
+// keep more of them than the limit allows.
 func TestServer_IdleConnectionsLockNobodyOut(t *testing.T) {
 	_, addr := startServer(t)
 	var idle []net.Conn
@@ -140,11 +140,11 @@
 		idle = append(idle, c)
 		if i%maxConns == 0 {
 			if out := exchange(t, addr, metricsRequest); !strings.Contains(out, " 200 ") {
-				t.Fatalf("beside %d idle connections: %q", len(idle), out)
+				t.Fatalf("response with %d idle connections open: %q", len(idle), out)
 			}
 		}
 	}
-	// All but maxConns were closed to make room; the rest are closed at requestTimeout.
+	// All but maxConns connections were closed by the limit; the rest are closed at requestTimeout.
 	for _, c := range idle {
 		_ = c.SetReadDeadline(time.Now().Add(waittest.Long))
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
@@ -153,7 +153,7 @@
 	}
 }
 
-// The metrics of one read are of one time, and have the form of docs/operators/on-call.md.
+// All metrics of one response are from the same published snapshot, and have the form documented in docs/operators/on-call.md.
 func TestServer_MetricsShowThePublishedSnapshot(t *testing.T) {
 	r, addr := startServer(t)
 	m := r.metrics
@@ -162,7 +162,7 @@
 	}
 	m.Completed("C", Success, true)
 	m.Completed("C", Shed, true)
-	m.Completed("D", Shed, false) // rejected at its arrival; a class that was added later
+	m.Completed("D", Shed, false) // rejected at arrival; a class that was added later
 	m.Completed("C", Failure, true)
 	m.Reconfigured(true)
 	m.Reconfigured(false)
@@ -170,7 +170,7 @@
 	earlier := m.Snapshot()
 	m.Publish(Gauges{EndpointsListed: 3, EndpointsUnhealthy: 1})
 	if earlier.InFlight != 0 || earlier.Completed[Success][0] != 0 {
-		t.Errorf("a snapshot has changed: %+v", earlier)
+		t.Errorf("a published snapshot has changed: %+v", earlier)
 	}
 	resp, err := http.Get("http://" + addr + "/status/metrics")
 	if err != nil {
@@ -188,21 +188,21 @@
 	}
 }
 
-// blockingRelay is a relay whose metrics are returned when the test says so.
+// blockingRelay is a relay whose Metrics blocks until the test releases it.
 type blockingRelay struct {
 	fakeRelay
-	asked, release chan bool
+	called, release chan bool
 }
 
 func (r *blockingRelay) Metrics() ([]byte, error) {
-	r.asked <- true
+	r.called <- true
 	<-r.release
 	return []byte("{}"), nil
 }
 
-// Against a connection that is reset while its response is being written.
+// Close waits for a response that is being written, so that its connection is not reset.
 func TestServer_CloseWaitsForResponses(t *testing.T) {
-	r := &blockingRelay{asked: make(chan bool, 1), release: make(chan bool, 1)}
+	r := &blockingRelay{called: make(chan bool, 1), release: make(chan bool, 1)}
 	s := New(r, 4)
 	s.shutdownTimeout = waittest.Long
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,15 +214,15 @@
 	got, closed, shuttingDown := make(chan string, 1), make(chan bool), make(chan bool)
 	s.http.RegisterOnShutdown(func() { close(shuttingDown) })
 	go func() { got <- exchange(t, l.Addr().String(), metricsRequest) }()
-	waittest.Receive(t, r.asked)
+	waittest.Receive(t, r.called)
 	go func() { s.Close(); close(closed) }()
 	select {
 	case <-shuttingDown:
-	case <-closed: // at once
+	case <-closed: // Close has returned without waiting
 	}
 	r.release <- true
 	if text := waittest.Receive(t, got); !strings.HasSuffix(text, "{}\n") {
-		t.Errorf("answered %q", text)
+		t.Errorf("response %q, want the metrics", text)
 	}
 	waittest.Receive(t, closed)
 	if err := waittest.Receive(t, served); err != nil {
--- a/internal/admin/snapshot.go
+++ b/internal/admin/snapshot.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// Outcome is how a request ended, as the metrics group it.
+// Outcome is a group of terminal outcomes in the metrics.
 type Outcome int
 
-// The outcomes: each completed request is counted under exactly one.
+// The outcomes. Each completed request is counted under exactly one of them.
 const (
 	Success      Outcome = iota // delivered
-	Shed                        // rejected at its arrival, or later without having been executed: the client may submit it again
+	Shed                        // rejected at arrival, or shed later without having been executed: the client may submit it again
 	Failure                     // failed
-	outcomeCount                // how many there are
+	outcomeCount                // number of outcomes
 )
 
 // Snapshot is a copy of the metrics at one time. All counts start at 0 with the process.
 type Snapshot struct {
-	Classes            []string              // the index of a class here is its index in the lists of Completed
+	Classes            []string              // the index of a class is also its index in the slices of Completed
 	Completed          [outcomeCount][]int64 // by outcome and class
 	InFlight           int                   // requests accepted and not completed
-	EndpointsListed    int                   // as of the endpoint list
+	EndpointsListed    int                   // endpoints in the endpoint list
 	EndpointsUnhealthy int                   // listed endpoints that the relay avoids
 	ReconfigOK         int                   // configurations applied
 	ReconfigFailed     int                   // configurations rejected
 }
 
-// snapshotJSON is the form of GET /status/metrics. Its keys are the platform's.
+// snapshotJSON is the response body of GET /status/metrics. The platform defines its keys.
 type snapshotJSON struct {
 	Success        map[string]int64 `json:"success"`
 	Busy           map[string]int64 `json:"busy"`
@@ -40,7 +40,7 @@
 	ReconfigFailed int              `json:"reconfig_failed"`
 }
 
-// json encodes the snapshot; attemptsSent is how many attempts were written completely to endpoints.
+// json encodes the snapshot. attemptsSent is the number of attempts that were written completely to endpoints.
 func (s *Snapshot) json(attemptsSent int64) ([]byte, error) {
 	raw, err := json.Marshal(snapshotJSON{
 		Success:        s.byClass(Success),
@@ -59,7 +59,7 @@
 	return raw, nil
 }
 
-// byClass returns the counts of an outcome under the classes' names.
+// byClass returns the counts of an outcome by class name.
 func (s *Snapshot) byClass(outcome Outcome) map[string]int64 {
 	counts := make(map[string]int64, len(s.Classes))
 	for i, name := range s.Classes {
--- a/internal/notification/doc.go
+++ b/internal/notification/doc.go
@@ -1,17 +1,17 @@
 // Package notification posts terminal outcomes to the platform until it acknowledges them.
 //
-// A [Notice] is the terminal outcome of a request that was accepted and not delivered. The relay
-// enqueues it once the outcome is recorded in its journal; a [Notifier] posts it, in batches and
-// over several connections, and retries until the platform acknowledges it. What is not
-// acknowledged when the process ends is enqueued again by its successor, from the journal.
+// A [Notice] reports the terminal outcome of a request that was accepted and not delivered. The relay
+// enqueues the notice once the outcome is recorded in its journal. A [Notifier] posts notices, in
+// batches and over several connections, and retries until the platform acknowledges them. Notices that
+// are not acknowledged when the process ends are enqueued again by the next process, from the journal.
 //
-// On the wire a post is one JSON value a line. The platform answers 204 once it has all of them,
-// and 400 where it cannot read one.
+// The body of a post has one JSON value per line. The platform answers with status 204 once it has all
+// notices of the post, and with 400 if it can't parse one of them.
 //
 // Files:
 //
-//   - notice.go: the notice and its form on the wire;
-//   - queue.go: the notices that wait for a post;
-//   - notifier.go: the posters, and the retry of what is not acknowledged;
+//   - notice.go: the notice and its encoding on the wire;
+//   - queue.go: the notices that wait to be posted;
+//   - notifier.go: the goroutines that post notices, and the retry of unacknowledged notices;
 //   - post.go: one post.
 package notification
--- a/internal/notification/golden_test.go
+++ b/internal/notification/golden_test.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/goldentest"
 )
 
-// The form of a notice as it is posted, and stored in the journal.
+// The JSON encoding of a notice, as it is posted and as it is stored in the journal.
 func TestGolden_NoticeForm(t *testing.T) {
 	goldentest.JSON(t, "forms.txt", goldentest.Form{Name: "notice", Value: &Notice{}})
 }
--- a/internal/notification/notice.go
+++ b/internal/notification/notice.go
@@ -1,10 +1,10 @@
 package notification
 
-// Notice is the terminal outcome of a request that was accepted and not delivered.
+// Notice reports the terminal outcome of a request that was accepted and not delivered.
 type Notice struct {
-	ID           string `json:"id"` // the request's
+	ID           string `json:"id"` // the id of the request
 	Status       string `json:"status"`
-	RetryAfterMS int64  `json:"again_ms,omitempty"` // of Deferred: when the client may submit again, in milliseconds
+	RetryAfterMS int64  `json:"again_ms,omitempty"` // for Deferred: the time until the client may submit again
 }
 
 // The values of a notice's status.
@@ -15,7 +15,7 @@
 	Deferred = "deferred"
 )
 
-// ids returns the requests of notices.
+// ids returns the request ids of notices.
 func ids(batch []Notice) []string {
 	ids := make([]string, len(batch))
 	for i, notice := range batch {
--- a/internal/notification/notifier.go
+++ b/internal/notification/notifier.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// postTimeout bounds one post, and retryDelay is between a post that failed and the next: a
-	// notice has to be acknowledged within 300 ms of its request's deadline, so that two posts may
-	// stall.
+	// postTimeout bounds one post, and retryDelay is the pause after a failed post. A notice has to be
+	// acknowledged within 300 ms of its request's deadline; with these values up to two posts may stall
+	// before that.
 	postTimeout = 120 * time.Millisecond
 	retryDelay  = 20 * time.Millisecond
-	// maxConcurrentPosts are made at once, so that one that stalls holds up no other. Their
-	// connections persist: a connection for each post would be a hundred a second where many
-	// requests fail, and establishing one may stall for a second.
+	// maxConcurrentPosts is the number of posts at the same time, so that a stalled post does not delay
+	// the others. Connections are kept open: with a new connection for each post there would be a hundred
+	// a second when many requests fail, and opening one may stall for a second.
 	maxConcurrentPosts = 4
 	idleConnTimeout    = 5 * time.Second
-	// maxBatchSize bounds the notices of one post.
+	// maxBatchSize is the maximum number of notices in one post.
 	maxBatchSize = 500
 )
 
@@ -32,13 +32,13 @@
 	onAcknowledged func(ids []string)
 	queue          *queue
 
-	mu      sync.Mutex // guards the two below
+	mu      sync.Mutex // guards url and changed
 	url     string
 	changed chan struct{} // closed when url is replaced
 }
 
-// New returns a notifier that, once it runs, posts to the platform at an address. It calls
-// onAcknowledged with the ids of requests whose notices need no further post.
+// New returns a notifier that posts to the platform at an address while Run runs. It calls onAcknowledged
+// with the ids of requests whose notices were acknowledged, or dropped because the platform rejected them.
 func New(address string, onAcknowledged func(ids []string)) *Notifier {
 	transport := &http.Transport{
 		MaxConnsPerHost: maxConcurrentPosts, MaxIdleConnsPerHost: maxConcurrentPosts, IdleConnTimeout: idleConnTimeout,
@@ -50,10 +50,11 @@
 	}
 }
 
-// Enqueue adds a notice. It never blocks, however long the platform may be unreachable.
+// Enqueue adds a notice. It never blocks, even if the platform is unreachable.
 func (n *Notifier) Enqueue(notice Notice) { n.queue.add(notice) }
 
-// SetAddress posts notices to another address from now on, also those that are being posted.
+// SetAddress sets the platform's address. Posts in flight are canceled, and their notices are posted to the
+// new address.
 func (n *Notifier) SetAddress(address string) {
 	n.mu.Lock()
 	n.url = outcomesURL(address)
@@ -63,7 +64,7 @@
 	n.client.CloseIdleConnections()
 }
 
-// Run posts notices until ctx ends, and returns when the posts in flight have ended too.
+// Run posts notices until ctx ends, and returns when the posts in flight have ended.
 func (n *Notifier) Run(ctx context.Context) {
 	var posters sync.WaitGroup
 	for range maxConcurrentPosts {
@@ -86,8 +87,8 @@
 	}
 }
 
-// deliver posts a batch until it is acknowledged. A batch that the platform cannot read is split,
-// so that a malformed notice holds up no other, and a single one is dropped.
+// deliver posts a batch until it is acknowledged. A batch that the platform rejects as malformed is split,
+// so that a malformed notice does not block the others. A single malformed notice is dropped.
 func (n *Notifier) deliver(ctx context.Context, batch []Notice) {
 	for ctx.Err() == nil {
 		status, err := n.post(ctx, batch)
@@ -100,11 +101,11 @@
 			n.deliver(ctx, batch[len(batch)/2:])
 			return
 		case err == nil && status == http.StatusBadRequest:
-			slog.Error("notice rejected", logkey.RequestID, batch[0].ID)
+			slog.Error("notice rejected by the platform; notice dropped", logkey.RequestID, batch[0].ID)
 			n.onAcknowledged(ids(batch))
 			return
 		}
-		slog.Warn("notices not acknowledged", logkey.Count, len(batch), logkey.Status, status, logkey.Err, err)
+		slog.Warn("notices not acknowledged; retrying", logkey.Count, len(batch), logkey.Status, status, logkey.Err, err)
 		wait.For(ctx, retryDelay)
 	}
 }
--- a/internal/notification/notifier_test.go
+++ b/internal/notification/notifier_test.go
@@ -14,7 +14,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// serve listens as the platform and returns its address.
+// serve starts a stand-in for the platform and returns its address.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(handler)
@@ -25,7 +25,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// A notice whose post stalls goes to the new address once the platform's changes.
+// When the platform's address changes, a notice whose post stalls is posted to the new address.
 func TestNotifier_PostsStalledNoticeToNewAddress(t *testing.T) {
 	stalled := serve(t, func(_ http.ResponseWriter, r *http.Request) {
 		select {
@@ -46,11 +46,11 @@
 			t.Errorf("acknowledged %v", ids)
 		}
 	case <-time.After(waittest.Long):
-		t.Fatal("not acknowledged")
+		t.Fatal("notice not acknowledged")
 	}
 }
 
-// A post that fails is made again until it is acknowledged.
+// A failed post is repeated until the platform acknowledges it.
 func TestNotifier_RetriesUntilAcknowledged(t *testing.T) {
 	var posts atomic.Int32
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -69,7 +69,8 @@
 	}
 }
 
-// A notice that the platform cannot read holds up no other of its batch, and is dropped.
+// A notice that the platform rejects as malformed is dropped, and the other notices of its batch are
+// delivered.
 func TestNotifier_SplitsRejectedBatch(t *testing.T) {
 	var received atomic.Int32
 	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -94,6 +95,6 @@
 		all = append(all, waittest.Receive(t, acknowledged)...)
 	}
 	if received.Load() != count-1 || !slices.Contains(all, "bad") {
-		t.Errorf("%d received, acknowledged %v", received.Load(), all)
+		t.Errorf("%d notices received, acknowledged %v", received.Load(), all)
 	}
 }
--- a/internal/notification/post.go
+++ b/internal/notification/post.go
@@ -9,14 +9,14 @@
 	"net/http"
 )
 
-// maxResponseSize bounds the bytes that are read of a response.
+// maxResponseSize is the maximum number of bytes read of a response.
 const maxResponseSize = 64 << 10
 
-// outcomesURL returns where the platform at an address takes notices.
+// outcomesURL returns the URL to which notices are posted for a platform's address.
 func outcomesURL(address string) string { return "http://" + address + "/v1/outcomes" }
 
-// post posts a batch once and returns the response's status. It is canceled where the platform's
-// address changes.
+// post posts a batch once and returns the response's status. It is canceled if the platform's address
+// changes.
 func (n *Notifier) post(ctx context.Context, batch []Notice) (status int, err error) {
 	body, err := encode(batch)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return resp.StatusCode, nil
 }
 
-// cancelOn cancels a post where the platform's address changes. It ends with the post's context at
-// the latest.
+// cancelOn cancels a post if the platform's address changes. It returns at the latest when the post's
+// context ends.
 func cancelOn(ctx context.Context, changed <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-changed:
@@ -53,7 +53,7 @@
 	}
 }
 
-// encode returns a batch as it is posted: one JSON value a line.
+// encode returns the body of a post: one JSON value per line.
 func encode(batch []Notice) (*bytes.Buffer, error) {
 	var body bytes.Buffer
 	lines := json.NewEncoder(&body)
--- a/internal/notification/queue.go
+++ b/internal/notification/queue.go
@@ -5,10 +5,11 @@
 	"sync"
 )
 
-// queue holds the notices that wait for a post. The journal bounds their number.
+// queue contains the notices that wait to be posted. Their number is bounded by the journal, which has a
+// size limit.
 type queue struct {
-	mu      sync.Mutex // guards all below
-	changed sync.Cond  // a notice was added, or the queue closed
+	mu      sync.Mutex // guards the fields below
+	changed sync.Cond  // signaled when a notice is added or the queue is closed
 	pending []Notice
 	closed  bool
 }
@@ -27,8 +28,8 @@
 	q.changed.Signal()
 }
 
-// nextBatch waits for notices and takes the first ones, up to a number. It returns none once the
-// queue is closed.
+// nextBatch waits for notices, and removes and returns at most the given number of them. It returns nil
+// once the queue is closed.
 func (q *queue) nextBatch(most int) []Notice {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -43,7 +44,7 @@
 	return batch
 }
 
-// close ends all waits.
+// close closes the queue, and wakes all callers of nextBatch.
 func (q *queue) close() {
 	q.mu.Lock()
 	q.closed = true
--- a/internal/servingmode/servingmode.go
+++ b/internal/servingmode/servingmode.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// The stages of a drain, from EnterStandby on.
+// The stages of a drain. CloseIdleAfter and CloseAllAfter are measured from EnterStandby.
 const (
-	// CloseIdleAfter is when connections that were idle for MinIdle are closed. Until then the front layer may send new ones, and
-	// a client that has just had a response may be about to send its next request.
+	// CloseIdleAfter is the time from which connections that were idle for MinIdle are closed. Before it, the front layer may still
+	// send new connections, and a client that has just received a response may be about to send its next request.
 	CloseIdleAfter = 600 * time.Millisecond
-	// MinIdle is how long a connection is idle before it is unlikely that a request is on its way.
+	// MinIdle is the idle time of a connection after which it is unlikely that a request is on its way.
 	MinIdle = 400 * time.Millisecond
-	// CloseAllAfter is when all idle connections are closed. By the platform's rules none may be open idle at 4 s, nor carry a
-	// request that began in the last 2 s.
+	// CloseAllAfter is the time from which all idle connections are closed. By the platform's rules, 4 s after EnterStandby no
+	// connection may be open and idle, nor may one carry a request that began in the last 2 s.
 	CloseAllAfter = 1500 * time.Millisecond
 )
 
-// State is the state of a relay towards its clients.
+// State describes whether and how a relay serves its clients.
 type State int
 
-// The states; their transitions are in the package's comment.
+// The states. Their transitions are in the package's documentation.
 const (
 	Active State = iota
 	DrainingClients
@@ -28,20 +28,20 @@
 	ShuttingDown // the process is about to exit
 )
 
-// String returns the state's name as GET /status of the admin endpoint shows it.
+// String returns the name of the state in the response to GET /status of the admin endpoint.
 func (s State) String() string {
 	return [...]string{"active", "leaving", "standing by", "ending"}[s]
 }
 
-// Mode holds the state of one relay. Its zero value is Active. It is safe for concurrent use.
+// Mode contains the state of one relay. Its zero value is in the state Active. It is safe for concurrent use.
 type Mode struct {
-	mu           sync.Mutex // guards all below
-	standby      bool       // EnterStandby was called, and Activate was not since
+	mu           sync.Mutex // guards the fields below
+	standby      bool       // EnterStandby was called, and Activate has not been called since
 	shuttingDown bool
-	drainStart   time.Time // when standby was set
+	drainStart   time.Time // the time at which standby was set
 }
 
-// EnterStandby stops serving clients, as of now. In standby already it changes nothing.
+// EnterStandby stops serving clients, and starts the drain at the time now. It has no effect if standby was already entered.
 func (m *Mode) EnterStandby(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +57,7 @@
 	m.standby = false
 }
 
-// Shutdown begins the graceful shutdown of the process. Nothing undoes it.
+// Shutdown begins the graceful shutdown of the process. It can't be undone.
 func (m *Mode) Shutdown() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,29 +79,30 @@
 	return Standby
 }
 
-// InStandby reports whether operators have stopped the serving of clients, and since when; a graceful shutdown is not that.
+// InStandby reports whether an operator has stopped the serving of clients, and since when. A graceful shutdown alone does not count
+// as standby.
 func (m *Mode) InStandby() (standby bool, since time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.standby, m.drainStart
 }
 
-// Healthy reports whether the front layer may send clients here. At a graceful shutdown health stays yes until the listener closes:
-// the platform has asked for it, and stops sending by itself.
+// Healthy reports whether the front layer may send clients to this process. During a graceful shutdown the process stays healthy until
+// the listener closes: the platform has requested the shutdown, and stops sending clients by itself.
 func (m *Mode) Healthy() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.standby
 }
 
-// CloseAfterResponse reports whether a response is the last on its connection.
+// CloseAfterResponse reports whether connections have to be closed after their next response.
 func (m *Mode) CloseAfterResponse() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.standby || m.shuttingDown
 }
 
-// IdleLimit returns how long a connection may be idle at a time, and whether that is limited at all.
+// IdleLimit returns how long a connection may be idle at the time now. limited is false if there is no limit.
 func (m *Mode) IdleLimit(now time.Time) (limit time.Duration, limited bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/servingmode/servingmode_test.go
+++ b/internal/servingmode/servingmode_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every sequence of calls at every stage: health follows the last call at once, the limit on idle connections follows the stage, and
-// nothing undoes a shutdown.
+// Sequences of calls, queried at each stage of the drain: health changes at once with the last call, the limit on idle connections
+// depends on the stage, and a shutdown can't be undone.
 func TestMode_Transitions(t *testing.T) {
 	start := time.Now()
 	type want struct {
@@ -25,8 +25,8 @@
 	}{
 		{"at the start", func(*Mode) {}, 0, active},
 		{"standby", func(m *Mode) { m.EnterStandby(start) }, 0, want{DrainingClients, false, true, 0, false}},
-		{"while the front layer still sends", func(m *Mode) { m.EnterStandby(start) }, CloseIdleAfter - 1, want{DrainingClients, false, true, 0, false}},
-		{"once it does not", func(m *Mode) { m.EnterStandby(start) }, CloseIdleAfter, want{DrainingClients, false, true, MinIdle, true}},
+		{"while the front layer still sends connections", func(m *Mode) { m.EnterStandby(start) }, CloseIdleAfter - 1, want{DrainingClients, false, true, 0, false}},
+		{"idle connections closed after MinIdle", func(m *Mode) { m.EnterStandby(start) }, CloseIdleAfter, want{DrainingClients, false, true, MinIdle, true}},
 		{"all idle connections closed", func(m *Mode) { m.EnterStandby(start) }, CloseAllAfter, want{Standby, false, true, 0, true}},
 		{"standby twice, the first counts", func(m *Mode) { m.EnterStandby(start); m.EnterStandby(start.Add(CloseAllAfter)) }, CloseAllAfter, want{Standby, false, true, 0, true}},
 		{"active a tenth of a second later", func(m *Mode) { m.EnterStandby(start); m.Activate() }, 100 * time.Millisecond, active},
@@ -46,13 +46,13 @@
 			now := start.Add(tt.at)
 			limit, limited := m.IdleLimit(now)
 			if got := (want{m.State(now), m.Healthy(), m.CloseAfterResponse(), limit, limited}); got != tt.want {
-				t.Errorf("%+v, want %+v", got, tt.want)
+				t.Errorf("got %+v, want %+v", got, tt.want)
 			}
 		})
 	}
 }
 
-// The names are what GET /status shows.
+// The names of the states are part of the response to GET /status.
 func TestState_String(t *testing.T) {
 	for state, want := range map[State]string{Active: "active", DrainingClients: "leaving", Standby: "standing by", ShuttingDown: "ending"} {
 		if got := state.String(); got != want {
