--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -16,7 +16,7 @@
 	published  atomic.Pointer[Snapshot]
 }
 
-// NewMetrics returns metrics with the value 0 for the classes with which the relay starts.
+// NewMetrics returns metrics with all values 0, for the classes with which the relay starts.
 func NewMetrics(classes []string) *Metrics {
 	m := &Metrics{classIndex: map[string]int{}}
 	for _, name := range classes {
@@ -61,8 +61,8 @@
 func (m *Metrics) Withdrawn() { m.current.InFlight-- }
 
 // HandedOver sets the requests in flight to 0, because the successor counts them. It does not publish the change: until this process
-// ends, shortly after, its readers see the metrics from the time of the hand-over. To report no requests in flight would be wrong
-// about the relay until the successor answers readers.
+// ends, shortly after, its readers see the metrics from the time of the hand-over. A value of 0 would be wrong about the relay until
+// the successor answers readers.
 func (m *Metrics) HandedOver() { m.current.InFlight = 0 }
 
 // Reconfigured counts a configuration that was applied (ok) or rejected.
--- a/internal/clock/step_detector.go
+++ b/internal/clock/step_detector.go
@@ -12,14 +12,14 @@
 // Keys of log attributes that only this package uses.
 const (
 	keyStep   = "by"    // size of the step of the wall clock
-	keyOffset = "ahead" // difference between the wall clock and the timeline
+	keyOffset = "ahead" // time by which the wall clock is ahead of the timeline
 )
 
 // StepDetector detects steps of the wall clock, so that log messages from before and after a step can be put
 // in order. It is not safe for concurrent use.
 type StepDetector struct {
 	timeline *Timeline
-	offset   time.Duration // of the wall clock to the timeline, after the last step
+	offset   time.Duration // time by which the wall clock was ahead of the timeline after the last step
 }
 
 // NewStepDetector returns a detector. If the timeline continues that of an earlier process, the first Check
--- a/internal/clock/timeline.go
+++ b/internal/clock/timeline.go
@@ -70,7 +70,7 @@
 // instants of both processes are exact.
 func (t *Timeline) SameBoot() bool { return t.continued }
 
-// Now returns the present instant.
+// Now returns the current instant.
 func (t *Timeline) Now() Instant { return t.originInstant.Add(time.Since(t.origin)) }
 
 // InstantOf returns the instant of a time that was read in this process. A time without a monotonic reading
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -25,7 +25,7 @@
 	IdleEndpointConn ConnKind = "host"   // to an endpoint, idle
 )
 
-// Conn is a connection that is passed.
+// Conn is a connection that is passed to the successor.
 type Conn struct {
 	Kind ConnKind `json:"kind"`
 	// Buffered contains the bytes that were read of an incomplete request or response.
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -66,7 +66,7 @@
 	Version int `json:"version"`
 }
 
-// encode returns v as JSON. It panics if v can't be encoded, which no value sent in a frame is.
+// encode returns v as JSON. It panics if v can't be encoded; all values that are sent in frames can be.
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return frame{}, fmt.Errorf("handover: receive frame: %w", err)
 	}
-	if n == 0 { // the other side closed the link: every frame has at least its kind
+	if n == 0 { // not a frame: every frame has at least its kind
 		return frame{}, net.ErrClosed
 	}
 	files, err := receivedFiles(control[:controlSize])
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -35,7 +35,7 @@
 }
 
 // folderLock is the lock on a folder. The lock belongs to the open file description, not to the process
-// (flock(2)), so it passes to another process with the descriptor, and is never released on the way.
+// (flock(2)), so it passes to another process with the descriptor, and is held without interruption.
 type folderLock struct{ file *os.File }
 
 // lockFolder locks a folder, or returns errFolderLocked.
--- a/internal/handover/owner.go
+++ b/internal/handover/owner.go
@@ -28,10 +28,10 @@
 	released bool              // guarded by mu
 }
 
-// Outcome is the reason why a process stops being the owner of its folder.
+// Outcome is the reason why Serve returns.
 type Outcome int
 
-// The outcomes of Serve.
+// The outcomes.
 const (
 	// StopRequested: the platform has asked this process to stop. The process is still the owner, and has
 	// to shut down.
@@ -176,7 +176,7 @@
 	o.lock.close()
 }
 
-// stopListening closes the folder's socket, and keeps listen from opening it again.
+// stopListening closes the folder's socket, and makes adopt close a socket that is opened later.
 func (o *Owner) stopListening() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/handover/pair_test.go
+++ b/internal/handover/pair_test.go
@@ -84,7 +84,7 @@
 		case actionPassBatch:
 			p.passBatch()
 		case actionReclaim:
-			p.old.locked = false // its descriptor shares the open file description of the dead successor's
+			p.old.locked = false // not a lock of its own: the descriptor refers to the successor's open file description
 			if !p.new.locked && !p.lockInFlight {
 				p.old.locked, p.reclaimed = true, true
 			}
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -1,7 +1,7 @@
 package handover
 
-// predecessorState is the state of the process that owns a relay. In the states with StopPending in their
-// name, the platform has asked the process to stop while a hand-over is in progress: the hand-over
+// predecessorState is the state of the process that owns a relay. In the states whose names end in
+// StopPending, the platform has asked the process to stop while a hand-over is in progress: the hand-over
 // continues, and the process ends after it, whether or not it succeeds.
 type predecessorState int
 
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -15,7 +15,7 @@
 
 // Keys of log attributes that only hand-overs use.
 const (
-	logTook  = "took" // time since the start of the hand-over, in which the relay did not serve
+	logTook  = "took" // time since the start of the hand-over, during which the relay did not serve
 	logTotal = "of"   // number of connections to pass
 )
 
--- a/internal/journal/changes.go
+++ b/internal/journal/changes.go
@@ -67,7 +67,7 @@
 	j.addRecord(record{Kind: kindStore, Source: store, Count: j.lastArrival})
 }
 
-// SetHealth records the state of an endpoint's outage for later processes.
+// SetHealth records for later processes that an endpoint became unhealthy or recovered.
 func (j *Journal) SetHealth(endpoint string, h Health) {
 	j.addRecord(record{Kind: kindHealth, Endpoint: endpoint, Health: &h})
 }
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -57,7 +57,7 @@
 	Outcome string
 }
 
-// Health is the state of an endpoint's outage as later processes need it.
+// Health records for later processes that an endpoint became unhealthy, or that it recovered, at a time.
 type Health struct {
 	Unhealthy bool          `json:"sick,omitempty"`
 	At        clock.Instant `json:"at,omitzero"`
--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -97,9 +97,9 @@
 		tried.Attempts[0].Outcome != "queue-full" || tried.OrderKey != "i-tried" {
 		t.Errorf("request with attempts: %+v", tried)
 	}
-	if owed := j.Entry("owed"); owed == nil || owed.PendingNotice == nil ||
-		owed.PendingNotice.RetryAfterMS != 250 || owed.Reason != "refused-late" {
-		t.Errorf("request with a pending notice: %+v", owed)
+	if pending := j.Entry("owed"); pending == nil || pending.PendingNotice == nil ||
+		pending.PendingNotice.RetryAfterMS != 250 || pending.Reason != "refused-late" {
+		t.Errorf("request with a pending notice: %+v", pending)
 	}
 	if d := j.Entry("delivered"); d == nil || !d.Delivered {
 		t.Errorf("delivered request: %+v", d)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -90,7 +90,7 @@
 	}
 	j.detailed, j.sizeLimit = detailed, int(usableFraction*diskMB*1e6)
 	if !detailed {
-		j.store = "" // without a store, the deliveries of this process are reported to none
+		j.store = "" // this process reports no deliveries, so the store's record of them becomes incomplete
 	}
 	return j, nil
 }
--- a/internal/notification/notice.go
+++ b/internal/notification/notice.go
@@ -4,7 +4,7 @@
 type Notice struct {
 	ID           string `json:"id"` // the id of the request
 	Status       string `json:"status"`
-	RetryAfterMS int64  `json:"again_ms,omitempty"` // for Deferred: the time until the client may submit again
+	RetryAfterMS int64  `json:"again_ms,omitempty"` // for Deferred: milliseconds until the client may submit again
 }
 
 // The values of a notice's status.
--- a/internal/servingmode/doc.go
+++ b/internal/servingmode/doc.go
@@ -14,7 +14,7 @@
 // In each state every other call has no effect; in particular, a second EnterStandby does not restart the drain. A shutdown does not
 // end standby: in ShuttingDown, the reported health and the limits on idle connections still depend on EnterStandby and Activate.
 //
-// The behaviour of a relay in each state:
+// The behavior of a relay in each state:
 //
 //	                         healthy  closes after response  idle connections
 //	Active                   yes      no                     left open
