--- a/internal/faultinjection/checker/absences.go
+++ b/internal/faultinjection/checker/absences.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// never is later than any run.
+// never is a time later than the end of any run.
 const never = time.Duration(1<<63 - 1)
 
 // interval is a span of time, both ends included.
@@ -13,18 +13,19 @@
 
 func (i interval) contains(t time.Duration) bool { return t >= i.from && t <= i.to }
 
-// relayIntervals are the intervals in which a condition held for each relay; it may begin several times before it ends.
+// relayIntervals are the intervals in which a condition held for each relay. Several causes of the condition may overlap: an
+// interval lasts from the first begin to the end of the last cause.
 type relayIntervals struct {
 	byRelay map[int][]interval
-	depth   map[int]int // how often it has begun and not ended
+	depth   map[int]int // by relay: the number of begins without an end
 }
 
-// newRelayIntervals returns no intervals.
+// newRelayIntervals returns an empty set of intervals.
 func newRelayIntervals() relayIntervals {
 	return relayIntervals{byRelay: map[int][]interval{}, depth: map[int]int{}}
 }
 
-// begin begins the condition for a relay.
+// begin records that a cause of the condition begins for a relay.
 func (r relayIntervals) begin(relay int, at time.Duration) {
 	r.depth[relay]++
 	if r.depth[relay] == 1 {
@@ -32,7 +33,7 @@
 	}
 }
 
-// end ends it, as often as it began.
+// end records that a cause of the condition ends for a relay. The interval ends when every cause that began has ended.
 func (r relayIntervals) end(relay int, at time.Duration) {
 	r.depth[relay]--
 	if r.depth[relay] == 0 {
@@ -46,26 +47,26 @@
 	return slices.ContainsFunc(r.byRelay[relay], func(i interval) bool { return i.contains(at) })
 }
 
-// absences are the intervals in which each relay did not serve: from the first sign of its end until some slack after it was
-// ready again.
+// absences are the intervals in which each relay did not serve: from the first event that announces or shows the end or the halt
+// of its process until restartSlack after it was ready again.
 type absences struct {
 	byRelay map[int][]interval
-	since   map[int]time.Duration // of relays that are absent now
+	since   map[int]time.Duration // the start of the current absence, by relay
 }
 
-// newAbsences returns no absences.
+// newAbsences returns an empty set of absences.
 func newAbsences() absences {
 	return absences{byRelay: map[int][]interval{}, since: map[int]time.Duration{}}
 }
 
-// begin begins a relay's absence, unless it is absent.
+// begin begins an absence of a relay, unless the relay is absent already.
 func (a absences) begin(relay int, at time.Duration) {
 	if _, absent := a.since[relay]; !absent {
 		a.since[relay] = at
 	}
 }
 
-// end ends a relay's absence, if it is absent.
+// end ends the current absence of a relay, if there is one.
 func (a absences) end(relay int, at time.Duration) {
 	if from, absent := a.since[relay]; absent {
 		a.byRelay[relay] = append(a.byRelay[relay], interval{from, at})
@@ -73,15 +74,15 @@
 	}
 }
 
-// finish adds the absences that last until the end of the run.
+// finish adds the absences that had not ended at the end of the run.
 func (a absences) finish() {
 	for relay, from := range a.since {
 		a.byRelay[relay] = append(a.byRelay[relay], interval{from, never})
 	}
 }
 
-// excused reports whether a relay was absent at a time, and until when.
-func (h *history) excused(relay int, at time.Duration) (until time.Duration, absent bool) {
+// absentUntil reports whether a relay was absent at a time, and when that absence ended.
+func (h *history) absentUntil(relay int, at time.Duration) (until time.Duration, absent bool) {
 	for _, i := range h.absences.byRelay[relay] {
 		if i.contains(at) {
 			return i.to, true
@@ -90,8 +91,8 @@
 	return 0, false
 }
 
-// unreadFor is how long a request was unread as its relay was halted when it came: nothing in it says when it was sent, so
-// that its time counts from when it could be read.
+// unreadFor returns how long a request stayed unread because its relay was halted when the request arrived. A request does not
+// contain the time at which it was sent, so the relay can count its deadline only from the time at which it can read the request.
 func (h *history) unreadFor(r *request) time.Duration {
 	for _, i := range h.halts.byRelay[r.relay] {
 		if i.contains(r.submittedAt) && i.to != never {
@@ -101,9 +102,9 @@
 	return 0
 }
 
-// couldNotRecord reports whether a relay could not record a response that was written at a time: its folder failed when the
-// response was written, or began to fail while it was in transit, and the relay's process ended before the folder worked
-// again. The next process can't know of it, however right the relay is.
+// couldNotRecord reports whether a relay was unable to record a response that was written at a time: the relay's folder failed
+// when the response was written, or began to fail while the response was in transit, and the relay's process ended before the
+// folder worked again and the record could be written. Even a correct relay then has no record of the response after a restart.
 func (h *history) couldNotRecord(relay int, at time.Duration) bool {
 	for _, failure := range h.folderFailures.byRelay[relay] {
 		if !failure.contains(at) && !failure.contains(at+socketSlack) {
@@ -119,7 +120,7 @@
 	return false
 }
 
-// restarted reports whether a relay's process ended between two times.
+// restarted reports whether a process of a relay ended between two times.
 func (h *history) restarted(relay int, from, to time.Duration) bool {
 	return slices.ContainsFunc(h.processEnds[relay], func(at time.Duration) bool { return at >= from && at <= to })
 }
--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// socketSlack is what the protocol adds to each limit in time for sockets.
+	// socketSlack is the tolerance that the protocol adds to each time limit for delays of sockets.
 	socketSlack = 50 * time.Millisecond
-	// retryAfterGrace is how long after a Retry-After was written attempts may still come.
+	// retryAfterGrace is how long after a response with a Retry-After was written attempts may still arrive.
 	retryAfterGrace = 100 * time.Millisecond
-	// restartSlack is how long after a restarted relay is ready again its notices may be overdue.
+	// restartSlack is how long after a restarted relay is ready again it may still send overdue notices.
 	restartSlack = 1500 * time.Millisecond
-	// lostAfter is how long after its deadline the terminal outcome of a request counts as missing, rather than late.
-	lostAfter = 500 * time.Millisecond
-	// crossingTime bounds how long messages in opposite directions may cross: a response that is written while the relay
-	// cancels its attempt, a notice that is in transit while the next attempt is sent.
+	// missingAfter is how long after the deadline of a request its terminal outcome counts as missing instead of late.
+	missingAfter = 500 * time.Millisecond
+	// crossingTime is the longest time for which messages in opposite directions may cross: a response that is written while the
+	// relay cancels the attempt, or a notice that is in transit while the next attempt is sent.
 	crossingTime = 250 * time.Millisecond
-	// folderRetry is how long a relay may take to write what it could not, after its folder works again.
+	// folderRetry is how long after its folder works again a relay may take to write the records that it could not write before.
 	folderRetry = 150 * time.Millisecond
-	// overloadSlack is how many attempts more than its budget a recovering destination may get by chance.
+	// overloadSlack is the number of attempts by which the budget of a recovering destination may be exceeded by chance.
 	overloadSlack = 3
-	// overloadShare is the share of the attempts that overloaded a recovering destination which must be of relays that had
-	// observed its outage, to be a violation.
+	// overloadShare is the least share of the attempts that must come from relays that had observed the outage for the overload
+	// of a recovering destination to be a violation.
 	overloadShare = 2.0 / 3
-	// observedAfter is how long a relay must have had a request in flight for a destination that refuses connections, to count
-	// as having observed the outage: a connection that the kernel refuses is in no log.
+	// observedAfter is how long a relay must have had a request in flight for a destination that refuses connections before the
+	// relay counts as having observed the outage: connections that the kernel refuses are not logged.
 	observedAfter = 500 * time.Millisecond
 )
 
-// check checks a whole run, and reports the violations that it finds.
+// check checks a whole run and reports the violations that it finds.
 type check func(h *history, log []Event)
 
-// checks are all checks, in the order in which violations at one time are reported. Each is in a file of its own, rule_NAME.go.
+// checks are all checks, each in a file rule_NAME.go. Violations with the same time are reported in the order of their checks.
 var checks = []check{
 	eachRequest(
 		(*history).checkOutcome,
@@ -53,7 +53,7 @@
 	(*history).checkMetrics,
 }
 
-// eachRequest returns a check that applies checks of one request to each of a run, all checks to one before the next.
+// eachRequest returns a check that applies all of the given checks to each request of a run, one request after the other.
 func eachRequest(checks ...func(h *history, r *request)) check {
 	return func(h *history, _ []Event) {
 		for _, r := range h.requests {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Judge checks the log of a run that ended at a time against all rules, and counts what happened.
+// Judge checks the log of a run that ended at the given time against all rules, and counts its events.
 func Judge(parameters Parameters, log []Event, end time.Duration) *Report {
 	log = byTime(log)
 	h := readHistory(parameters, log, end)
@@ -72,12 +72,12 @@
 		check(h, log)
 	}
 	slices.SortStableFunc(h.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	report := &Report{Violations: append([]Violation{}, h.violations...)} // never null in JSON
+	report := &Report{Violations: append([]Violation{}, h.violations...)} // an empty list instead of null in JSON
 	h.count(report, log)
 	return report
 }
 
-// report adds a violation, in which relays are numbered from 1. A destination below 0 stands for none.
+// report adds a violation. In the violation relays are numbered from 1. A negative destination means that none is concerned.
 func (h *history) report(rule Rule, at time.Duration, id string, relay, destination int, format string, args ...any) {
 	name := ""
 	if destination >= 0 && destination < len(h.Destinations) {
@@ -91,5 +91,5 @@
 	h.report(rule, at, r.id, r.relay, r.destination, format, args...)
 }
 
-// formatTime formats a time for people.
+// formatTime formats a time in seconds for the text of a violation.
 func formatTime(t time.Duration) string { return fmt.Sprintf("%.3f s", t.Seconds()) }
--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -1,13 +1,14 @@
 package checker
 
-// Counts counts the messages of a run by their outcome, each once however often its client submitted it, and its events.
+// Counts holds the number of messages by outcome and the number of events by kind. A message counts once, however often its client
+// submitted it.
 type Counts struct {
 	Requested     int `json:"asked"`
 	Delivered     int `json:"delivered"`
 	InTime        int `json:"in_time"`  // within its class's latency objective
-	Rejected      int `json:"refused"`  // not delivered; the last response or notice allowed to submit it again
-	Failed        int `json:"failed"`   // not delivered; the last response or notice was that it failed
-	Unserved      int `json:"unserved"` // not delivered, without either
+	Rejected      int `json:"refused"`  // not delivered; the last response or notice allowed the client to submit it again
+	Failed        int `json:"failed"`   // not delivered; the last response or notice reported a failure
+	Unserved      int `json:"unserved"` // not delivered, and there was neither a final response nor a notice
 	Submissions   int `json:"hand_ins"`
 	Accepted      int `json:"taken_on"`
 	Unanswered    int `json:"unheard"` // submissions without a response
@@ -19,7 +20,7 @@
 	Probes            int            `json:"probes"`
 	Connections       int            `json:"connections"`
 	Executions        int            `json:"effects"`
-	WastedExecutions  int            `json:"effects_for_nothing"` // of messages that had been executed before
+	WastedExecutions  int            `json:"effects_for_nothing"` // executions of messages that had already been executed
 }
 
 // Report is the result of a run.
@@ -32,7 +33,7 @@
 	TimeToDelivery  map[string]Quantiles `json:"time_to_delivery_s"` // by class
 }
 
-// count counts the events of a log: in all, by relay and by destination.
+// count counts the events of a log in total, by relay and by destination.
 func (h *history) count(r *Report, log []Event) {
 	r.Relays = make([]Counts, h.Settings.Instances)
 	r.Destinations = make([]Counts, len(h.Destinations))
@@ -50,8 +51,8 @@
 	}
 }
 
-// attributed returns an event with its relay and destination, and whether it is counted at all: of the responses to a request
-// and of its notices only the first one is.
+// attributed returns an event with its relay and destination filled in, and whether the event is counted. Of the responses to a
+// request, and of its notices, only the first is counted.
 func (h *history) attributed(e Event) (Event, bool) {
 	request := h.requestsByID[e.ID]
 	switch e.Kind {
@@ -83,7 +84,7 @@
 	return e, true
 }
 
-// add counts an event. An execution is of no relay: the log does not say whose attempt it was.
+// add counts an event. An execution is not counted for any relay, because the log does not state which relay sent the attempt.
 func (r *Report) add(e Event) {
 	r.Counts.add(e)
 	if e.Kind != Executed && e.Relay < len(r.Relays) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// add counts an event that was attributed.
+// add counts an event that attributed has returned.
 func (c *Counts) add(e Event) {
 	switch e.Kind {
 	case Submitted:
--- a/internal/faultinjection/checker/event.go
+++ b/internal/faultinjection/checker/event.go
@@ -9,46 +9,46 @@
 // Kind is the kind of an event.
 type Kind string
 
-// The kinds of events, with the fields that each has beside At.
+// The kinds of events. Each comment lists the fields that the event has besides At.
 const (
-	Submitted        Kind = "handed-in"     // ID Message Relay Destination Class OrderKey Subject Duration: a client has sent a request that has Duration left
-	Answered         Kind = "answered"      // ID Relay Status Duration: the client got the relay's response, with a Retry-After of Duration
-	AnswerMissed     Kind = "unheard"       // ID Relay State OK: the client no longer waits, or, with OK, the connection ended without a response
-	ClosedOnRequest  Kind = "closed-on"     // ID Relay Duration: the relay closed a connection in order, without a response, so long after a request was written on it
-	AttemptSent      Kind = "called"        // ID Relay Destination Endpoint Attempt FirstByte: the last byte of an attempt has come, its first at FirstByte
-	Probed           Kind = "probed"        // Relay Destination Endpoint Attempt: the same of a health check
-	AttemptEnded     Kind = "ended"         // Attempt Outcome Duration Executed: the response to an attempt is about to be written, or it ended without
+	Submitted        Kind = "handed-in"     // ID Message Relay Destination Class OrderKey Subject Duration: a client has sent a request with the time left in Duration
+	Answered         Kind = "answered"      // ID Relay Status Duration: the client got the relay's response, with a Retry-After in Duration
+	AnswerMissed     Kind = "unheard"       // ID Relay State OK: the client got no response: it stopped waiting, or, with OK, the connection was closed first
+	ClosedOnRequest  Kind = "closed-on"     // ID Relay Duration: the relay closed a connection by a regular close (no reset) without a response, Duration after a request was written on it
+	AttemptSent      Kind = "called"        // ID Relay Destination Endpoint Attempt FirstByte: the last byte of an attempt has arrived, its first byte at FirstByte
+	Probed           Kind = "probed"        // Relay Destination Endpoint Attempt: the last byte of a health check has arrived
+	AttemptEnded     Kind = "ended"         // Attempt Outcome Duration Executed: the response to an attempt is about to be written, or the attempt ended without one
 	Executed         Kind = "effect"        // ID Message Destination: an attempt was executed
 	EndpointShown    Kind = "shown"         // Endpoint Destination State: discovery shows a change
-	EndpointNotified Kind = "told"          // Relay Endpoint Destination State: discovery has written it to a relay
-	Redelivered      Kind = "resent"        // ID Message Relay Destination Class Subject: the first attempt for a message under an id of a relay's making
-	StoredBefore     Kind = "before"        // ID Message Relay Destination Class Subject: it was a dead letter before the run, and not executed
-	WatchRequested   Kind = "asked"         // Relay OK: a watch began, or failed
+	EndpointNotified Kind = "told"          // Relay Endpoint Destination State: discovery has sent the change to a relay
+	Redelivered      Kind = "resent"        // ID Message Relay Destination Class Subject: the first attempt of a redelivery, under an id that the relay generated
+	StoredBefore     Kind = "before"        // ID Message Relay Destination Class Subject: the message was a dead letter before the run, and had not been executed
+	WatchRequested   Kind = "asked"         // Relay OK: the relay requested a watch; OK: the watch began
 	WatchEnded       Kind = "unwatched"     // Relay: a watch ended
-	WatchSilent      Kind = "silent"        // Relay: its watch stays open and sends nothing from now on
-	Notified         Kind = "noticed"       // ID Relay State: the platform has received a terminal outcome
-	Started          Kind = "started"       // Relay Process: its n-th process, from 1; the one before may still run
-	Ready            Kind = "ready"         // Relay Process: it accepts requests, also in place of the one before
+	WatchSilent      Kind = "silent"        // Relay: the relay's watch stays open, but discovery sends nothing on it from now on
+	Notified         Kind = "noticed"       // ID Relay State: the platform has received the notice of a terminal outcome
+	Started          Kind = "started"       // Relay Process: the relay's process number Process, from 1, was started; its predecessor may still run
+	Ready            Kind = "ready"         // Relay Process: the process accepts requests; a predecessor that still runs is replaced
 	Stopping         Kind = "stopping"      // Relay: a graceful shutdown was requested
-	Killed           Kind = "killed"        // Relay OK: SIGKILL, or, with OK, it exited by itself
-	MachineLost      Kind = "lost"          // Relay: its machine is gone, with its folder
-	Crashed          Kind = "crashed"       // Relay Status: it exited without being asked to
-	Halted           Kind = "halted"        // Relay: its process is stopped
-	Resumed          Kind = "resumed"       // Relay: its process goes on
-	SocketsBreak     Kind = "sockets-break" // Relay: some of its connections are made to look broken from now on
-	SocketsHold      Kind = "sockets-hold"  // Relay: none is any more
-	FolderFails      Kind = "folder-fails"  // Relay: writes to its folder fail from now on, some or all
-	FolderWorks      Kind = "folder-works"  // Relay: none fails any more
-	CrowdCame        Kind = "crowd"         // Relay: callers take its descriptors from now on
-	CrowdLeft        Kind = "crowd-left"    // Relay: they have gone
-	OutageBegan      Kind = "out"           // Destination Endpoint State: an outage begins; Endpoint empty: of all endpoints
-	OutageEnded      Kind = "back"          // Destination Endpoint OK: it ends; OK: the destination starts cold
-	DiscoveryDown    Kind = "reg-down"      // discovery does not answer
-	DiscoveryUp      Kind = "reg-up"        // discovery answers again
-	Connected        Kind = "connected"     // Relay Destination Endpoint: a connection to an endpoint
-	DiscoveryMoved   Kind = "moved"         // Relay: it was told to use another discovery service
-	MetricsRead      Kind = "scraped"       // Relay Process Metrics: what a process's admin endpoint showed
-	LateEvent        Kind = "late-event"    // Duration: the harness itself was late by so much
+	Killed           Kind = "killed"        // Relay OK: the process was ended by SIGKILL, or, with OK, exited by itself
+	MachineLost      Kind = "lost"          // Relay: the relay's machine was lost, with its folder
+	Crashed          Kind = "crashed"       // Relay Status: the process exited although no shutdown was requested
+	Halted           Kind = "halted"        // Relay: the process is suspended
+	Resumed          Kind = "resumed"       // Relay: the suspended process continues
+	SocketsBreak     Kind = "sockets-break" // Relay: from now on fault injection makes some of its connections look broken
+	SocketsHold      Kind = "sockets-hold"  // Relay: its connections no longer look broken
+	FolderFails      Kind = "folder-fails"  // Relay: from now on some or all writes to its folder fail
+	FolderWorks      Kind = "folder-works"  // Relay: writes to its folder no longer fail
+	CrowdCame        Kind = "crowd"         // Relay: from now on a crowd of callers holds connections, which use up the relay's descriptors
+	CrowdLeft        Kind = "crowd-left"    // Relay: the crowd has closed its connections
+	OutageBegan      Kind = "out"           // Destination Endpoint State: an outage of kind State begins; an empty Endpoint means all endpoints
+	OutageEnded      Kind = "back"          // Destination Endpoint OK: the outage ends; OK: the destination starts cold
+	DiscoveryDown    Kind = "reg-down"      // discovery does not respond
+	DiscoveryUp      Kind = "reg-up"        // discovery responds again
+	Connected        Kind = "connected"     // Relay Destination Endpoint: the relay opened a connection to an endpoint
+	DiscoveryMoved   Kind = "moved"         // Relay: the relay was instructed to use another discovery service
+	MetricsRead      Kind = "scraped"       // Relay Process Metrics: the metrics read from the admin endpoint of a process
+	LateEvent        Kind = "late-event"    // Duration: the harness itself was late with an event, by this time
 )
 
 // Outcomes of attempts, in Event.Outcome.
@@ -60,7 +60,7 @@
 	Reset       = "reset"  // the endpoint reset the connection after the body
 	Interrupted = "cut"    // the endpoint died or vanished with the attempt in flight
 	Abandoned   = "left"   // the relay closed the connection before a response
-	NotSent     = "unsent" // the response said that it counts as not sent: no slot, no attempt or no time was left, or it is no request of this run
+	NotSent     = "unsent" // the response said that the attempt counts as not sent: no slot, no attempt or no time was left, or the request is not of this run
 )
 
 // States of endpoints, in Event.State.
@@ -81,14 +81,14 @@
 	At          time.Duration `json:"at"`
 	Kind        Kind          `json:"kind"`
 	ID          string        `json:"id,omitempty"`
-	Message     int           `json:"msg,omitempty"`   // its number in the scenario's workload
+	Message     int           `json:"msg,omitempty"`   // the message's number in the scenario's workload
 	Relay       int           `json:"relay,omitempty"` // from 0
 	Destination int           `json:"dest,omitempty"`
 	Endpoint    string        `json:"host,omitempty"`
 	Class       int           `json:"class,omitempty"`
 	OrderKey    string        `json:"item,omitempty"`
-	Subject     string        `json:"subject,omitempty"` // what the message is about: of two messages, the one with the higher number is the newer
-	Attempt     int           `json:"call,omitempty"`    // number of the attempt, over all relays
+	Subject     string        `json:"subject,omitempty"` // the subject whose status the message reports; of two messages, the one with the higher number is newer
+	Attempt     int           `json:"call,omitempty"`    // number of the attempt, unique over all relays
 	FirstByte   time.Duration `json:"first,omitempty"`
 	Duration    time.Duration `json:"for,omitempty"`
 	Status      int           `json:"status,omitempty"`
@@ -96,11 +96,11 @@
 	State       string        `json:"state,omitempty"`
 	Executed    bool          `json:"ran,omitempty"`
 	OK          bool          `json:"ok,omitempty"`
-	Process     int           `json:"process,omitempty"` // of the relay, from 1
+	Process     int           `json:"process,omitempty"` // number of the process among those of its relay, from 1
 	Metrics     *Scrape       `json:"figures,omitempty"`
 }
 
-// byTime returns a log ordered by time. Events at one time stay in the order in which they were written.
+// byTime returns a copy of a log sorted by time. Events with the same time keep the order in which they were written.
 func byTime(log []Event) []Event {
 	log = slices.Clone(log)
 	slices.SortStableFunc(log, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
--- a/internal/faultinjection/checker/metrics_account.go
+++ b/internal/faultinjection/checker/expected_metrics.go
@@ -10,31 +10,32 @@
 	"time"
 )
 
-// The metrics under which each request is counted once.
+// The metrics that count outcomes. Each request is counted once, under one of them.
 const (
 	successMetric = "success"
 	busyMetric    = "busy"
 	failureMetric = "failure"
 )
 
-// account is what the log says of one relay over all its processes: when each of its requests is counted under which metric.
-type account struct {
-	outcomes       map[string]map[string][]time.Duration // by metric and class
-	unanswered     map[string][]time.Duration            // by class: these may be counted under any metric, or none
-	attempts       []time.Duration
-	surelyInFlight []inFlightChange // requests whose clients got a response that accepts them, until their outcome
-	maybeInFlight  []inFlightChange // these, and requests that got no response yet
+// expectedMetrics are the values that the metrics of one relay, over all of its processes, should have according to the log: when
+// each of the relay's requests is counted, and under which metric.
+type expectedMetrics struct {
+	outcomes         map[string]map[string][]time.Duration // by metric and class
+	unanswered       map[string][]time.Duration            // submission times by class; these requests may be counted under any metric, or under none
+	attempts         []time.Duration
+	certainInFlight  []inFlightChange // requests from the response that accepts them until their outcome
+	possibleInFlight []inFlightChange // these requests from their submission on, and requests without a response
 }
 
-// inFlightChange changes the number of requests in flight.
+// inFlightChange is a change of the number of requests in flight.
 type inFlightChange struct {
 	at time.Duration
 	by int
 }
 
-// account returns the account of a relay.
-func (h *history) account(relay int) *account {
-	a := &account{
+// expectedMetrics returns the expected metrics of a relay.
+func (h *history) expectedMetrics(relay int) *expectedMetrics {
+	a := &expectedMetrics{
 		outcomes:   map[string]map[string][]time.Duration{successMetric: {}, busyMetric: {}, failureMetric: {}},
 		unanswered: map[string][]time.Duration{},
 	}
@@ -53,53 +54,54 @@
 }
 
 // add adds a request.
-func (a *account) add(r *request, class string) {
+func (a *expectedMetrics) add(r *request, class string) {
 	metric, at := r.metric()
-	a.maybeInFlight = append(a.maybeInFlight, inFlightChange{r.submittedAt, 1})
+	a.possibleInFlight = append(a.possibleInFlight, inFlightChange{r.submittedAt, 1})
 	switch {
 	case r.answeredAt < 0:
 		a.unanswered[class] = append(a.unanswered[class], r.submittedAt)
 		if at = r.completedAt(); at < 0 {
 			at = r.deadline
 		}
-		a.maybeInFlight = append(a.maybeInFlight, inFlightChange{max(at, r.submittedAt), -1})
+		a.possibleInFlight = append(a.possibleInFlight, inFlightChange{max(at, r.submittedAt), -1})
 		return
 	case r.accepted:
-		a.surelyInFlight = append(a.surelyInFlight, inFlightChange{r.answeredAt, 1})
+		a.certainInFlight = append(a.certainInFlight, inFlightChange{r.answeredAt, 1})
 		if metric != "" {
-			a.surelyInFlight, a.maybeInFlight = append(a.surelyInFlight, inFlightChange{at, -1}), append(a.maybeInFlight, inFlightChange{at, -1})
+			a.certainInFlight, a.possibleInFlight = append(a.certainInFlight, inFlightChange{at, -1}), append(a.possibleInFlight, inFlightChange{at, -1})
 		}
 	default:
-		a.maybeInFlight = append(a.maybeInFlight, inFlightChange{r.answeredAt, -1})
+		a.possibleInFlight = append(a.possibleInFlight, inFlightChange{r.answeredAt, -1})
 	}
 	if metric != "" {
 		a.outcomes[metric][class] = append(a.outcomes[metric][class], at)
 	}
 }
 
-// sort sorts all times.
-func (a *account) sort() {
+// sort sorts the outcomes and the changes of the number in flight by time.
+func (a *expectedMetrics) sort() {
 	for _, byClass := range a.outcomes {
 		for _, times := range byClass {
 			slices.Sort(times)
 		}
 	}
-	for _, changes := range [][]inFlightChange{a.surelyInFlight, a.maybeInFlight} {
+	for _, changes := range [][]inFlightChange{a.certainInFlight, a.possibleInFlight} {
 		slices.SortFunc(changes, func(x, y inFlightChange) int { return cmp.Compare(x.at, y.at) })
 	}
 }
 
-// metric is the metric under which a request is counted, and when; "" while it has no outcome, or one that is not counted.
+// metric returns the metric under which a request is counted and the time at which it is counted. The metric is empty for a request
+// that has no outcome, or an outcome that no metric counts.
 func (r *request) metric() (metric string, at time.Duration) {
 	completed := r.completedAt()
 	switch {
 	case r.answeredAt < 0:
 		return "", 0
-	case !r.accepted && statusOf(r.status) == Deferred:
+	case !r.accepted && equivalentNotice(r.status) == Deferred:
 		return busyMetric, r.answeredAt
 	case !r.accepted && r.status >= http.StatusInternalServerError:
 		return failureMetric, r.answeredAt
-	case !r.accepted: // it was malformed
+	case !r.accepted: // the request was malformed
 		return "", 0
 	case completed < 0:
 		return "", 0
@@ -111,7 +113,7 @@
 	return failureMetric, completed
 }
 
-// between counts the times after one and up to another.
+// between returns the number of times that are later than after and not later than until.
 func between(times []time.Duration, after, until time.Duration) int {
 	n := 0
 	for _, t := range times {
@@ -122,8 +124,8 @@
 	return n
 }
 
-// differences describes what in metrics that were read at a time does not agree with the account.
-func (a *account) differences(at time.Duration, p *process, s *Scrape) (found []string) {
+// differences describes each metric of a scrape, read from process p at a time, that disagrees with the expected value.
+func (a *expectedMetrics) differences(at time.Duration, p *process, s *Scrape) (found []string) {
 	check := func(name string, shown, low, high int, share float64) {
 		slack := math.Max(minDifference, share*float64(high))
 		if float64(shown) < float64(low)-slack || float64(shown) > float64(high)+slack {
@@ -141,13 +143,13 @@
 	}
 	check("backend_calls", s.BackendCalls, between(a.attempts, p.readyAt+metricsLag, at-metricsLag),
 		between(a.attempts, p.startedAt-metricsLag, at+metricsLag), attemptsShare)
-	low, _ := inFlightBetween(a.surelyInFlight, at-metricsLag, at+metricsLag)
-	_, high := inFlightBetween(a.maybeInFlight, at-metricsLag, at+metricsLag)
+	low, _ := inFlightBetween(a.certainInFlight, at-metricsLag, at+metricsLag)
+	_, high := inFlightBetween(a.possibleInFlight, at-metricsLag, at+metricsLag)
 	check("inflight", s.Inflight, low, high, inFlightShare)
 	return found
 }
 
-// inFlightBetween returns the lowest and the highest number of requests in flight between two times.
+// inFlightBetween returns the minimum and the maximum number of requests in flight between two times.
 func inFlightBetween(changes []inFlightChange, from, to time.Duration) (low, high int) {
 	n := 0
 	for _, c := range changes {
--- a/internal/faultinjection/checker/handover_test.go
+++ b/internal/faultinjection/checker/handover_test.go
@@ -8,10 +8,10 @@
 	"frostlink/internal/settings"
 )
 
-// at is a time in seconds.
+// at returns a time that is given in seconds.
 func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// handoverLog returns the log of a relay whose process is replaced at 10 s while request m is in flight, with more events.
+// handoverLog returns the log of a relay whose process is replaced at 10 s while request m is in flight, followed by more events.
 func handoverLog(more ...Event) []Event {
 	log := []Event{
 		{At: at(0), Kind: Started, Process: 1},
@@ -25,10 +25,10 @@
 	return append(log, more...)
 }
 
-// delivered is the end of the first attempt of request m.
+// delivered is the event that ends the first attempt of request m with its delivery.
 var delivered = Event{At: at(13), Kind: AttemptEnded, ID: "m", Attempt: 1, Outcome: OK, Executed: true}
 
-// deliveredRequests are events of requests that are submitted and delivered while the second process serves.
+// deliveredRequests returns the events of requests that are submitted and delivered while the second process serves.
 func deliveredRequests(count int) (log []Event) {
 	for i := range count {
 		id := "n" + strings.Repeat("x", i)
@@ -39,7 +39,7 @@
 	return log
 }
 
-// scrapeOf is a scrape of the second process's metrics at 14 s.
+// scrapeOf returns a scrape of the second process's metrics at 14 s.
 func scrapeOf(success, attempts, inFlight int) Event {
 	return Event{At: at(14), Kind: MetricsRead, Process: 2, Metrics: &Scrape{
 		Success:      map[string]int{"status": success},
@@ -47,13 +47,13 @@
 	}}
 }
 
-// handoverCase is a log with the rule that it violates; empty: none.
+// handoverCase is a log and the rule that it violates; an empty rule means none.
 type handoverCase struct {
 	log  []Event
 	rule Rule
 }
 
-// judgeHandovers checks that each log violates its rule, once or more, and no other.
+// judgeHandovers checks that each log violates its rule at least once, and no other rule.
 func judgeHandovers(t *testing.T, cases map[string]handoverCase) {
 	t.Helper()
 	parameters := Parameters{Settings: settings.Settings{
@@ -67,14 +67,14 @@
 				violated[violation.Rule] = true
 			}
 			if c.rule == "" && len(violated) > 0 || c.rule != "" && (len(violated) != 1 || !violated[c.rule]) {
-				t.Errorf("violations of %v, want of %q", violated, c.rule)
+				t.Errorf("got violations of rules %v, want only rule %q", violated, c.rule)
 			}
 		})
 	}
 }
 
-// Two processes of which one replaces the other are one relay: what one has in flight, and a Retry-After that it got, bind the
-// other.
+// A process and the successor that replaces it count as one relay: the successor has to respect the predecessor's attempts in flight
+// and a Retry-After that the predecessor got.
 func TestJudge_TreatsProcessesOfARelayAsOne(t *testing.T) {
 	judgeHandovers(t, map[string]handoverCase{
 		"the attempt goes on": {handoverLog(delivered, scrapeOf(1, 0, 0)), ""},
--- a/internal/faultinjection/checker/history.go
+++ b/internal/faultinjection/checker/history.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// history is a run, by request, attempt and relay.
+// history is the log of a run, arranged by request, attempt and relay.
 type history struct {
 	Parameters
 	end              time.Duration // of the run
 	requestsByID     map[string]*request
 	requests         []*request // in order of submission
 	attemptsByNumber map[int]*attempt
-	attempts         []*attempt // with health checks, in the order of their last bytes
+	attempts         []*attempt // including health checks, in the order of their last bytes
 	absences         absences
 	processEnds      map[int][]time.Duration // by relay
 	machineLosses    map[int][]time.Duration // by relay
 	folderFailures   relayIntervals          // when each relay's folder failed
 	socketFailures   relayIntervals          // when connections of each relay were made to look broken
-	halts            relayIntervals          // when the process of each relay was stopped
-	crowds           relayIntervals          // when callers took the descriptors of each relay
-	kills            map[int][]time.Duration // process ends that the process itself had no part in, by relay
+	halts            relayIntervals          // when the process of each relay was suspended
+	crowds           relayIntervals          // when a crowd of callers used up the descriptors of each relay
+	kills            map[int][]time.Duration // by relay: ends of a process by SIGKILL or a crash, not by a regular exit
 	violations       []Violation
 }
 
-// readHistory reads a log whose events are ordered by time. Attempts that belong to no request, or to one of another
-// destination, are violations.
+// readHistory reads a log whose events are ordered by time. It reports a violation for each attempt that belongs to no request, or
+// to a request for another destination.
 func readHistory(parameters Parameters, log []Event, end time.Duration) *history {
 	h := &history{
 		Parameters: parameters, end: end, requestsByID: map[string]*request{}, attemptsByNumber: map[int]*attempt{}, absences: newAbsences(),
@@ -48,7 +48,7 @@
 	return h
 }
 
-// addRequest adds a request under its id.
+// addRequest adds a request and indexes it by its id.
 func (h *history) addRequest(r *request) {
 	h.requestsByID[r.id] = r
 	h.requests = append(h.requests, r)
@@ -75,7 +75,7 @@
 	}
 }
 
-// addAttempt reads the last byte of an attempt or a health check.
+// addAttempt reads the event that the last byte of an attempt or a health check has arrived.
 func (h *history) addAttempt(e Event) {
 	a := &attempt{
 		relay: e.Relay, destination: e.Destination, endpoint: e.Endpoint, firstByte: e.FirstByte, lastByte: e.At, endedAt: unset,
@@ -110,7 +110,7 @@
 	case e.Outcome == OK && r.deliveredAt < 0:
 		r.deliveredAt = e.At
 	case e.Outcome == NotSent && a.lastByte > r.deadline && r.expiredAt < 0:
-		r.expiredAt = e.At // the relay was notified that the deadline has passed: no outcome is due any more
+		r.expiredAt = e.At // the relay was notified that the deadline has passed, so no outcome is due any more
 	}
 }
 
--- a/internal/faultinjection/checker/served.go
+++ b/internal/faultinjection/checker/message_outcomes.go
@@ -7,20 +7,20 @@
 	"frostlink/internal/settings"
 )
 
-// served is the outcome of each message by its number, whatever id a client submitted it under.
-type served struct {
-	deliveredAt map[int]time.Duration // not before the client knew that it was accepted
-	lastStatus  map[int]string        // Deferred, Undeliverable or none
+// messageOutcomes holds the outcome of each message by its number, over all ids under which clients submitted the message.
+type messageOutcomes struct {
+	deliveredAt map[int]time.Duration // not earlier than the response by which the client learned that the message was accepted
+	lastStatus  map[int]string        // Deferred, Undeliverable or empty
 	executions  map[int]int
 
-	submitted      map[string]int  // the message of each id that was submitted
-	accepted       map[string]int  // the message of each id that was accepted
-	deliveredEarly map[string]bool // ids that were delivered before the client had the response
+	submitted      map[string]int  // the number of the message, by each id that was submitted
+	accepted       map[string]int  // the number of the message, by each id that was accepted
+	deliveredEarly map[string]bool // ids that were delivered before their client got the response
 }
 
-// readServed reads the outcome of each message from a log.
-func readServed(log []Event) *served {
-	s := &served{
+// readMessageOutcomes reads the outcome of each message from a log.
+func readMessageOutcomes(log []Event) *messageOutcomes {
+	s := &messageOutcomes{
 		deliveredAt: map[int]time.Duration{}, lastStatus: map[int]string{}, executions: map[int]int{},
 		submitted: map[string]int{}, accepted: map[string]int{}, deliveredEarly: map[string]bool{},
 	}
@@ -31,7 +31,7 @@
 }
 
 // read reads an event.
-func (s *served) read(e Event) {
+func (s *messageOutcomes) read(e Event) {
 	switch e.Kind {
 	case Submitted:
 		s.submitted[e.ID] = e.Message
@@ -59,13 +59,13 @@
 }
 
 // answered reads a relay's response to a client.
-func (s *served) answered(e Event) {
+func (s *messageOutcomes) answered(e Event) {
 	message, ok := s.submitted[e.ID]
 	if !ok {
 		return
 	}
 	if !isAcceptance(e.Status) {
-		s.lastStatus[message] = statusOf(e.Status)
+		s.lastStatus[message] = equivalentNotice(e.Status)
 		return
 	}
 	s.accepted[e.ID] = message
@@ -75,16 +75,16 @@
 	}
 }
 
-// delivered records the first delivery of a message.
-func (s *served) delivered(message int, at time.Duration) {
+// delivered records the delivery of a message. Only the first delivery counts.
+func (s *messageOutcomes) delivered(message int, at time.Duration) {
 	if _, known := s.deliveredAt[message]; !known {
 		s.deliveredAt[message] = at
 	}
 }
 
-// countOutcome counts the outcome of a message, in all and by destination.
-func (r *Report) countOutcome(s *served, message int, drawn Request, class *settings.Class) {
-	for _, c := range []*Counts{&r.Counts, &r.Destinations[drawn.Destination]} {
+// countOutcome counts the outcome of a message, in total and for its destination.
+func (r *Report) countOutcome(s *messageOutcomes, message int, planned Request, class *settings.Class) {
+	for _, c := range []*Counts{&r.Counts, &r.Destinations[planned.Destination]} {
 		if c != &r.Counts {
 			c.Requested++
 		}
@@ -95,7 +95,7 @@
 		switch {
 		case delivered:
 			c.Delivered++
-			if RemainingWeight(class, at-drawn.At) == 1 {
+			if RemainingWeight(class, at-planned.At) == 1 {
 				c.InTime++
 			}
 		case s.lastStatus[message] == Deferred:
@@ -108,11 +108,11 @@
 	}
 }
 
-// isAcceptance reports whether a response with a status accepts a request.
+// isAcceptance reports whether a response with this status accepts the request.
 func isAcceptance(status int) bool { return status == http.StatusOK || status == http.StatusAccepted }
 
-// statusOf is the status of the notice that is equivalent to a response which accepts nothing.
-func statusOf(status int) string {
+// equivalentNotice returns the status of the notice that means the same to a client as a response that does not accept the request.
+func equivalentNotice(status int) string {
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		return Deferred
 	}
--- a/internal/faultinjection/checker/outages.go
+++ b/internal/faultinjection/checker/outages.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Kinds of outages, in Event.State, of which the log does not show which relays met them.
+// Kinds of outages, as Event.State names them, that a relay can observe without a trace in the log: the kernel refuses the
+// connections, or they are never established.
 const (
-	outageGone   = "gone"
-	outageRefuse = "refuse"
-	outageFell   = "fell"
+	outageUnreachable = "gone"
+	outageRefused     = "refuse"
+	outageOverloaded  = "fell" // the destination was overloaded
 )
 
-// outage is an outage of a whole destination.
+// outage is an outage of all endpoints of a destination.
 type outage struct {
 	destination int
 	kind        string
@@ -17,7 +18,7 @@
 	cold        bool // the destination came back cold
 }
 
-// readOutages returns the outages of whole destinations.
+// readOutages returns the outages of whole destinations. Outages of single endpoints are left out.
 func readOutages(log []Event) []outage {
 	var all []outage
 	open := map[int]int{} // index in all, by destination
--- a/internal/faultinjection/checker/parameters.go
+++ b/internal/faultinjection/checker/parameters.go
@@ -6,17 +6,17 @@
 	"frostlink/internal/settings"
 )
 
-// Parameters are the settings by which a run is judged.
+// Parameters are the settings against which a run is checked.
 type Parameters struct {
 	Settings     settings.Settings
-	NotifyWithin time.Duration // a relay counts as notified of what discovery shows after this, while discovery is up
+	NotifyWithin time.Duration // while discovery is up, a relay counts as notified of a change this long after discovery shows it
 	Destinations []Destination
 }
 
-// Destination is what the scenario says of a destination.
+// Destination describes a destination as the scenario defines it.
 type Destination struct {
 	Name          string
-	Capacity      float64       // attempts a second when warm, with all endpoints
-	ColdCapacity  float64       // share of it right after an outage
-	SlowStartTime time.Duration // until it has all of it again
+	Capacity      float64       // attempts per second of all endpoints together when warm
+	ColdCapacity  float64       // fraction of Capacity right after an outage
+	SlowStartTime time.Duration // time after an outage until the destination has its full capacity again
 }
--- a/internal/faultinjection/checker/quantile.go
+++ b/internal/faultinjection/checker/quantile.go
@@ -9,7 +9,7 @@
 	Max    float64 `json:"most"`
 }
 
-// QuantilesOf returns the quantiles of times in seconds. It sorts the times.
+// QuantilesOf returns the quantiles of times in seconds. It sorts the slice in place.
 func QuantilesOf(times []float64) Quantiles {
 	if len(times) == 0 {
 		return Quantiles{}
--- a/internal/faultinjection/checker/request.go
+++ b/internal/faultinjection/checker/request.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// unset is the time of what has not happened.
+// unset is the time of an event that has not happened.
 const unset = time.Duration(-1)
 
-// attempt is one attempt of a relay at a request, or a health check of an endpoint.
+// attempt is one attempt of a relay to deliver a request, or a health check of an endpoint.
 type attempt struct {
 	relay, destination  int
 	endpoint            string
 	firstByte, lastByte time.Duration
-	endedAt             time.Duration // unset: never
+	endedAt             time.Duration // unset: the attempt never ended
 	outcome             string
 	retryAfter          time.Duration
 	probe               bool
 }
 
-// mayHaveExecuted reports whether the relay had to assume that the attempt was executed: only a rejection proves that it was
-// not.
+// mayHaveExecuted reports whether the relay had to assume that the destination executed the attempt. Only a rejection, or a
+// response that the attempt counts as not sent, proves that it was not executed.
 func (a *attempt) mayHaveExecuted() bool {
 	return a.outcome != Rejected && a.outcome != RetryAfter && a.outcome != NotSent
 }
 
-// failed reports whether the relay observed that the destination failed or rejected.
+// failed reports whether the attempt showed the relay that the destination failed or rejected it.
 func (a *attempt) failed() bool { return a.outcome != OK && a.outcome != NotSent }
 
-// overlaps reports whether an attempt was still in flight when the last byte of a later one was sent.
+// overlaps reports whether an attempt was still in flight when the last byte of a later attempt was sent.
 func (a *attempt) overlaps(later *attempt) bool {
 	return a.endedAt < 0 || a.endedAt > later.lastByte+socketSlack
 }
 
-// request is a message under one id, as a client submitted it or a relay redelivered it.
+// request is a message under one id. A message has several ids if its client submitted it again or a relay redelivered it.
 type request struct {
 	id                          string
 	message, relay, destination int
@@ -38,22 +38,22 @@
 	orderKey                    string
 	subject                     string
 	submittedAt, deadline       time.Duration
-	answeredAt                  time.Duration // unset: never
-	status                      int           // of the response
+	answeredAt                  time.Duration // unset: there was no response
+	status                      int           // HTTP status of the response
 	accepted                    bool
 	attempts                    []*attempt
-	deliveredAt                 time.Duration // unset: not
-	expiredAt                   time.Duration // when an endpoint answered an attempt that the deadline has passed; unset: not
+	deliveredAt                 time.Duration // unset: not delivered
+	expiredAt                   time.Duration // when an endpoint responded to an attempt that the deadline has passed; unset: none did
 	notices                     []Event
-	executions                  int             // how often a destination executed it
-	redelivery                  bool            // under an id of the relay's making
-	fromStore                   bool            // it was a dead letter before the run
-	closedAt                    []time.Duration // when its connection was closed without a response
-	closedOn                    []Event         // ClosedOnRequest
-	machineLostAt               time.Duration   // unset: not
+	executions                  int             // number of times that a destination executed it
+	redelivery                  bool            // sent by the relay itself, under an id that the relay generated
+	fromStore                   bool            // the message was a dead letter before the run
+	closedAt                    []time.Duration // when the relay closed its connection without a response
+	closedOn                    []Event         // events of kind ClosedOnRequest
+	machineLostAt               time.Duration   // when the relay's machine was lost; unset: it was not
 }
 
-// newRequest returns a request to which nothing has happened.
+// newRequest returns the request of an event, without a response, an attempt or an outcome.
 func newRequest(e Event) *request {
 	return &request{
 		id: e.ID, message: e.Message, relay: e.Relay, destination: e.Destination, class: e.Class, orderKey: e.OrderKey, subject: e.Subject,
@@ -62,7 +62,7 @@
 	}
 }
 
-// completedAt is when a request came to its terminal outcome, or unset.
+// completedAt returns when a request reached its terminal outcome, or unset.
 func (r *request) completedAt() time.Duration {
 	completed := r.deliveredAt
 	if len(r.notices) > 0 && (completed < 0 || r.notices[0].At < completed) {
@@ -74,7 +74,7 @@
 	return completed
 }
 
-// read reads an event that concerns this request alone.
+// read reads an event that concerns only this request.
 func (r *request) read(e Event) {
 	switch e.Kind {
 	case Answered:
--- a/internal/faultinjection/checker/rule_accepted_late.go
+++ b/internal/faultinjection/checker/rule_accepted_late.go
@@ -1,6 +1,7 @@
 package checker
 
-// checkAcceptedLate checks that a relay accepts requests before it has delivered them, at least half of a run's.
+// checkAcceptedLate checks that relays accept requests before they have delivered them. It allows late responses for up to half of
+// the accepted requests of a run.
 func (h *history) checkAcceptedLate(_ []Event) {
 	accepted, late := 0, 0
 	var last *request
@@ -13,7 +14,7 @@
 			late, last = late+1, r
 		}
 	}
-	if float64(late) > half*float64(accepted) {
+	if float64(late) > toleratedShare*float64(accepted) {
 		h.reportRequest(AcceptedLate, last.answeredAt, last,
 			"%d of %d messages were answered only after their delivery, this one the last", late, accepted)
 	}
--- a/internal/faultinjection/checker/rule_dead_letters.go
+++ b/internal/faultinjection/checker/rule_dead_letters.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// storedDelivered is the state of a dead letter that was delivered by a redelivery.
+// storedDelivered is the state of a dead letter that a redelivery has delivered.
 const storedDelivered = "delivered"
 
-// notStored is counted as the state of messages that a store lists as dropped.
+// notStored is the state under which messages that a store lists as dropped are counted.
 const notStored = "not kept"
 
-// DeadLetter is a message as a relay's dead-letter store has it at the end of a run.
+// DeadLetter is a message in a relay's dead-letter store at the end of a run.
 type DeadLetter struct {
 	Relay       int
-	IDs         []string // of all its incarnations
+	IDs         []string // the ids of all its incarnations
 	State       string   // held, due, out, delivered, superseded or discarded
 	Reason      string
-	NotExecuted []string // ids of the incarnations of which the store says that no attempt can have been executed
+	NotExecuted []string // ids of the incarnations for which the store states that no attempt can have been executed
 }
 
 // CheckStores checks the dead-letter stores of all relays against the log: each request that was accepted and failed is stored
-// once; what is stored as not executed was not; what is stored as delivered was. dropped are ids that a store lists as dropped.
-// It returns the count of each state.
+// exactly once, no request that is stored as not executed was executed, and each message that is stored as delivered was delivered.
+// dropped holds the ids that a store lists as dropped. CheckStores returns the number of dead letters in each state.
 func (r *Report) CheckStores(parameters Parameters, log []Event, letters []DeadLetter, dropped []string, end time.Duration) map[string]int {
 	h := readHistory(parameters, byTime(log), end)
-	h.violations = nil // Judge has reported those of reading
+	h.violations = nil // Judge has already reported the violations found while reading the log
 	states, timesStored := map[string]int{}, map[string]int{}
 	for _, letter := range letters {
 		states[letter.State]++
@@ -45,13 +45,13 @@
 	return states
 }
 
-// checkStored checks what a store has of one message.
+// checkStored checks one dead letter of a store.
 func (h *history) checkStored(letter DeadLetter) {
 	delivered := false
 	for _, id := range letter.IDs {
 		r := h.requestsByID[id]
 		if r == nil {
-			continue // it was rejected before its first attempt
+			continue // a redelivery that was rejected before its first attempt: the log has no event of it
 		}
 		delivered = delivered || r.deliveredAt >= 0
 		if slices.Contains(letter.NotExecuted, id) && r.executions > 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// checkStoredOnce checks how often a request is stored: once if it failed after it was accepted, else at most once.
+// checkStoredOnce checks that a request is stored exactly once if it was accepted and failed, and at most once otherwise.
 func (h *history) checkStoredOnce(r *request, times int) {
 	failed := r.accepted && len(r.notices) > 0 && r.machineLostAt < 0
 	switch {
--- a/internal/faultinjection/checker/rule_dead_letters_test.go
+++ b/internal/faultinjection/checker/rule_dead_letters_test.go
@@ -27,7 +27,7 @@
 	}
 	for name, c := range map[string]struct {
 		rule    Rule                // empty: no violation
-		extend  func(l *logBuilder) // adds to the log
+		extend  func(l *logBuilder) // adds events to the log; nil: none
 		change  func(letters []DeadLetter) []DeadLetter
 		dropped []string
 		states  map[string]int
@@ -98,14 +98,14 @@
 			}
 			report := Judge(testParameters(), l.log, runLength)
 			if len(report.Violations) > 0 {
-				t.Fatalf("before the stores: %+v", report.Violations)
+				t.Fatalf("violations before the stores were checked: %+v", report.Violations)
 			}
 			states := report.CheckStores(testParameters(), l.log, c.change(consistent()), c.dropped, runLength)
 			if !reflect.DeepEqual(states, c.states) {
 				t.Errorf("states %v, want %v", states, c.states)
 			}
 			if !violatesOnly(report, c.rule) {
-				t.Errorf("want %q, got %+v", c.rule, report.Violations)
+				t.Errorf("want only a violation of %q, got %+v", c.rule, report.Violations)
 			}
 		})
 	}
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -7,25 +7,25 @@
 	"frostlink/internal/settings"
 )
 
-// failedWatchFactor extends the time within which a relay must poll the endpoint list, after a watch that failed.
+// failedWatchFactor multiplies the time within which a relay must poll the endpoint list after a request for a watch has failed.
 const failedWatchFactor = 4
 
-// discoveryEvents are the kinds of events that decide what a relay can know of the endpoint list.
+// discoveryEvents are the kinds of events that affect when a relay can get a change of the endpoint list.
 var discoveryEvents = map[Kind]bool{
 	EndpointShown: true, DiscoveryDown: true, DiscoveryUp: true, WatchRequested: true, WatchEnded: true, WatchSilent: true, Ready: true, Resumed: true,
 	DiscoveryMoved: true, Killed: true, MachineLost: true, Crashed: true, Halted: true,
 }
 
-// relayEndpoint is an endpoint as one relay sees it.
+// relayEndpoint is a pair of a relay and an endpoint.
 type relayEndpoint struct {
 	relay    int
 	endpoint string
 }
 
-// checkDraining checks that no relay sent anything new to an endpoint later than the grace period after it was notified, or
-// counts as notified, that the endpoint drains or is removed.
+// checkDraining checks that no relay began an attempt or a health check at an endpoint after the grace period that starts when the
+// relay was notified, or counts as notified, that the endpoint drains or is removed.
 func (h *history) checkDraining(log []Event) {
-	notified := h.drainingNotified(log)
+	notified := h.drainNotifications(log)
 	grace := settings.Seconds(h.Settings.Rules.DrainGraceS) + socketSlack
 	reported := map[relayEndpoint]bool{}
 	for _, a := range h.attempts {
@@ -38,9 +38,9 @@
 	}
 }
 
-// drainingNotified returns when each relay was first notified, or counts as notified, that an endpoint drains or is removed,
-// for each such endpoint.
-func (h *history) drainingNotified(log []Event) map[relayEndpoint]time.Duration {
+// drainNotifications returns, for each relay and each endpoint that drains or is removed, when the relay was first notified of it or
+// counts as notified.
+func (h *history) drainNotifications(log []Event) map[relayEndpoint]time.Duration {
 	notified := map[relayEndpoint]time.Duration{}
 	note := func(key relayEndpoint, at time.Duration) {
 		if known, ok := notified[key]; at < never && (!ok || at < known) {
@@ -58,30 +58,30 @@
 			continue
 		}
 		for relay := range h.Settings.Instances {
-			note(relayEndpoint{relay, e.Endpoint}, h.countsAsNotified(changes, relay, e.At))
+			note(relayEndpoint{relay, e.Endpoint}, h.countsAsNotifiedAt(changes, relay, e.At))
 		}
 	}
 	return notified
 }
 
-// watchState is the state of a relay's watch on the endpoint list at some point of a log, as far as it matters for one change
-// that discovery showed.
+// watchState is the state of a relay's watch on the endpoint list at one point of a log. It is used to find out when the relay counts
+// as notified of one change of the list.
 type watchState struct {
 	shownAt      time.Duration // when discovery showed the change
-	notifyWithin time.Duration // a relay counts as notified after this, while discovery is up
-	pollWithin   time.Duration // a relay without a watch has to poll as often
+	notifyWithin time.Duration // while discovery is up, a relay counts as notified after this time
+	pollWithin   time.Duration // a relay without a watch has to poll within this time
 
-	up       bool // discovery
-	alive    bool // the relay
-	watching bool
+	up       bool // discovery responds
+	alive    bool // the relay's process runs
+	watching bool // the relay has a watch
 
-	reachableSince time.Duration // from shownAt on, discovery could notify the relay from then on
-	lastContact    time.Duration // when the relay last watched or polled
-	silentSince    time.Duration // its watch sends nothing from then on; never: it does
-	pollDue        time.Duration // how long after lastContact the relay has to poll
+	reachableSince time.Duration // the time, not before shownAt, from which on discovery can notify the relay
+	lastContact    time.Duration // when the relay last requested or lost a watch, or became ready
+	silentSince    time.Duration // the time from which on discovery sends nothing on the watch; never: the watch is not silent
+	pollDue        time.Duration // time after lastContact within which the relay has to poll
 }
 
-// notifiedBefore returns when the relay counts as notified of the change, if that is before a time; else never.
+// notifiedBefore returns when the relay counts as notified of the change if that is before the given time, and never otherwise.
 func (w *watchState) notifiedBefore(at time.Duration) time.Duration {
 	if !w.alive {
 		return never
@@ -96,7 +96,7 @@
 		consider(max(w.shownAt, w.reachableSince) + w.notifyWithin)
 	}
 	if w.silentSince < never {
-		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // one time limit for all that a silent watch misses
+		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // a single time limit, from when the watch became silent, for all changes that the watch misses
 	}
 	if !w.watching {
 		consider(max(w.lastContact, w.shownAt) + w.pollDue)
@@ -104,7 +104,7 @@
 	return earliest
 }
 
-// read reads an event of discovery, or of this relay.
+// read reads an event of discovery or of this relay.
 func (w *watchState) read(e Event) {
 	switch e.Kind {
 	case DiscoveryDown:
@@ -132,9 +132,9 @@
 	}
 }
 
-// countsAsNotified is when a relay counts as notified of what discovery showed at a time: once discovery has been up for long
-// enough since, or the relay has neither watched nor polled for as long as the settings allow.
-func (h *history) countsAsNotified(log []Event, relay int, shownAt time.Duration) time.Duration {
+// countsAsNotifiedAt returns when a relay counts as notified of a change that discovery showed at a time: as soon as discovery has
+// been up for NotifyWithin since the change, or the relay has neither watched nor polled for the longest time that the settings allow.
+func (h *history) countsAsNotifiedAt(log []Event, relay int, shownAt time.Duration) time.Duration {
 	pollWithin := settings.Seconds(h.Settings.Rules.PollWithinS)
 	w := &watchState{
 		shownAt: shownAt, notifyWithin: h.NotifyWithin, pollWithin: pollWithin,
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -6,18 +6,18 @@
 	"frostlink/internal/settings"
 )
 
-// The idempotency of a class, as the settings name it.
+// The kinds of idempotency of a class, as the settings name them.
 const (
 	idempotent      = "retryable"
-	idempotentByKey = "dedup" // destinations drop repeats while they remember the key
+	idempotentByKey = "dedup" // a destination drops repeats until the TTL of the key ends
 	notIdempotent   = "fragile"
 )
 
-// checkIdempotency checks that a request can't have been executed twice where it must not be, and that no two of its attempts
-// were in flight at once.
+// checkIdempotency checks that a request cannot have been executed twice if its class does not allow that, and that no two of its
+// attempts were in flight at the same time.
 func (h *history) checkIdempotency(r *request) {
 	class := &h.Settings.Classes[r.class]
-	var first *attempt // the first that may have been executed
+	var first *attempt // the first attempt that may have been executed
 	reported := false
 	for i, a := range r.attempts {
 		if earlier := h.concurrent(r.attempts[:i], a); earlier != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// concurrent returns an earlier attempt that was still in flight when a later one was sent, or nil. Where hedged requests are
-// allowed it returns none.
+// concurrent returns an earlier attempt that was still in flight when attempt a was sent, or nil. It always returns nil if hedged
+// requests are allowed.
 func (h *history) concurrent(earlier []*attempt, a *attempt) *attempt {
 	if h.Settings.Limits.Hedging {
 		return nil
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// checkRepeat checks an attempt after one that may have been executed, and reports whether it is a violation.
+// checkRepeat checks attempt a, which follows a first attempt that may have been executed, and returns whether a is a violation.
 func (h *history) checkRepeat(r *request, first, a *attempt) bool {
 	class := &h.Settings.Classes[r.class]
 	switch class.Idempotency {
@@ -74,13 +74,13 @@
 	return false
 }
 
-// keyRememberedUntil is how long after an attempt its destination drops repeats of its key.
+// keyRememberedUntil returns the time until which the destination of an attempt drops repeats of its idempotency key.
 func keyRememberedUntil(a *attempt, class *settings.Class) time.Duration {
 	return a.lastByte + settings.Seconds(class.KeyTTLS) + socketSlack
 }
 
-// checkReturned checks that a request which must not be repeated, and may have been executed, was not returned to its client
-// as safe to submit again. It reports whether it was.
+// checkReturned checks that a request that must not be repeated and may have been executed was not returned to its client as safe to
+// submit again. It returns whether that is violated.
 func (h *history) checkReturned(r *request, first *attempt) bool {
 	for _, n := range r.notices {
 		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// The tolerances within which a relay's metrics have to agree with its account: they may lag, and differ by a few or by a share.
-// Attempts are counted by other goroutines than outcomes, and get a larger share.
+// The tolerances within which a relay's metrics have to agree with the expected metrics: they may lag, and may differ by a small
+// number or by a share, whichever is larger. Attempts and outcomes are counted in different goroutines, so that the share allowed
+// for attempts is larger.
 const (
 	metricsLag          = 500 * time.Millisecond
 	minDifference       = 3.0
 	differenceShare     = 0.01
 	attemptsShare       = 0.02
 	inFlightShare       = 0.1
-	maxMetricViolations = 3 // of a relay: one that counts wrongly once is wrong from then on
+	maxMetricViolations = 3 // per relay, because a counter that is wrong once stays wrong in every later scrape
 )
 
-// Scrape is what a relay's admin endpoint showed.
+// Scrape holds the metrics that were read from the admin endpoint of a relay's process.
 type Scrape struct {
 	Success        map[string]int `json:"success"`
 	Busy           map[string]int `json:"busy"`
@@ -26,21 +27,21 @@
 	ReconfigFailed int            `json:"reconfig_failed"`
 }
 
-// process is one process of a relay. Its metrics count from its start; outcomes before it accepts requests may be counted by the
-// process before it.
+// process is one process of a relay. Its metrics count from its start; outcomes between its start and the time at which it accepts
+// requests may be counted by its predecessor.
 type process struct{ startedAt, readyAt time.Duration }
 
 // metricsCheck compares the metrics of all relays with the log.
-type metricsCheck struct {
+type metricsChecker struct {
 	history    *history
-	accounts   map[int]*account
-	processes  map[int]map[int]*process // by relay and its number
+	expected   map[int]*expectedMetrics
+	processes  map[int]map[int]*process // by relay and process number
 	violations map[int]int              // by relay
 }
 
-// checkMetrics checks what each admin endpoint showed against the account of its relay.
+// checkMetrics checks each scrape of an admin endpoint against the expected metrics of its relay.
 func (h *history) checkMetrics(log []Event) {
-	c := &metricsCheck{history: h, accounts: map[int]*account{}, processes: map[int]map[int]*process{}, violations: map[int]int{}}
+	c := &metricsChecker{history: h, expected: map[int]*expectedMetrics{}, processes: map[int]map[int]*process{}, violations: map[int]int{}}
 	for _, e := range log {
 		switch e.Kind {
 		case Started:
@@ -57,7 +58,7 @@
 }
 
 // start adds a new process.
-func (c *metricsCheck) start(e Event) {
+func (c *metricsChecker) start(e Event) {
 	if c.processes[e.Relay] == nil {
 		c.processes[e.Relay] = map[int]*process{}
 	}
@@ -65,11 +66,11 @@
 }
 
 // check checks one scrape.
-func (c *metricsCheck) check(e Event) {
-	a := c.accounts[e.Relay]
+func (c *metricsChecker) check(e Event) {
+	a := c.expected[e.Relay]
 	if a == nil {
-		a = c.history.account(e.Relay)
-		c.accounts[e.Relay] = a
+		a = c.history.expectedMetrics(e.Relay)
+		c.expected[e.Relay] = a
 	}
 	p := c.processes[e.Relay][e.Process]
 	if p == nil || c.violations[e.Relay] >= maxMetricViolations {
--- a/internal/faultinjection/checker/rule_metrics_test.go
+++ b/internal/faultinjection/checker/rule_metrics_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestJudge_ReportsMetricsThatDisagreeWithLog(t *testing.T) {
-	// 41 requests are delivered while the second process serves, 40 of them by attempts of its own.
+	// 41 requests are delivered while the second process serves. The second process made the attempts of 40 of them.
 	withScrape := func(scrape Event) []Event {
 		return slices.Concat(handoverLog(delivered), deliveredRequests(40), []Event{scrape})
 	}
--- a/internal/faultinjection/checker/rule_order.go
+++ b/internal/faultinjection/checker/rule_order.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/settings"
 )
 
-// checkOrder checks that requests with one order key were sent one at a time, in the order in which their relay accepted
-// them.
+// checkOrder checks that the requests of an ordered class with the same order key were sent one at a time, in the order in which
+// their relay accepted them.
 func (h *history) checkOrder(_ []Event) {
 	type key struct {
 		relay int
@@ -29,8 +29,8 @@
 	}
 }
 
-// overtaken returns a request that was accepted before another one with its key, and still blocked the key when that was sent;
-// nil for none.
+// overtaken returns an earlier request with the same order key that was accepted before r and still blocked the key when r was
+// first sent, or nil.
 func (h *history) overtaken(earlier []*request, r *request) *request {
 	if len(r.attempts) == 0 {
 		return nil
@@ -38,7 +38,7 @@
 	sent := r.attempts[0].firstByte
 	cooldown := settings.Seconds(h.Settings.Rules.OrderKeyCooldownS)
 	for _, e := range earlier {
-		// Which was accepted first is known only if the response to one came before the other was submitted.
+		// The order of acceptance is certain only if the response to e arrived before r was submitted.
 		if e.answeredAt >= r.submittedAt || h.restarted(e.relay, e.answeredAt, sent) {
 			continue
 		}
@@ -49,11 +49,11 @@
 	return nil
 }
 
-// blocksKeyAt reports whether a request blocked its order key at a time: it was not completed, had an attempt in flight, or one
-// with unknown outcome had ended less than the cooldown before.
+// blocksKeyAt reports whether a request blocked its order key at a time: it was not completed, one of its attempts was in flight, or
+// less than the cooldown had passed since the end of an attempt with unknown outcome.
 func (r *request) blocksKeyAt(sent, cooldown time.Duration) bool {
 	completed := r.completedAt()
-	withoutNotice := r.deliveredAt >= 0 && len(r.notices) == 0 // there is nothing that could cross with the attempt
+	withoutNotice := r.deliveredAt >= 0 && len(r.notices) == 0 // no notice that could cross with the attempt
 	if completed < 0 || completed > sent+crossingTime || withoutNotice && completed > sent {
 		return true
 	}
--- a/internal/faultinjection/checker/rule_outcome.go
+++ b/internal/faultinjection/checker/rule_outcome.go
@@ -6,20 +6,20 @@
 	"frostlink/internal/settings"
 )
 
-// checkOutcome checks that an accepted request has exactly one terminal outcome, in time.
+// checkOutcome checks that an accepted request has exactly one terminal outcome, and has it in time.
 func (h *history) checkOutcome(r *request) {
 	if !r.accepted || !h.checkInTime(r) || len(r.notices) == 0 || !h.checkNotices(r) {
 		return
 	}
-	h.checkNothingAfter(r)
+	h.checkNoAttemptAfterNotice(r)
 }
 
-// outcomeDue is when the outcome of a request is due. A relay that is absent then has until it is back; never: it does not
-// come back.
+// outcomeDue returns when the outcome of a request is due. If the relay is absent at that time, the outcome is due when the absence
+// ends, or never if the relay does not return.
 func (h *history) outcomeDue(r *request) time.Duration {
 	due := r.deadline + h.unreadFor(r) + settings.Seconds(h.Settings.Rules.AnswerSlackS)
 	for {
-		until, absent := h.excused(r.relay, due)
+		until, absent := h.absentUntil(r.relay, due)
 		switch {
 		case !absent:
 			return due
@@ -30,16 +30,16 @@
 	}
 }
 
-// checkInTime checks that a request has an outcome in time. It reports whether there is one for further checks.
+// checkInTime checks that a request has an outcome in time. It returns whether the other checks of the outcome apply.
 func (h *history) checkInTime(r *request) bool {
 	due, completed := h.outcomeDue(r), r.completedAt()
 	switch {
 	case r.machineLostAt >= 0 && (completed < 0 || completed >= r.machineLostAt):
-		return false // the relay's machine was lost, and the request with it
+		return false // the request was lost with the relay's machine
 	case completed < 0 && due < h.end:
 		h.reportRequest(OutcomeMissing, due, r, "taken on at %s, no end by %s", formatTime(r.answeredAt), formatTime(due))
 		return false
-	case completed > max(due, r.deadline+lostAfter+socketSlack):
+	case completed > max(due, r.deadline+missingAfter+socketSlack):
 		h.reportRequest(OutcomeMissing, completed, r, "ended at %s, %s after its time was up: that is no end", formatTime(completed), formatTime(completed-r.deadline))
 	case completed > due:
 		h.reportRequest(OutcomeLate, completed, r, "ended at %s, due by %s", formatTime(completed), formatTime(due))
@@ -47,7 +47,7 @@
 	return true
 }
 
-// checkNotices checks that a request's notices agree with one another and with its delivery, and reports whether they do.
+// checkNotices checks that the notices of a request agree with one another and with its delivery, and returns whether they do.
 func (h *history) checkNotices(r *request) bool {
 	first := r.notices[0]
 	for _, n := range r.notices {
@@ -60,8 +60,8 @@
 	if r.deliveredAt < 0 || crossing {
 		return true
 	}
-	// A response that a process could not record before it ended is no second outcome.
-	if _, absent := h.excused(r.relay, r.deliveredAt+crossingTime); absent || h.couldNotRecord(r.relay, r.deliveredAt) {
+	// If a process could not record the response before it ended, a notice by the next process is not a second outcome.
+	if _, absent := h.absentUntil(r.relay, r.deliveredAt+crossingTime); absent || h.couldNotRecord(r.relay, r.deliveredAt) {
 		return true
 	}
 	h.reportRequest(OutcomeTwice, max(first.At, r.deliveredAt), r, "delivered at %s, and noticed as %s at %s",
@@ -69,8 +69,9 @@
 	return false
 }
 
-// checkNothingAfter checks that no attempt began after the platform had a request's notice.
-func (h *history) checkNothingAfter(r *request) {
+// checkNoAttemptAfterNotice checks that no attempt began after the platform had received the notice of a request. A delivered attempt
+// is left to checkNotices.
+func (h *history) checkNoAttemptAfterNotice(r *request) {
 	notifiedAt := r.notices[0].At
 	for _, a := range r.attempts {
 		if a.firstByte > notifiedAt+crossingTime && a.outcome != OK {
--- a/internal/faultinjection/checker/rule_outcome_test.go
+++ b/internal/faultinjection/checker/rule_outcome_test.go
@@ -30,7 +30,7 @@
 			l.add(Event{At: 1310 * ms, Kind: Answered, ID: "a", Status: 202})
 			l.notify(11700*ms, "a", Deferred)
 		}},
-		"a late notice of a request that waited in a socket that processes inherit": {OutcomeLate, func(l *logBuilder) {
+		"a late notice of a request that waited in an inherited socket while the relay had no process": {OutcomeLate, func(l *logBuilder) {
 			l.add(Event{At: 500 * ms, Kind: Killed})
 			l.add(Event{At: sec, Kind: Submitted, ID: "a", Class: status, Duration: 10 * sec})
 			l.add(Event{At: 1300 * ms, Kind: Ready})
@@ -59,7 +59,7 @@
 		}},
 		"a notice after delivery and a kill, the folder worked by then": {OutcomeTwice, func(l *logBuilder) {
 			l.add(Event{At: sec, Kind: FolderFails})
-			l.add(Event{At: sec, Kind: FolderFails}) // in two ways
+			l.add(Event{At: sec, Kind: FolderFails}) // a second fault of the folder at the same time
 			l.add(Event{At: 1500 * ms, Kind: FolderWorks})
 			l.submit(sec, "a", status)
 			l.attempt(2*sec, "a", "h", OK, ms)
--- a/internal/faultinjection/checker/rule_overwrite.go
+++ b/internal/faultinjection/checker/rule_overwrite.go
@@ -1,13 +1,13 @@
 package checker
 
-// topic identifies the requests that supersede one another: those of a class and subject to a destination.
+// topic identifies requests of which a newer one supersedes the older ones: requests of one class and subject for one destination.
 type topic struct {
 	destination, class int
 	subject            string
 }
 
-// checkOverwrites checks that no redelivery was sent after a newer message of its topic had been delivered. It reports the first
-// one only.
+// checkOverwrites checks that no redelivery was sent after a newer message of its topic had been delivered. It reports only the
+// first violation.
 func (h *history) checkOverwrites(_ []Event) {
 	delivered := map[topic][]*request{}
 	for _, r := range h.requests {
@@ -19,7 +19,7 @@
 		if !r.redelivery || r.subject == "" {
 			continue
 		}
-		if a, newer := overwriting(r, delivered[r.topic()]); a != nil {
+		if a, newer := findOverwrite(r, delivered[r.topic()]); a != nil {
 			h.report(Overwritten, a.firstByte, r.id, a.relay, r.destination, "a status of %s resent after a newer one, %s, was delivered at %s",
 				r.subject, newer.id, formatTime(newer.deliveredAt))
 			return
@@ -27,11 +27,11 @@
 	}
 }
 
-// topic is the topic of a request.
+// topic returns the topic of a request.
 func (r *request) topic() topic { return topic{r.destination, r.class, r.subject} }
 
-// overwriting returns an attempt of a redelivery that may have overwritten a newer message, and that message; nil for none.
-func overwriting(r *request, delivered []*request) (*attempt, *request) {
+// findOverwrite returns an attempt of a redelivery that may have overwritten a newer message, and that message, or nil and nil.
+func findOverwrite(r *request, delivered []*request) (*attempt, *request) {
 	for _, newer := range delivered {
 		for _, a := range r.attempts {
 			if newer.message > r.message && a.mayHaveExecuted() && newer.deliveredAt < a.firstByte {
--- a/internal/faultinjection/checker/rule_overwrite_test.go
+++ b/internal/faultinjection/checker/rule_overwrite_test.go
@@ -31,7 +31,7 @@
 				c.build(l)
 			})
 			if !violatesOnly(report, c.rule) {
-				t.Errorf("want %q, got %+v", c.rule, report.Violations)
+				t.Errorf("want only a violation of %q, got %+v", c.rule, report.Violations)
 			}
 		})
 	}
--- a/internal/faultinjection/checker/rule_redelivery.go
+++ b/internal/faultinjection/checker/rule_redelivery.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// checkRedeliveries checks that attempts under ids of relays' own making keep to what the class of their message allows, over
-// all ids of the message.
+// checkRedeliveries checks that redeliveries, which relays send under ids that they generate, repeat a message only as its class
+// allows. It takes the attempts under all ids of the message into account.
 func (h *history) checkRedeliveries(_ []Event) {
 	byMessage := map[int][]*request{}
 	redelivered := false
@@ -22,13 +22,13 @@
 	}
 }
 
-// lineage is one message under all its ids.
+// lineage holds the attempts of one message under all its ids.
 type lineage struct {
-	attempts  []*attempt // in the order of their last bytes
+	attempts  []*attempt // ordered by the time of the last byte
 	requestOf map[*attempt]*request
 }
 
-// newLineage returns the lineage of the requests for one message.
+// newLineage returns the lineage of all requests that carry one message.
 func newLineage(requests []*request) lineage {
 	l := lineage{requestOf: map[*attempt]*request{}}
 	for _, r := range requests {
@@ -41,9 +41,9 @@
 	return l
 }
 
-// checkLineage checks the attempts of one message up to the first violation.
+// checkLineage checks the attempts of one message, and stops at the first violation.
 func (h *history) checkLineage(l lineage) {
-	var mayHaveExecuted, delivered *attempt // the first of each
+	var mayHaveExecuted, delivered *attempt // the first attempt of each kind
 	for _, a := range l.attempts {
 		if l.requestOf[a].redelivery && h.checkRedelivery(l, a, mayHaveExecuted, delivered) {
 			return
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkRedelivery checks an attempt of a redelivery against those before it, and reports whether it is a violation.
+// checkRedelivery checks an attempt of a redelivery against the earlier attempts, and returns whether it is a violation.
 func (h *history) checkRedelivery(l lineage, a, mayHaveExecuted, delivered *attempt) bool {
 	r := l.requestOf[a]
 	class := &h.Settings.Classes[r.class]
--- a/internal/faultinjection/checker/rule_redelivery_test.go
+++ b/internal/faultinjection/checker/rule_redelivery_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if report := judge(c.build); !violatesOnly(report, c.rule) {
-				t.Errorf("want %q, got %+v", c.rule, report.Violations)
+				t.Errorf("want only a violation of %q, got %+v", c.rule, report.Violations)
 			}
 		})
 	}
--- a/internal/faultinjection/checker/rule_restart.go
+++ b/internal/faultinjection/checker/rule_restart.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// half is the share of requests beyond which a rule that counts over a whole run is violated.
-	half = 0.5
-	// fewUntried is how many requests without an attempt prove nothing, or fewer.
-	fewUntried = 3
+	// toleratedShare is the share of the requests of a run that may break a rule that is applied to the run as a whole.
+	toleratedShare = 0.5
+	// maxInconclusiveUntried is the largest number of untried requests that is too small a sample to prove a violation.
+	maxInconclusiveUntried = 3
 )
 
-// untriedCount counts requests that restarts found accepted and without an attempt.
+// untriedCount counts the requests that were accepted and had no attempt yet when a relay restarted.
 type untriedCount struct {
 	found, failed int
 	lastFailed    *request
@@ -22,20 +22,21 @@
 	}
 }
 
-// violated reports whether more than half of a number that proves something failed without an attempt.
+// violated reports whether more than half of the requests failed without an attempt, and there were enough of them to prove it.
 func (c *untriedCount) violated() bool {
-	return c.found > fewUntried && float64(c.failed) > half*float64(c.found)
+	return c.found > maxInconclusiveUntried && float64(c.failed) > toleratedShare*float64(c.found)
 }
 
-// checkRestartedUntried checks that requests which a restart finds accepted and without an attempt still get one: at most half
-// of them may fail without, and at most half of those alone that may not simply be repeated and have half of their time left.
+// checkRestartedUntried checks that requests that were accepted and had no attempt yet when their relay restarted still get one. At
+// most half of them may fail without an attempt. The same limit applies separately to the requests among them that may not simply
+// be repeated and had at least half of their time left.
 func (h *history) checkRestartedUntried(log []Event) {
 	outages := readOutages(log)
 	var all, unrepeatable untriedCount
 	for relay, ends := range h.processEnds {
 		for _, end := range ends {
 			ready := readyAfter(log, relay, end)
-			for _, r := range h.untriedBy(relay, end, ready, outages) {
+			for _, r := range h.leftUntried(relay, end, ready, outages) {
 				all.add(r)
 				if !h.mayBeRepeated(r) && r.deadline-ready >= (r.deadline-r.submittedAt)/2 {
 					unrepeatable.add(r)
@@ -59,9 +60,9 @@
 	return h.Settings.Classes[r.class].Idempotency == idempotent
 }
 
-// untriedBy returns the requests that a process which ended left accepted and without an attempt, and for which the next
-// process, once it was ready, could still have made one.
-func (h *history) untriedBy(relay int, end, ready time.Duration, outages []outage) (untried []*request) {
+// leftUntried returns the requests that were accepted and had no attempt when a process ended, and for which the next process, which
+// was ready at the given time, could still have made an attempt.
+func (h *history) leftUntried(relay int, end, ready time.Duration, outages []outage) (untried []*request) {
 	for _, r := range h.requests {
 		if r.relay == relay && r.untriedAt(end) && r.deadline > ready && !destinationOut(outages, r, ready) {
 			untried = append(untried, r)
@@ -70,7 +71,7 @@
 	return untried
 }
 
-// readyAfter is when a relay was next ready after its process ended; never: it was not.
+// readyAfter returns when a relay was next ready after its process ended, or never.
 func readyAfter(log []Event, relay int, end time.Duration) time.Duration {
 	for _, e := range log {
 		if e.Kind == Ready && e.Relay == relay && e.At >= end {
@@ -80,8 +81,8 @@
 	return never
 }
 
-// untriedAt reports whether a request was accepted by a time, had neither outcome nor attempt by then, and was not lost with its
-// relay's machine.
+// untriedAt reports whether at a time a request was accepted and had neither an outcome nor an attempt. A request that was lost with
+// its relay's machine does not count.
 func (r *request) untriedAt(at time.Duration) bool {
 	if !r.accepted || r.redelivery || r.answeredAt > at || r.machineLostAt >= 0 {
 		return false
@@ -95,8 +96,9 @@
 // failedUntried reports whether a request failed without an attempt.
 func (r *request) failedUntried() bool { return len(r.attempts) == 0 && len(r.notices) > 0 }
 
-// destinationOut reports whether a request's destination was out as a whole at some time before its deadline: connections that
-// a kernel refuses are in no log, and a destination that is back may have to be spared.
+// destinationOut reports whether the whole destination of a request had an outage at some time between from and the request's
+// deadline. Such requests prove nothing: the log does not show attempts whose connections the kernel refused, and after the outage
+// the relay may have to limit its attempts while the destination recovers.
 func destinationOut(outages []outage, r *request, from time.Duration) bool {
 	for _, o := range outages {
 		if o.destination == r.destination && o.from < r.deadline && o.to > from {
--- a/internal/faultinjection/checker/rule_restart_test.go
+++ b/internal/faultinjection/checker/rule_restart_test.go
@@ -12,7 +12,7 @@
 			for i := range 7 {
 				l.submit(sec+time.Duration(i)*ms, fmt.Sprint(i), status)
 			}
-			l.attempt(1500*ms, "0", "h", Rejected, ms) // tried before
+			l.attempt(1500*ms, "0", "h", Rejected, ms) // attempted before the restart
 			l.restart(2 * sec)
 			l.attempt(7*sec, "0", "h", OK, ms)
 			l.attempt(7*sec, "1", "h", OK, ms)
--- a/internal/faultinjection/checker/rule_retry_after.go
+++ b/internal/faultinjection/checker/rule_retry_after.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// route is one relay and one destination.
+// route is a pair of a relay and a destination.
 type route struct{ relay, destination int }
 
-// hold is a time during which a relay may send nothing on a route, after a response with a Retry-After.
+// hold is the interval after a response with a Retry-After in which a relay may send nothing on a route.
 type hold struct{ from, until time.Duration }
 
-// checkRetryAfter checks that a relay which got a Retry-After sent nothing to the destination until it was over.
+// checkRetryAfter checks that a relay that got a Retry-After sent nothing to the destination until that time had passed.
 func (h *history) checkRetryAfter(_ []Event) {
 	holds := h.holds()
 	for _, a := range h.attempts {
 		on := route{a.relay, a.destination}
-		// Attempts come in the order of their last bytes: a hold that is over for one is over for all that follow.
+		// The attempts are in the order of their last bytes: a hold that is over for one attempt is over for all later ones.
 		holds[on] = slices.DeleteFunc(holds[on], func(held hold) bool {
 			if a.lastByte >= held.until {
 				return true
@@ -26,12 +26,13 @@
 			}
 			h.report(RetryAfterIgnored, a.lastByte, h.idOf(a), a.relay, a.destination, "call to %s %s before the end of a wait told at %s", a.endpoint,
 				formatTime(held.until-a.lastByte), formatTime(held.from))
-			return true // one violation a hold
+			return true // report one violation per hold
 		})
 	}
 }
 
-// holds returns the holds of each route, in the order in which they began. The end of a relay's process ends its holds.
+// holds returns the holds of each route, in the order of the attempts that caused them. A hold ends early when the relay's process
+// ends.
 func (h *history) holds() map[route][]hold {
 	holds := map[route][]hold{}
 	for _, a := range h.attempts {
--- a/internal/faultinjection/checker/rule_slow_start.go
+++ b/internal/faultinjection/checker/rule_slow_start.go
@@ -6,18 +6,18 @@
 	"frostlink/internal/settings"
 )
 
-// checkSlowStart checks that no destination that came back cold was overloaded by relays that had observed its outage.
+// checkSlowStart checks that no destination that was cold after an outage was overloaded by relays that had observed the outage.
 func (h *history) checkSlowStart(log []Event) {
 	all := readOutages(log)
 	for _, o := range all {
 		if o.cold {
-			h.checkRecovery(o, warmingUntil(h.Destinations[o.destination], o, all))
+			h.checkRecovery(o, warmUpEnd(h.Destinations[o.destination], o, all))
 		}
 	}
 }
 
-// warmingUntil is when a destination has warmed up after an outage, or is out again.
-func warmingUntil(d Destination, o outage, all []outage) time.Duration {
+// warmUpEnd returns when a destination has warmed up after an outage, or when its next outage begins if that is earlier.
+func warmUpEnd(d Destination, o outage, all []outage) time.Duration {
 	until := o.to + d.SlowStartTime
 	for _, later := range all {
 		if later.destination == o.destination && later.from >= o.to {
@@ -27,7 +27,8 @@
 	return until
 }
 
-// checkRecovery checks the recovery from one outage. It reports the first overload only: from then on the destination is out.
+// checkRecovery checks the recovery from one outage. It reports only the first overload, because the overload takes the destination
+// out again.
 func (h *history) checkRecovery(o outage, until time.Duration) {
 	window := settings.Seconds(h.Settings.Rules.OverloadWindowS)
 	observed := map[int]bool{}
@@ -47,25 +48,24 @@
 		if float64(len(recent)) <= budget {
 			continue
 		}
-		byObservers, worst := countByObservers(recent, observed)
+		byObservers, busiest := countByObservers(recent, observed)
 		if float64(byObservers) >= overloadShare*float64(len(recent)) {
-			h.report(DestinationOverloaded, a.lastByte, "", worst, o.destination, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
+			h.report(DestinationOverloaded, a.lastByte, "", busiest, o.destination, "%d calls in %.1f s, %s after its outage, where it bears %.0f; %d of them by relays that had seen it out",
 				len(recent), h.Settings.Rules.OverloadWindowS, formatTime(a.lastByte-o.to), budget, byObservers)
 		}
 		return
 	}
 }
 
-// recoveryBudget is how many attempts within the window of the settings a destination has capacity for at a time after an
-// outage.
+// recoveryBudget returns the number of attempts that a destination may get within the overload window at a time after an outage.
 func (h *history) recoveryBudget(o outage, at time.Duration) float64 {
 	rules, d := &h.Settings.Rules, h.Destinations[o.destination]
-	warmth := d.ColdCapacity + (1-d.ColdCapacity)*min(1, float64(at-o.to)/float64(max(1, d.SlowStartTime)))
-	return rules.OverloadFactor*d.Capacity*warmth*rules.OverloadWindowS + overloadSlack
+	capacityFraction := d.ColdCapacity + (1-d.ColdCapacity)*min(1, float64(at-o.to)/float64(max(1, d.SlowStartTime)))
+	return rules.OverloadFactor*d.Capacity*capacityFraction*rules.OverloadWindowS + overloadSlack
 }
 
-// countByObservers counts the attempts of relays that had observed an outage, and returns the relay that made most of them.
-func countByObservers(attempts []*attempt, observed map[int]bool) (count, worst int) {
+// countByObservers returns the number of attempts by relays that had observed an outage, and the relay that made most of them.
+func countByObservers(attempts []*attempt, observed map[int]bool) (count, busiest int) {
 	byRelay := map[int]int{}
 	for _, a := range attempts {
 		if !observed[a.relay] {
@@ -73,16 +73,16 @@
 		}
 		count++
 		byRelay[a.relay]++
-		if byRelay[a.relay] > byRelay[worst] || byRelay[worst] == 0 {
-			worst = a.relay
+		if byRelay[a.relay] > byRelay[busiest] || byRelay[busiest] == 0 {
+			busiest = a.relay
 		}
 	}
-	return count, worst
+	return count, busiest
 }
 
-// observedOutage reports whether a relay had an attempt or health check fail or be rejected at a destination during its outage.
-// Connections that the kernel refuses, or that never come up, are in no log: there a relay that had a request for the
-// destination in flight for long enough counts as having tried.
+// observedOutage reports whether an attempt or health check of a relay failed or was rejected at a destination during its outage.
+// The log does not show connections that the kernel refused or that were never established. For such an outage a relay counts as
+// having observed it if the relay had a request for the destination in flight for long enough.
 func (h *history) observedOutage(relay int, o outage) bool {
 	for _, a := range h.attempts {
 		if a.relay == relay && a.destination == o.destination && a.firstByte <= o.to && a.endedAt >= o.from && a.failed() {
@@ -91,9 +91,9 @@
 	}
 	needed := observedAfter
 	switch o.kind {
-	case outageGone:
+	case outageUnreachable:
 		needed += settings.Seconds(h.Settings.Limits.ConnectTimeoutS)
-	case outageRefuse, outageFell:
+	case outageRefused, outageOverloaded:
 	default:
 		return false
 	}
@@ -105,7 +105,7 @@
 	return false
 }
 
-// inFlightDuring is for how long of an outage a request was accepted and not completed.
+// inFlightDuring returns for how long during an outage a request was accepted and not completed.
 func (r *request) inFlightDuring(o outage) time.Duration {
 	completed := r.completedAt()
 	if completed < 0 {
--- a/internal/faultinjection/checker/violation.go
+++ b/internal/faultinjection/checker/violation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Rule is the name of a rule, as reports print it.
+// Rule is the name of a rule as reports print it.
 type Rule string
 
 // The rules.
@@ -10,7 +10,7 @@
 	OutcomeMissing        Rule = "message lost"
 	OutcomeLate           Rule = "late end"
 	OutcomeTwice          Rule = "two ends"
-	Unanswered            Rule = "closed without an answer" // to a complete request, on a new connection
+	Unanswered            Rule = "closed without an answer" // a complete request got no response before the relay closed the connection
 	ExecutedTwice         Rule = "effect twice"
 	ConcurrentAttempts    Rule = "second copy"
 	DrainBroken           Rule = "drain not kept"
@@ -27,12 +27,12 @@
 	DeadLetterWrong       Rule = "undelivered message kept wrongly"
 )
 
-// Violation is a rule that was broken.
+// Violation is one case in which a run broke a rule.
 type Violation struct {
 	Rule        Rule          `json:"rule"`
 	At          time.Duration `json:"at"`
 	ID          string        `json:"id,omitempty"`
-	Relay       int           `json:"relay"` // from 1
+	Relay       int           `json:"relay"` // numbered from 1
 	Destination string        `json:"partner,omitempty"`
 	Text        string        `json:"text"`
 }
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -6,19 +6,19 @@
 	"frostlink/internal/settings"
 )
 
-// windowLength is the length of the windows of which the worst is reported, and windowStep how far apart they begin.
+// windowLength is the length of the windows of which the worst is reported; windowStep is the time between the starts of two windows.
 const windowLength, windowStep = 10 * time.Second, time.Second
 
-// Request is a message as the scenario's workload has it.
+// Request is a message of the scenario's workload.
 type Request struct {
 	At          time.Duration
 	Destination int
 	Class       int
-	Tenant      int // -1: none
-	OverQuota   bool
+	Tenant      int  // -1: none
+	OverQuota   bool // beyond the quota of its tenant
 }
 
-// DeliveredWeight is the delivered share of the priority weight that was requested, from 0 to 1.
+// DeliveredWeight is the share of the requested priority weight that was delivered, from 0 to 1.
 type DeliveredWeight struct {
 	Total            float64            `json:"whole"`
 	WorstWindow      float64            `json:"worst_10_s"`
@@ -29,15 +29,15 @@
 	WorstTenant      float64            `json:"worst_tenant"`
 }
 
-// MeasureWeight adds the outcomes of all messages of the workload to a report, and how much of their weight was delivered.
+// MeasureWeight adds the outcomes of all messages of the workload, and the share of their weight that was delivered, to a report.
 func (r *Report) MeasureWeight(parameters Parameters, workload []Request, log []Event) {
-	served := readServed(log)
+	outcomes := readMessageOutcomes(log)
 	totals := newWeightTotals(parameters, workload)
 	r.TimeToDelivery = map[string]Quantiles{}
 	r.Counts.Requested = len(workload)
-	for message, drawn := range workload {
-		r.countOutcome(served, message, drawn, &parameters.Settings.Classes[drawn.Class])
-		totals.add(served, message, drawn)
+	for message, planned := range workload {
+		r.countOutcome(outcomes, message, planned, &parameters.Settings.Classes[planned.Class])
+		totals.add(outcomes, message, planned)
 	}
 	r.DeliveredWeight = totals.deliveredWeight()
 	for i, times := range totals.times {
@@ -45,20 +45,20 @@
 	}
 }
 
-// weightTotals adds up the weight that was requested and delivered.
+// weightTotals sums the requested and the delivered weight.
 type weightTotals struct {
 	settings         *settings.Settings
 	total            fraction
 	classes, tenants []fraction
 	windows          []fraction
-	times            [][]float64 // to delivery in seconds, by class
+	times            [][]float64 // times to delivery in seconds, by class
 }
 
-// newWeightTotals returns totals of 0, with windows for a workload.
+// newWeightTotals returns totals of 0, with the windows that a workload needs.
 func newWeightTotals(parameters Parameters, workload []Request) *weightTotals {
 	var last time.Duration
-	for _, drawn := range workload {
-		last = max(last, drawn.At)
+	for _, planned := range workload {
+		last = max(last, planned.At)
 	}
 	return &weightTotals{
 		settings: &parameters.Settings,
@@ -69,30 +69,30 @@
 	}
 }
 
-// add adds a message.
-func (w *weightTotals) add(s *served, message int, drawn Request) {
-	class := &w.settings.Classes[drawn.Class]
+// add adds a message to the totals.
+func (w *weightTotals) add(s *messageOutcomes, message int, planned Request) {
+	class := &w.settings.Classes[planned.Class]
 	requested, delivered := class.PriorityWeight, 0.0
-	if drawn.OverQuota {
+	if planned.OverQuota {
 		requested *= w.settings.OverQuotaFraction
 	}
 	if at, ok := s.deliveredAt[message]; ok {
-		delivered = requested * RemainingWeight(class, at-drawn.At)
-		w.times[drawn.Class] = append(w.times[drawn.Class], (at - drawn.At).Seconds())
+		delivered = requested * RemainingWeight(class, at-planned.At)
+		w.times[planned.Class] = append(w.times[planned.Class], (at - planned.At).Seconds())
 	}
 	w.total.add(delivered, requested)
-	w.classes[drawn.Class].add(delivered, requested)
-	if drawn.Tenant >= 0 && !drawn.OverQuota {
-		w.tenants[drawn.Tenant].add(delivered, requested)
+	w.classes[planned.Class].add(delivered, requested)
+	if planned.Tenant >= 0 && !planned.OverQuota {
+		w.tenants[planned.Tenant].add(delivered, requested)
 	}
 	for i := range w.windows {
-		if from := time.Duration(i) * windowStep; drawn.At >= from && drawn.At < from+windowLength {
+		if from := time.Duration(i) * windowStep; planned.At >= from && planned.At < from+windowLength {
 			w.windows[i].add(delivered, requested)
 		}
 	}
 }
 
-// deliveredWeight returns the result.
+// deliveredWeight returns the delivered shares of the totals.
 func (w *weightTotals) deliveredWeight() DeliveredWeight {
 	result := DeliveredWeight{Total: w.total.share(), ByClass: map[string]float64{}, WorstClass: 1, WorstTenant: 1, WorstWindow: 1}
 	for i, window := range w.windows {
@@ -114,15 +114,15 @@
 	return result
 }
 
-// fraction is the weight that was delivered of what was requested.
+// fraction is a requested weight and the part of it that was delivered.
 type fraction struct{ delivered, requested float64 }
 
-// add adds a message.
+// add adds the weights of a message.
 func (f *fraction) add(delivered, requested float64) {
 	f.delivered, f.requested = f.delivered+delivered, f.requested+requested
 }
 
-// share is the delivered share; all of nothing.
+// share returns the delivered share; 1 if nothing was requested.
 func (f fraction) share() float64 {
 	if f.requested == 0 {
 		return 1
@@ -130,8 +130,8 @@
 	return f.delivered / f.requested
 }
 
-// RemainingWeight is the share of its weight that a message still has at an age: all of it up to the latency objective, then
-// linearly less down to the late fraction at the deadline, and nothing after.
+// RemainingWeight returns the share of its weight that a message still has at an age: 1 up to the latency objective, from there
+// falling linearly to the late fraction at the deadline, and 0 after the deadline.
 func RemainingWeight(class *settings.Class, age time.Duration) float64 {
 	objective, deadline := settings.Seconds(class.LatencyObjectiveS), settings.Seconds(class.DeadlineS)
 	switch {
--- a/internal/faultinjection/checker/weight_test.go
+++ b/internal/faultinjection/checker/weight_test.go
@@ -21,7 +21,7 @@
 		id := fmt.Sprint(i)
 		l.add(Event{At: at, Kind: Submitted, ID: id, Message: i, Duration: 10 * sec})
 		switch {
-		case i == 0: // delivered before its client got the response
+		case i == 0: // delivered before the client got the response
 			l.attempt(at+ms, id, "h", OK, ms)
 			l.add(Event{At: at + 10*ms, Kind: Answered, ID: id, Status: 202})
 		case i < 10: // delivered in time
@@ -39,7 +39,7 @@
 	wantNear := func(what string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s %v, want %v", what, got, want)
+			t.Errorf("%s is %v, want %v", what, got, want)
 		}
 	}
 	wantNear("total", report.DeliveredWeight.Total, (10+7.5)/29.2)
@@ -47,6 +47,6 @@
 	wantNear("its start", report.DeliveredWeight.WorstWindowStart.Seconds(), 20)
 	wantNear("worst tenant", report.DeliveredWeight.WorstTenant, (5+3.75)/15)
 	if report.Counts.Delivered != 20 || report.Counts.InTime != 10 || report.Counts.Rejected != 10 || report.Counts.Accepted != 20 {
-		t.Errorf("counts %+v", report.Counts)
+		t.Errorf("unexpected counts: %+v", report.Counts)
 	}
 }
