--- a/internal/faultinjection/harness/endpoint_replacement.go
+++ b/internal/faultinjection/harness/endpoint_replacement.go
@@ -29,7 +29,7 @@
 	random.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] })
 	endpoints = endpoints[:int(math.Ceil(f.Share*float64(len(endpoints))))]
 	for i, old := range endpoints {
-		at := scenario.Seconds(f.At + f.Over*float64(i)/float64(max(1, len(endpoints)-1)))
+		at := scenario.Seconds(f.At + f.ReplacementTime*float64(i)/float64(max(1, len(endpoints)-1)))
 		reusesAddresses := random.Float64() < f.ReusedAddresses
 		removal := newRemoval(h, f, f.index*replacementsPerFault+i, at, old)
 		actions = append(actions, removal.schedule()...)
--- a/internal/faultinjection/scenario/arrival.go
+++ b/internal/faultinjection/scenario/arrival.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// ArrivalRate returns the messages per second that arrive at a time, bursts included.
+// ArrivalRate returns the number of messages per second that arrive at a time, including those of bursts.
 func (s *Scenario) ArrivalRate(at float64) float64 {
 	rate := s.Load.Rate * s.loadFactor(at)
 	for i := range s.Faults {
@@ -13,7 +13,7 @@
 	return rate
 }
 
-// loadFactor returns the factor of the rate that the load's shape gives at a time.
+// loadFactor returns the factor by which the shape of the load multiplies the mean rate at a time.
 func (s *Scenario) loadFactor(at float64) float64 {
 	switch s.Load.Shape {
 	case LoadWave:
@@ -25,7 +25,7 @@
 	return 1
 }
 
-// surgeFactor returns the factor of an active load surge, which rises and falls linearly over its ramp time.
+// surgeFactor returns the factor by which an active load surge multiplies the rate. It rises and falls linearly over the ramp time.
 func (f *Fault) surgeFactor(at float64) float64 {
 	progress := 1.0
 	if f.RampTime > 0 {
@@ -34,9 +34,9 @@
 	return 1 + (f.Factor-1)*progress
 }
 
-// maxArrivalRate returns a bound of the arrival rate over the whole run, from samples of it.
+// maxArrivalRate returns an upper bound of the arrival rate over the whole run, estimated from samples.
 func (s *Scenario) maxArrivalRate() float64 {
-	const sampleInterval, margin = 0.1, 1.05 // the margin is for peaks between samples
+	const sampleInterval, margin = 0.1, 1.05 // the margin covers peaks between two samples
 	highest := 0.0
 	for at := 0.0; at < s.Length; at += sampleInterval {
 		highest = max(highest, s.ArrivalRate(at))
@@ -44,7 +44,7 @@
 	return highest * margin
 }
 
-// trafficShares returns the destinations' shares of the traffic at a time; their sum is 1.
+// trafficShares returns the share of the traffic of each destination at a time. The shares add up to 1.
 func (s *Scenario) trafficShares(at float64) []float64 {
 	shares, sum := make([]float64, len(s.Destinations)), 0.0
 	for i := range s.Destinations {
--- a/internal/faultinjection/scenario/burst.go
+++ b/internal/faultinjection/scenario/burst.go
@@ -8,10 +8,10 @@
 // burstGap is the mean time between the messages of one burst.
 const burstGap = 20 * time.Millisecond
 
-// minBurstSize is the least number of messages that arrive as a burst.
+// minBurstSize is the smallest number of messages in a burst.
 const minBurstSize = 2
 
-// burstMessages draws the messages that arrive in bursts, each for one destination.
+// burstMessages draws the messages that arrive in bursts. All messages of a burst are for the same destination.
 func (s *Scenario) burstMessages(streams RandomStreams) []*Message {
 	if s.Load.BurstShare == 0 {
 		return nil
@@ -30,7 +30,7 @@
 	}
 }
 
-// drawBurst draws the times of one burst's messages. What would come after the run is left out.
+// drawBurst draws the times of the messages of one burst. Messages after the end of the run are left out.
 func (s *Scenario) drawBurst(random *rand.Rand, destination int, start float64, size int) []*Message {
 	var messages []*Message
 	at, end := Seconds(start), Seconds(s.Length)
@@ -43,12 +43,13 @@
 	return messages
 }
 
-// burstSize returns the messages of a burst: what its destination admits in a time, so that larger destinations get larger bursts.
+// burstSize returns the number of messages of a burst: as many as its destination admits in the given time, so that larger
+// destinations get larger bursts.
 func (s *Scenario) burstSize(destination int, seconds float64) int {
 	return max(minBurstSize, int(s.AdmittedRate(&s.Destinations[destination])*seconds))
 }
 
-// meanBurstSize returns the mean over all destinations, at the shares of the run's start.
+// meanBurstSize returns the mean burst size over all destinations, weighted by their traffic shares at the start of the run.
 func (s *Scenario) meanBurstSize() float64 {
 	mean := 0.0
 	for i, share := range s.trafficShares(0) {
--- a/internal/faultinjection/scenario/defaults.go
+++ b/internal/faultinjection/scenario/defaults.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/strictconfig"
 )
 
-// newWithDefaults returns a scenario with the defaults of all tables with one row. They are the figures of the deployment that
-// frostlink was built for.
+// newWithDefaults returns a scenario with the default values of all tables that occur once. The values are those of the deployment
+// that frostlink was built for.
 func newWithDefaults() *Scenario {
 	return &Scenario{
 		Seed: 1,
@@ -31,7 +31,7 @@
 	}
 }
 
-// applyDefaults sets what the rows of arrays of tables leave out.
+// applyDefaults sets the default values of keys that elements of arrays of tables leave out.
 func (s *Scenario) applyDefaults(document *strictconfig.Document) {
 	for i := range s.Classes {
 		s.Classes[i].applyDefaults(document, elementPrefix("class", i))
@@ -90,12 +90,12 @@
 	}
 }
 
-// setDefault sets a field whose key the file lacks.
+// setDefault sets a field to a value if the file does not have the field's key.
 func setDefault[T any](document *strictconfig.Document, key string, field *T, value T) {
 	if !document.Has(key) {
 		*field = value
 	}
 }
 
-// elementPrefix returns the prefix of the keys of an array's element, such as "class[1]." for index 0.
+// elementPrefix returns the prefix of the keys of an element of an array of tables, such as "class[1]." for index 0.
 func elementPrefix(array string, index int) string { return fmt.Sprintf("%s[%d].", array, index+1) }
--- a/internal/faultinjection/scenario/fault.go
+++ b/internal/faultinjection/scenario/fault.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Fault is something that goes wrong, or changes, at a time of the run. [FaultKind] says which of the fields each kind uses.
+// Fault is a failure or a change at a time of the run. The constants of type [FaultKind] are its kinds; each kind uses some of the fields.
 type Fault struct {
 	At              float64   `toml:"at_s,required"`
 	Kind            FaultKind `toml:"what,required"`
@@ -15,32 +15,32 @@
 	Share           float64   `toml:"share"`
 	RampTime        float64   `toml:"rise_s"`
 	DrainTime       float64   `toml:"drain_s"`
-	Over            float64   `toml:"over_s"`   // the time over which endpoints are replaced
-	ReusedAddresses float64   `toml:"reused"`   // fraction of new endpoints that get the address of one that was removed
-	RestartDelay    float64   `toml:"back_s"`   // until a relay is started again
+	ReplacementTime float64   `toml:"over_s"`   // time over which the replacements of the endpoints are spread
+	ReusedAddresses float64   `toml:"reused"`   // fraction of new endpoints that get the address of a removed endpoint
+	RestartDelay    float64   `toml:"back_s"`   // time until a relay is started again
 	Mode            string    `toml:"how"`      // of a discovery outage, one of the DiscoveryX constants
-	Classes         []string  `toml:"classes"`  // of the settings from then on
-	MaxAttempts     int       `toml:"attempts"` // of the settings from then on
+	Classes         []string  `toml:"classes"`  // the classes in the settings from then on
+	MaxAttempts     int       `toml:"attempts"` // the attempt limit in the settings from then on
 	Corruption      string    `toml:"broken"`   // of a settings file, one of the CorruptionX constants
-	IdleCallers     int       `toml:"callers"`  // connections to the admin endpoint that send nothing
-	StaysWarm       bool      `toml:"warm"`     // the destination is not cold after the outage
-	ClockStep       float64   `toml:"by_s"`     // seconds by which the wall clock is stepped; negative: back
+	IdleCallers     int       `toml:"callers"`  // callers that hold connections: to the admin endpoint, or, in a crowd, to the relay
+	StaysWarm       bool      `toml:"warm"`     // the destination has its full capacity right after the outage
+	ClockStep       float64   `toml:"by_s"`     // seconds by which the wall clock is stepped; negative: backwards
 	Syscall         string    `toml:"call"`     // the system call that fails, a key of SocketSyscalls
-	Errno           string    `toml:"errno"`    // the error that it returns, a name that Errno knows
+	Errno           string    `toml:"errno"`    // the error that the system call returns, a name that Errno accepts
 	Signals         string    `toml:"signals"`  // around a shutdown or handover, one of the SignalsX constants
-	RestartAgain    float64   `toml:"again_s"`  // the process is replaced the same way so long after the next one is ready; 0: once only
-	AfterAcceptance bool      `toml:"behind"`   // the process is killed right after it has accepted a request
+	RestartAgain    float64   `toml:"again_s"`  // time after the new process is ready until that process is replaced in the same way; 0: no second replacement
+	AfterAcceptance bool      `toml:"behind"`   // the process is killed right after it accepts a request
 }
 
-// Series of signals around a graceful shutdown, or around a handover.
+// Series of signals around a graceful shutdown or a hand-over.
 const (
-	// SignalsReload is SIGHUP with new settings right before SIGTERM, and both again and again until the process has ended.
+	// SignalsReload is SIGHUP with new settings right before SIGTERM, and both repeated until the process has ended.
 	SignalsReload = "reload"
-	// SignalsRepeated is SIGTERM twice at once.
+	// SignalsRepeated is SIGTERM twice in immediate succession.
 	SignalsRepeated = "repeated"
-	// SignalsStarting is SIGTERM also to the next process while it starts and reads its journal.
+	// SignalsStarting is SIGTERM, and SIGTERM also to the next process while that starts and reads its journal.
 	SignalsStarting = "starting"
-	// SignalsStuck is a shutdown that hangs before its end: the process is suspended, and killed when its time is up.
+	// SignalsStuck is a shutdown that hangs: the process is suspended before it ends, and killed when the time for the shutdown is up.
 	SignalsStuck = "stuck"
 	// SignalsHandover is SIGTERM to the predecessor while its successor takes over.
 	SignalsHandover = "handover"
@@ -61,24 +61,24 @@
 	CorruptionZeroValue  = "zero"
 )
 
-// IsOutage reports whether a fault is an outage of its destination's endpoints, after which they are cold.
+// IsOutage reports whether a fault is an outage of its destination's endpoints. After an outage they are cold unless StaysWarm is set.
 func (f *Fault) IsOutage() bool { return faultKinds[f.Kind].outage }
 
-// isActive reports whether a fault with a duration holds at a time.
+// isActive reports whether a fault with a duration is active at a time.
 func (f *Fault) isActive(at float64) bool { return at >= f.At && at < f.At+f.Duration }
 
-// overlaps reports whether two faults with durations hold at one time.
+// overlaps reports whether two faults with durations are active at the same time.
 func (f *Fault) overlaps(other *Fault) bool {
 	return f.At < other.At+other.Duration && other.At < f.At+f.Duration
 }
 
-// Upgrades reports whether relay processes are upgraded.
+// Upgrades reports whether the scenario upgrades relay processes.
 func (s *Scenario) Upgrades() bool { return s.hasFault(FaultUpgrade) }
 
-// StepsClocks reports whether relays' wall clocks are stepped.
+// StepsClocks reports whether the scenario steps wall clocks of relays.
 func (s *Scenario) StepsClocks() bool { return s.hasFault(FaultClockStep) }
 
-// FailsSyscalls reports whether system calls of relays are made to fail.
+// FailsSyscalls reports whether the scenario makes system calls of relays fail.
 func (s *Scenario) FailsSyscalls() bool {
 	return s.hasFault(FaultSyscallErrors) || s.hasFault(FaultDiskErrors)
 }
--- a/internal/faultinjection/scenario/fault_kinds.go
+++ b/internal/faultinjection/scenario/fault_kinds.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// FaultKind is the kind of a fault. It is the word of the file, and so of the timeline and the history of a run.
+// FaultKind is the kind of a fault, as the scenario file, the timeline and the history of a run name it.
 type FaultKind = string
 
 // Faults of destinations.
@@ -10,11 +10,11 @@
 	FaultConnectionsRefused FaultKind = "refuse"  // endpoints refuse connections and reset open ones
 	FaultOverloaded         FaultKind = "shut"    // endpoints reject everything
 	FaultUnresponsive       FaultKind = "silent"  // endpoints accept connections and never respond
-	FaultUnreachable        FaultKind = "gone"    // endpoints behave like a machine that vanished
+	FaultUnreachable        FaultKind = "gone"    // endpoints behave like a machine that has disappeared from the network
 	FaultFailing            FaultKind = "failing" // endpoints respond to a share of attempts with an error
 	FaultSlowdown           FaultKind = "slow"    // service times are multiplied
 	FaultResets             FaultKind = "reset"   // a share of connections is reset after the request body
-	FaultPause              FaultKind = "pause"   // endpoints stop executing
+	FaultPause              FaultKind = "pause"   // endpoints stop executing attempts
 	FaultDrain              FaultKind = "drain"   // an endpoint drains and is removed
 	FaultReplacement        FaultKind = "replace" // a share of endpoints is replaced
 )
@@ -22,7 +22,7 @@
 // Changes of the load.
 const (
 	FaultLoadSurge    FaultKind = "jump" // the arrival rate is multiplied
-	FaultTrafficShift FaultKind = "draw" // one destination attracts a share of all traffic
+	FaultTrafficShift FaultKind = "draw" // one destination gets a share of all traffic in addition to its own
 )
 
 // Faults of relays' processes and machines.
@@ -30,27 +30,27 @@
 	FaultKill           FaultKind = "kill"           // SIGKILL, and a restart
 	FaultTerminate      FaultKind = "term"           // SIGTERM, and a restart
 	FaultMachineLost    FaultKind = "lose"           // SIGKILL, and a restart with an empty folder
-	FaultSuspend        FaultKind = "hang"           // the process is stopped for a time
+	FaultSuspend        FaultKind = "hang"           // the process is suspended for a time
 	FaultUpgrade        FaultKind = "upgrade"        // handover to a new process
-	FaultStandby        FaultKind = "standby"        // the operator has the relay in standby for a time
+	FaultStandby        FaultKind = "standby"        // the operator keeps the relay in standby for a time
 	FaultSettingsChange FaultKind = "settings"       // a new settings file, or a corrupt one
-	FaultAdminLoad      FaultKind = "scrape"         // the admin endpoint is polled, and idle callers hold connections to it
-	FaultClockStep      FaultKind = "clock_step"     // the wall clock is stepped; the monotonic clock runs on
+	FaultAdminLoad      FaultKind = "scrape"         // the admin endpoint is polled while idle callers hold connections to it
+	FaultClockStep      FaultKind = "clock_step"     // the wall clock is stepped; the monotonic clock is not affected
 	FaultSyscallErrors  FaultKind = "syscall_errors" // a share of system calls on sockets fails
 	FaultDiskErrors     FaultKind = "disk_errors"    // a share of system calls that write to the relay's folder fails
-	FaultCrowd          FaultKind = "crowd"          // callers hold connections to the relay, idle or with half a request
+	FaultCrowd          FaultKind = "crowd"          // callers hold connections to the relay, idle or with an incomplete request
 )
 
 // Faults of discovery and of the network between relays.
 const (
 	FaultDiscoveryMove      FaultKind = "move"     // the discovery service moves to another address
-	FaultDiscoveryDown      FaultKind = "register" // discovery fails
+	FaultDiscoveryDown      FaultKind = "register" // discovery is down
 	FaultNetworkPartition   FaultKind = "split"
 	FaultDatagramLoss       FaultKind = "loss"
 	FaultDatagramTruncation FaultKind = "halve"
 )
 
-// faultKindSpec says which keys a kind of fault takes besides at_s and what, and whether it is an outage of endpoints.
+// faultKindSpec defines the keys that a kind of fault takes besides at_s and what, and whether the fault is an outage of endpoints.
 type faultKindSpec struct {
 	required, optional []string
 	outage             bool
--- a/internal/faultinjection/scenario/messages.go
+++ b/internal/faultinjection/scenario/messages.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Message is a message that clients want delivered. All of it is drawn before the run, so that two runs of a scenario with one
-// seed submit the same messages, whatever relays respond.
+// Message is a message that a client submits for delivery. All fields are drawn before the run, so that two runs of a scenario with
+// the same seed submit the same messages regardless of the relays' responses.
 type Message struct {
 	Number            int
-	At                time.Duration // of its first submission
-	Destination       int           // its index in the scenario
-	Class             int           // its index in the scenario
-	Tenant            int           // its index in the scenario; -1: none
-	OverQuota         bool          // beyond its tenant's quota
-	RelayDraw         float64       // 0 to 1: decides which relay it is submitted to
-	Key               string        // idempotency key, in classes that are idempotent by key
-	OrderKey          string        // in ordered classes
-	Subject           string        // whose status it reports; the highest number is the newest; "": none
+	At                time.Duration // time of its first submission
+	Destination       int           // index in the scenario
+	Class             int           // index in the scenario
+	Tenant            int           // index in the scenario; -1: none
+	OverQuota         bool          // beyond the quota of its tenant
+	RelayDraw         float64       // random number from 0 to 1 that selects the relay for the submission
+	Key               string        // idempotency key, only in classes that are idempotent by key
+	OrderKey          string        // only in ordered classes
+	Subject           string        // the subject whose status the message reports; the highest Number is the newest; "": none
 	BodySize          int           // bytes
 	HonoursRetryAfter bool
-	Backoff           []time.Duration // before each retry
-	ResubmitDelay     time.Duration   // until another relay is sent what a dead one had accepted
+	Backoff           []time.Duration // wait before each retry
+	ResubmitDelay     time.Duration   // time until a message that a lost relay had accepted is submitted to another relay
 }
 
-// Messages draws all messages that clients submit, by time.
+// Messages draws all messages that clients submit, ordered by time.
 func (s *Scenario) Messages(streams RandomStreams) []*Message {
 	all := append(s.singleMessages(streams), s.burstMessages(streams)...)
 	slices.SortStableFunc(all, func(a, b *Message) int { return cmp.Compare(a.At, b.At) })
@@ -42,8 +42,8 @@
 	return all
 }
 
-// singleMessages draws the messages that arrive by themselves: a Poisson process at the maximum rate, thinned to the rate of
-// each time.
+// singleMessages draws the messages that are not part of a burst: a Poisson process at the maximum rate, thinned to the arrival rate
+// at each time.
 func (s *Scenario) singleMessages(streams RandomStreams) []*Message {
 	var all []*Message
 	times, destinations := streams.Stream("arrivals"), streams.Stream("partners")
@@ -57,7 +57,7 @@
 	return all
 }
 
-// BacklogMessages draws messages that were submitted before the run. Their numbers begin at first.
+// BacklogMessages draws messages that were submitted before the run. They are numbered from first.
 func (s *Scenario) BacklogMessages(streams RandomStreams, first, count int) []*Message {
 	destinations, shares := streams.Stream("partners before"), s.trafficShares(0)
 	all := make([]*Message, count)
@@ -70,7 +70,7 @@
 	return all
 }
 
-// drawDetails draws what depends on a message's number and time alone.
+// drawDetails draws the fields of a message that depend only on its number and time.
 func (s *Scenario) drawDetails(streams RandomStreams, m *Message) {
 	random := streams.Stream("message", m.Number)
 	m.Class = drawIndex(random, s.classShares(m.At))
@@ -91,7 +91,7 @@
 	}
 }
 
-// classShares returns the weights of the classes among the messages of a time.
+// classShares returns the weight of each class among the messages at a time; 0 for classes that are not offered then.
 func (s *Scenario) classShares(at time.Duration) []float64 {
 	shares := make([]float64, len(s.Classes))
 	for i := range s.Classes {
@@ -102,8 +102,8 @@
 	return shares
 }
 
-// drawBackoff draws the waits before each retry: exponential backoff with a base of the client's own, and jitter of half a wait
-// either way.
+// drawBackoff draws the waits before the retries of a message: exponential backoff with a random base, and a jitter of half a wait in
+// either direction.
 func (c *Clients) drawBackoff(random *rand.Rand) []time.Duration {
 	var waits []time.Duration
 	base := c.Backoff.Draw(random)
--- a/internal/faultinjection/scenario/messages_test.go
+++ b/internal/faultinjection/scenario/messages_test.go
@@ -10,14 +10,14 @@
 	s := readShipped(t)["quiet"]
 	first, same, other := s.Messages(NewRandomStreams(3)), s.Messages(NewRandomStreams(3)), s.Messages(NewRandomStreams(4))
 	if !reflect.DeepEqual(first, same) {
-		t.Error("the same seed draws other messages")
+		t.Error("the same seed draws different messages")
 	}
 	if reflect.DeepEqual(first, other) {
 		t.Error("another seed draws the same messages")
 	}
 	a, b := s.ServiceTime(NewRandomStreams(3), first[5], 2), s.ServiceTime(NewRandomStreams(3), same[5], 2)
 	if a != b || a <= 0 {
-		t.Errorf("service times %v and %v", a, b)
+		t.Errorf("service times %v and %v, want them equal and above 0", a, b)
 	}
 }
 
@@ -38,7 +38,7 @@
 	tests := []struct {
 		name      string
 		got, want float64
-		tolerance float64 // of the deviation
+		tolerance float64 // of the relative deviation
 	}{
 		{"messages", messages, seeds * s.Load.Rate * s.Length, 0.04},
 		{"first class", perClass[0] / messages, 0.55, 0.02},
@@ -47,7 +47,7 @@
 	}
 	for _, test := range tests {
 		if math.Abs(test.got/test.want-1) > test.tolerance {
-			t.Errorf("%s: %.4g, want %.4g within %v", test.name, test.got, test.want, test.tolerance)
+			t.Errorf("%s: got %.4g, want %.4g within a relative deviation of %v", test.name, test.got, test.want, test.tolerance)
 		}
 	}
 }
--- a/internal/faultinjection/scenario/quota.go
+++ b/internal/faultinjection/scenario/quota.go
@@ -9,7 +9,7 @@
 	filledAt time.Duration
 }
 
-// quotaBuckets are those of all tenants, in the scenario's order.
+// quotaBuckets are the token buckets of all tenants, in the scenario's order.
 type quotaBuckets []quotaBucket
 
 func (s *Scenario) newQuotaBuckets() quotaBuckets {
@@ -20,7 +20,7 @@
 	return buckets
 }
 
-// take consumes a token of a tenant. It returns false for a message beyond the tenant's quota.
+// take takes a token from a tenant's bucket. It returns false if there is none: the message is beyond the tenant's quota.
 func (b quotaBuckets) take(tenant int, at time.Duration) bool {
 	if tenant < 0 || b[tenant].quota == 0 {
 		return true
--- a/internal/faultinjection/scenario/random.go
+++ b/internal/faultinjection/scenario/random.go
@@ -6,18 +6,18 @@
 	"math/rand/v2"
 )
 
-// RandomStreams is a set of independent streams of random numbers, each for one purpose. A further draw from one stream changes
-// no other.
+// RandomStreams is a set of independent streams of random numbers, each for one purpose. An additional draw from one stream does not
+// affect the others.
 type RandomStreams struct{ seed int64 }
 
 // NewRandomStreams returns the streams of a seed.
 func NewRandomStreams(seed int64) RandomStreams { return RandomStreams{seed} }
 
-// Stream returns the stream for a purpose, from its beginning. The numbers tell apart what the purpose is needed for, such as the
-// number of a message.
+// Stream returns the stream for a purpose, from its beginning. The numbers distinguish several streams for one purpose, for instance by
+// the number of a message.
 func (r RandomStreams) Stream(purpose string, numbers ...int) *rand.Rand {
-	// Two 64-bit words seed a stream: a hash of seed and purpose, and a mix of the numbers by the multiplier and a shift of the
-	// SplitMix64 finalizer, beginning with 2^64 divided by the golden ratio.
+	// A stream is seeded with two 64-bit words: a hash of the seed and the purpose, and a mix of the numbers. The mix uses the
+	// multiplier and a shift of the SplitMix64 finalizer, and starts from 2^64 divided by the golden ratio.
 	const goldenRatio, multiplier, shift = 0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9, 29
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d/%s", r.seed, purpose)
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%012x%04x", r.Stream("id", message, n).Uint64()&0xffffffffffff, n&0xffff)
 }
 
-// drawIndex draws an index with a probability in proportion to its weight.
+// drawIndex draws an index with a probability proportional to its weight.
 func drawIndex(random *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, weight := range weights {
--- a/internal/faultinjection/scenario/range.go
+++ b/internal/faultinjection/scenario/range.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 )
 
-// Range is a number, or bounds between which one is drawn. In a file it is a number, or a list of two.
+// Range is a fixed number, or the bounds between which a number is drawn. A file has it as a number or as a list of two numbers.
 type Range struct{ Low, High float64 }
 
 // FromTOML implements strictconfig.Unmarshaler.
@@ -18,14 +18,14 @@
 		low, okLow := finiteNumber(list[0])
 		high, okHigh := finiteNumber(list[1])
 		if !okLow || !okHigh || low > high {
-			return fmt.Errorf("%v is no span from a number to one no smaller", value)
+			return fmt.Errorf("%v is not a range of two finite numbers, the lower one first", value)
 		}
 		*r = Range{low, high}
 	} else {
-		return errors.New("has to be a number, or a list of two")
+		return errors.New("must be a finite number or a list of two numbers")
 	}
 	if r.Low < 0 {
-		return errors.New("is below 0")
+		return errors.New("must not be below 0")
 	}
 	return nil
 }
--- a/internal/faultinjection/scenario/read.go
+++ b/internal/faultinjection/scenario/read.go
@@ -2,7 +2,7 @@
 
 import "frostlink/internal/strictconfig"
 
-// Read reads a scenario file. If the file can be read but has mistakes, the error is a strictconfig.FieldErrors with all of them.
+// Read reads a scenario file. If the file can be read but has mistakes, the error is a strictconfig.FieldErrors that lists all of them.
 func Read(path string) (*Scenario, error) {
 	s := newWithDefaults()
 	document, err := strictconfig.ReadFile(path, s)
@@ -12,7 +12,7 @@
 	return complete(s, document)
 }
 
-// Parse reads a scenario from memory; name stands for the file's in errors. The error is a strictconfig.FieldErrors.
+// Parse reads a scenario from memory. Errors contain name as the name of the file. An error is always a strictconfig.FieldErrors.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := newWithDefaults()
 	return complete(s, strictconfig.Decode(name, text, s))
--- a/internal/faultinjection/scenario/relay_settings.go
+++ b/internal/faultinjection/scenario/relay_settings.go
@@ -2,19 +2,19 @@
 
 import "frostlink/internal/settings"
 
-// settingsIdempotency has the words of the settings object for the kinds of idempotency.
+// settingsIdempotency maps the kinds of idempotency to their names in the settings object.
 var settingsIdempotency = map[Idempotency]string{
 	Idempotent:      "retryable",
 	IdempotentByKey: "dedup",
 	NotIdempotent:   "fragile",
 }
 
-// RelaySettings returns the settings object of a relay, counted from 0, with all classes.
+// RelaySettings returns the settings object of a relay, numbered from 0, with all classes.
 func (s *Scenario) RelaySettings(relay int) settings.Settings {
 	return s.RelaySettingsWith(relay, ReloadableSettings{MaxAttempts: s.Limits.MaxAttempts})
 }
 
-// RelaySettingsWith returns the settings object of a relay, counted from 0, with given reloadable settings.
+// RelaySettingsWith returns the settings object of a relay, numbered from 0, with the given reloadable settings.
 func (s *Scenario) RelaySettingsWith(relay int, reloadable ReloadableSettings) settings.Settings {
 	out := settings.Settings{
 		Discovery:      "subscribe",
--- a/internal/faultinjection/scenario/scenario.go
+++ b/internal/faultinjection/scenario/scenario.go
@@ -3,12 +3,12 @@
 // Version is the version of the file format that this package reads.
 const Version = 1
 
-// Scenario is a scenario file. Times are in seconds unless a name says otherwise.
+// Scenario is the content of a scenario file. Times are in seconds unless the name of a field or key states another unit.
 type Scenario struct {
 	Version int     `toml:"version,required"`
 	Name    string  `toml:"name,required"`
 	About   string  `toml:"about"`
-	Length  float64 `toml:"length_s,required"` // how long clients send
+	Length  float64 `toml:"length_s,required"` // time during which clients send messages
 	Relays  int     `toml:"relays,required"`
 	Seed    int64   `toml:"seed"`
 
@@ -28,51 +28,51 @@
 	Faults       []Fault       `toml:"event"`
 }
 
-// Coordination is the service by which relays agree on the fleet's tasks. The text "{coordination}" in [Relay].Operator stands for the
-// two lines that configure it.
+// Coordination is the service that relays use to coordinate fleet tasks. The placeholder "{coordination}" in [Relay].Operator is
+// replaced by the two lines that configure it.
 type Coordination struct {
-	Members int `toml:"members"` // 0: there is no such service
+	Members int `toml:"members"` // 0: no coordination service
 }
 
-// Relay is what each relay is granted and configured with.
+// Relay holds the resources and the configuration of each relay.
 type Relay struct {
 	Cores           float64 `toml:"cores"`
 	MemoryMB        float64 `toml:"memory_mb"`
 	Sockets         int     `toml:"sockets"`
 	DiskMB          float64 `toml:"disk_mb"`
-	MaxInFlight     int     `toml:"slots"` // attempts at once
-	MaxHeld         int     `toml:"hold"`  // requests held
+	MaxInFlight     int     `toml:"slots"` // attempts at the same time
+	MaxHeld         int     `toml:"hold"`  // requests that a relay holds at the same time
 	BatchIntervalMS float64 `toml:"tick_ms"`
-	ReadyWithin     float64 `toml:"ready_within_s"` // after a start; a relay that takes longer counts as crashed
+	ReadyWithin     float64 `toml:"ready_within_s"` // time after its start within which a relay must be ready; otherwise it counts as crashed
 
-	// Operator is the text of the operator's file of each relay. The text "{dir}" in it stands for a folder of the relay's own.
+	// Operator is the text of the operator's file of each relay. The placeholder "{dir}" is replaced by a folder of that relay alone.
 	Operator string `toml:"operator"`
-	// Redelivers means that destinations accept requests under ids that relays made up, as redeliveries of dead letters.
+	// Redelivers means that destinations accept requests under ids that relays generate for redeliveries of dead letters.
 	Redelivers bool `toml:"resends"`
-	// Classes are the classes of the settings at the start; nil: all.
+	// Classes are the classes in the settings at the start of the run; nil: all.
 	Classes []string `toml:"classes"`
-	// DeadLetterBacklog is the number of messages in each relay's dead-letter store before the run. None of them was executed.
+	// DeadLetterBacklog is the number of messages in each relay's dead-letter store before the run. None of them has been executed.
 	DeadLetterBacklog int `toml:"backlog"`
 }
 
-// Limits are the platform's allowances.
+// Limits are the limits that the platform sets for relays, and the features that it allows them to use.
 type Limits struct {
-	MaxAttempts     int     `toml:"attempts"` // of one request
+	MaxAttempts     int     `toml:"attempts"` // maximum for one request
 	ConnectTimeout  float64 `toml:"connect_timeout_s"`
 	IdleConnTimeout float64 `toml:"conn_idle_s"`
-	MaxRetryAfter   float64 `toml:"retry_after_s"` // the longest that clients honour; 0: relays send no Retry-After
+	MaxRetryAfter   float64 `toml:"retry_after_s"` // the longest Retry-After that clients honour; 0: relays send none
 	Cancel          bool    `toml:"cancel"`        // relays may cancel attempts
 	Probing         bool    `toml:"probes"`        // relays may send health checks
 	Gossip          bool    `toml:"peers"`         // relays exchange gossip
 }
 
-// Rules are the parameters of the platform's six rules.
+// Rules are the parameters of the six rules of the platform.
 type Rules struct {
-	AnswerSlack      float64 `toml:"answer_slack_s"` // for a terminal outcome after the deadline
+	AnswerSlack      float64 `toml:"answer_slack_s"` // time after the deadline within which a terminal outcome is not late
 	PollWithin       float64 `toml:"ask_within_s"`
 	DrainGrace       float64 `toml:"drain_grace_s"`
-	ColdCapacity     float64 `toml:"cold_share"` // fraction of its capacity that a destination has at least after an outage
-	SlowStartTime    float64 `toml:"ramp_s"`     // after which it has all of its capacity at the latest
+	ColdCapacity     float64 `toml:"cold_share"` // lower bound of the fraction of its capacity that a destination has right after an outage
+	SlowStartTime    float64 `toml:"ramp_s"`     // upper bound of the time after an outage until a destination has its full capacity
 	OverloadFactor   float64 `toml:"overload_factor"`
 	OverloadWindow   float64 `toml:"overload_for_s"`
 	OrderKeyCooldown float64 `toml:"order_pause_s"`
@@ -80,8 +80,8 @@
 
 // Discovery is the service that publishes the endpoints of destinations.
 type Discovery struct {
-	PublishDelay Range   `toml:"lag_s"`         // from a change to its publication
-	NotifyWithin float64 `toml:"tell_within_s"` // after publication, relays count as notified while discovery is up
+	PublishDelay Range   `toml:"lag_s"`         // time from a change to its publication
+	NotifyWithin float64 `toml:"tell_within_s"` // while discovery is up, relays count as notified this long after publication
 }
 
 // Network is the network between relays.
@@ -91,14 +91,14 @@
 	Halved float64 `toml:"halved"` // fraction of datagrams truncated to half
 }
 
-// LoadBalancer spreads clients' messages over relays.
+// LoadBalancer distributes the messages of clients among relays.
 type LoadBalancer struct {
-	DetectionDelay Range `toml:"notices_s"` // from a relay's death to its removal
+	DetectionDelay Range `toml:"notices_s"` // time from the end of a relay's process until the load balancer removes the relay
 }
 
-// LoadReport is how destinations report their load.
+// LoadReport defines how destinations report their load.
 type LoadReport struct {
 	Every Range   `toml:"every_ms"`
 	Delay Range   `toml:"delay_ms"`
-	Noise float64 `toml:"noise"` // standard deviation relative to the value
+	Noise float64 `toml:"noise"` // standard deviation as a fraction of the value
 }
--- a/internal/faultinjection/scenario/service_time.go
+++ b/internal/faultinjection/scenario/service_time.go
@@ -14,7 +14,7 @@
 // Milliseconds returns a number of milliseconds as a duration.
 func Milliseconds(v float64) time.Duration { return settings.Seconds(v / 1000) }
 
-// MeanServiceTime returns the mean service time in seconds of a healthy destination's attempts, over all classes.
+// MeanServiceTime returns the mean service time of attempts at a healthy destination over all classes, in seconds.
 func (s *Scenario) MeanServiceTime(d *Destination) float64 {
 	sum, shares := 0.0, 0.0
 	for _, class := range s.Classes {
@@ -24,8 +24,8 @@
 	return sum / shares * d.ServiceTimeFactor
 }
 
-// ServiceTime draws the service time of a message's n-th attempt at a destination with service time factor 1. The message's own part
-// is the same for each attempt, the noise is not.
+// ServiceTime draws the service time of the n-th attempt of a message at a destination with service time factor 1. The part that the
+// class's distribution determines is the same for all attempts of a message; the noise differs between attempts.
 func (s *Scenario) ServiceTime(streams RandomStreams, m *Message, n int) time.Duration {
 	class := &s.Classes[m.Class]
 	seconds := class.ServiceTimeMS / 1000
@@ -43,7 +43,7 @@
 	return Seconds(seconds)
 }
 
-// drawLognormal draws a number with mean 1 and a coefficient of variation.
+// drawLognormal draws a lognormal number with mean 1 and the coefficient of variation cv.
 //
 // exp(σ·Z - σ²/2) with Z standard normal has mean 1 and variance exp(σ²) - 1, so that σ² = ln(1 + cv²).
 func drawLognormal(random *rand.Rand, cv float64) float64 {
--- a/internal/faultinjection/scenario/soak.go
+++ b/internal/faultinjection/scenario/soak.go
@@ -9,19 +9,20 @@
 const (
 	// soakFirstFault is when the first faults of a soak begin, in seconds.
 	soakFirstFault = 1.0
-	// soakQuietTime is the time in seconds at the end of a soak in which no fault begins, so that relays are up again when it ends.
+	// soakQuietTime is the time in seconds at the end of a soak in which no fault begins, so that all relays are up again at the end.
 	soakQuietTime = 2.5
-	// soakRatePerRelay is the messages per second for each relay.
+	// soakRatePerRelay is the number of messages per second for each relay.
 	soakRatePerRelay = 3.0
 	// soakDestinations is the number of destinations.
 	soakDestinations = 10
-	// soakStream keeps the draws of a soak's text apart from those of its run ("soak").
+	// soakStream is the second word of the generator's seed ("soak" in ASCII). It separates the draws of a soak's text from those of
+	// its run.
 	soakStream = 0x736f616b
-	// restartSoakStream is the same of a soak of restarts ("rsoak").
+	// restartSoakStream has the same purpose for a soak of restarts ("rsoak").
 	restartSoakStream = 0x72736f616b
 )
 
-// soakHeader is what all soaks have in common: a class of each kind of idempotency with short deadlines, and an ordered one.
+// soakHeader is the common part of all soaks: a class of each kind of idempotency, and an ordered class, all with short deadlines.
 const soakHeader = `version = 1
 name = "soak-%d"
 about = "random faults that overlap, drawn from seed %d"
@@ -71,8 +72,8 @@
 service_ms = 40
 `
 
-// SoakScenario returns the text of a scenario, drawn from a seed, in which relays meet random faults that overlap: processes that are
-// killed, terminated or suspended, stepped clocks, failing system calls and folders, destinations that are down, slow, paused or
+// SoakScenario returns the text of a scenario with random, overlapping faults, drawn from a seed: processes that are killed,
+// terminated or suspended, stepped clocks, failing system calls and folders, destinations that are down, slow or paused or that
 // reset connections, discovery that is down, and lost datagrams.
 func SoakScenario(seed int64, relays int, length float64) string {
 	w := &soakWriter{random: rand.New(rand.NewPCG(uint64(seed), soakStream)), length: length}
@@ -92,14 +93,14 @@
 	return w.text.String()
 }
 
-// soakWriter writes the text of a soak. Each method draws in the order in which it writes.
+// soakWriter writes the text of a soak. Each method draws its random numbers in the order in which it writes them.
 type soakWriter struct {
 	text   strings.Builder
 	random *rand.Rand
 	length float64
 }
 
-// writeDestination draws a destination that carries its part of the load with capacity to spare.
+// writeDestination draws a destination whose capacity exceeds its share of the load.
 func (w *soakWriter) writeDestination(name string, relays int) {
 	concurrency := 3 + relays/4
 	w.printf("\n[[partner]]\nname = \"%s\"\nshare = %v\nendpoints = %d\nslots = %d\nqueue = %d\n",
@@ -109,18 +110,18 @@
 	}
 }
 
-// setting is a key of a fault with its value.
+// setting is a key of a fault and its value.
 type setting struct {
 	key   string
 	value any
 }
 
-// writeFault draws the time of a fault and writes it.
+// writeFault writes a fault at a random time.
 func (w *soakWriter) writeFault(kind FaultKind, settings ...setting) {
 	w.writeFaultAt(soakFirstFault+w.random.Float64()*(w.length-soakFirstFault-soakQuietTime), kind, settings...)
 }
 
-// writeFaultAt writes a fault that begins at a time, in seconds.
+// writeFaultAt writes a fault that begins at the given time, in seconds.
 func (w *soakWriter) writeFaultAt(at float64, kind FaultKind, settings ...setting) {
 	w.printf("\n[[event]]\nat_s = %.3f\nwhat = %q\n", at, kind)
 	for _, s := range settings {
@@ -134,13 +135,13 @@
 
 func (w *soakWriter) printf(format string, args ...any) { fmt.Fprintf(&w.text, format, args...) }
 
-// chance returns true with a probability.
+// chance returns true with the given probability.
 func (w *soakWriter) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// uniform draws a number from a range, with three decimal places.
+// uniform draws a number between two bounds, truncated to three decimal places.
 func (w *soakWriter) uniform(low, high float64) float64 {
 	return float64(int(1000*(low+w.random.Float64()*(high-low)))) / 1000
 }
 
-// choose draws one of several values.
+// choose returns one of the values at random.
 func choose[T any](w *soakWriter, values ...T) T { return values[w.random.IntN(len(values))] }
--- a/internal/faultinjection/scenario/soak_faults.go
+++ b/internal/faultinjection/scenario/soak_faults.go
@@ -1,6 +1,6 @@
 package scenario
 
-// writeDestinationFaults draws what a destination meets.
+// writeDestinationFaults draws the faults of a destination.
 func (w *soakWriter) writeDestinationFaults(name string) {
 	destination := setting{"partner", name}
 	if w.chance(0.5) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// writeProcessFault draws what happens to a relay's process: it is killed, terminated or suspended once at most.
+// writeProcessFault draws the fault of a relay's process: the process is killed, terminated or suspended, or has no fault.
 func (w *soakWriter) writeProcessFault(relay setting) {
 	switch {
 	case w.chance(0.35):
@@ -55,7 +55,7 @@
 	}
 }
 
-// soakErrnos are the errors of system calls that have no short transfer.
+// soakErrnos are the errors for system calls that transfer no data, and so cannot transfer only a part of it.
 var soakErrnos = map[string][]string{
 	"accept":  {"ENOBUFS", "ENFILE", "ECONNABORTED", "EPROTO", "ENETDOWN"},
 	"connect": {"ENETUNREACH", "EADDRNOTAVAIL", "ENOBUFS", "ECONNREFUSED", "EHOSTUNREACH"},
@@ -69,14 +69,14 @@
 	errno, share := shortTransferName, w.uniform(0.1, 0.5)
 	if errnos, ok := soakErrnos[call]; ok {
 		errno = choose(w, errnos...)
-	} else if w.chance(0.4) { // a broken connection, which the other side loses too
+	} else if w.chance(0.4) { // a broken connection, which the peer loses as well
 		errno, share = choose(w, "ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"), 0.02
 	}
 	w.writeFault(FaultSyscallErrors, relay, setting{"for_s", w.uniform(0.5, 3)},
 		setting{"call", call}, setting{"errno", errno}, setting{"share", share})
 }
 
-// writeNetworkFaults draws an outage of discovery, and datagrams that relays lose.
+// writeNetworkFaults draws an outage of discovery, and losses of datagrams between relays.
 func (w *soakWriter) writeNetworkFaults() {
 	if w.chance(0.4) {
 		w.writeFault(FaultDiscoveryDown, setting{"for_s", w.uniform(0.5, 3)},
--- a/internal/faultinjection/scenario/soak_restarts.go
+++ b/internal/faultinjection/scenario/soak_restarts.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// soakCooldown is how long an order key rests in a soak of restarts, in seconds: long enough for a second restart within it.
+	// soakCooldown is the cooldown of order keys in a soak of restarts, in seconds. It is long enough for a second restart within it.
 	soakCooldown = 1.0
-	// crowdedSockets are the descriptors that a relay may hold where crowds come, and soakCrowd the callers of a crowd.
-	crowdedSockets, soakCrowd = 160, 200
-	// longRestart is the time in seconds that the longest restart takes, with what is to be seen of the process after it.
-	longRestart = 5.0
-	// hangLead is how long before a shutdown, in seconds, a destination begins to hang, and hangTime for how long: a process that is
-	// terminated may take 3.7 s to end.
+	// crowdSocketLimit is the number of descriptors that a relay may hold in a soak with crowds; crowdCallers is the number of callers in a
+	// crowd.
+	crowdSocketLimit, crowdCallers = 160, 200
+	// maxRestartTime is the time in seconds that the longest restart takes, including some time in which the next process is observed.
+	maxRestartTime = 5.0
+	// hangLead is how long before a shutdown, in seconds, a destination begins to hang or a crowd arrives. hangTime is how long that
+	// fault lasts: longer than the shutdown, because a terminated process may take 3.7 s to end.
 	hangLead, hangTime = 0.3, 4.6
 )
 
-// RestartSoakScenario returns the text of a scenario, drawn from a seed, like SoakScenario, in which processes are ended and replaced
-// in all the ways of the platform: with series of signals around SIGTERM, while they start, right behind an acceptance, again within
-// an order key's cooldown and a slow start, past a destination that hangs, and stuck until they are killed. Runs of even seeds have
-// crowds of callers, those of odd seeds handovers. Each way is in each run; all overlap with the faults of SoakScenario.
+// RestartSoakScenario returns the text of a scenario, drawn from a seed, that adds to the faults of SoakScenario all ways in which the
+// platform ends and replaces processes: with a series of signals around SIGTERM, while the process starts, right after it has accepted
+// a request, a second time within the cooldown of order keys or a slow start, while a destination hangs, and by a kill after a shutdown
+// got stuck. Scenarios of even seeds have crowds of callers, those of odd seeds have hand-overs. Apart from that, each scenario has all
+// of these ways. The restarts overlap with the faults of SoakScenario.
 func RestartSoakScenario(seed int64, relays int, length float64) string {
 	w := &soakWriter{random: rand.New(rand.NewPCG(uint64(seed), restartSoakStream)), length: length}
 	crowds := seed%2 == 0
 	w.printf(soakHeader, seed, seed, seed, length, relays, soakRatePerRelay*float64(relays))
 	w.printf("\n[rules]\norder_pause_s = %v\n", soakCooldown)
 	if crowds {
-		w.printf("\n[relay]\nsockets = %d\n", crowdedSockets)
+		w.printf("\n[relay]\nsockets = %d\n", crowdSocketLimit)
 	}
 	for i := range soakDestinations {
 		name := fmt.Sprintf("p%d", i)
 		w.writeDestination(name, relays)
-		if i < soakDestinations-1 { // the last one hangs during a shutdown
+		if i < soakDestinations-1 { // the last destination hangs during a shutdown instead
 			w.writeDestinationFaults(name)
 		}
 	}
@@ -41,7 +43,7 @@
 	return w.text.String()
 }
 
-// writeRestarts draws what relays meet. Each planned fault of a process happens to one of them.
+// writeRestarts draws the faults of all relays. Each planned fault of a process is assigned to a relay of its own.
 func (w *soakWriter) writeRestarts(relays int, crowds bool) {
 	planned := []func(setting){
 		w.writeHangingShutdown, w.writeStuckShutdown, w.writeShutdownWhileStarting, w.writeKillAfterAcceptance, w.writeKillAfterAcceptance,
@@ -64,8 +66,8 @@
 	}
 }
 
-// writeAnyRestart draws the restart of a relay for which none is planned: more shutdowns than in SoakScenario, with any series of
-// signals.
+// writeAnyRestart draws the fault of a relay that has no planned one. Shutdowns are more frequent than in SoakScenario, and may have a
+// series of signals.
 func (w *soakWriter) writeAnyRestart(relay setting) {
 	switch {
 	case w.chance(0.3):
@@ -81,17 +83,17 @@
 	}
 }
 
-// writeEarlyFault draws the time of a fault that takes long, early enough to see its end, and writes it.
+// writeEarlyFault writes a fault with long effects at a random time that is early enough for its end to be observed in the run.
 func (w *soakWriter) writeEarlyFault(kind FaultKind, settings ...setting) {
 	w.writeFaultAt(w.earlyTime(), kind, settings...)
 }
 
-// earlyTime draws a time, in seconds, at which a long restart may begin.
+// earlyTime draws a time, in seconds, that leaves maxRestartTime before the end of the run.
 func (w *soakWriter) earlyTime() float64 {
-	return w.uniform(soakFirstFault, max(soakFirstFault, w.length-longRestart))
+	return w.uniform(soakFirstFault, max(soakFirstFault, w.length-maxRestartTime))
 }
 
-// writeHangingShutdown shuts a relay down, with new settings around it, while a destination hangs.
+// writeHangingShutdown writes a shutdown of a relay, with new settings around SIGTERM, while a destination hangs.
 func (w *soakWriter) writeHangingShutdown(relay setting) {
 	at := w.earlyTime()
 	last := setting{"partner", fmt.Sprintf("p%d", soakDestinations-1)}
@@ -115,12 +117,13 @@
 	w.writeEarlyFault(FaultKill, relay, setting{"back_s", w.uniform(0.3, 1)}, setting{"again_s", w.uniform(0.2, 1)})
 }
 
-// writeShutdownTwice shuts a relay down, and again within the slow start of what its first process saw out.
+// writeShutdownTwice writes a shutdown of a relay and a second one soon after, while destinations whose outage the first process had
+// observed are still in their slow start.
 func (w *soakWriter) writeShutdownTwice(relay setting) {
 	w.writeFaultAt(soakFirstFault, FaultTerminate, relay, setting{"again_s", w.uniform(0.2, 1)})
 }
 
-// writeUpgradeTwice replaces a relay's process, and its successor within the cooldown of order keys.
+// writeUpgradeTwice writes an upgrade of a relay's process, and an upgrade of the successor within the cooldown of order keys.
 func (w *soakWriter) writeUpgradeTwice(relay setting) {
 	w.writeEarlyFault(FaultUpgrade, relay, setting{"again_s", w.uniform(0.05, 0.5)})
 }
@@ -130,23 +133,23 @@
 }
 
 func (w *soakWriter) writeCrowd(relay setting) {
-	w.writeEarlyFault(FaultCrowd, relay, setting{"for_s", w.uniform(2, 4)}, setting{"callers", soakCrowd})
+	w.writeEarlyFault(FaultCrowd, relay, setting{"for_s", w.uniform(2, 4)}, setting{"callers", crowdCallers})
 }
 
-// writeCrowdedShutdown shuts a relay down while a crowd takes its descriptors.
+// writeCrowdedShutdown writes a shutdown of a relay while a crowd of callers uses up its descriptors.
 func (w *soakWriter) writeCrowdedShutdown(relay setting) {
 	at := w.earlyTime()
-	w.writeFaultAt(at-hangLead, FaultCrowd, relay, setting{"for_s", hangTime}, setting{"callers", soakCrowd})
+	w.writeFaultAt(at-hangLead, FaultCrowd, relay, setting{"for_s", hangTime}, setting{"callers", crowdCallers})
 	w.writeFaultAt(at, FaultTerminate, relay, setting{"signals", SignalsRepeated})
 }
 
-// writeLongDiscoveryOutage has discovery fail for long enough that some processes start without it.
+// writeLongDiscoveryOutage writes an outage of discovery that is long enough for some processes to start without discovery.
 func (w *soakWriter) writeLongDiscoveryOutage() {
 	w.writeFaultAt(w.uniform(soakFirstFault, 2*soakFirstFault), FaultDiscoveryDown, setting{"for_s", w.uniform(2, 3.5)},
 		setting{"how", choose(w, DiscoveryUnavailable, DiscoveryResets, DiscoveryUnresponsive)})
 }
 
-// writeHeldUpWrites makes some writes to a relay's sockets late, as by a process that got no processor time.
+// writeHeldUpWrites delays some writes to a relay's sockets, as if the process had got no processor time.
 func (w *soakWriter) writeHeldUpWrites(relay setting) {
 	w.writeFault(FaultSyscallErrors, relay, setting{"for_s", w.uniform(1.5, 3)}, setting{"call", "write"},
 		setting{"errno", heldUpName}, setting{"share", w.uniform(0.02, 0.1)})
--- a/internal/faultinjection/scenario/soak_test.go
+++ b/internal/faultinjection/scenario/soak_test.go
@@ -10,7 +10,7 @@
 	}
 }
 
-// A soak of restarts can be played, and each run of a seed and the next has each way of ending a process.
+// The text of a soak of restarts is a valid scenario, and the scenarios of two consecutive seeds together have each way of ending a process.
 func TestRestartSoakScenario_IsValidAndComplete(t *testing.T) {
 	ways := map[string]int{}
 	for seed := range int64(20) {
@@ -20,7 +20,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if text != RestartSoakScenario(seed, 24, 9) {
-			t.Fatalf("seed %d draws two scenarios", seed)
+			t.Fatalf("seed %d gives two different scenarios", seed)
 		}
 		seen := map[string]bool{}
 		for i := range s.Faults {
@@ -39,7 +39,7 @@
 		"upgrade " + SignalsHandover: 10, "upgrade ": 10, "crowd ": 10, "again": 20, "behind": 20, heldUpName: 20,
 	} {
 		if ways[way] < want {
-			t.Errorf("%q is in %d of 20 runs, want %d", way, ways[way], want)
+			t.Errorf("%q is in %d of 20 scenarios, want at least %d", way, ways[way], want)
 		}
 	}
 }
--- a/internal/faultinjection/scenario/syscalls.go
+++ b/internal/faultinjection/scenario/syscalls.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// SocketSyscalls are the system calls on sockets that a fault can make fail, by their names in files.
+// SocketSyscalls are the system calls on sockets that a fault can make fail, by their names in scenario files.
 var SocketSyscalls = map[string]faults.Syscall{
 	"accept":  faults.Accept,
 	"connect": faults.Connect,
@@ -21,17 +21,17 @@
 // FileSyscalls are the system calls that write to a relay's folder.
 var FileSyscalls = []faults.Syscall{faults.FileWrite, faults.FileSync, faults.FileOpen, faults.FileRename}
 
-// shortTransferName is the name, in place of an errno, of a read or write that transfers only a part.
+// shortTransferName is used in place of an errno for a read or write that transfers only a part of the data.
 const shortTransferName = "SHORT"
 
-// heldUpName is the name, in place of an errno, of a call that is made late, as by a process that got no processor time between
-// reading its clock and making the call.
+// heldUpName is used in place of an errno for a call that is made late, as if the process had got no processor time between reading
+// its clock and making the call.
 const heldUpName = "HELD_UP"
 
 // maxErrno is the highest errno of Linux (errno(3)).
 const maxErrno = 133
 
-// Errno returns the error with a name as in errno(3), faults.ShortTransfer for SHORT, faults.HeldUp for HELD_UP, or 0 for an unknown
+// Errno returns the error with a name from errno(3), faults.ShortTransfer for SHORT, faults.HeldUp for HELD_UP, and 0 for an unknown
 // name.
 func Errno(name string) syscall.Errno {
 	switch name {
@@ -39,7 +39,7 @@
 		return faults.ShortTransfer
 	case heldUpName:
 		return faults.HeldUp
-	case "EOPNOTSUPP": // unix.ErrnoName returns the other name of its number, ENOTSUP
+	case "EOPNOTSUPP": // it has the same number as ENOTSUP, and unix.ErrnoName returns only that name
 		return syscall.EOPNOTSUPP
 	}
 	for errno := syscall.Errno(1); errno <= maxErrno; errno++ {
--- a/internal/faultinjection/scenario/validate.go
+++ b/internal/faultinjection/scenario/validate.go
@@ -1,20 +1,20 @@
 package scenario
 
-// Bounds of what one machine can run.
+// Limits of a scenario that one machine can run.
 const (
 	maxRelays    = 40
-	maxEndpoints = 200 // of all destinations, without replacements: each has a listener for every relay
+	maxEndpoints = 200 // of all destinations, not counting replacements; each endpoint has a listener for every relay
 	maxMessages  = 400_000
 	maxLength    = 3600 // seconds
 	maxBodySize  = 64 << 10
 )
 
-// validate reports every value that makes no sense. Errors of one line are listed in the order of the checks.
+// validate reports every invalid value. Errors on the same line are listed in the order of the checks.
 func (s *Scenario) validate(v validator) {
 	s.validateRun(v)
 	s.validateRelayLimits(v)
-	s.validatePlatform(v)
-	s.validateSurroundings(v)
+	s.validateLimitsAndRules(v)
+	s.validateDiscoveryAndNetwork(v)
 	s.validateClients(v)
 	s.validateLoad(v)
 	s.validateLoadReport(v)
@@ -28,17 +28,17 @@
 
 func (s *Scenario) validateRun(v validator) {
 	if v.Has("version") && s.Version != Version {
-		v.AddError("version", "is %d; this program reads version %d", s.Version, Version)
+		v.AddError("version", "is %d, but this program reads version %d", s.Version, Version)
 	}
 	v.above("length_s", s.Length, 0)
 	v.atMost("length_s", s.Length, maxLength)
 	if v.Has("relays") && (s.Relays < 1 || s.Relays > maxRelays) {
-		v.AddError("relays", "is %d, has to be 1 to %d", s.Relays, maxRelays)
+		v.AddError("relays", "is %d, must be from 1 to %d", s.Relays, maxRelays)
 	}
 	switch s.Coordination.Members {
-	case 0, 1, 3, 5: // none, or an odd number: a majority of an even one bears no more losses
+	case 0, 1, 3, 5: // none, or an odd number: a further member that makes the number even does not allow more members to fail
 	default:
-		v.AddError("coordination.members", "is %d, has to be 0, 1, 3 or 5", s.Coordination.Members)
+		v.AddError("coordination.members", "is %d, must be 0, 1, 3 or 5", s.Coordination.Members)
 	}
 }
 
@@ -53,7 +53,7 @@
 	v.above("relay.ready_within_s", s.Relay.ReadyWithin, 0)
 }
 
-func (s *Scenario) validatePlatform(v validator) {
+func (s *Scenario) validateLimitsAndRules(v validator) {
 	v.above("limits.attempts", float64(s.Limits.MaxAttempts), 0)
 	v.above("limits.connect_timeout_s", s.Limits.ConnectTimeout, 0)
 	v.above("limits.conn_idle_s", s.Limits.IdleConnTimeout, 0)
@@ -68,7 +68,7 @@
 	v.fraction("rules.cold_share", s.Rules.ColdCapacity)
 }
 
-func (s *Scenario) validateSurroundings(v validator) {
+func (s *Scenario) validateDiscoveryAndNetwork(v validator) {
 	v.above("register.tell_within_s", s.Discovery.NotifyWithin, 0)
 	v.fraction("network.loss", s.Network.Loss)
 	v.fraction("network.halved", s.Network.Halved)
--- a/internal/faultinjection/scenario/validate_destination.go
+++ b/internal/faultinjection/scenario/validate_destination.go
@@ -4,7 +4,7 @@
 
 func (s *Scenario) validateDestinations(v validator) {
 	if v.Has("partner") && len(s.Destinations) == 0 {
-		v.AddError("partner", "there is none")
+		v.AddError("partner", "at least one is required")
 	}
 	names, endpoints := map[string]bool{}, 0
 	for i := range s.Destinations {
@@ -14,18 +14,18 @@
 		destination.validateResponses(v, prefix)
 		destination.validateSlowStart(v, prefix, &s.Rules)
 		if (destination.Pause.High > 0) != (destination.PauseEvery.Low > 0) {
-			v.AddError(prefix+"pause_ms", "pause_ms and pause_every_s go together, both above 0")
+			v.AddError(prefix+"pause_ms", "pause_ms and pause_every_s must be set together, both above 0")
 		}
 		if destination.Limit != nil {
 			destination.Limit.validate(v, prefix)
 		}
 		if len(s.Tenants) > 0 && s.tenantIndex(destination) < 0 {
-			v.AddError(prefix+"tenant", "%q is no tenant of this script", destination.Tenant)
+			v.AddError(prefix+"tenant", "%q is not a tenant of this scenario", destination.Tenant)
 		}
 		endpoints += destination.Endpoints
 	}
 	if endpoints > maxEndpoints {
-		v.AddError("partner", "%d endpoints in all, %d at most", endpoints, maxEndpoints)
+		v.AddError("partner", "%d endpoints in total, at most %d are allowed", endpoints, maxEndpoints)
 	}
 }
 
@@ -50,24 +50,24 @@
 	oneOf(v, prefix+"cancelled", d.CancelBehavior, CancelIgnored, CancelLeavesQueue, CancelStopsAttempt)
 }
 
-// validateSlowStart checks that a destination warms up no slower than the rules say.
+// validateSlowStart checks that a destination warms up at least as fast as the rules require.
 func (d *Destination) validateSlowStart(v validator, prefix string, rules *Rules) {
 	if d.ColdCapacity < rules.ColdCapacity || d.ColdCapacity > 1 {
-		v.AddError(prefix+"cold_share", "%v is not from rules.cold_share, %v, to 1", d.ColdCapacity, rules.ColdCapacity)
+		v.AddError(prefix+"cold_share", "%v is not between rules.cold_share, %v, and 1", d.ColdCapacity, rules.ColdCapacity)
 	}
 	if d.SlowStartTime > rules.SlowStartTime || d.SlowStartTime < 0 {
-		v.AddError(prefix+"warm_s", "%v is not from 0 to rules.ramp_s, %v", d.SlowStartTime, rules.SlowStartTime)
+		v.AddError(prefix+"warm_s", "%v is not between 0 and rules.ramp_s, %v", d.SlowStartTime, rules.SlowStartTime)
 	}
 	v.above(prefix+"fallen_for_s", d.OverloadDowntime, 0)
 }
 
-// validate checks a limit; prefix is that of its destination's keys.
+// validate checks a limit; prefix is the prefix of its destination's keys.
 func (l *Limit) validate(v validator, prefix string) {
 	isRate, isCount := l.Rate > 0, l.Count > 0 && l.Window > 0
 	if isRate == isCount || isRate && (l.Count != 0 || l.Window != 0) || isCount && l.Burst != 0 {
-		v.AddError(prefix+"limit", "is either a rate (with a burst) or a count in a span_s, all above 0")
+		v.AddError(prefix+"limit", "must be either a rate (with an optional burst) or a count with a span_s, all above 0")
 	}
 	if isRate && l.Burst < 1 {
-		v.AddError(prefix+"limit.burst", "%v lets no call through: 1 at least", l.Burst)
+		v.AddError(prefix+"limit.burst", "%v admits no attempt, must be at least 1", l.Burst)
 	}
 }
--- a/internal/faultinjection/scenario/validate_fault.go
+++ b/internal/faultinjection/scenario/validate_fault.go
@@ -15,11 +15,11 @@
 	validator
 	scenario *Scenario
 	fault    *Fault
-	prefix   string // of its keys
+	prefix   string // prefix of the fault's keys
 }
 
-// faultKey is a key of a fault and the check of its value. The check runs for faults of all kinds: a key that the kind does not take
-// has been reported by then, and a second error of a key does not count.
+// faultKey is a key of a fault and the check of its value. The check runs for faults of all kinds: if the kind does not take the key,
+// that has already been reported, and only the first error of a key is kept.
 type faultKey struct {
 	name  string
 	check func(f faultValidator, key string)
@@ -34,7 +34,7 @@
 	}},
 	{"factor", func(f faultValidator, key string) { f.aboveZeroIfGiven(key, f.fault.Factor) }},
 	{"reused", func(f faultValidator, key string) { f.fraction(key, f.fault.ReusedAddresses) }},
-	{"over_s", func(f faultValidator, key string) { f.atLeast(key, f.fault.Over, 0) }},
+	{"over_s", func(f faultValidator, key string) { f.atLeast(key, f.fault.ReplacementTime, 0) }},
 	{"drain_s", func(f faultValidator, key string) { f.atLeast(key, f.fault.DrainTime, 0) }},
 	{"back_s", func(f faultValidator, key string) { f.atLeast(key, f.fault.RestartDelay, 0) }},
 	{"rise_s", func(f faultValidator, key string) { f.atLeast(key, f.fault.RampTime, 0) }},
@@ -57,7 +57,7 @@
 	{"relay", faultValidator.checkRelay},
 	{"signals", faultValidator.checkSignals},
 	{"again_s", func(f faultValidator, key string) { f.aboveZeroIfGiven(key, f.fault.RestartAgain) }},
-	{"relays", nil}, // by checkRelay
+	{"relays", nil}, // checked by checkRelay
 	{"warm", nil},   // true or false
 	{"behind", nil}, // true or false
 }
@@ -67,7 +67,7 @@
 		f := faultValidator{v, s, &s.Faults[i], elementPrefix("event", i)}
 		kind, ok := faultKinds[f.fault.Kind]
 		if !ok {
-			v.AddError(f.prefix+"what", "%q is none of %s", f.fault.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
+			v.AddError(f.prefix+"what", "%q is not one of %s", f.fault.Kind, strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
 			continue
 		}
 		f.checkKeysOfKind(kind)
@@ -81,16 +81,16 @@
 	}
 }
 
-// checkKeysOfKind reports the keys that a fault's kind needs and lacks, and those that mean nothing to it.
+// checkKeysOfKind reports missing keys that a fault's kind requires, and keys that the kind does not take.
 func (f faultValidator) checkKeysOfKind(kind faultKindSpec) {
 	for _, name := range kind.required {
 		if !f.Has(f.prefix + name) {
-			f.AddError(f.prefix+name, "is missing: %q needs it", f.fault.Kind)
+			f.AddError(f.prefix+name, "is missing, but required for %q", f.fault.Kind)
 		}
 	}
 	for _, key := range faultKeys {
 		if f.Has(f.prefix+key.name) && !kind.takes(key.name) {
-			f.AddError(f.prefix+key.name, "has no meaning for %q", f.fault.Kind)
+			f.AddError(f.prefix+key.name, "not allowed for %q", f.fault.Kind)
 		}
 	}
 }
@@ -99,35 +99,35 @@
 	key := f.prefix + "at_s"
 	f.atLeast(key, f.fault.At, 0)
 	if f.fault.At >= f.scenario.Length {
-		f.AddError(key, "%v is not before the end, length_s = %v", f.fault.At, f.scenario.Length)
+		f.AddError(key, "%v is not before the end of the run, length_s = %v", f.fault.At, f.scenario.Length)
 	}
 }
 
 func (f faultValidator) checkChangesSettings() {
 	if f.fault.Kind == FaultSettingsChange && f.fault.Classes == nil && f.fault.MaxAttempts == 0 && f.fault.Corruption == "" {
-		f.AddError(f.prefix+"what", "settings without classes, attempts or broken change nothing")
+		f.AddError(f.prefix+"what", "a settings event must have at least one of classes, attempts and broken")
 	}
 }
 
 func (f faultValidator) checkMaxAttempts(key string) {
 	if limit := f.scenario.Limits.MaxAttempts; f.Has(key) && (f.fault.MaxAttempts < 1 || f.fault.MaxAttempts > limit) {
-		f.AddError(key, "%d is not from 1 to limits.attempts, %d", f.fault.MaxAttempts, limit)
+		f.AddError(key, "%d is not between 1 and limits.attempts, %d", f.fault.MaxAttempts, limit)
 	}
 }
 
 func (f faultValidator) checkErrno(key string) {
 	if f.Has(key) && Errno(f.fault.Errno) == 0 {
-		f.AddError(key, "%q is the name of no error of a system call", f.fault.Errno)
+		f.AddError(key, "%q is not the name of a system call error", f.fault.Errno)
 	}
 }
 
 func (f faultValidator) checkClockStep(key string) {
 	if step := f.fault.ClockStep; f.Has(key) && (step == 0 || math.Abs(step) > maxClockStep) {
-		f.AddError(key, "%v is no step of at most %d s either way", step, maxClockStep)
+		f.AddError(key, "%v is not a step of at most %d s forwards or backwards", step, maxClockStep)
 	}
 }
 
-// checkSignals checks the series of signals: a handover has one of its own.
+// checkSignals checks the series of signals. A hand-over has its own series; a shutdown has the others.
 func (f faultValidator) checkSignals(key string) {
 	if f.fault.Kind == FaultUpgrade {
 		f.oneOfIfGiven(key, f.fault.Signals, SignalsHandover)
@@ -138,17 +138,17 @@
 
 func (f faultValidator) checkDestination(key string) {
 	if f.Has(key) && f.scenario.DestinationIndex(f.fault.Destination) < 0 {
-		f.AddError(key, "%q is no partner of this script", f.fault.Destination)
+		f.AddError(key, "%q is not a partner of this scenario", f.fault.Destination)
 	}
 }
 
 func (f faultValidator) checkEndpoint(key string) {
 	index := f.scenario.DestinationIndex(f.fault.Destination)
 	if !f.Has(f.prefix+"partner") || index < 0 {
-		return // reported already
+		return // the missing or unknown partner has been reported already
 	}
 	if endpoints := f.scenario.Destinations[index].Endpoints; f.fault.Endpoint < 0 || f.fault.Endpoint > endpoints {
-		f.AddError(key, "%s has endpoints 1 to %d", f.fault.Destination, endpoints)
+		f.AddError(key, "out of range: %s has endpoints 1 to %d", f.fault.Destination, endpoints)
 	}
 }
 
@@ -157,10 +157,10 @@
 	relay, relays := f.fault.Relay, f.scenario.Relays
 	isUnknown := func(one int) bool { return one < 1 || one > relays }
 	if relay < 0 || relay > relays || slices.ContainsFunc(f.fault.Relays, isUnknown) {
-		f.AddError(key, "there are relays 1 to %d", relays)
+		f.AddError(key, "out of range: there are relays 1 to %d", relays)
 	}
 	if f.Has(key) && relay == 0 {
-		f.AddError(key, "there are relays 1 to %d; leave it out for all", relays)
+		f.AddError(key, "out of range: there are relays 1 to %d; omit the key to select all of them", relays)
 	}
 }
 
--- a/internal/faultinjection/scenario/validate_overlap.go
+++ b/internal/faultinjection/scenario/validate_overlap.go
@@ -1,6 +1,7 @@
 package scenario
 
-// validateOverlaps reports faults that must not hold at one time, since what held then would be a matter of their order.
+// validateOverlaps reports pairs of faults that must not be active at the same time, because their combined effect would depend on the
+// order in which they are applied.
 func (s *Scenario) validateOverlaps(v validator) {
 	for i := range s.Faults {
 		for j := range i {
@@ -9,7 +10,7 @@
 	}
 }
 
-// validatePair checks a fault against one that the file has before it.
+// validatePair checks a fault against a fault that comes earlier in the file.
 func (s *Scenario) validatePair(v validator, index, earlierIndex int) {
 	fault, earlier := &s.Faults[index], &s.Faults[earlierIndex]
 	key, earlierNumber := elementPrefix("event", index)+"at_s", earlierIndex+1
@@ -17,10 +18,10 @@
 		v.AddError(key, "overlaps the outage of event[%d] at %s", earlierNumber, fault.Destination)
 	}
 	if fault.Kind == FaultSettingsChange && earlier.Kind == FaultSettingsChange && fault.At < earlier.At+reloadTime {
-		v.AddError(key, "is not %v s after event[%d]: files of settings go by time", reloadTime, earlierNumber)
+		v.AddError(key, "is not at least %v s after event[%d]: settings events must be in the order of their times, and relays need that time to reload", reloadTime, earlierNumber)
 	}
 	if fault.Kind == FaultDiscoveryDown && earlier.Kind == FaultDiscoveryDown && fault.overlaps(earlier) {
-		v.AddError(key, "overlaps event[%d]", earlierNumber)
+		v.AddError(key, "overlaps the register outage of event[%d]", earlierNumber)
 	}
 }
 
--- a/internal/faultinjection/scenario/validator.go
+++ b/internal/faultinjection/scenario/validator.go
@@ -7,7 +7,7 @@
 	"frostlink/internal/strictconfig"
 )
 
-// validator adds an error to its document for each value that fails a check. The comparisons are negated so that NaN fails too.
+// validator adds an error to its document for each value that fails a check. Its comparisons are negated so that NaN fails as well.
 type validator struct{ *strictconfig.Document }
 
 func (v validator) above(key string, value, bound float64) {
@@ -34,18 +34,18 @@
 	}
 }
 
-// uniqueName checks a name against those seen before, and adds it to them.
+// uniqueName checks that a name is neither empty nor among the names seen before, and adds it to these.
 func (v validator) uniqueName(key, name string, seen map[string]bool) {
 	if v.Has(key) && name == "" {
 		v.AddError(key, "is empty")
 	}
 	if seen[name] {
-		v.AddError(key, "%q is there twice", name)
+		v.AddError(key, "%q is used twice", name)
 	}
 	seen[name] = true
 }
 
-// oneOf checks that a value is one of a closed set.
+// oneOf checks that a value is one of the allowed values.
 func oneOf[T ~string](v validator, key string, value T, allowed ...T) {
 	if slices.Contains(allowed, value) {
 		return
@@ -54,5 +54,5 @@
 	for i, a := range allowed {
 		names[i] = string(a)
 	}
-	v.AddError(key, "%q is none of %s", value, strings.Join(names, ", "))
+	v.AddError(key, "%q is not one of %s", value, strings.Join(names, ", "))
 }
--- a/internal/faultinjection/scenario/workload.go
+++ b/internal/faultinjection/scenario/workload.go
@@ -1,18 +1,18 @@
 package scenario
 
-// Clients is how clients behave.
+// Clients defines the behaviour of clients.
 type Clients struct {
-	Retries           int     `toml:"retries"` // after rejections
+	Retries           int     `toml:"retries"` // number of retries after rejections
 	Backoff           Range   `toml:"backoff_ms"`
 	BackoffGrowth     float64 `toml:"growth"`    // factor by which the backoff grows with each rejection
 	HonourRetryAfter  float64 `toml:"honour"`    // fraction of messages whose client waits for Retry-After
-	ResponseTimeoutMS float64 `toml:"answer_ms"` // after which the client closes the connection
-	ResubmitDelay     Range   `toml:"again_s"`   // until another relay is sent what a dead one had accepted
+	ResponseTimeoutMS float64 `toml:"answer_ms"` // time after which the client closes the connection
+	ResubmitDelay     Range   `toml:"again_s"`   // time until a message that a lost relay had accepted is submitted to another relay
 	BodySize          Range   `toml:"body_bytes"`
-	MarkRetries       bool    `toml:"mark_retries"` // Client-Retry: 1
+	MarkRetries       bool    `toml:"mark_retries"` // retries have the header Client-Retry: 1
 }
 
-// LoadShape is how the arrival rate changes over a run.
+// LoadShape defines how the arrival rate changes over a run.
 type LoadShape string
 
 // The load shapes.
@@ -22,27 +22,27 @@
 	LoadRamp   LoadShape = "ramp" // linear, from rate - amplitude to rate + amplitude
 )
 
-// Load is what clients send.
+// Load defines the arrival rate and the bursts of messages.
 type Load struct {
 	Rate        float64   `toml:"rate,required"` // mean messages per second
 	Shape       LoadShape `toml:"shape"`
 	Amplitude   float64   `toml:"swing"`    // fraction of the rate by which it rises and falls
-	Period      float64   `toml:"period_s"` // of a wave
-	BurstShare  float64   `toml:"clumps"`   // fraction of messages that arrive in bursts for one destination
-	BurstLength Range     `toml:"clump_s"`  // a burst has as many messages as its destination admits in this time
+	Period      float64   `toml:"period_s"` // period of a wave
+	BurstShare  float64   `toml:"clumps"`   // fraction of messages that arrive in bursts, each burst for one destination
+	BurstLength Range     `toml:"clump_s"`  // time in which a destination admits as many messages as a burst for it has
 }
 
-// Idempotency is what a repeated execution of a request does.
+// Idempotency defines whether a request may be executed more than once.
 type Idempotency string
 
 // The kinds of idempotency.
 const (
 	Idempotent      Idempotency = "safe"
-	IdempotentByKey Idempotency = "keyed" // a destination drops a repeat with a key that it remembers
+	IdempotentByKey Idempotency = "keyed" // a destination drops a repeat until the TTL of its idempotency key ends
 	NotIdempotent   Idempotency = "unsafe"
 )
 
-// Distribution is the distribution of service times about their mean.
+// Distribution is the distribution of service times around their mean.
 type Distribution string
 
 // The distributions.
@@ -52,7 +52,7 @@
 	Fixed       Distribution = "fixed"
 )
 
-// Class is a class of message.
+// Class is a class of messages.
 type Class struct {
 	Name             string       `toml:"name,required"`
 	Share            float64      `toml:"share"` // of the traffic, relative to the other classes' shares
@@ -61,20 +61,20 @@
 	LatencyObjective float64      `toml:"aim_s,required"`
 	Deadline         float64      `toml:"deadline_s,required"`
 	Idempotency      Idempotency  `toml:"effect,required"`
-	KeyTTL           float64      `toml:"memory_s"` // by key: how long destinations drop a repeat
-	Ordered          bool         `toml:"ordered"`  // messages with one order key are delivered one after the other
-	OrderKeys        int          `toml:"keys"`     // ordered: the number of different keys
-	Subjects         int          `toml:"subjects"` // the number of things whose status messages report, the newest counting; 0: none
+	KeyTTL           float64      `toml:"memory_s"` // only if idempotent by key: how long a destination drops repeats of a key
+	Ordered          bool         `toml:"ordered"`  // messages with the same order key are delivered one at a time, in order
+	OrderKeys        int          `toml:"keys"`     // only if ordered: number of different order keys
+	Subjects         int          `toml:"subjects"` // number of subjects whose status messages report, of which only the newest message counts; 0: none
 	ServiceTimeMS    float64      `toml:"service_ms,required"`
 	Distribution     Distribution `toml:"spread"` // of the service time
 	CV               float64      `toml:"cv"`     // coefficient of variation of a lognormal service time
-	Noise            float64      `toml:"noise"`  // coefficient of variation between attempts of one message
+	Noise            float64      `toml:"noise"`  // coefficient of variation between the attempts of one message
 }
 
-// Tenant is one of those that share the service.
+// Tenant is one of the tenants that share the service.
 type Tenant struct {
 	Name              string  `toml:"name,required"`
 	Share             float64 `toml:"share"`
 	Quota             float64 `toml:"quota"`            // messages per second; 0: unlimited
-	OverQuotaFraction float64 `toml:"over_share_worth"` // fraction of the priority weight that a message beyond the quota has
+	OverQuotaFraction float64 `toml:"over_share_worth"` // fraction of the priority weight that remains for a message beyond the quota
 }
