--- a/internal/faultinjection/checker/checker.go
+++ b/internal/faultinjection/checker/checker.go
@@ -34,7 +34,7 @@
 // check checks a whole run and reports the violations that it finds.
 type check func(h *history, log []Event)
 
-// checks are all checks, each in a file rule_NAME.go. Violations with the same time are reported in the order of their checks.
+// checks are all checks; their files are named rule_NAME.go. Violations with the same time are reported in the order of their checks.
 var checks = []check{
 	eachRequest(
 		(*history).checkOutcome,
--- a/internal/faultinjection/checker/event.go
+++ b/internal/faultinjection/checker/event.go
@@ -58,7 +58,7 @@
 	Rejected    = "full"   // 503 written
 	RetryAfter  = "wait"   // 429 with a Retry-After written
 	Reset       = "reset"  // the endpoint reset the connection after the body
-	Interrupted = "cut"    // the endpoint died or vanished with the attempt in flight
+	Interrupted = "cut"    // the endpoint failed or became unreachable while the attempt was in flight
 	Abandoned   = "left"   // the relay closed the connection before a response
 	NotSent     = "unsent" // the response said that the attempt counts as not sent: no slot, no attempt or no time was left, or the request is not of this run
 )
--- a/internal/faultinjection/checker/expected_metrics.go
+++ b/internal/faultinjection/checker/expected_metrics.go
@@ -35,57 +35,57 @@
 
 // expectedMetrics returns the expected metrics of a relay.
 func (h *history) expectedMetrics(relay int) *expectedMetrics {
-	a := &expectedMetrics{
+	m := &expectedMetrics{
 		outcomes:   map[string]map[string][]time.Duration{successMetric: {}, busyMetric: {}, failureMetric: {}},
 		unanswered: map[string][]time.Duration{},
 	}
 	for _, r := range h.requests {
 		if r.relay == relay && !r.redelivery && !r.fromStore {
-			a.add(r, h.Settings.Classes[r.class].Name)
+			m.add(r, h.Settings.Classes[r.class].Name)
 		}
 	}
 	for _, attempt := range h.attempts {
 		if attempt.relay == relay && !attempt.probe && attempt.outcome != NotSent {
-			a.attempts = append(a.attempts, attempt.lastByte)
+			m.attempts = append(m.attempts, attempt.lastByte)
 		}
 	}
-	a.sort()
-	return a
+	m.sort()
+	return m
 }
 
 // add adds a request.
-func (a *expectedMetrics) add(r *request, class string) {
+func (m *expectedMetrics) add(r *request, class string) {
 	metric, at := r.metric()
-	a.possibleInFlight = append(a.possibleInFlight, inFlightChange{r.submittedAt, 1})
+	m.possibleInFlight = append(m.possibleInFlight, inFlightChange{r.submittedAt, 1})
 	switch {
 	case r.answeredAt < 0:
-		a.unanswered[class] = append(a.unanswered[class], r.submittedAt)
+		m.unanswered[class] = append(m.unanswered[class], r.submittedAt)
 		if at = r.completedAt(); at < 0 {
 			at = r.deadline
 		}
-		a.possibleInFlight = append(a.possibleInFlight, inFlightChange{max(at, r.submittedAt), -1})
+		m.possibleInFlight = append(m.possibleInFlight, inFlightChange{max(at, r.submittedAt), -1})
 		return
 	case r.accepted:
-		a.certainInFlight = append(a.certainInFlight, inFlightChange{r.answeredAt, 1})
+		m.certainInFlight = append(m.certainInFlight, inFlightChange{r.answeredAt, 1})
 		if metric != "" {
-			a.certainInFlight, a.possibleInFlight = append(a.certainInFlight, inFlightChange{at, -1}), append(a.possibleInFlight, inFlightChange{at, -1})
+			m.certainInFlight, m.possibleInFlight = append(m.certainInFlight, inFlightChange{at, -1}), append(m.possibleInFlight, inFlightChange{at, -1})
 		}
 	default:
-		a.possibleInFlight = append(a.possibleInFlight, inFlightChange{r.answeredAt, -1})
+		m.possibleInFlight = append(m.possibleInFlight, inFlightChange{r.answeredAt, -1})
 	}
 	if metric != "" {
-		a.outcomes[metric][class] = append(a.outcomes[metric][class], at)
+		m.outcomes[metric][class] = append(m.outcomes[metric][class], at)
 	}
 }
 
 // sort sorts the outcomes and the changes of the number in flight by time.
-func (a *expectedMetrics) sort() {
-	for _, byClass := range a.outcomes {
+func (m *expectedMetrics) sort() {
+	for _, byClass := range m.outcomes {
 		for _, times := range byClass {
 			slices.Sort(times)
 		}
 	}
-	for _, changes := range [][]inFlightChange{a.certainInFlight, a.possibleInFlight} {
+	for _, changes := range [][]inFlightChange{m.certainInFlight, m.possibleInFlight} {
 		slices.SortFunc(changes, func(x, y inFlightChange) int { return cmp.Compare(x.at, y.at) })
 	}
 }
@@ -125,7 +125,7 @@
 }
 
 // differences describes each metric of a scrape, read from process p at a time, that disagrees with the expected value.
-func (a *expectedMetrics) differences(at time.Duration, p *process, s *Scrape) (found []string) {
+func (m *expectedMetrics) differences(at time.Duration, p *process, s *Scrape) (found []string) {
 	check := func(name string, shown, low, high int, share float64) {
 		slack := math.Max(minDifference, share*float64(high))
 		if float64(shown) < float64(low)-slack || float64(shown) > float64(high)+slack {
@@ -135,16 +135,16 @@
 	counts := map[string]map[string]int{successMetric: s.Success, busyMetric: s.Busy, failureMetric: s.Failure}
 	for _, metric := range slices.Sorted(maps.Keys(counts)) {
 		for class, shown := range counts[metric] {
-			times := a.outcomes[metric][class]
+			times := m.outcomes[metric][class]
 			low := between(times, p.readyAt+metricsLag, at-metricsLag)
-			high := between(times, p.startedAt-metricsLag, at+metricsLag) + between(a.unanswered[class], p.startedAt-metricsLag, at)
+			high := between(times, p.startedAt-metricsLag, at+metricsLag) + between(m.unanswered[class], p.startedAt-metricsLag, at)
 			check(metric+" of "+class, shown, low, high, differenceShare)
 		}
 	}
-	check("backend_calls", s.BackendCalls, between(a.attempts, p.readyAt+metricsLag, at-metricsLag),
-		between(a.attempts, p.startedAt-metricsLag, at+metricsLag), attemptsShare)
-	low, _ := inFlightBetween(a.certainInFlight, at-metricsLag, at+metricsLag)
-	_, high := inFlightBetween(a.possibleInFlight, at-metricsLag, at+metricsLag)
+	check("backend_calls", s.BackendCalls, between(m.attempts, p.readyAt+metricsLag, at-metricsLag),
+		between(m.attempts, p.startedAt-metricsLag, at+metricsLag), attemptsShare)
+	low, _ := inFlightBetween(m.certainInFlight, at-metricsLag, at+metricsLag)
+	_, high := inFlightBetween(m.possibleInFlight, at-metricsLag, at+metricsLag)
 	check("inflight", s.Inflight, low, high, inFlightShare)
 	return found
 }
--- a/internal/faultinjection/checker/rule_draining_test.go
+++ b/internal/faultinjection/checker/rule_draining_test.go
@@ -44,7 +44,7 @@
 			l.submit(7*sec, "a", status)
 			l.attempt(8*sec, "a", "h", OK, ms)
 		},
-		"a new watch before that": func(l *logBuilder) { // the new watch delivers the changes that the silent one missed
+		"a new watch before the time limit of a silent watch": func(l *logBuilder) { // the new watch delivers the changes that the silent one missed
 			l.silentWatch()
 			l.add(Event{At: 2500 * ms, Kind: WatchRequested, OK: true})
 			l.submit(8*sec, "a", status)
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -80,7 +80,7 @@
 }
 
 // checkReturned checks that a request that must not be repeated and may have been executed was not returned to its client as safe to
-// submit again. It returns whether that is violated.
+// submit again. It returns true, after reporting a violation, if the request was.
 func (h *history) checkReturned(r *request, first *attempt) bool {
 	for _, n := range r.notices {
 		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -31,7 +31,7 @@
 // requests may be counted by its predecessor.
 type process struct{ startedAt, readyAt time.Duration }
 
-// metricsCheck compares the metrics of all relays with the log.
+// metricsChecker compares the metrics of all relays with the log.
 type metricsChecker struct {
 	history    *history
 	expected   map[int]*expectedMetrics
@@ -67,16 +67,16 @@
 
 // check checks one scrape.
 func (c *metricsChecker) check(e Event) {
-	a := c.expected[e.Relay]
-	if a == nil {
-		a = c.history.expectedMetrics(e.Relay)
-		c.expected[e.Relay] = a
+	m := c.expected[e.Relay]
+	if m == nil {
+		m = c.history.expectedMetrics(e.Relay)
+		c.expected[e.Relay] = m
 	}
 	p := c.processes[e.Relay][e.Process]
 	if p == nil || c.violations[e.Relay] >= maxMetricViolations {
 		return
 	}
-	for _, text := range a.differences(e.At, p, e.Metrics) {
+	for _, text := range m.differences(e.At, p, e.Metrics) {
 		c.violations[e.Relay]++
 		c.history.report(MetricsWrong, e.At, "", e.Relay, -1, "%s", text)
 	}
--- a/internal/faultinjection/scenario/doc.go
+++ b/internal/faultinjection/scenario/doc.go
@@ -6,8 +6,8 @@
 // random faults.
 //
 // The package does no I/O except for reading files, and uses no clock. Random numbers come from [RandomStreams]: the seed, the name
-// of a stream and the order of the draws from it determine every number, so that a seed always gives the same run. Names of streams
-// and the order of draws must therefore not change.
+// of a stream and the order of the draws from it determine every number, so that a seed always gives the same run. The use of the
+// seed, the names of streams and the order of draws must therefore not change.
 //
 // The keys of the file use the terms of the platform (partner, register, event), whereas the code uses destination, discovery and
 // fault.
--- a/internal/faultinjection/scenario/fault.go
+++ b/internal/faultinjection/scenario/fault.go
@@ -18,16 +18,16 @@
 	ReplacementTime float64   `toml:"over_s"`   // time over which the replacements of the endpoints are spread
 	ReusedAddresses float64   `toml:"reused"`   // fraction of new endpoints that get the address of a removed endpoint
 	RestartDelay    float64   `toml:"back_s"`   // time until a relay is started again
-	Mode            string    `toml:"how"`      // of a discovery outage, one of the DiscoveryX constants
+	Mode            string    `toml:"how"`      // how discovery fails during its outage, one of the DiscoveryX constants
 	Classes         []string  `toml:"classes"`  // the classes in the settings from then on
 	MaxAttempts     int       `toml:"attempts"` // the attempt limit in the settings from then on
-	Corruption      string    `toml:"broken"`   // of a settings file, one of the CorruptionX constants
-	IdleCallers     int       `toml:"callers"`  // callers that hold connections: to the admin endpoint, or, in a crowd, to the relay
+	Corruption      string    `toml:"broken"`   // how the settings file is corrupted, one of the CorruptionX constants
+	IdleCallers     int       `toml:"callers"`  // callers that hold connections: to the admin endpoint, sending nothing, or, as a crowd, to the relay
 	StaysWarm       bool      `toml:"warm"`     // the destination has its full capacity right after the outage
 	ClockStep       float64   `toml:"by_s"`     // seconds by which the wall clock is stepped; negative: backwards
 	Syscall         string    `toml:"call"`     // the system call that fails, a key of SocketSyscalls
 	Errno           string    `toml:"errno"`    // the error that the system call returns, a name that Errno accepts
-	Signals         string    `toml:"signals"`  // around a shutdown or handover, one of the SignalsX constants
+	Signals         string    `toml:"signals"`  // series of signals around a shutdown or hand-over, one of the SignalsX constants
 	RestartAgain    float64   `toml:"again_s"`  // time after the new process is ready until that process is replaced in the same way; 0: no second replacement
 	AfterAcceptance bool      `toml:"behind"`   // the process is killed right after it accepts a request
 }
--- a/internal/faultinjection/scenario/workload.go
+++ b/internal/faultinjection/scenario/workload.go
@@ -19,7 +19,7 @@
 const (
 	LoadSteady LoadShape = "steady"
 	LoadWave   LoadShape = "wave" // a sine
-	LoadRamp   LoadShape = "ramp" // linear, from rate - amplitude to rate + amplitude
+	LoadRamp   LoadShape = "ramp" // linear, from rate * (1 - amplitude) to rate * (1 + amplitude)
 )
 
 // Load defines the arrival rate and the bursts of messages.
@@ -64,7 +64,7 @@
 	KeyTTL           float64      `toml:"memory_s"` // only if idempotent by key: how long a destination drops repeats of a key
 	Ordered          bool         `toml:"ordered"`  // messages with the same order key are delivered one at a time, in order
 	OrderKeys        int          `toml:"keys"`     // only if ordered: number of different order keys
-	Subjects         int          `toml:"subjects"` // number of subjects whose status messages report, of which only the newest message counts; 0: none
+	Subjects         int          `toml:"subjects"` // number of subjects whose status messages report; only the newest message about a subject counts; 0: none
 	ServiceTimeMS    float64      `toml:"service_ms,required"`
 	Distribution     Distribution `toml:"spread"` // of the service time
 	CV               float64      `toml:"cv"`     // coefficient of variation of a lognormal service time
