--- a/internal/faultinjection/checker/log_builder_test.go
+++ b/internal/faultinjection/checker/log_builder_test.go
@@ -117,7 +117,8 @@
 	l.attempt(at, id, "h", outcome, ms)
 }
 
-// parcelStatus adds an event of a request that reports the status of a parcel. Of two requests, the one with the higher number is newer.
+// parcelStatus adds an event of a request that reports the status of a parcel. Of two requests, the one with the higher number is
+// newer.
 func (l *logBuilder) parcelStatus(kind Kind, at time.Duration, id string, number int) {
 	l.add(Event{At: at, Kind: kind, ID: id, Message: number, Class: status, Subject: "parcel-1", Duration: 30 * sec})
 	if kind == Submitted {
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -133,7 +133,8 @@
 }
 
 // countsAsNotifiedAt returns when a relay counts as notified of a change that discovery showed at a time: as soon as discovery has
-// been up for NotifyWithin since the change, or the relay has neither watched nor polled for the longest time that the settings allow.
+// been up for NotifyWithin since the change, or the relay has neither watched nor polled for the longest time that the settings
+// allow.
 func (h *history) countsAsNotifiedAt(log []Event, relay int, shownAt time.Duration) time.Duration {
 	pollWithin := settings.Seconds(h.Settings.Rules.PollWithinS)
 	w := &watchState{
--- a/internal/faultinjection/scenario/destination.go
+++ b/internal/faultinjection/scenario/destination.go
@@ -46,7 +46,8 @@
 	OverloadDowntime  float64        `toml:"fallen_for_s"` // time for which an overload takes the destination down
 }
 
-// Limit is the limit on the attempts that a destination admits from all relays together: either a rate with a burst, or a count per window.
+// Limit is the limit on the attempts that a destination admits from all relays together: either a rate with a burst, or a count per
+// window.
 type Limit struct {
 	Rate   float64 `toml:"rate"` // attempts per second
 	Burst  float64 `toml:"burst"`
--- a/internal/faultinjection/scenario/fault.go
+++ b/internal/faultinjection/scenario/fault.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Fault is a failure or a change at a time of the run. The constants of type [FaultKind] are its kinds; each kind uses some of the fields.
+// Fault is a failure or a change at a time of the run. The constants of type [FaultKind] are its kinds; each kind uses some of the
+// fields.
 type Fault struct {
 	At              float64   `toml:"at_s,required"`
 	Kind            FaultKind `toml:"what,required"`
@@ -40,7 +41,8 @@
 	SignalsRepeated = "repeated"
 	// SignalsStarting is SIGTERM, and SIGTERM also to the next process while that starts and reads its journal.
 	SignalsStarting = "starting"
-	// SignalsStuck is a shutdown that hangs: the process is suspended before it ends, and killed when the time for the shutdown is up.
+	// SignalsStuck is a shutdown that hangs: the process is suspended before it ends, and killed when the time for the shutdown is
+	// up.
 	SignalsStuck = "stuck"
 	// SignalsHandover is SIGTERM to the predecessor while its successor takes over.
 	SignalsHandover = "handover"
@@ -61,7 +63,8 @@
 	CorruptionZeroValue  = "zero"
 )
 
-// IsOutage reports whether a fault is an outage of its destination's endpoints. After an outage they are cold unless StaysWarm is set.
+// IsOutage reports whether a fault is an outage of its destination's endpoints. After an outage they are cold unless StaysWarm is
+// set.
 func (f *Fault) IsOutage() bool { return faultKinds[f.Kind].outage }
 
 // isActive reports whether a fault with a duration is active at a time.
--- a/internal/faultinjection/scenario/random.go
+++ b/internal/faultinjection/scenario/random.go
@@ -13,8 +13,8 @@
 // NewRandomStreams returns the streams of a seed.
 func NewRandomStreams(seed int64) RandomStreams { return RandomStreams{seed} }
 
-// Stream returns the stream for a purpose, from its beginning. The numbers distinguish several streams for one purpose, for instance by
-// the number of a message.
+// Stream returns the stream for a purpose, from its beginning. The numbers distinguish several streams for one purpose, for instance
+// by the number of a message.
 func (r RandomStreams) Stream(purpose string, numbers ...int) *rand.Rand {
 	// A stream is seeded with two 64-bit words: a hash of the seed and the purpose, and a mix of the numbers. The mix uses the
 	// multiplier and a shift of the SplitMix64 finalizer, and starts from 2^64 divided by the golden ratio.
--- a/internal/faultinjection/scenario/read.go
+++ b/internal/faultinjection/scenario/read.go
@@ -2,7 +2,8 @@
 
 import "frostlink/internal/strictconfig"
 
-// Read reads a scenario file. If the file can be read but has mistakes, the error is a strictconfig.FieldErrors that lists all of them.
+// Read reads a scenario file. If the file can be read but has mistakes, the error is a strictconfig.FieldErrors that lists all of
+// them.
 func Read(path string) (*Scenario, error) {
 	s := newWithDefaults()
 	document, err := strictconfig.ReadFile(path, s)
--- a/internal/faultinjection/scenario/reloadable_settings.go
+++ b/internal/faultinjection/scenario/reloadable_settings.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	// reloadTime is the time in seconds within which relays should have read a new settings file. Clients use an added class only after
-	// this time.
+	// reloadTime is the time in seconds within which relays should have read a new settings file. Clients use an added class only
+	// after this time.
 	reloadTime = 1.3
 	// removalLead is the time in seconds between the last use of a class by clients and the settings file that removes the class.
 	removalLead = 0.2
--- a/internal/faultinjection/scenario/soak_restarts.go
+++ b/internal/faultinjection/scenario/soak_restarts.go
@@ -8,21 +8,22 @@
 const (
 	// soakCooldown is the cooldown of order keys in a soak of restarts, in seconds. It is long enough for a second restart within it.
 	soakCooldown = 1.0
-	// crowdSocketLimit is the number of descriptors that a relay may hold in a soak with crowds; crowdCallers is the number of callers in a
-	// crowd.
+	// crowdSocketLimit is the number of descriptors that a relay may hold in a soak with crowds; crowdCallers is the number of
+	// callers in a crowd.
 	crowdSocketLimit, crowdCallers = 160, 200
-	// maxRestartTime is the time in seconds that the longest restart takes, including some time in which the next process is observed.
+	// maxRestartTime is the time in seconds that the longest restart takes, including some time in which the next process is
+	// observed.
 	maxRestartTime = 5.0
 	// hangLead is how long before a shutdown, in seconds, a destination begins to hang or a crowd arrives. hangTime is how long that
 	// fault lasts: longer than the shutdown, because a terminated process may take 3.7 s to end.
 	hangLead, hangTime = 0.3, 4.6
 )
 
-// RestartSoakScenario returns the text of a scenario, drawn from a seed, that adds to the faults of SoakScenario all ways in which the
-// platform ends and replaces processes: with a series of signals around SIGTERM, while the process starts, right after it has accepted
-// a request, a second time within the cooldown of order keys or a slow start, while a destination hangs, and by a kill after a shutdown
-// got stuck. Scenarios of even seeds have crowds of callers, those of odd seeds have hand-overs. Apart from that, each scenario has all
-// of these ways. The restarts overlap with the faults of SoakScenario.
+// RestartSoakScenario returns the text of a scenario, drawn from a seed, that adds to the faults of SoakScenario all ways in which
+// the platform ends and replaces processes: with a series of signals around SIGTERM, while the process starts, right after it has
+// accepted a request, a second time within the cooldown of order keys or a slow start, while a destination hangs, and by a kill after
+// a shutdown got stuck. Scenarios of even seeds have crowds of callers, those of odd seeds have hand-overs. Apart from that, each
+// scenario has all of these ways. The restarts overlap with the faults of SoakScenario.
 func RestartSoakScenario(seed int64, relays int, length float64) string {
 	w := &soakWriter{random: rand.New(rand.NewPCG(uint64(seed), restartSoakStream)), length: length}
 	crowds := seed%2 == 0
@@ -66,8 +67,8 @@
 	}
 }
 
-// writeAnyRestart draws the fault of a relay that has no planned one. Shutdowns are more frequent than in SoakScenario, and may have a
-// series of signals.
+// writeAnyRestart draws the fault of a relay that has no planned one. Shutdowns are more frequent than in SoakScenario, and may have
+// a series of signals.
 func (w *soakWriter) writeAnyRestart(relay setting) {
 	switch {
 	case w.chance(0.3):
--- a/internal/faultinjection/scenario/soak_test.go
+++ b/internal/faultinjection/scenario/soak_test.go
@@ -10,7 +10,8 @@
 	}
 }
 
-// The text of a soak of restarts is a valid scenario, and the scenarios of two consecutive seeds together have each way of ending a process.
+// The text of a soak of restarts is a valid scenario, and the scenarios of two consecutive seeds together have each way of ending a
+// process.
 func TestRestartSoakScenario_IsValidAndComplete(t *testing.T) {
 	ways := map[string]int{}
 	for seed := range int64(20) {
--- a/internal/faultinjection/scenario/validate_overlap.go
+++ b/internal/faultinjection/scenario/validate_overlap.go
@@ -1,7 +1,7 @@
 package scenario
 
-// validateOverlaps reports pairs of faults that must not be active at the same time, because their combined effect would depend on the
-// order in which they are applied.
+// validateOverlaps reports pairs of faults that must not be active at the same time, because their combined effect would depend on
+// the order in which they are applied.
 func (s *Scenario) validateOverlaps(v validator) {
 	for i := range s.Faults {
 		for j := range i {
