--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -14,18 +14,18 @@
 	"frostlink/internal/socket"
 )
 
-// adminEndpoint is what operators reach of a relay.
+// adminEndpoint is the relay's HTTP endpoint for operators: status, metrics and the serving mode.
 type adminEndpoint struct {
-	server     *admin.Server // nil: the platform names no address for it
+	server     *admin.Server // nil if the configuration has no address for it
 	mode       *servingmode.Mode
 	metrics    *admin.Metrics
 	violations *invariant.Counts
 	frontend   atomic.Pointer[front.Server]
-	serving    atomic.Bool // clients are served, and no graceful shutdown has begun
+	serving    atomic.Bool // clients are served and no graceful shutdown has begun
 }
 
-// openAdminEndpoint opens the admin endpoint, where the platform names an address for it. It answers from the start on, and
-// reports that the relay does not serve until startServing.
+// openAdminEndpoint opens the admin endpoint, if the configuration has an address for it. The endpoint answers from now on, and
+// reports that the relay does not serve until startServing is called.
 func openAdminEndpoint(cfg *Config, mode *servingmode.Mode, metrics *admin.Metrics, violations *invariant.Counts) (*adminEndpoint, error) {
 	a := &adminEndpoint{mode: mode, metrics: metrics, violations: violations}
 	if cfg.Management == "" {
@@ -44,11 +44,11 @@
 	return a, nil
 }
 
-// startServing reports from now on that clients are served.
+// startServing makes the endpoint report that clients are served by frontend.
 func (a *adminEndpoint) startServing(frontend *front.Server) {
 	a.frontend.Store(frontend)
 	a.serving.Store(true)
-	if standby, _ := a.mode.InStandby(); standby { // of the predecessor
+	if standby, _ := a.mode.InStandby(); standby { // handed over by a predecessor
 		go frontend.CloseIdleConns()
 	}
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// Status reports whether this process serves clients, and its state.
+// Status returns whether this process serves clients, and its state.
 func (a *adminEndpoint) Status() (serving bool, state string) {
 	switch state := a.mode.State(time.Now()); {
 	case a.serving.Load():
@@ -74,7 +74,7 @@
 
 // Standby drains clients.
 func (a *adminEndpoint) Standby() {
-	slog.Info("entering standby: clients are drained")
+	slog.Info("entered standby: client connections are being drained")
 	a.mode.EnterStandby(time.Now())
 	if frontend := a.frontend.Load(); frontend != nil {
 		go frontend.CloseIdleConns()
@@ -83,12 +83,12 @@
 
 // Active serves clients again.
 func (a *adminEndpoint) Active() {
-	slog.Info("active: clients are served again")
+	slog.Info("left standby: clients are served again")
 	a.mode.Activate()
 }
 
 // Metrics returns the metrics as JSON.
 func (a *adminEndpoint) Metrics() ([]byte, error) { return a.metrics.JSON() }
 
-// Violations returns how often invariants were violated, by kind.
+// Violations returns the number of invariant violations, by kind.
 func (a *adminEndpoint) Violations() map[string]int64 { return a.violations.ByKind() }
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -9,7 +9,8 @@
 	"frostlink/policy"
 )
 
-// addCandidate has the dispatcher decide on a request in this batch. Redeliveries come behind all submissions.
+// addCandidate makes a request a candidate, so that the dispatcher decides on it in this batch. Redeliveries are background
+// requests: the dispatcher decides on them after all submissions.
 func (l *loop) addCandidate(r *request) {
 	l.requests[r.ID] = r
 	l.candidates = append(l.candidates, r)
@@ -42,7 +43,7 @@
 	l.deadlines.Add(r.ID, r.Deadline)
 }
 
-// countAccepted has the metrics count an accepted request. Redeliveries are not the clients'.
+// countAccepted counts an accepted request in the metrics. Redeliveries are not counted, since no client submitted them.
 func (l *loop) countAccepted(r *request) {
 	if !r.Redelivery {
 		r.countedInFlight = true
@@ -50,8 +51,8 @@
 	}
 }
 
-// respondToCandidate answers the submissions that brought a candidate, where they are not answered yet; durable says
-// whether the records of its batch are.
+// respondToCandidate answers the submissions of a candidate that are not answered yet. durable says whether the records of
+// its batch are durable.
 func (l *loop) respondToCandidate(r *request, durable bool) {
 	switch {
 	case durable && r.responses != nil:
@@ -67,7 +68,7 @@
 func (l *loop) rejectUnrecorded(r *request) {
 	response := frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
 	if l.journal.MayHoldUncommitted() {
-		// A later process may find the record and deliver the request: a 503 would promise that it has no effect.
+		// A later process may find the record and deliver the request, but a 503 would promise that the request has no effect.
 		response = frontend.Response{Status: http.StatusBadGateway}
 	}
 	respondAll(r.responses, response)
@@ -88,7 +89,7 @@
 	}
 }
 
-// respondAll answers all submissions that brought a request.
+// respondAll sends a response to all submissions of a request.
 func respondAll(to []chan frontend.Response, response frontend.Response) {
 	for _, c := range to {
 		c <- response
--- a/internal/relay/assemble.go
+++ b/internal/relay/assemble.go
@@ -19,7 +19,7 @@
 	"frostlink/policy"
 )
 
-// assemble makes all parts of a relay, and starts none.
+// assemble creates all parts of a relay without starting them.
 func (n *node) assemble(j *journal.Journal) error {
 	cfg := n.cfg
 	cfg.addRetiredClasses(j)
@@ -64,7 +64,7 @@
 		func(lists int) { l.send(watchEnded{lists}) })
 	relays := l.cfg.Settings.Instances
 	if l.cfg.hasOwnEndpointList() {
-		relays = 1 // nobody else polls it
+		relays = 1 // no other relay polls this list
 	}
 	watch.ShareWith(relays, l.cfg.seed)
 	return watch
@@ -81,7 +81,7 @@
 		func(class string) { l.send(submissionRejectedUnread{class}) })
 }
 
-// joinFleet gives the relay its part of the fleet's tasks, where the operator wants that.
+// joinFleet makes the relay take part in the fleet tasks, if the operator's file has a section for them.
 func (n *node) joinFleet(deadLetters *deadLetterLink) (err error) {
 	if n.cfg.OperatorFile == nil || n.cfg.OperatorFile.Coordination == nil {
 		return nil
@@ -96,10 +96,10 @@
 	return nil
 }
 
-// start starts all parts, with what the predecessor has handed over, if there was one.
+// start starts all parts, with the state that a predecessor has handed over, or nil.
 func (n *node) start(predecessor *handoverState) {
 	l := n.loop
-	l.restore(n.running, predecessor) // clients wait to be served until this is done
+	l.restore(n.running, predecessor) // before Serve, so that no submission arrives earlier
 	n.goroutines.Go(func() { l.run(n.running) })
 	n.goroutines.Go(func() { l.watch.Run(n.running) })
 	n.goroutines.Go(func() { l.notifier.Run(n.running) })
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -23,17 +23,17 @@
 	policy.NotSent: "not sent",
 }
 
-// plannedAttempt is an attempt that the dispatcher has decided on.
+// plannedAttempt is an attempt that the dispatcher has decided to make.
 type plannedAttempt struct {
 	request  *request
-	index    int // among the attempts of its request
+	index    int // within its request, from 0
 	endpoint discovery.Endpoint
 	timeout  time.Duration
-	writeBy  time.Time // its last byte must have left by then; zero: at any time
-	record   uint64    // the number of its record
+	writeBy  time.Time // its last byte must be written by then; zero: no limit
+	record   uint64    // the journal's number of its record
 }
 
-// planAttempt records an attempt and makes it ready to start at the end of the batch.
+// planAttempt notes an attempt in the journal and schedules its start for the end of the batch.
 func (l *loop) planAttempt(now time.Duration, a policy.Send) {
 	r := l.requests[a.ID]
 	if r == nil || r.completed() {
@@ -58,14 +58,14 @@
 	}
 	if !listed || endpoint.Destination != r.Destination {
 		// Guards the protocol's rule that a request goes only to a listed endpoint of its destination.
-		slog.Error("attempt planned to an endpoint of another destination", logkey.Endpoint, a.Endpoint, logkey.Destination, r.Destination)
+		slog.Error("attempt not sent: the endpoint is not listed for the request's destination", logkey.Endpoint, a.Endpoint, logkey.Destination, r.Destination)
 		l.attemptNotSent(p)
 		return
 	}
 	l.attempts = append(l.attempts, p)
 }
 
-// attemptNotSent ends an attempt that was not started.
+// attemptNotSent ends a planned attempt that is not started.
 func (l *loop) attemptNotSent(p plannedAttempt) {
 	l.handleAttemptEnded(attemptEnded{
 		id: p.request.ID, index: p.index, endpoint: p.endpoint.ID, Result: upstream.Result{Outcome: policy.NotSent},
@@ -89,7 +89,8 @@
 	l.runAttempt(ctx, p, l.pool.Call)
 }
 
-// runAttempt has a goroutine make an attempt, or await the response to one, as exchange does.
+// runAttempt runs exchange in a new goroutine, which sends the loop the result. exchange makes the attempt, or awaits the
+// response to an attempt whose request was sent before.
 func (l *loop) runAttempt(ctx context.Context, p plannedAttempt, exchange func(context.Context, upstream.Request) upstream.Result) {
 	ctx, cancel := context.WithCancel(ctx)
 	r := p.request
@@ -110,9 +111,9 @@
 	}()
 }
 
-// handleAttemptEnded takes in the end of an attempt.
+// handleAttemptEnded handles the end of an attempt, or the detachment of its connection.
 func (l *loop) handleAttemptEnded(e attemptEnded) {
-	r := l.requests[e.id] // stays as long as an attempt is in flight
+	r := l.requests[e.id] // not nil: a request stays in the map while an attempt is in flight
 	if e.started {
 		l.attemptsInFlight--
 	}
@@ -132,13 +133,13 @@
 	})
 	claimed := e.Final && !r.completed() && l.handleFinalResponse(r, e.Outcome == policy.Succeeded)
 	endsRequest := e.Final && !r.Redelivery
-	nothingOwed := r.completed() && r.PendingNotice == nil // an evicted request that stayed for this attempt
+	nothingOwed := r.completed() && r.PendingNotice == nil // an evicted request that stayed in memory until this attempt ended
 	if !claimed && (endsRequest || nothingOwed) {
 		l.evict(r)
 	}
 }
 
-// handleFinalResponse takes in a response after which its endpoint will do no more for a request, and reports whether a
+// handleFinalResponse handles a response after which the request needs no further attempt. claimed reports whether a
 // subsystem takes charge of the outcome.
 func (l *loop) handleFinalResponse(r *request, delivered bool) (claimed bool) {
 	status, counted := trace.Withdrawn, admin.Failure // withdrawn by its client, or its deadline has passed
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -12,14 +12,14 @@
 	"frostlink/policy"
 )
 
-// commit ends a batch. The rule: no effect that a later process must know of leaves before its record is durable. So the
-// records are written first, and a response 202, the start of an attempt and the publication of an outcome follow only
-// where that has succeeded.
+// commit ends a batch. The rule: an effect that a later process must be able to find in the journal happens only after its
+// record is durable. So the records are written first, and a response 202, the start of an attempt and the publication of
+// an outcome follow only if the write has succeeded.
 func (l *loop) commit(ctx context.Context) {
 	// 1. Records.
 	durable := l.writeRecords()
 
-	// 2. Effects that need the records of this batch. Where those are not durable the effects are taken back.
+	// 2. Effects that need the records of this batch. If these are not durable, the candidates and attempts are undone.
 	candidates, attempts, immediate := l.candidates, l.attempts, l.effects.immediate
 	l.candidates, l.attempts, l.effects.immediate = nil, nil, nil
 	for _, r := range candidates {
@@ -43,14 +43,14 @@
 		run()
 	}
 
-	// 4. Effects that wait for records of this batch or an earlier one, as long as that takes.
+	// 4. Effects that wait, over several batches if necessary, until their records are durable.
 	l.runAfterCommitEffects(durable)
 
 	l.metrics.Publish(admin.Gauges{EndpointsListed: len(l.endpoints), EndpointsUnhealthy: l.dispatcher.UnhealthyEndpoints()})
 }
 
-// writeRecords writes the records of the batch and reports whether they are durable. It follows the folder's state: while
-// that is degraded no attempt starts, and the folder is tried again after a pause.
+// writeRecords writes the records of the batch and reports whether they are durable. It tracks the folder's state: while the
+// folder is degraded, no attempt starts, and the write is retried after a pause.
 func (l *loop) writeRecords() (durable bool) {
 	now, before := l.now(), l.folder.State()
 	if !l.folder.MayWrite(now) {
@@ -70,8 +70,8 @@
 	return err == nil
 }
 
-// folderDegraded has the dispatcher start no attempt while the folder is degraded: each that can't be recorded would count
-// as one made.
+// folderDegraded stops the dispatcher from starting attempts while the folder is degraded, because the dispatcher would count
+// each attempt that can't be recorded as made.
 func (l *loop) folderDegraded(degraded bool) {
 	switch {
 	case degraded:
@@ -83,8 +83,8 @@
 	}
 }
 
-// folderRetryAt is when the folder is to be tried again, or an effect can't wait for it any more; ok is false while neither
-// is awaited.
+// folderRetryAt returns when the write of a degraded folder is retried, or when an effect must run without its record if
+// that is earlier. ok is false if the folder is not degraded.
 func (l *loop) folderRetryAt() (at time.Duration, ok bool) {
 	if l.folder.State() != journal.Degraded {
 		return 0, false
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -22,24 +22,25 @@
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
 	Seed      string `json:"seed"` // hexadecimal
-	// Management is where the admin endpoint listens; empty: there is none.
+	// Management is the address of the admin endpoint; empty: there is none.
 	Management     string                 `json:"management"`
 	Limits         Limits                 `json:"limits"`
 	KnownEndpoints discovery.EndpointList `json:"known"`
 	Settings       settings.Settings      `json:"settings"`
 
-	// ListenFD is the descriptor of a clients' socket that the platform holds and every process inherits; 0: none.
+	// ListenFD is the descriptor of the clients' listening socket, if the platform holds it and every process inherits it; 0: the
+	// relay opens its own.
 	ListenFD int `json:"-"`
 
-	// OperatorFile is the operator's own file; nil stands for one in which every section is off.
+	// OperatorFile is the operator's file; nil means that every section of it is off.
 	OperatorFile *operatorconfig.File `json:"-"`
 
 	policy policy.Settings
 	seed   int64
-	raw    []byte // as read
+	raw    []byte // the file's content
 }
 
-// Limits are what the platform grants one relay.
+// Limits are the resources that the platform grants one relay.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -64,7 +65,7 @@
 	return c, nil
 }
 
-// deadLetterSection returns the operator's section on dead letters; nil: there is no store of them.
+// deadLetterSection returns the operator's section on dead letters, or nil if there is no dead-letter store.
 func (c *Config) deadLetterSection() *deadletter.Section {
 	if c.OperatorFile == nil {
 		return nil
@@ -72,7 +73,7 @@
 	return c.OperatorFile.DeadLetter
 }
 
-// traceSection returns the operator's section on the trace; nil: there is no trace.
+// traceSection returns the operator's section on the trace, or nil if there is no trace.
 func (c *Config) traceSection() *trace.Section {
 	if c.OperatorFile == nil {
 		return nil
@@ -80,8 +81,8 @@
 	return c.OperatorFile.Trace
 }
 
-// hasOwnEndpointList reports whether each relay polls a list of its own that its platform's agent keeps, and no discovery
-// that all relays share.
+// hasOwnEndpointList reports whether each relay polls its own endpoint list, kept by the platform's agent, instead of a discovery
+// service that all relays share.
 func (c *Config) hasOwnEndpointList() bool { return c.Settings.Discovery == "automatic" }
 
 // classNames returns the names of the settings' classes.
@@ -92,7 +93,7 @@
 	return names
 }
 
-// longestDeadline returns the longest time that a request of any class may take.
+// longestDeadline returns the longest deadline of all classes.
 func (c *Config) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.policy.Classes {
@@ -101,7 +102,7 @@
 	return longest
 }
 
-// addRetiredClasses adds the classes that the settings no longer have, but that requests in the journal were accepted under.
+// addRetiredClasses adds the classes that are no longer in the settings but that requests in the journal belong to.
 func (c *Config) addRetiredClasses(j *journal.Journal) {
 	for _, e := range j.Entries() {
 		if terms := j.Terms(e); terms != nil && !slices.Contains(c.classNames(), e.Class) {
@@ -112,7 +113,7 @@
 	}
 }
 
-// validator returns the check of clients' submissions.
+// validator returns the validator of clients' submissions.
 func (c *Config) validator() *frontend.Validator {
 	v := &frontend.Validator{Classes: map[string]*policy.Class{}, Tenants: map[string]bool{}, Subjects: map[string]*deadletter.Subject{}}
 	for i := range c.policy.Classes {
--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -10,7 +10,7 @@
 	"frostlink/policy"
 )
 
-// validate checks the configuration and fills in what follows from it.
+// validate checks the configuration and sets the fields that are derived from it.
 func (c *Config) validate() *ConfigError {
 	if err := c.validateLimits(); err != nil {
 		return err
@@ -29,17 +29,17 @@
 	for i, name := range c.classNames() {
 		if name == "" || strings.ContainsAny(name, "/?# \t\r\n") {
 			key := fmt.Sprintf("settings: categories[%d].name", i)
-			return &ConfigError{Key: key, Reason: fmt.Errorf("%q can't be the first part of a path", name)}
+			return &ConfigError{Key: key, Reason: fmt.Errorf("%q can't be the first segment of a URL path", name)}
 		}
 	}
 	c.applySocketLimits()
-	if _, err := policy.New(c.policy, c.seed); err != nil { // its own check of the settings
+	if _, err := policy.New(c.policy, c.seed); err != nil { // checks the settings
 		return &ConfigError{Reason: err}
 	}
 	return nil
 }
 
-// validateLimits checks the address and the limits.
+// validateLimits checks the listening address and the limits.
 func (c *Config) validateLimits() *ConfigError {
 	switch {
 	case c.Listen == "":
@@ -60,18 +60,19 @@
 	return &ConfigError{Key: key, Reason: fmt.Errorf("%v is not above 0", value)}
 }
 
-// applySocketLimits sets what differs on sockets from the simulator's protocol.
+// applySocketLimits sets the policy settings that differ between sockets and the simulator's protocol.
 func (c *Config) applySocketLimits() {
-	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.maxEndpointConns()) // an attempt needs a connection
-	// A list that the platform pushes comes on a watch as well: what its agent has counts as received whether or not one is open.
+	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.maxEndpointConns()) // each attempt needs a connection
+	// A list that the platform pushes also arrives on a watch: once its agent has a list, the list counts as received, whether
+	// or not a watch is open.
 	c.policy.WatchEndpoints = true
-	c.policy.AwaitAcknowledgement = true // a notice is posted, and a response written, after it is decided on
+	c.policy.AwaitAcknowledgement = true // notices are posted, and responses written, some time after the decision
 	for i := range c.policy.Kinds {
 		c.policy.Kinds[i].MaxBatch = 1 // an attempt carries one request
 	}
 }
 
-// validateOperatorFile checks the operator's file against the platform's configuration.
+// validateOperatorFile checks the redelivery rules of the operator's file against the platform's settings.
 func (c *Config) validateOperatorFile() error {
 	section := c.deadLetterSection()
 	if section == nil {
@@ -79,8 +80,8 @@
 	}
 	var errs []error
 	for i, rule := range section.Rules {
-		for _, fault := range rule.Conflicts(c.RedeliveryClasses(section)) {
-			errs = append(errs, fmt.Errorf("the operator's file: undelivered.rule[%d]: %s", i+1, fault))
+		for _, conflict := range rule.Conflicts(c.RedeliveryClasses(section)) {
+			errs = append(errs, fmt.Errorf("the operator's file: undelivered.rule[%d]: %s", i+1, conflict))
 		}
 	}
 	return errors.Join(errs...)
--- a/internal/relay/config_error.go
+++ b/internal/relay/config_error.go
@@ -4,10 +4,10 @@
 	"strings"
 )
 
-// ConfigError says what is wrong with the platform's configuration file.
+// ConfigError is a fault in the platform's configuration file.
 type ConfigError struct {
-	File   string // empty: Reason names it, or it is not known
-	Key    string // empty: the file as a whole, or Reason names it
+	File   string // empty if Reason names it or it is unknown
+	Key    string // empty if Reason names it or the fault is not in one key
 	Reason error
 }
 
--- a/internal/relay/deadletter_batch.go
+++ b/internal/relay/deadletter_batch.go
@@ -9,11 +9,11 @@
 	"frostlink/internal/logkey"
 )
 
-// lostReason is what the store says of requests that it could not keep.
+// lostReason is the reason that the store lists for requests that it could not store.
 const lostReason = "the store did not take it, and the journal had no room"
 
-// writeBatch writes a batch to the store, or parts of it: a request that can't be stored must not hold back the others.
-// What was rejected comes last, and is dropped where there is no room.
+// writeBatch writes a batch to the store, part by part, and stops at the first part that fails. Rejected requests come last,
+// and their records are dropped if the store is full.
 func (w *deadLetterWriter) writeBatch(ctx context.Context, b *deadLetterBatch) error {
 	if err := w.ensureOpen(ctx); err != nil {
 		return err
@@ -38,12 +38,12 @@
 	return w.writeRejected(b)
 }
 
-// writeResults writes what became of redeliveries.
+// writeResults writes the results of redeliveries.
 func (w *deadLetterWriter) writeResults(results []deadletter.Result) error {
 	if len(results) == 0 {
 		return nil
 	}
-	if err := w.resender.HandleResults(results, w.now()); err != nil {
+	if err := w.redeliverer.HandleResults(results, w.now()); err != nil {
 		return err
 	}
 	ids := make([]string, len(results))
@@ -55,17 +55,17 @@
 	return nil
 }
 
-// writeDelivered writes which requests with a subject were delivered.
-func (w *deadLetterWriter) writeDelivered(notes []deadletter.Delivery) error {
-	if len(notes) == 0 {
+// writeDelivered writes the deliveries of requests with a subject.
+func (w *deadLetterWriter) writeDelivered(deliveries []deadletter.Delivery) error {
+	if len(deliveries) == 0 {
 		return nil
 	}
-	if err := w.deadLetters.RecordDelivered(notes); err != nil {
+	if err := w.deadLetters.RecordDelivered(deliveries); err != nil {
 		return err
 	}
-	ids := make([]string, len(notes))
-	for i := range notes {
-		ids[i] = notes[i].ID
+	ids := make([]string, len(deliveries))
+	for i := range deliveries {
+		ids[i] = deliveries[i].ID
 	}
 	w.queue.removeDelivered(ids)
 	w.send(requestsStored{ids})
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// writeRecords writes requests that were accepted and not delivered.
+// writeRecords writes requests that were accepted and not delivered. If the store does not take them together, it writes the
+// first one alone, so that one request that can't be stored does not hold back those before it.
 func (w *deadLetterWriter) writeRecords(records []deadletter.Message) error {
 	if len(records) == 0 {
 		return nil
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// writeRejected writes requests that were never accepted.
+// writeRejected writes the counts and the records of requests that were never accepted.
 func (w *deadLetterWriter) writeRejected(b *deadLetterBatch) error {
 	if len(b.rejectedCounts) > 0 {
 		if err := w.deadLetters.CountRejected(b.rejectedCounts); err != nil {
@@ -124,11 +125,11 @@
 	return err
 }
 
-// writeRemainingRejected writes, at the end of the process, what is in no journal, so that no later process could: requests
-// that were never accepted.
+// writeRemainingRejected writes, at the end of the process, the requests that were never accepted: they are in no journal, so
+// no later process could write them.
 func (w *deadLetterWriter) writeRemainingRejected() {
 	for w.deadLetters != nil {
-		b, _ := w.queue.nextBatch() // returns at once, since the queue is closed
+		b, _ := w.queue.nextBatch() // does not wait, since the queue is closed
 		if len(b.rejectedCounts)+len(b.rejectedRecords) == 0 {
 			return
 		}
--- a/internal/relay/deadletter_events.go
+++ b/internal/relay/deadletter_events.go
@@ -5,9 +5,9 @@
 	"frostlink/internal/trace"
 )
 
-// deadLetterEvent is what the dead-letter writer reports to the loop's side of the store.
+// deadLetterEvent is an event that the dead-letter writer sends to the loop's side of the store.
 type deadLetterEvent interface {
-	// applyTo takes the event in. The loop's goroutine calls it.
+	// applyTo applies the event to the link's state. The loop's goroutine calls it.
 	applyTo(d *deadLetterLink)
 }
 
@@ -19,7 +19,7 @@
 
 func (e fromDeadLetterWriter) apply(*loop) { e.event.applyTo(e.link) }
 
-// requestsStored says that the store has requests, or knows that they were delivered.
+// requestsStored says that the store has recorded requests, or their deliveries.
 type requestsStored struct{ ids []string }
 
 func (e requestsStored) applyTo(d *deadLetterLink) {
@@ -30,10 +30,10 @@
 	}
 }
 
-// storeSynced says which store knows from now on all that is delivered.
+// storeSynced names the store that from now on has recorded all deliveries, or gets them from this journal.
 type storeSynced struct {
 	store   string
-	dropped int // of the requests that the journal had no room for, those that the store knows of
+	dropped int // how many of the requests dropped from the journal the store has taken into account
 }
 
 func (e storeSynced) applyTo(d *deadLetterLink) {
@@ -42,15 +42,15 @@
 	}
 }
 
-// redeliveryOffered is a request of the store that is due to be redelivered, under a new id.
+// redeliveryOffered carries a request of the store that is due for redelivery, under a new id.
 type redeliveryOffered struct{ entry *journal.Entry }
 
 func (e redeliveryOffered) applyTo(d *deadLetterLink) { d.admitRedelivery(e.entry) }
 
-// redeliveryQuery asks whether a redelivery is held under an id.
+// redeliveryQuery asks whether the loop holds a redelivery with an id.
 type redeliveryQuery struct {
 	id   string
-	held chan bool // room for one
+	held chan bool // buffers the answer
 }
 
 func (e redeliveryQuery) applyTo(d *deadLetterLink) {
@@ -58,7 +58,7 @@
 	e.held <- r != nil && r.Redelivery
 }
 
-// The terminal outcomes of redeliveries, which the store records. The platform is notified of none.
+// The terminal outcomes that only redeliveries have. The store records them; the platform gets no notice of a redelivery.
 const (
 	redeliveryDelivered  = trace.Delivered
 	redeliverySuperseded = "overtaken"
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -9,25 +9,25 @@
 	"frostlink/internal/trace"
 )
 
-// deadLetterLink is the loop's side of the dead-letter store, a subsystem: it hands the writer what was not delivered, keeps
-// requests in the journal until the store has them, and takes redeliveries in. Where the operator has turned the store off
-// it has no writer; redeliveries that an earlier process left in the journal still end by it.
+// deadLetterLink is the loop's side of the dead-letter store, a subsystem: it passes undelivered requests to the writer, keeps
+// requests in the journal until the store has recorded them, and admits redeliveries. If the operator has turned the store
+// off, it has no writer, but still ends the redeliveries that an earlier process left in the journal.
 type deadLetterLink struct {
 	loop   *loop
-	writer *deadLetterWriter // nil: the store is off
+	writer *deadLetterWriter // nil if the store is off
 
-	awaitingStore []*request // in the journal for the store alone, the oldest first
-	dropped       int        // so many of them lost their place in the journal to new requests
-	lastArrival   int64      // the last Order.Arrival
+	awaitingStore []*request // those that are in the journal only for the store, the oldest first
+	dropped       int        // how many of them were evicted to free journal space for new requests
+	lastArrival   int64      // the last Order.Arrival assigned
 
-	// Requests with a subject whose outcome the store does not know yet.
+	// Requests with a subject whose outcome the store has not recorded yet.
 	inFlightSubmissions  deadletter.InFlightMessages
 	inFlightRedeliveries deadletter.InFlightMessages
 }
 
 var _ subsystem = (*deadLetterLink)(nil)
 
-// newDeadLetterLink makes the loop's side of the store. Once ctx has ended the writer's events are dropped.
+// newDeadLetterLink returns the loop's side of the store. After ctx has ended, events of the writer may be dropped.
 func newDeadLetterLink(ctx context.Context, l *loop) *deadLetterLink {
 	d := &deadLetterLink{loop: l}
 	if l.cfg.deadLetterSection() == nil {
@@ -37,13 +37,13 @@
 	d.writer = newDeadLetterWriter(l.cfg, l.journal.Store(), l.timeline, func(e deadLetterEvent) {
 		select {
 		case l.inbox <- fromDeadLetterWriter{d, e}:
-		case <-ctx.Done(): // nobody handles events any more
+		case <-ctx.Done(): // the loop has stopped handling events
 		}
 	})
 	return d
 }
 
-// openStore returns the store, or nil while there is none.
+// openStore returns the store, or nil if it is off or not open yet.
 func (d *deadLetterLink) openStore() *deadletter.Store {
 	if d.writer == nil {
 		return nil
@@ -65,7 +65,7 @@
 
 func (d *deadLetterLink) submitted(e *journal.Entry) {
 	if d.writer == nil {
-		e.Tenant, e.AcceptedAt = "", 0 // nobody will ask
+		e.Tenant, e.AcceptedAt = "", 0 // only the store uses them
 	}
 	if e.Order != nil {
 		d.lastArrival = max(d.lastArrival+1, int64(d.loop.timeline.Now()))
@@ -73,14 +73,15 @@
 	}
 }
 
-// rejected records a request that was never accepted: the platform is owed nothing for it, and it was in no journal.
+// rejected queues a request that was never accepted for the store. The request is in no journal and needs no notice.
 func (d *deadLetterLink) rejected(r *request, status string) {
 	if d.writer != nil && !r.Redelivery {
-		d.writer.queue.addRejected(r.record(d.rejectedLife(r, status)))
+		d.writer.queue.addRejected(r.record(d.rejectedIncarnation(r, status)))
 	}
 }
 
-// accepted notes what a request is about, where the operator says where its class tells that.
+// accepted tracks a request as in flight for its topic, if the operator's file says where requests of its class carry their
+// subject.
 func (d *deadLetterLink) accepted(r *request) {
 	switch {
 	case r.Order == nil || d.writer == nil:
@@ -114,7 +115,7 @@
 	return true
 }
 
-// decideWithdrawn ends a request of which an endpoint says that it needs no more attempts, though it was not delivered.
+// decideWithdrawn ends an undelivered request for which an endpoint has reported that no further attempt is needed.
 func (d *deadLetterLink) decideWithdrawn(r *request) {
 	l := d.loop
 	now := l.timeline.Now()
@@ -125,13 +126,13 @@
 		l.decideOutcome(r, expiredAtEndpoint)
 		l.recordOutcome(r, notification.Notice{ID: r.ID, Status: expiredAtEndpoint}, deadletter.DeadlineExceeded, now)
 		l.afterCommitOrBy(r.Deadline, func() { l.publishOutcome(r) })
-	default: // its client has withdrawn it
+	default: // the client has withdrawn it
 		l.evict(r)
 	}
 }
 
-// decideDelivered ends a request with a subject that was delivered. It stays in the journal until the store knows that
-// nothing older of its topic may be delivered after it.
+// decideDelivered ends a request with a subject that was delivered. It stays in the journal until the store has recorded the
+// delivery, after which the store redelivers no older request of its topic.
 func (d *deadLetterLink) decideDelivered(r *request) {
 	l := d.loop
 	l.decideOutcome(r, trace.Delivered)
@@ -150,9 +151,9 @@
 		d.writer.queue.addResult(d.result(r))
 	default:
 		if r.PendingNotice.Status == expiredAtEndpoint {
-			d.loop.notified(r) // the platform is owed no notice
+			d.loop.notified(r) // the platform gets no notice of this outcome
 		}
-		d.writer.queue.addRecord(r.record(d.life(r)))
+		d.writer.queue.addRecord(r.record(d.incarnation(r)))
 	}
 	return true
 }
@@ -167,10 +168,10 @@
 	return true
 }
 
-// requestStored notes that the store has a request, or knows of its delivery.
+// requestStored notes that the store has recorded a request or its delivery, and evicts the request if nothing else is pending.
 func (d *deadLetterLink) requestStored(r *request) {
 	r.inDeadLetters = true
-	d.inFlightSubmissions.Remove(r.ID, r.topic()) // from now on the store says what waits
+	d.inFlightSubmissions.Remove(r.ID, r.topic()) // from now on the store tracks it
 	if r.state == stateNotified || r.Redelivery || r.Delivered {
 		d.loop.evict(r)
 	}
@@ -184,14 +185,15 @@
 	}
 }
 
-// trimAwaitingStore drops the requests at the head of the list that the store has.
+// trimAwaitingStore drops the requests at the head of awaitingStore that the store has recorded.
 func (d *deadLetterLink) trimAwaitingStore() {
 	for len(d.awaitingStore) > 0 && d.awaitingStore[0].inDeadLetters {
 		d.awaitingStore = d.awaitingStore[1:]
 	}
 }
 
-// freeJournalSpace evicts the oldest request that only waits for the store. Its record is lost; the store lists it.
+// freeJournalSpace evicts the oldest request that is in the journal only for the store. Its record is lost; the store will list
+// its id as lost.
 func (d *deadLetterLink) freeJournalSpace() (freed bool) {
 	d.trimAwaitingStore()
 	if len(d.awaitingStore) == 0 {
@@ -200,7 +202,7 @@
 	r := d.awaitingStore[0]
 	d.awaitingStore = d.awaitingStore[1:]
 	d.dropped++
-	d.loop.journal.SetStore("") // until the store knows that something is missing
+	d.loop.journal.SetStore("") // until the store has taken the missing request into account
 	d.writer.queue.addLost(r)
 	d.loop.evict(r)
 	return true
--- a/internal/relay/deadletter_queue.go
+++ b/internal/relay/deadletter_queue.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// maxBatch records go into the store in one transaction at most.
+	// maxBatch is the largest number of records in one transaction of the store.
 	maxBatch = 200
-	// maxWaitingRejected records of requests that were never accepted wait for the store at most.
+	// maxWaitingRejected is the largest number of records of requests that were never accepted in the queue.
 	maxWaitingRejected = 2000
 )
 
-// deadLetterBatch is what is to be written to the store.
+// deadLetterBatch holds entries to be written to the store.
 type deadLetterBatch struct {
 	records         []deadletter.Message
 	results         []deadletter.Result   // of redeliveries
-	lost            []string              // ids, to be listed as lost
-	delivered       []deadletter.Delivery // of topics
-	rejectedCounts  map[string]int        // requests that were never accepted, by class and tenant
-	rejectedRecords []deadletter.Message  // the same, where they are kept: in no journal, so that the loop needs no acknowledgement
+	lost            []string              // ids of requests to be listed as lost
+	delivered       []deadletter.Delivery // of requests with a subject
+	rejectedCounts  map[string]int        // of requests that were never accepted, by class and tenant
+	rejectedRecords []deadletter.Message  // of these requests, if the operator keeps them; the journal does not have them, so the loop needs no acknowledgement
 }
 
-// deadLetterQueue holds what waits for the writer. The loop adds to it and is never held up; the writer removes what the
-// store has.
+// deadLetterQueue holds the entries that wait for the writer. The loop adds entries and is never blocked; the writer removes
+// entries that the store has recorded.
 type deadLetterQueue struct {
-	keepRejected bool // records of requests that were never accepted are kept, not only counted
+	keepRejected bool // keep records of requests that were never accepted, instead of only counting them
 
-	mu      sync.Mutex // guards what follows
-	changed sync.Cond  // something waits, or all is at its end
+	mu      sync.Mutex // guards the fields below
+	changed sync.Cond  // signals that the condition of nextBatch may have changed
 	waiting deadLetterBatch
-	polling bool // it is time to look at the bounds and at what is due
+	polling bool // the retention bounds and the due redeliveries are to be checked
 	closing bool
 
-	newClasses []deadletter.Class // of new settings, until the writer has taken them over
-	lostCount  int                // listed as lost so far
-	unrecorded int                // so often something was not recorded: what the store knows of topics begins anew
+	newClasses []deadletter.Class // of new settings, until the writer has applied them
+	lostCount  int                // number of requests listed as lost so far
+	unrecorded int                // number of requests dropped unrecorded; an increase makes the store track topics anew
 }
 
 // newDeadLetterQueue returns an empty queue.
@@ -63,7 +63,7 @@
 	q.update(func() { q.waiting.records = append(q.waiting.records, record) })
 }
 
-// addResult adds what became of a redelivery.
+// addResult adds the result of a redelivery.
 func (q *deadLetterQueue) addResult(r deadletter.Result) {
 	q.update(func() { q.waiting.results = append(q.waiting.results, r) })
 }
@@ -73,8 +73,8 @@
 	q.update(func() { q.waiting.delivered = append(q.waiting.delivered, n) })
 }
 
-// addRejected adds a request that was never accepted: it is counted, and its record is kept where the operator wants that.
-// As many are kept as fit, since rejections are most frequent where there is least room for them.
+// addRejected adds a request that was never accepted: the request is counted, and its record is kept if the operator's file
+// says so. At most maxWaitingRejected records are kept, since rejections are most frequent when memory and disk are scarcest.
 func (q *deadLetterQueue) addRejected(record deadletter.Message) {
 	q.update(func() {
 		if q.keepRejected && len(q.waiting.rejectedRecords) < maxWaitingRejected {
@@ -87,8 +87,8 @@
 	})
 }
 
-// addLost lists a request as lost, since the journal has no room for it any more, and logs that. Of one that was delivered
-// only the note of its topic is dropped.
+// addLost adds a request to be listed as lost, because the journal has no space for it any more, and logs the loss. A request
+// that was delivered is not lost: only the pending entry of its delivery is dropped.
 func (q *deadLetterQueue) addLost(r *request) {
 	ids := []string{r.ID}
 	q.mu.Lock()
@@ -104,15 +104,15 @@
 	lost := q.lostCount
 	q.mu.Unlock()
 	q.changed.Signal()
-	slog.Error("dead letters lost: the store does not accept them and the journal has no room", logkey.RequestIDs, ids, logkey.Count, lost)
+	slog.Error("dead letters lost: the store does not accept them and the journal is full", logkey.RequestIDs, ids, logkey.Count, lost)
 }
 
-// setClasses has the writer take over classes of new settings.
+// setClasses passes the classes of new settings to the writer.
 func (q *deadLetterQueue) setClasses(classes []deadletter.Class) {
 	q.update(func() { q.newClasses = classes })
 }
 
-// takeClasses returns the classes of new settings, or nil, once.
+// takeClasses removes and returns the classes of new settings, or returns nil.
 func (q *deadLetterQueue) takeClasses() []deadletter.Class {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -121,21 +121,21 @@
 	return classes
 }
 
-// unrecordedCount returns how often something was not recorded.
+// unrecordedCount returns the number of requests that were dropped unrecorded.
 func (q *deadLetterQueue) unrecordedCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.unrecorded
 }
 
-// poll has nextBatch return though nothing waits.
+// poll makes nextBatch return even if the queue is empty.
 func (q *deadLetterQueue) poll() { q.update(func() { q.polling = true }) }
 
-// close has nextBatch report the end from now on.
+// close makes nextBatch return ok = false from now on.
 func (q *deadLetterQueue) close() { q.update(func() { q.closing = true }) }
 
-// nextBatch waits for something to do, and returns the next batch; ok is false at the end. Rejected requests go with the
-// next batch: those that are counted only do not cause a transaction of their own.
+// nextBatch waits for work and returns the next batch; ok is false after close. Rejected requests do not count as work: they
+// go with the next batch, so that they cause no transaction of their own.
 func (q *deadLetterQueue) nextBatch() (batch deadLetterBatch, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -151,13 +151,13 @@
 	}, !q.closing
 }
 
-// hasWorkLocked reports whether nextBatch has something to return; q.mu is held.
+// hasWorkLocked reports whether nextBatch returns without waiting. q.mu must be held.
 func (q *deadLetterQueue) hasWorkLocked() bool {
 	w := &q.waiting
 	return q.closing || q.polling || len(w.records) > 0 || len(w.results) > 0 || len(w.lost) > 0 || len(w.delivered) > 0
 }
 
-// removeRecords removes records by id. Some may have been removed as lost meanwhile.
+// removeRecords removes records by id. Some may already have been removed as lost.
 func (q *deadLetterQueue) removeRecords(ids []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -168,7 +168,7 @@
 	q.waiting.records = slices.DeleteFunc(q.waiting.records, func(m deadletter.Message) bool { return slices.Contains(ids, m.ID) })
 }
 
-// removeDelivered removes notes by id. Some may have been removed meanwhile.
+// removeDelivered removes deliveries by id. Some may already have been removed by addLost.
 func (q *deadLetterQueue) removeDelivered(ids []string) {
 	q.update(func() {
 		q.waiting.delivered = slices.DeleteFunc(q.waiting.delivered, func(n deadletter.Delivery) bool { return slices.Contains(ids, n.ID) })
@@ -190,7 +190,7 @@
 	q.update(func() { q.waiting.rejectedRecords = q.waiting.rejectedRecords[n:] })
 }
 
-// removeRejectedCounts takes counts off those that wait.
+// removeRejectedCounts subtracts counts that were written from the counts in the queue.
 func (q *deadLetterQueue) removeRejectedCounts(written map[string]int) {
 	q.update(func() {
 		counts := q.waiting.rejectedCounts
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	// storeRetryPause is the pause after the store could not be written.
+	// storeRetryPause is the pause after a failed write of the store.
 	storeRetryPause = 500 * time.Millisecond
-	// storeErrorLogInterval is how often that is logged at most.
+	// storeErrorLogInterval is the shortest interval between log messages about failed writes.
 	storeErrorLogInterval = 10 * time.Second
-	// boundsInterval is between rounds of the store's bounds.
+	// boundsInterval is the interval at which the store's retention bounds are enforced.
 	boundsInterval = time.Second
-	// redeliveryPollInterval is between looks at what is due to be redelivered.
+	// redeliveryPollInterval is the interval at which due redeliveries are looked up.
 	redeliveryPollInterval = 200 * time.Millisecond
 )
 
-// deadLetterWriter writes undelivered requests to the dead-letter store, and offers the loop what is due to be redelivered.
-// It never holds up the loop: what the store does not accept waits in the queue, and in the journal.
+// deadLetterWriter writes undelivered requests to the dead-letter store, and offers due redeliveries to the loop. It never
+// blocks the loop: requests that the store does not accept wait in the queue, and in the journal.
 type deadLetterWriter struct {
-	section     *deadletter.Section
-	queue       *deadLetterQueue
-	send        func(deadLetterEvent) // hands the loop an event
-	timeline    *clock.Timeline
-	newResender func(*deadletter.Store) *deadletter.Redeliverer
-	gate        deadletter.Gate                  // of redeliveries; nil: none
-	openStore   atomic.Pointer[deadletter.Store] // once it is open, for those who only read
-
-	// Of the goroutine alone.
+	section        *deadletter.Section
+	queue          *deadLetterQueue
+	send           func(deadLetterEvent) // sends an event to the loop
+	timeline       *clock.Timeline
+	newRedeliverer func(*deadletter.Store) *deadletter.Redeliverer
+	gate           deadletter.Gate                  // of redeliveries; nil: every redelivery is allowed
+	openStore      atomic.Pointer[deadletter.Store] // nil until the store is open; for other goroutines, which only read it
+
+	// Used only by the goroutine of run and those that it starts.
 	classes          []deadletter.Class
-	journalledStore  string            // the store that, by the journal, has recorded all that was delivered
-	deadLetters      *deadletter.Store // nil until it could be opened
+	journalledStore  string            // the store that has recorded all deliveries, according to the journal
+	deadLetters      *deadletter.Store // nil until it is open
 	bounds           *deadletter.Bounds
-	resender         *deadletter.Redeliverer
+	redeliverer      *deadletter.Redeliverer
 	admin            *deadletter.Admin
 	boundsEnforcedAt time.Time
-	unrecordedAtSync int            // the queue's count when the store's topics last began anew
-	helpers          sync.WaitGroup // goroutines beside it: the ticker, and the server of the operator's tool
+	unrecordedAtSync int            // the queue's unrecordedCount at the last syncTopics
+	goroutines       sync.WaitGroup // the ticker, and the server of the operator's tool
 }
 
-// newDeadLetterWriter returns a writer; journalledStore is the store that, by the journal, has recorded all that was
-// delivered.
+// newDeadLetterWriter returns a writer. journalledStore is the store that has recorded all deliveries, according to the
+// journal.
 func newDeadLetterWriter(cfg *Config, journalledStore string, timeline *clock.Timeline, send func(deadLetterEvent)) *deadLetterWriter {
 	section := cfg.OperatorFile.DeadLetter
 	return &deadLetterWriter{
 		section: section, queue: newDeadLetterQueue(section.KeepRejected), send: send, timeline: timeline,
-		newResender: func(store *deadletter.Store) *deadletter.Redeliverer { return newResender(cfg, store) },
-		classes:     cfg.RedeliveryClasses(section), journalledStore: journalledStore,
+		newRedeliverer: func(store *deadletter.Store) *deadletter.Redeliverer { return newRedeliverer(cfg, store) },
+		classes:        cfg.RedeliveryClasses(section), journalledStore: journalledStore,
 	}
 }
 
-// now returns the time by which the store reckons: a date on the relay's timeline.
+// now returns the store's time: the relay's timeline as a date.
 func (w *deadLetterWriter) now() time.Time { return w.timeline.Now().Time() }
 
-// run writes until ctx ends. What is left then a later process writes from the journal.
+// run writes batches until ctx ends. A later process writes the remaining requests from the journal.
 func (w *deadLetterWriter) run(ctx context.Context) {
-	w.helpers.Go(func() { w.runTicker(ctx) })
+	w.goroutines.Go(func() { w.runTicker(ctx) })
 	defer w.closeStore()
 	var loggedAt time.Time
-	if err := w.ensureOpen(ctx); err != nil { // it is tried again with the first batch
+	if err := w.ensureOpen(ctx); err != nil { // it is retried with the first batch
 		slog.Error("opening the dead-letter store failed", logkey.Err, err)
 	}
 	for {
@@ -82,7 +82,7 @@
 		}
 		if time.Since(loggedAt) > storeErrorLogInterval {
 			loggedAt = time.Now()
-			slog.Error("writing dead letters failed: they wait", logkey.Err, err, logkey.Count, len(batch.records)+len(batch.delivered))
+			slog.Error("writing dead letters failed: they wait for a retry", logkey.Err, err, logkey.Count, len(batch.records)+len(batch.delivered))
 		}
 		if !wait.For(ctx, storeRetryPause) {
 			return
@@ -90,7 +90,8 @@
 	}
 }
 
-// runTicker has the bounds enforced, and what is due offered, now and then, until ctx ends.
+// runTicker polls the queue at redeliveryPollInterval until ctx ends, so that bounds are enforced and due redeliveries are
+// offered, and then closes the queue.
 func (w *deadLetterWriter) runTicker(ctx context.Context) {
 	for wait.For(ctx, redeliveryPollInterval) {
 		w.queue.poll()
@@ -98,15 +99,15 @@
 	w.queue.close()
 }
 
-// closeStore ends what run has begun.
+// closeStore waits for the goroutines that run has started, and closes the store.
 func (w *deadLetterWriter) closeStore() {
-	w.helpers.Wait()
+	w.goroutines.Wait()
 	if w.deadLetters != nil {
-		_ = w.deadLetters.Close() // each write was a transaction of its own
+		_ = w.deadLetters.Close() // nothing is lost if it fails: each write was a transaction of its own
 	}
 }
 
-// handleBatch writes a batch, enforces the bounds and offers what is due.
+// handleBatch writes a batch, enforces the bounds and offers due redeliveries.
 func (w *deadLetterWriter) handleBatch(ctx context.Context, b *deadLetterBatch) error {
 	if classes := w.queue.takeClasses(); classes != nil {
 		w.applyClasses(classes)
@@ -119,23 +120,24 @@
 	return w.offerRedeliveries(ctx)
 }
 
-// applyClasses takes over the classes of new settings.
+// applyClasses applies the classes of new settings.
 func (w *deadLetterWriter) applyClasses(classes []deadletter.Class) {
 	w.classes = classes
 	for i := range w.section.Rules {
-		for _, fault := range w.section.Rules[i].Conflicts(classes) {
-			// Nothing is redelivered that its class forbids: what the rule is for is held. The next start wants the file mended.
-			slog.Warn("redelivery rule conflicts with the new settings", logkey.Rule, i+1, logkey.Reason, fault)
+		for _, conflict := range w.section.Rules[i].Conflicts(classes) {
+			// A redelivery that its class forbids is not made: the requests that the rule matches stay held. The next start fails
+			// unless the operator's file is corrected.
+			slog.Warn("redelivery rule conflicts with the new settings", logkey.Rule, i+1, logkey.Reason, conflict)
 		}
 	}
 	if w.deadLetters != nil {
-		w.resender.SetClasses(classes)
+		w.redeliverer.SetClasses(classes)
 		w.admin.SetClasses(classes)
-		w.resender.Sweep() // what was held under the old classes is looked at again
+		w.redeliverer.Sweep() // requests that were held under the old classes may now be due
 	}
 }
 
-// ensureOpen opens the store and serves the operator's tool, where that was not done yet.
+// ensureOpen opens the store and starts the server of the operator's tool, unless the store is open.
 func (w *deadLetterWriter) ensureOpen(ctx context.Context) (err error) {
 	if w.deadLetters != nil {
 		return nil
@@ -146,18 +148,18 @@
 		return err
 	}
 	if err := w.syncTopics(); err != nil {
-		_ = w.deadLetters.Close() // it is opened again later
+		_ = w.deadLetters.Close() // the next batch opens it again
 		w.deadLetters = nil
 		return err
 	}
 	w.bounds = deadletter.NewBounds(w.deadLetters, w.section)
 	w.openStore.Store(w.deadLetters)
-	w.resender = w.newResender(w.deadLetters)
-	w.resender.SetGate(w.gate)
-	w.resender.SetClasses(w.classes)
+	w.redeliverer = w.newRedeliverer(w.deadLetters)
+	w.redeliverer.SetGate(w.gate)
+	w.redeliverer.SetClasses(w.classes)
 	w.admin = &deadletter.Admin{Store: w.deadLetters, Now: w.now, Classes: w.classes}
 	if w.section.Socket != "" {
-		w.helpers.Go(func() { w.serveTool(ctx) })
+		w.goroutines.Go(func() { w.serveTool(ctx) })
 	}
 	return nil
 }
@@ -169,16 +171,17 @@
 	}
 }
 
-// syncTopics has the store know the newest request of each topic. It begins anew where the journal names another store, or
-// none: then a process ran that recorded nothing in this one, or the folder or the journal is not the one of before.
+// syncTopics makes the store track the newest request of each topic. Tracking begins anew if a request was dropped unrecorded,
+// or if the journal names another store or none: then a process has run that recorded no deliveries in this store, or the
+// store's folder or the journal was replaced.
 func (w *deadLetterWriter) syncTopics() error {
 	id, err := w.deadLetters.ID()
 	if err != nil {
 		return err
 	}
 	unrecorded := w.queue.unrecordedCount()
-	beginAnew := unrecorded > w.unrecordedAtSync || id != w.journalledStore
-	if err := w.deadLetters.TrackSubjects(w.section, beginAnew, w.now()); err != nil {
+	missed := unrecorded > w.unrecordedAtSync || id != w.journalledStore
+	if err := w.deadLetters.TrackSubjects(w.section, missed, w.now()); err != nil {
 		return err
 	}
 	w.journalledStore, w.unrecordedAtSync = id, unrecorded
@@ -186,7 +189,7 @@
 	return nil
 }
 
-// enforceBounds enforces the store's bounds, once in boundsInterval unless the store is full.
+// enforceBounds enforces the store's retention bounds, at most once per boundsInterval unless the store is full.
 func (w *deadLetterWriter) enforceBounds(full bool) {
 	if w.deadLetters == nil || time.Since(w.boundsEnforcedAt) < boundsInterval && !full {
 		return
@@ -196,6 +199,6 @@
 	if err != nil {
 		slog.Error("enforcing the bounds of the dead-letter store failed", logkey.Err, err)
 	} else if removed > 0 {
-		slog.Warn("dead letters removed by a bound", logkey.Count, removed)
+		slog.Warn("dead letters removed by a retention bound", logkey.Count, removed)
 	}
 }
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -4,34 +4,35 @@
 	"frostlink/internal/clock"
 )
 
-// effectQueue holds what is to be done at the end of batches.
+// effectQueue holds the effects that a commit carries out at the end of its batch.
 type effectQueue struct {
-	immediate   []func()         // of this batch, whatever becomes of its records
-	afterCommit []deferredEffect // of this batch and of earlier ones whose records were not written
+	immediate   []func()         // of this batch; they need no record
+	afterCommit []deferredEffect // of this batch, and of earlier batches whose records are not durable yet
 }
 
-// deferredEffect is something to be done once the records of its batch are durable.
+// deferredEffect is an effect that waits until the records of its batch are durable.
 type deferredEffect struct {
 	run func()
-	// runBy is when it is done all the same; 0: never without its record. The outcome of a request whose deadline has passed may
-	// be published then: a later process that does not find its record can only fail it once more.
+	// runBy is when the effect runs even without the records; 0: never. It is the request's deadline for a terminal outcome:
+	// after that the outcome may be published, since a later process that finds no record can only fail the request again.
 	runBy clock.Instant
 }
 
-// afterCommit has something done once the records of this batch are durable.
+// afterCommit schedules an effect for when the records of this batch are durable.
 func (l *loop) afterCommit(run func()) {
 	l.effects.afterCommit = append(l.effects.afterCommit, deferredEffect{run: run})
 }
 
-// afterCommitOrBy has something done once the records of this batch are durable, or at a time.
+// afterCommitOrBy schedules an effect for when the records of this batch are durable, or for runBy if that is earlier.
 func (l *loop) afterCommitOrBy(runBy clock.Instant, run func()) {
 	l.effects.afterCommit = append(l.effects.afterCommit, deferredEffect{run, runBy})
 }
 
-// immediately has something done at the end of this batch, whatever becomes of its records.
+// immediately schedules an effect for the end of this batch, whether or not its records are written.
 func (l *loop) immediately(run func()) { l.effects.immediate = append(l.effects.immediate, run) }
 
-// runAfterCommitEffects does what is due of what waits for records.
+// runAfterCommitEffects runs the effects that wait for records: all of them if the records are durable, else those whose
+// runBy has passed.
 func (l *loop) runAfterCommitEffects(durable bool) {
 	effects := l.effects.afterCommit
 	l.effects.afterCommit = nil
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -9,7 +9,7 @@
 	"frostlink/policy"
 )
 
-// handleEndpointsUpdated takes in a list that discovery sent, or a change of it.
+// handleEndpointsUpdated applies an endpoint list from discovery, or a change of one, and notes it in the journal.
 func (l *loop) handleEndpointsUpdated(e endpointsUpdated) {
 	l.traceEvent(trace.Event{Kind: trace.EndpointsReceived, Full: e.list.Full, Count: len(e.list.Endpoints)})
 	l.updateEndpoints(e.list)
@@ -23,22 +23,22 @@
 	l.journal.UpdateEndpoints(e.list, e.discovery)
 }
 
-// updateEndpoints takes over a list of endpoints, or a change of it.
+// updateEndpoints applies an endpoint list, or a change of one.
 func (l *loop) updateEndpoints(list discovery.EndpointList) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	var recovered []policy.Event
 	for _, endpoint := range list.Endpoints {
-		named[endpoint.ID] = true
+		listed[endpoint.ID] = true
 		recovered = append(recovered, l.updateEndpoint(endpoint)...)
 	}
 	if list.Full {
-		l.removeUnnamed(named)
+		l.removeUnlisted(listed)
 	}
 	l.events = append(append(l.events, list.Event(&l.cfg.Settings)), recovered...)
 }
 
-// updateEndpoint takes over one endpoint, and returns what an earlier process knew of its health where it is new here: the
-// list that came with the configuration may lack it.
+// updateEndpoint applies one endpoint of a list. For an endpoint that is new to this process it returns the health that an
+// earlier process recorded: the list in the configuration may have lacked the endpoint.
 func (l *loop) updateEndpoint(endpoint discovery.Endpoint) (recovered []policy.Event) {
 	id := endpoint.ID
 	old, known := l.endpoints[id]
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// removeUnnamed removes all endpoints that a full list does not name.
-func (l *loop) removeUnnamed(named map[string]bool) {
+// removeUnlisted removes all endpoints that a full list does not contain.
+func (l *loop) removeUnlisted(listed map[string]bool) {
 	for id, endpoint := range l.endpoints {
-		if !named[id] {
+		if !listed[id] {
 			l.pool.Evict(upstream.Target{Endpoint: id, Addr: endpoint.Address})
 			l.removeEndpoint(id)
 		}
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -11,51 +11,51 @@
 	"frostlink/policy"
 )
 
-// event is something that happened outside of the loop's goroutine. Subsystems declare theirs beside their other code; no
-// type outside of this package can be one.
+// event is something that happened outside of the loop's goroutine. Subsystems declare their events beside their other
+// code. No type outside of this package can implement event.
 type event interface {
-	// apply takes the event in. The loop's goroutine calls it.
+	// apply applies the event to the loop's state. The loop's goroutine calls it.
 	apply(l *loop)
 }
 
-// submissionReceived is a request that a client submits.
+// submissionReceived carries a submission that the frontend has read.
 type submissionReceived struct{ submission *frontend.Submission }
 
 func (e submissionReceived) apply(l *loop) { l.handleSubmission(e.submission) }
 
-// submissionRejectedUnread is a request that the frontend rejected because it has no memory to read it.
+// submissionRejectedUnread says that the frontend rejected a submission because it had no memory to read it.
 type submissionRejectedUnread struct{ class string }
 
 func (e submissionRejectedUnread) apply(l *loop) { l.metrics.Completed(e.class, admin.Shed, false) }
 
-// attemptEnded is the end of an attempt, or says that its connection was detached.
+// attemptEnded says that an attempt has ended, or that its connection was detached.
 type attemptEnded struct {
 	id       string
-	index    int // of the attempt among those of its request
+	index    int // of the attempt within its request, from 0
 	endpoint string
 	latency  time.Duration
-	started  bool // it was given to the connection pool
+	started  bool // the attempt was passed to the connection pool
 	upstream.Result
 }
 
 func (e attemptEnded) apply(l *loop) { l.handleAttemptEnded(e) }
 
-// deadlineReached says that a request's deadline has passed while the response to its attempt is still awaited.
+// deadlineReached says that a request's deadline has passed while an attempt still waits for the response.
 type deadlineReached struct{ id string }
 
 func (e deadlineReached) apply(l *loop) {
 	l.events = append(l.events, policy.DeadlineExceeded{ID: e.id})
 }
 
-// endpointsUpdated is a list of endpoints, or a change of it.
+// endpointsUpdated carries a full endpoint list, or a change of one.
 type endpointsUpdated struct {
 	list      discovery.EndpointList
-	discovery string // the address of the discovery that sent it
+	discovery string // the address of the discovery service that sent it
 }
 
 func (e endpointsUpdated) apply(l *loop) { l.handleEndpointsUpdated(e) }
 
-// watchEnded says that the watch on discovery ended or could not be opened.
+// watchEnded says that the watch on discovery ended or could not be opened. lists is how many lists it brought.
 type watchEnded struct{ lists int }
 
 func (e watchEnded) apply(l *loop) {
@@ -63,12 +63,12 @@
 	l.events = append(l.events, policy.WatchFailed{})
 }
 
-// noticesAcknowledged says that the platform has notices.
+// noticesAcknowledged says that the platform has acknowledged notices.
 type noticesAcknowledged struct{ ids []string }
 
 func (e noticesAcknowledged) apply(l *loop) { l.handleNoticesAcknowledged(e.ids) }
 
-// sendingStopped says that the process is about to end: no attempt is to start.
+// sendingStopped says that the process is about to end, so that no attempt may start.
 type sendingStopped struct{}
 
 func (sendingStopped) apply(l *loop) {
@@ -76,17 +76,17 @@
 	l.events = append(l.events, policy.Quiesced{})
 }
 
-// sendingResumed says that the process does not end after all.
+// sendingResumed revokes sendingStopped: the process goes on.
 type sendingResumed struct{}
 
 func (sendingResumed) apply(l *loop) { l.resumeSending() }
 
 // idleQuery asks whether the loop holds no request.
-type idleQuery struct{ idle chan bool } // room for one
+type idleQuery struct{ idle chan bool } // buffers the answer
 
 func (e idleQuery) apply(l *loop) { e.idle <- len(l.requests) == 0 }
 
-// settingsReloaded says that the configuration was read again, or could not be used (nil).
+// settingsReloaded says that the configuration was read again. cfg is nil if it can't be used.
 type settingsReloaded struct{ cfg *Config }
 
 func (e settingsReloaded) apply(l *loop) {
@@ -96,11 +96,11 @@
 	}
 }
 
-// quiesceRequested asks the loop to hand out its state and to do nothing until it is resumed, or ended. The loop does so
-// once no attempt is in flight whose connection is not detached.
+// quiesceRequested asks the loop to send its state to state and to do nothing until it is resumed or ended. The loop does
+// so as soon as every attempt in flight has ended or its connection is detached.
 type quiesceRequested struct {
-	state  chan *handoverState // room for one; nil: the state can't be handed over
-	resume chan struct{}       // closed to go on
+	state  chan *handoverState // buffers the answer, which is nil if the state can't be handed over
+	resume chan struct{}       // closed to resume the loop
 }
 
 func (e quiesceRequested) apply(l *loop) { l.quiescing = &e }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -13,40 +13,41 @@
 	"frostlink/policy"
 )
 
-// handoverState is what one process hands another beside the journal: docs/design/handover.md.
+// handoverState is the state that one process hands over to another in addition to the journal: docs/design/handover.md.
 type handoverState struct {
 	Snapshot  *policy.Snapshot   `json:"memory"`
-	Classes   []policy.Class     `json:"classes"` // the table, with the numbers that Snapshot goes by
+	Classes   []policy.Class     `json:"classes"` // Snapshot refers to classes by their index in this list
 	Completed []completedRequest `json:"past,omitempty"`
 	Attempts  []detachedAttempt  `json:"calls,omitempty"`
-	// Standby says that operators have put the relay in standby, at StandbySince.
+	// Standby says that operators put the relay in standby at StandbySince.
 	Standby      bool          `json:"away,omitempty"`
 	StandbySince clock.Instant `json:"since,omitzero"`
 
-	conns map[string]*net.TCPConn // of the attempts, by request
+	conns map[string]*net.TCPConn // of Attempts, by request id
 }
 
-// completedRequest is a request for which nothing more is owed.
+// completedRequest identifies a completed request, so that the successor recognizes a repeated submission of it.
 type completedRequest struct {
 	ID string        `json:"id"`
 	At clock.Instant `json:"at"`
 }
 
-// detachedAttempt is an attempt whose response the successor awaits.
+// detachedAttempt is an attempt in flight whose response the successor awaits.
 type detachedAttempt struct {
-	ID        string             `json:"id"` // of its request
+	ID        string             `json:"id"` // of the request
 	Attempt   int                `json:"attempt"`
 	Endpoint  discovery.Endpoint `json:"host"`
 	StartedAt clock.Instant      `json:"begun"`
-	Timeout   time.Duration      `json:"timeout"` // from StartedAt on
+	Timeout   time.Duration      `json:"timeout"` // since StartedAt
 }
 
-// awaitResume hands out the loop's state and waits until it is to go on; false: the loop is to end.
+// awaitResume answers the quiesce request with the loop's state, and waits until the loop is resumed. It returns false if the
+// loop must end instead.
 func (l *loop) awaitResume(ctx context.Context) bool {
 	quiesce := l.quiescing
 	l.quiescing = nil
 	if err := l.journal.Compact(); err != nil {
-		slog.Error("writing the state to hand over failed", logkey.Err, err)
+		slog.Error("writing the journal for a hand-over failed", logkey.Err, err)
 		quiesce.state <- nil
 	} else {
 		quiesce.state <- l.handoverState()
@@ -65,13 +66,13 @@
 	return true
 }
 
-// handoverState returns what this process hands over beside the journal.
+// handoverState returns the state that this process hands over in addition to the journal.
 func (l *loop) handoverState() *handoverState {
 	h := &handoverState{Snapshot: l.dispatcher.Snapshot(), Classes: l.cfg.policy.Classes, conns: l.detached}
 	if standby, since := l.mode.InStandby(); standby {
 		h.Standby, h.StandbySince = true, l.timeline.InstantOf(since)
 	}
-	for _, e := range l.journal.CompletedRequests() { // also those for which the file had no room
+	for _, e := range l.journal.CompletedRequests() { // includes those that the journal file had no space for
 		h.Completed = append(h.Completed, completedRequest(e))
 	}
 	for id := range l.detached {
@@ -83,8 +84,8 @@
 	return h
 }
 
-// resumeHandedOverAttempt awaits the response to a predecessor's attempt, if its connection has come; else what the journal
-// says is all that is known of it.
+// resumeHandedOverAttempt awaits the response to a predecessor's attempt, and reports whether it does: it needs the attempt's
+// connection. Without the connection, only the journal's record of the attempt is available.
 func (l *loop) resumeHandedOverAttempt(ctx context.Context, r *request, predecessor *handoverState) bool {
 	conn := predecessor.conns[r.ID]
 	if conn == nil {
@@ -98,11 +99,11 @@
 			return true
 		}
 	}
-	_ = conn.Close() // nobody awaits anything on it
+	_ = conn.Close() // no attempt in flight belongs to it
 	return false
 }
 
-// awaitResponse awaits the response to an attempt whose request was written before.
+// awaitResponse awaits, on conn, the response to an attempt whose request has already been sent.
 func (l *loop) awaitResponse(ctx context.Context, p plannedAttempt, conn *net.TCPConn) {
 	l.runAttempt(ctx, p, func(ctx context.Context, r upstream.Request) upstream.Result {
 		return l.pool.AwaitResponse(ctx, r, conn)
--- a/internal/relay/handover_predecessor.go
+++ b/internal/relay/handover_predecessor.go
@@ -9,18 +9,18 @@
 	"frostlink/internal/upstream/http1"
 )
 
-// quiescedNode is what a relay holds while it is quiesced.
+// quiescedNode is the state of a quiesced relay.
 type quiescedNode struct {
 	quiesceRequested
-	loopAsked bool // the loop was sent the request
+	loopAsked bool // the loop has been sent quiesceRequested
 	clients   []front.DetachedConn
 	idleConns []http1.IdleConn
 }
 
 // errStateNotWritten says that the journal could not be written for a successor.
-var errStateNotWritten = errors.New("the journal can't be written")
+var errStateNotWritten = errors.New("the journal could not be written for the successor")
 
-// Quiesce brings the relay to a stop and returns what a successor needs to go on from there.
+// Quiesce stops the relay, and returns the state and the connections with which a successor can continue its work.
 func (n *node) Quiesce(ctx context.Context) (state any, conns []handover.Conn, err error) {
 	n.quiesced = &quiescedNode{quiesceRequested: quiesceRequested{make(chan *handoverState, 1), make(chan struct{})}}
 	n.loop.send(sendingStopped{})
@@ -37,7 +37,7 @@
 	return h, n.quiescedConns(h), nil
 }
 
-// quiescedConns returns all connections that go to a successor.
+// quiescedConns returns all connections to hand over to a successor.
 func (n *node) quiescedConns(h *handoverState) (conns []handover.Conn) {
 	timeline := n.loop.timeline
 	for id, conn := range h.conns {
@@ -56,7 +56,7 @@
 	return conns
 }
 
-// Resume goes on as before.
+// Resume resumes the relay after Quiesce.
 func (n *node) Resume() {
 	q := n.quiesced
 	n.quiesced = nil
@@ -69,12 +69,12 @@
 	n.frontend.Resume(q.clients)
 }
 
-// Released ends all that this process does: a successor owns the relay from now on.
+// Released stops all parts of this process: a successor owns the folder from now on.
 func (n *node) Released() {
 	n.admin.serving.Store(false)
 	n.stop()
 	n.goroutines.Wait()
-	_ = n.loop.journal.Close() // the successor has taken its state over
+	_ = n.loop.journal.Close() // the successor has taken over its state
 	n.metrics.HandedOver()
-	_ = n.listener.Close() // the successor listens
+	_ = n.listener.Close() // the successor has a listener of its own
 }
--- a/internal/relay/handover_successor.go
+++ b/internal/relay/handover_successor.go
@@ -18,10 +18,10 @@
 	"frostlink/policy"
 )
 
-// minOpenBackoff and maxOpenBackoff bound the pause before a journal that could not be read is opened again.
+// minOpenBackoff and maxOpenBackoff limit the pause before another try to open a journal that could not be read.
 const minOpenBackoff, maxOpenBackoff = 20 * time.Millisecond, 500 * time.Millisecond
 
-// Start begins from the journal: nobody else holds the folder.
+// Start starts the relay from the journal alone, as no other process owns the folder.
 func (n *node) Start() error {
 	j, err := n.openJournal()
 	if err != nil {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// openJournal opens the journal. Where the folder can't be read for the moment it is tried again: without the journal it is
-// not known what is owed.
+// openJournal opens the journal. If the folder is temporarily unreadable it retries, since the relay can't serve without knowing
+// the open requests in the journal.
 func (n *node) openJournal() (*journal.Journal, error) {
 	backoff := syserr.Backoff{Min: minOpenBackoff, Max: maxOpenBackoff}
 	for {
@@ -50,11 +50,11 @@
 	}
 }
 
-// Prepare reads what a predecessor offers.
+// Prepare assembles the relay from the state of a predecessor and the journal, without starting it.
 func (n *node) Prepare(state json.RawMessage) error {
 	n.predecessor = &handoverState{conns: map[string]*net.TCPConn{}}
 	if err := json.Unmarshal(state, n.predecessor); err != nil {
-		return fmt.Errorf("state of the predecessor: %w", err)
+		return fmt.Errorf("decode the predecessor's state: %w", err)
 	}
 	j, err := journal.Read(n.dir, n.cfg.journalSizeMB(), n.cfg.deadLetterSection() != nil)
 	if err != nil {
@@ -67,10 +67,10 @@
 	return n.assemble(j)
 }
 
-// Discard drops what was prepared.
+// Discard undoes Prepare.
 func (n *node) Discard() {
 	if n.listener != nil {
-		_ = n.listener.Close() // nothing was served on it
+		_ = n.listener.Close() // it has not served any connection
 	}
 	n.mode.Activate()
 	n.cfg.policy.Classes = n.configuredClasses
@@ -80,13 +80,13 @@
 // Acquire makes this process the owner of the journal.
 func (n *node) Acquire() error { return n.loop.journal.Acquire() }
 
-// Serve begins, with the connections that came from the predecessor.
+// Serve starts the relay with the connections that the predecessor handed over.
 func (n *node) Serve(conns []handover.Conn) error {
 	n.adoptEndpointConns(conns)
-	requests := len(n.loop.journal.Entries()) // the loop's own from its start on
+	requests := len(n.loop.journal.Entries()) // read before start, after which only the loop may access the journal
 	n.start(n.predecessor)
 	for _, conn := range n.predecessor.conns {
-		_ = conn.Close() // of an attempt whose request is completed by the journal
+		_ = conn.Close() // its attempt's request is completed according to the journal
 	}
 	n.predecessor = nil
 	n.adoptClientConns(conns)
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// adoptEndpointConns takes over connections to endpoints, and closes those of a kind that this version does not know.
+// adoptEndpointConns takes over connections to endpoints, and closes connections of a kind that this version does not support.
 func (n *node) adoptEndpointConns(conns []handover.Conn) {
 	for _, c := range conns {
 		switch c.Kind {
@@ -104,7 +104,7 @@
 			n.loop.pool.Adopt(http1.IdleConn{
 				Target: upstream.Target{Endpoint: c.Endpoint, Addr: c.Addr}, Conn: c.Conn, Since: n.loop.timeline.TimeOf(c.Since),
 			})
-		case handover.ClientConn: // once the loop runs
+		case handover.ClientConn: // adoptClientConns takes these over once the loop runs
 		default:
 			_ = c.Conn.Close()
 		}
--- a/internal/relay/invariants.go
+++ b/internal/relay/invariants.go
@@ -10,10 +10,11 @@
 	"frostlink/policy"
 )
 
-// overdueMargin after a request's outcome is due the loop looks whether it was decided, so that one batch serves several.
+// overdueMargin is how long after a request's outcome is due the loop checks that it was decided: the delay lets one batch
+// check several requests.
 const overdueMargin = 20 * time.Millisecond
 
-// invariantFacts are what the checks of package invariant have to know of a request.
+// invariantFacts returns the facts about a request that the checks of package invariant need.
 func (l *loop) invariantFacts(r *request) invariant.Request {
 	if r.acceptedTerms == nil {
 		r.acceptedTerms = l.journal.Terms(r.Entry)
@@ -21,7 +22,7 @@
 	return invariant.Request{Entry: r.Entry, Terms: r.acceptedTerms, Completed: r.completed(), InFlight: r.attemptInFlight}
 }
 
-// failOverdue fails requests whose outcome the dispatcher should have decided.
+// failOverdue fails requests whose outcome is overdue because the dispatcher has not decided it.
 func (l *loop) failOverdue() {
 	open := func(id string) bool {
 		r := l.requests[id]
@@ -35,7 +36,7 @@
 	}
 }
 
-// cancelRequest takes a request from the dispatcher, and cancels the attempt that is in flight for it.
+// cancelRequest removes a request from the dispatcher, and cancels its attempt in flight.
 func (l *loop) cancelRequest(r *request) {
 	l.wakeDispatcher(policy.MessageCanceled{ID: r.ID})
 	if r.cancel != nil {
@@ -43,7 +44,7 @@
 	}
 }
 
-// checkMixedClocks counts spans that were taken from two kinds of clock.
+// checkMixedClocks records a violation for each time that was converted to the timeline without being read in this process.
 func (l *loop) checkMixedClocks() {
 	for range l.timeline.MixedReadings() {
 		l.violations.Record(invariant.MixedClocks, "", "at", clock.Instant(l.now()).Time())
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -10,13 +10,13 @@
 	"frostlink/internal/socket"
 )
 
-// openListener returns the clients' listening socket: the one that the platform holds and hands to every process, or one of
-// the relay's own. To close it ends this process's hold alone.
+// openListener returns the clients' listening socket: a duplicate of the socket that the platform holds and passes to every
+// process, or a new socket. Closing it does not close the platform's socket, nor that of another process.
 func openListener(cfg *Config) (net.Listener, error) {
 	if cfg.ListenFD <= 0 {
 		return socket.Listen(cfg.Listen)
 	}
-	// The descriptor itself stays open: if a successor dies, this process listens again.
+	// The inherited descriptor itself stays open, so that this process can listen again if a successor dies.
 	fd, err := unix.FcntlInt(uintptr(cfg.ListenFD), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", cfg.ListenFD, err)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// inboxSize events wait for the loop without blocking the goroutines that send them.
+	// inboxSize is how many events the loop's inbox buffers before it blocks the goroutines that send them.
 	inboxSize = 1024
-	// housekeepingInterval is between rounds of work that is not due at any exact time.
+	// housekeepingInterval is the interval of loop.housekeep, whose work needs no exact time.
 	housekeepingInterval = time.Second
 )
 
-// loop owns the dispatcher and the journal: nothing else touches their state. It collects events into batches, hands them
-// to the dispatcher, and carries out what that decides. It never waits for a socket.
+// loop owns the dispatcher and the journal: nothing else accesses their state. It collects events into batches, passes them
+// to the dispatcher, and carries out the dispatcher's actions. It never waits for a socket.
 type loop struct {
 	cfg          *Config
 	dispatcher   *policy.Dispatcher
@@ -41,8 +41,8 @@
 	trace        *trace.Recorder
 	metrics      *admin.Metrics
 	mode         *servingmode.Mode
-	setValidator func(*frontend.Validator) // has submissions checked by other settings from then on
-	timeline     *clock.Timeline           // its instants are the dispatcher's clock
+	setValidator func(*frontend.Validator) // replaces the validator of submissions
+	timeline     *clock.Timeline           // the source of the dispatcher's time
 	clockSteps   *clock.StepDetector
 
 	requests   map[string]*request // by id
@@ -50,33 +50,33 @@
 	deadlines  invariant.Deadlines // of accepted requests
 
 	endpoints    map[string]discovery.Endpoint // by id
-	destinations map[int]bool                  // named by some list
+	destinations map[int]bool                  // those that have occurred in any endpoint list
 
-	wakeAt      time.Duration // when the loop goes on without an event
-	timerAt     time.Duration // what the dispatcher asked for last: it relies on that, and asks for no more until then
-	lastBatchAt time.Duration // when the last batch was handled
+	wakeAt      time.Duration // when the loop runs a batch even without an event
+	timerAt     time.Duration // the last timer that the dispatcher set; it sets no other until that one fires
+	lastBatchAt time.Duration // the start of the last batch
 
-	attemptsInFlight int                     // that were given to the pool and whose end the loop does not know
-	detached         map[string]*net.TCPConn // of attempts whose response is awaited after a quiesce, by request
-	quiescing        *quiesceRequested       // wanted, until no attempt is in flight
-	stopping         bool                    // the process is about to end: the dispatcher starts no attempt
+	attemptsInFlight int                     // attempts that were passed to the pool and whose end has not reached the loop
+	detached         map[string]*net.TCPConn // connections of attempts that a quiesce has interrupted, by request id
+	quiescing        *quiesceRequested       // a request to quiesce that waits until no attempt is in flight; nil: none
+	stopping         bool                    // the process is about to end, so the dispatcher starts no attempt
 	folder           journal.FolderMonitor
 
-	// Of the batch that is being collected.
+	// The batch that is being collected.
 	events     []policy.Event
 	candidates []*request
 	attempts   []plannedAttempt
 	effects    effectQueue
 }
 
-// now is the dispatcher's clock: the relay's timeline, so that the dispatcher's times, the journal's and those of requests
-// are of one kind, whatever the wall clock does.
+// now returns the dispatcher's time. It is read from the relay's timeline, so that the times of the dispatcher, the journal
+// and the requests are comparable even when the wall clock is stepped.
 func (l *loop) now() time.Duration { return time.Duration(l.timeline.Now()) }
 
-// send hands the loop an event.
+// send sends an event to the loop.
 func (l *loop) send(e event) { l.inbox <- e }
 
-// class returns the number of a class, or -1.
+// class returns the index of a class in the settings, or -1 for an unknown class.
 func (l *loop) class(name string) int {
 	for i := range l.cfg.policy.Classes {
 		if l.cfg.policy.Classes[i].Name == name {
@@ -112,7 +112,7 @@
 	}
 }
 
-// housekeep does what is not due at any exact time.
+// housekeep does the periodic work that needs no exact time.
 func (l *loop) housekeep() {
 	l.pool.Sweep()
 	if step, stepped := l.clockSteps.Check(); stepped {
@@ -122,7 +122,7 @@
 	l.expireCompleted()
 }
 
-// collectBatch takes in the events that come within the batch interval of the last batch.
+// collectBatch applies the events that arrive until one batch interval after the start of the last batch.
 func (l *loop) collectBatch() {
 	end := time.NewTimer(l.lastBatchAt + l.cfg.policy.BatchInterval - l.now())
 	for {
@@ -135,7 +135,7 @@
 	}
 }
 
-// step has the dispatcher decide on a batch, carries its actions out and commits them.
+// step passes a batch to the dispatcher, carries out the dispatcher's actions and commits the batch.
 func (l *loop) step(ctx context.Context) {
 	now := l.now()
 	l.lastBatchAt = now
@@ -159,8 +159,8 @@
 	l.commit(ctx)
 }
 
-// applyOutcome carries out an action that ends a request. Those come before all others: a candidate that is rejected is
-// not accepted.
+// applyOutcome carries out an action that ends a request. These actions are applied before all others, so that a rejected
+// candidate is not accepted.
 func (l *loop) applyOutcome(a policy.Action) {
 	switch a := a.(type) {
 	case policy.Reject:
@@ -181,7 +181,7 @@
 		}
 	case policy.CancelBeforeSend:
 		if r := l.requests[a.ID]; r != nil && r.cancelBeforeSend != nil && a.Attempt == len(r.Attempts)-1 {
-			r.cancelBeforeSend.Store(true) // of an attempt of an earlier batch: that one's record is written
+			r.cancelBeforeSend.Store(true) // only an attempt of an earlier batch has a cancelBeforeSend, so its record is written
 		}
 	case policy.CloseIdleConns:
 		if e, ok := l.endpoints[a.Endpoint]; ok {
--- a/internal/relay/missing_key.go
+++ b/internal/relay/missing_key.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// What is wrong with a key of a configuration file.
+// Faults of a key in a configuration file.
 var (
 	errMissing   = errors.New("missing")
-	errNotObject = errors.New("is no object")
-	errNotList   = errors.New("is no list")
+	errNotObject = errors.New("is not an object")
+	errNotList   = errors.New("is not a list")
 )
 
-// checkNoKeyMissing reports the first key that a running configuration has and the next one does not: a file of which a part
-// was lost can still be JSON, and what is missing would count as 0. Lists are compared with the keys that all their elements
-// share. The list of endpoints is left out: it may be empty.
+// checkNoKeyMissing reports the first key that the running configuration has and the next one lacks: a file that has lost a
+// part can still be valid JSON, and the missing values would be read as 0. The elements of a list must have the keys that all
+// elements of the running list share. The list of endpoints is not compared, since it may be empty.
 func checkNoKeyMissing(running, next []byte) *ConfigError {
 	var had, has any
 	if err := errors.Join(json.Unmarshal(running, &had), json.Unmarshal(next, &has)); err != nil {
@@ -30,7 +30,7 @@
 	return missingKey("", had, has)
 }
 
-// missingKey compares two values at a path.
+// missingKey compares the running value (had) and the next value (has) at a path.
 func missingKey(path string, had, has any) *ConfigError {
 	switch had := had.(type) {
 	case map[string]any:
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// commonKeys returns the keys that all elements of a list have; nil where these are no objects.
+// commonKeys returns the keys that all elements of a list have, or nil if any element is not an object.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, v := range list {
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -16,45 +16,45 @@
 	"frostlink/policy"
 )
 
-// errSuccessorDied says that the process which took over has died before this one was to end: this one is to run again,
-// from the journal.
-var errSuccessorDied = errors.New("the successor has died")
+// errSuccessorDied says that the successor died before this process had ended, so that this process must run the relay
+// again, from the journal.
+var errSuccessorDied = errors.New("successor process died after the hand-over")
 
-// node is one process's relay with all its parts.
+// node is the relay of one process with all its parts.
 type node struct {
 	cfg               *Config
-	dir               string         // that outlasts the process
-	configuredClasses []policy.Class // as the configuration has them
-	discovery         string         // the address of the discovery in use
+	dir               string         // the folder, which outlasts the process
+	configuredClasses []policy.Class // the classes of the configuration, without those of a predecessor
+	discovery         string         // the address of the discovery service in use
 	mode              *servingmode.Mode
 	metrics           *admin.Metrics
 	violations        *invariant.Counts
 	admin             *adminEndpoint
-	fleet             *fleettask.Fleet // its part of the fleet's tasks; nil: it has none
-	stopTasks         func()           // releases the leases it holds for them; nil: it has none
-	shutdownRequested context.Context  // ends when the platform tells the process to end
-	running           context.Context  // ends when this process is to do nothing more
+	fleet             *fleettask.Fleet // runs the fleet tasks; nil: the relay takes no part in them
+	stopTasks         func()           // stops the fleet tasks and releases their leases; nil: there are none
+	shutdownRequested context.Context  // ends when the platform signals the process to end
+	running           context.Context  // ends when all parts of this process must stop
 	stop              context.CancelFunc
-	goroutines        sync.WaitGroup // all that end with running
-	serveErr          chan error     // what came of serving clients
+	goroutines        sync.WaitGroup // those that stop when running ends
+	serveErr          chan error     // the result of frontend.Serve
 
-	predecessor *handoverState // what it handed over; nil: there was none
+	predecessor *handoverState // the state that a predecessor handed over; nil: none
 	loop        *loop
 	frontend    *front.Server
 	listener    net.Listener
-	quiesced    *quiescedNode // nil: it is not
+	quiesced    *quiescedNode // nil unless the relay is quiesced
 }
 
-// Run runs a relay until ctx ends, and then shuts it down gracefully: it goes on serving for as long as clients may still
-// come, and leaves what is not delivered by then to the journal in dir. Where another process runs on that folder, it takes
-// over from that one, and it hands over to one that comes later. Configurations that come from reread change its settings
-// and move it to another discovery; all else in them is for the next start.
+// Run runs a relay until ctx ends, and then shuts it down gracefully: the relay serves for as long as clients may still
+// connect, and leaves requests that are not delivered by then in the journal in dir. If another process runs a relay on that
+// folder, Run takes over from it; a process that starts later takes over from this one. Configurations from reread replace
+// the settings and the address of the discovery service; their other parts take effect at the next start.
 func Run(ctx context.Context, cfg *Config, dir string, reread <-chan Reload) error {
 	if err := cfg.validateOperatorFile(); err != nil {
 		return err
 	}
 	mode, metrics, violations := &servingmode.Mode{}, admin.NewMetrics(cfg.classNames()), &invariant.Counts{}
-	endpoint, err := openAdminEndpoint(cfg, mode, metrics, violations) //nolint:contextcheck // it outlives ctx: operators are answered until the end
+	endpoint, err := openAdminEndpoint(cfg, mode, metrics, violations) //nolint:contextcheck // the admin endpoint outlives ctx: it answers operators until the process ends
 	if err != nil {
 		return err
 	}
@@ -67,18 +67,18 @@
 		if err := n.run(ctx, reread); !errors.Is(err, errSuccessorDied) {
 			return err
 		}
-		cfg = n.loop.cfg // with the settings in force
+		cfg = n.loop.cfg // the configuration with the settings in force
 	}
 }
 
-// run runs a relay to its end, or until it was handed over.
+// run runs the relay until it is shut down or handed over.
 func (n *node) run(ctx context.Context, reread <-chan Reload) error {
 	n.shutdownRequested = ctx
-	n.running, n.stop = context.WithCancel(context.WithoutCancel(ctx)) // a shutdown goes on for a while after ctx has ended
+	n.running, n.stop = context.WithCancel(context.WithoutCancel(ctx)) // a graceful shutdown takes a while after ctx has ended
 	defer n.stop()
 	owner, err := handover.Acquire(ctx, n.dir, n)
 	if ctx.Err() != nil && n.loop == nil {
-		return nil // told to end before it had anything
+		return nil // shut down before the relay was assembled
 	}
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 			if err != nil {
 				return fmt.Errorf("serve: %w", err)
 			}
-			n.serveErr = nil // the listener was closed by this process
+			n.serveErr = nil // this process closed the listener
 		case r := <-reread:
 			n.reload(r)
 		case outcome := <-ownership:
@@ -103,7 +103,7 @@
 	}
 }
 
-// end ends the process's relay, as its ownership of the folder came to its end.
+// end ends the relay of this process after its ownership of the folder has ended with outcome.
 func (n *node) end(ctx context.Context, outcome handover.Outcome) error {
 	n.admin.serving.Store(false)
 	switch outcome {
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -13,16 +13,16 @@
 	"frostlink/policy"
 )
 
-// restore begins with what the journal holds, and the list that the configuration gives. predecessor is what another
-// process has handed over beside the journal, or nil.
+// restore initializes the loop's state from the journal and from the newest known endpoint list. predecessor is the state that
+// another process has handed over in addition to the journal, or nil.
 func (l *loop) restore(ctx context.Context, predecessor *handoverState) {
 	list := l.latestEndpointList()
 	list.Full = true
 	l.traceEvent(trace.Event{Kind: trace.RelayStarted, Relay: l.cfg.Name, Count: l.cfg.Settings.Instances})
 	l.updateEndpoints(list)
-	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // what the watch brings from here on may be changes of it only
+	l.journal.UpdateEndpoints(list, l.cfg.Discovery) // the watch may bring only changes of this list
 	l.watch.Seq = list.Seq
-	if l.journal.Failed() { // from its start on
+	if l.journal.Failed() { // the journal could not be written when it was opened
 		l.folder.WriteFailed(l.now())
 		l.folderDegraded(true)
 	}
@@ -38,26 +38,27 @@
 	l.step(ctx)
 }
 
-// latestEndpointList returns the newest list that this relay, or its platform for it, is known to have had.
+// latestEndpointList returns the newer of the list in the journal and the list in the configuration.
 func (l *loop) latestEndpointList() discovery.EndpointList {
 	configured := l.cfg.KnownEndpoints
 	journalled, from := l.journal.Endpoints()
 	switch {
 	case journalled == nil:
 		return configured
-	case from != l.cfg.Discovery: // versions are one discovery's own: nothing tells which list is newer
+	case from != l.cfg.Discovery: // versions of different discovery services can't be compared
 		list := *journalled
 		list.Seq = 0
 		return list
 	case journalled.Seq >= configured.Seq:
-		// The configuration's list may be older than what an earlier process was sent: an endpoint that drains gets nothing new
-		// from this one either. It may be newer as well, since the platform goes on listening while no process runs.
+		// The configuration's list may be older than the list that an earlier process received. An endpoint that drains in the
+		// received list must not get new requests from this process either. The configuration's list may also be newer, since
+		// the platform keeps receiving lists while no process runs.
 		return *journalled
 	}
 	return configured
 }
 
-// recoverRequest goes on with a request of an earlier process.
+// recoverRequest resumes a request that an earlier process accepted.
 func (l *loop) recoverRequest(ctx context.Context, e *journal.Entry, predecessor *handoverState) {
 	r := &request{Entry: e, state: stateAccepted, recovered: true}
 	l.requests[e.ID] = r
@@ -74,26 +75,26 @@
 	case e.Delivered:
 		r.transition(stateOutcomeDecided)
 		l.publishDelivered(r)
-	case l.class(e.Class) < 0: // the settings have changed, and the dispatcher could not end it
+	case l.class(e.Class) < 0: // the settings have changed, and the dispatcher can't handle an unknown class
 		l.fail(r, frontend.Response{}, notification.Undeliverable)
 	default:
 		l.recoverOpenRequest(ctx, r, predecessor)
 	}
 }
 
-// recoverOutcome goes on with a request whose terminal outcome an earlier process decided.
+// recoverOutcome resumes a request whose terminal outcome an earlier process decided.
 func (l *loop) recoverOutcome(r *request) {
 	r.transition(stateOutcomeDecided)
 	l.publishOutcome(r)
 	if class := l.class(r.Class); class >= 0 && r.OrderKey != "" {
-		// Guards against an attempt of the next request of its order key that overtakes its notice.
+		// Guards against an attempt of the next request of the same order key that overtakes this request's notice.
 		l.events = append(l.events, policy.Arrived{
 			ID: r.ID, Class: class, Destination: r.Destination, OrderKey: r.OrderKey, Recovered: true, OutcomeDecided: true,
 		})
 	}
 }
 
-// recoverOpenRequest gives the dispatcher a request whose terminal outcome is open.
+// recoverOpenRequest passes a request whose terminal outcome is open to the dispatcher.
 func (l *loop) recoverOpenRequest(ctx context.Context, r *request, predecessor *handoverState) {
 	l.countAccepted(r)
 	l.deadlines.Add(r.ID, r.Deadline)
@@ -103,7 +104,7 @@
 		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
 	}
 	for _, a := range r.Attempts {
-		// Of an attempt that was in flight when the process ended the outcome is unknown.
+		// The outcome of an attempt that was in flight when the process ended is unknown, so NotExecuted is false.
 		arrived.PriorAttempts = append(arrived.PriorAttempts, policy.PriorAttempt{
 			Endpoint: a.Endpoint, SentAt: l.attemptSentAt(a), NotExecuted: a.Ended && a.NotExecuted,
 		})
@@ -114,9 +115,9 @@
 	l.events = append(l.events, arrived)
 }
 
-// attemptSentAt returns when an attempt of an earlier process began, on the dispatcher's clock. Where that process did not
-// run in this boot of the machine it is not known how long ago that was: it counts as longer ago than any destination
-// remembers a key.
+// attemptSentAt returns when an attempt of an earlier process began, on the dispatcher's clock. If the machine was booted since
+// then, the age of the attempt is unknown, and it counts as older than the time for which any destination remembers an
+// idempotency key.
 func (l *loop) attemptSentAt(a journal.Attempt) time.Duration {
 	if !l.timeline.SameBoot() {
 		return 0
--- a/internal/relay/redelivery.go
+++ b/internal/relay/redelivery.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/notification"
 )
 
-// admitRedelivery has the dispatcher decide on a request that the store offers for redelivery.
+// admitRedelivery makes a request that the store offers for redelivery a candidate, or returns it to the store.
 func (d *deadLetterLink) admitRedelivery(e *journal.Entry) {
 	l := d.loop
 	r := &request{Entry: e}
@@ -16,7 +16,7 @@
 		return
 	}
 	if r.Order != nil {
-		// What came since the store decided on the redelivery is known here alone.
+		// Only the loop has the requests that were submitted since the store decided on the redelivery.
 		newer, known := d.inFlightSubmissions.NewestAfter(r.topic(), *r.Order)
 		if newer != "" || !known {
 			d.returnRedelivery(r, newer)
@@ -30,8 +30,8 @@
 	l.addCandidate(r)
 }
 
-// returnRedelivery returns a redelivery to the store, of which no attempt was made; newer is the id of the request that has
-// superseded it, if one has.
+// returnRedelivery returns a redelivery of which no attempt was made to the store. newer is the id of the request that has
+// superseded it, or "".
 func (d *deadLetterLink) returnRedelivery(r *request, newer string) {
 	r.transition(stateEvicted)
 	if r.Order != nil {
@@ -41,22 +41,23 @@
 		delete(d.loop.requests, r.ID)
 	}
 	if d.loop.journal.Entry(r.ID) == r.Entry {
-		// Its acceptance was noted and not written: the next commit would write it, and a later process redeliver it beside the store.
+		// Its acceptance was noted but not written. The next commit would write it, and a later process would then redeliver the
+		// request from the journal while the store offers it as well.
 		d.loop.journal.Complete(r.Entry, d.loop.timeline.Now())
 	}
 	d.writer.queue.addResult(deadletter.Result{Incarnation: deadletter.Incarnation{ID: r.ID}, Overtaken: newer})
 	d.loop.acknowledged(r)
 }
 
-// decideRedelivery decides a redelivery's terminal outcome: the store records it, and only then the journal drops it. newer is
-// the id of the request that has superseded it, for that outcome.
+// decideRedelivery decides a redelivery's terminal outcome. The journal drops the redelivery only after the store has recorded
+// the outcome. newer is the id of the request that has superseded the redelivery, or "".
 func (d *deadLetterLink) decideRedelivery(r *request, status, newer string) {
 	l := d.loop
 	if l.journal.Entry(r.ID) != r.Entry { // rejected before it was accepted
 		d.returnRedelivery(r, newer)
 		return
 	}
-	if status != redeliveryDelivered { // that is traced with the attempt
+	if status != redeliveryDelivered { // handleFinalResponse has traced a delivery
 		l.traceCompleted(r, status)
 	}
 	l.decideOutcome(r, status)
@@ -66,11 +67,11 @@
 	}
 	l.recordOutcome(r, notification.Notice{ID: r.ID, Status: status}, reason, l.timeline.Now())
 	l.afterCommit(func() { l.publishOutcome(r) })
-	l.acknowledged(r) // the platform is owed nothing
+	l.acknowledged(r) // the platform gets no notice of a redelivery
 }
 
-// cancelSuperseded cancels the redeliveries of which a newer request came in this batch: those that would start now do not,
-// and those in flight are cancelled.
+// cancelSuperseded ends the redeliveries for whose topic a newer request was accepted in this batch: attempts of this batch
+// are not started, and attempts in flight are cancelled.
 func (d *deadLetterLink) cancelSuperseded() {
 	if d.writer == nil {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// supersede ends a redelivery because of a newer request.
+// supersede ends a redelivery because of a newer request on the same topic.
 func (d *deadLetterLink) supersede(r, newer *request) {
 	l := d.loop
 	l.attempts = slices.DeleteFunc(l.attempts, func(p plannedAttempt) bool {
--- a/internal/relay/redelivery_rules.go
+++ b/internal/relay/redelivery_rules.go
@@ -16,9 +16,9 @@
 	"frostlink/policy"
 )
 
-// RedeliveryClasses returns the settings' classes in the terms of the dead-letter store.
+// RedeliveryClasses returns the settings' classes as the dead-letter store represents them. Retired classes are left out.
 func (c *Config) RedeliveryClasses(section *deadletter.Section) (classes []deadletter.Class) {
-	effects := map[policy.Idempotency]deadletter.Idempotency{
+	idempotency := map[policy.Idempotency]deadletter.Idempotency{
 		policy.Idempotent: deadletter.Idempotent, policy.IdempotentByKey: deadletter.IdempotentByKey,
 		policy.NotIdempotent: deadletter.NotIdempotent,
 	}
@@ -28,44 +28,44 @@
 		}
 		hasSubject := slices.ContainsFunc(section.Subjects, func(s deadletter.Subject) bool { return s.Class == class.Name })
 		classes = append(classes, deadletter.Class{
-			Name: class.Name, Idempotency: effects[class.Idempotency], KeyTTL: class.KeyTTL,
+			Name: class.Name, Idempotency: idempotency[class.Idempotency], KeyTTL: class.KeyTTL,
 			MaxAttempts: c.policy.MaxAttempts, HasSubject: hasSubject, ClientsResubmit: section.ClientsResubmit == nil || *section.ClientsResubmit,
 		})
 	}
 	return classes
 }
 
-// newResender returns the core that decides what is redelivered. Where the rules differ from those that the store was used
-// with last, it looks at all requests again.
-func newResender(cfg *Config, store *deadletter.Store) *deadletter.Redeliverer {
+// newRedeliverer returns the redeliverer, which decides what is redelivered. If the rules differ from the rules that the store
+// was last used with, it decides on all held requests again.
+func newRedeliverer(cfg *Config, store *deadletter.Store) *deadletter.Redeliverer {
 	section := cfg.OperatorFile.DeadLetter
 	classes := cfg.RedeliveryClasses(section)
 	r := deadletter.NewRedeliverer(store, section.Rules, classes, cfg.Name, newRedeliveryID)
 	rules, err := json.Marshal([]any{section.Rules, section.Subjects, section.StickySubjects, section.SubjectSettlingTime, classes})
 	if err != nil {
-		panic(err) // no rule that was read can fail
+		panic(err) // not reached: rules that were read from a file can be encoded
 	}
 	digest := sha256.Sum256(rules)
 	if changed, err := store.SetRules(digest[:]); err != nil {
-		slog.Error("comparing the redelivery rules with the last ones failed", logkey.Err, err)
+		slog.Error("comparing the redelivery rules with those used last failed", logkey.Err, err)
 	} else if changed {
 		r.Sweep()
 	}
 	return r
 }
 
-// newRedeliveryID returns an id that no client uses: 96 random bits.
+// newRedeliveryID returns an id that no client uses: a prefix and 96 random bits.
 func newRedeliveryID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return "again-" + hex.EncodeToString(b[:])
 }
 
-// offerRedeliveries offers the loop what is due.
+// offerRedeliveries offers the loop the redeliveries that are due.
 func (w *deadLetterWriter) offerRedeliveries(ctx context.Context) error {
-	offers, err := w.resender.Round(w.now(), func(id string) bool { return w.isHeld(ctx, id) })
+	offers, err := w.redeliverer.Round(w.now(), func(id string) bool { return w.isHeld(ctx, id) })
 	if w.gate != nil {
-		defer w.gate.End() // the round's offers are made by then
+		defer w.gate.End() // after all offers of this round are sent to the loop
 	}
 	for _, o := range offers {
 		body, bodyErr := w.deadLetters.Body(o.Record.ID)
@@ -79,7 +79,7 @@
 	return err
 }
 
-// isHeld asks the loop whether it holds a redelivery under an id.
+// isHeld asks the loop whether it holds a redelivery with an id.
 func (w *deadLetterWriter) isHeld(ctx context.Context, id string) bool {
 	q := redeliveryQuery{id, make(chan bool, 1)}
 	w.send(q)
@@ -87,7 +87,7 @@
 	case held := <-q.held:
 		return held
 	case <-ctx.Done():
-		return true // it is not the time to decide
+		return true // the process ends: the store makes no decision on this redelivery
 	}
 }
 
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -11,11 +11,12 @@
 
 // Reload is the result of reading the configuration again.
 type Reload struct {
-	Config *Config // nil: it can't be used
+	Config *Config // nil if the file can't be used
 	Err    error
 }
 
-// WatchReloads reads the configuration again at each hang-up, until ctx ends. One that can't be used changes nothing.
+// WatchReloads reads the configuration again at each hang-up signal, until ctx ends. A configuration that can't be used
+// changes nothing.
 func WatchReloads(ctx context.Context, path string, running *Config, hangups <-chan os.Signal) <-chan Reload {
 	readings := make(chan Reload)
 	go func() {
@@ -28,7 +29,7 @@
 			}
 			cfg, err := rereadConfig(path, inForce)
 			if err != nil {
-				slog.Error("configuration reload failed: the old one stays in force", logkey.Err, err)
+				slog.Error("configuration reload failed: the running configuration stays in force", logkey.Err, err)
 			} else {
 				inForce = cfg.raw
 			}
@@ -54,10 +55,10 @@
 	return cfg, nil
 }
 
-// reload hands a configuration that was read again to the loop, and moves to another discovery.
+// reload sends a configuration that was read again to the loop, and switches to its discovery service if that has changed.
 func (n *node) reload(r Reload) {
 	if n.running.Err() != nil {
-		return // it is for the successor
+		return // handed over: the successor reads the configuration itself
 	}
 	n.loop.send(settingsReloaded{r.Config})
 	if r.Err != nil {
@@ -66,13 +67,13 @@
 	slog.Info("configuration reloaded", logkey.Discovery, r.Config.Discovery, logkey.Classes, r.Config.classNames())
 	if r.Config.Discovery != n.discovery {
 		n.discovery = r.Config.Discovery
-		n.loop.notifier.SetAddress(n.discovery) // first: who sees the watch move may rely on it
+		n.loop.notifier.SetAddress(n.discovery) // before the watch: an observer of the watch's move may rely on this one
 		n.loop.watch.SetAddress(n.discovery)
 	}
 }
 
-// applySettings replaces the settings in one step: what is decided from here on, in this batch already, is decided under
-// the new ones. All else of the configuration is for the next start.
+// applySettings replaces the settings in one step: all decisions from here on, including those of this batch, follow the new
+// settings. Other parts of the configuration take effect at the next start.
 func (l *loop) applySettings(read *Config) {
 	next := *l.cfg
 	next.Settings, next.Discovery = read.Settings, read.Discovery
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -11,30 +11,30 @@
 	"frostlink/policy"
 )
 
-// request is what the loop holds of a request.
+// request is the loop's state of a request.
 type request struct {
 	*journal.Entry
 	state         requestState
-	responses     []chan frontend.Response // of the submissions that brought it, until they are answered
-	retryInfo     string                   // what its client says of an earlier submission
-	acceptedTerms *policy.Class            // of its class as it was accepted, once they were asked for
-	outcomeRecord uint64                   // the number of the record of its terminal outcome
+	responses     []chan frontend.Response // to its submissions, until they are answered
+	retryInfo     string                   // the client's own account of an earlier submission, for the trace
+	acceptedTerms *policy.Class            // the terms of its class at its acceptance; set at the first use
+	outcomeRecord uint64                   // the journal's number of the record of its terminal outcome
 	recovered     bool                     // accepted by an earlier process
-	inDeadLetters bool                     // the dead-letter store has it, or knows of its delivery
+	inDeadLetters bool                     // the dead-letter store has recorded it or its delivery
 
-	// Its latest attempt.
+	// The latest attempt.
 	attempt          plannedAttempt
 	attemptStarted   time.Time
-	attemptInFlight  bool               // decided on, and the loop does not know its end
-	cancel           context.CancelFunc // ends it; nil while no goroutine makes one
-	cancelBeforeSend *atomic.Bool       // ends it where no byte of it has left
+	attemptInFlight  bool               // planned, and its end has not reached the loop
+	cancel           context.CancelFunc // cancels it; nil while no goroutine runs one
+	cancelBeforeSend *atomic.Bool       // cancels it unless a byte of it has been sent
 
-	// What the metrics have counted of it.
+	// Whether the metrics have counted it.
 	countedInFlight  bool
 	countedCompleted bool
 }
 
-// topic is what a request is about.
+// topic returns the topic under which the dead-letter store orders the request: class, destination and subject.
 func (r *request) topic() deadletter.Topic {
 	return deadletter.Topic{Class: r.Class, Destination: r.Destination, Subject: r.Subject}
 }
--- a/internal/relay/resource_limits.go
+++ b/internal/relay/resource_limits.go
@@ -1,26 +1,27 @@
 package relay
 
-// Every descriptor has its owner, so that no part runs short because another has much to do: reservedDescriptors are for the
-// listener, the journal and its next file, the watch, posts of notices, a configuration that is read again, standard streams
-// and the runtime; operators get adminConnFraction, clients clientConnFraction of the rest, and endpoints what is left.
+// File descriptors are divided between the parts of the relay, so that load on one part can't use up the descriptors of
+// another: reservedDescriptors are for the listener, the journal and its next file, the watch, posts of notices, the reload
+// of the configuration, standard streams and the runtime; operators get adminConnFraction; clients get clientConnFraction of
+// the rest; endpoints get the remainder.
 const (
 	reservedDescriptors = 24
 	clientConnFraction  = 0.55
-	// clientConnsPerMB bounds clients' connections by the memory too: one needs about 16 KiB.
+	// clientConnsPerMB also limits clients' connections by memory: a connection needs about 16 KiB.
 	clientConnsPerMB = 12
-	// idleClientConnFraction of the descriptors may be clients' idle connections: far less than the third that clients may
-	// hold for requests, and enough to keep one for each concurrent request of the busiest days.
+	// idleClientConnFraction is the fraction of the descriptors that clients' idle connections may take: far less than the
+	// third that clients may hold for requests, and enough for one connection per concurrent request at peak load.
 	idleClientConnFraction = 1.0 / 8
-	// adminConnFraction of the descriptors, and minAdminConns at least, are for operators' calls: enough for those that send
-	// nothing beside those that do.
+	// adminConnFraction is the fraction of the descriptors for operators' connections, which are at least minAdminConns:
+	// enough for calls to be served while other connections are open and silent.
 	adminConnFraction, minAdminConns = 1.0 / 24, 8
 )
 
-// journalMemoryFraction of the memory is what the journal may take at most: files count as memory, and what the file holds
-// is held in memory as well.
+// journalMemoryFraction is the largest fraction of the memory for the journal file: the page cache counts towards the memory
+// limit, and the content of the file is also held in memory.
 const journalMemoryFraction = 0.15
 
-// maxAdminConns returns how many connections operators may have.
+// maxAdminConns returns the limit of operators' connections.
 func (c *Config) maxAdminConns() int {
 	if c.Management == "" {
 		return 0
@@ -28,25 +29,25 @@
 	return max(minAdminConns, int(adminConnFraction*float64(c.Limits.Sockets)))
 }
 
-// unavailableDescriptors returns how many descriptors are neither for clients nor for endpoints.
+// unavailableDescriptors returns the number of descriptors that neither clients nor endpoints may use.
 func (c *Config) unavailableDescriptors() int { return reservedDescriptors + c.maxAdminConns() }
 
-// maxClientConns returns how many connections clients may have.
+// maxClientConns returns the limit of clients' connections.
 func (c *Config) maxClientConns() int {
 	return max(1, min(int(clientConnFraction*float64(c.Limits.Sockets-c.unavailableDescriptors())), int(clientConnsPerMB*c.Limits.MemoryMB)))
 }
 
-// maxIdleClientConns returns how many of their connections clients may keep without a request.
+// maxIdleClientConns returns the limit of clients' idle connections.
 func (c *Config) maxIdleClientConns() int {
 	return max(1, int(idleClientConnFraction*float64(c.Limits.Sockets)))
 }
 
-// maxEndpointConns returns how many connections there may be to endpoints, idle or with an attempt in flight.
+// maxEndpointConns returns the limit of connections to endpoints, idle or with an attempt in flight.
 func (c *Config) maxEndpointConns() int {
 	return max(1, c.Limits.Sockets-c.unavailableDescriptors()-c.maxClientConns())
 }
 
-// journalSizeMB returns how large the journal may be.
+// journalSizeMB returns the limit of the journal's size.
 func (c *Config) journalSizeMB() float64 {
 	return min(c.Limits.DiskMB, journalMemoryFraction*c.Limits.MemoryMB)
 }
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -12,29 +12,29 @@
 	"frostlink/policy"
 )
 
-// The stages of a graceful shutdown, from the signal on. Connections go on coming for up to 0.4 s, and the process may be
-// killed after 3.7 s.
+// The stages of a graceful shutdown, as times since the signal. Clients still open connections for up to 0.4 s after it, and
+// the process may be killed after 3.7 s.
 const (
-	acceptConnsFor        = time.Second             // until then new connections are accepted
-	startAttemptsFor      = 2700 * time.Millisecond // until then attempts start
-	finishAttemptsFor     = 3300 * time.Millisecond // until then attempts may end
-	idlePollInterval      = 50 * time.Millisecond   // between looks whether nothing is left to do
-	finalResponsesTimeout = 250 * time.Millisecond  // for requests that are being read, and their responses
+	acceptConnsFor        = time.Second             // new connections are accepted until then
+	startAttemptsFor      = 2700 * time.Millisecond // attempts are started until then
+	finishAttemptsFor     = 3300 * time.Millisecond // attempts in flight may end until then
+	idlePollInterval      = 50 * time.Millisecond   // between checks whether the loop is idle
+	finalResponsesTimeout = 250 * time.Millisecond  // for reading requests that have begun to arrive, and for their responses
 )
 
-// drain shuts the relay down. No request that was read goes unanswered: responses close their connections, and connections
-// that stay unused are closed last.
+// drain shuts the relay down gracefully. Every request that was read is answered: each response closes its connection, and
+// connections without a request are closed last.
 func (n *node) drain(ctx context.Context) {
 	l := n.loop
 	begun := time.Now()
-	if n.stopTasks != nil { // other relays need not wait for its leases to expire, nor this shutdown for their release
+	if n.stopTasks != nil { // other relays need not wait for the leases to expire; the shutdown does not wait for the release
 		n.stopTasks()
 	}
 	until := func(stage time.Duration) time.Duration { return time.Until(begun.Add(stage)) }
 	l.trace.Record(l.now(), trace.Event{Kind: trace.ShutdownRequested})
 	l.mode.Shutdown()
 	time.Sleep(until(acceptConnsFor))
-	_ = n.listener.Close() // connections that were accepted stay
+	_ = n.listener.Close() // accepted connections stay open
 	for until(startAttemptsFor) > 0 && !l.idle() {
 		time.Sleep(idlePollInterval)
 	}
@@ -45,7 +45,7 @@
 	n.flushResponses(ctx)
 }
 
-// flushResponses lets responses that are being written arrive, and closes all clients' connections. ctx must not have ended.
+// flushResponses waits until pending responses are written, and closes all clients' connections. ctx must not have ended.
 func (n *node) flushResponses(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finalResponsesTimeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 	return <-q.idle
 }
 
-// resumeSending has the dispatcher start attempts again after a stop, unless the folder prevents that.
+// resumeSending makes the dispatcher start attempts again after sendingStopped, unless the folder is degraded.
 func (l *loop) resumeSending() {
 	l.stopping = false
 	if l.folder.State() != journal.Degraded {
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -9,15 +9,15 @@
 	"frostlink/internal/trace"
 )
 
-// handleSubmission takes in a request that a client submits.
+// handleSubmission handles a submission of a client: it answers the submission, or makes the request a candidate.
 func (l *loop) handleSubmission(s *frontend.Submission) {
 	switch quiet, connected := s.Quiet(); {
 	case !connected:
-		// The client left before a response: it may submit the request again, and this copy counts for nothing.
+		// The client closed the connection before a response. It may submit the request again, so this copy is dropped.
 		s.Response <- frontend.Response{}
 		return
 	case !quiet:
-		// More has come than the request's length says, or a request that nobody is to send yet.
+		// The connection has bytes beyond the request's length, or a next request before the response to this one.
 		s.Response <- frontend.RejectMalformed(http.StatusBadRequest)
 		return
 	}
@@ -28,30 +28,31 @@
 		return
 	}
 	if l.journal.IsCompleted(s.Entry.ID) {
-		// Guards against a copy that comes after the request was completed: executed anew it could have its effect twice.
+		// Guards against a copy that arrives after the request was completed: executing it could repeat the effect.
 		l.respondToDuplicate(s, http.StatusAccepted)
 		return
 	}
 	if !l.destinations[s.Entry.Destination] || !l.reserveJournalSpace(s.Entry) {
-		// Guards the dispatcher against destinations that no list has named, and the disk against overflow.
+		// Guards the dispatcher against destinations that no endpoint list has named, and the disk against overflow.
 		l.rejectSubmission(s)
 		return
 	}
 	l.admitSubmission(s)
 }
 
-// handleDuplicate takes in a submission of a request that is held, as a client repeats it when its connection broke.
+// handleDuplicate handles a repeated submission of a request that the loop still holds. Clients repeat a submission when its
+// connection breaks.
 func (l *loop) handleDuplicate(r *request, s *frontend.Submission) {
-	if len(r.responses) > 0 { // a candidate of this batch: both get the same response, once it is recorded
+	if len(r.responses) > 0 { // a candidate of this batch: both submissions get the same response, once the record is written
 		r.responses = append(r.responses, s.Response)
 		return
 	}
-	// Also where its terminal outcome is decided and only the platform is still to be notified: it was accepted under this id,
-	// and completes once. A rejection would say that it was never executed, which is not known.
+	// This holds also if the terminal outcome is decided and only the notice is pending: the request was accepted under this id
+	// and completes once. A rejection would claim that the request was never executed, which is not certain.
 	l.respondToDuplicate(s, http.StatusAccepted)
 }
 
-// respondToDuplicate answers a request that is submitted under an id that is known.
+// respondToDuplicate answers a submission whose id was accepted before.
 func (l *loop) respondToDuplicate(s *frontend.Submission, status int) {
 	l.traceEvent(trace.Event{
 		Kind: trace.Resubmitted, ID: s.Entry.ID, Class: s.Entry.Class, Destination: s.Entry.Destination, Count: status, Retry: s.ClientRetry,
@@ -59,14 +60,14 @@
 	s.Response <- frontend.Response{Status: status}
 }
 
-// rejectSubmission rejects a submission before the dispatcher sees it.
+// rejectSubmission rejects a submission without a decision of the dispatcher.
 func (l *loop) rejectSubmission(s *frontend.Submission) {
 	l.metrics.Completed(s.Entry.Class, admin.Shed, false)
 	l.traceRejected(s.Entry, s.ClientRetry, l.rejectionReason(s.Entry), l.cfg.policy.MaxRetryAfter)
 	s.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
 }
 
-// rejectionReason says why a submission is rejected before the dispatcher sees it.
+// rejectionReason returns the reason for the trace why rejectSubmission rejects a submission.
 func (l *loop) rejectionReason(e *journal.Entry) string {
 	switch {
 	case !l.destinations[e.Destination]:
@@ -77,7 +78,7 @@
 	return rejectedNoSpace
 }
 
-// admitSubmission has the dispatcher decide on a submission.
+// admitSubmission makes a submission a candidate, so that the dispatcher decides on it in this batch.
 func (l *loop) admitSubmission(s *frontend.Submission) {
 	for _, sub := range l.subsystems {
 		sub.submitted(s.Entry)
@@ -85,11 +86,11 @@
 	l.addCandidate(&request{Entry: s.Entry, responses: []chan frontend.Response{s.Response}, retryInfo: s.ClientRetry})
 }
 
-// reserveJournalSpace reserves room in the journal for a request. Where there is none, requests that only a subsystem
-// needs make room, the oldest first: to keep them must not stop the relay's main job.
+// reserveJournalSpace reserves space in the journal for a request. If the journal is full, it evicts requests that only a
+// subsystem still needs, the oldest first: keeping them must not stop the relay from accepting new requests.
 func (l *loop) reserveJournalSpace(e *journal.Entry) bool {
 	for !l.journal.Reserve(e) {
-		if l.journal.Failed() { // space is not what it lacks
+		if l.journal.Failed() { // the journal can't be written, so freeing space would not help
 			return false
 		}
 		if !l.freeJournalSpace() {
@@ -99,7 +100,8 @@
 	return true
 }
 
-// expireCompleted drops the ids of completed requests whose copies can't come any more.
+// expireCompleted drops the ids of requests that were completed longer ago than the longest deadline: a copy of such a
+// request would be past its own deadline.
 func (l *loop) expireCompleted() {
 	l.journal.ExpireCompleted(l.timeline.Now().Add(-l.cfg.longestDeadline()))
 }
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -13,15 +13,15 @@
 	"frostlink/policy"
 )
 
-// expiredAtEndpoint is the outcome of a request of which an endpoint says that its deadline has passed: the platform is
-// owed no notice, and only the dead-letter store records it.
+// expiredAtEndpoint is the outcome of a request whose deadline has passed according to an endpoint: the platform gets no
+// notice, and only the dead-letter store records it.
 const expiredAtEndpoint = "out-of-time"
 
-// deadlineMargin before its deadline a request that fails counts as expired: with less time left no further attempt would
-// come to its end.
+// deadlineMargin is the time left below which a request that fails counts as expired: another attempt would not end in
+// time.
 const deadlineMargin = time.Second
 
-// fail ends a request undelivered: by its response if that is still due, else by a notice.
+// fail ends a request undelivered: by the response to its submission if that is still due, else by a notice.
 func (l *loop) fail(r *request, response frontend.Response, status string) {
 	if r == nil || r.completed() {
 		return
@@ -45,7 +45,7 @@
 	l.afterCommitOrBy(r.Deadline, func() { l.publishOutcome(r) })
 }
 
-// rejectCandidate ends a request by its response.
+// rejectCandidate ends a candidate by the response to its submissions.
 func (l *loop) rejectCandidate(r *request, response frontend.Response, status string) {
 	responses := r.responses
 	l.traceRejected(r.Entry, r.retryInfo, rejectedByAdmission, response.RetryAfter)
@@ -60,7 +60,7 @@
 	l.evict(r)
 }
 
-// decideOutcome decides a request's terminal outcome; it has one only. Callers leave completed requests alone.
+// decideOutcome decides a request's terminal outcome. A request has only one, so callers must not pass a completed request.
 func (l *loop) decideOutcome(r *request, status string) {
 	if r.completed() {
 		l.violations.Record(invariant.CompletedTwice, r.ID, "destination", r.Destination, "outcome", status)
@@ -69,13 +69,13 @@
 	r.transition(stateOutcomeDecided)
 }
 
-// recordOutcome puts a terminal outcome on record.
+// recordOutcome notes a terminal outcome in the journal.
 func (l *loop) recordOutcome(r *request, notice notification.Notice, reason deadletter.Reason, at clock.Instant) {
 	l.journal.DecideOutcome(r.Entry, notice, string(reason), at)
 	r.outcomeRecord = l.journal.LastRecord()
 }
 
-// publishOutcome publishes a terminal outcome to all that are owed it: the platform, and the subsystems.
+// publishOutcome publishes a terminal outcome to the platform, unless it gets no notice, and to the subsystems.
 func (l *loop) publishOutcome(r *request) {
 	l.checkOutcomeRecorded(r)
 	owesNotice := !r.Redelivery && r.PendingNotice.Status != expiredAtEndpoint
@@ -87,15 +87,15 @@
 	}
 }
 
-// publishDelivered publishes a delivery to the subsystems; the platform is owed nothing.
+// publishDelivered publishes a delivery to the subsystems. The platform gets no notice of a delivery.
 func (l *loop) publishDelivered(r *request) {
 	if !l.publishToSubsystems(r) {
 		l.evict(r)
 	}
 }
 
-// checkOutcomeRecorded checks that a terminal outcome which is about to be published would be found by a later process, or
-// that the request's deadline has passed, so that a later process could only fail it again.
+// checkOutcomeRecorded checks that a later process would find the terminal outcome that is about to be published, or that the
+// request's deadline has passed, so that a later process could only fail the request again.
 func (l *loop) checkOutcomeRecorded(r *request) {
 	if l.journal.Durable(r.outcomeRecord) || l.timeline.Now() >= r.Deadline {
 		return
@@ -103,7 +103,7 @@
 	l.violations.Record(invariant.CompletionUnrecorded, r.ID, "destination", r.Destination, "left", r.Deadline.Sub(l.timeline.Now()))
 }
 
-// handleNoticesAcknowledged takes in that the platform has notices.
+// handleNoticesAcknowledged handles the platform's acknowledgement of notices.
 func (l *loop) handleNoticesAcknowledged(ids []string) {
 	for _, id := range ids {
 		if r := l.requests[id]; r != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// notified notes that the platform is owed nothing more for a request: it is evicted, unless a subsystem still needs it.
+// notified notes that a request needs no further notice: it is evicted, unless a subsystem still needs it.
 func (l *loop) notified(r *request) {
 	awaited := false
 	for _, s := range l.subsystems {
@@ -127,15 +127,16 @@
 	r.transition(stateNotified)
 }
 
-// acknowledged notifies the dispatcher that the terminal outcome of a request with an order key is known where it is owed:
-// only then the next one of its key may be sent. An attempt that overtakes the notice of the request before is out of order.
+// acknowledged notifies the dispatcher that the terminal outcome of a request with an order key has reached its recipient.
+// Only then may the next request of that key be sent: an attempt that overtakes the previous request's notice is out of order.
 func (l *loop) acknowledged(r *request) {
 	if r.OrderKey != "" {
 		l.wakeDispatcher(policy.Acknowledged{ID: r.ID})
 	}
 }
 
-// evict notes that nothing more is owed for a request.
+// evict notes that a request needs no further publication or attempt, and drops it from memory, unless an attempt is in
+// flight.
 func (l *loop) evict(r *request) {
 	r.transition(stateEvicted)
 	for _, s := range l.subsystems {
@@ -150,7 +151,7 @@
 	}
 }
 
-// countCompleted has the metrics count a request's outcome, once.
+// countCompleted counts a request's outcome in the metrics, once. Redeliveries are not counted.
 func (l *loop) countCompleted(r *request, outcome admin.Outcome) {
 	if !r.Redelivery && !r.countedCompleted {
 		r.countedCompleted = true
@@ -158,7 +159,7 @@
 	}
 }
 
-// failureReason says why a request is not delivered.
+// failureReason returns why a request was not delivered.
 func (l *loop) failureReason(r *request, status string) deadletter.Reason {
 	now := l.timeline.Now()
 	switch {
--- a/internal/relay/timer.go
+++ b/internal/relay/timer.go
@@ -6,20 +6,20 @@
 	"frostlink/policy"
 )
 
-// setTimer has the dispatcher woken at a time.
+// setTimer sets the time of the dispatcher's next TimerFired.
 func (l *loop) setTimer(at time.Duration) {
 	l.timerAt = at
 	l.wakeAt = min(l.wakeAt, at)
 }
 
-// wakeDispatcher gives the dispatcher events and has the loop go on at once, so that it acts on them.
+// wakeDispatcher adds events to the next batch and makes the loop run that batch at once.
 func (l *loop) wakeDispatcher(events ...policy.Event) {
 	l.events = append(l.events, events...)
 	l.wakeAt = 0
 }
 
-// timerFired reports whether the dispatcher is to be woken, and sets the next time. Guards against a timer that is lost:
-// where an earlier one, or the loop itself, wakes the dispatcher, what it asked for last is still to come.
+// timerFired reports whether wakeAt has passed, and sets the next wakeAt. It guards against a lost timer: if an earlier timer
+// or wakeDispatcher has caused this wake-up, the timer that the dispatcher set last is still pending and stays set.
 func (l *loop) timerFired(now time.Duration) bool {
 	if l.wakeAt > now {
 		return false
@@ -31,8 +31,8 @@
 	return true
 }
 
-// nextWake is when the loop goes on without an event: for the dispatcher, for a request whose outcome is due, or to try the
-// folder again.
+// nextWake returns when the loop runs a batch even without an event: for the dispatcher's timer, for a request whose outcome
+// is overdue, or to retry a write of the folder.
 func (l *loop) nextWake() time.Duration {
 	at := l.wakeAt
 	if due := l.deadlines.Next(); due > 0 {
--- a/internal/relay/tracing.go
+++ b/internal/relay/tracing.go
@@ -8,7 +8,7 @@
 	"frostlink/policy"
 )
 
-// traceEvent records an event of now, where a trace is configured.
+// traceEvent records an event with the current time, if a trace is configured.
 func (l *loop) traceEvent(e trace.Event) {
 	if l.trace != nil {
 		l.trace.Record(l.now(), e)
@@ -36,7 +36,8 @@
 	policy.Idempotent: trace.Idempotent, policy.IdempotentByKey: trace.IdempotentByKey, policy.NotIdempotent: trace.NotIdempotent,
 }
 
-// traceRequest records what becomes of a request as it comes, with the terms of its class.
+// traceRequest records an event at the start of a request's lifecycle (accepted, rejected or recovered), with the terms of its
+// class.
 func (l *loop) traceRequest(kind trace.Kind, entry *journal.Entry, retryInfo string, t trace.Event) {
 	if l.trace == nil {
 		return
@@ -57,7 +58,7 @@
 	l.traceEvent(t)
 }
 
-// Why requests are rejected before they are accepted, as the trace says it.
+// The trace's reasons why requests are rejected before they are accepted.
 const (
 	rejectedUnlisted    = "no list names its destination"
 	rejectedNoSpace     = "the journal has no room"
@@ -66,10 +67,10 @@
 	rejectedUnrecorded  = "its record could not be written"
 )
 
-// milliseconds returns a span as traces have it, to the microsecond.
+// milliseconds returns a duration in milliseconds, truncated to microseconds, as traces have it.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// traceRejected records a request that is rejected before it is accepted, why, and after how long its client may retry.
+// traceRejected records that a request is rejected before it is accepted, with the reason and the client's Retry-After.
 func (l *loop) traceRejected(entry *journal.Entry, retryInfo, reason string, retryAfter time.Duration) {
 	l.traceRequest(trace.Rejected, entry, retryInfo, trace.Event{DurationMs: float64(retryAfter.Milliseconds()), Reason: reason})
 }
@@ -86,7 +87,7 @@
 	l.traceRequest(trace.Recovered, entry, "", t)
 }
 
-// traceCompleted records the terminal outcome of an accepted request, and why it was not delivered.
+// traceCompleted records the terminal outcome of an accepted request, with the reason if it was not delivered.
 func (l *loop) traceCompleted(r *request, outcome string) {
 	if l.trace == nil {
 		return
