--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// In standby the health check fails at once and clients are still served; their connections are closed with their responses
-// or while they are idle. Active undoes that.
+// In standby the health check fails at once while clients are still served; clients' connections are closed with their next
+// response, or at once if they are idle. A call of active undoes that.
 func TestAdmin_Standby(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -24,14 +24,14 @@
 	p.nextAttempt()
 	p.postAdmin("/standby")
 	if got := p.health(); got == http.StatusOK {
-		t.Error("the health check succeeds")
+		t.Error("the health check succeeds in standby")
 	}
 	resp := p.submit("status", "meanwhile", "20")
 	if resp.StatusCode != http.StatusAccepted || !resp.Close {
-		t.Errorf("meanwhile: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("response in standby: %s, close %v", resp.Status, resp.Close)
 	}
 	p.nextAttempt()
-	if _, err := io.ReadAll(idle); err != nil { // until it is closed
+	if _, err := io.ReadAll(idle); err != nil { // returns when the relay closes it
 		t.Errorf("an idle connection: %v", err)
 	}
 	p.postAdmin("/standby")
@@ -44,14 +44,14 @@
 		t.Error("a response after active closes its connection")
 	}
 	p.nextAttempt()
-	p.waitFor("all are counted", func() bool { return p.metrics().Success["status"] == 3 })
+	p.waitFor("all three requests are counted", func() bool { return p.metrics().Success["status"] == 3 })
 	if f := p.metrics(); f.BackendCalls != 3 || f.Inflight != 0 || f.HostsListed != 1 || f.HostsDown != 0 {
 		t.Errorf("metrics %+v", f)
 	}
 }
 
-// Each request is counted under one outcome, whatever that was, and a repeat of a known id under none. The account beside it
-// is that of the clients and endpoints.
+// Each request is counted under exactly one outcome, and a repeated submission of a known id under none. The expected counts
+// follow from what the clients submit and the endpoints respond.
 func TestAdmin_MetricsCountEachOutcomeOnce(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -69,10 +69,10 @@
 	p.mustAccept("status", "gone", "20")                                                               // withdrawn
 	p.mustAccept("payment", "spent", "20")                                                             // deferred
 	p.mustAccept("order", "late", "20")                                                                // delivered
-	p.mustAccept("status", "again", "20")                                                              // delivered, and submitted again
-	p.mustAccept("status", "again", "20")                                                              // as a duplicate
+	p.mustAccept("status", "again", "20")                                                              // delivered, and submitted a second time
+	p.mustAccept("status", "again", "20")                                                              // the duplicate, which is not counted
 	p.submit("status", "nowhere", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") }) // rejected
-	p.submit("unknown", "odd", "5")                                                                    // not a request
+	p.submit("unknown", "odd", "5")                                                                    // malformed: counted under no outcome
 	want := "map[order:1 payment:0 status:2] map[order:0 payment:1 status:1] map[order:1 payment:0 status:1] 6 0"
 	got := func() string {
 		f := p.metrics()
@@ -84,7 +84,7 @@
 		t.Errorf("after a duplicate of a completed request: %s, want %s", got(), want)
 	}
 
-	// Of an attempt in flight at a kill the outcome is unknown; the next process counts it, from 0.
+	// The outcome of an attempt in flight at a kill is unknown. The next process counts that request, with its counters from 0.
 	p.mustAccept("order", "out", "20")
 	for range 7 {
 		p.nextAttempt()
@@ -97,7 +97,7 @@
 	want = "map[order:0 payment:0 status:0] map[order:0 payment:0 status:0] map[order:1 payment:0 status:0] 0 0"
 	p.waitFor("metrics are "+want, func() bool { return got() == want })
 
-	// In a graceful shutdown the admin endpoint reports that the relay does not serve, while what still comes is served.
+	// In a graceful shutdown the admin endpoint reports that the relay does not serve, while new submissions are still accepted.
 	p.update(func() { p.respond = func(*http.Request) int { return 0 } })
 	p.mustAccept("order", "held", "20")
 	p.nextAttempt()
--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -13,7 +13,7 @@
 	"frostlink/policy"
 )
 
-// An attempt that must be written within a time gets that as an instant of the batch's clock.
+// The time within which an attempt must be written counts from the batch's time, and is passed on as a point in time.
 func TestPlanAttempt_SetsWriteByOnBatchClock(t *testing.T) {
 	j, err := journal.Open(t.TempDir(), 1, false)
 	if err != nil {
@@ -23,19 +23,19 @@
 	l := &loop{timeline: j.Timeline(), journal: j, violations: &invariant.Counts{}, endpoints: map[string]discovery.Endpoint{"h": {ID: "h", Destination: 3}}, requests: map[string]*request{}}
 	now := l.now() + time.Second
 	for i, within := range []time.Duration{0, 300 * time.Millisecond} {
-		id := strconv.Itoa(i) // each has one attempt in flight at most
+		id := strconv.Itoa(i) // a request of its own, since a request has at most one attempt in flight
 		e := &journal.Entry{ID: id, Destination: 3, Deadline: l.timeline.Now().Add(time.Minute)}
 		j.Accept(e)
 		l.requests[id] = &request{Entry: e}
 		l.planAttempt(now, policy.Send{ID: id, Endpoint: "h", WriteWithin: within})
 		got := l.attempts[i].writeBy
 		if want := l.timeline.TimeOf(clock.Instant(now + within)); within == 0 && !got.IsZero() || within > 0 && !got.Equal(want) {
-			t.Errorf("within %v of %v: by %v", within, now, got)
+			t.Errorf("write within %v from %v: writeBy %v", within, now, got)
 		}
 	}
 }
 
-// The dispatcher cancels the attempt that is in flight, and no later one of the request, nor one of another.
+// CancelBeforeSend cancels only the named attempt, not a later attempt of the request or an attempt of another request.
 func TestCancelBeforeSend_CancelsOnlyTheNamedAttempt(t *testing.T) {
 	flags := map[string]*atomic.Bool{"m": {}, "other": {}}
 	l := &loop{requests: map[string]*request{"resting": {Entry: &journal.Entry{ID: "resting"}}}}
--- a/internal/relay/commit_test.go
+++ b/internal/relay/commit_test.go
@@ -24,7 +24,7 @@
 	return l, r
 }
 
-// No effect that needs a record leaves while the records can't be written; what needs none does.
+// While the records can't be written, effects that need a record are not carried out, and effects that need none are.
 func TestCommit_EffectsWaitForRecords(t *testing.T) {
 	l, r := loopWithDispatcher(t)
 	if err := l.journal.Close(); err != nil { // the next write fails
@@ -42,18 +42,18 @@
 		t.Errorf("done %v, want %v", done, want)
 	}
 	if l.attemptsInFlight != 0 || r.attemptInFlight || l.violations.ByKind()[invariant.SendUnrecorded.String()] != 0 {
-		t.Errorf("%d attempts in flight, counted: %v", l.attemptsInFlight, l.violations.ByKind())
+		t.Errorf("%d attempts in flight, violations: %v", l.attemptsInFlight, l.violations.ByKind())
 	}
 	notSent := func(e policy.Event) bool {
 		ended, ok := e.(policy.AttemptEnded)
 		return ok && ended.Outcome == policy.NotSent
 	}
 	if !slices.ContainsFunc(l.events, notSent) || l.wakeAt != 0 {
-		t.Errorf("the dispatcher gets no end of the attempt: %v", l.events)
+		t.Errorf("the dispatcher gets no AttemptEnded with NotSent at once: %v", l.events)
 	}
 }
 
-// Where the records are written, effects follow in their order.
+// If the records are written, effects run in order: those that need no record first.
 func TestCommit_RunsEffectsInOrder(t *testing.T) {
 	l, _ := loopWithDispatcher(t)
 	var done []string
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -19,7 +19,7 @@
 	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","limits":
 	 {"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"settings":` + testSettings(15) + `}`
 	tests := []struct{ name, old, new, want string }{
-		{"as it should be", "", "", ""},
+		{"valid", "", "", ""},
 		{"no JSON", `{"name"`, `["name"`, "invalid"},
 		{"no address", `"listen":"127.0.0.1:1",`, "", "listen"},
 		{"no discovery", `"discovery":"127.0.0.1:2",`, "", "discovery"},
@@ -58,8 +58,8 @@
 	}
 }
 
-// The shares of the descriptors fit into the limit, clients get the third that they may hold for requests, and attempts
-// in flight fit into the endpoints' share.
+// The shares of the descriptors add up to no more than the limit, clients get the third that they may hold for requests, and
+// the limit of attempts in flight is no more than the endpoints' share.
 func TestConfig_SharesDescriptors(t *testing.T) {
 	for _, limits := range []Limits{
 		{Sockets: 256, MemoryMB: 32},
@@ -87,14 +87,14 @@
 			t.Errorf("%+v: %d attempts in flight on %d connections", limits, c.policy.MaxInFlight, endpoints)
 		}
 		if c.maxIdleClientConns() >= limits.Sockets/3 {
-			t.Errorf("%+v: %d idle ones leave none for requests", limits, c.maxIdleClientConns())
+			t.Errorf("%+v: %d idle client connections leave none for requests", limits, c.maxIdleClientConns())
 		}
 	}
 }
 
-// Settings of which nothing is known beforehand are served: other classes, tenants, zones, kinds, limits and numbers. Settings
-// that can't be served end the process before it is ready, in one line that names file, key and reason, and what was
-// accepted before outlasts that.
+// Settings with classes, tenants, zones, kinds, limits and numbers that no other test uses are served. Settings that can't be
+// served end the process before it is ready, with one line that names file, key and reason, and requests that were accepted
+// before stay in the journal.
 func TestConfig_ServesUnfamiliarSettings(t *testing.T) {
 	const unfamiliar = `{"az":1,"categories":[
 	 {"name":"ferry","aim_s":0.7,"deadline_s":21,"idempotency":"fragile","group":"all","points":7.5,"late_share":0.05},
@@ -124,7 +124,7 @@
 		}
 	}
 	p.waitFor("all are delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
-	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // of other settings
+	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // the class or the tenant is not in these settings
 		if resp := p.submit(class, "no", "20", of(tenant)); resp.StatusCode/100 != 4 {
 			t.Errorf("%s of %s: %s", class, tenant, resp.Status)
 		}
@@ -144,7 +144,7 @@
 	}
 	p.changeSettings = func(string) string { return unfamiliar }
 	p.start()
-	p.waitFor("what was accepted before is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the request accepted before is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 0 {
 		t.Errorf("failed: %v", n)
 	}
--- a/internal/relay/deadletter_helpers_test.go
+++ b/internal/relay/deadletter_helpers_test.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// enableDeadLetters has relays keep dead letters, and returns the store's folder.
+// enableDeadLetters makes relays keep dead letters, with further lines of the section, and returns the store's folder.
 func (p *platform) enableDeadLetters(lines string) string {
 	p.t.Helper()
 	folder := filepath.Join(p.t.TempDir(), "deadletters")
@@ -66,7 +66,7 @@
 rate = 100
 `
 
-// redeliveries returns the ids of the attempts under ids that the relay made up.
+// redeliveries returns the ids of the attempts of redeliveries.
 func (p *platform) redeliveries() (ids []string) {
 	for _, id := range p.attempts() {
 		if strings.HasPrefix(id, "again-") {
@@ -76,8 +76,8 @@
 	return ids
 }
 
-// parcelSubjects has requests of class status name their parcel and their order in headers, and dead letters redelivered as
-// soon as they may.
+// parcelSubjects are lines of the section by which requests of class status name their subject (a parcel) and their order in
+// headers, and dead letters are redelivered as soon as the rule allows.
 const parcelSubjects = "subjects_stick = true\n" + redeliveryRule + `[[undelivered.subject]]
 class = "status"
 header = "Parcel"
@@ -85,13 +85,13 @@
 order_header = "Seq"
 `
 
-// parcelSection is the same, in the store's terms.
+// parcelSection is the section of parcelSubjects, as the store represents it.
 var parcelSection = deadletter.Section{
 	MaxSubjects: 200_000, StickySubjects: true, SubjectSettlingTime: 600,
 	Subjects: []deadletter.Subject{{Class: "status", Header: "Parcel", Order: "number", OrderHeader: "Seq"}},
 }
 
-// parcelStatus makes a request one about a parcel.
+// parcelStatus gives a request a parcel as its subject, and its order.
 func parcelStatus(parcel, seq string) func(*http.Request) {
 	return func(r *http.Request) {
 		r.Header.Set("Parcel", parcel)
@@ -99,7 +99,8 @@
 	}
 }
 
-// seedKnownTopics makes a store and a journal as if the relay had run with both for an hour.
+// seedKnownTopics creates a store and a journal as if the relay had run with both for an hour, so that the newest request of
+// each topic is known.
 func (p *platform) seedKnownTopics(folder string) {
 	p.t.Helper()
 	s, err := deadletter.Open(folder, 0, 0)
@@ -127,7 +128,7 @@
 	}
 }
 
-// mustAcceptStatus submits a status of a parcel, which has to be accepted.
+// mustAcceptStatus submits a request of class status about a parcel, which must be accepted.
 func (p *platform) mustAcceptStatus(id, timeout, parcel, seq string) {
 	p.t.Helper()
 	if resp := p.submit("status", id, timeout, parcelStatus(parcel, seq)); resp.StatusCode != http.StatusAccepted {
@@ -136,14 +137,14 @@
 }
 
 // readDeadLetters reads the store of a relay that has ended.
-func (p *platform) readDeadLetters(folder string, look func(s *deadletter.Store)) {
+func (p *platform) readDeadLetters(folder string, read func(s *deadletter.Store)) {
 	p.t.Helper()
 	s, err := deadletter.OpenToRead(folder)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer s.Close()
-	look(s)
+	read(s)
 }
 
 // readConfigs reads the configuration and the operator's file as a process would.
--- a/internal/relay/deadletter_kill_test.go
+++ b/internal/relay/deadletter_kill_test.go
@@ -14,24 +14,25 @@
 	"frostlink/internal/deadletter"
 )
 
-// killCount is how often the real program is killed, and lifetimes how long it lives until then at least and at most.
+// killCount is how often the real program is killed. lifetimes are the shortest and the longest time from a start to a kill.
 const killCount = 50
 
 var lifetimes = [2]time.Duration{20 * time.Millisecond, 450 * time.Millisecond}
 
-// testKeyTTL is how long the endpoints drop a repeat, as the settings say.
+// testKeyTTL is the key TTL of the settings: for this long the endpoints drop a repeat.
 const testKeyTTL = 15 * time.Second
 
-// ledger is what the endpoints and the clients saw.
+// ledger records what the endpoints and the clients observed.
 type ledger struct {
 	mu         sync.Mutex
-	accepted   map[string]bool // ids that were answered 202
-	delivered  map[string]bool // keys that an endpoint answered 200
-	effects    map[string]int  // by key: of attempts that were executed, but for repeats that an endpoint drops by their key
+	accepted   map[string]bool // ids of submissions that were answered 202
+	delivered  map[string]bool // keys of attempts that an endpoint answered 200
+	effects    map[string]int  // number of executed attempts by key, without repeats that an endpoint drops by their key
 	executedAt map[string]time.Time
 }
 
-// respond returns an endpoint's status, by a random number: it delivers, rejects, fails after the execution, or hangs.
+// respond returns an endpoint's status, which draw, a random number below 1, decides: the endpoint delivers, rejects, fails
+// after the execution, or hangs.
 func (l *ledger) respond(r *http.Request, draw float64) int {
 	key := r.Header.Get("Idempotency-Key")
 	l.mu.Lock()
@@ -55,8 +56,8 @@
 	return http.StatusOK
 }
 
-// The real program is killed at 50 random moments, while it accepts, delivers, fails, stores and redelivers: nothing is
-// lost, nothing is in the store twice, and nothing that may not be repeated is executed twice.
+// The real program is killed at 50 random moments, while it accepts, delivers, fails, stores and redelivers requests: no
+// request is lost or in the store twice, and no request that must not be repeated is executed twice.
 func TestDeadLetters_KilledAtFiftyRandomMoments(t *testing.T) {
 	p := newPlatform(t)
 	p.program = filepath.Join(t.TempDir(), "frostlink")
@@ -69,14 +70,14 @@
 	p.addEndpoint("h2", 7)
 	draw := rand.New(rand.NewPCG(20261201, 8))
 	l := &ledger{accepted: map[string]bool{}, delivered: map[string]bool{}, effects: map[string]int{}, executedAt: map[string]time.Time{}}
-	var drawing sync.Mutex
+	var drawMu sync.Mutex
 	next := func() float64 {
-		drawing.Lock()
-		defer drawing.Unlock()
+		drawMu.Lock()
+		defer drawMu.Unlock()
 		return draw.Float64()
 	}
 	p.respond = func(r *http.Request) int { return l.respond(r, next()) }
-	go func() { // nobody waits for single attempts
+	go func() { // discards the reports of single attempts, so that their channel does not fill up
 		for {
 			select {
 			case <-p.begunAttempts:
@@ -107,7 +108,7 @@
 	for i := range killCount {
 		var other *deadletter.Store
 		if i%2 == 1 {
-			// Another process has the store for this lifetime: notices are posted, and what is to be stored waits in the journal.
+			// Another process holds the store during this lifetime: notices are posted, and dead letters wait in the journal.
 			var err error
 			if other, err = deadletter.Open(folder, 0, 0); err != nil {
 				t.Fatal(err)
@@ -124,13 +125,13 @@
 	clients.Wait()
 	p.update(func() { p.respond = func(r *http.Request) int { return l.respond(r, 1) } })
 	c := p.start()
-	p.waitFor("a few redeliveries came", func() bool { return len(p.redeliveries()) >= 20 })
+	p.waitFor("20 attempts of redeliveries have arrived", func() bool { return len(p.redeliveries()) >= 20 })
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.readDeadLetters(folder, func(s *deadletter.Store) { l.check(t, p, s) })
 }
 
-// check compares the store with what endpoints and clients saw.
+// check compares the store with what endpoints and clients observed.
 func (l *ledger) check(t *testing.T, p *platform, s *deadletter.Store) {
 	t.Helper()
 	l.mu.Lock()
@@ -161,16 +162,16 @@
 		r := stored[id]
 		switch {
 		case r == nil && !l.delivered["key-"+id]:
-			t.Errorf("%s was accepted, and is neither delivered nor stored", id)
+			t.Errorf("%s was accepted, but is neither delivered nor stored", id)
 		case r == nil:
 			delivered++
 		case r.State == deadletter.Delivered && !l.delivered["key-"+id]:
-			t.Errorf("%s is stored as delivered, and no endpoint had it: %+v", id, r)
+			t.Errorf("%s is stored as delivered, but no endpoint has answered it 200: %+v", id, r)
 		case !notified[id]:
-			t.Errorf("%s is stored, and the platform was not notified", id)
+			t.Errorf("%s is stored, but the platform was not notified", id)
 		}
 		if notified[id] && r == nil {
-			t.Errorf("%s has failed, and is not stored", id)
+			t.Errorf("%s has failed, but is not stored", id)
 		}
 	}
 	for key, n := range l.effects {
@@ -180,6 +181,6 @@
 	}
 	t.Logf("%d accepted, %d of them delivered and not stored, %d stored, %d redeliveries", len(l.accepted), delivered, len(stored), redelivered)
 	if len(stored) < 50 || redelivered < 20 || delivered < 50 {
-		t.Errorf("%d stored, %d redeliveries, %d delivered: the test sees too little", len(stored), redelivered, delivered)
+		t.Errorf("%d stored, %d redeliveries, %d delivered: too few for the test to mean anything", len(stored), redelivered, delivered)
 	}
 }
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/notification"
 )
 
-// What is accepted and not delivered is in the store, with its whole history and the reason, once, also where the process
-// is killed as soon as the platform has the notice.
+// An accepted request that is not delivered is stored once, with its whole history and the reason, even if the process is
+// killed as soon as the platform has the notice.
 func TestDeadLetters_StoredWithHistory(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -27,9 +27,9 @@
 	c := p.start()
 	p.mustAccept("order", "executed", "20")
 	p.mustAccept("status", "rejected", "1.2")
-	p.waitFor("both have their notices", func() bool { return len(p.receivedNotices()) == 2 })
+	p.waitFor("the platform has both notices", func() bool { return len(p.receivedNotices()) == 2 })
 	p.kill(c)
-	// A later process writes what the store may lack, and finds nothing more to do.
+	// A later process writes the requests that the store may lack, and must store none twice.
 	c = p.start()
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Of an attempt that was in flight when the process was killed the outcome is unknown, and the record says so.
+// The outcome of an attempt that was in flight when the process was killed is unknown, and the store's record says so.
 func TestDeadLetters_AttemptInFlightAtKillHasUnknownOutcome(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -63,8 +63,8 @@
 	p.nextAttempt()
 	p.kill(c)
 	c = p.start()
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
-	p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the request is stored", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, _ := p.deadLetter(folder, "a")
 	if len(r.Last().Attempts) != 1 || r.MayHaveExecuted() == nil || r.Last().Reason != deadletter.OutcomeUnknown {
@@ -72,8 +72,8 @@
 	}
 }
 
-// An endpoint that says that a request's deadline has passed has not executed it: it is stored, and no notice is owed; a
-// redelivery with that response goes back to the store.
+// An endpoint that responds that a request's deadline has passed has not executed it: the request is stored, and the platform
+// gets no notice. A redelivery with that response is returned to the store.
 func TestDeadLetters_ExpiredAtEndpoint(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
@@ -87,7 +87,7 @@
 	}
 	c := p.start()
 	p.mustAccept("status", "a", "0.9") // within the last second before its deadline
-	p.waitFor("it is attempted", func() bool { return len(p.attempts()) > 0 })
+	p.waitFor("the first one is attempted", func() bool { return len(p.attempts()) > 0 })
 	p.mustAccept("status", "b", "1.2")
 	p.waitFor("the other one has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	late.Store(true)
@@ -105,7 +105,7 @@
 	}
 }
 
-// What is rejected is counted, and stored with its body where the operator wants that.
+// A rejected request is counted, and stored with its body if the operator's file says so.
 func TestDeadLetters_RejectedAreCounted(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		t.Run(fmt.Sprint("keep ", keep), func(t *testing.T) {
@@ -118,8 +118,8 @@
 				t.Fatal(resp.Status)
 			}
 			p.mustAccept("order", "b", "1")
-			p.waitFor("another has failed", func() bool { return len(p.receivedNotices()) == 1 })
-			p.waitFor("that is stored", func() bool { return p.journalSize() == 0 })
+			p.waitFor("the accepted request has failed", func() bool { return len(p.receivedNotices()) == 1 })
+			p.waitFor("the accepted request is stored", func() bool { return p.journalSize() == 0 })
 			p.kill(c)
 			p.readDeadLetters(folder, func(s *deadletter.Store) {
 				totals, _, err := s.Totals()
@@ -135,14 +135,14 @@
 	}
 }
 
-// A request that was rejected, and is accepted when it comes again under its id, is stored as the accepted one: to store the
-// rejected copy evicts nothing. Guards against the store's acknowledgement of the one counting for the other.
+// A request that is rejected, and accepted when it is submitted again under the same id, is stored as the accepted one. Guards
+// against the fault that the store's acknowledgement of the rejected copy evicts the accepted one from the journal.
 func TestDeadLetters_RejectedThenAccepted(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("refused = true\n")
 	p.addEndpoint("h1", 7)
 	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
-	other, err := deadletter.Open(folder, 0, 0) // so that both wait for the store together
+	other, err := deadletter.Open(folder, 0, 0) // holds the store, so that both copies wait for it together
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 		t.Fatal(resp.Status)
 	}
 	p.mustAccept("order", "a", "1")
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the accepted copy has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	_ = other.Close()
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
@@ -161,7 +161,8 @@
 	}
 }
 
-// A process that ran without the store may have delivered anything: the next one with it does not rely on what it knows.
+// A process that runs without the store may deliver requests that the store does not record. The next process with the store
+// must not rely on the store's knowledge of topics.
 func TestDeadLetters_ProcessWithoutStoreInBetween(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(parcelSubjects)
@@ -183,8 +184,8 @@
 		})
 		return known
 	}
-	// Each run has a request of its own: one whose id is completed would be answered from the journal, and its process could be
-	// killed before it has opened the store.
+	// Each run submits a request of its own: a submission with a completed id would be answered from the journal, and the process
+	// could be killed before it has opened the store.
 	run := func(own, id string) {
 		p.operatorPath = own
 		c := p.start()
@@ -195,11 +196,11 @@
 	with := p.operatorPath
 	run(with, "m1")
 	if !known() {
-		t.Error("a restart makes it forget")
+		t.Error("after a restart the store does not know the newest requests")
 	}
 	run("", "m2")
 	run(with, "m3")
 	if known() {
-		t.Error("it is relied on, though a process recorded nothing in it")
+		t.Error("the store claims to know the newest requests, though a process has recorded nothing in it")
 	}
 }
--- a/internal/relay/deadletter_writer_test.go
+++ b/internal/relay/deadletter_writer_test.go
@@ -12,7 +12,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// What was rejected is in no journal: a process that ends, or hands over, writes it to the store first.
+// Rejected requests are in no journal, so a process writes them to the store before it ends or hands over.
 func TestDeadLetterWriter_WritesRejectedBeforeItEnds(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("refused = true\n")
@@ -20,19 +20,19 @@
 	cfg := readConfigs(t, p)
 	ctx, stop := context.WithCancel(t.Context())
 	opened := make(chan deadLetterEvent, 10)
-	k := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { opened <- e })
+	w := newDeadLetterWriter(cfg, "", clock.New(), func(e deadLetterEvent) { opened <- e })
 	done := make(chan struct{})
-	go func() { k.run(ctx); close(done) }()
+	go func() { w.run(ctx); close(done) }()
 	waittest.Receive(t, opened) // the store is open
 	const n = 3*maxBatch + 7
 	for i := range n {
 		id := fmt.Sprint("m", i)
-		k.queue.addRejected(deadletter.Message{Record: deadletter.Record{
+		w.queue.addRejected(deadletter.Message{Record: deadletter.Record{
 			ID: id, Class: "order", Tenant: "acme", Destination: 7, State: deadletter.Held,
 			Incarnations: []deadletter.Incarnation{{ID: id, Reason: deadletter.RejectedOnArrival}},
 		}, Body: []byte("body of " + id)})
 	}
-	stop() // at once: hardly a batch can have been written
+	stop() // at once, so that most of them are still in the queue
 	waittest.Receive(t, done)
 	_, totals := p.deadLetter(folder, "m0")
 	if totals.Rejected["order of acme"] != n || totals.Messages != n {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A store that can't be opened, since another process has it, stops nothing: what it does not accept waits in the journal,
-// and is in the store once that is free.
+// While the store can't be opened because another process holds it, the relay goes on: undelivered requests wait in the
+// journal, and are stored once the store is free.
 func TestDeadLetters_StoreInUseStopsNothing(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -53,20 +53,20 @@
 	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable }
 	c := p.start()
 	p.mustAccept("status", "a", "1")
-	p.waitFor("its notice came all the same", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the platform has its notice", func() bool { return len(p.receivedNotices()) == 1 })
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
-	p.waitFor("others are delivered", func() bool { return p.submit("status", "b", "9").StatusCode == http.StatusAccepted })
+	p.waitFor("another request is accepted", func() bool { return p.submit("status", "b", "9").StatusCode == http.StatusAccepted })
 	if _, err := s.Get("a"); !errors.Is(err, deadletter.ErrUnknown) {
-		t.Errorf("it is in a store that another process has: %v", err)
+		t.Errorf("the request is in a store that another process holds: %v", err)
 	}
 	_ = s.Close()
-	p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the request is stored", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.deadLetter(folder, "a")
 }
 
-// Where the store accepts nothing and the journal is full of what waits for it, the oldest are evicted, listed by id, and
-// the relay goes on accepting requests.
+// If the store accepts nothing and the journal is full of requests that wait for it, the oldest of these are evicted and listed
+// as lost by id, and the relay goes on accepting requests.
 func TestDeadLetters_UnavailableStoreDoesNotFillJournal(t *testing.T) {
 	p := newPlatform(t)
 	p.diskMB = 0.06
@@ -82,7 +82,7 @@
 	for i := range n {
 		id := fmt.Sprint("m", i)
 		p.mustAccept("order", id, "20")
-		p.waitFor("its notice came", func() bool { return len(p.receivedNotices()) == i+1 })
+		p.waitFor("the platform has its notice", func() bool { return len(p.receivedNotices()) == i+1 })
 	}
 	_ = s.Close()
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -10,15 +10,15 @@
 	"frostlink/internal/discovery"
 )
 
-// A process starts from the newest list that is known of: an earlier process's, or the configuration's where that is newer;
-// versions of another discovery can't be compared.
+// A process starts from the newest known list: the list of an earlier process, or that of the configuration if it is newer. A
+// list of another discovery service is used, but without its version, since the versions of two services can't be compared.
 func TestLatestEndpointList(t *testing.T) {
 	const here, elsewhere = "127.0.0.1:1", "127.0.0.1:2"
 	for _, tt := range []struct {
 		name                   string
 		configured, journalled int64
 		from                   string
-		want, wantAt           int64 // whose list, and from which version the watch asks
+		want, wantAt           int64 // the version of the list that is used, and the version from which the watch requests changes
 	}{
 		{"none in the journal", 7, 0, "", 7, 7},
 		{"a newer one in the journal", 7, 9, here, 9, 9},
@@ -42,8 +42,8 @@
 	}
 }
 
-// Where the platform pushes lists, the relay has a watch as well, and it opens one at once however many relays there are.
-// Guards against a relay that knows the configuration's list alone.
+// If the platform pushes lists, the relay still opens a watch, and does so at once however many relays there are. Guards against
+// a relay that stays with the configuration's list.
 func TestEndpoints_WatchesPushedLists(t *testing.T) {
 	p := newPlatform(t)
 	p.changeSettings = func(s string) string {
@@ -59,16 +59,16 @@
 	next := p.addEndpoint("h2", 7)
 	h.Health = discovery.Draining
 	p.watchLines <- watchLine(t, 42, h, next)
-	p.waitFor("the change is known", func() bool {
+	p.waitFor("the change is in the journal", func() bool {
 		list, _ := readJournal(t, p.dir).Endpoints()
 		return list != nil && list.Seq == 42
 	})
 	p.mustAccept("status", "m", "20")
 	p.nextAttempt()
-	p.waitFor("it is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the request is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 }
 
-// A draining endpoint gets no new requests, and one that is not of a destination none at all.
+// A draining endpoint gets no new requests.
 func TestEndpoints_DrainingGetsNoNewRequests(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addEndpoint("h1", 7)
@@ -102,8 +102,8 @@
 	}
 }
 
-// An endpoint that is known to drain gets nothing from the next process either, though the configuration's list is older than
-// that and discovery is down.
+// An endpoint that drained before a restart gets no requests after it, even though the configuration's list is older than the
+// change and discovery is down.
 func TestEndpoints_DrainingIsKnownAfterRestart(t *testing.T) {
 	p := newPlatform(t)
 	old := p.addEndpoint("h1", 7)
@@ -118,14 +118,14 @@
 	p.update(func() { p.discoveryDown = true })
 	p.start()
 	p.mustAccept("status", "m", "0.5")
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	if attempts := p.attempts(); len(attempts) != 0 {
 		t.Errorf("attempts at a draining endpoint: %v", attempts)
 	}
 }
 
-// The list of a discovery that an earlier process watched is used after a restart, but another discovery is not asked for
-// changes since its version.
+// After a restart, the list of the discovery service that an earlier process watched is used, but another discovery service is
+// asked for the full list instead of the changes since that version.
 func TestEndpoints_ListOfAnotherDiscoveryHasNoVersion(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
@@ -140,11 +140,11 @@
 		return len(p.watches) == 1
 	})
 	if w := p.watches[0]; !strings.Contains(w, "index=0") {
-		t.Errorf("watch %s, want the whole list", w)
+		t.Errorf("watch %s, want a watch for the full list", w)
 	}
 }
 
-// The list of the configuration outlasts the process too, where discovery has sent changes of it only.
+// The configuration's list is kept in the journal too, even if discovery has sent only changes of it.
 func TestEndpoints_ConfiguredListOutlastsProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -162,13 +162,13 @@
 	p.nextAttempt()
 }
 
-// An outage that was seen outlasts the process, for an endpoint that the configuration's list lacks as well.
+// An outage that a process has detected is known to the next process, also for an endpoint that the configuration's list lacks.
 func TestEndpoints_OutageIsKnownAfterRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addEndpoint("h1", 7)
-			p.endpoints[0].Weight = 0.05 // a budget of one trial request in many seconds
+			p.endpoints[0].Weight = 0.05 // so low that a trial request is allowed only every many seconds
 			up := p.endpoints[0]
 			p.endpoints[0].Address = refusingAddress(t)
 			c := p.start()
@@ -182,14 +182,15 @@
 			p.start()
 			resp := p.submit("status", "b", "25")
 			for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
-				time.Sleep(10 * time.Millisecond) // not listed yet
+				time.Sleep(10 * time.Millisecond) // the endpoint is not listed yet
 			}
-			// A new relay would accept it and send it at once; in an outage the next trial request is too far off.
+			// A relay without the outage would accept the request and send it at once. With it, the request is rejected, since the next
+			// trial request is too far off.
 			if resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("known %v: %s", known, resp.Status)
 			}
 			if got := p.attempts(); len(got) > 1 {
-				t.Errorf("known %v: %v sent at once to an unhealthy destination", known, got)
+				t.Errorf("known %v: %v attempted at an unhealthy endpoint", known, got)
 			}
 		})
 	}
--- a/internal/relay/handover_kill_test.go
+++ b/internal/relay/handover_kill_test.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// load submits requests from several clients until it is stopped, and notes which were accepted.
+// load is a workload of several clients. It records the accepted requests and the faults.
 type load struct {
 	mu       sync.Mutex
 	accepted map[string]bool
@@ -43,7 +43,7 @@
 			if strings.Contains(err.Error(), "refused") {
 				l.fault("a connection was refused: " + err.Error())
 			}
-			continue // its process was killed
+			continue // the process was killed
 		}
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusAccepted {
@@ -60,9 +60,9 @@
 	l.mu.Unlock()
 }
 
-// Processes replace each other under load, and either is killed at random moments: no request has two attempts in flight at
-// once, none that is not idempotent is sent again, none that was accepted is left without its outcome, and no connection is
-// refused.
+// Processes replace each other under load, and the predecessor or the successor is killed at random moments: no request has two
+// attempts in flight at once, no request that is not idempotent is sent again, every accepted request gets its outcome, and no
+// connection is refused.
 func TestHandover_KilledAtFiftyRandomMoments(t *testing.T) {
 	const rounds = 50
 	p := newPlatform(t)
@@ -84,10 +84,10 @@
 		l.mu.Unlock()
 		select {
 		case <-time.After(pause):
-		case <-r.Context().Done(): // its process was killed
+		case <-r.Context().Done(): // the process that made the attempt was killed
 		}
 		l.mu.Lock()
-		if twice[id] { // whichever process was killed is seen to be by then
+		if twice[id] { // waits until the attempt of a killed process is seen to be cancelled
 			l.mu.Unlock()
 			select {
 			case <-time.After(time.Second):
@@ -115,19 +115,19 @@
 		p.addAdminEndpoint()
 		next := p.spawn()
 		switch kind {
-		case 0: // nobody dies
+		case 0: // neither process is killed
 			kinds["both live"]++
 			p.waitFor("the new process serves", next.isServing)
 			_ = running.Process.Signal(syscall.SIGTERM)
 			<-running.exited
 			running = next
-		case 1: // the old one dies, wherever the hand-over stands
+		case 1: // the old process is killed, at any point of the hand-over
 			kinds["the old one dies"]++
 			time.Sleep(after)
 			p.kill(running)
 			p.waitFor("the new process serves", next.isServing)
 			running = next
-		case 2: // the new one does
+		case 2: // the new process is killed
 			kinds["the new one dies"]++
 			time.Sleep(after)
 			p.kill(next)
@@ -136,7 +136,7 @@
 	}
 	close(stop)
 	clients.Wait()
-	p.waitFor("all have their outcome", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("all requests have their outcome", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ended := map[string]int{}
@@ -155,7 +155,7 @@
 		}
 	}
 	for id := range twice {
-		// One whose process was killed may look in flight here for a moment longer than it was, but is not answered.
+		// An attempt of a killed process may appear in flight here for a moment longer than it was, but is not answered.
 		if twice[id] && answered[id] > 1 {
 			l.faults = append(l.faults, "two attempts in flight: "+id)
 		}
@@ -164,7 +164,7 @@
 		t.Error(f)
 	}
 	if lost > 0 || again > 0 || len(l.accepted) < rounds {
-		t.Errorf("of %d accepted %d were lost, %d not idempotent ones sent again", len(l.accepted), lost, again)
+		t.Errorf("of %d accepted requests %d were lost and %d that are not idempotent were sent again", len(l.accepted), lost, again)
 	}
 	t.Logf("%v; %d accepted, %d failed", kinds, len(l.accepted), len(ended))
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -13,9 +13,9 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A process is replaced with an attempt in flight, requests held, clients idle and a request half read: nothing is sent twice
-// or lost, no client sees a close, and the metrics of the successor go on from what it took over. Then that one is replaced
-// as well.
+// A process is replaced while an attempt is in flight, a client connection is idle and a request is half read: no request is
+// sent twice or lost, no client connection is closed, and the successor's metrics include the request that it took over. Then
+// the successor is replaced in the same way.
 func TestHandover_KeepsAttemptsAndConnections(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -30,7 +30,7 @@
 			return
 		}
 		select {
-		case status := <-answer: // its connection must be the same until then
+		case status := <-answer: // the connection must stay open until then
 			w.WriteHeader(status)
 		case <-r.Context().Done():
 		}
@@ -56,7 +56,7 @@
 	for i := range 2 {
 		next := p.startSuccessor()
 		if old.isServing() {
-			t.Error("the old process says that it serves")
+			t.Error("the old process reports that it serves")
 		}
 		if f := p.metrics(); f.Inflight != 1 || f.HostsListed != 1 {
 			t.Errorf("metrics of process %d: %+v", i+2, f)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A Retry-After that the old process got, and an outage that it saw, bind the successor; standby goes on.
+// The successor honours a Retry-After that the old process received, and stays in standby.
 func TestHandover_KeepsWaitsAndStandby(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -119,17 +119,18 @@
 		t.Errorf("health of a successor in standby: %d", got)
 	}
 	p.postAdmin("/active")
-	// A process that knew of no Retry-After would accept it and send it at once; with 20 s to wait it is late.
+	// A process without the Retry-After would accept the request and send it at once. With 20 s to wait, the request's deadline
+	// of 5 s would pass, so it is rejected.
 	if resp := p.submit("status", "b", "5"); resp.StatusCode != http.StatusTooManyRequests {
-		t.Errorf("during the wait: %s", resp.Status)
+		t.Errorf("submission during the Retry-After: %s", resp.Status)
 	}
 	if got := p.attempts(); len(got) != 1 {
-		t.Errorf("attempts during the wait: %v", got)
+		t.Errorf("attempts during the Retry-After: %v", got)
 	}
 }
 
-// A successor dies before the old process is told to end: the old one owns the folder again, and the request that it had
-// handed over is delivered.
+// If a successor dies before the old process is signalled to end, the old process owns the folder again, and delivers the
+// request that it had handed over.
 func TestHandover_PredecessorGoesOnWhenSuccessorDies(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -146,14 +147,14 @@
 	p.waitFor("the old process serves again", old.isServing)
 	p.adminAddr = first
 	p.nextAttempt()
-	p.waitFor("it is delivered", func() bool { return p.metrics().Success["status"] == 1 })
+	p.waitFor("the request is delivered", func() bool { return p.metrics().Success["status"] == 1 })
 	if got := p.health(); got != http.StatusOK {
 		t.Errorf("health %d", got)
 	}
 }
 
 // A process with a dead-letter store is replaced while one request is in flight, one waits for its destination and one is in
-// the store: each is stored once, or delivered, and the successor has the store.
+// the store: each request is either delivered or stored once, and the successor holds the store.
 func TestHandover_WithDeadLetterStore(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters("")
@@ -169,9 +170,9 @@
 	}
 	old := p.start()
 	p.mustAccept("status", "stored", "1")
-	p.waitFor("one is in the store", func() bool { return len(p.receivedNotices()) == 1 && p.journalSize() == 0 })
+	p.waitFor("the first request is in the store", func() bool { return len(p.receivedNotices()) == 1 && p.journalSize() == 0 })
 	p.mustAccept("order", "out", "25")
-	p.waitFor("it is in flight", func() bool { return slices.Contains(p.attempts(), "out") })
+	p.waitFor("the second request is in flight", func() bool { return slices.Contains(p.attempts(), "out") })
 	p.mustAccept("status", "waits", "4")
 	next := p.startSuccessor()
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -24,7 +24,7 @@
 	"frostlink/policy"
 )
 
-// postAdmin makes a call at the admin endpoint, which has to succeed.
+// postAdmin posts to a path of the admin endpoint, which must succeed.
 func (p *platform) postAdmin(path string) {
 	p.t.Helper()
 	resp, err := http.Post("http://"+p.adminAddr+path, "", nil)
@@ -37,7 +37,7 @@
 	}
 }
 
-// health returns the status of the health check; 0 for none.
+// health returns the status of the health check, or 0 if there is no response.
 func (p *platform) health() int {
 	resp, err := http.Get("http://" + p.addr + "/_health")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return resp.StatusCode
 }
 
-// dialUsedConn opens a client's connection, on which one request was answered.
+// dialUsedConn opens a client connection and has one request answered on it.
 func (p *platform) dialUsedConn() (net.Conn, error) {
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return c, err
 }
 
-// openConn opens a client's connection.
+// openConn opens a client connection.
 func (p *platform) openConn() net.Conn {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.addr)
@@ -72,7 +72,8 @@
 	return c
 }
 
-// openUsedConn opens a client's connection on which one request was answered: what comes later on it may take 2.5 s.
+// openUsedConn opens a client connection and has one request answered on it, after which a request on it may take 2.5 s to
+// arrive.
 func (p *platform) openUsedConn() net.Conn {
 	p.t.Helper()
 	c, err := p.dialUsedConn()
@@ -102,7 +103,7 @@
 	}
 }
 
-// expectFinalAccepted reads a response that has to say that a request is accepted, and that its connection carries no other.
+// expectFinalAccepted reads a response, which must be a 202 that closes the connection.
 func (p *platform) expectFinalAccepted(what string, c net.Conn) {
 	p.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -122,7 +123,7 @@
 	case id := <-p.begunAttempts:
 		return id
 	case <-time.After(waittest.Long):
-		p.t.Fatal("no attempt came")
+		p.t.Fatal("timed out waiting for an attempt")
 		return ""
 	}
 }
@@ -162,7 +163,7 @@
 	return resp
 }
 
-// mustAccept submits a request that has to be accepted.
+// mustAccept submits a request, which must be accepted.
 func (p *platform) mustAccept(class, id, timeout string) {
 	p.t.Helper()
 	if resp := p.submit(class, id, timeout); resp.StatusCode != http.StatusAccepted {
@@ -170,7 +171,7 @@
 	}
 }
 
-// trySubmit submits a request, also where nobody listens, and returns the status of its response; 0 for none.
+// trySubmit submits a request and returns the status of its response, or 0 if there is none, as when no relay is running.
 func (p *platform) trySubmit(class, id, timeout string) int {
 	r, err := http.NewRequest(http.MethodPost, "http://"+p.addr+"/"+class, strings.NewReader("body of "+id))
 	if err != nil {
@@ -190,12 +191,12 @@
 	return resp.StatusCode
 }
 
-// orderKey gives a request a key, in the way of classes that keep their order.
+// orderKey gives a request an order key, where ordered classes carry it.
 func orderKey(name string) func(*http.Request) {
 	return func(r *http.Request) { r.Header.Set("Cookie", "other=1; subject="+name) }
 }
 
-// firstAttempts returns the ids of the requests that endpoints were sent, in the order of their first attempts.
+// firstAttempts returns the ids of the requests that were sent to endpoints, in the order of their first attempts.
 func (p *platform) firstAttempts() (ids []string) {
 	for _, id := range p.attempts() {
 		if !slices.Contains(ids, id) {
@@ -205,7 +206,7 @@
 	return ids
 }
 
-// blockAttempts has attempts of one request wait until unblock is called.
+// blockAttempts makes attempts of one request wait until unblock is called.
 func (p *platform) blockAttempts(id string) (unblock func()) {
 	released := make(chan bool)
 	unblock = sync.OnceFunc(func() { close(released) })
@@ -219,14 +220,14 @@
 	return unblock
 }
 
-// orderClass has a class keep its order.
+// orderClass makes a class an ordered one.
 func (p *platform) orderClass(class string) {
 	p.changeSettings = func(s string) string {
 		return strings.Replace(s, `{"name":"`+class+`",`, `{"name":"`+class+`","fifo_by_key":true,`, 1)
 	}
 }
 
-// watchLine returns a change of the list, as a watch brings it.
+// watchLine returns a line of a watch with a change of the list.
 func watchLine(t *testing.T, seq int64, endpoints ...discovery.Endpoint) string {
 	t.Helper()
 	line, err := json.Marshal(discovery.EndpointList{Seq: seq, Endpoints: endpoints})
@@ -236,7 +237,7 @@
 	return string(line)
 }
 
-// readJournal reads a journal that a relay may be writing.
+// readJournal reads a journal that a running relay may be writing.
 func readJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, err := journal.Inspect(dir)
@@ -246,7 +247,7 @@
 	return j
 }
 
-// openEarlierJournal opens the journal of an earlier process.
+// openEarlierJournal opens a journal for writing, in the place of an earlier process.
 func openEarlierJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, err := journal.Open(dir, 3, false)
@@ -281,8 +282,8 @@
 	return p.addr
 }
 
-// shownMetrics are what the admin endpoint of a relay under test shows.
-type shownMetrics struct {
+// metricsResponse are the metrics that the admin endpoint of a relay under test returns.
+type metricsResponse struct {
 	Success, Busy, Failure map[string]int
 	BackendCalls           int `json:"backend_calls"`
 	Inflight               int
@@ -293,7 +294,7 @@
 }
 
 // metrics reads the metrics.
-func (p *platform) metrics() (f shownMetrics) {
+func (p *platform) metrics() (f metricsResponse) {
 	p.t.Helper()
 	resp, err := http.Get("http://" + p.adminAddr + "/status/metrics")
 	if err != nil {
@@ -306,7 +307,8 @@
 	return f
 }
 
-// reloadConfig writes a configuration and has the relay read it, until the metrics say that it did.
+// reloadConfig writes a configuration, signals the relay to read it, and waits until the metrics count that. good says whether
+// the relay must accept it.
 func (p *platform) reloadConfig(c *child, text string, good bool) {
 	p.t.Helper()
 	before := p.metrics()
@@ -316,7 +318,7 @@
 	if err := c.Process.Signal(syscall.SIGHUP); err != nil {
 		p.t.Fatal(err)
 	}
-	p.waitFor("the configuration is read", func() bool {
+	p.waitFor("the reload is counted", func() bool {
 		f := p.metrics()
 		if good {
 			return f.ReconfigOK == before.ReconfigOK+1
@@ -334,7 +336,7 @@
 	return string(raw)
 }
 
-// loopWithAcceptedRequest returns a loop with an accepted request of a class, and without anything that would act by itself.
+// loopWithAcceptedRequest returns a loop with an accepted request of a class. The loop has no dispatcher and no goroutines.
 func loopWithAcceptedRequest(t *testing.T, class policy.Class, left time.Duration) (*loop, *request) {
 	t.Helper()
 	j, err := journal.Open(t.TempDir(), 1, false)
--- a/internal/relay/invariants_test.go
+++ b/internal/relay/invariants_test.go
@@ -9,7 +9,7 @@
 	"frostlink/policy"
 )
 
-// Whatever the dispatcher asks for against the invariants is counted and not done.
+// An attempt that violates an invariant is not made, and the violation is counted.
 func TestInvariants_StopForbiddenAttempts(t *testing.T) {
 	notIdempotent := policy.Class{Name: "order", Idempotency: policy.NotIdempotent}
 	idempotentByKey := policy.Class{Name: "payment", Idempotency: policy.IdempotentByKey, KeyTTL: time.Millisecond}
@@ -23,7 +23,7 @@
 		before  func(*loop, *request)
 		violate invariant.Kind
 	}{
-		"after the outcome":      {notIdempotent, time.Minute, func(_ *loop, r *request) { r.state = stateOutcomeDecided }, -1}, // ignored: the outcome may cross the send
+		"after the outcome":      {notIdempotent, time.Minute, func(_ *loop, r *request) { r.state = stateOutcomeDecided }, -1}, // ignored without a violation: the outcome may be decided after the dispatcher has planned the attempt
 		"after the deadline":     {notIdempotent, -time.Second, nil, invariant.SendAfterDeadline},
 		"while one is in flight": {notIdempotent, time.Minute, func(_ *loop, r *request) { r.attemptInFlight = true }, invariant.SecondAttempt},
 		"not idempotent, twice":  {notIdempotent, time.Minute, withUnknownOutcome, invariant.NonIdempotentRepeat},
@@ -36,10 +36,10 @@
 			}
 			l.planAttempt(l.now(), policy.Send{ID: r.ID, Endpoint: "h"})
 			if len(l.attempts) != 0 {
-				t.Error("it is sent")
+				t.Error("the attempt is scheduled")
 			}
 			if c.violate >= 0 && l.violations.ByKind()[c.violate.String()] != 1 {
-				t.Errorf("counted: %v", l.violations.ByKind())
+				t.Errorf("violations: %v", l.violations.ByKind())
 			}
 		})
 	}
@@ -49,15 +49,15 @@
 func TestInvariants_StopUnrecordedAttempt(t *testing.T) {
 	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, time.Minute)
 	l.planAttempt(l.now(), policy.Send{ID: r.ID, Endpoint: "h"})
-	l.startAttempt(t.Context(), l.attempts[0]) // and no commit
+	l.startAttempt(t.Context(), l.attempts[0]) // without a commit
 	if l.attemptsInFlight != 0 || l.violations.ByKind()[invariant.SendUnrecorded.String()] != 1 {
-		t.Errorf("%d in flight, counted: %v", l.attemptsInFlight, l.violations.ByKind())
+		t.Errorf("%d attempts in flight, violations: %v", l.attemptsInFlight, l.violations.ByKind())
 	}
 }
 
-// A request that the dispatcher forgets is failed all the same, and its attempt cancelled.
+// A request whose outcome the dispatcher does not decide in time is failed, and its attempt is cancelled.
 func TestInvariants_FailOverdueRequests(t *testing.T) {
-	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms past what is allowed
+	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms beyond the grace period for the outcome
 	ctx, cancel := context.WithCancel(t.Context())
 	r.cancel = cancel
 	l.failOverdue()
@@ -70,7 +70,7 @@
 	}
 	l.runAfterCommitEffects(true)
 	if !r.completed() || r.PendingNotice == nil || ctx.Err() == nil || l.violations.ByKind()[invariant.CompletionOverdue.String()] != 1 {
-		t.Errorf("completed %v, owed %v, attempt %v, counted: %v", r.completed(), r.PendingNotice, ctx.Err(), l.violations.ByKind())
+		t.Errorf("completed %v, pending notice %v, attempt's context %v, violations: %v", r.completed(), r.PendingNotice, ctx.Err(), l.violations.ByKind())
 	}
 	l.decideOutcome(r, "once more")
 	if l.violations.ByKind()[invariant.CompletedTwice.String()] != 1 {
--- a/internal/relay/loop_bench_test.go
+++ b/internal/relay/loop_bench_test.go
@@ -18,8 +18,8 @@
 	"frostlink/internal/servingmode"
 )
 
-// BenchmarkLoop_Delivery measures what the loop does for one request from its submission to its delivery: two batches at
-// least, with the journal's writes, and one attempt on a connection that is reused. The waits between batches are left out.
+// BenchmarkLoop_Delivery measures the loop's work for one request from its submission to its delivery: at least two batches,
+// with the journal's writes, and one attempt on a connection that is reused. The waits between batches are left out.
 func BenchmarkLoop_Delivery(b *testing.B) {
 	l := benchmarkLoop(b)
 	body := make([]byte, 300)
@@ -39,12 +39,12 @@
 			}
 		}
 		if status := (<-response).Status; status != http.StatusAccepted {
-			b.Fatalf("the response to a submission: %d", status)
+			b.Fatalf("response to a submission: status %d", status)
 		}
 	}
 }
 
-// benchmarkLoop returns the loop of a relay that is not started, with one endpoint that answers 200.
+// benchmarkLoop returns the loop of a relay that is not started, with one endpoint that answers every attempt with 200.
 func benchmarkLoop(b *testing.B) *loop {
 	b.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
--- a/internal/relay/node_test.go
+++ b/internal/relay/node_test.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// A relay that cannot listen ends with an error before it has made an attempt.
+// A relay that can't listen ends with an error before it makes any attempt.
 func TestRun_FailsWhenItCannotListen(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -34,7 +34,7 @@
 	}
 }
 
-// A rule that its class can never allow stops the relay before it listens.
+// A redelivery rule that a class forbids makes the relay fail before it listens.
 func TestRun_RejectsRulesThatClassesForbid(t *testing.T) {
 	p := newPlatform(t)
 	p.enableDeadLetters("[[undelivered.rule]]\nclass = \"order\"\nmay_have_run = true\naction = \"resend\"\nmost = 2\nrate = 1\n")
--- a/internal/relay/ordered_class_test.go
+++ b/internal/relay/ordered_class_test.go
@@ -14,8 +14,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// Requests of an ordered class with the same key are sent one at a time, in the order in which they came; others are sent
-// beside them.
+// Requests of an ordered class with the same key are sent one at a time, in the order of their submission. Other requests do
+// not wait for them.
 func TestOrderedClass_SendsOneRequestPerKey(t *testing.T) {
 	p := newPlatform(t)
 	p.orderClass("status")
@@ -33,8 +33,8 @@
 	accept("status", "a3", orderKey("a"))
 	accept("status", "b1", orderKey("b"))     // another key
 	accept("status", "free")                  // no key
-	accept("payment", "other", orderKey("a")) // of a class that is not ordered
-	p.waitFor("what need not wait is sent", func() bool { return len(p.firstAttempts()) == 4 })
+	accept("payment", "other", orderKey("a")) // a class that is not ordered
+	p.waitFor("requests that need not wait are sent", func() bool { return len(p.firstAttempts()) == 4 })
 	unblock()
 	p.waitFor("all are sent", func() bool { return len(p.firstAttempts()) == 6 })
 	sent := p.firstAttempts()
@@ -43,13 +43,13 @@
 	}
 	for _, change := range []func(*http.Request){orderKey("a; subject=b"), orderKey(strings.Repeat("x", 300))} {
 		if resp := p.submit("status", "odd", "20", change); resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("an unreadable key: %s", resp.Status)
+			t.Errorf("submission with an invalid order key: %s", resp.Status)
 		}
 	}
 }
 
-// The next request of a key is sent once the platform has the notice of the one before it, and not when that outcome is
-// merely decided: also where posts fail for a while.
+// The next request of a key is sent only when the platform has the notice of the previous one, not when the outcome of that one
+// is decided. Posts of notices fail for a while in this test.
 func TestOrderedClass_WaitsForNotice(t *testing.T) {
 	p := newPlatform(t)
 	p.changeSettings = func(s string) string {
@@ -59,7 +59,7 @@
 	var early atomic.Bool
 	p.respond = func(r *http.Request) int {
 		if r.Header.Get("Request-Id") == "first" {
-			return http.StatusInternalServerError // outcome unknown: it can't be sent again
+			return http.StatusInternalServerError // outcome unknown, so the request can't be sent again
 		}
 		early.Store(len(p.receivedNotices()) == 0)
 		return http.StatusOK
@@ -73,13 +73,14 @@
 	}
 	p.waitFor("the second is sent", func() bool { return slices.Contains(p.attempts(), "second") })
 	if early.Load() {
-		t.Error("sent before the notice of the first was received")
+		t.Error("the second request was sent before the notice of the first was received")
 	}
-	p.waitFor("nothing is left", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the journal is empty", func() bool { return len(readEntries(t, p.dir)) == 0 })
 }
 
-// The notice of a request that an earlier process failed is still owed: the next of its key, accepted by that process as well,
-// is sent once it was received, and what has another key before that.
+// The notice of a request that an earlier process failed is still pending after a restart. The next request of the same key,
+// which the earlier process accepted as well, is sent only when the notice has been received; requests with another key or
+// none are sent before that.
 func TestOrderedClass_WaitsForNoticeOfEarlierProcess(t *testing.T) {
 	p := newPlatform(t)
 	p.orderClass("status")
@@ -94,20 +95,20 @@
 	p.failingPosts = 1 << 30
 	p.start()
 	p.mustAccept("status", "free", "20")
-	p.waitFor("what need not wait is sent", func() bool { return slices.Contains(p.attempts(), "b1") && slices.Contains(p.attempts(), "free") })
+	p.waitFor("requests that need not wait are sent", func() bool { return slices.Contains(p.attempts(), "b1") && slices.Contains(p.attempts(), "free") })
 	p.update(func() {
 		p.failingPosts = 0
 		if slices.Contains(p.attemptIDs, "a2") {
 			t.Error("a2 was sent before the notice of a1 was received")
 		}
 	})
-	p.waitFor("nothing is left", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the journal is empty", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if sent := p.attempts(); !slices.Contains(sent, "a2") || slices.Contains(sent, "a1") {
 		t.Errorf("sent %v", sent)
 	}
 }
 
-// Order outlasts a kill: what was accepted before is sent first, one at a time.
+// The order of a key survives a kill: requests that were accepted before it are sent first, one at a time.
 func TestOrderedClass_KeepsOrderAfterKill(t *testing.T) {
 	p := newPlatform(t)
 	p.orderClass("status")
@@ -123,7 +124,7 @@
 		t.Fatal(resp.Status)
 	}
 	p.mustAccept("status", "free", "20")
-	p.waitFor("what need not wait is sent", func() bool { return len(p.firstAttempts()) == 2 })
+	p.waitFor("requests that need not wait are sent", func() bool { return len(p.firstAttempts()) == 2 })
 	unblock()
 	p.waitFor("all are sent", func() bool { return len(p.firstAttempts()) == 4 })
 	if sent := p.firstAttempts(); sent[2] != "a2" || sent[3] != "a3" || !slices.Contains(sent[:2], "a1") {
@@ -131,9 +132,9 @@
 	}
 }
 
-// Processes replace each other twice while an order key cools down after an attempt that may still be executing. Both times the
-// process that hands over has to hand over whole: the second one ended with a nil pointer dereference in policy.Snapshot, and
-// clients lost the connections that it was to pass on. The next request of the key leaves after the cooldown, once.
+// Two hand-overs take place during the key cooldown after an attempt that may still be executing. Both must succeed, and the
+// next request of the key is sent once, after the cooldown. Guards against a nil pointer dereference in policy.Snapshot during
+// the second hand-over, by which clients lost the connections that were to be handed over.
 func TestOrderedClass_CooldownOutlastsTwoHandovers(t *testing.T) {
 	const cooldown = 3 * time.Second
 	p := newPlatform(t)
@@ -158,7 +159,7 @@
 			t.Fatalf("%s: %s", id, resp.Status)
 		}
 	}
-	p.waitFor("the outcome of the first is received", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the notice of the first is received", func() bool { return len(p.receivedNotices()) == 1 })
 	for range 2 {
 		next := p.startSuccessor()
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
@@ -170,11 +171,11 @@
 		old = next
 	}
 	if sentAt.Load() != 0 {
-		t.Error("the second request left before the hand-overs were over")
+		t.Error("the second request was sent before the hand-overs were over")
 	}
 	p.waitFor("the second is sent", func() bool { return sentAt.Load() != 0 })
-	// The cooldown begins when the relay hears of the reset, after the endpoint caused it.
+	// The cooldown begins when the relay detects the connection reset, which is after the endpoint caused it.
 	if waited := time.Duration(sentAt.Load() - blockedAt.Load()); waited < cooldown {
-		t.Errorf("the second request left %v after the attempt of the first, want %v", waited, cooldown)
+		t.Errorf("the second request was sent %v after the attempt of the first, want at least %v", waited, cooldown)
 	}
 }
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -27,7 +27,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// childConfig, childState and childOperator make the test program a relay, so that tests can kill one.
+// childConfig, childState and childOperator are environment variables by which the test program runs as a relay, so that tests
+// can kill a relay.
 const childConfig, childState, childOperator = "FROSTLINK_TEST_CONFIG", "FROSTLINK_TEST_STATE", "FROSTLINK_TEST_OPERATOR"
 
 func TestMain(m *testing.M) {
@@ -58,7 +59,7 @@
 	}
 }
 
-// testSettings has a class of each idempotency; keyTTL is how long keys are remembered, in seconds.
+// testSettings returns settings with one class of each idempotency. keyTTL is the key TTL in seconds.
 func testSettings(keyTTL float64) string {
 	return fmt.Sprintf(`{"az":0,"categories":[
 	 {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
@@ -71,39 +72,39 @@
 	 "tenants":[{"name":"acme"}],"weights":"nominal"}`, keyTTL)
 }
 
-// platform stands in for what a relay has around it: discovery, the endpoints of destination 7, and its disk.
+// platform is a stand-in for a relay's environment: discovery, the endpoints and the folder.
 type platform struct {
 	t                *testing.T
-	discovery        *httptest.Server    // the one that the configuration names
-	configPath       string              // of the configuration
-	operatorPath     string              // of the operator's file; empty: none
-	program          string              // the real program; empty: this one as a relay
-	addr             string              // the relay's
-	adminAddr        string              // of its admin endpoint; empty: none
-	listenerFile     *os.File            // the clients' socket, where the platform holds it
-	changeSettings   func(string) string // changes the settings that the configuration has
+	discovery        *httptest.Server    // the discovery service that the configuration names
+	configPath       string              // path of the configuration
+	operatorPath     string              // path of the operator's file; empty: none
+	program          string              // path of the real program; empty: the test program runs as a relay
+	addr             string              // the relay's address for clients
+	adminAddr        string              // address of the admin endpoint; empty: none
+	listenerFile     *os.File            // the clients' listening socket, if the platform holds it
+	changeSettings   func(string) string // changes the settings before they are written; nil: no change
 	dir              string
 	keyTTL           float64
-	diskMB           float64 // MB of the folder that lasts
+	diskMB           float64 // limit of the folder's size
 	noKnownEndpoints bool    // the configuration lists no endpoint
-	changesOnly      bool    // watches begin with no list
+	changesOnly      bool    // watches begin without a full list
 	discoveryDown    bool    // watches fail
 
 	mu             sync.Mutex
 	endpoints      []discovery.Endpoint
-	respond        func(*http.Request) int                  // an endpoint's status; 0 for no response while the attempt lasts
+	respond        func(*http.Request) int                  // returns an endpoint's status; 0: no response while the attempt lasts
 	responseHeader map[string]string                        // of endpoints' responses
-	serveAttempt   func(http.ResponseWriter, *http.Request) // serves attempts in place of all that
-	attemptIDs     []string                                 // ids that endpoints were sent
-	begunAttempts  chan string                              // the same, as they come
-	watches        []string                                 // address and query of each watch
-	endedWatches   []string                                 // addresses whose watch has ended
+	serveAttempt   func(http.ResponseWriter, *http.Request) // if set, serves attempts instead of respond
+	attemptIDs     []string                                 // ids of the attempts at endpoints, in order
+	begunAttempts  chan string                              // receives each of attemptIDs
+	watches        []string                                 // address and query string of each watch
+	endedWatches   []string                                 // address of each watch that has ended
 	notices        []notification.Notice
-	noticeAddrs    []string // the address to which each notice came
-	failingPosts   int      // so many posts of notices fail
+	noticeAddrs    []string // address to which each notice was posted
+	failingPosts   int      // number of posts of notices that still fail
 
-	watchLines chan string // further lines of the watch
-	released   chan bool   // closed at the end
+	watchLines chan string // further lines to send on the watch
+	released   chan bool   // closed when the test ends
 }
 
 func newPlatform(t *testing.T) *platform {
@@ -119,7 +120,7 @@
 	return p
 }
 
-// freeAddress is one that nobody listens on.
+// freeAddress returns an address that no socket listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +131,7 @@
 	return l.Addr().String()
 }
 
-// shareListener has the platform hold the clients' socket.
+// shareListener makes the platform hold the clients' listening socket and pass it to each relay.
 func (p *platform) shareListener() {
 	p.t.Helper()
 	l, err := net.Listen("tcp", p.addr)
@@ -144,7 +145,7 @@
 	p.t.Cleanup(func() { _ = p.listenerFile.Close() })
 }
 
-// addDiscovery starts a discovery, which the next configuration names.
+// addDiscovery starts a discovery service, which the next configuration names, and returns its address.
 func (p *platform) addDiscovery() string {
 	s := httptest.NewServer(http.HandlerFunc(p.serveDiscovery))
 	p.t.Cleanup(func() {
@@ -181,9 +182,9 @@
 	id := r.Header.Get("Request-Id")
 	p.mu.Lock()
 	p.attemptIDs = append(p.attemptIDs, id)
-	answer := p.respond
+	respond := p.respond
 	p.mu.Unlock()
-	status := answer(r)
+	status := respond(r)
 	p.begunAttempts <- id
 	if status == 0 {
 		select {
@@ -246,14 +247,14 @@
 	}
 }
 
-// update changes what the platform does.
+// update changes fields of the platform under its lock.
 func (p *platform) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// writeConfig writes the relay's configuration and returns the file's name.
+// writeConfig writes the relay's configuration and returns its path.
 func (p *platform) writeConfig() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -302,7 +303,7 @@
 	}
 	c.Env = append(os.Environ(), childConfig+"="+p.writeConfig(), childState+"="+p.dir, childOperator+"="+p.operatorPath)
 	if p.listenerFile != nil {
-		// Descriptor 3 is the first of these.
+		// The first of these is descriptor 3, so the listening socket is 4.
 		c.ExtraFiles = []*os.File{os.Stdin, p.listenerFile}
 		c.Env = append(c.Env, "NODE_LISTEN_FD=4")
 	}
@@ -330,7 +331,7 @@
 	return c
 }
 
-// startSuccessor starts a process beside the one that runs, and waits until it serves.
+// startSuccessor starts another process while one is running, and waits until the new one serves.
 func (p *platform) startSuccessor() *child {
 	p.t.Helper()
 	p.addAdminEndpoint()
@@ -339,7 +340,7 @@
 	return c
 }
 
-// addAdminEndpoint has the configuration name an address for the admin endpoint.
+// addAdminEndpoint makes the configuration name an address for the admin endpoint.
 func (p *platform) addAdminEndpoint() { p.adminAddr = freeAddress(p.t) }
 
 // kill ends a relay by SIGKILL.
@@ -351,17 +352,17 @@
 	<-c.exited
 }
 
-// waitFor waits for a condition; how long that takes decides nothing.
-func (p *platform) waitFor(what string, true func() bool) {
+// waitFor waits for a condition with a long time-out, so that the machine's speed does not decide whether the test passes.
+func (p *platform) waitFor(what string, condition func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(waittest.Long); !true(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waittest.Long); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// isServing reports whether a process says that it serves.
+// isServing reports whether the process's admin endpoint says that it serves.
 func (c *child) isServing() bool {
 	resp, err := http.Get("http://" + c.adminAddr + "/status")
 	if err != nil {
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -9,8 +9,8 @@
 	"frostlink/internal/notification"
 )
 
-// A process is killed with an attempt in flight. The next one may repeat it only as its class allows, and decides one outcome
-// for each request.
+// A process is killed with an attempt in flight. The next process repeats the attempt only if the class allows it, and decides
+// one outcome for each request.
 func TestRecovery_AttemptInFlightAtKill(t *testing.T) {
 	tests := []struct {
 		name, class string
@@ -47,7 +47,7 @@
 					t.Errorf("key %q", key)
 				}
 			}
-			p.waitFor("it is completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
+			p.waitFor("the request is completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
 			want := map[bool]int{true: 2, false: 1}[tt.repeated]
 			if got := p.attempts(); len(got) != want {
 				t.Errorf("attempts %v, want %d", got, want)
@@ -61,12 +61,12 @@
 	}
 }
 
-// Attempts that were not executed do not bind the next process, and a request keeps its deadline: one whose deadline passed
-// between two processes is still failed.
+// Attempts that were not executed do not keep the next process from retrying, and a request keeps its deadline: a request whose
+// deadline passes between two processes is failed by the second.
 func TestRecovery_NotExecutedAttemptsAllowRetry(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
-	p.endpoints[0].Address, p.endpoints[0].Weight = refusingAddress(t), 1 // tried rarely, so that attempts remain
+	p.endpoints[0].Address, p.endpoints[0].Weight = refusingAddress(t), 1 // tried rarely, so that not all attempts are used up
 	c := p.start()
 	p.mustAccept("order", "late", "0.6")
 	p.mustAccept("order", "open", "25")
@@ -87,7 +87,7 @@
 	}
 }
 
-// A request whose class the settings no longer have is failed all the same.
+// A request whose class is no longer in the settings, and whose terms are not in the journal, is failed with a notice.
 func TestRecovery_FailsRequestOfRemovedClass(t *testing.T) {
 	dir := t.TempDir()
 	j := openEarlierJournal(t, dir)
--- a/internal/relay/redelivery_test.go
+++ b/internal/relay/redelivery_test.go
@@ -11,8 +11,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A dead letter is redelivered by a rule, under a new id with its key and body, once it can be delivered; the platform is
-// notified of the first outcome only.
+// A dead letter is redelivered by a rule once its destination accepts it, under a new id and with its idempotency key. The
+// platform is notified only of the first outcome.
 func TestRedelivery_DeliversUnderNewID(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
@@ -29,9 +29,9 @@
 	}
 	c := p.start()
 	p.mustAccept("order", "a", "1")
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	up.Store(true)
-	p.waitFor("it is redelivered", func() bool { return len(p.redeliveries()) == 1 })
+	p.waitFor("the request is redelivered", func() bool { return len(p.redeliveries()) == 1 })
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	r, totals := p.deadLetter(folder, "a")
@@ -54,7 +54,8 @@
 	}
 }
 
-// What has an unknown outcome is not redelivered, whatever the rule says; what was rejected is.
+// A request with an unknown outcome that is not idempotent is held, although the rule matches it; a request that endpoints have
+// rejected is redelivered.
 func TestRedelivery_UnknownOutcomeIsHeld(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
@@ -68,19 +69,20 @@
 	}
 	c := p.start()
 	p.mustAccept("order", "executed", "20")
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	if resp := p.submit("order", "full", "1", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") }); resp.StatusCode != 202 {
 		t.Fatal(resp.Status)
 	}
-	p.waitFor("the other one too", func() bool { return len(p.receivedNotices()) == 2 })
-	p.waitFor("the other one is redelivered", func() bool { return len(p.redeliveries()) > 0 })
+	p.waitFor("the other request has failed", func() bool { return len(p.receivedNotices()) == 2 })
+	p.waitFor("the other request is redelivered", func() bool { return len(p.redeliveries()) > 0 })
 	p.kill(c)
 	if r, _ := p.deadLetter(folder, "executed"); len(r.Incarnations) != 1 || r.State != deadletter.Held || !strings.Contains(r.Reason, "may have run") {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Of a redelivery that is in flight when its relay is killed the outcome is unknown, also where the next process ends it.
+// The outcome of a redelivery that is in flight when its relay is killed is unknown, and stays so when the next process ends the
+// redelivery.
 func TestRedelivery_KilledInFlightHasUnknownOutcome(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(redeliveryRule)
@@ -94,7 +96,7 @@
 	}
 	c := p.start()
 	p.mustAccept("order", "a", "1")
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	stuck.Store(true)
 	p.waitFor("a redelivery is in flight", func() bool { return len(p.redeliveries()) > 0 })
 	p.kill(c)
@@ -108,8 +110,8 @@
 	}
 }
 
-// A status that a newer one of its parcel has superseded is not redelivered, and says by which; those of other parcels are,
-// and an older one does not stand in the way. A killed process changes nothing of that.
+// A status that a newer one of the same parcel has superseded is not redelivered, and its record names the newer one. Statuses of
+// other parcels are redelivered, also if an older one was delivered meanwhile. All this holds after a kill too.
 func TestRedelivery_SupersededIsNotSent(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(strings.Replace(parcelSubjects, "after_s = 0.2", "after_s = 2", 1))
@@ -127,16 +129,16 @@
 	p.mustAcceptStatus("other", "1", "k-2", "5")
 	p.mustAcceptStatus("waits", "1", "k-3", "5")
 	p.mustAcceptStatus("newer", "1", "k-3", "6.5")
-	p.waitFor("all have failed", func() bool { return len(p.receivedNotices()) == 4 })
+	p.waitFor("all four have failed", func() bool { return len(p.receivedNotices()) == 4 })
 	up.Store(true)
-	p.waitFor("a newer one is delivered", func() bool {
+	p.waitFor("a newer one is accepted", func() bool {
 		return p.submit("status", "new", "9", parcelStatus("k-1", "6")).StatusCode == http.StatusAccepted
 	})
-	p.waitFor("an older one too", func() bool {
+	p.waitFor("an older one is accepted", func() bool {
 		return p.submit("status", "late", "9", parcelStatus("k-2", "4")).StatusCode == http.StatusAccepted
 	})
 	for _, id := range []string{"new", "late"} {
-		p.waitFor(id+" has come", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), id) })
+		p.waitFor(id+" is sent", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), id) })
 	}
 	p.kill(c)
 	c = p.start()
@@ -159,7 +161,7 @@
 	})
 }
 
-// A newer status that comes while an older one is being redelivered has that cancelled at once.
+// A newer status that is submitted while an older one of the same parcel is being redelivered cancels the redelivery at once.
 func TestRedelivery_CancelledWhenSuperseded(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(parcelSubjects)
@@ -182,7 +184,7 @@
 	}
 	c := p.start()
 	p.mustAcceptStatus("old", "1", "k-1", "5")
-	p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	stuck.Store(true)
 	p.waitFor("a redelivery is in flight", func() bool { return len(p.redeliveries()) > 0 })
 	p.waitFor("a newer one is accepted", func() bool {
@@ -191,9 +193,9 @@
 	select {
 	case <-cancelled:
 	case <-time.After(waittest.Long):
-		t.Error("the attempt of the redelivery goes on")
+		t.Error("the attempt of the redelivery is not cancelled")
 	}
-	p.waitFor("the newer one has come", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "new") })
+	p.waitFor("the newer one is sent", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "new") })
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	p.readDeadLetters(folder, func(s *deadletter.Store) {
@@ -204,8 +206,8 @@
 	})
 }
 
-// Where it is not known what is newer, a request is held: one whose parcel can't be read, and all of a store that does not
-// know all that was delivered for long enough.
+// A request is held if the relay can't tell whether a newer one was delivered: its parcel or its order can't be read, or the
+// store has not recorded all deliveries for long enough.
 func TestRedelivery_UnknownOrderIsHeld(t *testing.T) {
 	for name, c := range map[string]struct {
 		known  bool
@@ -213,8 +215,8 @@
 		why    string
 	}{
 		"no parcel":        {true, func(*http.Request) {}, "its subject can't be read"},
-		"no place":         {true, parcelStatus("k-1", "soon"), "its subject can't be read"},
-		"a store of today": {false, parcelStatus("k-1", "5"), `whether a newer message of "k-1" was delivered can't be told`},
+		"unreadable order": {true, parcelStatus("k-1", "soon"), "its subject can't be read"},
+		"a new store":      {false, parcelStatus("k-1", "5"), `whether a newer message of "k-1" was delivered can't be told`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlatform(t)
@@ -228,12 +230,12 @@
 			if resp := p.submit("status", "a", "1", c.change); resp.StatusCode != http.StatusAccepted {
 				t.Fatal(resp.Status)
 			}
-			p.waitFor("it has failed", func() bool { return len(p.receivedNotices()) == 1 })
-			p.waitFor("it is stored", func() bool { return p.journalSize() == 0 })
-			time.Sleep(500 * time.Millisecond) // some rounds of the resender: a redelivery would show
+			p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
+			p.waitFor("the request is stored", func() bool { return p.journalSize() == 0 })
+			time.Sleep(500 * time.Millisecond) // several rounds of the redeliverer, in which a redelivery would happen
 			p.kill(child)
 			if len(p.redeliveries()) > 0 {
-				t.Errorf("%s: it was redelivered", name)
+				t.Errorf("%s: the request was redelivered", name)
 			}
 			p.readDeadLetters(folder, func(s *deadletter.Store) {
 				if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Reason, c.why) {
--- a/internal/relay/redelivery_unrecorded_test.go
+++ b/internal/relay/redelivery_unrecorded_test.go
@@ -21,10 +21,10 @@
 	return l, link, r
 }
 
-// What happens: a redelivery is accepted in a batch whose records can't be written. It is returned to the store, which may
-// redeliver the message under another id; and the next process redelivers it under the first one, so that the message is executed
-// twice. Why: a returned redelivery stayed in the journal's memory, and after an error the next commit writes the whole file from
-// that. Evidence: the journal that was read after a commit which succeeded had the returned id, without an outcome.
+// A redelivery that is accepted in a batch whose records can't be written is returned to the store, and must be dropped from the
+// journal's memory. Guards against an execution of the message twice: after a write error the next commit writes the whole file
+// from memory, which still held the returned redelivery as open. The next process then redelivered it under this id, while the
+// store could redeliver the message under another one.
 func TestRedelivery_UnrecordedAcceptanceIsForgotten(t *testing.T) {
 	l, link, _ := loopWithRedelivery(t)
 	l.acceptCandidates()
@@ -36,20 +36,20 @@
 		t.Fatalf("returned to the store: %+v", got)
 	}
 	if e := l.journal.Entry("again"); e != nil {
-		t.Errorf("the next commit writes %+v, which the store may redeliver by now", e)
+		t.Errorf("the next commit would write %+v, which the store may redeliver as well", e)
 	}
 	if l.requests["again"] != nil {
-		t.Error("it is still in memory")
+		t.Error("the loop still holds the redelivery")
 	}
 }
 
-// A redelivery that is rejected before it was accepted is in no journal, and leaves none.
+// A redelivery that is rejected before it was accepted leaves no entry in the journal, neither open nor completed.
 func TestRedelivery_RejectedIsInNoJournal(t *testing.T) {
 	l, link, r := loopWithRedelivery(t)
 	link.claimOutcome(r, "deferred")
 	mustCommit(t, l.journal)
 	if l.journal.Entry("again") != nil || l.journal.IsCompleted("again") {
-		t.Error("the journal knows it")
+		t.Error("the journal has the rejected redelivery")
 	}
 	if len(l.events) == 0 || l.events[0].(policy.Arrived).ID != "again" {
 		t.Errorf("events %v", l.events)
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// New settings while the relay runs: a class added is served, one that is gone is unknown to clients while its requests keep
-// their terms, also through a kill, and broken files change nothing and are counted.
+// Settings are replaced while the relay runs: an added class is served, a removed class is unknown to clients while its accepted
+// requests keep their terms, also after a kill, and broken files change nothing and are counted.
 func TestReload_AppliesNewSettings(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
@@ -41,10 +41,10 @@
 		if text == good {
 			t.Fatalf("%s: nothing is broken", name)
 		}
-		// What a broken file says of the classes must not be applied in part either.
+		// A broken file must not be applied in part either: its renamed class stays unknown.
 		p.reloadConfig(c, strings.Replace(text, `"name":"payment"`, `"name":"payment-x"`, 1), false)
 		if resp := p.submit("payment-x", name, "25"); resp.StatusCode != http.StatusNotFound {
-			t.Errorf("%s: a class of a broken file: %s", name, resp.Status)
+			t.Errorf("%s: submission to a class of a broken file: %s", name, resp.Status)
 		}
 	}
 
@@ -53,7 +53,7 @@
 	}
 	p.reloadConfig(c, renamed(good), true)
 	if resp := p.submit("order", "late", "25"); resp.StatusCode != http.StatusNotFound {
-		t.Errorf("a class that is gone: %s", resp.Status)
+		t.Errorf("submission to a removed class: %s", resp.Status)
 	}
 	p.mustAccept("order-ii", "new", "25")
 	p.nextAttempt()
@@ -61,18 +61,19 @@
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.changeSettings = renamed
 	p.start()
-	// All were in flight. Those that are not idempotent fail; the idempotent one is retried, though its class is gone.
-	p.waitFor("all have their outcome", func() bool { return len(p.receivedNotices()) == 2 && len(readEntries(t, p.dir)) == 0 })
+	// All three requests were in flight. The two that are not idempotent fail; the idempotent one is retried, although its class
+	// was removed.
+	p.waitFor("all three requests have their outcome", func() bool { return len(p.receivedNotices()) == 2 && len(readEntries(t, p.dir)) == 0 })
 	if got := p.attempts(); len(got) != 4 {
-		t.Errorf("attempts %v, want one for each and one more for the idempotent one", got)
+		t.Errorf("attempts %v, want one for each request and a second one for the idempotent request", got)
 	}
 	if f := p.metrics(); f.Failure["order"] != 1 || f.Failure["order-ii"] != 1 || f.Success["status"] != 1 || f.Inflight != 0 {
 		t.Errorf("metrics %+v", f)
 	}
 }
 
-// SIGHUP moves the watch, which asks for the full list, and the notices to the discovery that the configuration names now;
-// with a configuration that can't be used it changes nothing.
+// SIGHUP moves the watch, which then asks for the full list, and the posts of notices to the discovery service that the new
+// configuration names. With a configuration that can't be used, SIGHUP changes nothing.
 func TestReload_MovesToAnotherDiscovery(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -95,8 +96,8 @@
 		t.Fatal(err)
 	}
 	sendHangup()
-	p.mustAccept("order", "m", "0.4") // its notice can't be posted before the move
-	p.waitFor("the notice is owed", func() bool {
+	p.mustAccept("order", "m", "0.4") // posts of its notice fail until the move
+	p.waitFor("the notice is pending", func() bool {
 		e := readEntries(t, p.dir)
 		return len(e) == 1 && e[0].PendingNotice != nil
 	})
@@ -112,7 +113,7 @@
 		if !slices.Contains(p.endedWatches, old) {
 			return false
 		}
-		p.failingPosts = 0 // not before: the old discovery must not receive what is posted until the move
+		p.failingPosts = 0 // not earlier, as the old discovery service must not receive the notice
 		return len(p.notices) > 0
 	})
 	p.mu.Lock()
@@ -121,7 +122,7 @@
 		t.Errorf("watches: %v, want a second one at %s for the full list", w, addr)
 	}
 	if !slices.Equal(p.noticeAddrs, []string{addr}) {
-		t.Errorf("notices came to %v, want %s", p.noticeAddrs, addr)
+		t.Errorf("notices were posted to %v, want %s", p.noticeAddrs, addr)
 	}
 	select {
 	case err := <-c.exited:
--- a/internal/relay/request_state_test.go
+++ b/internal/relay/request_state_test.go
@@ -10,7 +10,7 @@
 
 var allRequestStates = []requestState{stateCandidate, stateAccepted, stateOutcomeDecided, stateNotified, stateEvicted}
 
-// The table has exactly the transitions that the documentation of the package names.
+// stateTransitions has exactly the transitions that the package documentation lists.
 func TestRequestState_TableIsAsDocumented(t *testing.T) {
 	source, err := os.ReadFile("doc.go")
 	if err != nil {
@@ -34,7 +34,8 @@
 	}
 }
 
-// Each state can be reached, all lead to eviction, none leads back, and an outcome that is decided stays so.
+// Every state can be reached, no transition leads back, only the evicted state has no transitions, and an outcome that is decided
+// stays decided.
 func TestRequestState_EndsInEviction(t *testing.T) {
 	reached := map[requestState]bool{}
 	var visit func(s requestState)
@@ -56,7 +57,7 @@
 			t.Errorf("%s is not in the table", s)
 		}
 		if last := len(stateTransitions[s]) == 0; last != (s == stateEvicted) {
-			t.Errorf("%s: leads nowhere %v", s, last)
+			t.Errorf("%s: has no transitions: %v", s, last)
 		}
 		r := &request{state: s}
 		if want := s != stateCandidate && s != stateAccepted; r.completed() != want {
@@ -65,7 +66,7 @@
 	}
 }
 
-// A transition that the table does not have is made all the same: production goes on.
+// A transition that the table does not have is still made, so that the relay goes on serving.
 func TestRequestState_UnexpectedTransitionIsMade(t *testing.T) {
 	r := &request{Entry: &journal.Entry{ID: "m"}, state: stateEvicted}
 	if r.state.canBecome(stateAccepted) || !r.state.canBecome(stateEvicted) {
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -20,13 +20,13 @@
 	"frostlink/policy"
 )
 
-// A graceful shutdown answers every request that is submitted until the connections close: one half read when the signal
-// came, one on a connection that had never carried any, one on a connection that was idle. A second signal changes nothing,
-// nor does SIGHUP. What was accepted and not delivered is attempted by the next process.
+// A graceful shutdown answers every request that is submitted until the connections close: a request that was half read at the
+// signal, a request on an unused connection, and a request on an idle connection. A second SIGTERM changes nothing, nor does
+// SIGHUP. Accepted requests that are not delivered are attempted by the next process.
 func TestShutdown_AnswersEveryRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
-	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable } // nothing is delivered before the end
+	p.respond = func(*http.Request) int { return http.StatusServiceUnavailable } // no request is delivered before the process ends
 	c := p.start()
 	half, idle := p.openUsedConn(), p.openUsedConn()
 	fresh := p.openConn()
@@ -40,7 +40,7 @@
 		}
 	}
 	signal(syscall.SIGTERM)
-	p.waitFor("the shutdown has begun", func() bool { // responses are the last on their connections
+	p.waitFor("the shutdown has begun", func() bool { // from then on, responses close their connections
 		resp := p.submit("status", "before", "25")
 		return resp.StatusCode == http.StatusAccepted && resp.Close
 	})
@@ -57,7 +57,7 @@
 	}
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.waitFor("nothing is left", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the journal is empty", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	delivered := map[string]bool{}
 	for _, id := range p.attempts() {
 		delivered[id] = true
@@ -72,13 +72,13 @@
 	}
 }
 
-// In a graceful shutdown responses close their connections, nothing that was read goes unanswered, attempts in flight come
-// to their end, and the rest is for the next process.
+// In a graceful shutdown, responses close their connections, every request that was read is answered, requests that can be
+// delivered are, and the next process delivers the rest.
 func TestShutdown_LeavesTheRestToTheNextProcess(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
 	p.addEndpoint("h8", 8)
-	p.endpoints[0].Address, p.endpoints[0].Weight = refusingAddress(t), 1 // tried rarely, so that attempts remain
+	p.endpoints[0].Address, p.endpoints[0].Weight = refusingAddress(t), 1 // tried rarely, so that not all attempts are used up
 	c := p.start()
 	p.mustAccept("order", "before", "25")
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
@@ -103,7 +103,7 @@
 		t.Fatal("no exit after SIGTERM")
 	}
 	if got := len(p.attempts()); got != n {
-		t.Errorf("%d of %d delivered before the end", got, n)
+		t.Errorf("%d of %d requests delivered before the process ended", got, n)
 	}
 	if e := readEntries(t, p.dir); len(e) != 1 || e[0].ID != "before" {
 		t.Fatalf("left for the next process: %v", e)
@@ -113,12 +113,12 @@
 	p.waitFor("the rest is delivered", func() bool { return slices.Contains(p.attempts(), "before") })
 }
 
-// A signal during the start, at any delay of it, loses nothing of what an earlier process had accepted: no process that is
-// told to end drops it, and the next one that lives delivers it.
+// A SIGTERM during the start, after any delay, loses no request that an earlier process had accepted: no process that ends drops
+// the request, and the next process that stays alive delivers it.
 func TestShutdown_SignalDuringStartLosesNothing(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
-	p.respond = func(*http.Request) int { return 0 } // an endpoint that hangs: nothing is delivered before the end
+	p.respond = func(*http.Request) int { return 0 } // the endpoint hangs, so that no request is delivered before the process ends
 	j := openEarlierJournal(t, p.dir)
 	j.Accept(&journal.Entry{ID: "open", Class: "status", Destination: 7, Deadline: j.Timeline().Now().Add(10 * time.Minute)})
 	mustCommit(t, j)
@@ -129,8 +129,8 @@
 			t.Fatal(err)
 		}
 		err := waittest.Receive(t, c.exited)
-		var how *exec.ExitError
-		if errors.As(err, &how) && how.ExitCode() >= 0 { // else it had no time to catch the signal
+		var exitErr *exec.ExitError
+		if errors.As(err, &exitErr) && exitErr.ExitCode() >= 0 { // else the signal killed the process before it had a handler
 			t.Errorf("signalled after %v: %v\n%s", delay, err, c.Stderr)
 		}
 		if left := readEntries(t, p.dir); len(left) != 1 || left[0].ID != "open" {
@@ -139,18 +139,18 @@
 	}
 	p.update(func() { p.respond = func(*http.Request) int { return http.StatusOK } })
 	p.start()
-	p.waitFor("it is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the request is delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 0 {
 		t.Errorf("failed: %v", n)
 	}
 }
 
-// A request that was read and has no response when the process ends is counted.
+// A request that was read and has no response when the process ends is counted as a violation.
 func TestShutdown_CountsUnansweredRequests(t *testing.T) {
-	check := &frontend.Validator{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
+	validator := &frontend.Validator{Classes: map[string]*policy.Class{"status": {Name: "status", Deadline: time.Minute}}}
 	n := &node{violations: &invariant.Counts{}}
-	n.frontend = front.New(front.Config{Validator: check, Mode: &servingmode.Mode{}, MemoryMB: 64, MaxConns: 4, MaxIdleConns: 4},
-		func(*frontend.Submission) {}, func(string) {}) // nobody decides
+	n.frontend = front.New(front.Config{Validator: validator, Mode: &servingmode.Mode{}, MemoryMB: 64, MaxConns: 4, MaxIdleConns: 4},
+		func(*frontend.Submission) {}, func(string) {}) // submissions get no decision
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -172,6 +172,6 @@
 	}
 	n.flushResponses(t.Context())
 	if got := n.violations.ByKind()[invariant.ClosedUnanswered.String()]; got != 1 {
-		t.Errorf("counted %d times", got)
+		t.Errorf("%d unanswered requests counted, want 1", got)
 	}
 }
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/notification"
 )
 
-// Malformed requests get a plain 4xx other than 429, none is accepted, and the relay goes on.
+// Malformed requests get a 4xx other than 429, none is accepted, and the relay goes on serving.
 func TestSubmission_RejectsMalformed(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -73,7 +73,8 @@
 	}
 }
 
-// A destination that no list has named is rejected: the list may lag, and the dispatcher keeps state for each.
+// A request for a destination that no list has named is rejected with a Retry-After: the list may lag behind, and the dispatcher
+// keeps state for each destination.
 func TestSubmission_RejectsUnknownDestination(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -84,14 +85,14 @@
 	}
 	p.addEndpoint("h8", 8)
 	p.watchLines <- watchLine(t, 43, p.endpoints[1])
-	p.waitFor("it is listed and accepted", func() bool {
+	p.waitFor("the destination is listed and the request accepted", func() bool {
 		r := p.submit("status", "m", "5", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=8") })
 		return r.StatusCode == http.StatusAccepted
 	})
 	p.nextAttempt()
 }
 
-// A request that is submitted twice, as after a connection that broke, is accepted once.
+// A request that is submitted twice, as after a broken connection, is accepted and attempted once.
 func TestSubmission_AcceptsDuplicateOnce(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -115,7 +116,7 @@
 	p.start()
 	p.mustAccept("order", "m", "20")
 	p.nextAttempt()
-	p.waitFor("it is completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("the request is completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	p.mustAccept("order", "m", "20")
 	p.mustAccept("order", "n", "20")
 	p.nextAttempt()
@@ -124,8 +125,8 @@
 	}
 }
 
-// A duplicate of a request whose notice is pending is no new request, and is not rejected either: a rejection would say that
-// it was never executed.
+// A duplicate of a request whose notice is pending is not handled as a new request, and is not rejected: a rejection would claim
+// that the request was never executed.
 func TestSubmission_DuplicateOfUndeliverableIsNotRejected(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -134,12 +135,12 @@
 	p.start()
 	p.mustAccept("order", "m", "20")
 	p.nextAttempt()
-	p.waitFor("its outcome is decided", func() bool {
+	p.waitFor("the request's outcome is decided", func() bool {
 		e := readEntries(t, p.dir)
 		return len(e) == 1 && e[0].PendingNotice != nil && e[0].PendingNotice.Status == notification.Undeliverable
 	})
 	if resp := p.submit("order", "m", "20"); resp.StatusCode != http.StatusAccepted {
-		t.Errorf("a duplicate: %s", resp.Status)
+		t.Errorf("response to the duplicate: %s", resp.Status)
 	}
 	p.update(func() { p.failingPosts = 0 })
 	p.waitFor("the platform has its notice", func() bool { return len(p.receivedNotices()) == 1 })
@@ -148,7 +149,7 @@
 	}
 }
 
-// A client that leaves, or that uses another's id, withdraws no other client's request.
+// A client that submits a request under an id of another client and disconnects does not withdraw that client's request.
 func TestSubmission_LeavingClientWithdrawsNoOtherRequest(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -173,13 +174,13 @@
 	}
 }
 
-// A request that an endpoint has executed, and that comes again under its id after its relay was killed, is accepted and not
-// sent: as a new one it would have its effect twice.
+// A request that was delivered before its relay was killed, and is submitted again under the same id after that, is accepted but
+// not sent: handled as a new request, it would have its effect twice.
 func TestSubmission_DuplicateAfterKillIsNotSent(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
 	c := p.start()
-	for range 2 { // through a replay of the log, and of its compaction
+	for range 2 { // after a replay of the journal, and after a replay of the compacted journal
 		for _, class := range []string{"order", "payment", "status"} {
 			if status := p.trySubmit(class, class, "20"); status != http.StatusAccepted {
 				t.Fatalf("%s answered %d", class, status)
@@ -194,7 +195,7 @@
 	}
 	p.waitFor("the new one is delivered", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "after") })
 	if sent := p.attempts(); len(sent) != 4 {
-		t.Errorf("endpoints were sent %v", sent)
+		t.Errorf("attempts at endpoints: %v", sent)
 	}
 	p.kill(c)
 }
--- a/internal/relay/timer_test.go
+++ b/internal/relay/timer_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// The timer that the dispatcher set last fires, whatever wakes it before: it sets it only once.
+// The timer that the dispatcher set last fires even if the dispatcher is woken before, since the dispatcher sets it only once.
 func TestTimer_NoneIsLost(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		ask  func(l *loop)
-		wake []time.Duration // up to a minute
+		wake []time.Duration // the wake-ups within a minute
 	}{
 		"one":                        {func(l *loop) { l.setTimer(30 * ms) }, []time.Duration{30 * ms}},
 		"a later one after it":       {func(l *loop) { l.setTimer(3 * ms); l.setTimer(time.Second) }, []time.Duration{3 * ms, time.Second}},
--- a/internal/relay/tracing_test.go
+++ b/internal/relay/tracing_test.go
@@ -13,8 +13,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// A relay with a trace records each event once: its start, polls and lists, requests accepted and rejected, attempts with
-// their connections and load reports, and outcomes. One without records nothing.
+// A relay with a trace records each event once: its start, watch requests and lists, accepted and rejected requests, attempts
+// with their connections and load reports, and outcomes. A relay without a trace records nothing.
 func TestTrace_RecordsEachEventOnce(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		t.Run(fmt.Sprint("on ", on), func(t *testing.T) {
@@ -35,16 +35,16 @@
 				return http.StatusOK
 			}
 			c := p.start()
-			// With 10 of its 30 s left a request is past its latency objective, however fast it is delivered.
+			// With 10 s of its 30 s left, a request is past its latency objective, however fast it is delivered.
 			p.mustAccept("status", "a", "10")
 			p.nextAttempt()
 			p.nextAttempt()
 			if resp := p.submit("status", "b", "10", func(r *http.Request) { r.Header.Set("X-Envelope", "dest=9") }); resp.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("a request for a destination that no list names: %s", resp.Status)
+				t.Errorf("submission to a destination that no list names: %s", resp.Status)
 			}
 			p.mustAccept("status", "c", "10")
 			p.nextAttempt()
-			// A graceful shutdown leaves time for all outcomes to come in.
+			// A graceful shutdown leaves time for all outcomes to be recorded.
 			if err := c.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
@@ -69,7 +69,7 @@
 				sum.EndpointUpdates += s.EndpointUpdates
 			}
 			if summary.FleetSize < 1 || sum.Starts != 1 || sum.WatchRequests < 1 || sum.EndpointUpdates < 1 {
-				t.Errorf("start, polls or lists are missing: %d in the fleet, %+v", summary.FleetSize, sum)
+				t.Errorf("start, watch requests or lists are missing: fleet size %d, %+v", summary.FleetSize, sum)
 			}
 			got := summary.Total
 			if got.NewConnections < 1 || got.NewConnections > 3 {
