--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -90,7 +90,7 @@
 		p.nextAttempt()
 	}
 	if f := p.metrics(); f.Inflight != 1 {
-		t.Errorf("with one in flight: %+v", f)
+		t.Errorf("metrics with one request in flight: %+v", f)
 	}
 	p.kill(c)
 	c = p.start()
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -133,8 +133,8 @@
 	})
 	claimed := e.Final && !r.completed() && l.handleFinalResponse(r, e.Outcome == policy.Succeeded)
 	endsRequest := e.Final && !r.Redelivery
-	nothingOwed := r.completed() && r.PendingNotice == nil // an evicted request that stayed in memory until this attempt ended
-	if !claimed && (endsRequest || nothingOwed) {
+	nothingPending := r.completed() && r.PendingNotice == nil // an evicted request that stayed in memory until this attempt ended
+	if !claimed && (endsRequest || nothingPending) {
 		l.evict(r)
 	}
 }
--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -63,8 +63,8 @@
 // applySocketLimits sets the policy settings that differ between sockets and the simulator's protocol.
 func (c *Config) applySocketLimits() {
 	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.maxEndpointConns()) // each attempt needs a connection
-	// A list that the platform pushes also arrives on a watch: once its agent has a list, the list counts as received, whether
-	// or not a watch is open.
+	// The relay opens a watch even if the platform pushes lists: pushed lists reach the relay on a watch, and the platform counts a
+	// list as received as soon as its agent has the list, whether or not a watch is open.
 	c.policy.WatchEndpoints = true
 	c.policy.AwaitAcknowledgement = true // notices are posted, and responses written, some time after the decision
 	for i := range c.policy.Kinds {
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -92,9 +92,9 @@
 	}
 }
 
-// Settings with classes, tenants, zones, kinds, limits and numbers that no other test uses are served. Settings that can't be
-// served end the process before it is ready, with one line that names file, key and reason, and requests that were accepted
-// before stay in the journal.
+// Settings with unfamiliar classes, tenants, zones, kinds, limits and numbers are served. Settings that can't be served end the
+// process before it is ready, with one line that names file, key and reason, and requests that were accepted before stay in the
+// journal.
 func TestConfig_ServesUnfamiliarSettings(t *testing.T) {
 	const unfamiliar = `{"az":1,"categories":[
 	 {"name":"ferry","aim_s":0.7,"deadline_s":21,"idempotency":"fragile","group":"all","points":7.5,"late_share":0.05},
@@ -123,7 +123,7 @@
 			t.Errorf("attempt for %s, want %s", got, id)
 		}
 	}
-	p.waitFor("all are delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("all requests are delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // the class or the tenant is not in these settings
 		if resp := p.submit(class, "no", "20", of(tenant)); resp.StatusCode/100 != 4 {
 			t.Errorf("%s of %s: %s", class, tenant, resp.Status)
--- a/internal/relay/deadletter_events.go
+++ b/internal/relay/deadletter_events.go
@@ -58,7 +58,7 @@
 	e.held <- r != nil && r.Redelivery
 }
 
-// The terminal outcomes that only redeliveries have. The store records them; the platform gets no notice of a redelivery.
+// Terminal outcomes of redeliveries. The store records them; the platform gets no notice of a redelivery.
 const (
 	redeliveryDelivered  = trace.Delivered
 	redeliverySuperseded = "overtaken"
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// rejected queues a request that was never accepted for the store. The request is in no journal and needs no notice.
+// rejected queues for the store a request that was never accepted. The request is in no journal and needs no notice.
 func (d *deadLetterLink) rejected(r *request, status string) {
 	if d.writer != nil && !r.Redelivery {
 		d.writer.queue.addRejected(r.record(d.rejectedIncarnation(r, status)))
--- a/internal/relay/deadletter_queue.go
+++ b/internal/relay/deadletter_queue.go
@@ -74,7 +74,7 @@
 }
 
 // addRejected adds a request that was never accepted: the request is counted, and its record is kept if the operator's file
-// says so. At most maxWaitingRejected records are kept, since rejections are most frequent when memory and disk are scarcest.
+// says so. At most maxWaitingRejected records are kept, since rejections are most frequent when space is scarcest.
 func (q *deadLetterQueue) addRejected(record deadletter.Message) {
 	q.update(func() {
 		if q.keepRejected && len(q.waiting.rejectedRecords) < maxWaitingRejected {
--- a/internal/relay/deadletter_record.go
+++ b/internal/relay/deadletter_record.go
@@ -38,11 +38,11 @@
 }
 
 // record returns the store's record of a request that was not delivered.
-func (r *request) record(incarnation deadletter.Incarnation) deadletter.Message {
+func (r *request) record(inc deadletter.Incarnation) deadletter.Message {
 	return deadletter.Message{
 		Record: deadletter.Record{
 			ID: r.ID, Class: r.Class, Tenant: r.Tenant, Destination: r.Destination, IdempotencyKey: r.IdempotencyKey, OrderKey: r.OrderKey,
-			Subject: r.Subject, Order: r.Order, Incarnations: []deadletter.Incarnation{incarnation}, State: deadletter.Held, Since: incarnation.CompletedAt, Due: incarnation.CompletedAt,
+			Subject: r.Subject, Order: r.Order, Incarnations: []deadletter.Incarnation{inc}, State: deadletter.Held, Since: inc.CompletedAt, Due: inc.CompletedAt,
 		},
 		Body: r.Body,
 	}
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -87,11 +87,11 @@
 	}
 	c := p.start()
 	p.mustAccept("status", "a", "0.9") // within the last second before its deadline
-	p.waitFor("the first one is attempted", func() bool { return len(p.attempts()) > 0 })
+	p.waitFor("request a is attempted", func() bool { return len(p.attempts()) > 0 })
 	p.mustAccept("status", "b", "1.2")
-	p.waitFor("the other one has failed", func() bool { return len(p.receivedNotices()) == 1 })
+	p.waitFor("request b has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	late.Store(true)
-	p.waitFor("redeliveries get that response too", func() bool { return len(p.redeliveries()) >= 2 })
+	p.waitFor("two redeliveries are attempted", func() bool { return len(p.redeliveries()) >= 2 })
 	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
 	p.kill(c)
 	for _, id := range []string{"a", "b"} {
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -21,7 +21,7 @@
 //	candidate       -> accepted         the dispatcher admitted it; its record is part of the batch
 //	candidate       -> evicted          it was rejected, or is a redelivery that was returned to the store
 //	accepted        -> outcome decided  it failed, or it was delivered or withdrawn and the dead-letter store records that
-//	accepted        -> evicted          it was delivered or withdrawn and the outcome need not be published, or its record was not written
+//	accepted        -> evicted          it was delivered or withdrawn and nothing else needs the outcome, or its record was not written
 //	outcome decided -> notified         the platform acknowledged the notice; the dead-letter store has not stored the request yet
 //	outcome decided -> evicted          the platform and the dead-letter store have the outcome, as far as they need it
 //	notified        -> evicted          the dead-letter store has stored it as well
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// quiesceRequested asks the loop to send its state to state and to do nothing until it is resumed or ended. The loop does
-// so as soon as every attempt in flight has ended or its connection is detached.
+// quiesceRequested asks the loop to send its state and then do nothing until it is resumed or ended. The loop does so as soon
+// as every attempt in flight has ended or its connection is detached.
 type quiesceRequested struct {
 	state  chan *handoverState // buffers the answer, which is nil if the state can't be handed over
 	resume chan struct{}       // closed to resume the loop
--- a/internal/relay/handover_predecessor.go
+++ b/internal/relay/handover_predecessor.go
@@ -12,9 +12,9 @@
 // quiescedNode is the state of a quiesced relay.
 type quiescedNode struct {
 	quiesceRequested
-	loopAsked bool // the loop has been sent quiesceRequested
-	clients   []front.DetachedConn
-	idleConns []http1.IdleConn
+	requestSent bool // whether quiesceRequested has been sent to the loop
+	clients     []front.DetachedConn
+	idleConns   []http1.IdleConn
 }
 
 // errStateNotWritten says that the journal could not be written for a successor.
@@ -28,7 +28,7 @@
 		return nil, nil, err
 	}
 	n.quiesced.idleConns = n.loop.pool.Quiesce(ctx)
-	n.quiesced.loopAsked = true
+	n.quiesced.requestSent = true
 	n.loop.send(n.quiesced.quiesceRequested)
 	h := <-n.quiesced.state
 	if h == nil {
@@ -61,7 +61,7 @@
 	q := n.quiesced
 	n.quiesced = nil
 	n.loop.pool.Resume(q.idleConns)
-	if q.loopAsked {
+	if q.requestSent {
 		close(q.resume)
 	} else {
 		n.loop.send(sendingResumed{})
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -86,7 +86,7 @@
 		p.nextAttempt()
 	}
 	answer <- http.StatusOK
-	p.waitFor("all are delivered", func() bool {
+	p.waitFor("all requests are delivered", func() bool {
 		f := p.metrics()
 		return f.Inflight == 0 && f.Success["status"] == 2 && f.Success["order"] == 1
 	})
@@ -182,7 +182,7 @@
 		t.Errorf("the old process ended with %v: %s", err, old.Stderr)
 	}
 	answer <- http.StatusOK
-	p.waitFor("all are completed", func() bool { return len(p.receivedNotices()) == 2 && p.journalSize() == 0 })
+	p.waitFor("all requests are completed", func() bool { return len(p.receivedNotices()) == 2 && p.journalSize() == 0 })
 	if f := p.metrics(); f.Success["order"] != 1 || f.Busy["status"] != 1 {
 		t.Errorf("metrics %+v", f)
 	}
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -282,7 +282,7 @@
 	return p.addr
 }
 
-// metricsResponse are the metrics that the admin endpoint of a relay under test returns.
+// metricsResponse holds the metrics that the admin endpoint of a relay under test returns.
 type metricsResponse struct {
 	Success, Busy, Failure map[string]int
 	BackendCalls           int `json:"backend_calls"`
--- a/internal/relay/invariants_test.go
+++ b/internal/relay/invariants_test.go
@@ -23,7 +23,8 @@
 		before  func(*loop, *request)
 		violate invariant.Kind
 	}{
-		"after the outcome":      {notIdempotent, time.Minute, func(_ *loop, r *request) { r.state = stateOutcomeDecided }, -1}, // ignored without a violation: the outcome may be decided after the dispatcher has planned the attempt
+		// Ignored without a violation: the outcome may be decided after the dispatcher has planned the attempt.
+		"after the outcome":      {notIdempotent, time.Minute, func(_ *loop, r *request) { r.state = stateOutcomeDecided }, -1},
 		"after the deadline":     {notIdempotent, -time.Second, nil, invariant.SendAfterDeadline},
 		"while one is in flight": {notIdempotent, time.Minute, func(_ *loop, r *request) { r.attemptInFlight = true }, invariant.SecondAttempt},
 		"not idempotent, twice":  {notIdempotent, time.Minute, withUnknownOutcome, invariant.NonIdempotentRepeat},
@@ -57,7 +58,8 @@
 
 // A request whose outcome the dispatcher does not decide in time is failed, and its attempt is cancelled.
 func TestInvariants_FailOverdueRequests(t *testing.T) {
-	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond) // 50 ms beyond the grace period for the outcome
+	// The deadline is 250 ms ago: 50 ms beyond the grace period for the outcome.
+	l, r := loopWithAcceptedRequest(t, policy.Class{Name: "order", Idempotency: policy.NotIdempotent}, -250*time.Millisecond)
 	ctx, cancel := context.WithCancel(t.Context())
 	r.cancel = cancel
 	l.failOverdue()
--- a/internal/relay/ordered_class_test.go
+++ b/internal/relay/ordered_class_test.go
@@ -36,7 +36,7 @@
 	accept("payment", "other", orderKey("a")) // a class that is not ordered
 	p.waitFor("requests that need not wait are sent", func() bool { return len(p.firstAttempts()) == 4 })
 	unblock()
-	p.waitFor("all are sent", func() bool { return len(p.firstAttempts()) == 6 })
+	p.waitFor("all requests are sent", func() bool { return len(p.firstAttempts()) == 6 })
 	sent := p.firstAttempts()
 	if sent[0] != "a1" || sent[4] != "a2" || sent[5] != "a3" {
 		t.Errorf("sent %v", sent)
@@ -126,7 +126,7 @@
 	p.mustAccept("status", "free", "20")
 	p.waitFor("requests that need not wait are sent", func() bool { return len(p.firstAttempts()) == 2 })
 	unblock()
-	p.waitFor("all are sent", func() bool { return len(p.firstAttempts()) == 4 })
+	p.waitFor("all requests are sent", func() bool { return len(p.firstAttempts()) == 4 })
 	if sent := p.firstAttempts(); sent[2] != "a2" || sent[3] != "a3" || !slices.Contains(sent[:2], "a1") {
 		t.Errorf("sent %v", sent)
 	}
--- a/internal/relay/recovery_test.go
+++ b/internal/relay/recovery_test.go
@@ -81,7 +81,7 @@
 	if id := p.nextAttempt(); id != "open" {
 		t.Errorf("attempt for %s", id)
 	}
-	p.waitFor("both are completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
+	p.waitFor("both requests are completed", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	if n := p.receivedNotices(); len(n) != 1 || n[0].ID != "late" {
 		t.Errorf("notices %v", n)
 	}
--- a/internal/relay/redelivery.go
+++ b/internal/relay/redelivery.go
@@ -30,7 +30,7 @@
 	l.addCandidate(r)
 }
 
-// returnRedelivery returns a redelivery of which no attempt was made to the store. newer is the id of the request that has
+// returnRedelivery returns to the store a redelivery of which no attempt was made. newer is the id of the request that has
 // superseded it, or "".
 func (d *deadLetterLink) returnRedelivery(r *request, newer string) {
 	r.transition(stateEvicted)
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -65,7 +65,7 @@
 	// was removed.
 	p.waitFor("all three requests have their outcome", func() bool { return len(p.receivedNotices()) == 2 && len(readEntries(t, p.dir)) == 0 })
 	if got := p.attempts(); len(got) != 4 {
-		t.Errorf("attempts %v, want one for each request and a second one for the idempotent request", got)
+		t.Errorf("attempts %v, want one for each request, and a second attempt for the idempotent one", got)
 	}
 	if f := p.metrics(); f.Failure["order"] != 1 || f.Failure["order-ii"] != 1 || f.Success["status"] != 1 || f.Inflight != 0 {
 		t.Errorf("metrics %+v", f)
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// In a graceful shutdown, responses close their connections, every request that was read is answered, requests that can be
-// delivered are, and the next process delivers the rest.
+// In a graceful shutdown, responses close their connections, every request that was read is answered, attempts in flight end, so
+// that requests to a reachable destination are delivered before the process ends, and the next process delivers the rest.
 func TestShutdown_LeavesTheRestToTheNextProcess(t *testing.T) {
 	p := newPlatform(t)
 	h := p.addEndpoint("h1", 7)
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -186,14 +186,14 @@
 				t.Fatalf("%s answered %d", class, status)
 			}
 		}
-		p.waitFor("all are delivered and evicted", func() bool { return len(p.attempts()) >= 3 && p.journalSize() == 0 })
+		p.waitFor("all three requests are delivered and evicted", func() bool { return len(p.attempts()) >= 3 && p.journalSize() == 0 })
 		p.kill(c)
 		c = p.start()
 	}
 	if status := p.trySubmit("order", "after", "20"); status != http.StatusAccepted {
 		t.Fatalf("a new request answered %d", status)
 	}
-	p.waitFor("the new one is delivered", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "after") })
+	p.waitFor("the new request is delivered", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "after") })
 	if sent := p.attempts(); len(sent) != 4 {
 		t.Errorf("attempts at endpoints: %v", sent)
 	}
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -78,11 +78,11 @@
 // publishOutcome publishes a terminal outcome to the platform, unless it gets no notice, and to the subsystems.
 func (l *loop) publishOutcome(r *request) {
 	l.checkOutcomeRecorded(r)
-	owesNotice := !r.Redelivery && r.PendingNotice.Status != expiredAtEndpoint
-	if owesNotice {
+	needsNotice := !r.Redelivery && r.PendingNotice.Status != expiredAtEndpoint
+	if needsNotice {
 		l.notifier.Enqueue(*r.PendingNotice)
 	}
-	if awaited := l.publishToSubsystems(r); !awaited && !owesNotice {
+	if awaited := l.publishToSubsystems(r); !awaited && !needsNotice {
 		l.evict(r)
 	}
 }
