--- a/internal/coord/api/caller.go
+++ b/internal/coord/api/caller.go
@@ -17,13 +17,13 @@
 	HTTPClient *http.Client
 }
 
-// NewCaller returns a caller with connections of its own.
+// NewCaller returns a caller with a connection pool of its own.
 func NewCaller(cluster string) *Caller {
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
 	return &Caller{Cluster: cluster, HTTPClient: &http.Client{Transport: transport}}
 }
 
-// Post sends a request to a member. With ErrNotLeader the response may name the leader.
+// Post sends a request to a member. If the error is ErrNotLeader, the response may name the leader.
 func (c *Caller) Post(ctx context.Context, address, path string, r Request) (Response, error) {
 	var response Response
 	status, body, err := c.post(ctx, address, path, r)
@@ -31,7 +31,7 @@
 		return response, err
 	}
 	if err := json.Unmarshal(body, &response); err != nil {
-		return response, fmt.Errorf("%s: no answer of a coordination service: %w", address, err)
+		return response, fmt.Errorf("%s: response is not from a coordination service: %w", address, err)
 	}
 	switch {
 	case status == http.StatusOK:
@@ -44,7 +44,7 @@
 	return response, &StatusError{Address: address, Status: status, Message: response.Error}
 }
 
-// Snapshot reads the state's bytes from a member that leads.
+// Snapshot reads the encoded state (coord.Machine.Snapshot) from the leader.
 func (c *Caller) Snapshot(ctx context.Context, address string) ([]byte, error) {
 	status, body, err := c.post(ctx, address, PathSnapshot, Request{})
 	switch {
@@ -66,12 +66,12 @@
 		return s, err
 	}
 	if status != http.StatusOK || json.Unmarshal(body, &s) != nil {
-		return s, fmt.Errorf("%s: no answer of a coordination service (status %d)", address, status)
+		return s, fmt.Errorf("%s: response is not from a coordination service (status %d)", address, status)
 	}
 	return s, nil
 }
 
-// post sends a request of this caller's cluster, and returns the answer's status and body.
+// post sends a request with the caller's cluster, and returns the response's status and body.
 func (c *Caller) post(ctx context.Context, address, path string, r Request) (int, []byte, error) {
 	r.Cluster = c.Cluster
 	raw, err := json.Marshal(r)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return 0, nil, &CallError{Address: address, Err: err}
 	}
-	defer func() { _ = resp.Body.Close() }() // it is read to its end, or of no use
+	defer func() { _ = resp.Body.Close() }() // an error is harmless: the body was read completely, or reading it failed
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodySize))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: %w", address, err)
--- a/internal/coord/api/errors.go
+++ b/internal/coord/api/errors.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// The errors that callers tell apart. With any other the outcome of a command is unknown.
+// Errors that callers distinguish. After any other error the outcome of a command is unknown.
 var (
-	ErrNotLeader = errors.New("the member does not lead")
-	ErrRejected  = errors.New("refused") // nothing was done, and a retry does not help
-	// ErrNoLeader says that no member was found to lead.
-	ErrNoLeader = errors.New("no member leads, or none that leads can be reached")
+	ErrNotLeader = errors.New("the member is not the leader")
+	ErrRejected  = errors.New("request rejected") // nothing was done, and a retry does not help
+	// ErrNoLeader is returned when no leader was found before the context ended.
+	ErrNoLeader = errors.New("no leader, or the leader can't be reached")
 )
 
-// StatusError is an answer with a status that no other error stands for.
+// StatusError reports a response with a status that none of the other errors represents.
 type StatusError struct {
 	Address string
 	Status  int
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("%s: status %d: %s", e.Address, e.Status, e.Message)
 }
 
-// CallError says that a call has failed without an answer. Its text is the cause's, which names the
-// address.
+// CallError reports a call that failed without a response. Its text is the text of the cause, which
+// contains the address.
 type CallError struct {
 	Address string
 	Err     error
--- a/internal/coord/api/leader.go
+++ b/internal/coord/api/leader.go
@@ -13,14 +13,15 @@
 const (
 	// attemptTimeout bounds one attempt of CallLeader.
 	attemptTimeout = 2 * time.Second
-	// attemptPause is between two attempts.
+	// attemptPause is the pause between two attempts.
 	attemptPause = 50 * time.Millisecond
-	// maxKnownMembers bounds what AddLeader adds: members may be replaced any number of times.
+	// maxKnownMembers bounds the list that AddLeader extends: over time, members may be replaced
+	// any number of times.
 	maxKnownMembers = 4 * coord.MaxMembers
 )
 
-// CallLeader sends a request to whichever member leads, until the context ends. The request may be
-// sent, and applied, more than once: it has to be idempotent.
+// CallLeader sends a request to the leader, and retries until it succeeds, is rejected, or the
+// context ends. The request has to be idempotent: it may be sent, and applied, more than once.
 func (c *Caller) CallLeader(ctx context.Context, members []coord.Member, path string, r Request) (Response, error) {
 	for next := 0; len(members) > 0; {
 		m := members[next%len(members)]
@@ -50,8 +51,9 @@
 	return c.Post(ctx, address, path, r)
 }
 
-// AddLeader adds the leader that a response names, where it is not known yet: it has joined since
-// the list was written. One that is known keeps its address: the list may name another way to it.
+// AddLeader adds the leader that a response names to a list of members, if the list lacks it
+// because the leader has joined since the list was written. A leader that is in the list keeps its
+// listed address, which may be one under which only this caller reaches it.
 func AddLeader(members []coord.Member, r Response) []coord.Member {
 	unnamed := r.Leader == 0 || r.Address == ""
 	if unnamed || len(members) >= maxKnownMembers || indexOfMember(members, r.Leader) >= 0 {
--- a/internal/coord/api/member.go
+++ b/internal/coord/api/member.go
@@ -13,7 +13,7 @@
 	id, address, ok := strings.Cut(text, "=")
 	n, err := strconv.ParseUint(id, 10, 64)
 	if !ok || err != nil || n == 0 {
-		return coord.Member{}, fmt.Errorf("%q is not ID=HOST:PORT with an id from 1", text)
+		return coord.Member{}, fmt.Errorf("%q is not ID=HOST:PORT with an id of at least 1", text)
 	}
 	if _, port, found := strings.Cut(address, ":"); !found || port == "" {
 		return coord.Member{}, fmt.Errorf("%q is not ID=HOST:PORT", text)
@@ -21,7 +21,7 @@
 	return coord.Member{ID: n, Address: address}, nil
 }
 
-// ParseMembers parses a list of members. Each id and each address may be listed once.
+// ParseMembers parses a list of members. Ids and addresses must be unique.
 func ParseMembers(texts []string) ([]coord.Member, error) {
 	var members []coord.Member
 	for _, text := range texts {
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Without the race detector: it does not survive a memory fault that is recovered from.
+// Not built with the race detector, which does not survive a memory fault that is recovered from.
 
 package disk
 
@@ -15,9 +15,9 @@
 	"frostlink/internal/coord/replica"
 )
 
-// TestRead_DetectsFlippedBytes: a byte that is flipped anywhere in the store either has no effect
-// or is an error. It never ends the process, and what is read is never anything else than what was
-// written.
+// TestRead_DetectsFlippedBytes: a damaged byte anywhere in the store either has no effect or is
+// reported as an error. It must not end the process, and the entries that are read must equal the
+// entries that were written.
 func TestRead_DetectsFlippedBytes(t *testing.T) {
 	dir, want := createFilled(t)
 	path := filepath.Join(dir, fileName)
@@ -37,14 +37,14 @@
 			detected++
 			continue
 		}
-		if store, _, _, err := Open(dir); err != nil { // must not end the process, either
-			t.Fatalf("byte %d flipped: read, and not opened: %v", offset, err)
+		if store, _, _, err := Open(dir); err != nil { // this must not end the process either
+			t.Fatalf("byte %d flipped: readable, but open failed: %v", offset, err)
 		} else if err := errors.Join(store.Save(replica.WriteBatch{Entries: []*raftpb.Entry{entry(6, 2, "g")}}), store.Close()); err != nil {
-			t.Fatalf("byte %d flipped: %v", offset, err)
+			t.Fatalf("byte %d flipped: save failed: %v", offset, err)
 		}
 		for i, e := range got.Entries {
 			if len(got.Entries) != len(want.Entries) || string(e.GetData()) != string(want.Entries[i].GetData()) {
-				t.Fatalf("byte %d flipped: %v", offset, got.Entries)
+				t.Fatalf("byte %d flipped: read wrong entries %v", offset, got.Entries)
 			}
 		}
 	}
@@ -64,9 +64,9 @@
 		if err := os.WriteFile(path, whole[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = readState(dir) // an error, or nothing that matters was cut off; it must not end the process
+		_, _ = readState(dir) // must not end the process; it may succeed if only unused pages were cut off
 	}
 	if _, err := readState(dir); err == nil {
-		t.Error("an empty file was read")
+		t.Error("an empty file was read without an error")
 	}
 }
--- a/internal/coord/disk/damaged_value_test.go
+++ b/internal/coord/disk/damaged_value_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// A member whose term and vote, or whose marks of its peers, can't be vouched for does not start: it might vote twice, or take a
-// peer that was rolled back for the one that it knows.
+// A member does not start if its term and vote, or the incarnations of its peers, are damaged: it might vote twice, or accept a
+// peer whose disk was set back to an old copy.
 func TestOpen_RejectsDamagedValues(t *testing.T) {
 	for _, key := range [][]byte{hardStateKey, peerIncarnationsKey, incarnationsKey, identityKey} {
 		t.Run(string(key), func(t *testing.T) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// What happens: the marks of a member's peers are damaged while it runs; the next mark that it writes replaces all of them, and the
-// marks of the other peers are forgotten without a word. Why: a damaged value was taken for a missing one. Evidence: the marks read
-// back had the new peer alone.
+// The stored incarnations of a member's peers are damaged while the member runs. A damaged value was taken for a missing one,
+// so saving one peer's incarnation replaced those of all peers: the value read back contained the new peer alone, and no error
+// was reported.
 func TestSave_RejectsDamagedPeerIncarnations(t *testing.T) {
 	dir, _ := createFilled(t)
 	store, _, _, err := Open(dir)
--- a/internal/coord/disk/errors.go
+++ b/internal/coord/disk/errors.go
@@ -7,19 +7,19 @@
 
 var (
 	errMissing  = errors.New("missing")
-	errChecksum = errors.New("its checksum is another")
+	errChecksum = errors.New("checksum mismatch")
 )
 
-// VersionError says that a folder's format is of a version that this program does not read.
+// VersionError reports a folder whose format version this program does not read.
 type VersionError struct{ Version uint32 }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("version: %d; this program reads version %d", e.Version, formatVersion)
 }
 
-// EntryError says what is wrong with an entry of the log.
+// EntryError reports a damaged or missing entry of the log.
 type EntryError struct {
-	Index uint64 // by its key
+	Index uint64 // from the entry's key
 	Err   error
 }
 
@@ -32,8 +32,8 @@
 	return &EntryError{Index: index, Err: fmt.Errorf(format, args...)}
 }
 
-// FolderError says that a file of the folder can't be opened, created or replaced. Its text is the
-// cause's, which names the file.
+// FolderError reports a file of the folder that can't be opened, created or replaced. Its text is
+// the text of the cause, which names the file.
 type FolderError struct{ Err error }
 
 func (e *FolderError) Error() string { return e.Err.Error() }
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -9,8 +9,8 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestRead_FolderOfEarlierBuild: a member's folder that an earlier build has written holds what it
-// held.
+// TestRead_FolderOfEarlierBuild: a folder that an earlier build has written is read with its
+// original contents.
 func TestRead_FolderOfEarlierBuild(t *testing.T) {
 	_, want := createFilled(t)
 	goldentest.Regenerate(t, "member.db", fileName, func(dir string) {
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if id.Cluster != "c" || id.ID != 1 || id.Address != "a:1" {
-		t.Errorf("identity %+v", id)
+		t.Errorf("unexpected identity %+v", id)
 	}
 	if !matches(got, want) {
 		t.Errorf("%+v, want %+v", got, want)
--- a/internal/coord/disk/read.go
+++ b/internal/coord/disk/read.go
@@ -15,7 +15,7 @@
 	"frostlink/internal/coord/replica"
 )
 
-// Read reads all that a folder holds, and checks it. An error names what can't be read.
+// Read reads and checks all contents of a folder. An error names the part that can't be read.
 func Read(dir string) (id Identity, state replica.PersistentState, err error) {
 	path := filepath.Join(dir, fileName)
 	if err := hasStore(dir); err != nil {
@@ -35,7 +35,7 @@
 	return id, state, err
 }
 
-// hasStore returns an error where there is no store in a folder.
+// hasStore returns an error if a folder contains no store.
 func hasStore(dir string) error {
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
 		return fmt.Errorf("no member's data: %w", err)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// loadRaft reads Raft's part: term and vote, the snapshot, and the log.
+// loadRaft reads Raft's state: term and vote, the snapshot, and the log.
 func loadRaft(meta, log *bbolt.Bucket, state *replica.PersistentState) error {
 	hardState, snapshot := &raftpb.HardState{}, &raftpb.Snapshot{}
 	if found, err := getMessage(meta, hardStateKey, hardState); err != nil {
@@ -94,7 +94,8 @@
 	return err
 }
 
-// loadEntries reads the log, which has to be consecutive from the snapshot on.
+// loadEntries reads the log, whose indexes have to be consecutive and to begin at most one past the
+// snapshot's index.
 func loadEntries(log *bbolt.Bucket, snapshot *raftpb.Snapshot) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
 	c := log.Cursor()
@@ -105,12 +106,12 @@
 			return nil, err
 		}
 		if n := len(entries); n > 0 && entries[n-1].GetIndex()+1 != index {
-			return nil, entryErrorf(index, "the one before is missing")
+			return nil, entryErrorf(index, "previous entry missing")
 		}
 		entries = append(entries, e)
 	}
 	if last := snapshot.GetMetadata().GetIndex(); len(entries) > 0 && entries[0].GetIndex() > last+1 {
-		return nil, entryErrorf(entries[0].GetIndex(), "the one before is missing, and the snapshot ends at %d", last)
+		return nil, entryErrorf(entries[0].GetIndex(), "previous entry missing; the snapshot ends at %d", last)
 	}
 	return entries, nil
 }
@@ -125,7 +126,7 @@
 		return nil, &EntryError{Index: index, Err: err}
 	}
 	if e.GetIndex() != index {
-		return nil, entryErrorf(index, "says that it is entry %d", e.GetIndex())
+		return nil, entryErrorf(index, "contains the index %d", e.GetIndex())
 	}
 	return e, nil
 }
--- a/internal/coord/disk/record.go
+++ b/internal/coord/disk/record.go
@@ -15,7 +15,7 @@
 // formatVersion is the version of the folder's format.
 const formatVersion = 1
 
-// versionSize is the size of its value.
+// versionSize is the size of the stored format version, in bytes.
 const versionSize = 4
 
 var (
@@ -30,20 +30,20 @@
 	snapshotKey         = []byte("snapshot")
 )
 
-// logKey returns the key of the log's entry at an index. Keys sort as their indexes do.
+// logKey returns the key of the log entry at an index. Keys sort in the order of their indexes.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// checksumSize is the size of the checksum in front of a sealed value.
+// checksumSize is the size of the checksum of a sealed value, in bytes.
 const checksumSize = 4
 
-// seal puts the checksum in front of a value.
+// seal returns a value with its checksum in front.
 func seal(raw []byte) []byte {
 	sealed := binary.BigEndian.AppendUint32(make([]byte, 0, checksumSize+len(raw)), boltfile.Checksum(raw))
 	return append(sealed, raw...)
 }
 
-// unseal checks a sealed value, and returns a copy of the value. bbolt's bytes are valid in their
-// transaction only.
+// unseal checks the checksum of a sealed value, and returns a copy of the value, since bbolt's
+// bytes are valid only during their transaction.
 func unseal(sealed []byte) ([]byte, error) {
 	switch {
 	case sealed == nil:
@@ -54,12 +54,12 @@
 	return append([]byte{}, sealed[checksumSize:]...), nil
 }
 
-// getJSON reads a sealed JSON value. It reports whether there is one.
+// getJSON reads a sealed JSON value. It reports false if the key is missing.
 func getJSON(b *bbolt.Bucket, key []byte, to any) (bool, error) {
 	return get(b, key, func(raw []byte) error { return json.Unmarshal(raw, to) })
 }
 
-// getMessage reads a sealed protocol buffer. It reports whether there is one.
+// getMessage reads a sealed protocol buffer. It reports false if the key is missing.
 func getMessage(b *bbolt.Bucket, key []byte, to proto.Message) (bool, error) {
 	return get(b, key, func(raw []byte) error { return proto.Unmarshal(raw, to) })
 }
--- a/internal/coord/disk/store.go
+++ b/internal/coord/disk/store.go
@@ -15,20 +15,21 @@
 	"frostlink/internal/coord/replica"
 )
 
-// The files of the folder.
+// The files of a folder.
 const (
 	fileName = "coord.db"
 	nextName = "coord.db.next"
 	lockName = "lock"
 )
 
-// Identity says whose folder it is. It is written once.
+// Identity identifies the member to which a folder belongs. It is written once, when the folder is
+// created.
 type Identity struct {
 	Cluster       string   `json:"cluster"`
 	ID            uint64   `json:"id"`
-	Address       string   `json:"address"`         // that the member listens on
-	Peers         []uint64 `json:"peers,omitempty"` // of a member that has joined: the voters at that time
-	PeerAddresses []string `json:"via,omitempty"`   // of Peers
+	Address       string   `json:"address"`         // listen address of the member
+	Peers         []uint64 `json:"peers,omitempty"` // of a member that joined an existing cluster: the voters at that time
+	PeerAddresses []string `json:"via,omitempty"`   // addresses of Peers, in the same order
 }
 
 // Store is a folder that is open for writing.
@@ -38,12 +39,12 @@
 	lock *os.File
 }
 
-// Create creates the folder of a new member. One that is there already is left as it is, and is an
-// error.
+// Create creates the folder of a new member. It returns an error, and changes nothing, if the
+// folder contains a member's data already.
 func Create(dir string, id Identity, state replica.PersistentState) error {
 	path := filepath.Join(dir, fileName)
 	if _, err := os.Stat(path); err == nil {
-		return fmt.Errorf("%s: there is a member's data already", path)
+		return fmt.Errorf("%s: contains a member's data already", path)
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return &FolderError{Err: err}
 	}
@@ -53,8 +54,8 @@
 	return replaceStore(dir, id, state)
 }
 
-// Open opens a member's folder and returns what it holds. All of that is copied into a new store
-// first: nothing of the old one is relied on but what its checksums vouch for.
+// Open opens a member's folder and returns its contents. It first copies the contents into a new
+// store: only values whose checksum is right are trusted, not bbolt's own pages.
 func Open(dir string) (s *Store, id Identity, state replica.PersistentState, err error) {
 	lock, err := lockFolder(dir)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return &Store{db, path, lock}, id, state, nil
 }
 
-// Save writes a batch of the replica's. When it returns without an error all of it is durable.
+// Save writes a batch. Once it returns without an error, the whole batch is durable.
 func (s *Store) Save(b replica.WriteBatch) error {
 	if err := s.db.Update(func(tx *bbolt.Tx) error { return writeBatch(tx, b) }); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
@@ -87,10 +88,10 @@
 	return nil
 }
 
-// Close closes the folder.
+// Close closes the store and unlocks the folder.
 func (s *Store) Close() error { return errors.Join(s.db.Close(), s.lock.Close()) }
 
-// lockFolder keeps other processes from opening a folder, until the file that it returns is closed.
+// lockFolder locks a folder against other processes until the returned file is closed.
 func lockFolder(dir string) (*os.File, error) {
 	if err := hasStore(dir); err != nil {
 		return nil, err
@@ -106,7 +107,7 @@
 	return f, nil
 }
 
-// replaceStore writes a new store, and renames it over the one that is there.
+// replaceStore writes a new store and renames it over the existing one, if any.
 func replaceStore(dir string, id Identity, state replica.PersistentState) error {
 	path, next := filepath.Join(dir, fileName), filepath.Join(dir, nextName)
 	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -126,7 +127,7 @@
 	return syncFolder(dir)
 }
 
-// writeStore writes all that a new store holds.
+// writeStore writes the contents of a new store.
 func writeStore(tx *bbolt.Tx, id Identity, state replica.PersistentState) error {
 	meta, err := tx.CreateBucket(metaBucket)
 	if err != nil {
@@ -147,7 +148,7 @@
 	return put(meta, versionKey, binary.BigEndian.AppendUint32(nil, formatVersion))
 }
 
-// syncFolder makes a renamed file's name durable.
+// syncFolder makes the renaming of a file durable.
 func syncFolder(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/internal/coord/disk/store_test.go
+++ b/internal/coord/disk/store_test.go
@@ -18,7 +18,8 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
-// createFilled creates a folder with some batches saved, and returns what it should hold.
+// createFilled creates a folder, saves some batches, and returns the state that the folder should
+// hold.
 func createFilled(t *testing.T) (string, replica.PersistentState) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "m")
@@ -51,7 +52,8 @@
 	return got, err
 }
 
-// matches reports whether a state is the one of createFilled, but for the data of its entries.
+// matches reports whether a state equals the one of createFilled. It does not compare the data of
+// the entries.
 func matches(got, want replica.PersistentState) bool {
 	return len(got.Incarnations) == 1 && got.Incarnations[0] == want.Incarnations[0] &&
 		len(got.PeerIncarnations) == 2 && got.PeerIncarnations[3] == want.PeerIncarnations[3] &&
@@ -59,8 +61,8 @@
 		got.Snapshot.GetMetadata().GetIndex() == 4 && len(got.Entries) == len(want.Entries)
 }
 
-// TestStore_ReadsWhatWasSaved: what is read is what replica.PersistentState, the simulation's model
-// of a disk, holds.
+// TestStore_ReadsWhatWasSaved: the state that is read equals the result of applying the same
+// batches to a replica.PersistentState, which is the disk of simulations.
 func TestStore_ReadsWhatWasSaved(t *testing.T) {
 	dir, want := createFilled(t)
 	got, err := readState(dir)
@@ -76,10 +78,10 @@
 		}
 	}
 	if err := Create(dir, Identity{}, replica.PersistentState{}); err == nil || !strings.Contains(err.Error(), "already") {
-		t.Errorf("created again: %v", err)
+		t.Errorf("folder created twice: %v", err)
 	}
 	if _, _, _, err := Open(t.TempDir()); err == nil {
-		t.Error("an empty folder was opened")
+		t.Error("an empty folder was opened without an error")
 	}
 }
 
@@ -91,7 +93,7 @@
 	}
 	defer store.Close()
 	if _, _, _, err := Open(dir); !errors.Is(err, boltfile.ErrInUse) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("folder opened twice: %v", err)
 	}
 }
 
@@ -106,6 +108,6 @@
 		t.Fatal(err)
 	}
 	if _, err := readState(dir); err == nil || !strings.Contains(err.Error(), "version 1") {
-		t.Errorf("a newer folder: %v", err)
+		t.Errorf("folder of a newer version: %v", err)
 	}
 }
--- a/internal/coord/disk/write.go
+++ b/internal/coord/disk/write.go
@@ -12,7 +12,7 @@
 	"frostlink/internal/coord/replica"
 )
 
-// endOfLog is past the index of every entry.
+// endOfLog is higher than the index of any entry.
 const endOfLog = math.MaxInt64 + 1
 
 // writeBatch writes a batch in a transaction.
@@ -52,8 +52,8 @@
 		return nil
 	}
 	peers := map[uint64]replica.Incarnation{}
-	// Guards against a damaged value that is taken for a missing one: the marks of all other peers
-	// would be forgotten.
+	// A damaged value is an error. If it were treated as missing, the incarnations of all other
+	// peers would be lost.
 	if _, err := getJSON(meta, peerIncarnationsKey, &peers); err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	return putJSON(meta, peerIncarnationsKey, peers)
 }
 
-// writeEntries replaces the log from the first entry's index on.
+// writeEntries replaces the part of the log that begins at the first entry's index.
 func writeEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -77,11 +77,11 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from one index up to, not including, another.
+// deleteEntries deletes the entries from an index up to, but not including, another index.
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	c := log.Cursor()
 	first := logKey(from)
-	// A cursor has to seek again after a deletion.
+	// A cursor's position is not valid after a deletion, so each step seeks again.
 	for k, _ := c.Seek(first); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Seek(first) {
 		if err := c.Delete(); err != nil {
 			return fmt.Errorf("log: %w", err)
--- a/internal/coord/entry.go
+++ b/internal/coord/entry.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// EntryVersion is the version of an entry's form.
+// EntryVersion is the version of an entry's encoding.
 const EntryVersion = 1
 
 // Entry is one entry of the log.
@@ -15,16 +15,16 @@
 	// Elapsed is the time since the leader's previous entry, on the leader's clock. It is 0 in a
 	// leader's first entry.
 	Elapsed time.Duration `json:"elapsed,omitempty"`
-	// WallMillis is the leader's wall clock in milliseconds since 1970, for people who read the
-	// history.
+	// WallMillis is the leader's wall clock in milliseconds since 1970. It is shown in the history
+	// of leases; the state does not depend on it.
 	WallMillis int64 `json:"wall,omitempty"`
-	// Proposer, Incarnation and ProposalID tell the member that proposed the entry which of its
-	// proposals it was.
+	// Proposer, Incarnation and ProposalID identify the proposal, so that the member that proposed
+	// the entry can complete its commands.
 	Proposer    uint64 `json:"from"`
 	Incarnation uint64 `json:"life"`
 	ProposalID  uint64 `json:"n"`
 	// NewTerm is the term of a new leader in its first entry, which renews all sessions; 0 in any
-	// other.
+	// other entry.
 	NewTerm  uint64    `json:"begin,omitempty"`
 	Commands []Command `json:"commands,omitempty"`
 }
@@ -34,13 +34,14 @@
 	e.Version = EntryVersion
 	raw, err := json.Marshal(e)
 	if err != nil {
-		panic(fmt.Sprintf("coord: an entry that can't be encoded: %v", err)) // all of its types can
+		panic(fmt.Sprintf("coord: encode entry: %v", err)) // can't happen: all its types can be encoded
 	}
 	return raw
 }
 
-// DecodeEntry decodes an entry. An error means another version's entry or damage: the member must
-// stop, since the other members have applied what it would skip.
+// DecodeEntry decodes an entry. An error means that the entry has another version or is damaged.
+// The member must stop then: the other members have applied the entry, and a member that skipped it
+// would have another state.
 func DecodeEntry(raw []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -50,7 +51,7 @@
 		return e, &VersionError{Form: "entry", Version: e.Version, Supported: EntryVersion}
 	}
 	if e.Elapsed < 0 {
-		return e, fmt.Errorf("entry: %v elapsed", e.Elapsed)
+		return e, fmt.Errorf("entry: negative elapsed time %v", e.Elapsed)
 	}
 	return e, nil
 }
--- a/internal/coord/errors.go
+++ b/internal/coord/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// FieldError says what is wrong with one field of a command or of a member.
+// FieldError describes an invalid field of a command or of a member.
 type FieldError struct {
-	Field  string // by its key on the wire; empty: the whole is meant
+	Field  string // its JSON key; empty if the error concerns the whole command or member
 	Reason string
 }
 
@@ -20,7 +20,7 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// VersionError says that a stored form is of a version that this program does not read.
+// VersionError reports stored or sent data of a version that this program does not read.
 type VersionError struct {
 	Form      string // "entry", "snapshot" or "envelope"
 	Version   int
@@ -31,9 +31,9 @@
 	return fmt.Sprintf("%s: version %d; this program reads version %d", e.Form, e.Version, e.Supported)
 }
 
-// SnapshotError says that a snapshot holds a state that no log leads to: it is damaged.
+// SnapshotError reports a damaged snapshot: one whose state can't result from any log.
 type SnapshotError struct {
-	Part   string // of the snapshot
+	Part   string // the part of the snapshot that is damaged
 	Reason string
 }
 
--- a/internal/coord/history.go
+++ b/internal/coord/history.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// EventKind is what became of a lease.
+// EventKind is the kind of a change to a lease.
 type EventKind string
 
 // The kinds of events.
@@ -13,17 +13,17 @@
 	EventGranted     EventKind = "granted"
 	EventReleased    EventKind = "released"
 	EventTransferred EventKind = "handed over"
-	EventRevoking    EventKind = "being revoked" // its holder still may act
-	EventRevoked     EventKind = "revoked"       // and was not released in time
-	EventExpired     EventKind = "ended"         // with its holder's session
-	EventClosed      EventKind = "closed"        // with its holder's session, by the holder
+	EventRevoking    EventKind = "being revoked" // an operator has revoked it; the holder may still act
+	EventRevoked     EventKind = "revoked"       // the holder did not release it before RevokedUntil
+	EventExpired     EventKind = "ended"         // the holder's session expired
+	EventClosed      EventKind = "closed"        // the holder closed its session
 )
 
-// Event is one event of a lease.
+// Event is a change to a lease.
 type Event struct {
-	Index      uint64        `json:"index"` // of the log's entry
-	At         time.Duration `json:"at"`    // of the machine's time
-	WallMillis int64         `json:"wall"`  // of the leader's wall clock, in milliseconds since 1970
+	Index      uint64        `json:"index"` // of the entry in the log
+	At         time.Duration `json:"at"`    // time of the state machine
+	WallMillis int64         `json:"wall"`  // the leader's wall clock, in milliseconds since 1970
 	Lease      string        `json:"lease"`
 	Token      uint64        `json:"token"`
 	Holder     string        `json:"holder"` // the session's name
@@ -31,7 +31,8 @@
 	Reason     string        `json:"reason,omitempty"`
 }
 
-// record adds an event of a lease to the history.
+// record adds an event of a lease to the history, and drops the oldest events when the history is
+// full.
 func (m *Machine) record(l *leaseState, holder string, kind EventKind, reason string) {
 	if len(m.history) >= MaxRetainedEvents {
 		m.history = slices.Clone(m.history[MaxRetainedEvents/compactionDivisor:])
@@ -42,8 +43,8 @@
 	})
 }
 
-// History returns the retained events of a lease, the latest last; those of all leases where the
-// name is empty.
+// History returns the retained events of a lease, or of all leases if the name is empty, the latest
+// last.
 func (m *Machine) History(lease string) []Event {
 	var list []Event
 	for _, e := range m.history {
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// queuedRequest is one place in a lease's queue.
+// queuedRequest is a session's request in the queue of a lease.
 type queuedRequest struct {
 	Session uint64 `json:"session"`
 	Reason  string `json:"reason"`
 }
 
-// leaseState is a lease that is held. A lease without a holder has no state.
+// leaseState is the state of a lease that is held. A lease that is not held has no leaseState.
 type leaseState struct {
 	Name         string          `json:"name"`
 	Holder       uint64          `json:"holder"` // a session's id
 	Reason       string          `json:"reason"`
 	Token        uint64          `json:"token"`
-	Since        time.Duration   `json:"since"`             // of the machine's time
+	Since        time.Duration   `json:"since"`             // time of the grant, in the machine's time
 	Revoked      bool            `json:"revoked,omitempty"` // by an operator: the grant ends with its release, or at RevokedUntil
-	RevokedUntil time.Duration   `json:"free_at,omitempty"` // of the machine's time
+	RevokedUntil time.Duration   `json:"free_at,omitempty"` // in the machine's time
 	Queue        []queuedRequest `json:"queue,omitempty"`   // the next holder first
 }
 
-// acquire grants a lease that is free, and queues the session for one that is not. A session that
-// holds it, or is queued for it, is told so: asking again does not lose its place.
+// acquire grants a lease that is free, and queues the session's request for one that is held. A
+// session that already holds the lease or is queued for it gets its present grant or queue
+// position: a repeated request does not move it to the end of the queue.
 func (m *Machine) acquire(s *session, c *Command) Result {
 	l := m.leases[c.Lease]
 	switch {
@@ -54,7 +55,7 @@
 	return Result{Code: CodeQueued}
 }
 
-// grant gives a lease without a holder to a session, under a token higher than any before.
+// grant grants a lease that has no holder to a session, under a token higher than any before.
 func (m *Machine) grant(l *leaseState, s *session, reason string) {
 	m.lastToken++
 	l.Holder, l.Reason, l.Token, l.Since = s.ID, reason, m.lastToken, m.now
@@ -65,7 +66,7 @@
 
 // endGrant ends a lease's grant, and grants it to the first session in its queue.
 func (m *Machine) endGrant(l *leaseState, kind EventKind, reason string) {
-	holder := fmt.Sprint(l.Holder) // a session that has ended has no name any more
+	holder := fmt.Sprint(l.Holder) // the id, if the session has ended and its name is gone
 	if s := m.sessions[l.Holder]; s != nil {
 		holder = s.Name
 		delete(s.held, l.Name)
@@ -85,8 +86,9 @@
 	m.grant(l, s, next.Reason)
 }
 
-// release ends the session's grant of a lease, or takes the session out of the lease's queue. A
-// release names the grant's token: one that arrives after the lease has passed on changes nothing.
+// release ends the session's grant of a lease, or removes the session from the lease's queue. A
+// release of a grant names the grant's token: if the lease was granted again meanwhile, the late
+// release changes nothing.
 func (m *Machine) release(s *session, c *Command) Result {
 	if queued := s.queued[c.Lease]; c.Token == 0 && queued != nil {
 		m.leaveQueue(s, queued)
@@ -100,8 +102,8 @@
 	return Result{Code: CodeOK}
 }
 
-// transfer ends the session's grant of a lease in favour of the first queued session of a given
-// name.
+// transfer ends the session's grant of a lease, and grants the lease to the first queued session
+// with the given name.
 func (m *Machine) transfer(s *session, c *Command) Result {
 	l := m.leases[c.Lease]
 	if !l.isHeldBy(s, c.Token) {
@@ -122,8 +124,9 @@
 	return l != nil && l.Holder == s.ID && l.Token == token
 }
 
-// revoke revokes a grant. The grant ends when its holder has released it, or else at the holder's
-// present deadline: until then the holder may not have received a result that says so, and may act.
+// revoke revokes a grant. The grant ends when its holder releases it, or else at the holder's
+// present deadline: until then the holder may act, since it may not have received a result that
+// reports the revocation.
 func (m *Machine) revoke(c *Command) Result {
 	l := m.leases[c.Lease]
 	if l == nil || l.Token != c.Token {
@@ -140,14 +143,14 @@
 	return Result{Code: CodeOK}
 }
 
-// leaveAllQueues takes a session out of all queues.
+// leaveAllQueues removes a session from all queues.
 func (m *Machine) leaveAllQueues(s *session) {
 	for _, name := range slices.Sorted(maps.Keys(s.queued)) {
 		m.leaveQueue(s, s.queued[name])
 	}
 }
 
-// leaveQueue takes a session out of a lease's queue.
+// leaveQueue removes a session from a lease's queue.
 func (m *Machine) leaveQueue(s *session, l *leaseState) {
 	l.Queue = slices.DeleteFunc(l.Queue, func(q queuedRequest) bool { return q.Session == s.ID })
 	delete(s.queued, l.Name)
--- a/internal/coord/machine.go
+++ b/internal/coord/machine.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Machine is the replicated state. It is not safe for use by several goroutines.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
 	cluster      string
 	now          time.Duration // sum of the elapsed time of all entries
-	wallMillis   int64         // of the last entry
+	wallMillis   int64         // wall clock of the last entry
 	index        uint64        // of the last entry applied
-	commandIndex uint64        // commands applied so far
+	commandIndex uint64        // number of commands applied so far
 
 	sessions         map[uint64]*session
-	nonces           map[string]uint64 // ids of sessions
-	lastSessionID    uint64            // ids are not used twice
-	earliestDeadline time.Duration     // no session expires before
+	nonces           map[string]uint64 // session ids by nonce
+	lastSessionID    uint64            // the highest id ever assigned; ids are not reused
+	earliestDeadline time.Duration     // lower bound of the deadlines of all sessions
 
-	leases         map[string]*leaseState // those that are held
-	revoked        map[string]*leaseState // those of them that are revoked, and not released yet
+	leases         map[string]*leaseState // by name; only leases that are held
+	revoked        map[string]*leaseState // by name; leases that are revoked and still held
 	lastToken      uint64
 	queuedRequests int // in the queues of all leases
 	history        []Event
@@ -31,13 +31,14 @@
 	valueBytes        int // of all values
 	revision          uint64
 	changes           []Change
-	compactedRevision uint64 // changes up to this revision are not retained
+	compactedRevision uint64 // changes up to this revision have been dropped
 
 	members        map[uint64]Member
-	removedMembers []uint64 // ids, which are not used twice
+	removedMembers []uint64 // ids of removed members, which are not reused
 
-	// changedSessions are those whose leases have changed. They are for hints alone: no result
-	// depends on them, and snapshots are without them.
+	// changedSessions are the sessions whose leases have changed since TakeChangedSessions. They
+	// only serve to notify clients early: no result depends on them, and snapshots don't contain
+	// them.
 	changedSessions map[uint64]bool
 }
 
@@ -56,13 +57,13 @@
 	}
 }
 
-// Cluster returns the id of the cluster that the state belongs to.
+// Cluster returns the name of the cluster that the state belongs to.
 func (m *Machine) Cluster() string { return m.cluster }
 
 // Index returns the index of the last entry applied.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Apply applies the log's entry at an index and returns a result for each of its commands.
+// Apply applies the entry at an index of the log, and returns a result for each of its commands.
 func (m *Machine) Apply(index uint64, e Entry) []Result {
 	m.index = index
 	m.now += e.Elapsed
@@ -104,7 +105,8 @@
 	return r
 }
 
-// applyOnce applies a session's command unless it was applied before.
+// applyOnce applies a session's command unless it was applied before, which its sequence number
+// shows.
 func (m *Machine) applyOnce(s *session, c *Command) Result {
 	switch {
 	case c.Op == OpRenew:
@@ -119,7 +121,7 @@
 	return r
 }
 
-// execute applies a command with an effect.
+// execute applies a command that can change leases or values.
 func (m *Machine) execute(s *session, c *Command) Result {
 	switch c.Op {
 	case OpAcquire:
@@ -132,13 +134,13 @@
 		return m.revoke(c)
 	case OpPut, OpDelete:
 		return m.write(s, c)
-	default: // validate lets no other through
+	default: // can't happen: validate rejects unknown operations
 		return Result{Code: CodeInvalid, Detail: fmt.Sprintf("op: %q is unknown", c.Op)}
 	}
 }
 
 // TakeChangedSessions returns the sessions that were granted a lease, or whose lease was revoked,
-// since the last call. It is for hints alone.
+// since the last call. It only serves to notify their clients early.
 func (m *Machine) TakeChangedSessions() []uint64 {
 	if len(m.changedSessions) == 0 {
 		return nil
@@ -148,8 +150,8 @@
 	return list
 }
 
-// NextExpiry returns how much time may pass before a session or a revoked lease can expire. It is a
-// lower bound.
+// NextExpiry returns a lower bound of the time until a session or the grant of a revoked lease
+// expires.
 func (m *Machine) NextExpiry() time.Duration {
 	next := m.earliestDeadline
 	for _, l := range m.revoked {
--- a/internal/coord/machine_test.go
+++ b/internal/coord/machine_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// log applies commands to a machine, one entry each.
+// log builds the log of a machine: it applies each command in an entry of its own.
 type log struct {
 	tb    testing.TB
 	m     *Machine
@@ -23,7 +23,7 @@
 	return &log{tb: tb, m: New("c"), seq: map[uint64]uint64{}}
 }
 
-// apply applies a command as it is, after some time has elapsed.
+// apply applies a command unchanged, after some time has elapsed.
 func (l *log) apply(elapsed time.Duration, c Command) Result {
 	l.tb.Helper()
 	l.index++
@@ -39,7 +39,7 @@
 	return l.apply(time.Millisecond, Command{Op: OpOpen, Nonce: name, Name: name, TTL: time.Second}).Session
 }
 
-// next applies a command of a session under its next sequence number, a millisecond later.
+// next applies a command of a session under its next sequence number, after 1 ms has elapsed.
 func (l *log) next(session uint64, c Command) Result {
 	l.tb.Helper()
 	l.seq[session]++
@@ -127,16 +127,16 @@
 	l := newLog(t)
 	a := l.open("a")
 	if retried := l.apply(0, Command{Op: OpOpen, Nonce: "a", Name: "a", TTL: time.Second}); retried.Session != a {
-		t.Errorf("a retried open opened session %d beside %d", retried.Session, a)
+		t.Errorf("a retried open opened session %d in addition to session %d", retried.Session, a)
 	}
 	put := Command{Op: OpPut, Session: a, Seq: 1, Key: "k", Value: []byte("1")}
 	first := l.apply(0, put)
 	if retried := l.apply(0, put); first.Code != CodeOK || retried.Code != CodeOK || retried.ModRevision != first.ModRevision {
-		t.Errorf("%+v, and when retried %+v", first, retried)
+		t.Errorf("first result %+v, result of the retry %+v", first, retried)
 	}
 	l.apply(0, Command{Op: OpPut, Session: a, Seq: 2, Key: "k", Value: []byte("2"), ExpectedRevision: first.ModRevision})
 	if stale := l.apply(0, put); stale.Code != CodeStale {
-		t.Errorf("a command before the last one: %+v", stale)
+		t.Errorf("a command with an earlier sequence number: %+v", stale)
 	}
 	if v := l.m.Values("k"); len(v) != 1 || string(v[0].Value) != "2" {
 		t.Errorf("value: %+v", v)
@@ -150,15 +150,15 @@
 	l.next(b, Command{Op: OpAcquire, Lease: "x"})
 	put := Command{Op: OpPut, Key: "k", Lease: "x", Token: token}
 	if r := l.next(a, put); r.Code != CodeOK {
-		t.Fatalf("by the holder: %+v", r)
+		t.Fatalf("put by the holder: %+v", r)
 	}
 	l.next(a, Command{Op: OpRelease, Lease: "x", Token: token})
 	put.ExpectedRevision = l.m.Revision()
 	if r := l.next(a, put); r.Code != CodeNotHeld {
-		t.Errorf("by the previous holder: %+v", r)
+		t.Errorf("put by the previous holder: %+v", r)
 	}
 	if r := l.next(b, put); r.Code != CodeNotHeld {
-		t.Errorf("by the holder, under the previous token: %+v", r)
+		t.Errorf("put by the holder under the previous token: %+v", r)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	for name, c := range map[string]Command{
 		"a long key":   {Op: OpPut, Session: a, Seq: 1 << 20, Key: strings.Repeat("k", MaxNameSize+1)},
-		"a long value": {Op: OpPut, Session: a, Seq: 1 << 20, Key: "k", Value: append(big, 1)}, "no number": {Op: OpAcquire, Session: a, Lease: "x"},
+		"a long value": {Op: OpPut, Session: a, Seq: 1 << 20, Key: "k", Value: append(big, 1)}, "no sequence number": {Op: OpAcquire, Session: a, Lease: "x"},
 		"no operation": {Session: a, Seq: 1 << 20}, "a short session": {Op: OpOpen, Nonce: "n", TTL: time.Millisecond},
 	} {
 		if r := l.apply(0, c); r.Code != CodeInvalid || r.Detail == "" {
@@ -208,23 +208,23 @@
 		version = l.next(a, Command{Op: OpPut, Key: "k", ExpectedRevision: version}).ModRevision
 	}
 	if list, ok := l.m.Changes(version-1, "k"); !ok || len(list) != 1 || list[0].Revision != version {
-		t.Errorf("changes after the last but one: %v, %v", list, ok)
+		t.Errorf("changes after the second last revision: %v, %v", list, ok)
 	}
 	if _, ok := l.m.Changes(1, "k"); ok {
-		t.Error("changes from the beginning are reported as retained")
+		t.Error("changes that were dropped are reported as retained")
 	}
 	restored, err := Restore(l.m.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := restored.Changes(version-1, "k"); ok {
-		t.Error("changes from before a snapshot are reported as retained")
+		t.Error("changes from before the snapshot are reported as retained")
 	}
 }
 
-// TestMachine_InvariantsOfAnyLog: whatever a log holds, a state that was restored from a snapshot
-// at any entry goes on as the one that was not, tokens only grow, every holder and queued request
-// has a session, and no session is in a queue twice.
+// TestMachine_InvariantsOfAnyLog applies random logs. A machine that is restored from a snapshot
+// must behave like the original, tokens must only grow, and every holder and queued request must
+// have a session. No session may be in a queue twice, and nothing may be overdue to expire.
 func TestMachine_InvariantsOfAnyLog(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, index, last := New("c"), uint64(0), uint64(0)
@@ -251,17 +251,17 @@
 			m.Apply(index, e)
 			restored.Apply(index, e)
 			if !bytes.Equal(m.Snapshot(), restored.Snapshot()) {
-				t.Fatalf("after a snapshot:\n%s\nwithout:\n%s", restored.Snapshot(), m.Snapshot())
+				t.Fatalf("state of the restored machine:\n%s\nof the original:\n%s", restored.Snapshot(), m.Snapshot())
 			}
 			if next := m.NextExpiry(); next <= 0 {
-				t.Fatalf("something should have expired %v ago", -next)
+				t.Fatalf("a session or grant should have expired %v ago", -next)
 			}
 			if m.lastToken < last {
-				t.Fatalf("the last token fell from %d to %d", last, m.lastToken)
+				t.Fatalf("the last token decreased from %d to %d", last, m.lastToken)
 			}
 			last = m.lastToken
 			queued := 0
-			for _, l := range m.Leases("") { // panics where a holder or queued request has no session
+			for _, l := range m.Leases("") { // panics if a holder or queued request has no session
 				seen := map[uint64]bool{}
 				for _, q := range m.leases[l.Name].Queue {
 					if seen[q.Session] {
@@ -272,7 +272,7 @@
 				queued += len(l.Queue)
 			}
 			if queued != m.queuedRequests {
-				t.Fatalf("%d requests are queued, and %d are counted", queued, m.queuedRequests)
+				t.Fatalf("%d requests are queued, but %d are counted", queued, m.queuedRequests)
 			}
 		}
 	})
--- a/internal/coord/members.go
+++ b/internal/coord/members.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Member is a process of the service.
+// Member is a process of the coordination service.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Address string `json:"address"`
 	Learner bool   `json:"learner,omitempty"` // replicates the log and has no vote
 }
 
-// AddMember adds a member, or makes a learner a voter.
+// AddMember adds a member, or promotes a learner to a voter.
 func (m *Machine) AddMember(index uint64, member Member) {
 	m.index = index
 	m.members[member.ID] = member
 }
 
-// RemoveMember removes a member for good: its id is not used again.
+// RemoveMember removes a member for good: its id is not reused.
 func (m *Machine) RemoveMember(index uint64, id uint64) {
 	m.index = index
 	delete(m.members, id)
@@ -27,11 +27,11 @@
 	}
 }
 
-// Members returns the members by id.
+// Members returns the members, sorted by id.
 func (m *Machine) Members() []Member { return valuesByKey(m.members) }
 
-// ValidateAdd returns a FieldError where a member can't be added. Members change one at a time: one
-// is added as a learner first, and made a voter later.
+// ValidateAdd returns a FieldError if a member can't be added. A new member is added as a learner
+// first and promoted to a voter later.
 func (m *Machine) ValidateAdd(member Member) error {
 	current, known := m.members[member.ID]
 	switch {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// ValidateRemove returns a FieldError where a member can't be removed.
+// ValidateRemove returns a FieldError if a member can't be removed.
 func (m *Machine) ValidateRemove(id uint64) error {
 	member, known := m.members[id]
 	if !known {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// HasMember reports whether there is a member that is exactly as given.
+// HasMember reports whether the cluster has a member with exactly this id, address and role.
 func (m *Machine) HasMember(member Member) bool { return m.members[member.ID] == member }
 
-// HasMemberID reports whether there is a member of an id.
+// HasMemberID reports whether the cluster has a member with an id.
 func (m *Machine) HasMemberID(id uint64) bool { return m.members[id] != (Member{}) }
--- a/internal/coord/replica/apply.go
+++ b/internal/coord/replica/apply.go
@@ -17,7 +17,7 @@
 	case e.GetType() != raftpb.EntryNormal:
 		return c.applyMemberChange(e)
 	case len(e.GetData()) == 0:
-		return nil // the library's own, at the start of a term
+		return nil // the empty entry that the Raft library appends at the start of a term
 	}
 	entry, err := coord.DecodeEntry(e.GetData())
 	if err != nil {
@@ -34,23 +34,23 @@
 	return nil
 }
 
-// applyMemberChange applies a committed change of the members.
+// applyMemberChange applies a committed membership change.
 func (c *Core) applyMemberChange(e *raftpb.Entry) error {
 	if e.GetType() != raftpb.EntryConfChangeV2 {
-		return fmt.Errorf("a change of members of an unknown kind (%v)", e.GetType())
+		return fmt.Errorf("membership change: unknown entry type %v", e.GetType())
 	}
 	var confChange raftpb.ConfChangeV2
 	if err := proto.Unmarshal(e.GetData(), &confChange); err != nil {
-		return fmt.Errorf("change of members: %w", err)
+		return fmt.Errorf("membership change: %w", err)
 	}
 	c.confState = c.node.ApplyConfChange(&confChange)
 	c.membersChanged = true
 	if len(confChange.GetContext()) == 0 {
-		return nil // the library's own: it leaves a joint configuration
+		return nil // the Raft library's own change, which leaves a joint configuration
 	}
 	var change memberChange
 	if err := json.Unmarshal(confChange.GetContext(), &change); err != nil {
-		return fmt.Errorf("change of members: %w", err)
+		return fmt.Errorf("membership change: %w", err)
 	}
 	if change.Add != nil {
 		c.machine.AddMember(e.GetIndex(), *change.Add)
--- a/internal/coord/replica/config.go
+++ b/internal/coord/replica/config.go
@@ -4,36 +4,39 @@
 type Config struct {
 	Cluster string
 	ID      uint64
-	Peers   []uint64 // the voters that a new member knows before it has a log
-	Seed    uint64   // for election timeouts
+	Peers   []uint64 // voters of the cluster, for a new member whose log does not contain them yet
+	Seed    uint64   // for random election timeouts
 	Nonce   uint64   // of this incarnation
 
-	ElectionTicks    int    // shortest election timeout; the longest is less than twice as many
-	HeartbeatTicks   int    // between a leader's heartbeats
-	SnapshotInterval uint64 // entries applied between snapshots
-	RetainedEntries  uint64 // entries retained before a snapshot, for members that lag
+	ElectionTicks    int    // shortest election timeout; the longest is less than twice as long
+	HeartbeatTicks   int    // ticks between a leader's heartbeats
+	SnapshotInterval uint64 // number of entries applied between snapshots
+	RetainedEntries  uint64 // number of entries before a snapshot that are kept for members that lag behind
 }
 
 const (
-	// maxQueuedProposals bounds the commands, and the reads, that wait for their round; more are
-	// rejected.
+	// maxQueuedProposals bounds the queued commands, and separately the pending reads; further ones
+	// are rejected.
 	maxQueuedProposals = 8192
 	// maxBatchCommands bounds the commands of one entry.
 	maxBatchCommands = 512
-	// maxMessageBytes bounds the entries of one message, about.
+	// maxMessageBytes is the approximate limit of the total size of the entries in one Raft
+	// message.
 	maxMessageBytes = 1 << 20
-	// maxReadyMessages and maxUncommittedMessages bound, in such messages, what one round applies
-	// and what is in flight without being committed.
+	// maxReadyMessages limits the entries that one round applies, and maxUncommittedMessages the
+	// entries that are proposed but not committed. Both are multiples of maxMessageBytes.
 	maxReadyMessages, maxUncommittedMessages = 4, 64
-	// maxInFlightMessages bounds the messages to one member that are not acknowledged.
+	// maxInFlightMessages bounds the unacknowledged messages to one member.
 	maxInFlightMessages = 256
-	// maxVoterLag is how many entries a learner may lag behind to become a voter.
+	// maxVoterLag is the number of entries that a learner may lag behind when it is promoted to a
+	// voter.
 	maxVoterLag = 100
-	// announceTicks is between announcements to a member that has not acknowledged this
-	// incarnation.
+	// announceTicks is the number of ticks between announcements to a member that has not
+	// acknowledged this incarnation.
 	announceTicks = 5
 )
 
 // MaxIncarnations bounds the incarnations that a member remembers. A peer that was unreachable
-// during more starts than that takes the member's disk for an old one.
+// during more restarts than that finds the incarnation that it has on disk missing from the list,
+// and reports this member's disk as stale.
 const MaxIncarnations = 1024
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -11,65 +11,65 @@
 	"frostlink/internal/coord"
 )
 
-// Completion is the end of a command or read that was accepted under a tag.
+// Completion is the result of a command or read that was accepted under a tag.
 type Completion struct {
 	Tag            uint64
 	Result         coord.Result // of a command
-	Read           bool         // a read: the state is now no older than the read
-	OutcomeUnknown bool         // the member leads no more: the command may be applied or not
+	Read           bool         // it was a read: the state machine is now no older than the read
+	OutcomeUnknown bool         // the member is not the leader any more: the command may or may not be applied
 }
 
-// Output is what may leave the member once its WriteBatch is saved.
+// Output is the data that the member may send once its WriteBatch is saved.
 type Output struct {
 	Messages        []Envelope
 	Completions     []Completion
-	ChangedSessions []uint64 // at a leader: sessions that were granted a lease, or whose lease was revoked
+	ChangedSessions []uint64 // of a leader: sessions that were granted a lease, or whose lease was revoked
 }
 
 func (o *Output) empty() bool {
 	return len(o.Messages)+len(o.Completions)+len(o.ChangedSessions) == 0
 }
 
-// Core is a member. It is not safe for use by several goroutines.
+// Core is a member without its I/O. It is not safe for concurrent use.
 type Core struct {
 	cfg  Config
 	rand *rand.Rand
 
-	// Consensus and the state that it replicates.
-	storage       *raft.MemoryStorage // mirrors what is on disk
+	// Consensus and the replicated state.
+	storage       *raft.MemoryStorage // in-memory copy of the log, term and vote on disk
 	node          *raft.RawNode
 	machine       *coord.Machine
 	confState     *raftpb.ConfState
 	applied       uint64
 	snapshotIndex uint64
-	// membersChanged asks for a snapshot: one in which a member is missing is of no use to that
-	// member.
+	// membersChanged requests a snapshot. A member needs a snapshot that lists it as a member: one
+	// from before it joined is of no use to it.
 	membersChanged bool
 
 	incarnations incarnationTracker
-	failed       error // set for good: this member must not go on
+	failed       error // once set, the member has stopped for good
 
 	// Leadership.
 	leading          bool
 	term             uint64
 	leader           uint64        // 0: not known
-	lastProposal     time.Duration // when this leader's last entry was proposed, by its clock
-	ticksSinceLeader int           // ticks since a leader was heard from
-	electionTimeout  int           // of such ticks
-
-	// Commands and reads without a completion.
-	proposalID uint64              // of the last entry that was proposed
-	queue      []queuedCommand     // for the next entry
-	proposed   map[uint64][]uint64 // tags of commands by their entry's proposal id
+	lastProposal     time.Duration // when this leader proposed its last entry, on its own clock
+	ticksSinceLeader int           // since a message from a leader arrived
+	electionTimeout  int           // in ticks
+
+	// Commands and reads that are not completed.
+	proposalID uint64              // of the last proposed entry
+	queue      []queuedCommand     // commands for the next entry
+	proposed   map[uint64][]uint64 // tags of the commands of each proposed entry, by proposal id
 	reads      []pendingRead
 
-	// What the next round saves and sends.
+	// Data that the next round saves and sends.
 	pendingWrite WriteBatch
 	outbox       []Envelope
 	completions  []Completion
 }
 
-// New starts a member from its disk. An error means that the disk can't be used.
+// New starts a member from its persistent state. It returns an error if that state can't be used.
 func New(cfg Config, state PersistentState) (*Core, error) {
 	c := &Core{
 		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, cfg.ID)), storage: raft.NewMemoryStorage(),
@@ -87,7 +87,7 @@
 		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: maxReadyMessages * maxMessageBytes,
 		MaxInflightMsgs: maxInFlightMessages, MaxUncommittedEntriesSize: maxUncommittedMessages * maxMessageBytes,
 		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe,
-		// A command carries its leader's time, so a follower must not forward it.
+		// A command is proposed with the leader's time, so a follower must not forward it.
 		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: silentLogger{},
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 	return c, nil
 }
 
-// load loads what is on disk into memory.
+// load loads the persistent state into memory.
 func (c *Core) load(state PersistentState) error {
 	if state.Snapshot != nil {
 		if err := c.installSnapshot(state.Snapshot); err != nil {
@@ -107,7 +107,7 @@
 	}
 	if state.HardState != nil {
 		c.term = state.HardState.GetTerm()
-		_ = c.storage.SetHardState(state.HardState) // always nil
+		_ = c.storage.SetHardState(state.HardState) // always returns nil
 	}
 	if err := c.storage.Append(state.Entries); err != nil {
 		return fmt.Errorf("log: %w", err)
@@ -115,15 +115,15 @@
 	return nil
 }
 
-// Machine returns the state machine, as far as the log is applied. It must be read between calls
-// only: a snapshot from another member replaces it.
+// Machine returns the state machine, with all committed entries known so far applied. Callers must
+// not keep it across calls of Core's methods: a snapshot from another member replaces it.
 func (c *Core) Machine() *coord.Machine { return c.machine }
 
-// Leadership reports whether this member believes to lead, and whom else it believes to lead (0:
-// nobody).
+// Leadership reports whether this member believes that it is the leader, and the id of the leader
+// that it knows (0: none).
 func (c *Core) Leadership() (leading bool, leader uint64) { return c.leading, c.leader }
 
-// Tick advances the member's clock by a tick.
+// Tick advances the member's clock by one tick.
 func (c *Core) Tick() {
 	if c.failed != nil {
 		return
@@ -136,12 +136,12 @@
 		c.node.Tick()
 		return
 	}
-	// Not Tick: the library would time elections by the machine's randomness, which no seed can
-	// replay.
+	// TickQuiesced instead of Tick: the library would choose election timeouts with its own random
+	// generator, which no seed can replay.
 	c.node.TickQuiesced()
 	if c.ticksSinceLeader++; c.ticksSinceLeader >= c.electionTimeout {
 		c.resetElectionTimer()
-		_ = c.node.Campaign() // fails only for a member that is no voter, which then does not campaign
+		_ = c.node.Campaign() // fails only for a member that is not a voter, and which does not campaign then
 	}
 }
 
--- a/internal/coord/replica/envelope.go
+++ b/internal/coord/replica/envelope.go
@@ -8,23 +8,23 @@
 	"frostlink/internal/coord"
 )
 
-// EnvelopeVersion is the version of an envelope's form.
+// EnvelopeVersion is the version of an envelope's encoding.
 const EnvelopeVersion = 1
 
 // Kind is the kind of an envelope.
 type Kind byte
 
-// The kinds. Subject is the incarnation that the last two are about, one of the receiver.
+// The kinds. In the last two, Subject is an incarnation of the receiver.
 const (
-	KindRaft        Kind = iota + 1 // Body is a message of Raft
-	KindAnnounce                    // the sender announces its incarnation; Body is its history
+	KindRaft        Kind = iota + 1 // Body is a message of the Raft library
+	KindAnnounce                    // the sender announces its incarnation; Body lists all its incarnations
 	KindAcknowledge                 // the sender has Subject on disk as the receiver's incarnation
-	KindStale                       // the sender knows Subject as a later incarnation of the receiver
+	KindStale                       // the sender has Subject on disk as a later incarnation of the receiver
 )
 
-// Envelope is one message between members.
+// Envelope is a message between members.
 //
-// Its form, with all numbers big-endian:
+// Its encoding, with all numbers big-endian:
 //
 //	version      1 byte
 //	kind         1 byte
@@ -44,16 +44,16 @@
 	Body        []byte
 }
 
-// The sizes of an envelope's parts.
+// The parts of an encoded envelope.
 const (
-	envelopeNumbers = 6                         // of 8 bytes each, behind version and kind
-	envelopeMinSize = 2 + 8*envelopeNumbers + 1 // without the cluster's name and the body
+	envelopeNumbers = 6                         // numbers of 8 bytes each, after version and kind
+	envelopeMinSize = 2 + 8*envelopeNumbers + 1 // in bytes, without the cluster's name and the body
 )
 
-// errEnvelopeTruncated says that an envelope is shorter than it says.
+// errEnvelopeTruncated reports an envelope that ends before its last field.
 var errEnvelopeTruncated = errors.New("envelope: cut off")
 
-// Encode returns an envelope's bytes.
+// Encode encodes an envelope.
 func (e Envelope) Encode() []byte {
 	raw := make([]byte, 0, envelopeMinSize+len(e.Cluster)+len(e.Body))
 	raw = append(raw, EnvelopeVersion, byte(e.Kind))
--- a/internal/coord/replica/errors.go
+++ b/internal/coord/replica/errors.go
@@ -5,15 +5,17 @@
 	"fmt"
 )
 
-// ErrNotLeader is returned by proposals to a member that does not lead.
+// ErrNotLeader is returned for a membership change that is proposed to a member that is not the
+// leader.
 var ErrNotLeader = errors.New("this member does not lead")
 
-// StaleDiskError says that a member's disk lacks an incarnation that another member knows: the disk
-// was lost or set back, and the member has forgotten what it promised.
+// StaleDiskError reports that this member's disk was lost or set back to an old copy: it lacks an
+// incarnation of this member that another member has on disk, so it may also lack votes and entries
+// that this member has acknowledged.
 type StaleDiskError struct {
-	Peer  uint64 // the member that knows the other incarnation
-	Known uint64 // the number of that incarnation
-	Own   uint64 // the number of this member's incarnation
+	Peer  uint64 // the member that has the missing incarnation on disk
+	Known uint64 // number of the missing incarnation
+	Own   uint64 // number of this member's present incarnation
 }
 
 func (e *StaleDiskError) Error() string {
@@ -21,14 +23,14 @@
 		"remove it, and let a new one join under another id", e.Peer, e.Known, e.Own)
 }
 
-// NotCaughtUpError says that a learner lacks too much of the log to become a voter.
+// NotCaughtUpError reports that a learner lags too far behind the log to become a voter.
 type NotCaughtUpError struct{ Member uint64 }
 
 func (e *NotCaughtUpError) Error() string {
 	return fmt.Sprintf("member %d has not caught up with the log yet", e.Member)
 }
 
-// ProposalError says that the Raft library did not accept a change of members.
+// ProposalError reports that the Raft library rejected a membership change.
 type ProposalError struct{ Err error }
 
 func (e *ProposalError) Error() string { return e.Err.Error() }
@@ -36,9 +38,9 @@
 // Unwrap returns the library's error.
 func (e *ProposalError) Unwrap() error { return e.Err }
 
-// ClusterError says that a snapshot is another cluster's.
+// ClusterError reports a snapshot of another cluster.
 type ClusterError struct{ Snapshot, Own string }
 
 func (e *ClusterError) Error() string {
-	return fmt.Sprintf("snapshot: of cluster %q, not %q", e.Snapshot, e.Own)
+	return fmt.Sprintf("snapshot: belongs to cluster %q, not %q", e.Snapshot, e.Own)
 }
--- a/internal/coord/replica/incarnation.go
+++ b/internal/coord/replica/incarnation.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Incarnation identifies one run of a member. Its number is one more than that of the run before,
-// by the member's own disk. The nonce tells apart two runs that were started from copies of the
-// same disk.
+// Incarnation identifies one run of a member. Its number is one higher than that of the previous
+// run, as recorded on the member's own disk. The nonce distinguishes two runs that were started
+// from copies of the same disk.
 type Incarnation struct {
 	Number uint64 `json:"number"`
 	Nonce  uint64 `json:"nonce"`
 }
 
-// after reports whether an incarnation is a later one than another of the same member, by their
-// numbers.
+// after reports whether an incarnation has a higher number than another incarnation of the same
+// member.
 func (i Incarnation) after(other Incarnation) bool { return i.Number > other.Number }
 
 // incarnationBytes is the size of an encoded incarnation.
@@ -31,7 +31,7 @@
 	return raw
 }
 
-// decodeIncarnations decodes a list; an incomplete last one is ignored.
+// decodeIncarnations decodes a list of incarnations. It ignores an incomplete one at the end.
 func decodeIncarnations(raw []byte) []Incarnation {
 	var list []Incarnation
 	for ; len(raw) >= incarnationBytes; raw = raw[incarnationBytes:] {
@@ -40,17 +40,18 @@
 	return list
 }
 
-// incarnationTracker is what a member knows of its own incarnations and those of its peers.
+// incarnationTracker tracks a member's own incarnations and those of its peers.
 type incarnationTracker struct {
 	own          Incarnation
-	history      []Incarnation          // of this member, the present one last
-	peers        map[uint64]Incarnation // the latest one known of each other member
-	acknowledged map[uint64]bool        // others that have this one on disk
-	announced    bool                   // those and this member are a majority: it takes part in consensus
+	history      []Incarnation          // all incarnations of this member, the present one last
+	peers        map[uint64]Incarnation // latest known incarnation of each other member
+	acknowledged map[uint64]bool        // members that have the present incarnation on disk
+	announced    bool                   // a majority of voters, with this member, has it on disk: the member takes part in consensus
 	ticks        int
 }
 
-// newIncarnationTracker begins a new incarnation of the member to which a disk belongs.
+// newIncarnationTracker starts a new incarnation of the member to which the persistent state
+// belongs.
 func newIncarnationTracker(cfg Config, state PersistentState) incarnationTracker {
 	t := incarnationTracker{
 		own:          Incarnation{Number: 1, Nonce: cfg.Nonce},
@@ -69,8 +70,9 @@
 	return t
 }
 
-// announcementTargets returns the other members, which are to know this one's incarnation, and how
-// many voters of them have to before it takes part in consensus.
+// announcementTargets returns the ids of the other members, to which this member announces its
+// incarnation, and the number of voters among them that have to acknowledge the incarnation before
+// this member takes part in consensus.
 func (c *Core) announcementTargets() (ids []uint64, needed int) {
 	voters := slices.Concat(c.confState.GetVoters(), c.confState.GetVotersOutgoing())
 	if len(voters) == 0 {
@@ -108,7 +110,7 @@
 	}
 }
 
-// announceAgain repeats the announcement every few ticks: it may have been lost.
+// announceAgain repeats the announcement every announceTicks ticks, since it may have been lost.
 func (c *Core) announceAgain() {
 	c.incarnations.ticks++
 	if c.incarnations.ticks%announceTicks == 0 {
@@ -116,26 +118,27 @@
 	}
 }
 
-// acceptIncarnation reports whether an envelope's sender is in the incarnation that is known of it,
-// or announces a later one that follows on that. It answers a sender that does neither.
+// acceptIncarnation reports whether messages of an envelope's sender are accepted. The sender must
+// be in its latest known incarnation, or announce a later one whose list contains the known one. A
+// sender whose message or disk is stale gets a KindStale reply.
 func (c *Core) acceptIncarnation(e Envelope) bool {
 	known := c.incarnations.peers[e.From]
 	switch {
 	case e.Incarnation == known:
 		return true
 	case e.Incarnation.after(known) && e.Kind != KindAnnounce:
-		return false // it announces this incarnation until that is acknowledged
+		return false // the sender repeats its announcement until this member acknowledges it
 	case e.Incarnation.after(known) && (known == Incarnation{} || slices.Contains(decodeIncarnations(e.Body), known)):
 		c.rememberPeer(e.From, e.Incarnation)
 		return true
 	}
-	// The message is of an earlier incarnation, or the sender's disk does not know the one that is
-	// known here.
+	// The message comes from an earlier incarnation, or the sender's disk lacks the incarnation
+	// that is known here.
 	c.send(Envelope{To: e.From, Kind: KindStale, Subject: known})
 	return false
 }
 
-// rememberPeer notes a peer's incarnation, and has the next round save it.
+// rememberPeer records a peer's incarnation. The next round saves it.
 func (c *Core) rememberPeer(id uint64, incarnation Incarnation) {
 	c.incarnations.peers[id] = incarnation
 	if c.pendingWrite.PeerIncarnations == nil {
@@ -144,8 +147,9 @@
 	c.pendingWrite.PeerIncarnations[id] = incarnation
 }
 
-// handleIncarnationReply handles another member's reply about this one's incarnations. It counts
-// whatever the other's own incarnation is: a member whose disk was set back does not know that one.
+// handleIncarnationReply handles another member's reply about this member's incarnations. The reply
+// is accepted whatever the sender's own incarnation is: a member whose disk was set back does not
+// know its peers' latest incarnations.
 func (c *Core) handleIncarnationReply(e Envelope) {
 	switch {
 	case e.Kind == KindAcknowledge && e.Subject == c.incarnations.own:
--- a/internal/coord/replica/leadership.go
+++ b/internal/coord/replica/leadership.go
@@ -8,14 +8,14 @@
 	"frostlink/internal/coord"
 )
 
-// resetElectionTimer begins a new wait for a leader, of a random length.
+// resetElectionTimer restarts the election timer with a new random timeout.
 func (c *Core) resetElectionTimer() {
 	c.ticksSinceLeader, c.electionTimeout = 0, c.cfg.ElectionTicks+c.rand.IntN(c.cfg.ElectionTicks)
 }
 
-// updateLeadership notes who leads. A new leader's time begins with its term, and its first entry
-// renews all sessions. A member that leads no more can't know what becomes of the commands that it
-// has accepted.
+// updateLeadership records the current leader. When this member becomes the leader, elapsed time is
+// counted from now, and its first entry renews all sessions. When it stops being the leader, the
+// outcome of its accepted commands is unknown to it.
 func (c *Core) updateLeadership(ready *raft.Ready, now time.Duration, wallMillis int64) {
 	if ready.HardState != nil && ready.GetTerm() != c.term {
 		c.term = ready.GetTerm()
@@ -37,7 +37,7 @@
 	c.resetElectionTimer()
 }
 
-// TransferLeadership asks another voter to lead, before this one stops.
+// TransferLeadership asks another voter to become the leader, before this member stops.
 func (c *Core) TransferLeadership() {
 	if !c.leading {
 		return
--- a/internal/coord/replica/membership.go
+++ b/internal/coord/replica/membership.go
@@ -9,14 +9,14 @@
 	"frostlink/internal/coord"
 )
 
-// memberChange is the context of an entry that changes the members: what the state machine has to
-// know beside Raft's own part of it.
+// memberChange is the context of an entry that changes the members. It holds the data that the
+// state machine needs in addition to Raft's own configuration change.
 type memberChange struct {
 	Add    *coord.Member `json:"join,omitempty"`
 	Remove uint64        `json:"leave,omitempty"`
 }
 
-// AddMember proposes to add a learner, or to make one a voter.
+// AddMember proposes to add a learner, or to promote a learner to a voter.
 func (c *Core) AddMember(m coord.Member) error {
 	if err := c.machine.ValidateAdd(m); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	}
 	context, err := json.Marshal(change)
 	if err != nil {
-		return fmt.Errorf("member change: %w", err)
+		return fmt.Errorf("membership change: %w", err)
 	}
 	err = c.node.ProposeConfChange(&raftpb.ConfChangeV2{
 		Context: context,
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// hasCaughtUp reports whether a member has all but the last entries of the log.
+// hasCaughtUp reports whether a member lacks at most maxVoterLag entries of the log.
 func (c *Core) hasCaughtUp(id uint64) bool {
 	progress, ok := c.node.Status().Progress[id]
 	return ok && progress.Match > 0 && progress.Match+maxVoterLag >= c.applied
--- a/internal/coord/replica/proposal.go
+++ b/internal/coord/replica/proposal.go
@@ -8,20 +8,20 @@
 	"frostlink/internal/coord"
 )
 
-// queuedCommand is a command that is not in an entry yet.
+// queuedCommand is a command that has not been proposed yet.
 type queuedCommand struct {
 	tag     uint64
 	command coord.Command
 }
 
-// pendingRead is a read without a completion.
+// pendingRead is a read that has not completed.
 type pendingRead struct {
 	tag   uint64
-	index uint64 // to be applied before the read completes; 0: no majority has confirmed the leader yet
+	index uint64 // the read completes once this index is applied; 0: no majority has confirmed the leader yet
 }
 
-// Propose accepts a command for the log. It reports false, and does nothing, where the member does
-// not lead or has too many queued.
+// Propose queues a command for the log. It reports false, and does nothing, if the member is not
+// the leader or its queue is full.
 func (c *Core) Propose(tag uint64, command coord.Command) bool {
 	if !c.leading || c.failed != nil || len(c.queue) >= maxQueuedProposals {
 		return false
@@ -30,8 +30,8 @@
 	return true
 }
 
-// ReadIndex asks for a moment at which the state is no older than this call. It reports false where
-// the member does not lead or has too many reads pending.
+// ReadIndex starts a read, which completes once the state machine is no older than this call. It
+// reports false if the member is not the leader or has too many pending reads.
 func (c *Core) ReadIndex(tag uint64) bool {
 	if !c.leading || c.failed != nil || len(c.reads) >= maxQueuedProposals {
 		return false
@@ -41,9 +41,9 @@
 	return true
 }
 
-// proposeQueued proposes the queued commands with the time elapsed since the entry before. The
-// clock was read after the commands were received: a renewal counts from no earlier than it was
-// sent.
+// proposeQueued proposes the queued commands, with the time elapsed since the previous entry. The
+// clock was read after the commands were received, so a renewal counts from no earlier than the
+// client sent it, and the session never expires before the client's own deadline.
 func (c *Core) proposeQueued(now time.Duration, wallMillis int64) {
 	for c.leading && len(c.queue) > 0 {
 		batch := c.queue[:min(len(c.queue), maxBatchCommands)]
@@ -54,7 +54,7 @@
 			tags = append(tags, q.tag)
 		}
 		if !c.proposeEntry(e, wallMillis) {
-			return // leadership is being transferred: they stay queued, and complete as unknown with its end
+			return // leadership is being transferred: the commands stay queued, and complete as OutcomeUnknown when it is lost
 		}
 		c.lastProposal = now
 		c.proposed[c.proposalID] = tags
@@ -69,8 +69,9 @@
 	return c.node.Propose(e.Encode()) == nil
 }
 
-// AdvanceTime lets time pass in the state machine although no command has come, where a session may
-// expire by it. It is to be called several times a second.
+// AdvanceTime proposes an entry without commands, which only advances the state machine's time, if
+// a session or revoked grant may expire by now and no command is queued. It is to be called several
+// times a second.
 func (c *Core) AdvanceTime(now time.Duration, wallMillis int64) {
 	elapsed := now - c.lastProposal
 	if !c.leading || len(c.queue) > 0 || elapsed < c.machine.NextExpiry() {
@@ -81,8 +82,7 @@
 	}
 }
 
-// completeAllUnknown completes all commands and reads that are pending: the commands may be applied
-// or not.
+// completeAllUnknown completes all pending commands and reads as OutcomeUnknown.
 func (c *Core) completeAllUnknown() {
 	var tags []uint64
 	for _, list := range c.proposed {
--- a/internal/coord/replica/raftlog.go
+++ b/internal/coord/replica/raftlog.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// silentLogger is the Raft library's logger. What the library would log is in Status; what it can't
-// go on after ends the process.
+// silentLogger is the Raft library's logger. It discards messages, since Status shows the same
+// state, and panics on errors after which the library can't continue.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)            {}
--- a/internal/coord/replica/ready.go
+++ b/internal/coord/replica/ready.go
@@ -9,12 +9,13 @@
 	"go.etcd.io/raft/v3"
 )
 
-// ProcessReady does one round: it saves what the member has decided, and only then sends what
-// depends on it. It reports false where there was nothing to do. A failed save ends the member:
-// what it has in memory is not on disk.
+// ProcessReady does one round: it saves the changes to the persistent state, and only then sends
+// the messages and completions that depend on them. It reports false if there was nothing to do. A
+// failed save stops the member for good, since its memory and its disk differ then.
 //
-// now is the time on the boot-time clock, read after the events were received: a renewal counts
-// from no earlier than it was sent. wallMillis is for people.
+// now is the time on the boot-time clock, read after the events were received: so a renewal counts
+// from no earlier than the client sent it. wallMillis is the wall clock, which is only shown to
+// operators.
 func (c *Core) ProcessReady(now time.Duration, wallMillis int64, save func(WriteBatch) error, send func(Output)) (bool, error) {
 	if c.failed != nil {
 		return false, c.failed
@@ -44,7 +45,7 @@
 	return !batch.empty() || !output.empty() || len(ready.CommittedEntries) > 0, c.failed
 }
 
-// takeWriteBatch returns what has to be on disk before anything that depends on it is sent.
+// takeWriteBatch returns the changes that have to be on disk before the round sends anything.
 func (c *Core) takeWriteBatch(ready *raft.Ready) WriteBatch {
 	batch := c.pendingWrite
 	c.pendingWrite = WriteBatch{}
@@ -55,7 +56,7 @@
 	return batch
 }
 
-// persist saves a batch, if there is anything in it.
+// persist saves a batch unless it is empty.
 func (c *Core) persist(batch WriteBatch, save func(WriteBatch) error) error {
 	if batch.empty() {
 		return nil
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// apply takes over what is on disk now, and applies what is committed.
+// apply updates the in-memory state after the save, and applies the committed entries.
 func (c *Core) apply(ready *raft.Ready, now time.Duration, wallMillis int64) error {
 	if err := c.mirrorSaved(ready); err != nil {
 		return err
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// mirrorSaved brings the storage in memory up to what is on disk.
+// mirrorSaved updates the in-memory storage with the saved snapshot, term, vote and entries.
 func (c *Core) mirrorSaved(ready *raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := c.installSnapshot(ready.Snapshot); err != nil {
@@ -90,7 +91,7 @@
 		}
 	}
 	if ready.HardState != nil {
-		_ = c.storage.SetHardState(ready.HardState) // always nil
+		_ = c.storage.SetHardState(ready.HardState) // always returns nil
 	}
 	if err := c.storage.Append(ready.Entries); err != nil {
 		return fmt.Errorf("log: %w", err)
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// completeReads completes the reads whose index is confirmed by a majority and applied.
+// completeReads completes the reads whose index a majority has confirmed and whose index is
+// applied.
 func (c *Core) completeReads(confirmed []raft.ReadState) {
 	for _, state := range confirmed {
 		tag := binary.BigEndian.Uint64(state.RequestCtx)
@@ -117,7 +119,7 @@
 	})
 }
 
-// takeOutput returns what may be sent now that it is on disk.
+// takeOutput returns the messages and completions that may be sent now that the state is on disk.
 func (c *Core) takeOutput(ready *raft.Ready) Output {
 	for _, m := range ready.Messages {
 		c.sendRaft(m)
--- a/internal/coord/replica/receive.go
+++ b/internal/coord/replica/receive.go
@@ -27,7 +27,7 @@
 	c.stepRaft(e)
 }
 
-// stepRaft passes a message of Raft to the library. It is ignored while this incarnation is not
+// stepRaft passes a Raft message to the library. Messages are ignored until this incarnation is
 // announced.
 func (c *Core) stepRaft(e Envelope) {
 	var m raftpb.Message
@@ -40,21 +40,21 @@
 			c.ticksSinceLeader = 0
 		}
 	case raftpb.MsgProp, raftpb.MsgReadIndex, raftpb.MsgReadIndexResp:
-		return // members forward nothing
+		return // members do not forward proposals or reads
 	default:
 	}
-	_ = c.node.Step(&m) // an error: the sender is no member (any more), or leads no more
+	_ = c.node.Step(&m) // an error means that the sender is not a member or not the leader any more
 }
 
-// sendRaft sends a message of Raft.
+// sendRaft sends a Raft message.
 func (c *Core) sendRaft(m *raftpb.Message) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("replica: a message that can't be encoded: %v", err)) // the library made it
+		panic(fmt.Sprintf("replica: encode Raft message: %v", err)) // can't happen: the library created it
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		// Whether it arrives is not watched: the library goes on probing, and sends another one if
-		// need be.
+		// The snapshot is reported as delivered at once, without waiting for its arrival: if it is
+		// lost, the library notices by its probes and sends another one.
 		c.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 	c.send(Envelope{To: m.GetTo(), Kind: KindRaft, Body: raw})
--- a/internal/coord/replica/snapshot.go
+++ b/internal/coord/replica/snapshot.go
@@ -8,7 +8,8 @@
 	"frostlink/internal/coord"
 )
 
-// installSnapshot replaces the state by a snapshot's, from disk or from the leader.
+// installSnapshot replaces the state with that of a snapshot, which comes from disk or from the
+// leader.
 func (c *Core) installSnapshot(s *raftpb.Snapshot) error {
 	if err := c.storage.ApplySnapshot(s); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -26,8 +27,8 @@
 	return nil
 }
 
-// createSnapshotIfDue creates a snapshot, for the next round to save, when enough was applied since
-// the last one or the members have changed.
+// createSnapshotIfDue creates a snapshot if SnapshotInterval entries were applied since the last
+// one, or if the members have changed. The next round saves it.
 func (c *Core) createSnapshotIfDue() {
 	if c.applied < c.snapshotIndex+c.cfg.SnapshotInterval && !c.membersChanged {
 		return
@@ -43,14 +44,14 @@
 	c.compactLog()
 }
 
-// compactLog drops the entries before the snapshot, but for those that are retained for members
-// that lag.
+// compactLog drops the entries before the snapshot, except the last RetainedEntries, which are kept
+// for members that lag behind.
 func (c *Core) compactLog() {
 	if c.applied <= c.cfg.RetainedEntries {
 		return
 	}
 	compacted := c.applied - c.cfg.RetainedEntries
-	if c.storage.Compact(compacted) == nil { // it fails where the log is compacted further already
+	if c.storage.Compact(compacted) == nil { // fails if the log is already compacted beyond this index
 		c.pendingWrite.FirstIndex = compacted + 1
 	}
 }
--- a/internal/coord/replica/state.go
+++ b/internal/coord/replica/state.go
@@ -9,24 +9,25 @@
 	"frostlink/internal/coord"
 )
 
-// PersistentState is what a member has on disk.
+// PersistentState is a member's state on disk.
 type PersistentState struct {
 	Incarnations     []Incarnation          // of this member, the latest last; at most MaxIncarnations
-	PeerIncarnations map[uint64]Incarnation // the latest one known of each other member
+	PeerIncarnations map[uint64]Incarnation // latest known incarnation of each other member
 	HardState        *raftpb.HardState
 	Snapshot         *raftpb.Snapshot
-	Entries          []*raftpb.Entry // consecutive
+	Entries          []*raftpb.Entry // with consecutive indexes
 }
 
-// WriteBatch is what has to be on disk, all of it or nothing, before what depends on it is sent.
+// WriteBatch is a set of changes to the persistent state. It has to be saved, completely or not at
+// all, before messages or results that depend on it are sent.
 type WriteBatch struct {
-	Incarnations     []Incarnation          // replace those on disk
-	PeerIncarnations map[uint64]Incarnation // replace those on disk of the same members
+	Incarnations     []Incarnation          // replace the incarnations on disk; empty: no change
+	PeerIncarnations map[uint64]Incarnation // replace those of the same peers on disk
 	HardState        *raftpb.HardState
 	Snapshot         *raftpb.Snapshot // replaces the one on disk
-	Entries          []*raftpb.Entry  // replace all from the first one's index on
-	FirstIndex       uint64           // entries before this index may be deleted; 0: none
-	ReplaceLog       bool             // the snapshot came from another member: the entries on disk do not count any more
+	Entries          []*raftpb.Entry  // replace the log from the first entry's index on
+	FirstIndex       uint64           // entries before this index may be deleted; 0: no entries
+	ReplaceLog       bool             // the snapshot came from another member: all entries on disk are obsolete
 }
 
 func (b *WriteBatch) empty() bool {
@@ -34,7 +35,7 @@
 		len(b.Entries) == 0 && b.FirstIndex == 0
 }
 
-// Bootstrap returns the disk of a member with which a cluster begins: a snapshot that names the
+// Bootstrap returns the initial state of each member of a new cluster: a snapshot that lists the
 // members.
 func Bootstrap(cluster string, members []coord.Member) PersistentState {
 	machine := coord.New(cluster)
@@ -52,9 +53,9 @@
 	}
 }
 
-// Apply does to the state what a batch says. It is the model of a disk for simulations and tests.
-// What the state shares with copies of it is not changed, so that a copy of the struct stays as it
-// was.
+// Apply applies a batch to the state, as a disk would. It is the disk of simulations and tests.
+// Maps and slices that copies of the state share are not modified, so a copy of the struct keeps
+// its contents.
 func (s *PersistentState) Apply(b WriteBatch) {
 	if len(b.Incarnations) > 0 {
 		s.Incarnations = b.Incarnations
@@ -92,8 +93,8 @@
 	}
 }
 
-// Replay returns the state machine to which a disk leads, as far as its log is known to be
-// committed.
+// Replay returns the state machine that results from a persistent state: its snapshot, and the
+// entries that it records as committed.
 func Replay(cluster string, state PersistentState) (*coord.Machine, error) {
 	c, err := New(Config{Cluster: cluster, ID: 1, ElectionTicks: 2, HeartbeatTicks: 1}, state)
 	if err != nil {
--- a/internal/coord/replica/status.go
+++ b/internal/coord/replica/status.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// role returns the member's role and, where it takes no part, why.
+// role returns the member's role and, if it takes no part in consensus, the reason.
 func (c *Core) role(leader uint64) (role coord.Role, detail string) {
 	switch {
 	case c.failed != nil:
--- a/internal/coord/result.go
+++ b/internal/coord/result.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Code says how a command completed.
+// Code is the outcome of a command.
 type Code string
 
-// The codes. All but CodeOK and CodeQueued leave the state as it was, except that a session's
-// command renews the session.
+// The codes. A command with any code but CodeOK and CodeQueued has changed nothing, except that it
+// has renewed its session.
 const (
 	CodeOK            Code = "done"
-	CodeQueued        Code = "waiting"    // in the lease's queue
-	CodeNoSession     Code = "no session" // it has ended, or never existed
+	CodeQueued        Code = "waiting"    // the session is in the lease's queue
+	CodeNoSession     Code = "no session" // the session has ended, or never existed
 	CodeStale         Code = "late"       // a later command of the session has been applied already
-	CodeNotHeld       Code = "not held"   // the lease is not held by the session under that token
-	CodeConflict      Code = "conflict"   // the value's revision is another, or the transfer's target is not queued
-	CodeLimitExceeded Code = "full"       // a bound is reached; Detail names it
+	CodeNotHeld       Code = "not held"   // the session does not hold the lease under that token
+	CodeConflict      Code = "conflict"   // the value has another revision, or the target of the transfer is not queued
+	CodeLimitExceeded Code = "full"       // a limit is reached; Detail names it
 	CodeInvalid       Code = "invalid"    // the command is malformed; Detail names the field
 )
 
@@ -25,21 +25,21 @@
 	QueueLength int    `json:"wait,omitempty"` // sessions that are queued for the lease
 }
 
-// Result is the answer to a command.
+// Result is the result of a command.
 type Result struct {
 	Code         Code   `json:"code"`
 	Detail       string `json:"why,omitempty"`
-	CommandIndex uint64 `json:"stamp"` // of the command among all that were applied: of two results the higher one is newer
+	CommandIndex uint64 `json:"stamp"` // number of the command among all commands applied: of two results, the one with the higher number is newer
 	Session      uint64 `json:"session,omitempty"`
 	Token        uint64 `json:"token,omitempty"`   // OpAcquire: of the grant
-	ModRevision  uint64 `json:"version,omitempty"` // OpPut: of the value written; CodeConflict: of the value that stands
+	ModRevision  uint64 `json:"version,omitempty"` // OpPut: of the value written; CodeConflict: of the current value
 
-	// What the session holds, as of this result.
+	// The session's time to live, leases and queued requests, as of this result.
 	TTL     time.Duration `json:"ttl,omitempty"`
 	Held    []Grant       `json:"held,omitempty"`
-	Revoked []Grant       `json:"revoked,omitempty"` // to be released at once
+	Revoked []Grant       `json:"revoked,omitempty"` // the session must release these at once
 	Queued  []string      `json:"queued,omitempty"`
 }
 
-// limitExceeded returns the result of a command that would exceed a bound.
+// limitExceeded returns the result of a command that would exceed a limit.
 func limitExceeded(detail string) Result { return Result{Code: CodeLimitExceeded, Detail: detail} }
--- a/internal/coord/server/clients.go
+++ b/internal/coord/server/clients.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// readState waits for a moment at which the state is no older than the call, and has it read there.
-// Where it reports false, the caller was answered with why that was not possible.
+// readState waits until the state is no older than the call, and then runs read on the loop's
+// goroutine. If it reports false, it has already answered the caller with the reason.
 func (n *Node) readState(w http.ResponseWriter, r *http.Request, read func(*coord.Machine)) bool {
 	ctx, stop := context.WithTimeout(r.Context(), requestTimeout)
 	defer stop()
@@ -63,7 +63,7 @@
 	}
 }
 
-// query reads what a query asks for.
+// query reads the data that a query selects.
 func query(m *coord.Machine, q *api.Query) api.Response {
 	response := api.Response{Revision: m.Revision()}
 	if q.Leases != "" {
@@ -83,7 +83,7 @@
 	return response
 }
 
-// prefixOf returns the prefix that a pattern means: "*" is any.
+// prefixOf returns the prefix of a pattern; the pattern "*" has the empty prefix.
 func prefixOf(pattern string) string { return strings.TrimSuffix(pattern, "*") }
 
 func (n *Node) handleSnapshot(w http.ResponseWriter, r *http.Request) {
@@ -93,7 +93,7 @@
 	var raw []byte
 	if n.readState(w, r, func(m *coord.Machine) { raw = m.Snapshot() }) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(raw) // it fails only where the caller has gone
+		_, _ = w.Write(raw) // fails only if the caller has disconnected
 	}
 }
 
--- a/internal/coord/server/frame.go
+++ b/internal/coord/server/frame.go
@@ -7,13 +7,13 @@
 	"frostlink/internal/coord/replica"
 )
 
-// frameLengthSize is the size of a frame's length.
+// frameLengthSize is the size of a frame's length field, in bytes.
 const frameLengthSize = 4
 
-// errFrameTruncated says that a body ends within a frame.
+// errFrameTruncated reports a body that ends within a frame.
 var errFrameTruncated = errors.New("envelopes: cut off")
 
-// appendFrame appends an encoded envelope to a body.
+// appendFrame appends an encoded envelope to a body as a frame.
 func appendFrame(body, envelope []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(body, uint32(len(envelope))), envelope...)
 }
--- a/internal/coord/server/frame_test.go
+++ b/internal/coord/server/frame_test.go
@@ -19,7 +19,7 @@
 			encoded = appendFrame(encoded, e.Encode())
 		}
 		if !bytes.Equal(raw, encoded) {
-			t.Errorf("%x became %x", raw, encoded)
+			t.Errorf("%x was encoded again as %x", raw, encoded)
 		}
 	})
 }
--- a/internal/coord/server/handler.go
+++ b/internal/coord/server/handler.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// requestTimeout is how long a command, read or change of members may take before its caller is
-	// told that the outcome is unknown.
+	// requestTimeout bounds a command, read or membership change. After it, the caller is told that
+	// the outcome is unknown.
 	requestTimeout = 5 * time.Second
-	// hintTimeout is how long a caller waits for a hint.
+	// hintTimeout bounds a call that waits for a hint.
 	hintTimeout = 10 * time.Second
 	// maxRequestSize bounds the body of a client's request, in bytes.
 	maxRequestSize = 1 << 20
 )
 
-// stopping is the error of an answer by a node that has stopped.
+// stopping is the error message of a node that has stopped.
 const stopping = "this member ends"
 
 // Handler returns the handler for clients, operators and other members.
@@ -38,15 +38,15 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // it fails only where the caller has gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the caller has disconnected
 }
 
 func writeError(w http.ResponseWriter, status int, message string) {
 	writeJSON(w, status, api.Response{Error: message})
 }
 
-// decodeRequest decodes a request's body. Where it reports false, the caller was answered with what
-// is wrong.
+// decodeRequest decodes a request's body and checks its cluster. If it reports false, it has
+// already answered the caller with the error.
 func (n *Node) decodeRequest(w http.ResponseWriter, r *http.Request) (api.Request, bool) {
 	var request api.Request
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestSize))
@@ -63,7 +63,7 @@
 	return request, true
 }
 
-// writeNotLeader answers with the leader, if it is known.
+// writeNotLeader answers that this member is not the leader, and names the leader if it is known.
 func (n *Node) writeNotLeader(ctx context.Context, w http.ResponseWriter) {
 	response := api.Response{Error: "this member does not lead"}
 	n.do(ctx, func() {
--- a/internal/coord/server/hints.go
+++ b/internal/coord/server/hints.go
@@ -2,24 +2,24 @@
 
 import "frostlink/internal/coord"
 
-// maxHintChannels bounds the sessions for which a channel is remembered.
+// maxHintChannels bounds the number of sessions with a hint channel.
 const maxHintChannels = 2 * coord.MaxSessions
 
-// hint wakes whoever waits for a session's hints, or the next one who does.
+// hint wakes a caller that waits for a session's hints, or the next one if nobody waits.
 func (n *Node) hint(session uint64) {
 	select {
 	case n.hintChannel(session) <- struct{}{}:
-	default: // there is one already
+	default: // a hint is pending already
 	}
 }
 
-// hintChannel returns the channel of a session's hints. It holds one hint until somebody waits for
-// it.
+// hintChannel returns the channel of a session's hints. It buffers one hint until a caller waits
+// for it.
 func (n *Node) hintChannel(session uint64) chan struct{} {
 	c := n.hints[session]
 	if c == nil {
 		if len(n.hints) >= maxHintChannels {
-			clear(n.hints) // of sessions that have ended long ago, for the most part; hints may be lost
+			clear(n.hints) // most of these sessions ended long ago, and hints may be lost
 		}
 		c = make(chan struct{}, 1)
 		n.hints[session] = c
--- a/internal/coord/server/members.go
+++ b/internal/coord/server/members.go
@@ -40,7 +40,7 @@
 	writeJSON(w, http.StatusOK, api.Response{})
 }
 
-// proposeMemberChange proposes a change of the members, and reports whether this member leads.
+// proposeMemberChange proposes a membership change, and reports whether this member is the leader.
 func (n *Node) proposeMemberChange(ctx context.Context, request api.Request) (leading bool, err error) {
 	n.do(ctx, func() {
 		leading, _ = n.core.Leadership()
@@ -55,7 +55,7 @@
 	return leading, err
 }
 
-// memberChangeApplied reports whether the members are as a request wants them.
+// memberChangeApplied reports whether the membership change of a request is applied.
 func (n *Node) memberChangeApplied(ctx context.Context, request api.Request) (applied bool) {
 	n.do(ctx, func() {
 		if request.AddMember != nil {
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -14,25 +14,25 @@
 
 const (
 	tick             = 50 * time.Millisecond
-	electionTicks    = 10 // an election after half a second to a second without a leader
+	electionTicks    = 10 // an election starts after 0.5 s to 1 s without a leader
 	heartbeatTicks   = 2
-	snapshotInterval = 10000 // entries: a restart reads at most so many
+	snapshotInterval = 10000 // entries; bounds the number of entries that a restart has to read
 	retainedEntries  = 2000
 	inboxSize        = 4096
-	// maxBatchEvents bounds the events that are handled before what they led to is saved: one sync
-	// serves all of them.
+	// maxBatchEvents bounds the events that are handled before the resulting changes are saved. One
+	// sync of the disk serves all of them.
 	maxBatchEvents = 1024
-	// transferTimeout is how long a leader that stops waits for another one to lead.
+	// transferTimeout is how long a stopping leader waits for another member to become the leader.
 	transferTimeout = 500 * time.Millisecond
 )
 
-// The keys of log attributes that only the coordination service has.
+// Keys of log attributes that only the coordination service uses.
 const (
 	keyLeader  = "leader"
 	keyLeading = "leading"
 )
 
-// Node is a running member. Its loop alone touches the core, and all that is below it here.
+// Node is a running member. Only the goroutine of Run accesses core and the fields after it.
 type Node struct {
 	identity disk.Identity
 	log      *slog.Logger
@@ -47,8 +47,9 @@
 	hints   map[uint64]chan struct{} // by session
 }
 
-// New opens a member's folder and starts its core. What the folder holds stays the same until Run.
-// addressOverrides are addresses by member that go before those that the cluster knows.
+// New opens a member's folder and starts its core. The folder's contents do not change before Run.
+// addressOverrides are addresses by member id, which take precedence over the addresses in the
+// replicated state.
 func New(dir string, addressOverrides map[uint64]string, log *slog.Logger) (*Node, error) {
 	store, identity, state, err := disk.Open(dir)
 	if err != nil {
@@ -74,12 +75,12 @@
 	}, nil
 }
 
-// Identity returns which member it is.
+// Identity returns the identity of the node's member.
 func (n *Node) Identity() disk.Identity { return n.identity }
 
-// Run runs the loop until its context ends. An error means that the member can't go on.
+// Run runs the event loop until its context ends. An error means that the member can't continue.
 func (n *Node) Run(ctx context.Context) error {
-	defer func() { _ = n.store.Close() }() // every batch is synced already
+	defer func() { _ = n.store.Close() }() // an error is harmless: every batch is synced already
 	defer n.peers.close()
 	defer close(n.done)
 	ticker := time.NewTicker(tick)
@@ -104,7 +105,7 @@
 	}
 }
 
-// handleQueued handles the events that have come meanwhile.
+// handleQueued handles the events that are queued already, up to maxBatchEvents.
 func (n *Node) handleQueued() {
 	for range maxBatchEvents {
 		select {
@@ -116,8 +117,8 @@
 	}
 }
 
-// processReady runs the core's rounds until there is nothing to do. The clock is read after the
-// events were handled.
+// processReady runs rounds of the core until there is nothing to do. It reads the clock after the
+// events were handled, as ProcessReady requires.
 func (n *Node) processReady() error {
 	for {
 		more, err := n.core.ProcessReady(clock.SinceBoot(), clock.WallMilliseconds(), n.store.Save, n.send)
@@ -127,7 +128,7 @@
 	}
 }
 
-// send sends what a round has put out.
+// send sends the output of a round.
 func (n *Node) send(out replica.Output) {
 	if len(out.Messages) > 0 {
 		members := n.core.Machine().Members()
@@ -143,7 +144,8 @@
 	}
 }
 
-// transferLeadership lets another member lead before this one stops, if that succeeds at once.
+// transferLeadership passes leadership to another member before this one stops, and waits at most
+// transferTimeout for that.
 func (n *Node) transferLeadership() {
 	leading, _ := n.core.Leadership()
 	if !leading {
@@ -164,10 +166,10 @@
 		}
 		leading, _ = n.core.Leadership()
 	}
-	_ = n.processReady() // the member stops in any case
+	_ = n.processReady() // an error has no effect: the member stops in any case
 }
 
-// leadershipLog logs changes of the leader.
+// leadershipLog logs leadership changes.
 type leadershipLog struct {
 	leading bool
 	leader  uint64
--- a/internal/coord/server/peers.go
+++ b/internal/coord/server/peers.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// peerQueueSize bounds the messages that wait for another member; more are dropped.
+	// peerQueueSize bounds the messages queued for another member; further ones are dropped.
 	peerQueueSize = 512
-	// maxBodyBytes bounds the messages of one call, about.
+	// maxBodyBytes is the approximate limit of the messages in one call.
 	maxBodyBytes = 4 << 20
-	// peerTimeout is how long another member may take for a call.
+	// peerTimeout bounds a call to another member.
 	peerTimeout = 2 * time.Second
-	// peerBackoff is the pause after a call that failed.
+	// peerBackoff is the pause after a failed call.
 	peerBackoff = 20 * time.Millisecond
-	// maxPeerQueues bounds the members to which messages were ever sent.
+	// maxPeerQueues bounds the members to which this process has ever sent messages; each has a
+	// queue.
 	maxPeerQueues = 4 * coord.MaxMembers
-	// maxDiscarded is how much of an answer's body is read, so that the connection can be reused.
+	// maxDiscarded bounds the part of a response's body that is read. The body has to be read to
+	// its end for the connection to be reused.
 	maxDiscarded = 4096
 )
 
-// peers sends messages to other members, each by a goroutine of its own, in order.
+// peers sends messages to other members. Each member has its own goroutine, which sends the
+// messages in order.
 type peers struct {
-	joinAddresses map[uint64]string // of the members that this one knew when it joined
-	overrides     map[uint64]string // addresses that go before all others
+	joinAddresses map[uint64]string // addresses of the voters at the time when this member joined
+	overrides     map[uint64]string // addresses that take precedence over all others
 	queues        map[uint64]chan peerMessage
 	client        *http.Client
-	ctx           context.Context // of the goroutines
+	ctx           context.Context // ends the goroutines
 	stop          context.CancelFunc
 }
 
@@ -53,7 +56,7 @@
 
 func (p *peers) close() { p.stop() }
 
-// send queues a message to a member. It is called by the loop alone.
+// send queues a message to a member. Only the event loop calls it.
 func (p *peers) send(to uint64, members []coord.Member, raw []byte) {
 	address := p.address(to, members)
 	if address == "" {
@@ -62,7 +65,7 @@
 	queue := p.queues[to]
 	if queue == nil {
 		if len(p.queues) >= maxPeerQueues {
-			return // members were replaced very often in this incarnation
+			return // members were replaced very often since this process started
 		}
 		queue = make(chan peerMessage, peerQueueSize)
 		p.queues[to] = queue
@@ -74,7 +77,7 @@
 	}
 }
 
-// address returns a member's address, or "" where it is not known.
+// address returns a member's address, or "" if it is not known.
 func (p *peers) address(id uint64, members []coord.Member) string {
 	if address := p.overrides[id]; address != "" {
 		return address
@@ -87,7 +90,8 @@
 	return p.joinAddresses[id]
 }
 
-// deliver delivers one member's messages, as many in one call as have come meanwhile.
+// deliver sends one member's messages. Messages that are queued during a call are sent together in
+// the next call.
 func (p *peers) deliver(queue <-chan peerMessage) {
 	for {
 		var first peerMessage
@@ -107,14 +111,14 @@
 	}
 }
 
-// collectBody returns the body of a call with a message and those that are queued behind it.
+// collectBody returns the body of a call: the first message and those that are queued behind it.
 func collectBody(first peerMessage, queue <-chan peerMessage) []byte {
 	body := appendFrame(nil, first.raw)
 	for len(body) < maxBodyBytes {
 		select {
 		case next := <-queue:
 			if next.address != first.address {
-				return body // the member has moved: the first message for its new address is lost
+				return body // the member's address has changed: this message, the first for the new address, is dropped
 			}
 			body = appendFrame(body, next.raw)
 		default:
@@ -133,7 +137,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded)) // so that the connection is reused
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded)) // reads the body so that the connection is reused
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: status %d", address, resp.StatusCode)
--- a/internal/coord/server/receive.go
+++ b/internal/coord/server/receive.go
@@ -10,8 +10,8 @@
 	"frostlink/internal/logkey"
 )
 
-// handleRaft receives messages of other members. Those of another cluster or version are rejected
-// as a whole, with one line in the log.
+// handleRaft receives messages from other members. If one message is of another cluster or version,
+// the whole body is rejected, with one line in the log.
 func (n *Node) handleRaft(w http.ResponseWriter, r *http.Request) {
 	envelopes, err := n.decodeEnvelopes(w, r)
 	if err != nil {
@@ -33,7 +33,7 @@
 func (n *Node) decodeEnvelopes(w http.ResponseWriter, r *http.Request) ([]replica.Envelope, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, api.MaxBodySize))
 	if err != nil {
-		return nil, err //nolint:wrapcheck // its text is the answer's, and says what is wrong
+		return nil, err //nolint:wrapcheck // the text is sent as the answer, and describes the error
 	}
 	envelopes, err := decodeFrames(body)
 	if err != nil {
--- a/internal/coord/server/request.go
+++ b/internal/coord/server/request.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/coord/replica"
 )
 
-// do has the loop run a function, and waits until it has. It reports false where the node has
-// stopped, or the context has ended before the loop accepted the function.
+// do runs a function on the loop's goroutine and waits until it has returned. It reports false if
+// the node has stopped, or if the context has ended before the loop accepted the function.
 func (n *Node) do(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -26,8 +26,8 @@
 }
 
 // await submits a command or read to the core under a new tag, and waits for its completion. It
-// reports false where the member does not lead. Where the context or the node ends first, the
-// outcome is unknown.
+// reports false if the member is not the leader. If the context ends or the node stops first, the
+// completion has OutcomeUnknown set.
 func (n *Node) await(ctx context.Context, submit func(tag uint64) bool) (replica.Completion, bool) {
 	completion := make(chan replica.Completion, 1)
 	accepted := false
@@ -49,10 +49,11 @@
 	return replica.Completion{OutcomeUnknown: true}, true
 }
 
-// complete passes a completion to the handler that waits for it, or has waited.
+// complete passes a completion to the handler that submitted the command or read. The handler may
+// have stopped waiting.
 func (n *Node) complete(c replica.Completion) {
 	if to := n.pending[c.Tag]; to != nil {
 		delete(n.pending, c.Tag)
-		to <- c // its buffer has room for the only one
+		to <- c // does not block: the channel is buffered and gets one completion only
 	}
 }
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -44,24 +44,24 @@
 	first := act.Token
 	clients["a"].Release("x", "")
 	if _, err := clients["a"].Act(ctx, "x", time.Millisecond); err == nil {
-		t.Error("a may act on although it releases the lease")
+		t.Error("a is allowed another act although it has released the lease")
 	}
 	if holds("b")() {
-		t.Error("b holds before a's act has ended")
+		t.Error("b holds the lease before a's act has ended")
 	}
 	act.End()
 	servertest.Eventually(t, "b holds", holds("b"))
 	if token, _ := clients["b"].Holds("x"); token <= first {
 		t.Errorf("b's token %d is not above a's %d", token, first)
 	}
-	// The leader stops: another member leads, and the lease is not lost by it.
+	// The leader stops: another member becomes the leader, and b keeps the lease.
 	before, _ := clients["b"].Holds("x")
 	oldLeader := c.Leader()
 	c.Stop(oldLeader)
-	servertest.Eventually(t, "another leads", func() bool { now := c.Leader(); return now != 0 && now != oldLeader })
+	servertest.Eventually(t, "another member leads", func() bool { now := c.Leader(); return now != 0 && now != oldLeader })
 	servertest.Eventually(t, "b holds", holds("b"))
 	if now, _ := clients["b"].Holds("x"); now != before {
-		t.Errorf("the lease was lost by a change of leader: token %d, then %d", before, now)
+		t.Errorf("the lease was lost when the leader changed: token %d, then %d", before, now)
 	}
 	c.Start(oldLeader, nil)
 	clients["b"].Release("x", "")
@@ -76,7 +76,7 @@
 func TestClient_RejectsTaskWithoutGuard(t *testing.T) {
 	c := lease.NewClient("a", "c", nil, time.Second, 0, slog.Default())
 	if err := c.RunTask(t.Context(), lease.Task{Lease: "x"}); err == nil {
-		t.Error("a task that is neither Fenced nor Idempotent is run")
+		t.Error("a task that is neither Fenced nor Idempotent was run")
 	}
 }
 
@@ -97,10 +97,10 @@
 		t.Errorf("%+v, %v", a, err)
 	}
 	if a, err = c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Changes: "*", After: 99}}); err != nil || !a.Compacted {
-		t.Errorf("changes after a revision that never was: %+v, %v", a, err)
+		t.Errorf("changes after a revision that does not exist: %+v, %v", a, err)
 	}
 	var raw []byte
-	servertest.Eventually(t, "a snapshot", func() bool {
+	servertest.Eventually(t, "a snapshot is read", func() bool {
 		raw, err = c.Caller.Snapshot(t.Context(), c.Members[0].Address)
 		if err != nil {
 			c.Members = append(c.Members[1:], c.Members[0])
@@ -136,7 +136,7 @@
 		"no command":                  {api.PathCommand, `{"cluster":"c"}`, http.StatusBadRequest, "command"},
 		"no query":                    {api.PathRead, `{"cluster":"c"}`, http.StatusBadRequest, "query"},
 		"two changes":                 {api.PathMembers, `{"cluster":"c","leave":1,"join":{"id":4,"address":"a:1"}}`, http.StatusBadRequest, "one of them"},
-		"a voter that was no learner": {api.PathMembers, `{"cluster":"c","join":{"id":4,"address":"a:1"}}`, http.StatusConflict, "learner"},
+		"a new member as a voter":     {api.PathMembers, `{"cluster":"c","join":{"id":4,"address":"a:1"}}`, http.StatusConflict, "learner"},
 		"not a member":                {api.PathMembers, `{"cluster":"c","leave":9}`, http.StatusConflict, "no member"},
 		"a truncated message":         {api.PathRaft, "\x00\x00\x00\x09\x01", http.StatusBadRequest, "cut off"},
 		"a newer message":             {api.PathRaft, "\x00\x00\x00\x01\x09", http.StatusBadRequest, "version 9"},
@@ -150,7 +150,7 @@
 	}
 }
 
-// frame returns the body with which members send an envelope.
+// frame returns the body of a request between members that contains one envelope.
 func frame(e replica.Envelope) string {
 	raw := e.Encode()
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(raw)))) + string(raw)
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -1,5 +1,5 @@
-// Package servertest runs members of the coordination service in a test's own process, on real
-// sockets and disks.
+// Package servertest runs members of the coordination service in the test process, on real sockets
+// and disks.
 package servertest
 
 import (
@@ -23,13 +23,13 @@
 const (
 	// Name is the cluster's name.
 	Name = "c"
-	// Timeout bounds whatever takes a second at most on a machine with nothing else to do.
+	// Timeout bounds operations that take at most a second on an idle machine.
 	Timeout = 30 * time.Second
 	// size is the number of members.
 	size = 3
 	// statusTimeout bounds a call for a member's status.
 	statusTimeout = time.Second
-	// pollInterval is between two looks of Eventually.
+	// pollInterval is the pause between two checks of Eventually.
 	pollInterval = 10 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	Caller  *api.Caller
 	t       *testing.T
 	dir     string
-	stops   map[uint64]func() // by member
+	stops   map[uint64]func() // stop functions by member id
 }
 
 // New starts three members, and stops them when the test ends.
@@ -71,7 +71,7 @@
 
 func (c *Cluster) folder(id uint64) string { return filepath.Join(c.dir, fmt.Sprint(id)) }
 
-// Start runs a member. Where no listener is given, it listens on its address again.
+// Start starts a member. If ln is nil, the member listens on its previous address.
 func (c *Cluster) Start(id uint64, ln net.Listener) {
 	c.t.Helper()
 	var err error
@@ -97,14 +97,14 @@
 	c.stops[id] = sync.OnceFunc(func() { stop(); work.Wait() })
 }
 
-// CallLeader calls whichever member leads.
+// CallLeader sends a request to the leader.
 func (c *Cluster) CallLeader(path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(context.Background(), Timeout)
 	defer stop()
 	return c.Caller.CallLeader(ctx, c.Members, path, r)
 }
 
-// Eventually waits until a condition holds, and fails the test where it does not in time.
+// Eventually waits until a condition holds, and fails the test if it does not hold within Timeout.
 func Eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(Timeout); !holds(); time.Sleep(pollInterval) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Leader returns the id of the member that reports that it leads, or 0.
+// Leader returns the id of the member whose status says that it is the leader, or 0.
 func (c *Cluster) Leader() uint64 {
 	for _, m := range c.Members {
 		ctx, stop := context.WithTimeout(context.Background(), statusTimeout)
@@ -127,5 +127,5 @@
 	return 0
 }
 
-// Stop stops a member, and waits for its end.
+// Stop stops a member, and waits until it has stopped.
 func (c *Cluster) Stop(id uint64) { c.stops[id]() }
--- a/internal/coord/session.go
+++ b/internal/coord/session.go
@@ -14,15 +14,16 @@
 	Nonce    string        `json:"nonce"`
 	Name     string        `json:"name"`
 	TTL      time.Duration `json:"ttl"`
-	Deadline time.Duration `json:"deadline"` // of the machine's time
+	Deadline time.Duration `json:"deadline"` // in the machine's time
 	Seq      uint64        `json:"seq"`      // sequence number of the last command applied
-	Last     Result        `json:"last"`     // its result, for a retry
+	Last     Result        `json:"last"`     // result of that command, returned again to a retry
 
-	held   map[string]*leaseState // by lease
-	queued map[string]*leaseState // by lease: those in whose queue it is
+	held   map[string]*leaseState // leases that the session holds, by name
+	queued map[string]*leaseState // leases in whose queue the session is, by name
 }
 
-// openSession opens a session. A retry finds the session that it has opened by its nonce.
+// openSession opens a session. A retry, which has the same nonce, gets the session that the first
+// attempt has opened.
 func (m *Machine) openSession(c *Command) Result {
 	s := m.sessions[m.nonces[c.Nonce]]
 	if s == nil {
@@ -41,18 +42,18 @@
 	return r
 }
 
-// renew puts a session's deadline off by its time to live.
+// renew sets a session's deadline to its time to live from now.
 func (m *Machine) renew(s *session) {
 	s.Deadline = m.now + s.TTL
 	m.earliestDeadline = min(m.earliestDeadline, s.Deadline)
 }
 
-// expire ends the sessions whose deadline has passed, and the grants of revoked leases that their
-// holders can't believe to hold any more.
+// expire ends the sessions whose deadline has passed, and the grants of revoked leases whose
+// holders must have stopped acting by now.
 func (m *Machine) expire() {
 	expired := m.expiredSessions()
-	// All of them leave their queues before any lease is granted again: none of them may be the
-	// next holder.
+	// All expired sessions leave their queues before any lease is granted again, so that no lease
+	// is granted to an expired session.
 	for _, id := range expired {
 		m.leaveAllQueues(m.sessions[id])
 	}
@@ -66,8 +67,8 @@
 	}
 }
 
-// expiredSessions returns the ids of the sessions whose deadline has passed, in their order: the
-// members' states must not differ by the order of a map.
+// expiredSessions returns the ids of the sessions whose deadline has passed. They are sorted,
+// because a map's random order would make the states of the members differ.
 func (m *Machine) expiredSessions() []uint64 {
 	if m.now < m.earliestDeadline {
 		return nil
@@ -95,7 +96,7 @@
 	}
 }
 
-// addHoldings adds to a result what the session holds.
+// addHoldings adds the session's leases and queued requests to a result.
 func (m *Machine) addHoldings(s *session, r *Result) {
 	r.Session, r.TTL = s.ID, s.TTL
 	r.Held, r.Revoked = nil, nil
--- a/internal/coord/snapshot.go
+++ b/internal/coord/snapshot.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// SnapshotVersion is the version of a snapshot's form.
+// SnapshotVersion is the version of a snapshot's encoding.
 const SnapshotVersion = 1
 
-// snapshotData is the form of a snapshot: all that the result of later entries depends on. Changes
-// for watches are not part of it: a watch from before a snapshot has to read the values again.
+// snapshotData is the encoded form of a snapshot. It holds all state on which the results of later
+// entries depend. It omits the changes that are retained for watches: a watch that began before the
+// snapshot has to read the values again.
 type snapshotData struct {
 	Version        int           `json:"version"`
 	Cluster        string        `json:"cluster"`
@@ -32,7 +33,7 @@
 	RemovedMembers []uint64      `json:"retired"`
 }
 
-// valuesByKey returns a map's values in the order of their keys.
+// valuesByKey returns a map's values, sorted by key.
 func valuesByKey[K ~string | ~uint64, V any](m map[K]V) []V {
 	list := make([]V, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
@@ -41,7 +42,7 @@
 	return list
 }
 
-// Snapshot returns the state's bytes: the same bytes for the same state.
+// Snapshot encodes the state. Equal states have equal encodings.
 func (m *Machine) Snapshot() []byte {
 	raw, err := json.Marshal(snapshotData{
 		Version: SnapshotVersion, Cluster: m.cluster, Now: m.now, WallMillis: m.wallMillis, Index: m.index,
@@ -50,13 +51,13 @@
 		History: m.history, Members: m.Members(), RemovedMembers: m.removedMembers,
 	})
 	if err != nil {
-		panic(fmt.Sprintf("coord: a state that can't be encoded: %v", err)) // all of its types can
+		panic(fmt.Sprintf("coord: encode snapshot: %v", err)) // can't happen: all its types can be encoded
 	}
 	return raw
 }
 
-// Restore returns the state of a snapshot. It fails with a VersionError or a SnapshotError, or
-// where the snapshot is not JSON.
+// Restore decodes a snapshot. It returns a VersionError for another version, a SnapshotError for a
+// state that is inconsistent, and the decoder's error for invalid JSON.
 func Restore(raw []byte) (*Machine, error) {
 	var data snapshotData
 	if err := json.Unmarshal(raw, &data); err != nil {
@@ -90,7 +91,7 @@
 	m.earliestDeadline = math.MaxInt64
 	for _, s := range sessions {
 		if s == nil || s.ID == 0 || s.ID > m.lastSessionID || m.sessions[s.ID] != nil || m.nonces[s.Nonce] != 0 {
-			return &SnapshotError{"sessions", "one is missing, listed twice or was never opened"}
+			return &SnapshotError{"sessions", "a session is null, listed twice or was never opened"}
 		}
 		s.held, s.queued = map[string]*leaseState{}, map[string]*leaseState{}
 		m.sessions[s.ID] = s
@@ -100,17 +101,18 @@
 	return nil
 }
 
-// restoreLease restores a lease, its holder's side of it and its queue.
+// restoreLease restores a lease, its queue, and the references to it from the sessions of its
+// holder and queue.
 func (m *Machine) restoreLease(l *leaseState) error {
 	if l == nil || m.leases[l.Name] != nil {
-		return &SnapshotError{"leases", "one is missing or listed twice"}
+		return &SnapshotError{"leases", "a lease is null or listed twice"}
 	}
 	part := fmt.Sprintf("lease %q", l.Name)
 	switch {
 	case m.sessions[l.Holder] == nil:
-		return &SnapshotError{part, "its holder has no session"}
+		return &SnapshotError{part, "its holder's session does not exist"}
 	case l.Token > m.lastToken:
-		return &SnapshotError{part, fmt.Sprintf("token %d, and only %d were granted", l.Token, m.lastToken)}
+		return &SnapshotError{part, fmt.Sprintf("token %d is higher than the last granted token %d", l.Token, m.lastToken)}
 	}
 	m.leases[l.Name] = l
 	m.sessions[l.Holder].held[l.Name] = l
@@ -120,7 +122,7 @@
 	for _, q := range l.Queue {
 		s := m.sessions[q.Session]
 		if s == nil || s.queued[l.Name] != nil {
-			return &SnapshotError{part, "one who waits has no session or waits twice"}
+			return &SnapshotError{part, "a queued session does not exist or is queued twice"}
 		}
 		s.queued[l.Name] = l
 		m.queuedRequests++
@@ -131,7 +133,7 @@
 func (m *Machine) restoreValues(values []*Value) error {
 	for _, v := range values {
 		if v == nil || m.values[v.Key] != nil || v.ModRevision > m.revision {
-			return &SnapshotError{"values", "one is missing, listed twice or newer than the state"}
+			return &SnapshotError{"values", "a value is null, listed twice or newer than the state"}
 		}
 		m.values[v.Key] = v
 		m.valueBytes += len(v.Value)
--- a/internal/coord/validate.go
+++ b/internal/coord/validate.go
@@ -1,6 +1,6 @@
 package coord
 
-// validate checks a command by itself, without the state.
+// validate checks everything about a command that does not depend on the state.
 func (c *Command) validate() error {
 	if err := c.validateSizes(); err != nil {
 		return err
--- a/internal/coord/values.go
+++ b/internal/coord/values.go
@@ -11,10 +11,10 @@
 type Value struct {
 	Key         string `json:"key"`
 	Value       []byte `json:"value"`
-	ModRevision uint64 `json:"version"` // revision of the write that made it: no two writes of any keys have the same
+	ModRevision uint64 `json:"version"` // revision of the write that created this value; unique among the writes to all keys
 }
 
-// Change is one write of a value, for watches.
+// Change is a write to a value, retained for watches.
 type Change struct {
 	Revision uint64 `json:"revision"`
 	Key      string `json:"key"`
@@ -22,9 +22,9 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// write puts or deletes a value if its revision is the expected one and, where the command names a
-// lease, if the session holds that lease under that token: a holder that was paused can't write
-// after its successor.
+// write puts or deletes a value if its revision is the expected one. If the command names a lease,
+// the session must also hold that lease under that token, so that a holder that was paused can't
+// write after its successor.
 func (m *Machine) write(s *session, c *Command) Result {
 	if c.Lease != "" {
 		if l := s.held[c.Lease]; l == nil || l.Token != c.Token || l.Revoked {
@@ -42,14 +42,14 @@
 	case c.Op == OpPut:
 		return m.put(current, c)
 	case current == nil:
-		return Result{Code: CodeOK} // there is nothing to be deleted
+		return Result{Code: CodeOK} // the key has no value already
 	}
 	delete(m.values, c.Key)
 	m.valueBytes -= len(current.Value)
 	return m.recordChange(Change{Key: c.Key, Deleted: true})
 }
 
-// put writes a value in the place of the current one, which may be nil.
+// put replaces the current value, which may be nil.
 func (m *Machine) put(current *Value, c *Command) Result {
 	currentSize := 0
 	if current != nil {
@@ -66,7 +66,7 @@
 	return m.recordChange(Change{Key: c.Key, Value: c.Value})
 }
 
-// recordChange gives a change the next revision and retains it for watches.
+// recordChange assigns the next revision to a change, and retains the change for watches.
 func (m *Machine) recordChange(change Change) Result {
 	m.revision++
 	change.Revision = m.revision
@@ -82,7 +82,7 @@
 // Revision returns the revision of the last write.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// Values returns the values whose keys begin with a prefix, by key.
+// Values returns the values whose keys begin with a prefix, sorted by key.
 func (m *Machine) Values(prefix string) []Value {
 	var list []Value
 	for _, key := range slices.Sorted(maps.Keys(m.values)) {
@@ -93,8 +93,9 @@
 	return list
 }
 
-// Changes returns the writes after a revision to keys with a prefix. It reports false where they
-// are compacted, or where the revision was never reached: then the values have to be read again.
+// Changes returns the writes after a revision to keys with a prefix. It reports false if some of
+// these writes are not retained any more, or if the revision does not exist yet: the caller has to
+// read the values again then.
 func (m *Machine) Changes(after uint64, prefix string) ([]Change, bool) {
 	if after < m.compactedRevision || after > m.revision {
 		return nil, false
--- a/internal/coord/view.go
+++ b/internal/coord/view.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Lease is a lease that is held, for people.
+// Lease describes a lease that is held, for operators.
 type Lease struct {
 	Name     string        `json:"name"`
 	Holder   string        `json:"holder"` // the session's name
@@ -15,12 +15,12 @@
 	Reason   string        `json:"reason,omitempty"`
 	Token    uint64        `json:"token"`
 	HeldFor  time.Duration `json:"for"`
-	TimeLeft time.Duration `json:"lasts"` // unless its session is renewed
+	TimeLeft time.Duration `json:"lasts"` // until the grant expires if the session is not renewed
 	Revoked  bool          `json:"being_revoked,omitempty"`
 	Queue    []string      `json:"queue,omitempty"` // names of the queued sessions, the next holder first
 }
 
-// Leases returns the leases that are held and whose names begin with a prefix, by name.
+// Leases returns the leases that are held and whose names begin with a prefix, sorted by name.
 func (m *Machine) Leases(prefix string) []Lease {
 	var list []Lease
 	for _, name := range slices.Sorted(maps.Keys(m.leases)) {
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// ExportLease is the lease of the export.
+	// ExportLease is the name of the export's lease.
 	ExportLease = "export"
-	// ExportKey is the key of its ledger.
+	// ExportKey is the key of the ledger in the coordination service.
 	ExportKey = "export/ledger"
-	// maxSliceRecords bounds the records of a slice: a change of the holder loses the work on one
-	// slice.
+	// maxSliceRecords bounds the records of a slice. When the lease passes to another relay, at
+	// most the work on one slice is lost.
 	maxSliceRecords = 500
-	// sliceTTLDivisor divides the session's time to live: one slice may take that long.
+	// sliceTTLDivisor determines how long the writing of one slice may take: the session's time to
+	// live, divided by it.
 	sliceTTLDivisor = 4
-	// callTimeout bounds each call to the service for a slice.
+	// callTimeout bounds each call to the coordination service.
 	callTimeout = 5 * time.Second
 )
 
-// exporter collects the undelivered messages of all relays: each adds its own, slice by slice,
-// while it holds the lease.
+// exporter adds a relay's undelivered messages to the export, slice by slice, while the relay holds
+// the lease.
 type exporter struct {
 	section *Export
 	relay   string
 	client  *lease.Client
 	store   func() *deadletter.Store
-	cost    time.Duration // that one slice may take
+	cost    time.Duration // the time that adding one slice may take
 }
 
 func newExporter(s *Export, relay string, client *lease.Client, store func() *deadletter.Store) *exporter {
@@ -53,16 +54,16 @@
 
 // exportSlice is the next slice that a relay can add to the export.
 type exportSlice struct {
-	ledger     Ledger // as it was read
-	revision   uint64 // of the ledger's value
+	ledger     Ledger // as read before the slice was planned
+	revision   uint64 // revision of the ledger's value
 	store      *deadletter.Store
 	storeID    string
-	first, end uint64 // numbers of its records: up to, not including, end
+	first, end uint64 // numbers of its records, excluding end
 	records    []*deadletter.Record
 }
 
-// nextSlice returns this relay's next slice, of maxRecords records at most, or nil where there is
-// none.
+// nextSlice returns this relay's next slice, of at most maxRecords records, or nil if all records
+// are exported or the relay has no store.
 func (e *exporter) nextSlice(ctx context.Context, maxRecords int) (*exportSlice, error) {
 	store := e.store()
 	if store == nil {
@@ -89,7 +90,7 @@
 	return slice, nil
 }
 
-// run adds slices until there is none, or another relay is queued for the lease.
+// run adds slices until all records are exported, or another relay is queued for the lease.
 func (e *exporter) run(ctx context.Context, hold *lease.Hold) error {
 	for {
 		slice, err := e.nextSlice(ctx, maxSliceRecords)
@@ -100,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		err = e.addSlice(act.Ctx, act.Token, slice) //nolint:contextcheck // act.Ctx is ctx, cancelled when the act has to end
+		err = e.addSlice(act.Ctx, act.Token, slice) //nolint:contextcheck // act.Ctx is derived from ctx, and cancelled when the act has to end
 		act.End()
 		if err != nil {
 			return err
@@ -111,8 +112,8 @@
 	}
 }
 
-// addSlice writes a slice, and then puts it on the ledger. One that is written and does not get
-// there remains as a file that nothing names.
+// addSlice writes a slice and then adds it to the ledger. If the second step fails, the slice
+// remains as a file that the ledger does not reach.
 func (e *exporter) addSlice(ctx context.Context, token uint64, slice *exportSlice) error {
 	header, ledger := slice.ledger.PlanSlice(e.relay, slice.storeID, token, slice.first, slice.end, len(slice.records))
 	if err := writeSlice(e.section.Folder, header, slice); err != nil {
@@ -123,9 +124,9 @@
 	r, err := e.client.Put(ctx, ExportLease, token, ExportKey, ledger.Encode(), slice.revision)
 	switch {
 	case err != nil:
-		return fmt.Errorf("export: slice %s: %w", header.Name, err) // the next holder reads whether it counts
+		return fmt.Errorf("export: slice %s: %w", header.Name, err) // the next holder reads from the ledger whether the slice was added
 	case r.Code != coord.CodeOK:
-		return fmt.Errorf("export: slice %s does not count: %s %s", header.Name, r.Code, r.Detail)
+		return fmt.Errorf("export: slice %s was not added to the ledger: %s %s", header.Name, r.Code, r.Detail)
 	}
 	return nil
 }
--- a/internal/fleettask/export_test.go
+++ b/internal/fleettask/export_test.go
@@ -17,7 +17,7 @@
 	"frostlink/internal/lease"
 )
 
-// newStore returns a relay's dead-letter store with some records.
+// newStore returns a relay's dead-letter store with n records.
 func newStore(t *testing.T, relay string, n int) *deadletter.Store {
 	t.Helper()
 	store, err := deadletter.Open(filepath.Join(t.TempDir(), relay), 0, 0)
@@ -44,7 +44,7 @@
 	}
 }
 
-// readExport reads the ledger, and how often each record is in the slices that count.
+// readExport returns the ledger, and how often each record occurs in the valid slices.
 func readExport(t *testing.T, client *lease.Client, folder string) (Ledger, map[string]int) {
 	t.Helper()
 	raw, _, err := client.Value(t.Context(), ExportKey)
@@ -74,9 +74,9 @@
 	return l, counts
 }
 
-// TestExporter_ExportsEachRecordOnce: three relays add their undelivered messages to one export, in
-// turns. One relay restarts in between, and the service's leader stops, too. No record is missing,
-// and none is there twice.
+// TestExporter_ExportsEachRecordOnce: three relays add their undelivered messages to one export by
+// turns. Meanwhile one relay restarts and the leader of the coordination service stops. The export
+// must contain each record exactly once.
 func TestExporter_ExportsEachRecordOnce(t *testing.T) {
 	c := servertest.New(t)
 	folder := t.TempDir()
@@ -90,7 +90,7 @@
 		client := lease.NewClient(relay, servertest.Name, c.Members, 2*time.Second, 50*time.Millisecond, slog.Default())
 		task := newExporter(&Export{Folder: folder, IntervalSeconds: 0.02}, relay, client, func() *deadletter.Store { return stores[relay] }).task()
 		work.Go(func() { client.Run(ctx) })
-		work.Go(func() { _ = client.RunTask(ctx, task) }) // it ends with its context
+		work.Go(func() { _ = client.RunTask(ctx, task) }) // returns when its context ends
 		return client
 	}
 	defer work.Wait()
@@ -105,16 +105,16 @@
 	reader := start("a")
 	start("b")
 	start("c")
-	servertest.Eventually(t, "a slice", func() bool { l, _ := readExport(t, reader, folder); return l.Slices > 0 })
+	servertest.Eventually(t, "a slice is exported", func() bool { l, _ := readExport(t, reader, folder); return l.Slices > 0 })
 	stops["b"]()
 	start("b")
 	c.Stop(c.Leader())
 	addRecords(t, stores["a"], "a", each, each+10)
-	servertest.Eventually(t, "all records", func() bool { l, _ := readExport(t, reader, folder); return l.Records == 3*each+10 })
+	servertest.Eventually(t, "all records are exported", func() bool { l, _ := readExport(t, reader, folder); return l.Records == 3*each+10 })
 	l, counts := readExport(t, reader, folder)
 	for id, n := range counts {
 		if n != 1 {
-			t.Errorf("%s is there %d times", id, n)
+			t.Errorf("%s was exported %d times", id, n)
 		}
 	}
 	if len(counts) != 3*each+10 || len(l.Positions) != 3 {
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestExporter_FencesPausedHolder: a holder that was paused with its slice written, until another
-// has added one, adds nothing.
+// TestExporter_FencesPausedHolder: a lease holder that is paused after it has read its next slice,
+// until another relay has the lease, must not add the slice to the ledger.
 func TestExporter_FencesPausedHolder(t *testing.T) {
 	c := servertest.New(t)
 	folder := t.TempDir()
@@ -142,7 +142,7 @@
 	act := func(e *exporter) *lease.Act {
 		t.Helper()
 		var act *lease.Act
-		servertest.Eventually(t, e.relay+" holds", func() bool {
+		servertest.Eventually(t, e.relay+" holds the lease", func() bool {
 			e.client.Request(ExportLease, "test")
 			var err error
 			act, err = e.client.Act(ctx, ExportLease, 100*time.Millisecond)
@@ -156,18 +156,19 @@
 		t.Fatalf("%v, %v", paused, err)
 	}
 	first.End()
-	a.client.Request("other", "keeps its session alive") // so that its put reaches the service
-	servertest.Eventually(t, "a's other lease", func() bool { _, ok := a.client.Holds("other"); return ok })
+	a.client.Request("other", "keeps its session alive") // without a session, a put fails before it is sent to the service
+	servertest.Eventually(t, "a holds its other lease", func() bool { _, ok := a.client.Holds("other"); return ok })
 	a.client.Release(ExportLease, "")
 	second := act(b)
 	next, err := b.nextSlice(ctx, maxSliceRecords)
 	if err != nil || next == nil {
 		t.Fatalf("%v, %v", next, err)
 	}
-	// The ledger is as the paused holder has read it: only its token shows that it is late. Its
-	// context is not cancelled: it does not know that its lease has passed on.
+	// The ledger has not changed since the paused holder has read it, so only the old token shows
+	// that its slice is late. Its context is not cancelled, as if it had not noticed yet that its
+	// lease was lost.
 	if err := a.addSlice(ctx, first.Token, paused); err == nil {
-		t.Error("the slice of a paused holder counts")
+		t.Error("the slice of a paused holder was added to the ledger")
 	}
 	if err := b.addSlice(second.Ctx, second.Token, next); err != nil {
 		t.Fatal(err)
@@ -178,23 +179,24 @@
 		t.Errorf("%+v, %d records", l, len(counts))
 	}
 	if _, err := os.Stat(filepath.Join(folder, "slice-"+fmt.Sprintf("%016x-%08d-a.jsonl", first.Token, 1))); errors.Is(err, os.ErrNotExist) {
-		t.Error("the paused holder's slice was not written: the test shows nothing")
+		t.Error("the paused holder's slice was not written, so the test does not check the fencing")
 	}
 }
 
-// TestLedger_VerifyChainFindsDamage: each way in which slices can't be the ledger's is found.
+// TestLedger_VerifyChainFindsDamage: VerifyChain detects each kind of mismatch between slices and
+// ledger.
 func TestLedger_VerifyChainFindsDamage(t *testing.T) {
 	var l Ledger
-	heads := map[string]SliceHeader{}
+	headers := map[string]SliceHeader{}
 	for i, relay := range []string{"a", "b", "a", "a"} {
 		from := l.NextRecord(relay, "s")
 		var h SliceHeader
 		h, l = l.PlanSlice(relay, "s", uint64(i+1), from, from+10, 10)
-		heads[h.Name] = h
+		headers[h.Name] = h
 	}
 	check := func() error {
 		_, err := l.VerifyChain(func(name string) (SliceHeader, error) {
-			h, ok := heads[name]
+			h, ok := headers[name]
 			if !ok {
 				return h, os.ErrNotExist
 			}
@@ -205,26 +207,26 @@
 	if err := check(); err != nil {
 		t.Fatal(err)
 	}
-	last := heads[l.LastSlice]
+	last := headers[l.LastSlice]
 	for name, damage := range map[string]func(h *SliceHeader){
-		"missing":        func(h *SliceHeader) { delete(heads, h.Previous); h.Previous += "x" },
-		"under another":  func(h *SliceHeader) { h.Name = "x" },
-		"records twice":  func(h *SliceHeader) { h.FirstRecord -= 5 },
-		"records missed": func(h *SliceHeader) { h.FirstRecord += 5 },
-		"fewer records":  func(h *SliceHeader) { h.Records-- },
-		"cut off":        func(h *SliceHeader) { h.Previous = "" },
-		"in a circle":    func(h *SliceHeader) { h.Previous = h.Name },
-		"ends early":     func(h *SliceHeader) { h.EndRecord-- },
+		"missing":                            func(h *SliceHeader) { delete(headers, h.Previous); h.Previous += "x" },
+		"under another name":                 func(h *SliceHeader) { h.Name = "x" },
+		"records twice":                      func(h *SliceHeader) { h.FirstRecord -= 5 },
+		"records missed":                     func(h *SliceHeader) { h.FirstRecord += 5 },
+		"fewer records":                      func(h *SliceHeader) { h.Records-- },
+		"earlier slices cut off":             func(h *SliceHeader) { h.Previous = "" },
+		"names itself as the previous slice": func(h *SliceHeader) { h.Previous = h.Name },
+		"ends early":                         func(h *SliceHeader) { h.EndRecord-- },
 	} {
 		t.Run(name, func(t *testing.T) {
 			damaged := last
-			previous := heads[last.Previous]
+			previous := headers[last.Previous]
 			damage(&damaged)
-			heads[l.LastSlice] = damaged
+			headers[l.LastSlice] = damaged
 			if check() == nil {
-				t.Error("the damage was not found")
+				t.Error("the damage was not detected")
 			}
-			heads[last.Previous], heads[l.LastSlice] = previous, last
+			headers[last.Previous], headers[l.LastSlice] = previous, last
 		})
 	}
 }
--- a/internal/fleettask/fleet.go
+++ b/internal/fleettask/fleet.go
@@ -11,20 +11,20 @@
 	"frostlink/internal/logkey"
 )
 
-// keyLease is the key of a log attribute: the name of a lease.
+// keyLease is the key of the log attribute for a lease's name.
 const keyLease = "lease"
 
-// Fleet is a relay's part of the fleet's tasks.
+// Fleet runs a relay's part of the fleet's tasks.
 type Fleet struct {
 	section    *Section
 	relay      string
 	client     *lease.Client
-	resendGate *ResendGate // nil: each relay resends by itself
+	resendGate *ResendGate // nil: each relay resends independently
 	store      func() *deadletter.Store
 }
 
-// New returns a relay's part of the tasks that a section turns on. It begins with Run. store
-// returns the relay's dead-letter store, or nil while it has none.
+// New returns a Fleet for the tasks that a section enables; Run starts them. store returns the
+// relay's dead-letter store, or nil while the relay has none.
 func New(s *Section, relay string, store func() *deadletter.Store) (*Fleet, error) {
 	members, err := api.ParseMembers(s.Members)
 	if err != nil {
@@ -38,11 +38,11 @@
 	return f, nil
 }
 
-// ResendGate returns the gate that lets resends through, one relay of the fleet at a time. It is nil
-// where the section does not want that.
+// ResendGate returns the gate that lets one relay of the fleet at a time resend to a destination.
+// It is nil if the section does not enable that.
 func (f *Fleet) ResendGate() *ResendGate { return f.resendGate }
 
-// Run does the relay's part until its context ends.
+// Run runs the tasks until its context ends.
 func (f *Fleet) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
--- a/internal/fleettask/heartbeat.go
+++ b/internal/fleettask/heartbeat.go
@@ -13,30 +13,31 @@
 	"frostlink/internal/lease"
 )
 
-// HeartbeatLease is the lease of the heartbeat.
+// HeartbeatLease is the name of the heartbeat's lease.
 const HeartbeatLease = "beat"
 
-// The headers of a heartbeat. A monitor that remembers the highest token it has seen rejects what a
-// relay sends that was paused until after another had taken its place.
+// Headers of a heartbeat. A monitor that remembers the highest token it has received rejects the
+// late heartbeat of a relay that was paused until another relay had the lease.
 const (
 	HeaderToken = "Fencing-Token"
 	HeaderRelay = "Relay"
 )
 
-// ErrFenced says that the monitor has seen a higher token: another relay holds the lease.
-var ErrFenced = errors.New("the monitor has seen a later holder")
+// ErrFenced is returned when the monitor has received a higher token: another relay holds the
+// lease.
+var ErrFenced = errors.New("heartbeat rejected: the monitor has received a higher fencing token")
 
 const (
-	// actRetryDelay is the wait after an act was not allowed, since the lease is about to be
-	// renewed.
+	// actRetryDelay is the pause after an act was not allowed. It is short because the lease is
+	// about to be renewed.
 	actRetryDelay = 20 * time.Millisecond
-	// maxDiscarded is how much of the monitor's answer is read, so that the connection can be
-	// reused.
+	// maxDiscarded bounds the part of the monitor's answer that is read. The answer has to be read
+	// to its end for the connection to be reused.
 	maxDiscarded = 4096
 )
 
-// heartbeat tells a monitor that the fleet is alive: one relay at a time, by a POST with its
-// fencing token.
+// heartbeat informs a monitor that the fleet is alive: one relay at a time sends POST requests with
+// its fencing token.
 type heartbeat struct {
 	section *Heartbeat
 	relay   string
@@ -52,13 +53,13 @@
 	}
 }
 
-// run sends heartbeats while the lease is held and the monitor accepts its token.
+// run sends heartbeats until the lease is lost or the monitor rejects the token.
 func (h *heartbeat) run(ctx context.Context, hold *lease.Hold) error {
 	for {
 		act, err := hold.Act(ctx, h.section.Timeout())
 		pause := actRetryDelay
 		if err == nil {
-			err = h.post(act.Ctx, act.Token) //nolint:contextcheck // act.Ctx is ctx, cancelled when the act has to end
+			err = h.post(act.Ctx, act.Token) //nolint:contextcheck // act.Ctx is derived from ctx, and cancelled when the act has to end
 			act.End()
 			pause = h.section.Interval()
 		}
@@ -73,7 +74,7 @@
 	}
 }
 
-// post sends one heartbeat. Where it is lost, the next one follows.
+// post sends one heartbeat. A lost heartbeat is not repeated, since the next one follows.
 func (h *heartbeat) post(ctx context.Context, token uint64) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, h.section.URL, strings.NewReader("alive\n"))
 	if err != nil {
@@ -86,7 +87,7 @@
 		return fmt.Errorf("heartbeat: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded)) // so that the connection is reused
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded)) // reads the body so that the connection is reused
 	if resp.StatusCode == http.StatusConflict {
 		return ErrFenced
 	}
--- a/internal/fleettask/ledger.go
+++ b/internal/fleettask/ledger.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// LedgerVersion is the version of the ledger's form and of the slices' headers.
+// LedgerVersion is the version of the format of the ledger and of the slices.
 const LedgerVersion = 1
 
-// Ledger says which slices count: one value at the coordination service, written under the export's
-// lease and token.
+// Ledger identifies the valid slices of the export. It is one value of the coordination service,
+// written under the export's lease and token.
 type Ledger struct {
 	Version   int                 `json:"version"`
-	LastSlice string              `json:"head,omitempty"` // its name; the header of each slice names the one before
+	LastSlice string              `json:"head,omitempty"` // its name; the header of each slice names the previous one
 	Slices    int                 `json:"slices"`
 	Records   int                 `json:"records"`
 	Positions map[string]Position `json:"places,omitempty"` // by relay
 }
 
-// Position is how far a relay's store is exported.
+// Position records how far a relay's dead-letter store is exported.
 type Position struct {
-	Store      string `json:"store"` // its id: another folder has another
+	Store      string `json:"store"` // id of the store; each folder's store has its own
 	NextRecord uint64 `json:"from"`  // number of the first record that is not exported
 }
 
-// DecodeLedger decodes the value under ExportKey. Where there is none, the ledger is empty.
+// DecodeLedger decodes the value under ExportKey. A missing value is an empty ledger.
 func DecodeLedger(raw []byte) (Ledger, error) {
 	l := Ledger{Version: LedgerVersion}
 	if len(raw) == 0 {
@@ -42,11 +42,11 @@
 	return l, nil
 }
 
-// Encode returns the value's bytes.
+// Encode encodes the ledger.
 func (l Ledger) Encode() []byte {
 	raw, err := json.Marshal(l)
 	if err != nil {
-		panic(fmt.Sprintf("fleettask: a ledger that can't be encoded: %v", err)) // all of its types can
+		panic(fmt.Sprintf("fleettask: encode ledger: %v", err)) // can't happen: all its types can be encoded
 	}
 	return raw
 }
@@ -56,10 +56,10 @@
 	if p := l.Positions[relay]; p.Store == store {
 		return p.NextRecord
 	}
-	return 0 // another store, or none yet
+	return 0 // the relay has replaced its store, or has exported nothing yet
 }
 
-// PlanSlice returns the header of the slice that follows, and the ledger on which it counts.
+// PlanSlice returns the header of the next slice, and the ledger that includes that slice.
 func (l *Ledger) PlanSlice(relay, store string, token, first, end uint64, records int) (SliceHeader, Ledger) {
 	header := SliceHeader{
 		Version: LedgerVersion, Name: sliceName(token, l.Slices+1, relay), Previous: l.LastSlice, Relay: relay,
@@ -76,8 +76,8 @@
 	return header, next
 }
 
-// sliceName returns a slice's name. It holds the fencing token, so that no two holders write the
-// same file.
+// sliceName returns a slice's name. It contains the fencing token, so that no two lease holders
+// write the same file.
 func sliceName(token uint64, number int, relay string) string {
 	safe := strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_' {
@@ -88,12 +88,13 @@
 	return fmt.Sprintf("slice-%016x-%08d-%s.jsonl", token, number, safe)
 }
 
-// VerifyChain checks slices against the ledger, from its last slice back: each is there, follows
-// the one before it of the same relay's store without a gap or an overlap, and their numbers add up
-// to the ledger's. It returns their headers in the order in which they were added.
+// VerifyChain verifies the slices against the ledger, from the last slice back to the first. Every
+// slice has to exist, the slices of each relay's store have to follow one another without a gap or
+// an overlap, and the numbers of slices and records have to match the ledger's. It returns the
+// headers in the order in which the slices were added.
 func (l *Ledger) VerifyChain(readHeader func(name string) (SliceHeader, error)) ([]SliceHeader, error) {
 	var chain []SliceHeader
-	begins := map[string]uint64{} // by relay and store: first record of the slice that follows
+	firstRecords := map[string]uint64{} // by relay and store: first record of the slice that was checked last
 	records := 0
 	for name := l.LastSlice; name != ""; {
 		h, err := readHeader(name)
@@ -101,50 +102,50 @@
 		case err != nil:
 			return nil, fmt.Errorf("export: slice %s: %w", name, err)
 		case h.Name != name:
-			return nil, fmt.Errorf("export: slice %s: says that it is %s", name, h.Name)
+			return nil, fmt.Errorf("export: slice %s: its header has the name %s", name, h.Name)
 		case len(chain) >= l.Slices:
-			return nil, fmt.Errorf("export: slice %s: the ledger has only %d slices", name, l.Slices)
+			return nil, fmt.Errorf("export: slice %s: chain is longer than the %d slices of the ledger", name, l.Slices)
 		}
-		of := h.Relay + "/" + h.Store
-		following, known := begins[of]
+		storeKey := h.Relay + "/" + h.Store
+		nextFirst, known := firstRecords[storeKey]
 		if !known {
-			following = l.endOf(h)
+			nextFirst = l.exportedEnd(h)
 		}
-		if h.EndRecord != following || h.FirstRecord > h.EndRecord {
-			return nil, fmt.Errorf("export: slice %s: records %d to %d, and the next begins at %d",
-				name, h.FirstRecord, h.EndRecord, following)
+		if h.EndRecord != nextFirst || h.FirstRecord > h.EndRecord {
+			return nil, fmt.Errorf("export: slice %s: has records %d to %d, but the next slice begins at %d",
+				name, h.FirstRecord, h.EndRecord, nextFirst)
 		}
-		begins[of] = h.FirstRecord
+		firstRecords[storeKey] = h.FirstRecord
 		records += h.Records
 		chain = append(chain, h)
 		name = h.Previous
 	}
-	if err := l.verifyTotals(len(chain), records, begins); err != nil {
+	if err := l.verifyTotals(len(chain), records, firstRecords); err != nil {
 		return nil, err
 	}
 	slices.Reverse(chain)
 	return chain, nil
 }
 
-// endOf returns the number past the last exported record of the store of a slice, which is that
-// store's last slice. The position of a store that its relay has replaced is not on the ledger any
-// more.
-func (l *Ledger) endOf(last SliceHeader) uint64 {
+// exportedEnd returns the number after the last exported record of a store, given the header of the
+// store's last slice. If the relay has replaced the store, the ledger does not have its position
+// any more, and the header's own end is used.
+func (l *Ledger) exportedEnd(last SliceHeader) uint64 {
 	if p := l.Positions[last.Relay]; p.Store == last.Store {
 		return p.NextRecord
 	}
 	return last.EndRecord
 }
 
-// verifyTotals checks the numbers of the whole chain, and that each store is exported from its
-// first record on.
-func (l *Ledger) verifyTotals(sliceCount, records int, begins map[string]uint64) error {
+// verifyTotals checks the totals of the chain, and that the slices of each store begin with its
+// first record.
+func (l *Ledger) verifyTotals(sliceCount, records int, firstRecords map[string]uint64) error {
 	if sliceCount != l.Slices || records != l.Records {
-		return fmt.Errorf("export: %d slices with %d records, and the ledger has %d with %d", sliceCount, records, l.Slices, l.Records)
+		return fmt.Errorf("export: found %d slices with %d records, but the ledger has %d with %d", sliceCount, records, l.Slices, l.Records)
 	}
-	for of, first := range begins {
+	for storeKey, first := range firstRecords {
 		if first != 0 {
-			return fmt.Errorf("export: %s: the first slice begins at record %d", of, first)
+			return fmt.Errorf("export: %s: first slice begins at record %d, not at 0", storeKey, first)
 		}
 	}
 	return nil
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -10,38 +10,38 @@
 	"frostlink/internal/lease"
 )
 
-// ResendLease returns the lease under which the undelivered messages to a destination are resent.
+// ResendLease returns the name of the lease for resending undelivered messages to a destination.
 func ResendLease(destination int) string { return fmt.Sprint("resend/", destination) }
 
-// ResendGuard says why a late resend is harmless.
+// ResendGuard states why a late resend is harmless.
 var ResendGuard = lease.Idempotent("a resend is a message like any other: module, journal and rules see to it that it is never sent " +
 	"against its class, and a late one costs the partner one call more")
 
 const (
-	// roundCost is how long a round of resends may take, from its first Begin to its End.
+	// roundCost is the time that a round of resends may take, from its first Begin to its End.
 	roundCost = 300 * time.Millisecond
-	// rotationInterval is between steps of the rotation.
+	// rotationInterval is the pause between steps of the rotation.
 	rotationInterval = 50 * time.Millisecond
 )
 
-// ResendGate is the gate for resends: it lets one relay of the fleet at a time resend towards a
-// destination, so that the rate that a rule names is the fleet's.
+// ResendGate lets one relay of the fleet at a time resend messages to a destination, so that the
+// resend rate in a redelivery rule applies to the whole fleet.
 type ResendGate struct {
 	client *lease.Client
 
-	mu       sync.Mutex // guards what is below
+	mu       sync.Mutex // guards the fields below
 	rotation *Rotation
-	acts     []resendAct // of this round
+	acts     []resendAct // of the present round
 }
 
-// resendAct is the act under which a round resends towards a destination.
+// resendAct is the act under which a round resends messages to a destination.
 type resendAct struct {
 	destination int
 	act         *lease.Act
 }
 
-// Begin reports whether resends towards a destination are allowed until End. The token identifies
-// the turn: each has another.
+// Begin reports whether resends to a destination are allowed until End. The token identifies the
+// grant of the lease: each grant has another token.
 func (r *ResendGate) Begin(destination int) (token uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,7 @@
 	return act.Token, true
 }
 
-// End ends a round: what it has decided is submitted.
+// End ends a round. The caller has submitted all resends of the round by then.
 func (r *ResendGate) End() {
 	r.mu.Lock()
 	acts := r.acts
@@ -95,8 +95,8 @@
 	}
 }
 
-// held returns the token under which a destination's lease is held, and how many others are queued
-// for it.
+// held returns the token under which a destination's lease is held, and the number of other relays
+// that are queued for it.
 func (r *ResendGate) held(destination int) (token uint64, queueLength int, ok bool) {
 	grant, ok := r.client.Grant(ResendLease(destination))
 	return grant.Token, grant.QueueLength, ok
--- a/internal/fleettask/rotation.go
+++ b/internal/fleettask/rotation.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// maxTurn is how long a relay goes on with a destination's resends while others are queued for
-	// its lease.
-	maxTurn = 10 * time.Second
-	// maxIdle is how long it keeps the lease while nothing is due.
+	// maxHoldTime is how long a relay holds a destination's lease while other relays are queued for
+	// it.
+	maxHoldTime = 10 * time.Second
+	// maxIdle is how long a relay holds a lease while no resend is due.
 	maxIdle = time.Second
 )
 
-// Rotation decides when a relay requests the lease to resend towards each destination, and when it
-// releases it. The queue of the lease is first come, first served: relays get it in the order in
-// which something became due at them. It has no I/O and no clock.
+// Rotation decides when a relay requests the lease for resending to each destination, and when it
+// releases it. The queue of a lease is first come, first served, so relays get the lease in the
+// order in which resends became due at them. Rotation has no I/O and no clock.
 type Rotation struct {
-	turns map[int]*turn // by destination
+	destinations map[int]*destinationState // by destination
 }
 
-// turn is a relay's turn towards one destination.
-type turn struct {
-	lastDue   time.Duration // when something was last due
-	token     uint64        // under which the lease is held; 0: it is not
+// destinationState is the state of the rotation for one destination.
+type destinationState struct {
+	lastDue   time.Duration // when a resend was last due
+	token     uint64        // under which the lease is held; 0: not held
 	heldSince time.Duration
-	releasing bool // it is requested again only once it is not held any more
+	releasing bool // released, but still held; the lease is requested again only after that
 }
 
-// NewRotation returns a rotation that requests nothing.
-func NewRotation() *Rotation { return &Rotation{turns: map[int]*turn{}} }
+// NewRotation returns a rotation without destinations.
+func NewRotation() *Rotation { return &Rotation{destinations: map[int]*destinationState{}} }
 
-// RecordDue notes that something is due towards a destination.
+// RecordDue records that a resend to a destination is due.
 func (r *Rotation) RecordDue(destination int, now time.Duration) {
-	t := r.turns[destination]
+	t := r.destinations[destination]
 	if t == nil {
-		t = &turn{}
-		r.turns[destination] = t
+		t = &destinationState{}
+		r.destinations[destination] = t
 	}
 	t.lastDue = now
 }
 
 // Step returns the destinations whose lease is to be requested, and those whose lease is to be
-// released. held returns the token under which a destination's lease is held, and how many others
-// are queued for it.
+// released. held returns the token under which a destination's lease is held, and the number of
+// other relays that are queued for it.
 func (r *Rotation) Step(
 	now time.Duration, held func(destination int) (token uint64, queueLength int, ok bool),
 ) (request, release []int) {
-	for _, destination := range slices.Sorted(maps.Keys(r.turns)) {
-		t := r.turns[destination]
+	for _, destination := range slices.Sorted(maps.Keys(r.destinations)) {
+		t := r.destinations[destination]
 		token, queueLength, ok := held(destination)
 		if !ok {
 			token = 0
@@ -62,10 +62,10 @@
 		case t.releasing && token == 0:
 			t.releasing = false
 			if idle {
-				delete(r.turns, destination)
+				delete(r.destinations, destination)
 			}
-		case t.releasing: // until it is not held any more
-		case idle, token != 0 && queueLength > 0 && now-t.heldSince >= maxTurn:
+		case t.releasing: // wait until the lease is not held any more
+		case idle, token != 0 && queueLength > 0 && now-t.heldSince >= maxHoldTime:
 			t.releasing = true
 			release = append(release, destination)
 		case token == 0:
@@ -75,8 +75,9 @@
 	return request, release
 }
 
-// MayResend reports whether a lease may be used: it is not being released.
+// MayResend reports whether a destination's lease may be used, which it may not while it is being
+// released.
 func (r *Rotation) MayResend(destination int) bool {
-	t := r.turns[destination]
+	t := r.destinations[destination]
 	return t != nil && !t.releasing
 }
--- a/internal/fleettask/rotation_test.go
+++ b/internal/fleettask/rotation_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRotation_RequestsAndReleases: a lease is requested while something is due, held while nobody
-// is queued, released after a while when somebody is or when nothing is due, and requested again
-// only once it is not held any more.
+// TestRotation_RequestsAndReleases: a lease is requested while a resend is due, and held while no
+// other relay is queued. It is released after maxHoldTime if another relay is queued, or after
+// maxIdle if no resend is due. It is requested again only once it is not held any more.
 func TestRotation_RequestsAndReleases(t *testing.T) {
 	rotation := NewRotation()
 	token, queueLength := uint64(0), 0
@@ -30,12 +30,12 @@
 	token = 7
 	for range 30 {
 		rotation.RecordDue(3, now)
-		expect("held, nobody queued", step(time.Second), "[] []")
+		expect("held, no other relay queued", step(time.Second), "[] []")
 	}
 	queueLength = 1
-	expect("somebody queued, held long", step(0), "[] [3]")
+	expect("another relay queued, held for maxHoldTime", step(0), "[] [3]")
 	if rotation.MayResend(3) {
-		t.Error("it may be used although it is being released")
+		t.Error("the lease may be used although it is being released")
 	}
 	expect("being released", step(0), "[] []")
 	token, queueLength = 0, 0
@@ -47,11 +47,11 @@
 	expect("held again", step(0), "[] []")
 	queueLength = 1
 	rotation.RecordDue(3, now)
-	expect("held shortly, somebody queued", step(time.Second), "[] []")
-	expect("nothing due for a while", step(maxIdle+time.Millisecond), "[] [3]")
+	expect("another relay queued, held for a second", step(time.Second), "[] []")
+	expect("nothing due for maxIdle", step(maxIdle+time.Millisecond), "[] [3]")
 	token = 0
 	expect("not held any more, nothing due", step(0), "[] []")
-	if len(rotation.turns) != 0 {
-		t.Errorf("%d turns are left", len(rotation.turns))
+	if len(rotation.destinations) != 0 {
+		t.Errorf("%d destinations are left", len(rotation.destinations))
 	}
 }
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -9,32 +9,33 @@
 	"frostlink/internal/strictconfig"
 )
 
-// Section is [coordination] of the operator's file.
+// Section is the section [coordination] of the operator's file.
 type Section struct {
 	Cluster     string     `toml:"cluster"`
 	Members     []string   `toml:"members"` // ID=HOST:PORT
-	TTLMillis   int        `toml:"ttl_ms"`  // of a relay's session; 0: DefaultTTL
+	TTLMillis   int        `toml:"ttl_ms"`  // time to live of a relay's session; 0: DefaultTTL
 	GuardMillis int        `toml:"guard_ms"`
-	Resend      bool       `toml:"resend"` // the rate of a rule for undelivered messages is the fleet's, not each relay's
+	Resend      bool       `toml:"resend"` // the rate of a redelivery rule applies to the whole fleet, not to each relay
 	Heartbeat   *Heartbeat `toml:"beat"`
 	Export      *Export    `toml:"export"`
 }
 
-// Heartbeat is [coordination.beat]: one relay of the fleet tells a monitor that the fleet is alive.
+// Heartbeat is the section [coordination.beat]: one relay of the fleet at a time informs a monitor
+// that the fleet is alive.
 type Heartbeat struct {
 	URL             string  `toml:"url"`
 	IntervalSeconds float64 `toml:"every_s"`   // 0: DefaultHeartbeatInterval
-	TimeoutMillis   int     `toml:"within_ms"` // of one heartbeat; 0: DefaultHeartbeatTimeout
+	TimeoutMillis   int     `toml:"within_ms"` // for one heartbeat; 0: DefaultHeartbeatTimeout
 }
 
-// Export is [coordination.export]: the undelivered messages of all relays are collected in one
-// folder that all of them see.
+// Export is the section [coordination.export]: the undelivered messages of all relays are collected
+// in one shared folder.
 type Export struct {
 	Folder          string  `toml:"folder"`
-	IntervalSeconds float64 `toml:"every_s"` // between looks for new records; 0: DefaultExportInterval
+	IntervalSeconds float64 `toml:"every_s"` // between checks for new records; 0: DefaultExportInterval
 }
 
-// The defaults.
+// Defaults of the settings.
 const (
 	DefaultTTL   = 3 * time.Second
 	DefaultGuard = 50 * time.Millisecond
@@ -44,18 +45,18 @@
 	DefaultExportInterval    = time.Minute
 )
 
-// The bounds, in the settings' units.
+// Limits of the settings, in the units of the settings.
 const (
 	maxHeartbeatSeconds = 3600
 	maxExportSeconds    = 24 * 3600
-	guardDivisor        = 4 // a guard is at most the time to live, divided by this
-	timeoutDivisor      = 2 // a timeout is at most the validity of a lease, divided by this
+	guardDivisor        = 4 // the guard is at most the time to live divided by this
+	timeoutDivisor      = 2 // the heartbeat's timeout is at most the validity of a lease divided by this
 )
 
 // TTL returns the time to live of a relay's session.
 func (s *Section) TTL() time.Duration { return millisOr(s.TTLMillis, DefaultTTL) }
 
-// Guard returns how long before its end a lease is given up.
+// Guard returns how long before its expiry a lease counts as lost.
 func (s *Section) Guard() time.Duration { return millisOr(s.GuardMillis, DefaultGuard) }
 
 // Interval returns the time between heartbeats.
@@ -63,12 +64,12 @@
 	return secondsOr(h.IntervalSeconds, DefaultHeartbeatInterval)
 }
 
-// Timeout returns how long one heartbeat may take.
+// Timeout returns the time limit of one heartbeat.
 func (h *Heartbeat) Timeout() time.Duration {
 	return millisOr(h.TimeoutMillis, DefaultHeartbeatTimeout)
 }
 
-// Interval returns the time between looks for new records.
+// Interval returns the time between checks for new records.
 func (e *Export) Interval() time.Duration { return secondsOr(e.IntervalSeconds, DefaultExportInterval) }
 
 func millisOr(millis int, defaultValue time.Duration) time.Duration {
@@ -85,7 +86,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Check adds to the document what is wrong in the section at a path.
+// Check validates the section, which has the given path, and adds its errors to the document.
 func (s *Section) Check(doc *strictconfig.Document, path string) {
 	s.checkService(doc, path)
 	if s.Export != nil {
@@ -96,21 +97,21 @@
 	}
 }
 
-// checkService checks how the service is reached, and the relay's session.
+// checkService validates the settings of the coordination service and of the relay's session.
 func (s *Section) checkService(doc *strictconfig.Document, path string) {
 	if s.Cluster == "" || len(s.Cluster) >= coord.MaxNameSize {
-		doc.AddError(path+".cluster", "is no name of 1 to %d bytes", coord.MaxNameSize-1)
+		doc.AddError(path+".cluster", "must be a name of 1 to %d bytes", coord.MaxNameSize-1)
 	}
 	if members, err := api.ParseMembers(s.Members); err != nil {
 		doc.AddError(path+".members", "%v", err)
 	} else if len(members) == 0 || len(members) > coord.MaxMembers {
-		doc.AddError(path+".members", "names %d members; 1 to %d are wanted", len(members), coord.MaxMembers)
+		doc.AddError(path+".members", "names %d members; must name 1 to %d", len(members), coord.MaxMembers)
 	}
 	if ttl := s.TTL(); ttl < coord.MinTTL || ttl > coord.MaxTTL {
-		doc.AddError(path+".ttl_ms", "is %d; %d to %d are wanted", s.TTLMillis, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
+		doc.AddError(path+".ttl_ms", "is %d; must be from %d to %d", s.TTLMillis, coord.MinTTL.Milliseconds(), coord.MaxTTL.Milliseconds())
 	}
 	if guard := s.Guard(); guard < 0 || guard > s.TTL()/guardDivisor {
-		doc.AddError(path+".guard_ms", "is %d; 0 to a quarter of ttl_ms are wanted", s.GuardMillis)
+		doc.AddError(path+".guard_ms", "is %d; must be from 0 to a quarter of ttl_ms", s.GuardMillis)
 	}
 }
 
@@ -119,20 +120,20 @@
 		doc.AddError(path+".folder", "is missing")
 	}
 	if e.IntervalSeconds < 0 || e.IntervalSeconds > maxExportSeconds {
-		doc.AddError(path+".every_s", "is %v; 0 to %d are wanted", e.IntervalSeconds, maxExportSeconds)
+		doc.AddError(path+".every_s", "is %v; must be from 0 to %d", e.IntervalSeconds, maxExportSeconds)
 	}
 }
 
-// check checks a heartbeat under a lease that is valid for so long after each renewal.
+// check validates the heartbeat. validity is how long a lease is valid after each renewal.
 func (h *Heartbeat) check(doc *strictconfig.Document, path string, validity time.Duration) {
 	if u, err := url.Parse(h.URL); err != nil || u.Scheme != "http" || u.Host == "" {
-		doc.AddError(path+".url", "%q is no http:// address", h.URL)
+		doc.AddError(path+".url", "%q is not an http:// address", h.URL)
 	}
 	if h.IntervalSeconds < 0 || h.IntervalSeconds > maxHeartbeatSeconds {
-		doc.AddError(path+".every_s", "is %v; 0 to %d are wanted", h.IntervalSeconds, maxHeartbeatSeconds)
+		doc.AddError(path+".every_s", "is %v; must be from 0 to %d", h.IntervalSeconds, maxHeartbeatSeconds)
 	}
 	longest := validity / timeoutDivisor
 	if timeout := h.Timeout(); timeout <= 0 || timeout > longest {
-		doc.AddError(path+".within_ms", "is %d; 1 to half of what a lease lasts, %d, are wanted", h.TimeoutMillis, longest.Milliseconds())
+		doc.AddError(path+".within_ms", "is %d; must be from 1 to half the validity of a lease, which is %d", h.TimeoutMillis, longest.Milliseconds())
 	}
 }
--- a/internal/fleettask/slice.go
+++ b/internal/fleettask/slice.go
@@ -17,25 +17,26 @@
 type SliceHeader struct {
 	Version     int    `json:"version"` // LedgerVersion
 	Name        string `json:"name"`
-	Previous    string `json:"before,omitempty"` // name of the slice before it
+	Previous    string `json:"before,omitempty"` // name of the previous slice
 	Relay       string `json:"relay"`
-	Store       string `json:"store"` // its id
+	Store       string `json:"store"` // id of the dead-letter store
 	Token       uint64 `json:"token"`
 	FirstRecord uint64 `json:"from"` // number of its first record
-	EndRecord   uint64 `json:"to"`   // number past its last record
+	EndRecord   uint64 `json:"to"`   // number after its last record
 	Records     int    `json:"records"`
 }
 
-// sliceLine is any further line of a slice.
+// sliceLine is each further line of a slice.
 type sliceLine struct {
 	Record *deadletter.Record `json:"record"`
 	Body   []byte             `json:"body,omitempty"`
 }
 
-// partSuffix is added to the name of a slice that is being written.
+// partSuffix is appended to the file name of a slice while it is being written.
 const partSuffix = ".part"
 
-// writeSlice writes a slice under its name: all of it, and synced, or not at all.
+// writeSlice writes and syncs a slice under a temporary name and then renames it, so that a file
+// with the slice's name is always complete.
 func writeSlice(folder string, header SliceHeader, slice *exportSlice) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return fmt.Errorf("folder: %w", err)
@@ -65,14 +66,14 @@
 	for _, record := range slice.records {
 		body, bodyErr := slice.store.Body(record.ID)
 		if bodyErr != nil {
-			body = nil // damaged, or evicted by a bound meanwhile: the record says how long it was
+			body = nil // damaged, or evicted meanwhile by a size limit; the record contains the length of the body
 		}
 		err = errors.Join(err, encoder.Encode(sliceLine{record, body}))
 	}
 	return errors.Join(err, buffered.Flush())
 }
 
-// syncFolder makes a renamed file's name durable.
+// syncFolder makes the renaming of a file durable.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -81,21 +82,21 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// ReadSlice reads a slice's header, and passes each of its further lines to a function, which may
-// be nil.
+// ReadSlice reads a slice. It returns the header, and passes each further line to the function
+// line, which may be nil.
 func ReadSlice(folder, name string, line func(raw []byte) error) (SliceHeader, error) {
 	var header SliceHeader
 	if !fs.ValidPath(name) || filepath.Base(name) != name {
-		return header, fmt.Errorf("%q is no slice's name", name)
+		return header, fmt.Errorf("%q is not the name of a slice", name)
 	}
 	f, err := os.Open(filepath.Join(folder, name))
 	if err != nil {
-		return header, err //nolint:wrapcheck // it names the file, and its text is part of what frostlinkctl prints
+		return header, err //nolint:wrapcheck // the text names the file, and frostlinkctl prints it
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // an error is harmless: the file was only read
 	decoder := json.NewDecoder(bufio.NewReader(f))
 	if err := decoder.Decode(&header); err != nil {
-		return header, fmt.Errorf("its head: %w", err)
+		return header, fmt.Errorf("header: %w", err)
 	}
 	if header.Version != LedgerVersion {
 		return header, fmt.Errorf("version %d; this program reads version %d", header.Version, LedgerVersion)
--- a/internal/lease/acts.go
+++ b/internal/lease/acts.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Permit allows one act, until a moment on the boot-time clock.
+// Permit allows one act until a time on the boot-time clock.
 type Permit struct {
 	Lease string
 	Token uint64
@@ -15,20 +15,20 @@
 	id    uint64
 }
 
-// RefusedError says why an act was not allowed.
+// RefusedError is the reason why an act is not allowed.
 type RefusedError string
 
 func (e RefusedError) Error() string { return string(e) }
 
-// The acts that are not allowed; one that would outlast its lease names the time that is left.
+// Reasons why an act is not allowed. A further one, for an act that takes longer than the lease lasts, contains the time left.
 const (
 	errNotHeld   = RefusedError("the lease is not held")
-	errReleasing = RefusedError("the lease is being given back")
+	errReleasing = RefusedError("the lease is being released")
 	errRegranted = RefusedError("the lease was lost and granted again meanwhile")
 )
 
-// Act allows one act that ends within cost, or returns a RefusedError. The caller reports the end of an act that was allowed
-// by EndAct; ExpiredActs names those that have to be cancelled.
+// Act allows an act that takes at most cost, or returns a RefusedError. The caller reports the end of an allowed act by EndAct.
+// Until then, ExpiredActs returns the act if it has to be cancelled.
 func (c *Core) Act(now time.Duration, name string, cost time.Duration) (Permit, error) {
 	token, until, ok := c.Holds(now, name)
 	switch {
@@ -37,7 +37,7 @@
 	case c.requests[name] == nil || c.requests[name].releasing:
 		return Permit{}, errReleasing
 	case now+cost > until:
-		return Permit{}, RefusedError(fmt.Sprintf("the lease lasts %v more, less than the act", until-now))
+		return Permit{}, RefusedError(fmt.Sprintf("the lease expires in %v, before the act can end", until-now))
 	}
 	c.nextAct++
 	p := Permit{Lease: name, Token: token, Until: until, id: c.nextAct}
@@ -45,15 +45,15 @@
 	return p, nil
 }
 
-// EndAct ends an act, and reports whether that was within its permit. Where it was not, another process may have acted
-// meanwhile, and what was done may have to be checked.
+// EndAct ends an act, and reports whether its permit was still valid. If it was not, another process may have acted under the
+// lease meanwhile, and the caller may have to check the effect of the act.
 func (c *Core) EndAct(now time.Duration, p Permit) bool {
 	delete(c.openActs, p.id)
 	return now <= p.Until
 }
 
-// ExpiredActs returns the acts that have to be cancelled now, since their permit has expired or their lease is lost. Each
-// may have had its effect. They stay open until EndAct.
+// ExpiredActs returns the acts that have to be cancelled now, since their permit has expired or their lease is lost. Each of
+// them may have had its effect. They stay open until EndAct.
 func (c *Core) ExpiredActs(now time.Duration) []Permit {
 	var expired []Permit
 	for _, id := range slices.Sorted(maps.Keys(c.openActs)) {
@@ -64,7 +64,7 @@
 	return expired
 }
 
-// hasOpenAct reports whether an act under a lease is open.
+// hasOpenAct reports whether an act under a lease has not ended.
 func (c *Core) hasOpenAct(name string) bool {
 	for _, p := range c.openActs {
 		if p.Lease == name {
--- a/internal/lease/calls.go
+++ b/internal/lease/calls.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// renewalsPerTTL is how often a session is renewed in its time to live: two renewals may be lost.
+	// renewalsPerTTL is the number of renewals within the session's time to live: two of them may be lost before it expires.
 	renewalsPerTTL = 3
-	// firstBackoff is the part of the time to live by which the first failed call puts the next one off at most, and
-	// backoffDoublings how often that doubles.
+	// firstBackoff and backoffDoublings determine the longest pause after a failed call: the time to live divided by
+	// firstBackoff, doubled with each further failure, at most backoffDoublings times.
 	firstBackoff, backoffDoublings = 8, 2
-	// noLeader stands for a server that is not known.
+	// noLeader is the server number of an unknown leader.
 	noLeader = -1
 )
 
-// Call is a command to be sent to a server.
+// Call is a command that the caller sends to a server.
 type Call struct {
 	ID      uint64
 	Server  int
 	Command coord.Command
 }
 
-// inFlightCall is a call whose answer has not come.
+// inFlightCall is a call that has not been answered.
 type inFlightCall struct {
 	sent    time.Duration
 	server  int
 	command coord.Command
 }
 
-// Next returns the calls to be sent now, and when to ask again at the latest.
+// Next returns the calls to be sent now, and the latest time at which Next must be called again.
 func (c *Core) Next(now time.Duration) ([]Call, time.Duration) {
 	c.failTimedOut(now)
 	calls := c.startCall(now)
 	return calls, max(c.nextWake(now), now+time.Millisecond)
 }
 
-// failTimedOut gives up calls whose time is over.
+// failTimedOut treats calls that have exceeded the timeout as failed.
 func (c *Core) failTimedOut(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.inFlight)) {
 		if now >= c.inFlight[id].sent+c.cfg.Timeout {
@@ -48,7 +48,7 @@
 	}
 }
 
-// startCall returns the next call, if there is one to be sent.
+// startCall returns the next call, if a command is due.
 func (c *Core) startCall(now time.Duration) []Call {
 	if c.cfg.Servers == 0 || now < c.notBefore {
 		return nil
@@ -62,13 +62,14 @@
 	call := Call{ID: c.nextCall, Server: c.server, Command: *command}
 	c.inFlight[call.ID] = inFlightCall{sent: now, server: call.Server, command: call.Command}
 	if command.Op == coord.OpClose {
-		// The close may arrive at any time from now on: the session must not be used again, whatever becomes of this call.
+		// The service may execute the close at any time from now on, so the session must not be used again, whether this call
+		// succeeds or not.
 		c.resetSession()
 	}
 	return []Call{call}
 }
 
-// nextWake is when something is due by time alone.
+// nextWake returns the next time at which a call or cancellation may be due without a further event.
 func (c *Core) nextWake(now time.Duration) time.Duration {
 	wake := now + c.cfg.TTL
 	if len(c.inFlight) == 0 && (c.session != 0 || !c.idle()) {
@@ -88,7 +89,8 @@
 	return wake
 }
 
-// nextCommand returns what is to be sent next, or nil. One call is in flight at a time: its answer renews the session, too.
+// nextCommand returns the next command to be sent, or nil. At most one call is in flight: any command renews the session, so no
+// separate renewal is needed meanwhile.
 func (c *Core) nextCommand(now time.Duration) *coord.Command {
 	if len(c.inFlight) > 0 || c.idle() && c.session == 0 {
 		return nil
@@ -111,13 +113,13 @@
 	return nil
 }
 
-// idle reports that nothing is requested, and nothing left to be released.
+// idle reports that no lease is requested, held or to be released, and no put is queued.
 func (c *Core) idle() bool {
 	return len(c.requests)+len(c.held)+len(c.revoked)+len(c.puts) == 0
 }
 
-// nextChange returns the next command that changes something: revoked leases are released first, since others wait for
-// them.
+// nextChange returns the next command that changes leases or values, or nil. Revoked leases are released first, since other
+// processes wait for them.
 func (c *Core) nextChange(now time.Duration) *coord.Command {
 	for _, name := range slices.Sorted(maps.Keys(c.revoked)) {
 		if !c.hasOpenAct(name) {
@@ -128,16 +130,16 @@
 		return c.numbered(c.puts[0].command)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.requests)) {
-		if command := c.changeOf(now, name); command != nil {
+		if command := c.commandFor(now, name); command != nil {
 			return command
 		}
 	}
 	return nil
 }
 
-// changeOf returns the command that a request needs next, or nil. A request that is released and was never registered
-// needs none, and is forgotten.
-func (c *Core) changeOf(now time.Duration, name string) *coord.Command {
+// commandFor returns the next command that a lease request needs, or nil. It deletes a request that is to be released and that
+// the service does not have.
+func (c *Core) commandFor(now time.Duration, name string) *coord.Command {
 	r := c.requests[name]
 	grant, held := c.held[name]
 	switch {
@@ -154,23 +156,23 @@
 	return nil
 }
 
-// numbered gives a command the session's next number.
+// numbered assigns the session and its next sequence number to a command.
 func (c *Core) numbered(command coord.Command) *coord.Command {
 	c.seq++
 	command.Session, command.Seq = c.session, c.seq
 	return &command
 }
 
-// release numbers a command that gives a lease away. From here on the lease may be another's: it is not held until a
-// newer answer says so again.
+// release numbers a command that releases or transfers a lease. From now on the service may grant the lease to another process,
+// so it counts as not held until a newer result lists it again.
 func (c *Core) release(command coord.Command) *coord.Command {
 	delete(c.held, command.Lease)
 	delete(c.revoked, command.Lease)
 	return c.numbered(command)
 }
 
-// HandleFailure takes a call without an answer, or one whose answer says that the server does not lead: leader is the
-// server to call instead, or -1. The command may have been applied.
+// HandleFailure handles a call that failed: it was not answered, or the answer says that the server is not the leader. leader
+// is the number of the server to call instead, or -1. The command may have been applied.
 func (c *Core) HandleFailure(now time.Duration, id uint64, leader int) {
 	call, ok := c.inFlight[id]
 	if !ok {
@@ -186,15 +188,16 @@
 	c.backOff(now)
 }
 
-// HandleHint takes word that something became of a lease that this process holds or waits for. It is a hint only: the
-// next renewal asks.
+// HandleHint handles a hint that a lease which this process holds or waits for has changed. It makes a renewal due at once,
+// whose result shows the change.
 func (c *Core) HandleHint(now time.Duration) {
 	c.hintPending = true
 	c.renewAt = min(c.renewAt, now)
 }
 
-// backOff puts the next call off, by at most an eighth of the time to live after the first failure, doubled up to a half,
-// and at random, so that 300 processes whose sessions ended together do not come back together.
+// backOff delays the next call by a random time. Its maximum is an eighth of the time to live after the first failure, and
+// doubles up to a half. The delay is random so that 300 processes whose sessions ended at the same time do not all reconnect at
+// once.
 func (c *Core) backOff(now time.Duration) {
 	c.failures++
 	longest := c.cfg.TTL / firstBackoff << min(c.failures-1, backoffDoublings)
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// callTimeout bounds one call, and so does callsPerTTL of the time to live; a renewal that takes longer is sent to another
-	// member.
+	// callTimeout bounds one call. For a short time to live, the bound is the time to live divided by callsPerTTL. A renewal
+	// that takes longer is sent to another member.
 	callTimeout = 500 * time.Millisecond
 	callsPerTTL = 4
-	// releaseTimeout is how long the release of all leases may take when the client ends.
+	// releaseTimeout bounds the release of all leases when the client stops.
 	releaseTimeout = time.Second
-	// hintRetryPause is between waits for hints after one failed.
+	// hintRetryPause is the pause after a failed wait for a hint.
 	hintRetryPause = 200 * time.Millisecond
 )
 
-// Client keeps a Core by calling the service. Its methods may be called from any goroutine.
+// Client runs a Core and makes its calls to the service. It is safe for concurrent use.
 type Client struct {
 	caller *api.Caller
 	log    *slog.Logger
-	wake   chan struct{} // has Run look at the core again
+	wake   chan struct{} // wakes Run after a change of the core
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	core            *Core
 	members         []coord.Member
 	openActs        map[uint64]*Act
-	holdingsChanged chan struct{} // closed when something may be held that was not, or the other way round
+	holdingsChanged chan struct{} // closed and replaced when the set of held leases may have changed
 	puts            map[uint64]chan PutResult
 	shuttingDown    bool
 }
 
-// NewClient returns a client of a cluster's members. ttl is the time to live of its session, guard as in Config.
+// NewClient returns a client of a cluster. ttl is the time to live of its session; guard is Config.Guard.
 func NewClient(name, cluster string, members []coord.Member, ttl, guard time.Duration, log *slog.Logger) *Client {
 	return &Client{
 		caller:          api.NewCaller(cluster),
@@ -62,13 +62,13 @@
 	}
 }
 
-// update changes the core, delivers results of puts, and has Run act on the change.
+// update changes the core, delivers the results of puts, and wakes Run.
 func (c *Client) update(change func(now time.Duration)) {
 	c.mu.Lock()
 	change(clock.SinceBoot())
 	for _, result := range c.core.TakePutResults() {
 		if waiting := c.puts[result.ID]; waiting != nil {
-			waiting <- result // has room for it
+			waiting <- result // does not block: the channel is buffered
 			delete(c.puts, result.ID)
 		}
 	}
@@ -79,14 +79,14 @@
 	}
 }
 
-// nextChangeOfHoldings returns a channel that is closed when leases may be held that were not, or the other way round.
+// nextChangeOfHoldings returns a channel that is closed when the set of held leases may have changed.
 func (c *Client) nextChangeOfHoldings() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holdingsChanged
 }
 
-// Request requests a lease, as Core.Request.
+// Request requests a lease; see Core.Request. It does nothing once Run is stopping.
 func (c *Client) Request(name, reason string) {
 	c.update(func(time.Duration) {
 		if !c.shuttingDown {
@@ -95,12 +95,12 @@
 	})
 }
 
-// Release releases a lease, as Core.Release.
+// Release releases a lease; see Core.Release.
 func (c *Client) Release(name, successor string) {
 	c.update(func(time.Duration) { c.core.Release(name, successor) })
 }
 
-// Holds returns the token under which a lease is held now.
+// Holds reports whether a lease is held now, and under which token.
 func (c *Client) Holds(name string) (token uint64, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +108,7 @@
 	return token, held
 }
 
-// Grant returns how a lease is held now.
+// Grant returns the present grant of a lease, and whether the lease is held now.
 func (c *Client) Grant(name string) (grant coord.Grant, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,16 +116,16 @@
 	return coord.Grant{Lease: name, Token: token, QueueLength: c.core.Waiters(name)}, held
 }
 
-// Act is one act under a lease.
+// Act is an allowed act under a lease.
 type Act struct {
-	Ctx    context.Context // ends when the act has to stop
+	Ctx    context.Context // cancelled when the act has to stop
 	Token  uint64
 	client *Client
 	permit Permit
 	cancel context.CancelFunc
 }
 
-// Act allows one act that ends within cost, or returns a RefusedError.
+// Act allows an act that takes at most cost, or returns a RefusedError. The caller must call End on the returned act.
 func (c *Client) Act(ctx context.Context, name string, cost time.Duration) (*Act, error) {
 	var a *Act
 	var err error
@@ -141,7 +141,8 @@
 	return a, err
 }
 
-// End ends the act, and reports whether that was in time: where it was not, another process may have acted meanwhile.
+// End ends the act, and reports whether its lease was still held. If it was not, another process may have acted under the lease
+// meanwhile.
 func (a *Act) End() (inTime bool) {
 	a.cancel()
 	a.client.update(func(now time.Duration) {
@@ -151,10 +152,10 @@
 	return inTime
 }
 
-// ErrOutcomeUnknown is returned for a Put of which it is not known whether the value was written.
-var ErrOutcomeUnknown = errors.New("it is not known whether the value is written")
+// ErrOutcomeUnknown is returned by Put if the value may or may not have been written.
+var ErrOutcomeUnknown = errors.New("outcome unknown: the value may or may not have been written")
 
-// Put writes a value under a lease, as Core.Put, and waits for its result.
+// Put writes a value under a lease, and waits for the result; see Core.Put.
 func (c *Client) Put(ctx context.Context, lease string, token uint64, key string, value []byte, expect uint64) (coord.Result, error) {
 	results := make(chan PutResult, 1)
 	c.update(func(time.Duration) { c.puts[c.core.Put(lease, token, key, value, expect)] = results })
@@ -169,7 +170,7 @@
 	}
 }
 
-// Value reads a value as it is at some moment from now on. A value that does not exist has version 0.
+// Value reads a value; the value is no older than the call. The version of a missing value is 0.
 func (c *Client) Value(ctx context.Context, key string) (value []byte, version uint64, err error) {
 	c.mu.Lock()
 	members := c.members
@@ -186,7 +187,7 @@
 	return nil, 0, nil
 }
 
-// Run keeps the session until its context ends, and then releases what is held.
+// Run keeps the session alive until its context ends, and then releases all leases, within releaseTimeout.
 func (c *Client) Run(ctx context.Context) {
 	calls, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var work sync.WaitGroup
@@ -214,7 +215,7 @@
 	}
 }
 
-// releaseAll releases all leases; none is requested any more.
+// releaseAll releases all leases, and rejects further requests.
 func (c *Client) releaseAll() {
 	c.update(func(time.Duration) {
 		c.shuttingDown = true
@@ -224,7 +225,8 @@
 	})
 }
 
-// step cancels acts that have expired, and sends the calls that are due.
+// step cancels expired acts and starts the calls that are due. It returns the time until the next step, and whether the core
+// has no session and nothing to do.
 func (c *Client) step(ctx context.Context, work *sync.WaitGroup) (pause time.Duration, idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,20 +242,20 @@
 		work.Go(func() { c.send(ctx, call, address) })
 	}
 	if len(c.core.openActs) == 0 && c.core.validUntil > now {
-		wake = min(wake, c.core.validUntil) // what is held expires then, and its task is to know
+		wake = min(wake, c.core.validUntil) // the held leases expire then, and their tasks have to be cancelled
 	}
 	close(c.holdingsChanged)
 	c.holdingsChanged = make(chan struct{})
 	return max(wake-now, time.Millisecond), c.core.idle() && c.core.session == 0
 }
 
-// send makes a call, and gives the core its result.
+// send makes a call, and passes the result to the core.
 func (c *Client) send(ctx context.Context, call Call, address string) {
 	ctx, stop := context.WithTimeout(ctx, c.core.cfg.Timeout)
 	defer stop()
 	answer, err := c.caller.Post(ctx, address, api.PathCommand, api.Request{Command: &call.Command})
 	if errors.Is(err, api.ErrRejected) {
-		c.log.Warn("the coordination service refuses", logkey.Err, err)
+		c.log.Warn("coordination service rejected a command", logkey.Err, err)
 	}
 	c.update(func(now time.Duration) {
 		if err == nil && answer.Result != nil {
@@ -266,7 +268,7 @@
 	})
 }
 
-// serverOf returns the number of the server that a member is, or noLeader.
+// serverOf returns the server number of a member, or noLeader.
 func (c *Client) serverOf(id uint64) int {
 	for i, m := range c.members {
 		if m.ID == id {
@@ -276,7 +278,7 @@
 	return noLeader
 }
 
-// followHints waits for hints that something became of the session, one long poll after the other.
+// followHints receives the session's hints by one long poll after another.
 func (c *Client) followHints(ctx context.Context) {
 	for ctx.Err() == nil {
 		session, address, changed := c.sessionAddress()
@@ -297,8 +299,8 @@
 	}
 }
 
-// sessionAddress returns the session, 0 for none, the address of the member that is called for it, and a channel that is
-// closed when that may have changed.
+// sessionAddress returns the session's id (0: no session), the address of the member that is called for it, and a channel that
+// is closed when either may have changed.
 func (c *Client) sessionAddress() (session uint64, address string, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -308,5 +310,5 @@
 	return c.core.session, address, c.holdingsChanged
 }
 
-// TTL is the time to live of the client's session.
+// TTL returns the time to live of the client's session.
 func (c *Client) TTL() time.Duration { return c.core.cfg.TTL }
