--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -8,41 +8,41 @@
 	"frostlink/internal/coord"
 )
 
-// RateBound is the most that a clock may gain or lose, as a share of the time passed. Quartz is within 200 parts
-// in a million; NTP slews by 500 at most.
+// RateBound is the largest error of a clock's rate, as a fraction of the elapsed time. Quartz clocks are accurate to 200 parts
+// per million; NTP slews a clock by at most 500.
 const RateBound = 500e-6
 
 // randStream is the second half of the random generator's seed: the ASCII codes of "lease".
 const randStream = 0x6c65617365
 
-// Config says how a Core behaves.
+// Config configures a Core.
 type Config struct {
-	Name    string        // of this process, as the service shows it
+	Name    string        // of this process, as the service shows it to operators
 	TTL     time.Duration // of its session
-	Guard   time.Duration // a lease is given up so long before it ends, for what lies between a check and its act
+	Guard   time.Duration // a lease counts as lost this long before it expires, to cover the time between a check and the act
 	Timeout time.Duration // of one call
-	Servers int           // addresses that can be called, by number from 0
-	Seed    uint64        // for the session's nonces and for delays
+	Servers int           // number of servers that can be called; they are numbered from 0
+	Seed    uint64        // for the session's nonces and random delays
 }
 
-// Core keeps a session and its leases. It is not safe for use by several goroutines.
+// Core manages a session and its leases, without I/O or a clock. It is not safe for concurrent use.
 type Core struct {
 	cfg  Config
 	rand *rand.Rand
 
-	// The session. All but its nonce is zero while there is none.
-	session    uint64
-	nonce      string         // names the session before the service has given it a number
-	seq        uint64         // of the latest command with an effect
-	pending    *coord.Command // the one with an effect that has no answer yet: it is sent until it has one
-	validUntil time.Duration  // the session lasts until then, by this process's clock
-	stamp      uint64         // of the newest answer
-	held       map[string]coord.Grant
-	revoked    map[string]uint64 // tokens of leases that an operator has taken away, until they are released
+	// The session. While there is none, all of these but nonce are zero.
+	session          uint64
+	nonce            string         // identifies the session before the service has assigned its id
+	seq              uint64         // sequence number of the latest numbered command
+	pending          *coord.Command // numbered command without a result; it is sent again until it has one
+	validUntil       time.Duration  // when the session expires, on this process's clock
+	lastCommandIndex uint64         // CommandIndex of the newest result
+	held             map[string]coord.Grant
+	revoked          map[string]uint64 // tokens of leases that an operator has revoked and that are not released yet
 
 	requests   map[string]*request
-	puts       []queuedPut // the one that is sent next first
-	putResults []PutResult // that were not taken yet
+	puts       []queuedPut // in the order in which they are sent
+	putResults []PutResult // not yet taken by TakePutResults
 	nextPut    uint64
 	openActs   map[uint64]Permit
 	nextAct    uint64
@@ -50,14 +50,14 @@
 	// Calls to the service.
 	inFlight    map[uint64]inFlightCall
 	nextCall    uint64
-	server      int           // that is called next
-	failures    int           // in a row
-	notBefore   time.Duration // the next call, after a failure
+	server      int           // number of the server for the next call
+	failures    int           // number of consecutive failed calls
+	notBefore   time.Duration // earliest time of the next call, after a failure
 	renewAt     time.Duration
-	hintPending bool // a hint has come since the last call was sent
+	hintPending bool // a hint has arrived since the last call was sent
 }
 
-// New returns a core that requests nothing.
+// New returns a core without requests.
 func New(cfg Config) *Core {
 	c := &Core{
 		cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, randStream)), requests: map[string]*request{}, openActs: map[uint64]Permit{},
@@ -70,9 +70,9 @@
 	return c
 }
 
-// resetSession forgets the session: nothing is held any more, and a further session has another nonce.
+// resetSession discards the session. No lease is held any more, and the next session gets a new nonce.
 func (c *Core) resetSession() {
-	c.session, c.seq, c.stamp, c.validUntil, c.pending = 0, 0, 0, 0, nil
+	c.session, c.seq, c.lastCommandIndex, c.validUntil, c.pending = 0, 0, 0, 0, nil
 	c.nonce = fmt.Sprintf("%016x%016x", c.rand.Uint64(), c.rand.Uint64())
 	c.held, c.revoked = map[string]coord.Grant{}, map[string]uint64{}
 	for _, r := range c.requests {
@@ -84,16 +84,16 @@
 	c.puts = nil
 }
 
-// request is a lease that this process wants, or holds.
+// request is a lease that this process has requested or holds.
 type request struct {
-	reason     string        // for people
-	registered bool          // the service has it queued or granted, as of the newest answer
-	releasing  bool          // to be released once no act is open
-	successor  string        // who is to have it next; empty: the first in the queue
-	notBefore  time.Duration // not to be acquired before: an operator has revoked it, or the service has no room
+	reason     string        // shown to operators
+	registered bool          // the session is queued for the lease, according to the newest result
+	releasing  bool          // the lease is to be released once no act under it is open
+	successor  string        // name of the process that gets the lease next; empty: the first in the queue
+	notBefore  time.Duration // no command is sent for it before: it was revoked by an operator, or the service rejected it
 }
 
-// Request asks for a lease, and for it again whenever it is lost, until Release.
+// Request requests a lease, and requests it again whenever it is lost, until Release.
 func (c *Core) Request(name, reason string) {
 	if r := c.requests[name]; r != nil {
 		r.reason, r.releasing, r.successor = reason, false, ""
@@ -102,28 +102,28 @@
 	c.requests[name] = &request{reason: reason}
 }
 
-// Release releases a lease as soon as no act under it is open; no further act is allowed. Where successor is not empty, the
-// first process of that name in the queue is next.
+// Release releases a lease as soon as no act under it is open, and allows no further act. If successor is not empty, the first
+// queued process of that name gets the lease next.
 func (c *Core) Release(name, successor string) {
 	if r := c.requests[name]; r != nil {
 		r.releasing, r.successor = true, successor
 	}
 }
 
-// validity is how long after its sending a renewal lasts, by this process's clock: the service's clock may be fast and
-// this one slow.
+// validity returns how long a renewal lasts after it was sent, on this process's clock. It allows for a fast clock of the
+// service and a slow clock of this process.
 func (c *Core) validity() time.Duration {
 	return time.Duration(float64(c.cfg.TTL)*(1-2*RateBound)) - c.cfg.Guard
 }
 
-// Holds returns the token under which a lease is held, and until when if no further answer comes.
+// Holds returns the token under which a lease is held, and until when it is held if the session is not renewed.
 func (c *Core) Holds(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	grant, held := c.held[name]
 	return grant.Token, c.validUntil, held && now < c.validUntil
 }
 
-// Waiters returns how many processes wait for a lease that is held, as of the newest answer.
+// Waiters returns the number of processes that are queued for a held lease, according to the newest result.
 func (c *Core) Waiters(name string) int { return c.held[name].QueueLength }
 
-// SetServers raises the number of servers that can be called: a member has joined.
+// SetServers raises the number of servers after a member has joined; it never lowers it.
 func (c *Core) SetServers(servers int) { c.cfg.Servers = max(c.cfg.Servers, servers) }
--- a/internal/lease/puts.go
+++ b/internal/lease/puts.go
@@ -4,21 +4,21 @@
 	"frostlink/internal/coord"
 )
 
-// queuedPut is a value to be written.
+// queuedPut is a put that has no result yet.
 type queuedPut struct {
 	id      uint64
 	command coord.Command
 }
 
-// PutResult is what became of a Put.
+// PutResult is the result of a Put.
 type PutResult struct {
 	ID     uint64
 	Result coord.Result
-	Lost   bool // the session ended before an answer: the value may be written or not
+	Lost   bool // the session ended before the answer arrived: the value may or may not have been written
 }
 
-// Put queues a value to be written under a lease, if the lease is still held under that token then and the value's version is
-// the one expected. TakePutResults tells what became of it.
+// Put queues a value to be written. The service writes it only if the lease is still held under the token then, and if the
+// value's revision is the expected one. TakePutResults returns the result.
 func (c *Core) Put(lease string, token uint64, key string, value []byte, expect uint64) (id uint64) {
 	c.nextPut++
 	p := queuedPut{c.nextPut, coord.Command{Op: coord.OpPut, Lease: lease, Token: token, Key: key, Value: value, ExpectedRevision: expect}}
@@ -30,7 +30,7 @@
 	return p.id
 }
 
-// TakePutResults returns the results of Puts, each once.
+// TakePutResults returns the results of puts that it has not returned before.
 func (c *Core) TakePutResults() []PutResult {
 	results := c.putResults
 	c.putResults = nil
--- a/internal/lease/results.go
+++ b/internal/lease/results.go
@@ -6,7 +6,8 @@
 	"frostlink/internal/coord"
 )
 
-// HandleResult takes the answer to a call. One to a call that was given up is ignored: its command is sent again.
+// HandleResult handles the result of a call. It ignores the result of a call that has already timed out, whose command is sent
+// again.
 func (c *Core) HandleResult(now time.Duration, id uint64, r coord.Result) {
 	call, ok := c.inFlight[id]
 	if !ok {
@@ -14,7 +15,7 @@
 	}
 	delete(c.inFlight, id)
 	c.failures, c.notBefore = 0, 0
-	if call.command.Op == coord.OpOpen && !c.opened(now, call, r) {
+	if call.command.Op == coord.OpOpen && !c.handleOpen(now, call, r) {
 		return
 	}
 	if !c.concernsSession(call, r) {
@@ -28,19 +29,20 @@
 		c.completePending(now, r)
 	}
 	c.validUntil = max(c.validUntil, call.sent+c.validity())
-	// A hint that came while the call was in flight may be of later than its answer.
+	// If a hint arrived while the call was in flight, the change may be later than this result, so the renewal stays due at
+	// once.
 	if !c.hintPending {
 		c.renewAt = max(c.renewAt, call.sent+c.cfg.TTL/renewalsPerTTL)
 	}
-	if r.CommandIndex > c.stamp {
-		c.stamp = r.CommandIndex
+	if r.CommandIndex > c.lastCommandIndex {
+		c.lastCommandIndex = r.CommandIndex
 		c.applyHoldings(now, r)
 	}
 }
 
-// opened takes the answer to the opening of a session, and reports whether it was accepted.
-func (c *Core) opened(now time.Duration, call inFlightCall, r coord.Result) bool {
-	if r.Code != coord.CodeOK { // the service has no room for a further session
+// handleOpen handles the result of opening a session, and reports whether the session was opened.
+func (c *Core) handleOpen(now time.Duration, call inFlightCall, r coord.Result) bool {
+	if r.Code != coord.CodeOK { // MaxSessions is reached
 		c.backOff(now)
 		return false
 	}
@@ -50,7 +52,7 @@
 	return true
 }
 
-// concernsSession reports whether an answer tells something of the session as it is now.
+// concernsSession reports whether a result is about the present session.
 func (c *Core) concernsSession(call inFlightCall, r coord.Result) bool {
 	switch {
 	case call.command.Op != coord.OpOpen && call.command.Session != c.session:
@@ -61,7 +63,7 @@
 	return r.Session == 0 || r.Session == c.session
 }
 
-// completePending takes the result of the command that was pending.
+// completePending handles the result of the pending command.
 func (c *Core) completePending(now time.Duration, r coord.Result) {
 	command := c.pending
 	c.pending = nil
@@ -74,11 +76,11 @@
 	case r.Code == coord.CodeLimitExceeded || r.Code == coord.CodeInvalid:
 		request.notBefore = now + c.cfg.TTL
 	case command.Op == coord.OpTransfer && r.Code == coord.CodeConflict:
-		request.successor = "" // that one does not wait any more: the first in the queue is next
+		request.successor = "" // the successor is not queued any more: release the lease to the first in the queue
 	}
 }
 
-// applyHoldings replaces what is known to be held by what the newest answer says.
+// applyHoldings replaces the held, revoked and queued leases with those of the newest result.
 func (c *Core) applyHoldings(now time.Duration, r coord.Result) {
 	clear(c.held)
 	clear(c.revoked)
@@ -99,7 +101,8 @@
 			request.registered = true
 		}
 	}
-	// What is held and not requested, as after an answer that was lost, is released.
+	// A lease that is held but not requested is released. It may have been granted by a command whose result was lost, and the
+	// request withdrawn meanwhile.
 	for name := range c.held {
 		if c.requests[name] == nil {
 			c.requests[name] = &request{releasing: true}
--- a/internal/lease/task.go
+++ b/internal/lease/task.go
@@ -10,23 +10,24 @@
 	"frostlink/internal/wait"
 )
 
-// The keys of log attributes that only this package has.
+// Keys of log attributes that only this package uses.
 const (
 	keyLease = "lease"
 	keyToken = "token"
 )
 
-// Guard says what makes a late act harmless: one that a holder, paused between its check and its system call, does after the
-// lease has passed on. There is no default: each task states one of the two.
+// Guard states what makes a late act harmless: an act of a holder that was paused between its check and its system call until
+// the lease was granted to another process. There is no default: each task is either Fenced or Idempotent.
 type Guard struct {
 	fenced bool
 	reason string
 }
 
-// Fenced is for a resource that gets the fencing token with each act, and rejects one lower than it has seen.
+// Fenced is for a resource that gets the fencing token with each act, and rejects a token that is lower than the highest one it
+// has seen.
 func Fenced(resource string) Guard { return Guard{true, resource} }
 
-// Idempotent is for acts that may be done by anyone, any number of times; the reason says why.
+// Idempotent is for acts that any process may do any number of times. reason explains why.
 func Idempotent(reason string) Guard { return Guard{false, reason} }
 
 func (g Guard) String() string {
@@ -36,27 +37,27 @@
 	return "harmless: " + g.reason
 }
 
-// Task is work that one process of the fleet does at a time.
+// Task is work that one process of the fleet at a time does.
 type Task struct {
 	Lease    string
-	Reason   string // for people
+	Reason   string // shown to operators
 	Guard    Guard
-	Interval time.Duration // between the end of a run and the next request for the lease
-	// Due reports whether there is anything to do; the lease is not requested else. nil: there always is.
+	Interval time.Duration // pause between the end of a run and the next request for the lease
+	// Due reports whether there is work to do. If not, the lease is not requested. If Due is nil, there always is.
 	Due func(ctx context.Context) bool
-	// Run does the work while the lease is held; its context ends when the lease is lost. Each act asks Hold.Act. After
-	// a run the lease goes to the next process in the queue.
+	// Run does the work while the lease is held; its context ends when the lease is lost. It calls Hold.Act before each act.
+	// After the run, the next process in the queue gets the lease.
 	Run func(ctx context.Context, h *Hold) error
 }
 
-// Hold is a lease that is held, under one fencing token.
+// Hold is a lease that a task holds under one fencing token.
 type Hold struct {
 	client *Client
 	lease  string
 	Token  uint64
 }
 
-// Act allows one act that ends within cost, or returns a RefusedError.
+// Act allows an act that takes at most cost, or returns a RefusedError.
 func (h *Hold) Act(ctx context.Context, cost time.Duration) (*Act, error) {
 	a, err := h.client.Act(ctx, h.lease, cost)
 	if err == nil && a.Token != h.Token {
@@ -66,10 +67,10 @@
 	return a, err
 }
 
-// ErrMissingGuard is returned for a task that does not say what makes a late act harmless.
-var ErrMissingGuard = errors.New("it says neither Fenced nor Idempotent")
+// ErrMissingGuard is returned for a task without a Guard.
+var ErrMissingGuard = errors.New("guard is missing: must be Fenced or Idempotent")
 
-// RunTask runs a task each time that its lease is held, until its context ends.
+// RunTask runs a task each time its lease is granted to this process, until its context ends.
 func (c *Client) RunTask(ctx context.Context, t Task) error {
 	if t.Guard.reason == "" {
 		return fmt.Errorf("task %q: %w", t.Lease, ErrMissingGuard)
@@ -90,19 +91,19 @@
 	return fmt.Errorf("task %q: %w", t.Lease, context.Cause(ctx))
 }
 
-// runLogged runs a task once under a token, and logs its beginning and end.
+// runLogged runs a task once under a token, and logs its start and end.
 func (c *Client) runLogged(ctx context.Context, t Task, token uint64) {
 	log := c.log.With(keyLease, t.Lease, keyToken, token)
-	log.Info("a fleet task begins")
+	log.Info("fleet task started")
 	c.runOnce(ctx, t, token)
 	if grant, held := c.Grant(t.Lease); !held || grant.Token != token {
-		log.Warn("a fleet task stopped: its lease was lost")
+		log.Warn("lease lost; fleet task stopped")
 		return
 	}
-	log.Info("a fleet task ends its turn")
+	log.Info("fleet task finished its run; releasing the lease")
 }
 
-// awaitLease waits until a lease is held, and reports false if the context ends first.
+// awaitLease waits until a lease is held. It reports false if the context ends first.
 func (c *Client) awaitLease(ctx context.Context, name string) (token uint64, held bool) {
 	for {
 		changed := c.nextChangeOfHoldings()
@@ -117,7 +118,7 @@
 	}
 }
 
-// runOnce runs a task once, and cancels it when the lease is not held under its token any more.
+// runOnce runs a task once, and cancels it when the lease is not held under the token any more.
 func (c *Client) runOnce(ctx context.Context, t Task, token uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -131,7 +132,7 @@
 		select {
 		case err := <-done:
 			if err != nil && !errors.Is(err, context.Canceled) {
-				c.log.Warn("a fleet task failed", keyLease, t.Lease, logkey.Err, err)
+				c.log.Warn("run of a fleet task failed", keyLease, t.Lease, logkey.Err, err)
 			}
 			return
 		case <-changed:
