--- a/internal/coord/api/errors.go
+++ b/internal/coord/api/errors.go
@@ -9,7 +9,8 @@
 var (
 	ErrNotLeader = errors.New("the member is not the leader")
 	ErrRejected  = errors.New("request rejected") // nothing was done, and a retry does not help
-	// ErrNoLeader is returned when no leader was found before the context ended.
+	// ErrNoLeader is returned when no leader answered before the context ended, or the list of
+	// members is empty.
 	ErrNoLeader = errors.New("no leader, or the leader can't be reached")
 )
 
--- a/internal/coord/command.go
+++ b/internal/coord/command.go
@@ -18,7 +18,7 @@
 	OpDelete   Op = "delete"   // delete a value if its current revision is the expected one
 )
 
-// Command is a client's command to the state machine. A command that can change leases or values
+// Command is a client's command to the state machine. Every command but OpOpen, OpRenew and OpClose
 // carries the session's next sequence number, so that a retry is not applied again.
 type Command struct {
 	Op               Op            `json:"op"`
--- a/internal/coord/disk/golden_test.go
+++ b/internal/coord/disk/golden_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("unexpected identity %+v", id)
 	}
 	if !matches(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("read state %+v, want %+v", got, want)
 	}
 	goldentest.JSON(t, "forms.txt",
 		goldentest.Form{Name: "identity", Value: &Identity{}},
--- a/internal/coord/disk/store_test.go
+++ b/internal/coord/disk/store_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	if !matches(got, want) {
-		t.Fatalf("%+v, want %+v", got, want)
+		t.Fatalf("read state %+v, want %+v", got, want)
 	}
 	for i, e := range got.Entries {
 		if e.GetIndex() != want.Entries[i].GetIndex() || string(e.GetData()) != string(want.Entries[i].GetData()) {
--- a/internal/coord/doc.go
+++ b/internal/coord/doc.go
@@ -18,8 +18,8 @@
 //   - A value has the revision of the write that created it. A write states the revision that it
 //     expects the value to have, and may name a lease and its fencing token: the write is rejected
 //     if the session does not hold the lease under that token any more.
-//   - A command that can change leases or values carries the session's next sequence number. A
-//     retry gets the result of the first application and is not applied again.
+//   - A command for a lease or value carries the session's next sequence number. A retry gets the
+//     result of the first application and is not applied again.
 //
 // # Time
 //
@@ -55,6 +55,6 @@
 //	members.go   the members of the cluster
 //	snapshot.go  the encoding of a snapshot
 //	status.go    a member's status
-//	limits.go    the bounds of every table
+//	limits.go    limits of all tables
 //	errors.go    error types that callers distinguish
 package coord
--- a/internal/coord/machine.go
+++ b/internal/coord/machine.go
@@ -121,7 +121,7 @@
 	return r
 }
 
-// execute applies a command that can change leases or values.
+// execute applies a command for a lease or value.
 func (m *Machine) execute(s *session, c *Command) Result {
 	switch c.Op {
 	case OpAcquire:
--- a/internal/coord/replica/incarnation.go
+++ b/internal/coord/replica/incarnation.go
@@ -119,8 +119,9 @@
 }
 
 // acceptIncarnation reports whether messages of an envelope's sender are accepted. The sender must
-// be in its latest known incarnation, or announce a later one whose list contains the known one. A
-// sender whose message or disk is stale gets a KindStale reply.
+// be in its latest known incarnation, or announce a later one whose list contains the known one. If
+// none is known, any announcement is accepted. A sender whose message or disk is stale gets a
+// KindStale reply.
 func (c *Core) acceptIncarnation(e Envelope) bool {
 	known := c.incarnations.peers[e.From]
 	switch {
--- a/internal/coord/server/server_test.go
+++ b/internal/coord/server/server_test.go
@@ -69,7 +69,7 @@
 	servertest.Eventually(t, "a holds again", holds("a"))
 	list, err := c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Leases: "*", History: "x"}})
 	if err != nil || len(list.Leases) != 1 || list.Leases[0].Holder != "a" || len(list.History) < 5 {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("unexpected leases or history: %+v, %v", list, err)
 	}
 }
 
@@ -89,12 +89,12 @@
 	put := api.Request{Command: &coord.Command{Op: coord.OpPut, Session: open.Result.Session, Seq: 1, Key: "k", Value: []byte("v")}}
 	for range 2 { // the second time is a retry
 		if a, err := c.CallLeader(api.PathCommand, put); err != nil || a.Result.Code != coord.CodeOK || a.Result.ModRevision != 1 {
-			t.Fatalf("%+v, %v", a, err)
+			t.Fatalf("put failed: %+v, %v", a, err)
 		}
 	}
 	a, err := c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*", Changes: "*"}})
 	if err != nil || len(a.Values) != 1 || string(a.Values[0].Value) != "v" || len(a.Changes) != 1 || a.Compacted || a.Revision != 1 {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("unexpected values or changes: %+v, %v", a, err)
 	}
 	if a, err = c.CallLeader(api.PathRead, api.Request{Query: &api.Query{Changes: "*", After: 99}}); err != nil || !a.Compacted {
 		t.Errorf("changes after a revision that does not exist: %+v, %v", a, err)
@@ -108,7 +108,7 @@
 		return err == nil
 	})
 	if m, err := coord.Restore(raw); err != nil || len(m.Values("k")) != 1 {
-		t.Errorf("%v: %s", err, raw)
+		t.Errorf("snapshot not restored: %v: %s", err, raw)
 	}
 }
 
@@ -144,7 +144,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if status, body := post(t, tt.path, tt.body); status != tt.status || !strings.Contains(body, tt.message) {
-				t.Errorf("%d %s", status, body)
+				t.Errorf("unexpected answer: status %d, body %s", status, body)
 			}
 		})
 	}
--- a/internal/fleettask/export_test.go
+++ b/internal/fleettask/export_test.go
@@ -118,7 +118,7 @@
 		}
 	}
 	if len(counts) != 3*each+10 || len(l.Positions) != 3 {
-		t.Errorf("%d records of %d relays", len(counts), len(l.Positions))
+		t.Errorf("exported %d records of %d relays", len(counts), len(l.Positions))
 	}
 }
 
@@ -153,7 +153,7 @@
 	first := act(a)
 	paused, err := a.nextSlice(ctx, maxSliceRecords)
 	if err != nil || paused == nil {
-		t.Fatalf("%v, %v", paused, err)
+		t.Fatalf("no slice for the paused holder: %v, %v", paused, err)
 	}
 	first.End()
 	a.client.Request("other", "keeps its session alive") // without a session, a put fails before it is sent to the service
@@ -162,7 +162,7 @@
 	second := act(b)
 	next, err := b.nextSlice(ctx, maxSliceRecords)
 	if err != nil || next == nil {
-		t.Fatalf("%v, %v", next, err)
+		t.Fatalf("no slice for the next holder: %v, %v", next, err)
 	}
 	// The ledger has not changed since the paused holder has read it, so only the old token shows
 	// that its slice is late. Its context is not cancelled, as if it had not noticed yet that its
@@ -176,7 +176,7 @@
 	second.End()
 	l, counts := readExport(t, b.client, folder)
 	if l.Records != 10 || len(counts) != 10 || counts["a-0"] != 0 {
-		t.Errorf("%+v, %d records", l, len(counts))
+		t.Errorf("unexpected export: ledger %+v, %d records", l, len(counts))
 	}
 	if _, err := os.Stat(filepath.Join(folder, "slice-"+fmt.Sprintf("%016x-%08d-a.jsonl", first.Token, 1))); errors.Is(err, os.ErrNotExist) {
 		t.Error("the paused holder's slice was not written, so the test does not check the fencing")
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -134,6 +134,6 @@
 	}
 	longest := validity / timeoutDivisor
 	if timeout := h.Timeout(); timeout <= 0 || timeout > longest {
-		doc.AddError(path+".within_ms", "is %d; must be from 1 to half the validity of a lease, which is %d", h.TimeoutMillis, longest.Milliseconds())
+		doc.AddError(path+".within_ms", "is %d; must be from 1 to %d, half the validity of a lease", h.TimeoutMillis, longest.Milliseconds())
 	}
 }
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -90,7 +90,7 @@
 	registered bool          // the session is queued for the lease, according to the newest result
 	releasing  bool          // the lease is to be released once no act under it is open
 	successor  string        // name of the process that gets the lease next; empty: the first in the queue
-	notBefore  time.Duration // no command is sent for it before: it was revoked by an operator, or the service rejected it
+	notBefore  time.Duration // no command is sent for the lease before: it was revoked, or the service rejected the last command
 }
 
 // Request requests a lease, and requests it again whenever it is lost, until Release.
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -4,7 +4,7 @@
 // Core makes the decisions. It has neither I/O nor a clock: its methods take the time on the boot-time clock, which advances
 // while a machine is suspended. Client runs a Core, calls the service for it, and runs the fleet's tasks under leases.
 //
-// An act is one operation, such as a system call, that is allowed only while a lease is held.
+// An act is an operation with an external effect that is allowed only while a lease is held.
 //
 // # Time
 //
