--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -25,8 +25,8 @@
 	MaxRetainedChanges = 1024 // writes of values, for watches
 	MaxRetainedEvents  = 4096 // events of leases
 
-	// compactionDivisor is the part of a full list that is dropped at once (a quarter), so that the
-	// rest of the list is not copied at every addition.
+	// compactionDivisor determines how much of a full list is dropped at once: a quarter, so that
+	// the rest of the list is not copied at every addition.
 	compactionDivisor = 4
 )
 
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -119,7 +119,7 @@
 // not keep it across calls of Core's methods: a snapshot from another member replaces it.
 func (c *Core) Machine() *coord.Machine { return c.machine }
 
-// Leadership reports whether this member believes that it is the leader, and the id of the leader
+// Leadership returns whether this member believes that it is the leader, and the id of the leader
 // that it knows (0: none).
 func (c *Core) Leadership() (leading bool, leader uint64) { return c.leading, c.leader }
 
--- a/internal/coord/replica/receive.go
+++ b/internal/coord/replica/receive.go
@@ -27,8 +27,8 @@
 	c.stepRaft(e)
 }
 
-// stepRaft passes a Raft message to the library. Messages are ignored until this incarnation is
-// announced.
+// stepRaft passes a Raft message to the library. Messages are ignored until enough voters have
+// acknowledged this incarnation.
 func (c *Core) stepRaft(e Envelope) {
 	var m raftpb.Message
 	if !c.incarnations.announced || proto.Unmarshal(e.Body, &m) != nil || m.GetFrom() != e.From || m.GetTo() != c.cfg.ID {
