--- a/internal/faultinjection/harness/admin_client.go
+++ b/internal/faultinjection/harness/admin_client.go
@@ -12,10 +12,10 @@
 	"frostlink/internal/faultinjection/checker"
 )
 
-// adminTimeout is how long an admin endpoint, or a relay asked for its health, may take.
+// adminTimeout bounds a request to an admin endpoint, and a health check of a relay.
 const adminTimeout = time.Second
 
-// The paths that the harness requests of relays and of their admin endpoints.
+// Paths that the harness requests from relays and from their admin endpoints.
 const (
 	healthPath  = "/_health"
 	statusPath  = "/status"
@@ -24,7 +24,7 @@
 	activePath  = "/active"
 )
 
-// singleUseClient opens a connection for each request: none stays open to a process that is about to end.
+// singleUseClient opens a connection for each request, so that none stays open to a process that is about to end.
 var singleUseClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // adminRequest makes a request to the process's admin endpoint, and returns the body of the response.
--- a/internal/faultinjection/harness/attempt.go
+++ b/internal/faultinjection/harness/attempt.go
@@ -15,20 +15,21 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// redeliveryExpiry is when a redelivery expires: never within a run, since destinations take redeliveries at any time.
+// redeliveryExpiry is the expiry time of a redelivery. It lies beyond the end of any run, since destinations accept
+// redeliveries at any time.
 const redeliveryExpiry = 1000 * time.Hour
 
 // maxBodySize is the protocol's bound on a body, in bytes.
 const maxBodySize = 64 << 10
 
-// bodyFormat begins the body of every message. It says whose message it is.
+// bodyFormat is the beginning of every message's body. It identifies the message by its number and its destination.
 const bodyFormat = "message %d for partner %d."
 
 // attempt is a relay's attempt whose request has been read completely. Its fields are guarded by the destination's lock.
 type attempt struct {
-	number     int // over all destinations of the run
+	number     int // counted over all destinations of the run
 	conn       *endpointConn
-	submission *submission // nil: of an unknown id
+	submission *submission // nil: the request has an unknown id
 	model      *destination.Attempt
 	startedAt  time.Duration
 	ended      bool
@@ -43,13 +44,13 @@
 	firstByte time.Duration // when its first byte was read
 }
 
-// messageBody returns the body of a message, which is the same in every attempt and unlike that of any other message.
+// messageBody returns the body of a message, which is the same in every attempt and differs from that of every other message.
 func messageBody(s *submission) []byte {
 	text := fmt.Sprintf(bodyFormat, s.message.Number, s.message.Destination) + " "
 	return []byte(strings.Repeat(text, s.message.BodySize/len(text)+1)[:s.message.BodySize])
 }
 
-// errBodyTooLong says that a body is longer than maxBodySize.
+// errBodyTooLong is the error for a body longer than maxBodySize.
 var errBodyTooLong = errors.New("body too long")
 
 // readRequest reads the next request of a connection.
@@ -71,7 +72,7 @@
 	}, nil
 }
 
-// readAttempt reads one attempt and hands it to the model. It reports whether the connection stays open.
+// readAttempt reads one attempt and passes it to the model. It reports whether the connection stays open.
 func (c *endpointConn) readAttempt(in *bufio.Reader, firstByte time.Duration) bool {
 	req, err := readRequest(in, firstByte)
 	if err != nil {
@@ -99,11 +100,11 @@
 		d.drawAttempt(a, previous)
 	}
 	d.pending[a.model] = a
-	d.carryOut(d.model.Arrive(d.now(), c.endpoint.index, a.model))
+	d.applyActions(d.model.Arrive(d.now(), c.endpoint.index, a.model))
 	return !c.closed
 }
 
-// beginAttempt records an attempt. It returns it, and how many attempts its message had before.
+// beginAttempt records an attempt and returns it, with the number of earlier attempts of its message.
 func (c *endpointConn) beginAttempt(req *attemptRequest) (a *attempt, previous int) {
 	d := c.endpoint.destination
 	if d.harness.scenario.Relay.Redelivers && !req.probe {
@@ -126,12 +127,13 @@
 	return a, previous
 }
 
-// recordRedelivery records the first attempt under an id that no client submitted. The body says whose message it is.
+// recordRedelivery records the first attempt under an id that no client submitted. The body identifies the message that is
+// redelivered.
 func (d *destinationServer) recordRedelivery(req *attemptRequest, relay int) {
 	h := d.harness
 	var number, intended int
 	if n, _ := fmt.Sscanf(string(req.body), bodyFormat, &number, &intended); n != 2 || number < 0 || number >= len(h.clients.messages) {
-		return // an attempt for an unknown id, which the platform stops
+		return // not a redelivery: checkForwardable rejects the unknown id
 	}
 	m := h.clients.messages[number]
 	if h.ledger.adoptRedelivery(&submission{message: m, id: req.id, relay: relay, expiresAt: redeliveryExpiry}) {
@@ -142,8 +144,8 @@
 	}
 }
 
-// checkForwardable checks an attempt as the platform does between relays and destinations. It returns the status of one that
-// does not reach the destination, or 0.
+// checkForwardable makes the checks that the platform makes between relays and destinations. It returns the status with which
+// the platform rejects the attempt, or 0 if the attempt reaches the destination.
 func (c *endpointConn) checkForwardable(a *attempt, req *attemptRequest) int {
 	d, s := c.endpoint.destination, a.submission
 	switch {
@@ -165,7 +167,7 @@
 	return 0
 }
 
-// drawAttempt draws an attempt's service time and fate.
+// drawAttempt draws an attempt's service time and the random number that decides its outcome.
 func (d *destinationServer) drawAttempt(a *attempt, previous int) {
 	h, m := d.harness, a.submission.message
 	a.model.ServiceTime = h.scenario.ServiceTime(h.random, m, previous)
--- a/internal/faultinjection/harness/check.go
+++ b/internal/faultinjection/harness/check.go
@@ -9,7 +9,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// voidLateShare is the share of late events above which a run is inconclusive: it says more of the machine than of the relays.
+// voidLateShare is the share of late harness events above which a run is void: the machine was too busy for a verdict on the
+// relays.
 const voidLateShare = 0.01
 
 // check judges the run from its log and the relays' dead-letter stores.
@@ -44,7 +45,7 @@
 	end = h.now()
 	h.mu.Unlock()
 	result.Void = result.LateShare > voidLateShare
-	result.Datagrams = h.network.sum()
+	result.Datagrams = h.network.counts()
 	for _, relay := range h.relays {
 		result.Failures = append(result.Failures, relay.violations()...)
 		result.Processes = append(result.Processes, relay.measuredUsage())
@@ -73,7 +74,7 @@
 	return byName
 }
 
-// parameters returns what the checker judges by.
+// parameters returns the settings and destination capacities that the checker judges the run by.
 func (h *harness) parameters() checker.Parameters {
 	p := checker.Parameters{Settings: h.scenario.RelaySettings(0), NotifyWithin: scenario.Seconds(h.scenario.Discovery.NotifyWithin)}
 	for i := range h.scenario.Destinations {
@@ -86,7 +87,7 @@
 	return p
 }
 
-// requestsOf returns what the checker has to know of the messages that clients were to submit.
+// requestsOf returns the messages that clients were to submit, in the form that the checker reads.
 func requestsOf(messages []*scenario.Message) []checker.Request {
 	requests := make([]checker.Request, len(messages))
 	for i, m := range messages {
--- a/internal/faultinjection/harness/client.go
+++ b/internal/faultinjection/harness/client.go
@@ -12,23 +12,23 @@
 	"frostlink/internal/wait"
 )
 
-// maxSubmissions bounds how often one message is submitted, whatever happens to its relays.
+// maxSubmissions bounds the number of submissions of one message, whatever happens to the relays.
 const maxSubmissions = 12
 
-// retryMark is the value of the header Client-Retry; empty: there is none.
+// retryMark is the value of the header Client-Retry. If it is empty, the header is not sent.
 type retryMark string
 
 const (
 	unmarked         retryMark = ""
-	markResubmission retryMark = "again" // after a relay was not reached, or gave no answer
-	markRetry        retryMark = "1"     // after a rejection, where the scenario's clients mark such
+	markResubmission retryMark = "again" // after a relay could not be reached or gave no response
+	markRetry        retryMark = "1"     // after a rejection, if the scenario's clients mark retries
 )
 
-// clientPool is the clients: they submit messages, and resubmit them by the scenario's habits.
+// clientPool stands in for the clients. They submit messages, and resubmit them as the scenario specifies.
 type clientPool struct {
 	h        *harness
-	messages []*scenario.Message // by number, the backlog's too
-	busy     atomic.Int64        // messages whose client has something to do
+	messages []*scenario.Message // by number, including those of the backlog
+	busy     atomic.Int64        // messages whose client is submitting or is about to submit
 
 	mu        sync.Mutex               // guards the fields below
 	idleConns map[string][]*clientConn // by relay's address
@@ -42,17 +42,17 @@
 // plannedSubmission is a submission that a client is about to make.
 type plannedSubmission struct {
 	message    *scenario.Message
-	number     int // of the message's submissions, from 0
-	rejections int // that its client has had before
+	number     int // among the message's submissions, from 0
+	rejections int // of earlier submissions of the message
 	mark       retryMark
 }
 
-// resubmission plans the next submission of a message after one that no relay has answered.
+// resubmission plans the next submission of a message after a submission that got no response from a relay.
 func (s *submission) resubmission() plannedSubmission {
 	return plannedSubmission{message: s.message, number: s.number + 1, rejections: s.rejections, mark: markResubmission}
 }
 
-// idle reports whether no client has anything to do.
+// idle reports whether no client is submitting or is about to submit.
 func (c *clientPool) idle() bool { return c.busy.Load() == 0 }
 
 // submitFirst submits a message for the first time.
@@ -73,12 +73,12 @@
 	})
 }
 
-// timeLeft returns how long a message may still be delivered.
+// timeLeft returns the time until a message's deadline.
 func (c *clientPool) timeLeft(m *scenario.Message) time.Duration {
 	return m.At + scenario.Seconds(c.h.scenario.Classes[m.Class].Deadline) - c.h.now()
 }
 
-// submit submits a message once, and does what its client then does.
+// submit submits a message once, and acts on the result as its client does.
 func (c *clientPool) submit(planned plannedSubmission) {
 	m := planned.message
 	timeLeft := c.timeLeft(m)
@@ -98,14 +98,15 @@
 	case errors.Is(err, errNotSubmitted):
 		c.submitLater(s.resubmission(), m.ResubmitDelay)
 	case err != nil:
-		c.answerMissed(s, err)
+		c.handleNoResponse(s, err)
 	default:
-		c.answered(s, response)
+		c.handleResponse(s, response)
 	}
 }
 
-// answerMissed has a client resubmit a message that a relay may have accepted, where that does no harm.
-func (c *clientPool) answerMissed(s *submission, err error) {
+// handleNoResponse records that a client got no response, and has the client resubmit the message if that does no harm, since the
+// relay may have accepted it.
+func (c *clientPool) handleNoResponse(s *submission, err error) {
 	c.h.record(checker.Event{Kind: checker.AnswerMissed, ID: s.id, Relay: s.relay, State: err.Error(), OK: errors.Is(err, errNoResponse)})
 	c.h.ledger.withdraw(s)
 	if c.mayResubmit(s, s.message.ResubmitDelay) {
@@ -113,8 +114,8 @@
 	}
 }
 
-// answered has a client act on a relay's response.
-func (c *clientPool) answered(s *submission, response clientResponse) {
+// handleResponse records a relay's response, and has the client act on it.
+func (c *clientPool) handleResponse(s *submission, response clientResponse) {
 	event := checker.Event{Kind: checker.Answered, ID: s.id, Relay: s.relay, Status: response.status}
 	accepted := response.status == http.StatusAccepted || response.status == http.StatusOK
 	if !accepted {
@@ -130,7 +131,8 @@
 	}
 }
 
-// retryRejected has a client submit a rejected message again, by its habits.
+// retryRejected has a client submit a rejected message again, with the backoff and up to the number of retries that were
+// drawn for the message.
 func (c *clientPool) retryRejected(s *submission, retryAfter time.Duration) {
 	m := s.message
 	if s.rejections >= len(m.Backoff) {
@@ -150,8 +152,8 @@
 	c.submitLater(plannedSubmission{message: m, number: s.number + 1, rejections: s.rejections + 1, mark: mark}, delay)
 }
 
-// mayResubmit reports whether a message may be submitted once more after a delay: one that may have been executed only
-// where a repeat does no harm.
+// mayResubmit reports whether a message may be submitted again after a delay. A message that may have been executed is
+// submitted again only if a second execution does no harm.
 func (c *clientPool) mayResubmit(s *submission, delay time.Duration) bool {
 	now := c.h.ledger.state(s)
 	mayHaveRunAt := now.mayHaveRunAt
@@ -171,7 +173,7 @@
 	}
 }
 
-// resubmitLost has clients resubmit what a relay held that is gone with its state.
+// resubmitLost has clients resubmit the messages that a relay held when its state was lost.
 func (c *clientPool) resubmitLost(relay int) {
 	for _, s := range c.h.ledger.takeHeldBy(relay) {
 		if c.mayResubmit(s, s.message.ResubmitDelay) {
--- a/internal/faultinjection/harness/client_conn.go
+++ b/internal/faultinjection/harness/client_conn.go
@@ -16,7 +16,7 @@
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool // it was idle, so that the relay may close it as a request is written
+	reused bool // it has been idle, so the relay may close it while a request is written
 }
 
 // takeIdle returns an idle connection to a relay, or nil.
@@ -59,10 +59,10 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// putIdle keeps a connection for the next message, or closes it where there are enough.
+// putIdle keeps a connection for a later message, or closes it if enough connections are idle.
 func (c *clientPool) putIdle(addr string, conn *clientConn) {
 	conn.reused = true
-	_ = conn.SetDeadline(time.Time{}) // fails on a closed connection only, which the next message finds
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection, which the next exchange detects
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || len(c.idleConns[addr]) >= int(idleConnShare*float64(c.h.scenario.Relay.Sockets)) {
@@ -90,7 +90,7 @@
 
 // isOpen reports whether the relay has neither closed an idle connection nor written to it.
 func (c *clientConn) isOpen() bool {
-	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond)) // fails on a closed connection only, as does the read
+	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond)) // fails only on a closed connection, on which Peek fails as well
 	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
@@ -98,7 +98,7 @@
 	return true
 }
 
-// close closes all idle connections, and every other once its exchange has ended.
+// close closes all idle connections. A connection in use is closed when its exchange ends.
 func (c *clientPool) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultinjection/harness/client_exchange.go
+++ b/internal/faultinjection/harness/client_exchange.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	// errNotSubmitted means that a relay could not be reached.
+	// errNotSubmitted means that no relay could be reached, so that none has read the message.
 	errNotSubmitted = errors.New("not handed in")
 	// errNoResponse means that a connection ended before the first byte of a response.
 	errNoResponse = errors.New("closed without an answer")
@@ -34,14 +34,14 @@
 // closedError is the end of a connection before the first byte of a response.
 type closedError struct {
 	err   error
-	after time.Duration // since the request was written; 0 where it was not
+	after time.Duration // time since the request was written; 0: it was not written
 }
 
 func (e *closedError) Error() string { return fmt.Sprintf("%v: %v", errNoResponse, e.err) }
 
 func (e *closedError) Unwrap() []error { return []error{errNoResponse, e.err} }
 
-// exchange submits a message and waits for the response. The error is errNotSubmitted where no relay can have read it.
+// exchange submits a message and waits for the response. The error is errNotSubmitted if no relay can have read the message.
 func (c *clientPool) exchange(s *submission, timeLeft time.Duration, mark retryMark) (clientResponse, error) {
 	addr := c.h.relays[s.relay].listen
 	conn, err := c.connFor(s, addr)
@@ -53,14 +53,14 @@
 	if err == nil || !conn.reused || s.openConnOnly || !errors.Is(err, errNoResponse) {
 		return response, err
 	}
-	// The relay closed an idle connection: once more on a new one.
+	// The relay closed a connection that had been idle: try once more on a new one.
 	if conn, err = c.dial(addr); err != nil {
 		return clientResponse{}, fmt.Errorf("%w: %w", errNotSubmitted, err)
 	}
 	return c.exchangeOn(conn, s, timeLeft, mark)
 }
 
-// connFor returns the connection for a submission: an idle one, or a new one where the relay may get that.
+// connFor returns the connection for a submission: an idle one, or a new one unless the relay gets no new connections.
 func (c *clientPool) connFor(s *submission, addr string) (*clientConn, error) {
 	if s.openConnOnly {
 		conn := c.takeOpen(addr)
@@ -82,7 +82,7 @@
 
 // exchangeOn submits a message on a connection and waits for the response. The connection is idle after it, or closed.
 func (c *clientPool) exchangeOn(conn *clientConn, s *submission, timeLeft time.Duration, mark retryMark) (clientResponse, error) {
-	_ = conn.SetDeadline(time.Now().Add(c.responseTimeout())) // fails on a closed connection only, as does what follows
+	_ = conn.SetDeadline(time.Now().Add(c.responseTimeout())) // fails only on a closed connection, on which the round trip fails too
 	response, err := conn.roundTrip(c.request(s, timeLeft, mark))
 	if err != nil {
 		_ = conn.Close()
@@ -97,7 +97,8 @@
 	return response, nil
 }
 
-// recordClosed records that a connection was closed on a request that was written, in order: the relay had read all that had come.
+// recordClosed records that the relay closed the connection after a request was written, if the close was orderly (EOF, not a
+// reset): the relay had then read all received data.
 func (c *clientPool) recordClosed(s *submission, err error) {
 	if closed := (*closedError)(nil); errors.As(err, &closed) && closed.after > 0 && errors.Is(err, io.EOF) {
 		c.h.record(checker.Event{Kind: checker.ClosedOnRequest, ID: s.id, Relay: s.relay, Duration: closed.after})
@@ -162,7 +163,7 @@
 	if err != nil {
 		return clientResponse{}, fmt.Errorf("read a response: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // reads what is left, which is nothing
+	defer func() { _ = resp.Body.Close() }() // the body has been read by then
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodySize)); err != nil {
 		return clientResponse{}, fmt.Errorf("read a response: %w", err)
 	}
--- a/internal/faultinjection/harness/coordination.go
+++ b/internal/faultinjection/harness/coordination.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// coordinationProgram lies in the folder of the relay's program.
+	// coordinationProgram is the coordination service's program, which lies in the same folder as the relay's program.
 	coordinationProgram = "frostlink-coord"
-	// coordinationCluster is the name of the cluster.
+	// coordinationCluster is the name of the coordination service's cluster.
 	coordinationCluster = "rehearsal"
 )
 
 // coordination is the coordination service of the run.
 type coordination struct {
-	text    string // the lines of the operator's file that name it
+	text    string // lines of the operator's file that name the cluster and its members
 	members []*faults.Process
 }
 
--- a/internal/faultinjection/harness/crowd.go
+++ b/internal/faultinjection/harness/crowd.go
@@ -9,11 +9,11 @@
 	"frostlink/internal/wait"
 )
 
-// crowdRequest is the part of a request that every other caller of a crowd sends and never goes on with.
+// crowdRequest is the beginning of a request. Every second caller of a crowd sends it and never sends the rest.
 const crowdRequest = "POST /status HTTP/1.1\r\nHost: service.internal\r\nReq"
 
-// crowd has callers hold connections to the relay for a while: idle ones, and ones with half a request. What the relay closes is
-// opened again.
+// crowd has callers hold connections to the relay for a while, half of them idle and half with an incomplete request. A
+// connection that the relay closes is opened again.
 func (r *relay) crowd(d time.Duration, callers int) {
 	r.h.count(Crowded)
 	r.h.record(checker.Event{Kind: checker.CrowdCame, Relay: r.number})
@@ -29,7 +29,7 @@
 	wait.For(r.h.ctx, d)
 }
 
-// holdConn holds a connection to the relay until a time, and opens another where the relay closes it.
+// holdConn holds a connection to the relay until a time, and opens another one whenever the relay closes it.
 func (r *relay) holdConn(end time.Duration, request string) {
 	for r.h.now() < end {
 		if conn, err := net.DialTimeout("tcp", r.listen, end-r.h.now()); err == nil {
@@ -42,10 +42,10 @@
 }
 
 func (r *relay) holdUntilClosed(conn net.Conn, end time.Duration, request string) {
-	defer func() { _ = conn.Close() }()                   // nothing was to arrive on it
-	_ = conn.SetDeadline(time.Now().Add(end - r.h.now())) // fails on a closed connection only, as does what follows
+	defer func() { _ = conn.Close() }()                   // no data is expected on it
+	_ = conn.SetDeadline(time.Now().Add(end - r.h.now())) // fails only on a closed connection, on which the write fails too
 	if _, err := io.WriteString(conn, request); err != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, conn) // until the relay closes it, or the end
+	_, _ = io.Copy(io.Discard, conn) // until the relay closes the connection, or the deadline passes
 }
--- a/internal/faultinjection/harness/deadletter_stores.go
+++ b/internal/faultinjection/harness/deadletter_stores.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// storeSettleTime is how long relays have, at the end of a run, to hand over to their dead-letter stores.
+	// storeSettleTime is the time that relays get, at the end of a run, to move undelivered messages to their dead-letter
+	// stores.
 	storeSettleTime = 2 * time.Second
 	// backlogAge is how long before the run the messages of a backlog failed.
 	backlogAge = time.Hour
@@ -25,7 +26,8 @@
 	storePageSize = 1000
 )
 
-// deadLetterFolder returns the folder of the relay's dead-letter store, by its operator's file; empty: it has none.
+// deadLetterFolder returns the folder of the relay's dead-letter store as the operator's file names it, or an empty string if
+// the relay has no store.
 func (r *relay) deadLetterFolder() (string, error) {
 	own, err := operatorconfig.Read(r.operatorPath())
 	switch {
@@ -63,7 +65,7 @@
 		return err
 	}
 	if folder == "" {
-		return errors.New("relay.backlog: the operator's file keeps no undelivered messages")
+		return errors.New("relay.backlog: the operator's file configures no dead-letter store")
 	}
 	store, err := deadletter.Open(folder, 0, 0)
 	if err != nil {
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// backlogMessage returns a message as the store has it after it failed.
+// backlogMessage returns a message of the backlog in the form in which the store holds a message that failed.
 func (r *relay) backlogMessage(m *scenario.Message, failedAt time.Time) deadletter.Message {
 	id, class := fmt.Sprintf("before-%d", m.Number), &r.h.scenario.Classes[m.Class]
 	letter := deadletter.Message{Body: messageBody(&submission{message: m}), Record: deadletter.Record{
@@ -107,8 +109,8 @@
 	return letter
 }
 
-// deadLetters reads the relays' dead-letter stores, once the relays have ended: what is stored, and the ids of what
-// the stores dropped.
+// deadLetters reads the relays' dead-letter stores after the relays have ended. It returns the stored records, and the ids
+// of the messages that the stores dropped.
 func (h *harness) deadLetters() (stored []checker.DeadLetter, dropped []string, err error) {
 	for _, r := range h.relays {
 		ofRelay, droppedIDs, err := r.deadLetters()
@@ -129,7 +131,7 @@
 	}
 	store, err := deadletter.OpenToRead(folder)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, nil // nothing was ever stored, which the checker judges
+		return nil, nil, nil // nothing was ever stored; the checker decides whether that is a violation
 	}
 	if err != nil {
 		return nil, nil, err
@@ -162,12 +164,12 @@
 	}
 }
 
-// deadLetter returns what the checker has to know of a record.
+// deadLetter returns a record in the form that the checker reads.
 func (r *relay) deadLetter(record *deadletter.Record) checker.DeadLetter {
 	letter := checker.DeadLetter{Relay: r.number, State: string(record.State), Reason: record.Reason + string(record.Last().Reason)}
 	for i, incarnation := range record.Incarnations {
 		letter.IDs = append(letter.IDs, incarnation.ID)
-		// Of a redelivery in flight the store knows nothing yet: its attempts are in the relay's journal.
+		// The store does not have the attempts of a redelivery in flight yet: they are in the relay's journal.
 		inFlight := record.State == deadletter.Redelivering && i == len(record.Incarnations)-1
 		if !inFlight && neverExecuted(incarnation.Attempts) {
 			letter.NotExecuted = append(letter.NotExecuted, incarnation.ID)
@@ -187,7 +189,7 @@
 	if err != nil || folder == "" {
 		return err
 	}
-	if err := os.CopyFS(to, os.DirFS(folder)); err != nil && !errors.Is(err, fs.ErrNotExist) { // not there: nothing was ever stored
+	if err := os.CopyFS(to, os.DirFS(folder)); err != nil && !errors.Is(err, fs.ErrNotExist) { // the store does not exist if nothing was ever stored
 		return fmt.Errorf("copy: %w", err)
 	}
 	return nil
--- a/internal/faultinjection/harness/destination_server.go
+++ b/internal/faultinjection/harness/destination_server.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// keyExpiryInterval is the time between expiries of the idempotency keys of a destination.
+	// keyExpiryInterval is the time between removals of a destination's expired idempotency keys.
 	keyExpiryInterval = time.Second
-	// timerHorizon is how far ahead the timer is set. What is due later is set after a later event.
+	// timerHorizon is the longest time for which the timer is set. The timer for an action that is due later is set after
+	// some later event.
 	timerHorizon = time.Hour
 	// stateOverloaded is the state of an outage that the destination's own overload caused.
 	stateOverloaded = "fell"
 )
 
-// destinationServer is a destination on sockets: the model decides, the endpoints carry it out.
+// destinationServer serves a destination on sockets: the model makes the decisions, and the endpoints carry them out.
 type destinationServer struct {
 	harness *harness
 	number  int // index in the scenario
 
-	// mu guards everything below, and the endpoints with their connections, so that the decisions of the model and what
-	// goes over the sockets have one order.
+	// mu guards everything below, and the endpoints with their connections, so that the model's decisions and the traffic
+	// on the sockets have the same order.
 	mu            sync.Mutex
 	model         *destination.Model
 	endpoints     []*endpointServer
@@ -47,7 +48,7 @@
 // name returns the destination's name in the scenario.
 func (d *destinationServer) name() string { return d.harness.scenario.Destinations[d.number].Name }
 
-// now returns the model's time, which stands still until the run begins.
+// now returns the model's time, which is 0 until the run begins.
 func (d *destinationServer) now() time.Duration {
 	if d.timer == nil {
 		return 0
@@ -55,14 +56,14 @@
 	return d.harness.now()
 }
 
-// start lets the model's time run.
+// start starts the model's time.
 func (d *destinationServer) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.timer = time.AfterFunc(0, d.advance)
 }
 
-// advance carries out what has become due.
+// advance carries out the model's actions that are due.
 func (d *destinationServer) advance() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,18 +75,18 @@
 		d.model.ExpireKeys(now)
 		d.keysExpiredAt = now
 	}
-	d.carryOut(d.model.Advance(now))
+	d.applyActions(d.model.Advance(now))
 }
 
-// carryOut carries out the model's actions and sets the timer for the next one; the lock is held.
-func (d *destinationServer) carryOut(actions []destination.Action) {
+// applyActions carries out the model's actions and sets the timer for the next one; the lock is held.
+func (d *destinationServer) applyActions(actions []destination.Action) {
 	recorded := false
 	for _, a := range actions {
 		if a.ModeChange == nil {
 			d.complete(a.Completion)
 			continue
 		}
-		if !recorded { // the endpoints of a destination change together: one event for all
+		if !recorded { // all endpoints of a destination change their mode together: one event is recorded for all
 			d.recordModeChange(a.ModeChange.Mode)
 			recorded = true
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-// complete responds to an attempt.
+// complete ends an attempt with the outcome that the model decided on, and responds if its relay still waits.
 func (d *destinationServer) complete(c *destination.Completion) {
 	if !c.Attempt.Probe {
 		d.harness.recordTiming(c.At)
@@ -141,12 +142,12 @@
 	case destination.OutcomeUnavailable:
 		resp.status, ended.Outcome = http.StatusServiceUnavailable, checker.Rejected
 	case destination.OutcomeRetryAfter:
-		// Rounded up: a wait that ends before there is capacity would not be honest.
+		// Rounded up, since the wait must not end before there is capacity.
 		ms := (c.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		resp.status, ended.Outcome, ended.Duration = http.StatusTooManyRequests, checker.RetryAfter, ms*time.Millisecond
 		resp.headers += "X-Retry-In-Ms: " + strconv.Itoa(int(ms)) + "\r\n"
 	case destination.OutcomeReset:
-		ended.Outcome = checker.Reset // and no response
+		ended.Outcome = checker.Reset // no response is sent
 	}
 	return resp, ended
 }
@@ -160,7 +161,7 @@
 	d.harness.record(checker.Event{Kind: checker.OutageEnded, Destination: d.number, OK: true})
 }
 
-// applyModeChange carries a change of the model's mode over to the sockets.
+// applyModeChange applies a change of the model's mode to the sockets.
 func (d *destinationServer) applyModeChange(c *destination.ModeChange) {
 	for _, e := range d.endpoints {
 		if e.index == c.Endpoint {
--- a/internal/faultinjection/harness/discovery_server.go
+++ b/internal/faultinjection/harness/discovery_server.go
@@ -11,10 +11,10 @@
 	"frostlink/internal/wait"
 )
 
-// oldAddressGrace is how long a discovery server that has moved leaves its open connections.
+// oldAddressGrace is how long a discovery server that has moved keeps the connections that are open at its old address.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// discoveryFailure is how discovery fails, in the words of scenario files.
+// discoveryFailure is the way in which discovery fails, by its name in scenario files.
 type discoveryFailure string
 
 const (
@@ -24,8 +24,8 @@
 	discoveryUnresponsive discoveryFailure = scenario.DiscoveryUnresponsive
 )
 
-// discoveryServer stands in for the platform's discovery service and the receiver of its notifications. Each relay has an
-// address of its own, which says whose request it is.
+// discoveryServer stands in for the platform's discovery service and for the platform's receiver of notifications. It has a
+// separate address for each relay, which identifies the relay that makes a request.
 type discoveryServer struct {
 	harness *harness
 	closing chan struct{}
@@ -33,10 +33,10 @@
 	mu         sync.Mutex       // guards everything below
 	entries    []endpointEntry  // in the order of their first publication; deleted ones stay
 	changes    []int            // version n changed entries[changes[n-1]]
-	changed    chan struct{}    // closed at the next change of changes or failure
+	changed    chan struct{}    // closed and replaced when changes or failure changes
 	failure    discoveryFailure // of the endpoint list; notifications are received all the same
 	servers    map[int]*http.Server
-	allServers []*http.Server // with those that have moved
+	allServers []*http.Server // including those at addresses from before a move
 }
 
 func newDiscoveryServer(h *harness) (*discoveryServer, error) {
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// move serves a relay at another address. The old one takes no new connection, and closes its open ones after a grace time.
+// move serves a relay at another address. The old address accepts no new connections, and its open connections are closed
+// after oldAddressGrace.
 func (d *discoveryServer) move(relay int) error {
 	d.mu.Lock()
 	old := d.servers[relay]
@@ -84,7 +85,7 @@
 		return err
 	}
 	h := d.harness
-	// Shutdown closes the listener and idle connections at once; it waits for an open watch until Close ends that.
+	// Shutdown closes the listener and idle connections at once, and then waits for open watches, which Close ends.
 	h.background.Go(func() { _ = old.Shutdown(h.ctx) })
 	h.background.Go(func() {
 		wait.For(h.ctx, oldAddressGrace)
@@ -118,7 +119,7 @@
 	return len(d.entries) - 1
 }
 
-// broadcast wakes all that wait for a change; the lock is held.
+// broadcast wakes all goroutines that wait for a change; the lock is held.
 func (d *discoveryServer) broadcast() {
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -162,7 +163,7 @@
 	}
 }
 
-// respondFailed responds, or doesn't, to a request for the endpoint list while discovery fails.
+// respondFailed handles a request for the endpoint list while discovery fails, in the way of the failure.
 func (d *discoveryServer) respondFailed(failure discoveryFailure, w http.ResponseWriter, req *http.Request) {
 	switch failure {
 	case discoveryUnavailable:
@@ -171,11 +172,11 @@
 		panic(http.ErrAbortHandler) // net/http closes the connection
 	case discoveryUnresponsive:
 		d.awaitRecovery(req)
-	case discoveryWorks: // not called for it
+	case discoveryWorks: // respondFailed is not called then
 	}
 }
 
-// awaitRecovery holds a request until discovery works, and then has its connection closed.
+// awaitRecovery holds a request without a response until discovery works again, and then closes its connection.
 func (d *discoveryServer) awaitRecovery(req *http.Request) {
 	for {
 		failure, changed := d.currentFailure()
--- a/internal/faultinjection/harness/discovery_server_test.go
+++ b/internal/faultinjection/harness/discovery_server_test.go
@@ -44,7 +44,7 @@
 
 // A watch notifies of changes. A failure of discovery ends it and rejects a further one; notifications are received all the same.
 func TestDiscoveryServer_NotifiesAndFails(t *testing.T) {
-	h := bare(t, loadScript(t, 50, 5, 1, 2, 4, 4, 1))
+	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 2, 4, 4, 1))
 	client := discoveryClient{"http://" + h.relays[0].discovery}
 	if _, in := client.get(t, "/catalog/members"); len(readList(t, in).Hosts) != 2 {
 		t.Error("the complete list lacks endpoints")
@@ -72,7 +72,7 @@
 	if resp, _ := client.get(t, "/catalog/members?stream=1&index=4"); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("while it fails: %s", resp.Status)
 	}
-	s := h.handed(0)
+	s := h.addSubmission(0)
 	resp, err := http.Post(client.url+"/v1/outcomes", "", strings.NewReader(`{"id":"`+s.id+`","status":"undeliverable"}`+"\n"))
 	if err != nil || resp.StatusCode != http.StatusNoContent || countEvents(h, checker.Notified) != 1 {
 		t.Errorf("a notification while it fails: %v, %v", resp, err)
--- a/internal/faultinjection/harness/endpoint_conn.go
+++ b/internal/faultinjection/harness/endpoint_conn.go
@@ -18,19 +18,19 @@
 	*net.TCPConn
 	endpoint    *endpointServer
 	relay       int
-	overLimit   bool // one connection more than the endpoint takes
-	unused      bool // no attempt came on it yet
+	overLimit   bool // it exceeds the number of connections that the endpoint accepts
+	unused      bool // no attempt has arrived on it yet
 	closed      bool
 	attempt     *attempt      // in flight; nil: none
-	attemptDone chan struct{} // capacity 1: the attempt in flight has ended
+	attemptDone chan struct{} // capacity 1; receives a value when the attempt in flight ends
 }
 
 func newEndpointConn(e *endpointServer, raw *net.TCPConn, relay int) *endpointConn {
 	return &endpointConn{TCPConn: raw, endpoint: e, relay: relay, unused: true, attemptDone: make(chan struct{}, 1)}
 }
 
-// setReset has the next Close reset the connection.
-func (c *endpointConn) setReset() { _ = c.SetLinger(0) } // fails on a closed connection only
+// setReset makes the next Close reset the connection.
+func (c *endpointConn) setReset() { _ = c.SetLinger(0) } // fails only on a closed connection
 
 // reset closes a connection that was not admitted, with a reset.
 func (c *endpointConn) reset() {
@@ -38,8 +38,8 @@
 	_ = c.Close()
 }
 
-// serve reads attempts until the connection ends. It reads while an attempt is in flight too: the end of the stream cancels
-// that attempt.
+// serve reads attempts until the connection ends. It also reads while an attempt is in flight, because the end of the stream
+// cancels that attempt.
 func (c *endpointConn) serve() {
 	defer c.peerClosed()
 	in := bufio.NewReader(c)
@@ -64,7 +64,7 @@
 	return c.attempt != nil
 }
 
-// peerClosed cancels the attempt in flight of a relay that closed its connection.
+// peerClosed cancels the attempt in flight, if any, and closes the connection after its relay has closed it.
 func (c *endpointConn) peerClosed() {
 	d := c.endpoint.destination
 	d.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 	if a := c.attempt; a != nil {
 		a.end(checker.Event{Outcome: checker.Abandoned})
-		d.carryOut(d.model.Cancel(d.now(), a.model))
+		d.applyActions(d.model.Cancel(d.now(), a.model))
 	}
 	c.close()
 }
@@ -113,7 +113,7 @@
 	if c.overLimit {
 		closing = "Connection: close\r\n"
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // fails on a closed connection only, as the write does
+	_ = c.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // fails only on a closed connection, as the write does
 	_, err := fmt.Fprintf(c.TCPConn, "HTTP/1.1 %d %s\r\n%s%sContent-Length: 0\r\n\r\n", r.status, http.StatusText(r.status), r.headers, closing)
 	return err == nil && !c.overLimit
 }
--- a/internal/faultinjection/harness/endpoint_list.go
+++ b/internal/faultinjection/harness/endpoint_list.go
@@ -12,7 +12,7 @@
 	"frostlink/internal/faultinjection/checker"
 )
 
-// watchKeepAlive is the time between the empty lines of a watch on which nothing changes.
+// watchKeepAlive is the time between the empty lines that keep a watch alive while nothing changes.
 const watchKeepAlive = 2 * time.Second
 
 // endpointJSON is one entry of the endpoint list, in the protocol's form.
@@ -38,10 +38,11 @@
 type endpointEntry struct {
 	endpoint *endpointServer
 	state    string
-	bornMS   int64 // Unix time; 0: it was there at the start
+	bornMS   int64 // Unix time in milliseconds; 0: it existed at the start of the run
 }
 
-// list returns the changes after a version, or the complete list, with the entries that it notifies of; the lock is held.
+// list returns the changes after a version, or the complete list if there is no such version, and the entries of which the
+// result notifies a relay; the lock is held.
 func (d *discoveryServer) list(relay, after int) (list endpointList, notified []endpointEntry) {
 	list = endpointList{Seq: len(d.changes), Whole: after <= 0 || after > len(d.changes), Hosts: []endpointJSON{}}
 	notified = slices.Clone(d.entries)
@@ -49,7 +50,7 @@
 		notified = d.changedEntries(after)
 	}
 	for _, entry := range notified {
-		if !list.Whole || entry.state != checker.Deleted { // the complete list lacks what is deleted
+		if !list.Whole || entry.state != checker.Deleted { // the complete list has no deleted endpoints
 			list.Hosts = append(list.Hosts, d.form(relay, entry))
 		}
 	}
@@ -68,7 +69,7 @@
 	return changed
 }
 
-// form returns an entry as a relay reads it.
+// form returns an entry in the protocol's form, with the address for a relay.
 func (d *discoveryServer) form(relay int, entry endpointEntry) endpointJSON {
 	e := entry.endpoint
 	dest := &d.harness.scenario.Destinations[e.destination.number]
@@ -115,11 +116,11 @@
 		}
 		return
 	}
-	after, _ := strconv.Atoi(req.URL.Query().Get("index")) // absent: 0, from the start
+	after, _ := strconv.Atoi(req.URL.Query().Get("index")) // absent: 0, which asks for the complete list
 	h.record(checker.Event{Kind: checker.WatchRequested, Relay: relay, OK: true})
 	defer h.record(checker.Event{Kind: checker.WatchEnded, Relay: relay})
 	watch := &endpointWatch{server: d, relay: relay, version: after, out: w, flusher: http.NewResponseController(w)}
-	// An error is one of the connection: the relay has closed it and watches again.
+	// An error means that the relay has closed the connection. The relay starts another watch.
 	_ = watch.run(req)
 }
 
@@ -169,7 +170,7 @@
 	}
 	d.mu.Unlock()
 	if failure != discoveryWorks {
-		panic(http.ErrAbortHandler) // the watch ends with its connection
+		panic(http.ErrAbortHandler) // net/http closes the connection, which ends the watch
 	}
 	if list.Seq == 0 {
 		return changed, nil
--- a/internal/faultinjection/harness/endpoint_replacement.go
+++ b/internal/faultinjection/harness/endpoint_replacement.go
@@ -8,7 +8,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// replacementsPerFault separates the random streams of the replacements of one fault from those of the next.
+// replacementsPerFault is the number of random streams reserved for the replacements of one fault, so that those of the next
+// fault use other streams.
 const replacementsPerFault = 1000
 
 // scheduleDrain schedules that an endpoint drains and is removed.
@@ -38,7 +39,8 @@
 	return actions
 }
 
-// removal is the planned end of an endpoint: it drains, and is then removed. Discovery publishes both after a delay.
+// removal is the planned removal of an endpoint: the endpoint drains, and is then removed. Discovery publishes either change
+// after a delay.
 type removal struct {
 	harness     *harness
 	destination *destinationServer
@@ -63,7 +65,7 @@
 		{r.drainAt, name + " drains", func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.carryOut(d.model.DrainEndpoint(d.now(), r.old.index))
+			d.applyActions(d.model.DrainEndpoint(d.now(), r.old.index))
 		}},
 		{r.drainAt + discovery.publishDelay("drain", r.stream), "", func() { discovery.publish(r.old, checker.Draining) }},
 		{r.removeAt, name + " is gone", func() {
@@ -75,8 +77,8 @@
 	}
 }
 
-// scheduleSuccessor schedules an endpoint in place of the old one: at addresses of its own from the drain on, or at the old
-// ones once they are free.
+// scheduleSuccessor schedules the start of an endpoint that replaces the old one: at new addresses when the drain begins, or
+// at the old addresses when the old endpoint has been removed.
 func (r *removal) scheduleSuccessor(reusesAddresses bool) []scheduledAction {
 	at, addrs, description := r.drainAt, []string(nil), "a new endpoint comes"
 	if reusesAddresses {
--- a/internal/faultinjection/harness/endpoint_server.go
+++ b/internal/faultinjection/harness/endpoint_server.go
@@ -15,7 +15,7 @@
 	destination *destinationServer
 	id          string
 	index       int      // in the model
-	addrs       []string // by relay: the address says which relay connects
+	addrs       []string // by relay: the address identifies the relay that connects
 	mode        destination.Mode
 	removed     bool
 	listeners   []net.Listener
@@ -23,12 +23,12 @@
 	conns       map[*endpointConn]bool
 }
 
-// endpointID returns the id of an endpoint, which is random so that relays can't read anything from it.
+// endpointID returns the id of an endpoint, which is random so that relays can't derive anything from it.
 func (d *destinationServer) endpointID(index int) string {
 	return fmt.Sprintf("s-%08x", d.harness.random.Stream("host", d.number, index).Uint32())
 }
 
-// newEndpoint starts an endpoint at new addresses, or (not nil) at those of one that was removed.
+// newEndpoint starts an endpoint at addrs, the addresses of a removed endpoint, or at new addresses if addrs is nil.
 func (d *destinationServer) newEndpoint(index int, addrs []string) (*endpointServer, error) {
 	e := &endpointServer{destination: d, id: d.endpointID(index), index: index, conns: map[*endpointConn]bool{}, addrs: addrs}
 	if addrs == nil {
@@ -53,14 +53,14 @@
 	defer d.mu.Unlock()
 	pauses := d.harness.random.Stream("pause", d.number, len(d.endpoints))
 	index, actions := d.model.AddEndpoint(d.now(), pauses)
-	d.carryOut(actions)
+	d.applyActions(actions)
 	e, err := d.newEndpoint(index, addrs)
 	if err != nil {
 		return nil, err
 	}
 	d.endpoints = append(d.endpoints, e)
 	if d.outage != nil { // an outage of the whole destination is one of its new endpoints too
-		d.carryOut(d.model.Fail(d.now(), index, *d.outage, 1))
+		d.applyActions(d.model.Fail(d.now(), index, *d.outage, 1))
 		e.setMode(*d.outage)
 	}
 	return e, nil
@@ -101,19 +101,19 @@
 	}
 }
 
-// admit counts a new connection, and reports whether the endpoint takes connections.
+// admit counts a new connection, and reports whether the endpoint accepts connections in its present mode.
 func (e *endpointServer) admit(c *endpointConn) bool {
 	e.destination.mu.Lock()
 	defer e.destination.mu.Unlock()
 	if e.removed || e.mode == destination.ModeRefusing || e.mode == destination.ModeUnreachable {
-		return false // the kernel had accepted it before the listener was closed
+		return false // the kernel accepted the connection before the listener was closed
 	}
 	c.overLimit = e.destination.model.Connect(e.index)
 	e.conns[c] = true
 	return true
 }
 
-// setMode brings the sockets into a mode; the lock is held.
+// setMode makes the sockets behave as a mode requires; the lock is held.
 func (e *endpointServer) setMode(mode destination.Mode) {
 	previous := e.mode
 	e.mode = mode
@@ -135,11 +135,11 @@
 		e.closeListeners()
 		e.blockAddresses()
 	case destination.ModeServing, destination.ModeOverloaded, destination.ModeFailing:
-		// The model responds in these modes, the sockets stay as they are.
+		// In these modes the model decides on the responses, and the sockets stay as they are.
 	}
 }
 
-// restore has the endpoint respond again: connections from before the outage are reset.
+// restore makes the endpoint respond again after an outage, and resets the connections from before the outage.
 func (e *endpointServer) restore() {
 	e.resetConns()
 	e.closeBlockers()
@@ -169,7 +169,8 @@
 	}
 }
 
-// dropPending leaves attempts without a response. They end when their relay cancels them, or at the reset after the outage.
+// dropPending leaves the attempts in flight without a response. They end when their relay cancels them, or when their
+// connections are reset after the outage.
 func (e *endpointServer) dropPending() {
 	for c := range e.conns {
 		if c.attempt != nil {
@@ -185,5 +186,5 @@
 	e.closeBlockers()
 	e.resetConns()
 	d := e.destination
-	d.carryOut(d.model.RemoveEndpoint(d.now(), e.index))
+	d.applyActions(d.model.RemoveEndpoint(d.now(), e.index))
 }
--- a/internal/faultinjection/harness/endpoint_server_test.go
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -19,7 +19,7 @@
 
 // Endpoints fail as the kind of outage says, and serve again after it.
 func TestEndpointServer_FailsAndRecoversByKindOfOutage(t *testing.T) {
-	h := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 1))
+	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 1))
 	d := h.destinations[0]
 	addr := d.endpoints[0].addrs[0]
 	for _, test := range []struct {
@@ -37,7 +37,7 @@
 			checkAfter := test.check(t, h, addr)
 			d.endOutage(destination.AllEndpoints, false)
 			conn := dialEndpoint(t, addr)
-			writeAttempt(t, conn, h.handed(0))
+			writeAttempt(t, conn, h.addSubmission(0))
 			if status, err := readStatus(conn); status != http.StatusOK {
 				t.Errorf("after the outage: %d, %v", status, err)
 			}
@@ -47,7 +47,7 @@
 	resets := &scenario.Fault{Kind: scenario.FaultResets, Share: 1}
 	d.beginDegradation(destination.AllEndpoints, resets)
 	conn := dialEndpoint(t, addr)
-	writeAttempt(t, conn, h.handed(4))
+	writeAttempt(t, conn, h.addSubmission(4))
 	if _, err := readStatus(conn); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("reset: %v", err)
 	}
@@ -84,7 +84,7 @@
 func checkStatus(t *testing.T, h *harness, addr string, want int) {
 	t.Helper()
 	conn := dialEndpoint(t, addr)
-	writeAttempt(t, conn, h.handed(1))
+	writeAttempt(t, conn, h.addSubmission(1))
 	if status, err := readStatus(conn); status != want {
 		t.Errorf("during the outage: %d, %v, want %d", status, err, want)
 	}
@@ -106,7 +106,7 @@
 func checkUnresponsive(t *testing.T, h *harness, addr string) (checkAfter func()) {
 	t.Helper()
 	conn, attempts := dialEndpoint(t, addr), countEvents(h, checker.AttemptSent)
-	writeAttempt(t, conn, h.handed(3))
+	writeAttempt(t, conn, h.addSubmission(3))
 	waitUntil(t, "the attempt was read", func() bool { return countEvents(h, checker.AttemptSent) == attempts+1 })
 	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := conn.Read(make([]byte, 1)); !isTimeout(err) {
@@ -122,9 +122,9 @@
 
 // An attempt that its relay abandons is recorded as such, and executed all the same where the destination does that.
 func TestEndpointConn_AbandonedAttemptsRunOn(t *testing.T) {
-	h := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 200))
+	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 200))
 	conn := dialEndpoint(t, h.destinations[0].endpoints[0].addrs[0])
-	writeAttempt(t, conn, h.handed(0))
+	writeAttempt(t, conn, h.addSubmission(0))
 	waitUntil(t, "the attempt was read", func() bool { return countEvents(h, checker.AttemptSent) == 1 })
 	_ = conn.Close()
 	waitUntil(t, "its end was recorded", func() bool { return countEvents(h, checker.AttemptEnded) == 1 })
@@ -133,21 +133,21 @@
 
 // An endpoint takes a limited number of connections, idle ones counted. On one more it rejects the attempt and closes.
 func TestEndpointServer_LimitsConnections(t *testing.T) {
-	s := loadScript(t, 50, 5, 1, 1, 4, 4, 1)
+	s := loadScenario(t, 50, 5, 1, 1, 4, 4, 1)
 	s.Destinations[0].MaxConnections = 2
-	h := bare(t, s)
+	h := newHarnessWithoutRelays(t, s)
 	addr := h.destinations[0].endpoints[0].addrs[0]
 	var conns []net.Conn
 	for range 3 {
 		conns = append(conns, dialEndpoint(t, addr))
 		waitUntil(t, "the connection was counted", func() bool { return countEvents(h, checker.Connected) == len(conns) })
 	}
-	writeAttempt(t, conns[2], h.handed(0))
+	writeAttempt(t, conns[2], h.addSubmission(0))
 	raw, err := io.ReadAll(conns[2])
 	if err != nil || !bytes.HasPrefix(raw, []byte("HTTP/1.1 503 ")) {
 		t.Errorf("above the limit: %q, %v", raw, err)
 	}
-	writeAttempt(t, conns[0], h.handed(1))
+	writeAttempt(t, conns[0], h.addSubmission(1))
 	if resp, err := http.ReadResponse(bufio.NewReader(conns[0]), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("within the limit: %v, %v", resp, err)
 	}
@@ -156,7 +156,7 @@
 // Attempts for what no client submitted, at the wrong destination, after the deadline and above the bound do not reach the
 // destination.
 func TestEndpointConn_StopsAttemptsAsThePlatformDoes(t *testing.T) {
-	h := bare(t, loadScript(t, 50, 5, 1, 2, 4, 4, 1))
+	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 2, 4, 4, 1))
 	addr := h.destinations[0].endpoints[0].addrs[0]
 	own, foreign := -1, -1 // messages for this destination and for the other
 	for i, m := range h.clients.messages {
@@ -171,14 +171,14 @@
 		want   string
 	}{
 		"unknown id":            {func(s *submission) { s.id = "nobody" }, "400"},
-		"another destination's": {func(s *submission) { *s = *h.handed(foreign) }, "400"},
+		"another destination's": {func(s *submission) { *s = *h.addSubmission(foreign) }, "400"},
 		"expired":               {func(s *submission) { s.expiresAt = -1 }, "410"},
 		"withdrawn":             {func(s *submission) { s.withdrawn = true }, "410"},
 		"too many attempts":     {func(s *submission) { s.attempts = 99 }, "504"},
 		"unchanged":             {func(*submission) {}, "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := h.handed(own)
+			s := h.addSubmission(own)
 			test.change(s)
 			conn := dialEndpoint(t, addr)
 			writeAttempt(t, conn, s)
@@ -192,9 +192,9 @@
 
 // The model's own changes, an overload and the recovery from it, are carried over to the sockets.
 func TestDestinationServer_CarriesOverloadOverToSockets(t *testing.T) {
-	s := loadScript(t, 200, 5, 1, 1, 1, 0, 100)
+	s := loadScenario(t, 200, 5, 1, 1, 1, 0, 100)
 	s.Destinations[0].OverloadDowntime = 0.5
-	h := bare(t, s)
+	h := newHarnessWithoutRelays(t, s)
 	d := h.destinations[0]
 	d.beginOutage(destination.AllEndpoints, &scenario.Fault{Kind: scenario.FaultOverloaded})
 	d.endOutage(destination.AllEndpoints, true)
@@ -207,7 +207,7 @@
 		if err != nil {
 			break
 		}
-		writeAttempt(t, conn, h.handed(n))
+		writeAttempt(t, conn, h.addSubmission(n))
 		defer conn.Close()
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/faultinjection/harness/fault_schedule.go
+++ b/internal/faultinjection/harness/fault_schedule.go
@@ -9,13 +9,13 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// outageModes are the modes of endpoints in outages.
+// outageModes maps each kind of outage to the mode of the affected endpoints.
 var outageModes = map[scenario.FaultKind]destination.Mode{
 	scenario.FaultConnectionsRefused: destination.ModeRefusing, scenario.FaultOverloaded: destination.ModeOverloaded, scenario.FaultUnresponsive: destination.ModeUnresponsive,
 	scenario.FaultUnreachable: destination.ModeUnreachable, scenario.FaultFailing: destination.ModeFailing,
 }
 
-// faultSchedulers schedule the faults that do not happen to relays; relayFaults are those that do.
+// faultSchedulers schedule the faults that are not injected into relays; relayFaults has those that are.
 var faultSchedulers = map[scenario.FaultKind]func(*harness, *scheduledFault) []scheduledAction{
 	scenario.FaultConnectionsRefused: scheduleOutage,
 	scenario.FaultOverloaded:         scheduleOutage,
@@ -47,8 +47,8 @@
 	return &scheduledFault{Fault: f, index: index, begin: begin, end: begin + scenario.Seconds(f.Duration)}
 }
 
-// lasting returns the actions that begin and end a fault.
-func (f *scheduledFault) lasting(description string, begin, end func()) []scheduledAction {
+// beginAndEnd returns the two actions of a fault that lasts for some time: its begin and its end.
+func (f *scheduledFault) beginAndEnd(description string, begin, end func()) []scheduledAction {
 	return []scheduledAction{{f.begin, description + " begins", begin}, {f.end, description + " ends", end}}
 }
 
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("%s, endpoint %d: %s", f.Destination, f.Endpoint, f.Kind)
 }
 
-// scheduleFault returns the actions of a fault. A scenario that was read has no other kinds than these.
+// scheduleFault returns the actions of a fault. Every kind that a scenario file can have is in one of the two tables.
 func (h *harness) scheduleFault(f *scheduledFault) []scheduledAction {
 	if schedule := faultSchedulers[f.Kind]; schedule != nil {
 		return schedule(h, f)
@@ -80,41 +80,41 @@
 	return nil
 }
 
-// destinationOf returns the destination that a fault happens to.
+// destinationOf returns the destination that a fault affects.
 func (h *harness) destinationOf(f *scheduledFault) *destinationServer {
 	return h.destinations[h.scenario.DestinationIndex(f.Destination)]
 }
 
 func scheduleOutage(h *harness, f *scheduledFault) []scheduledAction {
 	d, endpoint := h.destinationOf(f), f.endpointIndex()
-	return f.lasting(f.describeEndpoints(), func() { d.beginOutage(endpoint, f.Fault) }, func() { d.endOutage(endpoint, !f.StaysWarm) })
+	return f.beginAndEnd(f.describeEndpoints(), func() { d.beginOutage(endpoint, f.Fault) }, func() { d.endOutage(endpoint, !f.StaysWarm) })
 }
 
 func scheduleDegradation(h *harness, f *scheduledFault) []scheduledAction {
 	d, endpoint := h.destinationOf(f), f.endpointIndex()
-	return f.lasting(f.describeEndpoints(), func() { d.beginDegradation(endpoint, f.Fault) }, func() { d.endDegradation(endpoint, f.Fault) })
+	return f.beginAndEnd(f.describeEndpoints(), func() { d.beginDegradation(endpoint, f.Fault) }, func() { d.endDegradation(endpoint, f.Fault) })
 }
 
-// scheduleLoadChange only lists a change of the load: the messages are drawn with it.
+// scheduleLoadChange only adds a change of the load to the timeline: the messages have been drawn with that change already.
 func scheduleLoadChange(_ *harness, f *scheduledFault) []scheduledAction {
-	return f.lasting(strings.TrimSpace(f.Kind+" "+f.Destination), func() {}, func() {})
+	return f.beginAndEnd(strings.TrimSpace(f.Kind+" "+f.Destination), func() {}, func() {})
 }
 
 func scheduleDiscoveryFailure(h *harness, f *scheduledFault) []scheduledAction {
-	return f.lasting("register away ("+f.Mode+")", func() { h.discovery.setFailure(discoveryFailure(f.Mode)) },
+	return f.beginAndEnd("register away ("+f.Mode+")", func() { h.discovery.setFailure(discoveryFailure(f.Mode)) },
 		func() { h.discovery.setFailure(discoveryWorks) })
 }
 
 func scheduleSplit(h *harness, f *scheduledFault) []scheduledAction {
-	return f.lasting(fmt.Sprintf("network split, %v on one side", f.Relays), func() { h.network.setSplit(f.Relays) },
+	return f.beginAndEnd(fmt.Sprintf("network split, %v on one side", f.Relays), func() { h.network.setSplit(f.Relays) },
 		func() { h.network.setSplit(nil) })
 }
 
 func scheduleLoss(h *harness, f *scheduledFault) []scheduledAction {
-	return f.lasting("datagrams lost", func() { h.network.setLoss(f.Share) }, func() { h.network.setLoss(h.scenario.Network.Loss) })
+	return f.beginAndEnd("datagrams lost", func() { h.network.setLoss(f.Share) }, func() { h.network.setLoss(h.scenario.Network.Loss) })
 }
 
 func scheduleTruncation(h *harness, f *scheduledFault) []scheduledAction {
-	return f.lasting("datagrams cut in half", func() { h.network.setTruncation(f.Share) },
+	return f.beginAndEnd("datagrams cut in half", func() { h.network.setTruncation(f.Share) },
 		func() { h.network.setTruncation(h.scenario.Network.Halved) })
 }
--- a/internal/faultinjection/harness/fault_schedule_relay.go
+++ b/internal/faultinjection/harness/fault_schedule_relay.go
@@ -7,15 +7,15 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// relayFault does to a relay what a fault says, and waits until that is over.
+// relayFault injects a fault into a relay, and returns when the fault is over.
 type relayFault func(*relay, *scenario.Fault)
 
-// relayFaults are the faults that happen to relays, and the operators' work on them.
+// relayFaults are the faults that are injected into relays, and the actions of operators on relays.
 var relayFaults = map[scenario.FaultKind]relayFault{
 	scenario.FaultKill:           repeatedly(func(r *relay, f *scenario.Fault) { r.killAndRestart(f, false) }),
 	scenario.FaultMachineLost:    func(r *relay, f *scenario.Fault) { r.killAndRestart(f, true) },
 	scenario.FaultTerminate:      repeatedly((*relay).restart),
-	scenario.FaultSuspend:        func(r *relay, f *scenario.Fault) { r.hang(scenario.Seconds(f.Duration)) },
+	scenario.FaultSuspend:        func(r *relay, f *scenario.Fault) { r.suspend(scenario.Seconds(f.Duration)) },
 	scenario.FaultUpgrade:        repeatedly(func(r *relay, f *scenario.Fault) { r.upgrade(f.Signals) }),
 	scenario.FaultCrowd:          func(r *relay, f *scenario.Fault) { r.crowd(scenario.Seconds(f.Duration), f.IdleCallers) },
 	scenario.FaultStandby:        func(r *relay, f *scenario.Fault) { r.standby(scenario.Seconds(f.Duration)) },
@@ -29,15 +29,15 @@
 	scenario.FaultDiscoveryMove: recordingFailure(func(r *relay, _ *scenario.Fault) error { return r.moveDiscovery() }),
 }
 
-// repeatedly turns a fault that replaces a relay's process into one that does so twice where the scenario says so.
+// repeatedly turns a fault that replaces a relay's process into one that does so a second time if the scenario asks for it.
 func repeatedly(inject relayFault) relayFault {
 	return func(r *relay, f *scenario.Fault) {
 		inject(r, f)
-		r.again(f, func() { inject(r, f) })
+		r.repeatFault(f, func() { inject(r, f) })
 	}
 }
 
-// recordingFailure turns a fault that can fail to be injected into one that records it.
+// recordingFailure turns a fault whose injection can fail into one that records the failure.
 func recordingFailure(inject func(*relay, *scenario.Fault) error) relayFault {
 	return func(r *relay, f *scenario.Fault) {
 		if err := inject(r, f); err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// scheduleRelayFault schedules a fault of one relay or of all. The timeline does not wait for it.
+// scheduleRelayFault schedules a fault of one relay or of all. The timeline does not wait for the end of the fault.
 func scheduleRelayFault(h *harness, f *scheduledFault, inject relayFault) (actions []scheduledAction) {
 	for i, r := range h.relays {
 		if f.Relay != 0 && f.Relay != i+1 {
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -8,19 +8,19 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// harness is one run: its relays, and the stand-ins around them.
+// harness is the state of one run: its relays, and the stand-ins around them.
 type harness struct {
 	scenario *scenario.Scenario
 	random   scenario.RandomStreams
 	options  Options
 	workDir  string          // deleted after the run
-	ctx      context.Context // of the whole run; faults and clients, which outlast the calls that start them, end with it
+	ctx      context.Context // of the whole run; ends faults and clients, which run on after the calls that start them return
 
 	*recorder
 	launcher       *faults.Launcher
-	loopback       *faults.Loopback // assigns all addresses of the run; nil: not open
-	clockLibrary   string           // path of the library that steps relays' wall clocks; empty: no clock is stepped
-	syscallLibrary string           // path of the library that makes relays' system calls fail; empty: none fails
+	loopback       *faults.Loopback // assigns all addresses of the run; nil before open
+	clockLibrary   string           // path of the library that steps relays' wall clocks; empty: the scenario steps none
+	syscallLibrary string           // path of the library that makes relays' system calls fail; empty: the scenario makes none fail
 	coordination   coordination
 	ledger         *ledger
 	destinations   []*destinationServer
--- a/internal/faultinjection/harness/helpers_test.go
+++ b/internal/faultinjection/harness/helpers_test.go
@@ -17,8 +17,8 @@
 // eventTimeout is how long tests wait for what must come. How long that takes decides nothing.
 const eventTimeout = 10 * time.Second
 
-// bare returns a harness without relay processes: the test plays the relays.
-func bare(t *testing.T, s *scenario.Scenario) *harness {
+// newHarnessWithoutRelays returns a harness without relay processes: the test plays the relays.
+func newHarnessWithoutRelays(t *testing.T, s *scenario.Scenario) *harness {
 	t.Helper()
 	h := &harness{
 		scenario: s, random: scenario.NewRandomStreams(1), workDir: t.TempDir(),
@@ -33,8 +33,8 @@
 	return h
 }
 
-// handed records a submission of a message that no client made.
-func (h *harness) handed(number int) *submission {
+// addSubmission records a submission of a message that no client made.
+func (h *harness) addSubmission(number int) *submission {
 	s := &submission{message: h.clients.messages[number], id: h.random.RequestID(number, 0), expiresAt: time.Hour}
 	h.ledger.submitted(s)
 	return s
--- a/internal/faultinjection/harness/ledger.go
+++ b/internal/faultinjection/harness/ledger.go
@@ -7,9 +7,9 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// ledger holds what the stand-ins have to know of each message and each of its submissions.
+// ledger holds the state of each message and of each of its submissions, which the stand-ins share.
 type ledger struct {
-	mu                sync.Mutex             // guards the fields below, and those that submission says
+	mu                sync.Mutex             // guards the fields below, and the fields of submission that say so
 	submissions       map[string]*submission // by id
 	attemptsByMessage map[int]int            // over all ids of a message, by its number
 	open              int                    // accepted submissions that are neither delivered nor ended
@@ -17,26 +17,26 @@
 	lastAttempt       int                    // number of the last attempt, over all messages
 }
 
-// submission is one submission of a message, or a redelivery under an id of a relay's own making.
+// submission is one submission of a message, or a redelivery under an id that a relay generated.
 type submission struct {
 	message    *scenario.Message
-	number     int // of the message's submissions, from 0
-	rejections int // that its client has had before
+	number     int // among the message's submissions, from 0
+	rejections int // of earlier submissions of the message
 	id         string
 	relay      int
-	// openConnOnly says that the relay shuts down: it gets no new connection.
+	// openConnOnly means that the relay is shutting down: the submission may use an open connection, but no new one.
 	openConnOnly bool
 	submittedAt  time.Duration // 0: not yet
 	expiresAt    time.Duration
 
 	// Guarded by the ledger's mutex.
 	accepted     bool
-	withdrawn    bool          // its client got no answer
+	withdrawn    bool          // its client got no response
 	deliveredAt  time.Duration // 0: not yet
-	ended        bool          // the platform was notified of its outcome, or it was lost
+	ended        bool          // the platform was notified of its outcome, or it was lost with its relay's state
 	attempts     int
 	inFlight     int           // attempts that have no outcome yet
-	mayHaveRunAt time.Duration // when the first attempt came that may have been executed; 0: none did
+	mayHaveRunAt time.Duration // start of the first attempt that may have been executed; 0: there is none
 }
 
 func newLedger() *ledger {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// accepted notes that a client learned that its submission was accepted.
+// accepted records that a client got a response that accepts its submission.
 func (l *ledger) accepted(s *submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,22 +74,22 @@
 	}
 }
 
-// withdraw notes that a client got no answer to a submission.
+// withdraw records that a client got no response to a submission.
 func (l *ledger) withdraw(s *submission) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s.withdrawn = true
 }
 
-// recordDelivery notes the delivery of an accepted submission. The mutex is held.
+// recordDelivery records the delivery of an accepted submission. The mutex is held.
 func (l *ledger) recordDelivery(s *submission) {
 	if at, ok := l.deliveredAt[s.message.Number]; !ok || s.deliveredAt < at {
 		l.deliveredAt[s.message.Number] = s.deliveredAt
 	}
 }
 
-// attemptStarted numbers an attempt under an id. It returns the submission, nil for an unknown id, and how many attempts its
-// message had before.
+// attemptStarted records the start of an attempt under an id. It returns the attempt's number, the submission (nil for an
+// unknown id), and the number of earlier attempts of its message.
 func (l *ledger) attemptStarted(id string) (number int, s *submission, earlier int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 	return l.lastAttempt, s, earlier
 }
 
-// attemptEnded notes the outcome of an attempt. A rejected one was not executed.
+// attemptEnded records the outcome of an attempt. A rejected attempt was not executed.
 func (l *ledger) attemptEnded(s *submission, startedAt, endedAt time.Duration, rejected, delivered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +126,8 @@
 	}
 }
 
-// completed notes the terminal outcome of an id. It returns the submission if it is known and had none before, or nil.
+// completed records the terminal outcome of a submission. It returns the submission, or nil if the id is unknown or the
+// submission has ended before.
 func (l *ledger) completed(id string) *submission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,14 +142,14 @@
 	return s
 }
 
-// state returns a copy of a submission as it stands.
+// state returns a copy of a submission in its present state.
 func (l *ledger) state(s *submission) submission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return *s
 }
 
-// takeHeldBy returns the accepted submissions that a relay still held when its state was lost, and ends them.
+// takeHeldBy returns the accepted submissions that a relay still held when its state was lost, and marks them as ended.
 func (l *ledger) takeHeldBy(relay int) []*submission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultinjection/harness/load_balancer.go
+++ b/internal/faultinjection/harness/load_balancer.go
@@ -10,17 +10,17 @@
 	"frostlink/internal/wait"
 )
 
-// The load balancer still opens new connections to a relay that shuts down for a time between these.
+// Bounds of the time for which the load balancer still opens new connections to a relay that is shutting down.
 const (
 	minDrainDelay = 200 * time.Millisecond
 	maxDrainDelay = 400 * time.Millisecond
 )
 
-// noRelay is the choice when no relay is up.
+// noRelay is returned in place of a relay's number when no relay can be used.
 const noRelay = -1
 
-// openConnPreference is how much more likely a relay that shuts down is picked than another one, for as long as a connection to it is
-// open: clients stay with the connections that they have.
+// openConnPreference is how many times more likely a relay that is shutting down is picked than another one while a connection
+// to it is open: clients keep using the connections that they have.
 const openConnPreference = 8
 
 // relayAccess is how clients may use a relay.
@@ -28,16 +28,17 @@
 
 const (
 	relayDown          relayAccess = iota // not at all
-	relayOpenConnsOnly                    // it shuts down: on connections that are open, for as long as they are
+	relayOpenConnsOnly                    // it is shutting down: only on connections that are already open
 	relayUp
 )
 
-// loadBalancer spreads clients' messages over the relays that it takes to be up.
+// loadBalancer distributes clients' messages over the relays that it considers up.
 type loadBalancer struct {
 	h      *harness
 	mu     sync.Mutex    // guards the fields below
 	access []relayAccess // by relay
-	// generation counts how often each relay became ready: what was noticed of an earlier generation no longer holds.
+	// generation counts how often each relay became ready. A delayed change of access is dropped if the relay has become
+	// ready again since the change was planned.
 	generation []int
 }
 
@@ -45,7 +46,7 @@
 	return &loadBalancer{h: h, access: make([]relayAccess, h.scenario.Relays), generation: make([]int, h.scenario.Relays)}
 }
 
-// relayReady has a relay used from now on.
+// relayReady makes the load balancer use a relay from now on.
 func (b *loadBalancer) relayReady(relay int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,17 +54,18 @@
 	b.generation[relay]++
 }
 
-// relayLeaving has a relay not used any more after a delay, unless it becomes ready again before.
+// relayLeaving makes the load balancer stop using a relay after a delay, unless the relay becomes ready again before.
 func (b *loadBalancer) relayLeaving(relay int, delay time.Duration) {
 	b.changeAfter(relay, delay, relayDown)
 }
 
-// relayDraining has a relay that shuts down get no new connections any more after a delay, unless it becomes ready again before.
+// relayDraining makes the load balancer open no new connections to a relay that is shutting down after a delay, unless the
+// relay becomes ready again before.
 func (b *loadBalancer) relayDraining(relay int, delay time.Duration) {
 	b.changeAfter(relay, delay, relayOpenConnsOnly)
 }
 
-// changeAfter changes the access to a relay after a delay, unless it becomes ready again before.
+// changeAfter restricts the access to a relay after a delay, unless the relay becomes ready again before.
 func (b *loadBalancer) changeAfter(relay int, delay time.Duration, to relayAccess) {
 	b.mu.Lock()
 	leaving := b.generation[relay]
@@ -80,7 +82,7 @@
 	})
 }
 
-// pick returns the relay for a message's n-th submission, or noRelay, and whether it may be used on an open connection only.
+// pick returns the relay for a message's n-th submission, or noRelay, and whether only an open connection to it may be used.
 func (b *loadBalancer) pick(m *scenario.Message, n int) (relay int, openConnOnly bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/faultinjection/harness/load_balancer_test.go
+++ b/internal/faultinjection/harness/load_balancer_test.go
@@ -8,7 +8,7 @@
 
 // A relay that is ready again before the load balancer noticed that it had left stays in use.
 func TestLoadBalancer_IgnoresWhatItNoticedOfAnEarlierGeneration(t *testing.T) {
-	h := newHarness(t.Context(), loadScript(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
+	h := newHarness(t.Context(), loadScenario(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
 	b, m := newLoadBalancer(h), h.scenario.Messages(h.random)[0]
 	if relay, _ := b.pick(m, 0); relay != noRelay {
 		t.Errorf("relay %d is picked, and none is ready", relay)
@@ -29,7 +29,7 @@
 
 // A relay that shuts down is used on connections that are open, for as long as one is, and on no new one.
 func TestLoadBalancer_UsesOpenConnsOfDrainingRelay(t *testing.T) {
-	h := newHarness(t.Context(), loadScript(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
+	h := newHarness(t.Context(), loadScenario(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
 	m := h.scenario.Messages(h.random)[0]
 	h.relays = []*relay{{listen: "first"}, {listen: "second"}}
 	h.clients = newClientPool(h, nil)
--- a/internal/faultinjection/harness/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -50,7 +50,7 @@
 	const slots, queue, serviceMS = 8, 16, 50
 	for _, load := range []float64{0.5, 0.9, 1.3} {
 		rate := load * slots / (serviceMS / 1000.0)
-		s := loadScript(t, rate, 30, 1, 1, slots, queue, serviceMS)
+		s := loadScenario(t, rate, 30, 1, 1, slots, queue, serviceMS)
 		messages := s.Messages(scenario.NewRandomStreams(1))
 		measured := measureModel(t, s, messages)
 		blocked, latency := destination.MMcK(rate, serviceMS/1000.0, slots, slots+queue)
@@ -68,14 +68,14 @@
 // measureModel sends a destination one attempt for each message, each at its time.
 func measureModel(t *testing.T, s *scenario.Scenario, messages []*scenario.Message) *modelMeasurement {
 	t.Helper()
-	h, measured := bare(t, s), &modelMeasurement{}
+	h, measured := newHarnessWithoutRelays(t, s), &modelMeasurement{}
 	url := "http://" + h.destinations[0].endpoints[0].addrs[0] + "/inbox"
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	var attempts sync.WaitGroup
 	for _, m := range messages {
 		h.until(t.Context(), m.At)
 		h.recordTiming(m.At)
-		attempts.Go(func() { measured.attempt(t, client, url, h.handed(m.Number)) })
+		attempts.Go(func() { measured.attempt(t, client, url, h.addSubmission(m.Number)) })
 	}
 	attempts.Wait()
 	return measured
@@ -113,7 +113,7 @@
 	options := trivialRelay(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for _, rate := range []float64{1000, 2000, 3000, 4000, 5000, 6000} {
-		s := loadScript(t, rate, 5, 1, 20, 400, 400, 5)
+		s := loadScenario(t, rate, 5, 1, 20, 400, 400, 5)
 		result, err := Run(t.Context(), s, options)
 		if err != nil {
 			t.Fatal(err)
@@ -127,7 +127,7 @@
 // How punctual the harness is at 120 messages a second with three relays.
 func TestMeasurePunctuality(t *testing.T) {
 	skipUnlessMeasuring(t)
-	s := loadScript(t, 120, 30, 3, 20, 10, 10, 100)
+	s := loadScenario(t, 120, 30, 3, 20, 10, 10, 100)
 	result, err := Run(t.Context(), s, trivialRelay(t))
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	program := buildRelay(t)
 	for _, rate := range []float64{900, 1800, 2700} {
 		for _, storing := range []bool{false, true} {
-			s := loadScript(t, rate, 10, 1, 3, 400, 400, 5)
+			s := loadScenario(t, rate, 10, 1, 3, 400, 400, 5)
 			s.Relay.MemoryMB, s.Relay.Cores = 192, 1
 			s.Faults = []scenario.Fault{{At: 0.5, Kind: "shut", Destination: "p0", Duration: 9}}
 			if storing {
@@ -227,7 +227,7 @@
 // measureAdmin plays a run on one core, and returns the relay's CPU time for each message in microseconds.
 func measureAdmin(t *testing.T, program string, seed int64, scrapes []scenario.Fault) float64 {
 	t.Helper()
-	s := loadScript(t, 4000, 10, 1, 20, 400, 400, 5)
+	s := loadScenario(t, 4000, 10, 1, 20, 400, 400, 5)
 	s.Faults = scrapes
 	result, err := Run(t.Context(), s, Options{Seed: seed, RelayCommand: []string{"taskset", "-c", "0", program}})
 	if err != nil {
--- a/internal/faultinjection/harness/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -13,11 +13,11 @@
 const (
 	// maxDatagram is the protocol's bound on a datagram between relays, in bytes.
 	maxDatagram = 256
-	// readBufferSize holds longer datagrams too, so that their length is seen.
+	// readBufferSize is larger than maxDatagram, so that a datagram that is too long is read whole and reported with its size.
 	readBufferSize = 4096
 )
 
-// Datagrams counts what the relays sent one another.
+// Datagrams counts the datagrams that the relays sent to one another.
 type Datagrams struct {
 	Sent   int `json:"sent"`
 	Bytes  int `json:"bytes"`
@@ -25,15 +25,15 @@
 	Halved int `json:"halved"`
 }
 
-// path is the way from one relay to another.
+// path is the direction from one relay to another.
 type path struct{ from, to int }
 
-// network carries the relays' datagrams. Each relay sees every other under an address of its own, and what it sends there
-// arrives late, in half, or not at all.
+// network carries the relays' datagrams. Each relay has a separate address for every other relay, and a datagram that it sends
+// there arrives after a delay, cut in half, or not at all.
 type network struct {
 	harness   *harness
-	paths     [][]*net.UDPConn // paths[a][b] is where relay a reaches relay b, and from where b's datagrams come to a
-	broadcast []*net.UDPConn   // where a relay reaches all others
+	paths     [][]*net.UDPConn // paths[a][b] receives relay a's datagrams to relay b, and sends b's datagrams to a
+	broadcast []*net.UDPConn   // by relay: receives its datagrams to all others
 
 	mu            sync.Mutex // guards everything below
 	total         Datagrams
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// start forwards what a relay sends, until close.
+// start starts to forward a relay's datagrams, until close.
 func (n *network) start(a int) {
 	var others []int
 	for b := range n.paths {
@@ -91,7 +91,7 @@
 	n.harness.background.Go(func() { n.forward(a, others, n.broadcast[a]) })
 }
 
-// forward forwards what relay a sends to a socket.
+// forward forwards the datagrams that relay a sends to a socket.
 func (n *network) forward(a int, to []int, conn *net.UDPConn) {
 	buf := make([]byte, readBufferSize)
 	for {
@@ -100,7 +100,7 @@
 			return
 		}
 		if err != nil || from.String() != n.harness.relays[a].peer {
-			continue // from nobody on this network
+			continue // not a datagram of relay a
 		}
 		if size > maxDatagram {
 			n.harness.recordFailure("%s sent a datagram of %d bytes, %d at most", n.harness.relays[a].name, size, maxDatagram)
@@ -134,16 +134,16 @@
 		return
 	}
 	time.AfterFunc(scenario.Milliseconds(n.harness.scenario.Network.Delay.Draw(random)), func() {
-		_, _ = n.paths[p.to][p.from].WriteToUDP(data, to) // a relay that does not run gets nothing
+		_, _ = n.paths[p.to][p.from].WriteToUDP(data, to) // a datagram to a relay that is not running is lost
 	})
 }
 
-// separates reports whether the split lies between two relays; the lock is held.
+// separates reports whether the network split separates a path's two relays; the lock is held.
 func (n *network) separates(p path) bool {
 	return slices.Contains(n.split, p.from) != slices.Contains(n.split, p.to)
 }
 
-// setSplit separates some relays, numbered from 1, from the others; none: no split.
+// setSplit separates some relays, numbered from 1, from the others. An empty list ends the split.
 func (n *network) setSplit(numbers []int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,8 +167,8 @@
 	n.truncateShare = share
 }
 
-// sum returns the counts so far.
-func (n *network) sum() Datagrams {
+// counts returns the counts so far.
+func (n *network) counts() Datagrams {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.total
--- a/internal/faultinjection/harness/network_test.go
+++ b/internal/faultinjection/harness/network_test.go
@@ -54,7 +54,7 @@
 // A datagram reaches the relay that it was sent to, from the sender's address as that relay knows it, unless the network is
 // split or truncates it. One that is too long is a failure.
 func TestNetwork_DeliversSplitsAndTruncates(t *testing.T) {
-	h := bare(t, loadScript(t, 50, 5, 3, 1, 4, 4, 1))
+	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 3, 1, 4, 4, 1))
 	relays, sockets := h.relays, openPeerSockets(t, h)
 	sockets[0].send(t, relays[0].peers[2], "one")
 	sockets[2].receive(t, "one", relays[2].peers[0])
@@ -75,7 +75,7 @@
 		defer h.mu.Unlock()
 		return len(h.failures) == 1
 	})
-	if n := h.network.sum(); n.Lost != 1 || n.Halved != 1 || n.Sent != 6 {
+	if n := h.network.counts(); n.Lost != 1 || n.Halved != 1 || n.Sent != 6 {
 		t.Errorf("counted %+v", n)
 	}
 }
--- a/internal/faultinjection/harness/notification_server.go
+++ b/internal/faultinjection/harness/notification_server.go
@@ -28,7 +28,7 @@
 	return n.ID != "" && (n.Status == checker.Undeliverable || n.Status == checker.Deferred)
 }
 
-// malformedNotificationError is a line that is no notification.
+// malformedNotificationError is the error for a line that is no valid notification.
 type malformedNotificationError struct{ line string }
 
 func (e *malformedNotificationError) Error() string { return fmt.Sprintf("%.100q", e.line) }
--- a/internal/faultinjection/harness/occurrence.go
+++ b/internal/faultinjection/harness/occurrence.go
@@ -1,10 +1,10 @@
 package harness
 
-// Occurrence is something that a run has to contain to be worth something, and may not, since it goes by chance or by the relays. The
-// values are what a soak prints.
+// Occurrence names a situation that the runs of a soak must contain at least once for the soak to prove anything. Chance and
+// the relays' behavior decide whether a run contains it. A soak prints the values.
 type Occurrence string
 
-// What a run counts.
+// The occurrences that a run counts.
 const (
 	Terminated              Occurrence = "terminated"
 	KilledAtGraceEnd        Occurrence = "killed at the grace's end"
@@ -21,7 +21,7 @@
 	WriteHeldUp             Occurrence = "writes held up"
 )
 
-// Occurrences are all of them, in the order in which they are printed.
+// Occurrences returns all occurrences, in the order in which they are printed.
 func Occurrences() []Occurrence {
 	return []Occurrence{
 		Terminated, KilledAtGraceEnd, RequestAfterTermination, ReloadAroundTermination, RepeatedTermination, TerminatedStarting,
@@ -29,7 +29,7 @@
 	}
 }
 
-// Missing returns those that no run contained.
+// Missing returns the occurrences that none of the runs contained.
 func Missing(runs ...map[Occurrence]int) (missing []Occurrence) {
 	for _, o := range Occurrences() {
 		total := 0
--- a/internal/faultinjection/harness/outage.go
+++ b/internal/faultinjection/harness/outage.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// affected returns the endpoints that a fault of one endpoint, or of all, happens to; the lock is held.
+// affected returns the endpoints that a fault of one endpoint, or of all, affects; the lock is held.
 func (d *destinationServer) affected(endpoint int) (affected []*endpointServer) {
 	for _, e := range d.endpoints {
 		if endpoint == destination.AllEndpoints || e.index == endpoint {
@@ -18,7 +18,7 @@
 	return affected
 }
 
-// affectedID returns the id of the one endpoint that a fault happens to; empty: it happens to all. The lock is held.
+// affectedID returns the id of the one endpoint that a fault affects, or an empty string if it affects all. The lock is held.
 func (d *destinationServer) affectedID(endpoint int) string {
 	if affected := d.affected(endpoint); endpoint != destination.AllEndpoints && len(affected) > 0 {
 		return affected[0].id
@@ -39,7 +39,7 @@
 	for _, e := range d.affected(endpoint) {
 		e.setMode(mode)
 	}
-	d.carryOut(actions)
+	d.applyActions(actions)
 }
 
 // endOutage ends an outage. Cold endpoints are slow at first.
@@ -54,10 +54,10 @@
 		d.outage = nil
 	}
 	d.harness.record(checker.Event{Kind: checker.OutageEnded, Destination: d.number, Endpoint: d.affectedID(endpoint), OK: cold})
-	d.carryOut(actions)
+	d.applyActions(actions)
 }
 
-// degradation degrades endpoints, or ends that.
+// degradation holds the functions that begin and end a degradation of endpoints.
 type degradation struct {
 	begin func(m *destination.Model, now time.Duration, endpoint int, f *scenario.Fault) []destination.Action
 	end   func(m *destination.Model, now time.Duration, endpoint int) []destination.Action
@@ -95,12 +95,12 @@
 func (d *destinationServer) beginDegradation(endpoint int, f *scenario.Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(degradations[f.Kind].begin(d.model, d.now(), endpoint, f))
+	d.applyActions(degradations[f.Kind].begin(d.model, d.now(), endpoint, f))
 }
 
-// endDegradation ends it.
+// endDegradation ends a degradation of one endpoint or of all.
 func (d *destinationServer) endDegradation(endpoint int, f *scenario.Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(degradations[f.Kind].end(d.model, d.now(), endpoint))
+	d.applyActions(degradations[f.Kind].end(d.model, d.now(), endpoint))
 }
--- a/internal/faultinjection/harness/progress.go
+++ b/internal/faultinjection/harness/progress.go
@@ -13,15 +13,15 @@
 // progressInterval is the time between two lines of progress.
 const progressInterval = time.Second
 
-// runProgress is how a run stands at one time.
+// runProgress is the progress of a run at one time.
 type runProgress struct {
 	sent, delivered int     // messages
 	open            int     // accepted submissions without a terminal outcome
-	deliveredWeight float64 // priority weight that was left at delivery
+	deliveredWeight float64 // priority weight that remained at delivery
 	sentWeight      float64 // priority weight of all messages sent
 }
 
-// printProgress prints how the run stands, once a second.
+// printProgress prints the progress of the run once a second.
 func (h *harness) printProgress(ctx context.Context, messages []*scenario.Message) {
 	if h.options.Progress == nil {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// progress returns how the run stands at a time. The messages are in the order of their times.
+// progress returns the progress of the run at a time. The messages are in the order of their times.
 func (l *ledger) progress(classes []settings.Class, messages []*scenario.Message, now time.Duration) runProgress {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faultinjection/harness/recorder.go
+++ b/internal/faultinjection/harness/recorder.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// lateThreshold is the lateness from which an event of the harness counts as late.
+	// lateThreshold is the lateness above which an event of the harness counts as late.
 	lateThreshold = 5 * time.Millisecond
 	// eventBlockSize is the number of events in a block of the log.
 	eventBlockSize = 4096
 )
 
-// recorder keeps the event log, the failures, and how punctual the harness itself was.
+// recorder keeps the event log, the failures, and the lateness of the harness's own events.
 type recorder struct {
 	start      time.Time    // when the recorder was made
 	zeroOffset atomic.Int64 // the run's time 0, in nanoseconds since start
 
 	mu          sync.Mutex        // guards the fields below
-	blocks      [][]checker.Event // a single slice would hold everything up while it is copied to grow
-	events      int               // of the harness that had a due time
+	blocks      [][]checker.Event // growing a single slice would copy all events and delay the stand-ins meanwhile
+	events      int               // of the harness, those with a due time
 	lateEvents  int
 	maxLateness time.Duration
 	failures    []string
@@ -38,7 +38,7 @@
 	return time.Since(r.start) - time.Duration(r.zeroOffset.Load())
 }
 
-// setTimeZero makes the present the run's time 0. What was recorded before gets times below it.
+// setTimeZero makes the present time 0 of the run. Events that were recorded before get negative times.
 func (r *recorder) setTimeZero() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// record appends an event to the log, and returns its time: the present.
+// record appends an event to the log with the present time, and returns that time.
 func (r *recorder) record(e checker.Event) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,17 +85,17 @@
 	r.maxLateness = max(r.maxLateness, lateness)
 }
 
-// recordFailure records a failure that makes the run fail, whatever the checker's rules say.
+// recordFailure records a failure. The run fails by it even if the relays broke none of the checker's rules.
 func (r *recorder) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failures = append(r.failures, fmt.Sprintf("%.3f s: ", r.now().Seconds())+fmt.Sprintf(format, args...))
 }
 
-// count counts something that happened.
+// count counts one occurrence.
 func (r *recorder) count(o Occurrence) { r.countMany(o, 1) }
 
-// countMany counts something that happened so many times.
+// countMany counts an occurrence a number of times.
 func (r *recorder) countMany(o Occurrence, times int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultinjection/harness/redelivery_summary.go
+++ b/internal/faultinjection/harness/redelivery_summary.go
@@ -12,12 +12,12 @@
 // redeliveryWindow is the span over which the rate of redeliveries is measured.
 const redeliveryWindow = time.Second
 
-// Redeliveries counts the attempts at a destination under ids that relays made up, which redeliver messages.
+// Redeliveries summarizes the attempts at a destination that redeliver messages, under ids that relays generated.
 type Redeliveries struct {
 	Destination  string        `json:"partner"`
 	Attempts     int           `json:"calls"`
 	Relays       int           `json:"relays"` // that made them
-	Turns        int           `json:"turns"`  // sequences of attempts of one relay
+	Turns        int           `json:"turns"`  // uninterrupted sequences of attempts of one relay
 	MaxPerSecond int           `json:"most"`   // in any second
 	From         time.Duration `json:"from"`
 	To           time.Duration `json:"to"`
@@ -52,7 +52,7 @@
 	return attempts
 }
 
-// summarizeRedeliveries summarizes the attempts at one destination, one at least.
+// summarizeRedeliveries summarizes the attempts at one destination, of which there is at least one.
 func summarizeRedeliveries(name string, attempts []checker.Event) Redeliveries {
 	sum := Redeliveries{Destination: name, Attempts: len(attempts), From: attempts[0].FirstByte, To: attempts[len(attempts)-1].FirstByte}
 	relays := map[int]bool{}
--- a/internal/faultinjection/harness/relay.go
+++ b/internal/faultinjection/harness/relay.go
@@ -17,29 +17,29 @@
 // logTailSize is how much of a relay's log a failure quotes, in bytes.
 const logTailSize = 300
 
-// relay is one relay: a process that may come and go, and what outlasts it.
+// relay is one relay: its present process, and the state that outlives its processes.
 type relay struct {
 	h        *harness
 	number   int // from 0
 	name     string
-	listen   string   // where clients connect
-	peer     string   // where other relays' datagrams arrive
-	peers    []string // where this relay reaches each of the others
-	peersAll string   // where it reaches all of them
+	listen   string   // address to which clients connect
+	peer     string   // address at which other relays' datagrams arrive
+	peers    []string // by relay: address to which this relay sends datagrams for it
+	peersAll string   // address to which this relay sends datagrams for all others
 
 	clock         *faults.WallClock     // of all its processes; nil: the machine's
 	syscallErrors *faults.SyscallErrors // nil: no system call is made to fail
-	socket        *os.File              // where clients connect, inherited by all its processes; nil: each listens by itself
+	socket        *os.File              // listening socket for clients, inherited by all its processes; nil: each process listens by itself
 
-	mu               sync.Mutex // guards the fields below, and those that process says
+	mu               sync.Mutex // guards the fields below, and the fields of process that say so
 	discovery        string     // address of its discovery service
 	settingsInForce  scenario.ReloadableSettings
-	process          *process // that takes clients; nil: none does
+	process          *process // the process that serves clients; nil: there is none
 	starts           int
 	usage            ProcessUsage
 	endedCPUSeconds  float64   // of processes that have ended
 	metricsLatencies []float64 // seconds that its admin endpoint took for each read of its metrics
-	onAcceptance     func()    // called once, right after a client has read that a request was accepted; nil: nothing is to be done
+	onAcceptance     func()    // called once, right after a client has read the response that accepts a request; nil: not set
 }
 
 func newRelay(h *harness, number int) (*relay, error) {
@@ -103,7 +103,7 @@
 func (r *relay) operatorPath() string { return filepath.Join(r.dir(), "frostlink.toml") }
 func (r *relay) logPath() string      { return filepath.Join(r.dir(), "log") }
 
-// serving returns the process that takes clients, or nil.
+// serving returns the process that serves clients, or nil.
 func (r *relay) serving() *process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +136,7 @@
 	return strconv.Quote(strings.Join(strings.Fields(string(tail)), " "))
 }
 
-// violations returns the invariants that the relay itself found violated, from its log.
+// violations returns the lines of the relay's log in which the relay itself reports a violated invariant.
 func (r *relay) violations() (found []string) {
 	raw, err := os.ReadFile(r.logPath())
 	if err != nil {
--- a/internal/faultinjection/harness/relay_config.go
+++ b/internal/faultinjection/harness/relay_config.go
@@ -9,8 +9,8 @@
 	"frostlink/internal/settings"
 )
 
-// relayConfig is the platform's configuration file for one relay. Its keys stand in alphabetical order, as the file always
-// had them: a fault that truncates the file cuts the same keys off.
+// relayConfig is the platform's configuration file for one relay. Its keys have to stay in alphabetical order, so that a fault
+// that truncates the file always cuts off the same keys.
 type relayConfig struct {
 	Discovery  string            `json:"discovery"`
 	Known      endpointList      `json:"known"`
@@ -24,7 +24,7 @@
 	Settings   settings.Settings `json:"settings"`
 }
 
-// relayLimits are what the platform grants one relay.
+// relayLimits are the resources that the platform grants one relay.
 type relayLimits struct {
 	Cores    float64 `json:"cores"`
 	DiskMB   float64 `json:"disk_mb"`
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// replaceFile replaces a file at once: a reader finds the old content or the new.
+// replaceFile replaces a file atomically: a reader finds the old content or the new.
 func replaceFile(path string, content []byte) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, content, 0o600); err != nil {
--- a/internal/faultinjection/harness/relay_faults.go
+++ b/internal/faultinjection/harness/relay_faults.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/wait"
 )
 
-// kill ends the process at once, and waits until it is gone.
+// kill ends the process by SIGKILL, and waits until it is gone.
 func (r *relay) kill() {
 	p := r.signal(syscall.SIGKILL)
 	if p != nil && !p.exitsWithin(killTimeout, nil) {
@@ -21,7 +21,7 @@
 	}
 }
 
-// killAndRestart kills the relay, and starts it again after a delay; if the machine is lost, the state is too.
+// killAndRestart kills the relay, and starts it again after a delay. If its machine is lost, the relay's state is lost as well.
 func (r *relay) killAndRestart(f *scenario.Fault, machineLost bool) {
 	if f.AfterAcceptance {
 		r.killOnAcceptance()
@@ -66,8 +66,8 @@
 	return scenario.Seconds(r.h.scenario.LoadBalancer.DetectionDelay.Draw(r.h.random.Stream("front", r.number, starts)))
 }
 
-// hang stops the relay's process for a while.
-func (r *relay) hang(d time.Duration) {
+// suspend suspends the relay's process for a while.
+func (r *relay) suspend(d time.Duration) {
 	r.h.record(checker.Event{Kind: checker.Halted, Relay: r.number})
 	r.signal(syscall.SIGSTOP)
 	r.h.balancer.relayLeaving(r.number, r.detectionDelay())
@@ -118,8 +118,8 @@
 	}
 }
 
-// syscallFaultEvents returns the events by which the checker learns of the begin and end of failing system calls;
-// empty: it need not know.
+// syscallFaultEvents returns the kinds of the events that record the begin and the end of failing system calls for the
+// checker. They are empty if the checker needs no such events.
 func syscallFaultEvents(call faults.Syscall, errno syscall.Errno) (begin, end checker.Kind) {
 	switch {
 	case call >= faults.FileWrite:
--- a/internal/faultinjection/harness/relay_faults_test.go
+++ b/internal/faultinjection/harness/relay_faults_test.go
@@ -10,11 +10,11 @@
 const (
 	// concurrentPlays are played at once: more would make the machine late.
 	concurrentPlays = 4
-	// weightKept is the share of the weight delivered without a fault that has to be delivered with one. Kills cost some; what a
+	// minWeightShare is the share of the weight delivered without a fault that has to be delivered with one. Kills cost some; what a
 	// stepped wall clock cost was more than half.
-	weightKept = 0.75
-	// weightKeptByFolder is the same where nothing can be accepted for three of eight seconds.
-	weightKeptByFolder = 0.4
+	minWeightShare = 0.75
+	// minWeightShareDiskErrors is the same where nothing can be accepted for three of eight seconds.
+	minWeightShareDiskErrors = 0.4
 	// socketFaultStart is when system calls on sockets begin to fail, in seconds.
 	socketFaultStart = 2
 )
@@ -125,7 +125,7 @@
 		"back while down":                kill(3) + clockStep(3.3, -3600),
 		"forward before a restart":       clockStep(2.5, 60) + kill(4),
 		"back before a restart":          clockStep(2.5, -60) + kill(4),
-	}, weightKept)
+	}, minWeightShare)
 }
 
 // System calls on sockets that fail in passing break no rule and end no relay.
@@ -153,7 +153,7 @@
 			cases[call+" "+errno] = socketErrors(call, errno, 0.5)
 		}
 	}
-	playAll(t, cases, weightKept)
+	playAll(t, cases, minWeightShare)
 }
 
 // A folder whose writes fail for a while breaks no rule and ends no relay, also when it is killed and started meanwhile: what was
@@ -169,7 +169,7 @@
 		"read-only, killed meanwhile":   diskErrors(2.5, 4.2, "EROFS", 1) + kill(2.6),
 		"torn, killed meanwhile":        diskErrors(2, 4, "SHORT", 0.5) + diskErrors(2, 4, "EIO", 0.3) + kill(3),
 		"full and the clock steps back": diskErrors(2, 3, "ENOSPC", 0.7) + kill(3) + clockStep(3.3, -3600),
-	}, weightKeptByFolder)
+	}, minWeightShareDiskErrors)
 }
 
 // playAll plays the scenario with each of several lists of further faults, some concurrently: no rule may be broken, no relay may
--- a/internal/faultinjection/harness/relay_process.go
+++ b/internal/faultinjection/harness/relay_process.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	// shutdownGrace after a graceful shutdown was asked for, a relay is killed.
+	// shutdownGrace is the time from SIGTERM until a relay that has not ended is killed.
 	shutdownGrace = 3700 * time.Millisecond
-	// killTimeout is how long a killed process may take to be gone.
+	// killTimeout is how long a process may take to end after SIGKILL.
 	killTimeout = 5 * time.Second
-	// inheritedFD is the descriptor of the first of exec.Cmd's ExtraFiles.
+	// inheritedFD is the descriptor that the first of exec.Cmd's ExtraFiles has in the started process.
 	inheritedFD = 3
 )
 
 // process is one process of a relay.
 type process struct {
 	relay     *relay
-	number    int // of the relay's, from 1
+	number    int // among the relay's processes, from 1
 	pid       int
 	adminAddr string        // of its admin endpoint
 	exited    chan struct{} // closed when it has ended
 	endState  string        // how it ended; set before exited is closed
 
 	// Guarded by the relay's mutex.
-	expected  bool // its end was asked for
-	replaced  bool // another process has taken its place
-	successor bool // it has not taken the place of the process before yet
+	expected  bool // it was sent a signal that ends it
+	replaced  bool // another process serves clients in its place
+	successor bool // it is to replace another process, and has not done so yet
 }
 
 // start starts a process, and waits until it is ready.
@@ -57,7 +57,8 @@
 
 // launch starts a process; a successor runs beside the one that it is to replace.
 func (r *relay) launch(successor bool) (*process, error) {
-	// Each process has its own address: a predecessor's and a successor's admin endpoints are open at once.
+	// Each process has its own admin address, since a predecessor's and its successor's admin endpoints are open at the same
+	// time.
 	adminAddr, err := r.h.loopback.Address()
 	if err != nil {
 		return nil, err
@@ -67,7 +68,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("log of %s: %w", r.name, err)
 	}
-	defer func() { _ = log.Close() }() // the process has a duplicate, and nothing is written here
+	defer func() { _ = log.Close() }() // the process has a duplicate, and the harness writes nothing to the file
 	cmd, err := r.command(p)
 	if err != nil {
 		return nil, err
@@ -116,7 +117,7 @@
 	return cmd, nil
 }
 
-// faultEnv returns the environment by which faults are injected into a process.
+// faultEnv returns the environment variables by which faults are injected into a process.
 func (r *relay) faultEnv() (env []string) {
 	var libraries []string
 	if r.clock != nil {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// wait waits for the process to end, and records how it did.
+// wait waits for the process to end, and records how it ended.
 func (p *process) wait(cmd *exec.Cmd) {
 	defer close(p.exited)
 	err, r := cmd.Wait(), p.relay
@@ -173,7 +174,7 @@
 	switch {
 	case successor && !expected: // the predecessor still serves
 		r.recordFailure("the process that is to take over ended: %v; its log ends: %s", err, r.logTail())
-	case successor || replaced: // the relay goes on in the other process
+	case successor || replaced: // the relay continues in the other process
 	case !expected:
 		r.h.record(checker.Event{Kind: checker.Crashed, Relay: r.number, Status: cmd.ProcessState.ExitCode()})
 		r.h.recordFailure("%s ended without being asked to: %v; its log ends: %s", r.name, err, r.logTail())
@@ -206,8 +207,8 @@
 	}
 }
 
-// signal sends a signal: those to which a relay reacts to the program itself, as the platform does, and others to
-// its process group.
+// signal sends a signal: SIGTERM and SIGHUP, to which a relay reacts, to the program alone, as the platform does, and other
+// signals to its process group.
 func (p *process) signal(sig syscall.Signal) {
 	r := p.relay
 	r.mu.Lock()
@@ -215,7 +216,7 @@
 	if sig == syscall.SIGTERM || sig == syscall.SIGKILL {
 		p.expected = true
 	}
-	target := -p.pid // the group
+	target := -p.pid // the process group
 	if sig == syscall.SIGTERM || sig == syscall.SIGHUP {
 		target = p.pid
 	}
@@ -224,7 +225,7 @@
 	}
 }
 
-// signal sends a signal to the process that takes clients, and returns that process; nil: none does.
+// signal sends a signal to the process that serves clients, and returns that process, or nil if there is none.
 func (r *relay) signal(sig syscall.Signal) *process {
 	p := r.serving()
 	if p != nil {
--- a/internal/faultinjection/harness/relay_shutdown.go
+++ b/internal/faultinjection/harness/relay_shutdown.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// reloadLead is between a SIGHUP with new settings and the SIGTERM that follows.
-	reloadLead = 5 * time.Millisecond
-	// signalInterval is between the signals of a series during a shutdown.
+	// reloadLeadTime is the time between a SIGHUP with new settings and the SIGTERM that follows.
+	reloadLeadTime = 5 * time.Millisecond
+	// signalInterval is the time between the signals of a series during a shutdown. A crowd's callers reconnect after the
+	// same time.
 	signalInterval = 700 * time.Millisecond
-	// repeatedAfter is between two SIGTERM in a row.
-	repeatedAfter = 10 * time.Millisecond
-	// stuckAfter is when a shutdown that is to hang is suspended: no new connections come any more by then.
-	stuckAfter = 500 * time.Millisecond
-	// maxStartingDelay is how long after its launch, at most, a process that starts is terminated.
+	// repeatedSignalDelay is the time between a SIGTERM and the one that repeats it.
+	repeatedSignalDelay = 10 * time.Millisecond
+	// stuckSuspendDelay is the time from SIGTERM until a process whose shutdown is to hang is suspended: by then, the load balancer
+	// opens no new connections to it any more.
+	stuckSuspendDelay = 500 * time.Millisecond
+	// maxStartingDelay is the longest time from a process's launch until it is terminated while it starts.
 	maxStartingDelay = 25 * time.Millisecond
 	// acceptanceTimeout is how long a kill waits for a request to be accepted.
 	acceptanceTimeout = 2 * time.Second
@@ -28,13 +30,13 @@
 func (r *relay) restart(f *scenario.Fault) {
 	if f.Signals == scenario.SignalsReload {
 		r.reloadWithoutWaiting()
-		wait.For(r.h.ctx, reloadLead)
+		wait.For(r.h.ctx, reloadLeadTime)
 	}
 	r.h.record(checker.Event{Kind: checker.Stopping, Relay: r.number})
 	begun := r.h.now()
 	if p := r.terminate(); p != nil {
-		r.endByGrace(p, f.Signals)
-		r.countHanging(begun, r.h.now())
+		r.awaitShutdown(p, f.Signals)
+		r.countShutdownWhileHanging(begun, r.h.now())
 	}
 	r.kill()
 	if f.Signals == scenario.SignalsStarting {
@@ -43,8 +45,8 @@
 	r.startAfter(scenario.Seconds(f.RestartDelay))
 }
 
-// terminate sends SIGTERM to the process that takes clients, and returns it; nil: there is none. The load balancer goes on with
-// new connections for a while, and clients use those that are open until it closes them.
+// terminate sends SIGTERM to the process that serves clients, and returns that process, or nil if there is none. The load
+// balancer still opens new connections for a while, and clients use open connections until the process closes them.
 func (r *relay) terminate() *process {
 	p := r.signal(syscall.SIGTERM)
 	if p == nil {
@@ -55,13 +57,13 @@
 	return p
 }
 
-// endByGrace waits for a process to end after SIGTERM, sends the rest of a series of signals meanwhile, and kills it where it has
-// not ended when its time is up.
-func (r *relay) endByGrace(p *process, signals string) {
+// awaitShutdown waits for a process to end after SIGTERM, sends the other signals of a series meanwhile, and kills the process
+// if it has not ended after shutdownGrace.
+func (r *relay) awaitShutdown(p *process, signals string) {
 	graceEnd := time.Now().Add(shutdownGrace)
 	switch signals {
 	case scenario.SignalsRepeated:
-		p.exitsWithin(repeatedAfter, r.h.ctx.Done())
+		p.exitsWithin(repeatedSignalDelay, r.h.ctx.Done())
 		r.terminateAgain(p)
 	case scenario.SignalsReload:
 		for time.Until(graceEnd) > signalInterval && !p.exitsWithin(signalInterval, r.h.ctx.Done()) && r.h.ctx.Err() == nil {
@@ -69,7 +71,7 @@
 			r.terminateAgain(p)
 		}
 	case scenario.SignalsStuck:
-		if !p.exitsWithin(stuckAfter, r.h.ctx.Done()) && r.h.ctx.Err() == nil {
+		if !p.exitsWithin(stuckSuspendDelay, r.h.ctx.Done()) && r.h.ctx.Err() == nil {
 			p.signal(syscall.SIGSTOP)
 		}
 	}
@@ -80,7 +82,7 @@
 	r.kill()
 }
 
-// terminateAgain sends SIGTERM to a process that has had it.
+// terminateAgain sends another SIGTERM to a process, unless the process has ended.
 func (r *relay) terminateAgain(p *process) {
 	if !p.hasExited() {
 		p.signal(syscall.SIGTERM)
@@ -88,7 +90,8 @@
 	}
 }
 
-// reloadWithoutWaiting gives the process that takes clients a file with other settings, and does not wait until it has read it.
+// reloadWithoutWaiting writes a configuration file with other settings and sends SIGHUP to the process that serves clients. It
+// does not wait until the process has read the file.
 func (r *relay) reloadWithoutWaiting() {
 	r.mu.Lock()
 	most := r.h.scenario.Limits.MaxAttempts
@@ -105,7 +108,8 @@
 	}
 }
 
-// terminateStarting starts a process after a delay, and terminates it within moments: while it starts, or reads its journal.
+// terminateStarting launches a process after a delay, and terminates it within maxStartingDelay, while it starts or reads its
+// journal.
 func (r *relay) terminateStarting(delay time.Duration) {
 	if !wait.For(r.h.ctx, delay) {
 		return
@@ -126,11 +130,12 @@
 	if !p.exitsWithin(shutdownGrace, r.h.ctx.Done()) && r.h.ctx.Err() == nil {
 		r.h.count(KilledAtGraceEnd)
 	}
-	p.signal(syscall.SIGKILL) // has no effect on one that has ended
+	p.signal(syscall.SIGKILL) // has no effect on a process that has ended
 	p.exitsWithin(killTimeout, nil)
 }
 
-// killOnAcceptance kills the relay right behind the next request that it accepts, or after a while where none comes.
+// killOnAcceptance kills the relay as soon as a client has read the response that accepts the next request. It returns after
+// acceptanceTimeout if no request is accepted.
 func (r *relay) killOnAcceptance() {
 	accepted := make(chan struct{})
 	r.mu.Lock()
@@ -152,7 +157,7 @@
 	r.mu.Unlock()
 }
 
-// requestAccepted is called right after a client has read that the relay accepted its request.
+// requestAccepted is called right after a client has read the response by which the relay accepts its request.
 func (r *relay) requestAccepted() {
 	r.mu.Lock()
 	act := r.onAcceptance
@@ -163,15 +168,15 @@
 	}
 }
 
-// again does a fault once more, so long after the relay has come back as the fault says.
-func (r *relay) again(f *scenario.Fault, do func()) {
+// repeatFault injects a fault once more if the fault says so, at the time after the relay's return that the fault specifies.
+func (r *relay) repeatFault(f *scenario.Fault, do func()) {
 	if f.RestartAgain > 0 && wait.For(r.h.ctx, scenario.Seconds(f.RestartAgain)) && r.serving() != nil {
 		r.h.count(RestartedAgain)
 		do()
 	}
 }
 
-// drainDelay draws for how long new connections still come after SIGTERM.
+// drainDelay draws how long the load balancer still opens new connections after SIGTERM.
 func (r *relay) drainDelay() time.Duration {
 	r.mu.Lock()
 	starts := r.starts
@@ -180,8 +185,8 @@
 	return minDrainDelay + time.Duration(draw*float64(maxDrainDelay-minDrainDelay))
 }
 
-// countHanging counts a shutdown through the whole of which a destination was unresponsive.
-func (r *relay) countHanging(from, to time.Duration) {
+// countShutdownWhileHanging counts a shutdown if a destination was unresponsive during the whole of it.
+func (r *relay) countShutdownWhileHanging(from, to time.Duration) {
 	for i := range r.h.scenario.Faults {
 		f := newScheduledFault(i, &r.h.scenario.Faults[i])
 		if f.Kind == scenario.FaultUnresponsive && f.Endpoint == 0 && f.begin <= from && f.end >= to {
--- a/internal/faultinjection/harness/relay_standin_delivery_test.go
+++ b/internal/faultinjection/harness/relay_standin_delivery_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// carefulInterval is between attempts at the destination that has an outage, once one has failed: so few overload no cold one.
-	carefulInterval = 250 * time.Millisecond
+	// pacedInterval is between attempts at the destination that has an outage, once one has failed: so few overload no cold one.
+	pacedInterval = 250 * time.Millisecond
 	// failureBackoff is the wait after an attempt that failed or was rejected without a Retry-After.
 	failureBackoff = 400 * time.Millisecond
 	// maxStandInAttempts bounds the attempts of a message.
@@ -53,15 +53,15 @@
 	return addrs[(m.number+n)%len(addrs)]
 }
 
-// awaitTurn waits until a message may be sent to its destination, and reports whether that is before its end.
-func (s *relayStandIn) awaitTurn(m *standInMessage, end time.Time) bool {
+// awaitSendTime waits until a message may be sent to its destination, and reports whether that is before its end.
+func (s *relayStandIn) awaitSendTime(m *standInMessage, end time.Time) bool {
 	if s.misbehavior == ignoresRetryAfter && m.destination == destinationWaits || s.misbehavior == overloads && m.destination == destinationFalls {
 		return time.Now().Before(end)
 	}
 	for {
 		s.mu.Lock()
 		at := s.retryAt[m.destination]
-		if next := s.lastSent[m.destination].Add(carefulInterval); s.careful[m.destination] && next.After(at) {
+		if next := s.lastSent[m.destination].Add(pacedInterval); s.paced[m.destination] && next.After(at) {
 			at = next
 		}
 		if !at.After(time.Now()) {
@@ -81,7 +81,7 @@
 func (s *relayStandIn) backOff(destination int, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.careful[destination] = s.careful[destination] || destination == destinationFalls
+	s.paced[destination] = s.paced[destination] || destination == destinationFalls
 	if until := time.Now().Add(d); until.After(s.retryAt[destination]) {
 		s.retryAt[destination] = until
 	}
@@ -109,7 +109,7 @@
 	var delivered atomic.Bool  // by a concurrent attempt
 	var executedFrom time.Time // when the first attempt was sent whose outcome is unknown
 	for n := 0; ; n++ {
-		expired := !s.awaitTurn(m, end) || n >= maxStandInAttempts && s.misbehavior != overloads
+		expired := !s.awaitSendTime(m, end) || n >= maxStandInAttempts && s.misbehavior != overloads
 		if !executedFrom.IsZero() && !s.mayRetry(m, executedFrom) {
 			s.notify(m.id, "undeliverable")
 			if s.misbehavior == redeliversExecuted && m.idempotency == "fragile" {
--- a/internal/faultinjection/harness/relay_standin_shutdown_test.go
+++ b/internal/faultinjection/harness/relay_standin_shutdown_test.go
@@ -15,7 +15,7 @@
 const (
 	closesReadRequests   misbehavior = "closes read requests" // at SIGTERM
 	endsOnSecondSIGTERM  misbehavior = "ends on a second SIGTERM"
-	forgetsWhatItHas     misbehavior = "forgets at a restart" // no violation by itself: a stand-in that has no journal
+	losesStateAtRestart  misbehavior = "forgets at a restart" // no violation by itself: a stand-in that has no journal
 	shutdownResponseTime             = 300 * time.Millisecond
 )
 
@@ -42,10 +42,10 @@
 queue = 50
 `
 
-// terminateRepeatedly and killBehind are the faults of the tests below.
+// terminateRepeatedly and killAfterAcceptance are the faults of the tests below.
 const (
 	terminateRepeatedly = "[[event]]\nat_s = 1\nwhat = \"term\"\nsignals = \"reload\"\n"
-	killBehind          = "[[event]]\nat_s = 1\nwhat = \"kill\"\nbehind = true\n"
+	killAfterAcceptance = "[[event]]\nat_s = 1\nwhat = \"kill\"\nbehind = true\n"
 )
 
 // onTermination makes a stand-in misbehave after SIGTERM.
@@ -87,7 +87,7 @@
 	}{
 		{closesReadRequests, terminateRepeatedly, checker.Unanswered},
 		{endsOnSecondSIGTERM, terminateRepeatedly, checker.Unanswered},
-		{forgetsWhatItHas, killBehind, checker.OutcomeMissing},
+		{losesStateAtRestart, killAfterAcceptance, checker.OutcomeMissing},
 	} {
 		t.Run(string(tt.misbehavior), func(t *testing.T) {
 			t.Parallel()
--- a/internal/faultinjection/harness/relay_standin_test.go
+++ b/internal/faultinjection/harness/relay_standin_test.go
@@ -86,7 +86,7 @@
 	mu            sync.Mutex // guards everything below
 	endpoints     map[string]*standInEndpoint
 	retryAt       map[int]time.Time // when a destination may be sent to again
-	careful       map[int]bool      // an attempt there has failed: one at a time from then on
+	paced         map[int]bool      // an attempt there has failed: one at a time from then on
 	lastSent      map[int]time.Time // to a destination
 	orderKeys     map[string]chan bool
 	accepted      int
@@ -135,7 +135,7 @@
 // runStandIn runs a stand-in until its process is killed.
 func runStandIn(m misbehavior) error {
 	s := &relayStandIn{
-		misbehavior: m, endpoints: map[string]*standInEndpoint{}, retryAt: map[int]time.Time{}, careful: map[int]bool{},
+		misbehavior: m, endpoints: map[string]*standInEndpoint{}, retryAt: map[int]time.Time{}, paced: map[int]bool{},
 		lastSent: map[int]time.Time{}, lastDelivered: map[string]*standInMessage{}, orderKeys: map[string]chan bool{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}},
 	}
@@ -154,7 +154,7 @@
 		time.AfterFunc(time.Second, func() { os.Exit(3) })
 	case ignoresSIGTERM:
 		signal.Ignore(syscall.SIGTERM)
-	case closesReadRequests, endsOnSecondSIGTERM, forgetsWhatItHas:
+	case closesReadRequests, endsOnSecondSIGTERM, losesStateAtRestart:
 		signal.Ignore(syscall.SIGHUP)
 		s.onTermination()
 	default: // the others misbehave with messages
--- a/internal/faultinjection/harness/relay_usage.go
+++ b/internal/faultinjection/harness/relay_usage.go
@@ -15,15 +15,16 @@
 const (
 	// sampleInterval is the time between two samples of the relays' usage.
 	sampleInterval = 500 * time.Millisecond
-	// clockTicks a second is the unit of the times in /proc/PID/stat: USER_HZ, 100 on every Linux.
+	// clockTicks is the number of clock ticks per second, the unit of the times in /proc/PID/stat: USER_HZ, which is 100 on
+	// every Linux.
 	clockTicks = 100
-	// diskBlockSize is the unit, in bytes, in which files take room.
+	// diskBlockSize is the unit, in bytes, in which files occupy disk space.
 	diskBlockSize = 512
-	// quarters of a run have their maxima apart, so that growth shows.
+	// quarters is the number of parts of a run for which maxima are kept separately, so that growth shows.
 	quarters = 4
 )
 
-// ProcessUsage is what one relay's processes used of the machine.
+// ProcessUsage holds the machine's resources that one relay's processes used.
 type ProcessUsage struct {
 	Name         string            `json:"name"`
 	Starts       int               `json:"starts"`
@@ -32,8 +33,8 @@
 	Descriptors  [quarters]int     `json:"descriptors"` // maximum open in each quarter
 	CPUSeconds   float64           `json:"cpu_s"`
 	StateKB      float64           `json:"state_kb"`             // maximum size of the state folder
-	AdminReads   int               `json:"door_reads,omitempty"` // of metrics, at the admin endpoint
-	AdminLatency checker.Quantiles `json:"door_s"`               // of those reads
+	AdminReads   int               `json:"door_reads,omitempty"` // reads of metrics at the admin endpoint
+	AdminLatency checker.Quantiles `json:"door_s"`               // latency of those reads
 }
 
 // sampleUsage samples the usage of all relays until ctx ends.
@@ -46,7 +47,7 @@
 	}
 }
 
-// sampleUsage takes one sample of the process that takes clients.
+// sampleUsage takes one sample of the process that serves clients.
 func (r *relay) sampleUsage(quarter int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +57,7 @@
 	proc := filepath.Join("/proc", strconv.Itoa(r.process.pid))
 	memory, ok := residentMB(proc)
 	if !ok {
-		return // it ended just now
+		return // the process has just ended
 	}
 	u := &r.usage
 	u.MemoryMB[quarter] = max(u.MemoryMB[quarter], memory)
@@ -80,7 +81,7 @@
 	return u
 }
 
-// residentMB returns the resident memory of a process, by its folder in /proc; 0: it is a zombie.
+// residentMB returns the resident memory of the process with a folder in /proc; 0: the process is a zombie.
 func residentMB(proc string) (mb float64, ok bool) {
 	status, err := os.ReadFile(filepath.Join(proc, "status"))
 	if err != nil {
@@ -120,11 +121,11 @@
 	return (user + system) / clockTicks, true
 }
 
-// folderSize returns the room that the files below a folder take, in bytes.
+// folderSize returns the disk space that the files below a folder occupy, in bytes.
 func folderSize(dir string) (size int64) {
 	_ = filepath.WalkDir(dir, func(_ string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
-			return nil // what has gone meanwhile takes no room
+			return nil // a file that was deleted meanwhile occupies no space
 		}
 		if info, err := entry.Info(); err == nil {
 			size += (info.Size() + diskBlockSize - 1) / diskBlockSize * diskBlockSize
--- a/internal/faultinjection/harness/reload.go
+++ b/internal/faultinjection/harness/reload.go
@@ -11,7 +11,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// reloadTimeout after the signal, a configuration file has been applied or rejected.
+// reloadTimeout is the time from SIGHUP within which a relay has to apply or reject a configuration file.
 const reloadTimeout = 1200 * time.Millisecond
 
 // corruptions are the ways in which a configuration file can be broken, by their names in scenarios.
@@ -26,12 +26,12 @@
 	},
 }
 
-// applySettings gives the relay a file with the fault's settings, or a corrupted one, and checks that the metrics show
-// that it was read.
+// applySettings gives the relay a configuration file with the fault's settings, or a corrupted file, and checks that the
+// relay's metrics count the reload or its failure.
 func (r *relay) applySettings(fault *scenario.Fault) {
 	p := r.serving()
 	if p == nil {
-		return // its next process reads the file that there is then
+		return // there is no process to reload the file; the next one reads the file at its start
 	}
 	before, err := p.metrics()
 	if err != nil {
@@ -89,7 +89,7 @@
 	})
 }
 
-// corruptFile breaks a configuration file in one of the ways of corruptions.
+// corruptFile corrupts a configuration file in one of the ways that corruptions lists.
 func corruptFile(path, how string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/faultinjection/harness/reload_test.go
+++ b/internal/faultinjection/harness/reload_test.go
@@ -11,7 +11,7 @@
 
 // Every corruption that a scenario can name breaks a relay's configuration file in its own way.
 func TestCorruptFile_BreaksTheConfiguration(t *testing.T) {
-	h := bare(t, loadScript(t, 50, 5, 1, 1, 4, 4, 1))
+	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 1))
 	original := configuration(t, h.relays[0])
 	for _, test := range []struct {
 		corruption string
--- a/internal/faultinjection/harness/result.go
+++ b/internal/faultinjection/harness/result.go
@@ -7,7 +7,7 @@
 	"frostlink/internal/faultinjection/checker"
 )
 
-// Options are what a run needs beside its scenario.
+// Options are the parameters of a run besides its scenario.
 type Options struct {
 	Seed         int64     // of all random streams
 	RelayCommand []string  // starts one relay
@@ -16,13 +16,13 @@
 	Progress     io.Writer // gets one line a second; nil: none
 }
 
-// Result is what a run showed.
+// Result is the outcome of a run: the verdict on the relays, and what was measured.
 type Result struct {
 	Scenario    string        `json:"script"`
 	Seed        int64         `json:"seed"`
 	Duration    time.Duration `json:"took"`
 	Void        bool          `json:"void"`       // inconclusive: the harness itself was too late for a verdict on the relays
-	LateShare   float64       `json:"late_share"` // of the harness's events, those that came more than 5 ms after they were due
+	LateShare   float64       `json:"late_share"` // share of the harness's events that came more than 5 ms after they were due
 	Events      int           `json:"rig_events"`
 	MaxLateness time.Duration `json:"late_most"`
 	Failures    []string      `json:"faults"` // crashes, datagrams that are too long, and other failures outside of the checker's rules
--- a/internal/faultinjection/harness/result_print.go
+++ b/internal/faultinjection/harness/result_print.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/faultinjection/checker"
 )
 
-// maxPrinted is how many violations are printed; the JSON has all.
+// maxPrinted is how many violations are printed; the result as JSON has all.
 const maxPrinted = 20
 
 // Print writes the result as text for people.
@@ -24,7 +24,7 @@
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	r.printDestinations(table)
 	r.printRelays(table)
-	_ = table.Flush() // what a tool prints: a reader that has gone stops nothing else
+	_ = table.Flush() // fails only if the output can no longer be written, which is ignored as for the other output
 	r.printWeight(out)
 	r.printCounts(out)
 	r.printAdminReads(out)
--- a/internal/faultinjection/harness/run.go
+++ b/internal/faultinjection/harness/run.go
@@ -14,27 +14,29 @@
 )
 
 const (
-	// gcPercent lets the heap grow fivefold between collections: the log only grows, and marking it takes the core
-	// from the stand-ins for tens of milliseconds.
+	// gcPercent lets the heap grow fivefold between garbage collections: the event log only grows, and marking it takes
+	// the CPU core from the stand-ins for tens of milliseconds.
 	gcPercent = 400
-	// settleTime after the last deadline a run ends, whatever is still open.
+	// settleTime is how long a run waits after the last time at which an outcome is due. The run then ends even if
+	// submissions are still open.
 	settleTime = 2500 * time.Millisecond
-	// lingerTime is for what relays still send for completed messages: it belongs to the run.
+	// lingerTime is how long a run goes on once all messages are completed, so that what relays still send for them is
+	// recorded and judged as well.
 	lingerTime = 500 * time.Millisecond
 )
 
-// Run plays a scenario and judges the relays. It ends by itself, even if relays crash, hang or hold connections, and leaves
-// no process and, but for Options.KeepDir, no file behind. An error means that the run could not be played.
+// Run plays a scenario and judges the relays. It returns even if relays crash, hang or hold connections, and leaves behind
+// no process and, except in Options.KeepDir, no file. An error means that the run could not be played.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*Result, error) {
 	if len(o.RelayCommand) == 0 {
-		return nil, errors.New("no command for a relay")
+		return nil, errors.New("options have no relay command")
 	}
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
 	workDir, err := os.MkdirTemp("", "rehearsal-")
 	if err != nil {
-		return nil, fmt.Errorf("working folder of the run: %w", err)
+		return nil, fmt.Errorf("create the working folder of the run: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(workDir) }() // a temporary folder that stays behind makes no verdict wrong
+	defer func() { _ = os.RemoveAll(workDir) }() // a leftover temporary folder does not affect the verdict
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	h := newHarness(ctx, s, o, workDir)
@@ -47,7 +49,7 @@
 	begun := time.Now()
 	h.play(ctx, messages)
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("stopped: %w", err)
+		return nil, fmt.Errorf("run stopped: %w", err)
 	}
 	h.settleStores(ctx)
 	result, err := h.check(messages)
@@ -63,7 +65,7 @@
 	return result, nil
 }
 
-// begin sets the run's time 0, and starts what goes by it.
+// begin sets time 0 of the run, and starts the destinations' models, which run on the time of the run.
 func (h *harness) begin() {
 	h.setTimeZero()
 	for _, destination := range h.destinations {
@@ -92,7 +94,7 @@
 	h.awaitOutcomes(ctx)
 }
 
-// awaitOutcomes waits until the scenario's time is over and every accepted message is completed, or is overdue.
+// awaitOutcomes waits until the scenario's length has passed and every accepted message is completed or overdue.
 func (h *harness) awaitOutcomes(ctx context.Context) {
 	longestDeadline := 0.0
 	for i := range h.scenario.Classes {
@@ -104,11 +106,11 @@
 	wait.For(ctx, lingerTime)
 }
 
-// until waits for a time of the run, and reports whether it came before ctx ended.
+// until waits until a time of the run, and reports whether that time was reached before ctx ended.
 func (h *harness) until(ctx context.Context, at time.Duration) bool { return wait.For(ctx, at-h.now()) }
 
-// settleStores lets the relays hand over to their dead-letter stores and ends them: stores are read once nothing
-// changes any more.
+// settleStores gives the relays time to move undelivered messages to their dead-letter stores, and then ends the relays,
+// so that the stores no longer change while they are read.
 func (h *harness) settleStores(ctx context.Context) {
 	if h.scenario.Relay.Operator == "" {
 		return
--- a/internal/faultinjection/harness/run_helpers_test.go
+++ b/internal/faultinjection/harness/run_helpers_test.go
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// loadScript returns a scenario with one class, of a mean service time in milliseconds, and a number of destinations without a
+// loadScenario returns a scenario with one class, of a mean service time in milliseconds, and a number of destinations without a
 // rate limit, each with one endpoint of so many slots and a queue.
-func loadScript(t *testing.T, rate, length float64, relays, destinations, slots, queue int, serviceMS float64) *scenario.Scenario {
+func loadScenario(t *testing.T, rate, length float64, relays, destinations, slots, queue int, serviceMS float64) *scenario.Scenario {
 	t.Helper()
 	text := fmt.Sprintf(`version=1
 name="load"
--- a/internal/faultinjection/harness/scrape.go
+++ b/internal/faultinjection/harness/scrape.go
@@ -17,7 +17,7 @@
 	idleCallerTime = 4 * time.Second
 )
 
-// scrape reads the relay's metrics for a while, beside callers that send nothing.
+// scrape reads the relay's metrics repeatedly for a while, beside callers that connect and send nothing.
 func (r *relay) scrape(d time.Duration, idleCallers int) {
 	ctx, cancel := context.WithTimeout(r.h.ctx, d)
 	defer cancel()
@@ -27,7 +27,7 @@
 	for ctx.Err() == nil {
 		if p := r.serving(); p != nil {
 			err := r.scrapeOnce(p)
-			if err != nil && r.serving() == p && ctx.Err() == nil { // it did not end meanwhile
+			if err != nil && r.serving() == p && ctx.Err() == nil { // the process did not end meanwhile
 				r.recordFailure("the door, %v", err)
 			}
 		}
--- a/internal/faultinjection/harness/setup.go
+++ b/internal/faultinjection/harness/setup.go
@@ -27,7 +27,7 @@
 	return messages, nil
 }
 
-// open makes the relays, which do not run yet, and all stand-ins around them ready.
+// open prepares the relays, without starting their processes, and starts the stand-ins around them.
 func (h *harness) open() error {
 	h.ledger = newLedger()
 	h.balancer = newLoadBalancer(h)
@@ -106,7 +106,7 @@
 	return errors.Join(errs...)
 }
 
-// close ends all that the run started.
+// close ends all processes, servers and goroutines that the run started.
 func (h *harness) close(stop context.CancelFunc) {
 	stop()
 	h.finishRelays()
@@ -123,7 +123,7 @@
 		h.clients.close()
 	}
 	h.background.Wait()
-	h.finishRelays() // a fault may have been about to start one again
+	h.finishRelays() // again, since a fault may have restarted a relay in the meantime
 	for _, member := range h.coordination.members {
 		if err := member.Kill(); err != nil {
 			h.recordFailure("%v", err)
--- a/internal/faultinjection/harness/standby.go
+++ b/internal/faultinjection/harness/standby.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// standbyTimeout after a relay was put on standby, no client is connected to it any more.
+	// standbyTimeout is the time within which all clients have to be disconnected from a relay that was put on standby.
 	standbyTimeout = 4 * time.Second
 	// standbyDrainTime is how long the load balancer still sends messages to a relay on standby.
 	standbyDrainTime = 300 * time.Millisecond
-	// activeTimeout after a relay was made active again, it passes health checks.
+	// activeTimeout is the time within which a relay that was made active again has to pass health checks.
 	activeTimeout = 2 * time.Second
 )
 
@@ -44,7 +44,7 @@
 // activate makes the relay active again.
 func (r *relay) activate() {
 	p := r.serving()
-	if p == nil { // it was replaced, and ended
+	if p == nil { // the process has ended meanwhile
 		return
 	}
 	if _, err := p.adminRequest(http.MethodPost, activePath); err != nil {
--- a/internal/faultinjection/harness/timeline.go
+++ b/internal/faultinjection/harness/timeline.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// scheduleFaults returns the actions of all faults by time; those of one time are in the order of the scenario.
+// scheduleFaults returns the actions of all faults, sorted by time. Actions at the same time are in the order of the scenario.
 func (h *harness) scheduleFaults() (actions []scheduledAction) {
 	for i := range h.scenario.Faults {
 		actions = append(actions, h.scheduleFault(newScheduledFault(i, &h.scenario.Faults[i]))...)
--- a/internal/faultinjection/harness/unreachable.go
+++ b/internal/faultinjection/harness/unreachable.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// fillerConns is how many connections fill a listener's queue: the kernel has a backlog of 0 hold one.
+	// fillerConns is the number of connections that fill a listener's accept queue: with a backlog of 0, the kernel still
+	// queues one connection.
 	fillerConns = 2
-	// fillTimeout is after how long a connection counts as not coming up, since the queue is full.
+	// fillTimeout is the time after which a connection attempt is taken to fail, because the queue is full.
 	fillTimeout = 50 * time.Millisecond
 )
 
-// blockAddresses has connections to the endpoint's addresses never come up: a listener whose queue is full drops SYNs, as
-// a machine that vanished would.
+// blockAddresses makes connection attempts to the endpoint's addresses time out: a listener whose accept queue is full drops
+// SYNs, so that the endpoint looks like a machine that has vanished.
 func (e *endpointServer) blockAddresses() {
 	var mu sync.Mutex // guards e.blockers among the goroutines below; the lock of the destination is held as well
 	var blocking sync.WaitGroup
@@ -36,7 +37,7 @@
 	blocking.Wait()
 }
 
-// closeBlockers makes the addresses free again.
+// closeBlockers frees the addresses again.
 func (e *endpointServer) closeBlockers() {
 	for _, b := range e.blockers {
 		_ = b.Close()
@@ -44,7 +45,7 @@
 	e.blockers = nil
 }
 
-// blockAddress makes an address unreachable until all that it returns is closed.
+// blockAddress makes an address unreachable until all returned blockers are closed.
 func blockAddress(addr string) (blockers []io.Closer, err error) {
 	fd, err := listenWithoutBacklog(addr)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return blockers, nil
 }
 
-// listenerFD is the descriptor of a listening socket from which nothing accepts.
+// listenerFD is the descriptor of a listening socket whose connections are never accepted.
 type listenerFD int
 
 // Close closes the descriptor.
--- a/internal/faultinjection/harness/upgrade.go
+++ b/internal/faultinjection/harness/upgrade.go
@@ -10,15 +10,15 @@
 	"frostlink/internal/wait"
 )
 
-// takeoverTimeout is how long a successor may take to take the place of its predecessor.
+// takeoverTimeout is the time within which a successor has to serve clients in place of its predecessor.
 const takeoverTimeout = 6 * time.Second
 
-// maxHandoverDelay is how long after a successor's launch, at most, its predecessor is terminated where that is to come during the
-// handover.
+// maxHandoverDelay is the longest time from a successor's launch until its predecessor is terminated, if the scenario asks for
+// a SIGTERM during the hand-over.
 const maxHandoverDelay = 40 * time.Millisecond
 
-// upgrade replaces the relay's process while it serves: the successor is started beside it, and the predecessor is shut
-// down once the successor takes clients, or during the handover already.
+// upgrade replaces the relay's process while it serves: the successor is started beside it, and the predecessor is shut down
+// once the successor serves clients, or already during the hand-over.
 func (r *relay) upgrade(signals string) {
 	predecessor := r.serving()
 	if predecessor == nil {
@@ -64,7 +64,7 @@
 	r.h.count(TerminatedInHandover)
 }
 
-// answersStatus reports whether the process's admin endpoint answers: a successor's does once it takes clients.
+// answersStatus reports whether the process's admin endpoint answers. A successor's does so once the successor serves clients.
 func (p *process) answersStatus() bool {
 	_, err := p.adminRequest(http.MethodGet, statusPath)
 	return err == nil
