--- a/internal/faultinjection/harness/discovery_server_test.go
+++ b/internal/faultinjection/harness/discovery_server_test.go
@@ -11,7 +11,7 @@
 	"frostlink/internal/faultinjection/checker"
 )
 
-// discoveryClient asks discovery as a relay does.
+// discoveryClient makes requests to the discovery stand-in as a relay does.
 type discoveryClient struct{ url string }
 
 func (c discoveryClient) get(t *testing.T, path string) (*http.Response, *bufio.Reader) {
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if strings.TrimSpace(line) == "" {
-			continue // keeps the connection alive
+			continue // an empty line, which only keeps the connection alive
 		}
 		if err := json.Unmarshal([]byte(line), &list); err != nil {
 			t.Fatal(err)
@@ -42,16 +42,16 @@
 	}
 }
 
-// A watch notifies of changes. A failure of discovery ends it and rejects a further one; notifications are received all the same.
+// A watch notifies of changes. A failure of discovery ends the watch and rejects a new one, but notifications are still received.
 func TestDiscoveryServer_NotifiesAndFails(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 2, 4, 4, 1))
 	client := discoveryClient{"http://" + h.relays[0].discovery}
 	if _, in := client.get(t, "/catalog/members"); len(readList(t, in).Hosts) != 2 {
-		t.Error("the complete list lacks endpoints")
+		t.Error("the complete list does not have both endpoints")
 	}
 	_, watch := client.get(t, "/catalog/members?stream=1&index=2")
 	if list := readList(t, watch); list.Whole || len(list.Hosts) != 0 {
-		t.Errorf("a watch from the present version on begins with %+v", list)
+		t.Errorf("a watch from the present version on begins with %+v, want no changes", list)
 	}
 	e := h.destinations[1].endpoints[0]
 	h.discovery.publish(e, checker.Draining)
@@ -67,18 +67,18 @@
 	}
 	h.discovery.setFailure(discoveryUnavailable)
 	if _, err := io.ReadAll(watch); err == nil {
-		t.Error("the watch did not end by a broken connection")
+		t.Error("the watch did not end with a broken connection")
 	}
 	if resp, _ := client.get(t, "/catalog/members?stream=1&index=4"); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("while it fails: %s", resp.Status)
+		t.Errorf("watch while discovery fails: %s, want 503", resp.Status)
 	}
 	s := h.addSubmission(0)
 	resp, err := http.Post(client.url+"/v1/outcomes", "", strings.NewReader(`{"id":"`+s.id+`","status":"undeliverable"}`+"\n"))
 	if err != nil || resp.StatusCode != http.StatusNoContent || countEvents(h, checker.Notified) != 1 {
-		t.Errorf("a notification while it fails: %v, %v", resp, err)
+		t.Errorf("notification while discovery fails: %v, %v", resp, err)
 	}
 	if resp, err := http.Post(client.url+"/v1/outcomes", "", strings.NewReader("{}\n")); err != nil || resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("a malformed notification: %v, %v", resp, err)
+		t.Errorf("malformed notification: %v, %v", resp, err)
 	}
 	notified := 0
 	for _, event := range h.eventLog() {
@@ -87,6 +87,6 @@
 		}
 	}
 	if notified < 2 {
-		t.Errorf("%d notifications of the endpoint were recorded", notified)
+		t.Errorf("%d notifications of the endpoint's changes recorded, want at least 2", notified)
 	}
 }
--- a/internal/faultinjection/harness/endpoint_server.go
+++ b/internal/faultinjection/harness/endpoint_server.go
@@ -47,7 +47,7 @@
 	return e, nil
 }
 
-// addEndpoint adds an endpoint while the run goes on.
+// addEndpoint adds an endpoint during the run.
 func (d *destinationServer) addEndpoint(addrs []string) (*endpointServer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	d.endpoints = append(d.endpoints, e)
-	if d.outage != nil { // an outage of the whole destination is one of its new endpoints too
+	if d.outage != nil { // an outage of the whole destination affects new endpoints too
 		d.applyActions(d.model.Fail(d.now(), index, *d.outage, 1))
 		e.setMode(*d.outage)
 	}
--- a/internal/faultinjection/harness/endpoint_server_test.go
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -17,7 +17,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// Endpoints fail as the kind of outage says, and serve again after it.
+// Endpoints fail in the way of each kind of outage, and serve again after the outage.
 func TestEndpointServer_FailsAndRecoversByKindOfOutage(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 1))
 	d := h.destinations[0]
@@ -49,11 +49,11 @@
 	conn := dialEndpoint(t, addr)
 	writeAttempt(t, conn, h.addSubmission(4))
 	if _, err := readStatus(conn); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset: %v", err)
+		t.Errorf("attempt on an endpoint that resets connections: %v", err)
 	}
 	d.endDegradation(destination.AllEndpoints, resets)
 	if n := countEvents(h, checker.Executed); n < 6 {
-		t.Errorf("%d executions, want one after each of five outages, and that of the reset attempt", n)
+		t.Errorf("%d executions, want one after each of five outages and one of the reset attempt", n)
 	}
 }
 
@@ -90,12 +90,12 @@
 	}
 }
 
-// checkUnreachable checks that connections to an endpoint do not come up.
+// checkUnreachable checks that connection attempts to an endpoint time out.
 func checkUnreachable(t *testing.T, _ *harness, addr string) (checkAfter func()) {
 	t.Helper()
 	if conn, err := net.DialTimeout("tcp", addr, 100*time.Millisecond); err == nil {
 		_ = conn.Close()
-		t.Error("during the outage: a connection came up")
+		t.Error("during the outage: a connection was established")
 	} else if !isTimeout(err) {
 		t.Errorf("during the outage: %v", err)
 	}
@@ -115,23 +115,24 @@
 	return func() {
 		_ = conn.SetReadDeadline(time.Now().Add(eventTimeout))
 		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("after the outage, a connection from before: %v", err)
+			t.Errorf("read after the outage on a connection from before it: %v, want a reset", err)
 		}
 	}
 }
 
-// An attempt that its relay abandons is recorded as such, and executed all the same where the destination does that.
+// An attempt that its relay abandons is recorded as abandoned, but the destination still executes it if it had started to.
 func TestEndpointConn_AbandonedAttemptsRunOn(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 200))
 	conn := dialEndpoint(t, h.destinations[0].endpoints[0].addrs[0])
 	writeAttempt(t, conn, h.addSubmission(0))
 	waitUntil(t, "the attempt was read", func() bool { return countEvents(h, checker.AttemptSent) == 1 })
 	_ = conn.Close()
-	waitUntil(t, "its end was recorded", func() bool { return countEvents(h, checker.AttemptEnded) == 1 })
-	waitUntil(t, "it was executed", func() bool { return countEvents(h, checker.Executed) == 1 })
+	waitUntil(t, "the attempt's end was recorded", func() bool { return countEvents(h, checker.AttemptEnded) == 1 })
+	waitUntil(t, "the attempt was executed", func() bool { return countEvents(h, checker.Executed) == 1 })
 }
 
-// An endpoint takes a limited number of connections, idle ones counted. On one more it rejects the attempt and closes.
+// An endpoint accepts a limited number of connections, including idle ones. On a connection above the limit it rejects the
+// attempt and closes the connection.
 func TestEndpointServer_LimitsConnections(t *testing.T) {
 	s := loadScenario(t, 50, 5, 1, 1, 4, 4, 1)
 	s.Destinations[0].MaxConnections = 2
@@ -145,16 +146,16 @@
 	writeAttempt(t, conns[2], h.addSubmission(0))
 	raw, err := io.ReadAll(conns[2])
 	if err != nil || !bytes.HasPrefix(raw, []byte("HTTP/1.1 503 ")) {
-		t.Errorf("above the limit: %q, %v", raw, err)
+		t.Errorf("attempt on a connection above the limit: %q, %v", raw, err)
 	}
 	writeAttempt(t, conns[0], h.addSubmission(1))
 	if resp, err := http.ReadResponse(bufio.NewReader(conns[0]), nil); err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("within the limit: %v, %v", resp, err)
+		t.Errorf("attempt on a connection within the limit: %v, %v", resp, err)
 	}
 }
 
-// Attempts for what no client submitted, at the wrong destination, after the deadline and above the bound do not reach the
-// destination.
+// Attempts that do not reach the destination are those under an id that no client submitted, at the wrong destination, after
+// the deadline, after the client withdrew, and above the maximum number of attempts.
 func TestEndpointConn_StopsAttemptsAsThePlatformDoes(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 2, 4, 4, 1))
 	addr := h.destinations[0].endpoints[0].addrs[0]
@@ -190,7 +191,7 @@
 	}
 }
 
-// The model's own changes, an overload and the recovery from it, are carried over to the sockets.
+// Mode changes that the model makes by itself, an overload and the recovery from it, are applied to the sockets.
 func TestDestinationServer_CarriesOverloadOverToSockets(t *testing.T) {
 	s := loadScenario(t, 200, 5, 1, 1, 1, 0, 100)
 	s.Destinations[0].OverloadDowntime = 0.5
@@ -201,7 +202,7 @@
 	addr := d.endpoints[0].addrs[0]
 	for n := 0; countEvents(h, checker.OutageBegan) < 2; n++ {
 		if n > 100 {
-			t.Fatal("a hundred attempts at once did not overload it")
+			t.Fatal("a hundred attempts at once did not overload the destination")
 		}
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -216,7 +217,7 @@
 		defer d.mu.Unlock()
 		return d.endpoints[0].mode == destination.ModeRefusing
 	})
-	waitUntil(t, "it has recovered", func() bool {
+	waitUntil(t, "the destination has recovered", func() bool {
 		conn, err := net.Dial("tcp", addr)
 		if err == nil {
 			_ = conn.Close()
--- a/internal/faultinjection/harness/fault_schedule_test.go
+++ b/internal/faultinjection/harness/fault_schedule_test.go
@@ -7,11 +7,11 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// Every kind of fault that scenario files can have is scheduled, by one of the two tables.
+// Every kind of fault that a scenario file can have is in exactly one of the two tables of faults.
 func TestFaultSchedule_HasEveryKindOnce(t *testing.T) {
 	_, err := scenario.Parse("kinds", []byte("version = 1\nname = \"kinds\"\nlength_s = 1\nrelays = 1\n[[event]]\nat_s = 0\nwhat = \"unknown\"\n"))
 	if err == nil {
-		t.Fatal("a scenario with an unknown kind of fault was read")
+		t.Fatal("a scenario with an unknown kind of fault was parsed without an error")
 	}
 	_, after, found := strings.Cut(err.Error(), `"unknown" is none of `)
 	if !found {
@@ -22,10 +22,10 @@
 	for _, kind := range kinds {
 		ofRelay, other := relayFaults[kind] != nil, faultSchedulers[kind] != nil
 		if ofRelay == other {
-			t.Errorf("%q is in the table of relays' faults: %v, in the other: %v", kind, ofRelay, other)
+			t.Errorf("%q is in the table of relay faults: %v, in the other table: %v; want exactly one", kind, ofRelay, other)
 		}
 	}
 	if scheduled := len(relayFaults) + len(faultSchedulers); scheduled != len(kinds) {
-		t.Errorf("%d kinds are scheduled, scenarios have %d", scheduled, len(kinds))
+		t.Errorf("the tables have %d kinds, scenario files have %d", scheduled, len(kinds))
 	}
 }
--- a/internal/faultinjection/harness/helpers_test.go
+++ b/internal/faultinjection/harness/helpers_test.go
@@ -14,10 +14,10 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// eventTimeout is how long tests wait for what must come. How long that takes decides nothing.
+// eventTimeout bounds the wait for an event that must happen. It is long, since no test depends on how fast the event happens.
 const eventTimeout = 10 * time.Second
 
-// newHarnessWithoutRelays returns a harness without relay processes: the test plays the relays.
+// newHarnessWithoutRelays returns a harness whose stand-ins run, without relay processes: the test acts as the relays.
 func newHarnessWithoutRelays(t *testing.T, s *scenario.Scenario) *harness {
 	t.Helper()
 	h := &harness{
@@ -33,7 +33,7 @@
 	return h
 }
 
-// addSubmission records a submission of a message that no client made.
+// addSubmission adds a submission of a message to the ledger, without a client that makes it.
 func (h *harness) addSubmission(number int) *submission {
 	s := &submission{message: h.clients.messages[number], id: h.random.RequestID(number, 0), expiresAt: time.Hour}
 	h.ledger.submitted(s)
@@ -55,7 +55,7 @@
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", description)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
--- a/internal/faultinjection/harness/ledger_test.go
+++ b/internal/faultinjection/harness/ledger_test.go
@@ -7,7 +7,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// An accepted submission is open until it is delivered, until its outcome is notified, or until its relay's state is lost.
+// An accepted submission is open until it is delivered, the platform is notified of its outcome, or its relay's state is lost.
 func TestLedger_CompletesAcceptedSubmissions(t *testing.T) {
 	for name, complete := range map[string]func(l *ledger, s *submission){
 		"delivered":         func(l *ledger, s *submission) { l.attemptEnded(s, time.Second, 2*time.Second, false, true) },
@@ -19,7 +19,7 @@
 			l.submitted(s)
 			l.accepted(s)
 			if l.allCompleted() {
-				t.Error("completed when accepted")
+				t.Error("completed as soon as it was accepted")
 			}
 			l.attemptStarted(s.id)
 			complete(l, s)
@@ -30,18 +30,18 @@
 	}
 }
 
-// A rejected attempt was not executed; any other may have been, from its start.
+// A rejected attempt was not executed. Any other attempt may have been executed from its start on.
 func TestLedger_NotesWhenAnAttemptMayHaveRun(t *testing.T) {
 	l, s := newLedger(), &submission{message: &scenario.Message{}, id: "id"}
 	l.submitted(s)
 	l.attemptStarted(s.id)
 	l.attemptEnded(s, time.Second, 2*time.Second, true, false)
 	if at := l.state(s).mayHaveRunAt; at != 0 {
-		t.Errorf("a rejected attempt may have run at %v", at)
+		t.Errorf("a rejected attempt counts as possibly executed at %v", at)
 	}
 	l.attemptStarted(s.id)
 	l.attemptEnded(s, 3*time.Second, 4*time.Second, false, false)
 	if at := l.state(s).mayHaveRunAt; at != 3*time.Second {
-		t.Errorf("an attempt of 3 s may have run at %v", at)
+		t.Errorf("an attempt from 3 s on counts as possibly executed at %v, want 3 s", at)
 	}
 }
--- a/internal/faultinjection/harness/load_balancer_test.go
+++ b/internal/faultinjection/harness/load_balancer_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A relay that is ready again before the load balancer noticed that it had left stays in use.
+// A relay that becomes ready again before the load balancer noticed that it had left stays in use.
 func TestLoadBalancer_IgnoresWhatItNoticedOfAnEarlierGeneration(t *testing.T) {
 	h := newHarness(t.Context(), loadScenario(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
 	b, m := newLoadBalancer(h), h.scenario.Messages(h.random)[0]
 	if relay, _ := b.pick(m, 0); relay != noRelay {
-		t.Errorf("relay %d is picked, and none is ready", relay)
+		t.Errorf("relay %d is picked although none is ready", relay)
 	}
 	b.relayReady(0)
 	b.relayLeaving(0, 10*time.Millisecond)
@@ -27,7 +27,7 @@
 	}
 }
 
-// A relay that shuts down is used on connections that are open, for as long as one is, and on no new one.
+// A relay that is shutting down is used on open connections, while there is one, but gets no new connections.
 func TestLoadBalancer_UsesOpenConnsOfDrainingRelay(t *testing.T) {
 	h := newHarness(t.Context(), loadScenario(t, 50, 5, 2, 1, 4, 4, 1), Options{Seed: 1}, t.TempDir())
 	m := h.scenario.Messages(h.random)[0]
@@ -38,13 +38,13 @@
 	b.relayDraining(0, time.Millisecond)
 	h.background.Wait()
 	if relay, _ := b.pick(m, 0); relay != noRelay {
-		t.Errorf("relay %d is picked, and no connection to it is open", relay)
+		t.Errorf("relay %d is picked although no connection to it is open", relay)
 	}
 	client, server := net.Pipe()
 	defer func() { _ = server.Close() }()
 	h.clients.putIdle("first", &clientConn{Conn: client})
 	if relay, openConnOnly := b.pick(m, 0); relay != 0 || !openConnOnly {
-		t.Errorf("relay %d is picked, on an open connection only: %v", relay, openConnOnly)
+		t.Errorf("relay %d is picked, on an open connection only: %v; want relay 0, true", relay, openConnOnly)
 	}
 	b.relayLeaving(0, time.Millisecond)
 	h.background.Wait()
--- a/internal/faultinjection/harness/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -16,7 +16,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// measure enables the measurements of the design note; they want an idle machine, and a minute or two.
+// measure enables the measurements of the harness. They need an idle machine, and take a minute or two.
 var measure = flag.Bool("measure", false, "measure the harness: model on sockets, capacity, punctuality")
 
 // skipUnlessMeasuring skips a measurement that was not asked for.
@@ -27,7 +27,7 @@
 	}
 }
 
-// trivialRelay returns options by which runs use the simplest stand-in relay.
+// trivialRelay returns options that make a run use the simplest stand-in relay.
 func trivialRelay(t *testing.T) Options {
 	t.Helper()
 	program, err := os.Executable()
@@ -37,14 +37,14 @@
 	return Options{Seed: 1, RelayCommand: []string{program}, Env: []string{standInEnv + "=trivial"}}
 }
 
-// modelMeasurement is what attempts at a destination on sockets showed.
+// modelMeasurement sums up the attempts at a destination on sockets.
 type modelMeasurement struct {
 	mu               sync.Mutex // guards the fields below
 	served, rejected int
-	seconds          float64 // of all served attempts
+	seconds          float64 // latency of all served attempts
 }
 
-// A destination on sockets does what queueing theory says of it, at 0.5, 0.9 and 1.3 of its capacity.
+// A destination on sockets behaves as queueing theory predicts, at 0.5, 0.9 and 1.3 of its capacity.
 func TestMeasureModelOnSockets(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const slots, queue, serviceMS = 8, 16, 50
@@ -58,14 +58,14 @@
 		throughput, expected := float64(measured.served)/s.Length, rate*(1-blocked)
 		t.Logf("load %.1f: %5.1f/s served (theory %5.1f), %.3f rejected (%.3f), %.1f ms (%.1f ms)", load, throughput,
 			expected, rejectedShare, blocked, 1000*mean, 1000*latency)
-		// The bounds are three standard errors of so many arrivals, correlated over a busy period.
+		// The bounds are three standard errors for this number of arrivals, which are correlated within a busy period.
 		if math.Abs(rejectedShare-blocked) > 0.035 || math.Abs(mean/latency-1) > 0.12 || math.Abs(throughput/expected-1) > 0.08 {
-			t.Errorf("load %.1f is off the theory", load)
+			t.Errorf("load %.1f deviates from the theory", load)
 		}
 	}
 }
 
-// measureModel sends a destination one attempt for each message, each at its time.
+// measureModel sends a destination one attempt for each message, each at the message's time.
 func measureModel(t *testing.T, s *scenario.Scenario, messages []*scenario.Message) *modelMeasurement {
 	t.Helper()
 	h, measured := newHarnessWithoutRelays(t, s), &modelMeasurement{}
@@ -107,7 +107,7 @@
 	m.seconds += time.Since(begun).Seconds()
 }
 
-// How many messages a second the harness carries on one core, with the simplest relay in a process of its own.
+// Measures how many messages a second the harness handles on one core, with the simplest relay in a separate process.
 func TestMeasureCapacity(t *testing.T) {
 	skipUnlessMeasuring(t)
 	options := trivialRelay(t)
@@ -124,7 +124,7 @@
 	}
 }
 
-// How punctual the harness is at 120 messages a second with three relays.
+// Measures how punctual the harness is at 120 messages a second with three relays.
 func TestMeasurePunctuality(t *testing.T) {
 	skipUnlessMeasuring(t)
 	s := loadScenario(t, 120, 30, 3, 20, 10, 10, 100)
@@ -132,18 +132,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d events, %.3f%% late, the latest by %v", result.Events, 100*result.LateShare, result.MaxLateness)
+	t.Logf("%d events of the harness, %.3f%% late, the latest by %v", result.Events, 100*result.LateShare, result.MaxLateness)
 	if result.Counts.AttemptsByOutcome[checker.OK] < 3000 {
 		t.Errorf("only %d attempts", result.Counts.AttemptsByOutcome[checker.OK])
 	}
 }
 
-// redeliveringOperator is the operator's file that has a backlog redelivered.
+// redeliveringOperator is an operator's file whose rule redelivers a backlog.
 const redeliveringOperator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\n" +
 	"[[undelivered.rule]]\naction = \"resend\"\nmost = 8\nrate = 100\n"
 
-// What a backlog of 100,000 messages that is being redelivered costs fresh traffic: the quiet scenario with it and without, in
-// turn, on the real relay.
+// Measures what the redelivery of a backlog of 100,000 messages costs fresh traffic: plays the quiet scenario alternately without
+// and with the backlog, on the real relay.
 func TestMeasureBacklog(t *testing.T) {
 	skipUnlessMeasuring(t)
 	program := buildRelay(t)
@@ -176,11 +176,11 @@
 			}
 		}
 	}
-	t.Logf("with %.4v, without %.4v", with, without)
+	t.Logf("weight with a backlog %.4v, without %.4v", with, without)
 }
 
-// What storing dead letters costs beside full traffic, on one core: a third of the traffic is for a destination that is overloaded,
-// and what is rejected for it is stored as well.
+// Measures what storing dead letters costs beside full traffic, on one core. A third of the traffic is for a destination that is
+// overloaded, and the messages that are rejected for that reason are stored as well.
 func TestMeasureDeadLettersBesideTraffic(t *testing.T) {
 	skipUnlessMeasuring(t)
 	program := buildRelay(t)
@@ -211,17 +211,17 @@
 	}
 }
 
-// What the admin endpoint costs, and how long it takes, beside traffic that takes most of the relay's one core: in turn without
-// reads, and with ten reads a second and 64 callers that send nothing.
+// Measures the CPU cost and the latency of the admin endpoint beside traffic that uses most of the relay's one core: alternately
+// without reads, and with ten reads a second and 64 callers that send nothing.
 func TestMeasureAdminEndpoint(t *testing.T) {
 	skipUnlessMeasuring(t)
 	program := buildRelay(t)
-	var without, with []float64 // CPU a message in µs
+	var without, with []float64 // CPU time per message in µs
 	for seed := range int64(4) {
 		without = append(without, measureAdmin(t, program, 1+seed, nil))
 		with = append(with, measureAdmin(t, program, 1+seed, []scenario.Fault{{At: 0.5, Kind: "scrape", Duration: 9, IdleCallers: 64}}))
 	}
-	t.Logf("CPU a message: %.1f µs without, %.1f µs with: %.3f of it", mean(without), mean(with), mean(with)/mean(without))
+	t.Logf("CPU time per message: %.1f µs without reads, %.1f µs with reads, ratio %.3f", mean(without), mean(with), mean(with)/mean(without))
 }
 
 // measureAdmin plays a run on one core, and returns the relay's CPU time for each message in microseconds.
@@ -235,7 +235,7 @@
 	}
 	usage, latency := result.Processes[0], result.Processes[0].AdminLatency
 	cost := 1e6 * usage.CPUSeconds / float64(result.Counts.Delivered)
-	t.Logf("seed %d, read %3d times: %d delivered, %.1f µs of CPU each, endpoint %.2f ms (median), %.2f ms (p99), %.2f ms (maximum), "+
+	t.Logf("seed %d, read %3d times: %d delivered, %.1f µs of CPU each, latency of reads %.2f ms (median), %.2f ms (p99), %.2f ms (maximum), "+
 		"%d failures, %.2f%% late", seed, usage.AdminReads, result.Counts.Delivered, cost, 1000*latency.Median, 1000*latency.P99,
 		1000*latency.Max, len(result.Failures), 100*result.LateShare)
 	for _, f := range result.Failures {
--- a/internal/faultinjection/harness/network_test.go
+++ b/internal/faultinjection/harness/network_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// peerSocket is a relay's socket for datagrams, with which the test plays the relay.
+// peerSocket is a relay's socket for datagrams, on which the test acts as the relay.
 type peerSocket struct {
 	*net.UDPConn
 	relay int
@@ -47,12 +47,12 @@
 	_ = s.SetReadDeadline(time.Now().Add(eventTimeout))
 	n, sender, err := s.ReadFromUDP(buf)
 	if err != nil || string(buf[:n]) != want || sender.String() != from {
-		t.Errorf("relay %d got %q from %v, %v; want %q from %s", s.relay+1, buf[:n], sender, err, want, from)
+		t.Errorf("relay %d received %q from %v, %v; want %q from %s", s.relay+1, buf[:n], sender, err, want, from)
 	}
 }
 
-// A datagram reaches the relay that it was sent to, from the sender's address as that relay knows it, unless the network is
-// split or truncates it. One that is too long is a failure.
+// A datagram reaches the relay that it was sent to, and comes from the address that this relay has for the sender. A split of
+// the network loses it, and truncation cuts it in half. A datagram that is too long is a failure.
 func TestNetwork_DeliversSplitsAndTruncates(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 3, 1, 4, 4, 1))
 	relays, sockets := h.relays, openPeerSockets(t, h)
@@ -70,12 +70,12 @@
 	sockets[2].send(t, relays[2].peers[1], "same side")
 	sockets[1].receive(t, "same side", relays[1].peers[2])
 	sockets[0].send(t, relays[0].peers[1], strings.Repeat("x", maxDatagram+1))
-	waitUntil(t, "the long datagram is a failure", func() bool {
+	waitUntil(t, "the datagram that is too long is recorded as a failure", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return len(h.failures) == 1
 	})
 	if n := h.network.counts(); n.Lost != 1 || n.Halved != 1 || n.Sent != 6 {
-		t.Errorf("counted %+v", n)
+		t.Errorf("counted %+v, want 6 sent, 1 lost, 1 halved", n)
 	}
 }
--- a/internal/faultinjection/harness/recorder_test.go
+++ b/internal/faultinjection/harness/recorder_test.go
@@ -7,7 +7,7 @@
 	"frostlink/internal/faultinjection/checker"
 )
 
-// What was recorded before the run's time 0 has times below it, in the order in which it was recorded.
+// Events that were recorded before time 0 of the run have negative times, and stay in the order in which they were recorded.
 func TestRecorder_SetsTimeZero(t *testing.T) {
 	r := newRecorder()
 	r.record(checker.Event{Kind: checker.Started})
@@ -33,7 +33,7 @@
 	}
 }
 
-// What happened in no run is named, whichever run it is missing from.
+// Missing names an occurrence only if no run contained it.
 func TestMissing_NamesWhatNeverHappened(t *testing.T) {
 	first, second := map[Occurrence]int{}, map[Occurrence]int{}
 	for i, o := range Occurrences() {
--- a/internal/faultinjection/harness/relay_faults_test.go
+++ b/internal/faultinjection/harness/relay_faults_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// concurrentPlays are played at once: more would make the machine late.
+	// concurrentPlays is the number of runs that are played at once. More would make the harness late.
 	concurrentPlays = 4
-	// minWeightShare is the share of the weight delivered without a fault that has to be delivered with one. Kills cost some; what a
-	// stepped wall clock cost was more than half.
+	// minWeightShare is the share of the weight delivered without faults that has to be delivered with them. Kills cost some weight;
+	// the bound has to find a relay that a step of the wall clock confuses, which cost more than half of the weight.
 	minWeightShare = 0.75
-	// minWeightShareDiskErrors is the same where nothing can be accepted for three of eight seconds.
+	// minWeightShareDiskErrors is the same share in runs in which nothing can be accepted for three of eight seconds.
 	minWeightShareDiskErrors = 0.4
 	// socketFaultStart is when system calls on sockets begin to fail, in seconds.
 	socketFaultStart = 2
 )
 
-// faultScenario is what relays are played against into which faults are injected. Its classes are idempotent by key, not idempotent
-// and idempotent; its destinations one without a fault, one that is out for a while so that messages are held, and one that
-// resets connections.
+// faultScenario is the scenario of the runs with faults of relays. Its classes are idempotent by key, not idempotent and
+// idempotent. Its destinations are one without a fault, one with an outage during which relays hold messages, and one that resets
+// connections.
 const faultScenario = `version = 1
 name = "faults"
 length_s = 8
@@ -91,29 +91,29 @@
 for_s = 5
 `
 
-// clockStep is the fault that steps both relays' wall clocks.
+// clockStep returns the fault that steps both relays' wall clocks.
 func clockStep(at, seconds float64) string {
 	return fmt.Sprintf("\n[[event]]\nat_s = %v\nwhat = \"clock_step\"\nby_s = %v\n", at, seconds)
 }
 
-// kill is the fault that kills both relays. They are started again 0.6 s later.
+// kill returns the fault that kills both relays, which are started again 0.6 s later.
 func kill(at float64) string {
 	return fmt.Sprintf("\n[[event]]\nat_s = %v\nwhat = \"kill\"\nback_s = 0.6\n", at)
 }
 
-// socketErrors is the fault that makes a share of the system calls on sockets fail for 3 s.
+// socketErrors returns the fault that makes a share of the system calls on sockets fail for 3 s.
 func socketErrors(call, errno string, share float64) string {
 	return fmt.Sprintf("\n[[event]]\nat_s = %v\nwhat = \"syscall_errors\"\nfor_s = 3\ncall = %q\nerrno = %q\nshare = %v\n",
 		socketFaultStart, call, errno, share)
 }
 
-// diskErrors is the fault that makes a share of the writes to the relays' folders fail.
+// diskErrors returns the fault that makes a share of the writes to the relays' folders fail.
 func diskErrors(at, duration float64, errno string, share float64) string {
 	return fmt.Sprintf("\n[[event]]\nat_s = %v\nwhat = \"disk_errors\"\nfor_s = %v\nerrno = %q\nshare = %v\n", at, duration, errno, share)
 }
 
-// A step of the wall clock, either way, breaks no rule, and makes a relay neither reject what it could deliver nor hold what is
-// completed: under a running process, while none runs, before a restart and twice.
+// A step of the wall clock, forward or back, breaks no rule, and makes a relay neither reject messages that it could deliver nor
+// hold messages that are completed. The clock is stepped while the relay runs, while it is down, before a restart, and twice.
 func TestRelay_ToleratesWallClockSteps(t *testing.T) {
 	playAll(t, map[string]string{
 		"forward by an hour":             clockStep(3, 3600),
@@ -128,7 +128,7 @@
 	}, minWeightShare)
 }
 
-// System calls on sockets that fail in passing break no rule and end no relay.
+// System calls on sockets that fail for a while break no rule and end no relay.
 func TestRelay_ToleratesSocketErrors(t *testing.T) {
 	cases := map[string]string{
 		"wait EINTR":        socketErrors("wait", "EINTR", 0.5),
@@ -156,8 +156,8 @@
 	playAll(t, cases, minWeightShare)
 }
 
-// A folder whose writes fail for a while breaks no rule and ends no relay, also when it is killed and started meanwhile: what was
-// accepted is still owed, and nothing leaves without its record.
+// Writes to a relay's folder that fail for a while break no rule and end no relay, even if the relay is killed and started again
+// meanwhile: accepted messages still get an outcome, and no message is sent to a destination without its journal record.
 func TestRelay_ToleratesFolderErrors(t *testing.T) {
 	playAll(t, map[string]string{
 		"full":                          diskErrors(2, 3, "ENOSPC", 1),
@@ -172,8 +172,8 @@
 	}, minWeightShareDiskErrors)
 }
 
-// playAll plays the scenario with each of several lists of further faults, some concurrently: no rule may be broken, no relay may
-// end, and a share of the weight delivered without these faults has to be delivered.
+// playAll plays the scenario with each of several lists of further faults, concurrentPlays at a time. No rule may be broken, no
+// relay may end by itself, and a share of the weight delivered without these faults has to be delivered.
 func playAll(t *testing.T, cases map[string]string, share float64) {
 	t.Helper()
 	program := buildRelay(t)
@@ -192,7 +192,7 @@
 				t.Error(f)
 			}
 			if delivered, without := result.DeliveredWeight.Total, baseline.DeliveredWeight.Total; delivered < share*without {
-				t.Errorf("delivered weight %.3f, and %.3f without a fault", delivered, without)
+				t.Errorf("delivered weight %.3f, without the faults %.3f", delivered, without)
 			}
 		})
 	}
--- a/internal/faultinjection/harness/relay_standin_delivery_test.go
+++ b/internal/faultinjection/harness/relay_standin_delivery_test.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// pacedInterval is between attempts at the destination that has an outage, once one has failed: so few overload no cold one.
+	// pacedInterval is the time between attempts at the destination that has an outage, once an attempt there has failed. At this
+	// rate, attempts do not overload the destination while it is cold.
 	pacedInterval = 250 * time.Millisecond
 	// failureBackoff is the wait after an attempt that failed or was rejected without a Retry-After.
 	failureBackoff = 400 * time.Millisecond
 	// maxStandInAttempts bounds the attempts of a message.
 	maxStandInAttempts = 12
-	// misbehaveEvery of the messages that are not ordered is lost, or has a wrong outcome, where that is the misbehavior.
+	// A stand-in that loses messages or notifies of wrong outcomes does so with one in misbehaveEvery of its messages.
 	misbehaveEvery = 5
 )
 
@@ -39,7 +40,7 @@
 		grace = drainSlack
 	case ignoresDrains:
 		grace = time.Hour
-	default: // the others send nothing to a draining endpoint
+	default: // all other stand-ins send nothing to a draining endpoint
 	}
 	var addrs []string
 	for _, e := range s.endpoints {
@@ -53,7 +54,7 @@
 	return addrs[(m.number+n)%len(addrs)]
 }
 
-// awaitSendTime waits until a message may be sent to its destination, and reports whether that is before its end.
+// awaitSendTime waits until a message may be sent to its destination, and reports whether that is before end.
 func (s *relayStandIn) awaitSendTime(m *standInMessage, end time.Time) bool {
 	if s.misbehavior == ignoresRetryAfter && m.destination == destinationWaits || s.misbehavior == overloads && m.destination == destinationFalls {
 		return time.Now().Before(end)
@@ -77,7 +78,7 @@
 	}
 }
 
-// backOff sends nothing to a destination for a while.
+// backOff makes the stand-in send nothing to a destination for a while.
 func (s *relayStandIn) backOff(destination int, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,12 +88,12 @@
 	}
 }
 
-// misbehaves reports whether a message is one of those with which a stand-in misbehaves in a way.
+// misbehaves reports whether the stand-in has a misbehavior and shows it with a message.
 func (s *relayStandIn) misbehaves(how misbehavior, m *standInMessage) bool {
 	return s.misbehavior == how && m.number%misbehaveEvery == 0
 }
 
-// deliver attempts a message until it is delivered or expired.
+// deliver attempts a message until it is delivered or expires, or may not be attempted again.
 func (s *relayStandIn) deliver(ctx context.Context, m *standInMessage) {
 	if s.misbehaves(losesRequests, m) && !m.ordered {
 		return
@@ -107,7 +108,7 @@
 		end = m.deadline.Add(outcomeSlack)
 	}
 	var delivered atomic.Bool  // by a concurrent attempt
-	var executedFrom time.Time // when the first attempt was sent whose outcome is unknown
+	var executedFrom time.Time // when the first attempt with an unknown outcome was sent; zero: there is none
 	for n := 0; ; n++ {
 		expired := !s.awaitSendTime(m, end) || n >= maxStandInAttempts && s.misbehavior != overloads
 		if !executedFrom.IsZero() && !s.mayRetry(m, executedFrom) {
@@ -155,7 +156,7 @@
 	return true
 }
 
-// completed does what follows upon a delivery.
+// completed misbehaves after a delivery, if the stand-in's misbehavior is of that kind.
 func (s *relayStandIn) completed(ctx context.Context, m *standInMessage) {
 	if s.misbehaves(outcomeTwice, m) {
 		time.Sleep(600 * time.Millisecond)
@@ -171,11 +172,11 @@
 		s.redeliver(ctx, &invented, 0)
 	case overwrites:
 		s.overwrite(ctx, m)
-	default: // the others are done
+	default: // all other stand-ins do nothing after a delivery
 	}
 }
 
-// failed waits as an attempt that was not delivered asks for. It reports whether its outcome is unknown.
+// failed backs off after an attempt that was not delivered, and reports whether the attempt's outcome is unknown.
 func (s *relayStandIn) failed(m *standInMessage, status int, retryAfter time.Duration) (unknown bool) {
 	switch status {
 	case http.StatusTooManyRequests:
@@ -232,7 +233,7 @@
 	if m.key != "" {
 		req.Header["Idempotency-Key"] = []string{m.key}
 	}
-	req.GetBody = nil // net/http is not to retry by itself
+	req.GetBody = nil // keeps net/http from retrying by itself
 	resp, err := s.client.Do(req)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/faultinjection/harness/relay_standin_shutdown_test.go
+++ b/internal/faultinjection/harness/relay_standin_shutdown_test.go
@@ -15,11 +15,11 @@
 const (
 	closesReadRequests   misbehavior = "closes read requests" // at SIGTERM
 	endsOnSecondSIGTERM  misbehavior = "ends on a second SIGTERM"
-	losesStateAtRestart  misbehavior = "forgets at a restart" // no violation by itself: a stand-in that has no journal
+	losesStateAtRestart  misbehavior = "forgets at a restart" // nothing special: no stand-in has a journal
 	shutdownResponseTime             = 300 * time.Millisecond
 )
 
-// shutdownScenario terminates its relay with a series of signals, and kills it right behind a 202.
+// shutdownScenario is the scenario to which the tests below add one of the faults that follow.
 const shutdownScenario = `version = 1
 name = "shutdown"
 length_s = 9
@@ -42,7 +42,7 @@
 queue = 50
 `
 
-// terminateRepeatedly and killAfterAcceptance are the faults of the tests below.
+// terminateRepeatedly shuts the relay down with a series of signals; killAfterAcceptance kills it right after a 202.
 const (
 	terminateRepeatedly = "[[event]]\nat_s = 1\nwhat = \"term\"\nsignals = \"reload\"\n"
 	killAfterAcceptance = "[[event]]\nat_s = 1\nwhat = \"kill\"\nbehind = true\n"
@@ -61,7 +61,8 @@
 	}()
 }
 
-// misbehavesAtShutdown holds a request that came after SIGTERM for a while, and reports whether it is closed on without a response.
+// misbehavesAtShutdown delays a request that arrived after SIGTERM, and reports whether it closed the connection without a
+// response.
 func (s *relayStandIn) misbehavesAtShutdown(w http.ResponseWriter) bool {
 	if !s.terminated.Load() {
 		return false
@@ -76,9 +77,9 @@
 	return true
 }
 
-// Each way of ending a process wrongly is reported, and nothing else is: closing on requests that were read once SIGTERM has come,
-// ending at the second SIGTERM with requests unanswered, and forgetting at a restart what was accepted. SIGHUP comes as well, and ends
-// no stand-in.
+// A run reports each wrong way to end a process: closing connections on requests that were read after SIGTERM, ending at the
+// second SIGTERM with unanswered requests, and losing accepted messages at a restart. The stand-ins get SIGHUP as well, and
+// ignore it.
 func TestRun_ReportsPlantedShutdownViolations(t *testing.T) {
 	for _, tt := range []struct {
 		misbehavior misbehavior
--- a/internal/faultinjection/harness/relay_standin_test.go
+++ b/internal/faultinjection/harness/relay_standin_test.go
@@ -19,10 +19,11 @@
 	"time"
 )
 
-// standInEnv has the test program run as a stand-in for a relay, with the misbehavior that it names.
+// standInEnv is the environment variable that makes the test program run as a stand-in for a relay, with the misbehavior that the
+// variable names.
 const standInEnv = "REHEARSAL_STAND_IN"
 
-// misbehavior is the one way in which a stand-in misbehaves. The words are those of the tests that want it.
+// misbehavior is the one way in which a stand-in misbehaves, by the name that the tests give it.
 type misbehavior string
 
 const (
@@ -39,7 +40,7 @@
 	redeliversExecuted misbehavior = "resends"
 	overwrites         misbehavior = "overwrites"
 	inventsMessages    misbehavior = "makes up ids"
-	usesAllSlack       misbehavior = "edges" // no violation: it does everything as late as the rules allow
+	usesAllSlack       misbehavior = "edges" // no violation: the stand-in does everything as late as the rules allow
 	crashes            misbehavior = "crashes"
 	doesNotAnswer      misbehavior = "mute"
 	ignoresSIGTERM     misbehavior = "stubborn"
@@ -55,13 +56,14 @@
 )
 
 const (
-	// drainSlack is how long a stand-in that uses all slack sends to a draining endpoint.
+	// drainSlack is how long a stand-in that uses all slack still sends to a draining endpoint.
 	drainSlack = 400 * time.Millisecond
-	// outcomeSlack is how long after a deadline it is still delivering.
+	// outcomeSlack is how long after a deadline such a stand-in still attempts a message.
 	outcomeSlack = 300 * time.Millisecond
-	// outcomeReserve is how long before a deadline others give up, so that their notification is in time.
+	// outcomeReserve is how long before a deadline the other stand-ins give up, so that their notification is in time.
 	outcomeReserve = 400 * time.Millisecond
-	// orderKeyCooldown is until the notification of a message is known and its order key may be used again.
+	// orderKeyCooldown is the time from the end of a message until its order key may be used again: by then, the platform has
+	// been notified of the outcome.
 	orderKeyCooldown = 300 * time.Millisecond
 )
 
@@ -76,7 +78,7 @@
 	}
 }
 
-// relayStandIn is the simplest relay. It keeps all rules but the one that its misbehavior breaks.
+// relayStandIn is the simplest possible relay. It keeps all rules except the one that its misbehavior breaks.
 type relayStandIn struct {
 	misbehavior misbehavior
 	config      standInConfig
@@ -86,14 +88,14 @@
 	mu            sync.Mutex // guards everything below
 	endpoints     map[string]*standInEndpoint
 	retryAt       map[int]time.Time // when a destination may be sent to again
-	paced         map[int]bool      // an attempt there has failed: one at a time from then on
-	lastSent      map[int]time.Time // to a destination
+	paced         map[int]bool      // by destination: attempts are paced by pacedInterval, since one has failed
+	lastSent      map[int]time.Time // by destination: when the last attempt was sent
 	orderKeys     map[string]chan bool
 	accepted      int
 	lastDelivered map[string]*standInMessage // by destination and subject
 }
 
-// standInConfig is what a stand-in reads of the platform's configuration.
+// standInConfig is the part of the platform's configuration that a stand-in reads.
 type standInConfig struct {
 	Listen    string
 	Discovery string
@@ -107,13 +109,13 @@
 	}
 }
 
-// listedEndpoint is what a stand-in reads of an entry of the endpoint list.
+// listedEndpoint is the part of an entry of the endpoint list that a stand-in reads.
 type listedEndpoint struct {
 	Host, Dial, Health string
 	Block              int
 }
 
-// standInEndpoint is an endpoint as a stand-in knows it.
+// standInEndpoint is a stand-in's state of an endpoint.
 type standInEndpoint struct {
 	addr        string
 	destination int
@@ -123,7 +125,7 @@
 // standInMessage is a message that a stand-in has accepted.
 type standInMessage struct {
 	id, key, orderKey, class string
-	subject                  string // with its destination; empty: none
+	subject                  string // prefixed with the destination; empty: none
 	destination, number      int
 	body                     []byte
 	deadline                 time.Time
@@ -157,7 +159,7 @@
 	case closesReadRequests, endsOnSecondSIGTERM, losesStateAtRestart:
 		signal.Ignore(syscall.SIGHUP)
 		s.onTermination()
-	default: // the others misbehave with messages
+	default: // all others misbehave when they handle messages
 	}
 	go s.watchEndpoints()
 	ln, err := net.Listen("tcp", s.config.Listen)
@@ -167,7 +169,7 @@
 	return http.Serve(ln, http.HandlerFunc(s.serve))
 }
 
-// watchEndpoints watches the endpoint list, again when the watch ends.
+// watchEndpoints watches the endpoint list, and starts a new watch whenever one ends.
 func (s *relayStandIn) watchEndpoints() {
 	for {
 		if resp, err := http.Get("http://" + s.config.Discovery + "/catalog/members?stream=1&index=0"); err == nil {
@@ -208,10 +210,10 @@
 		return
 	}
 	if s.misbehavior == doesNotAnswer {
-		select {} // holds the connection for good
+		select {} // holds the connection open forever
 	}
 	m := s.message(req, body)
-	ctx := context.WithoutCancel(req.Context()) // the delivery outlives the submission
+	ctx := context.WithoutCancel(req.Context()) // the delivery continues after the submission
 	if s.misbehavior == onlyForwards {
 		w.WriteHeader(http.StatusAccepted)
 		go s.attempt(ctx, m, s.endpointFor(m, 0), m.deadline)
@@ -230,7 +232,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// message reads a submission.
+// message returns the message of a submission.
 func (s *relayStandIn) message(req *http.Request, body []byte) *standInMessage {
 	destination, _ := strconv.Atoi(strings.TrimPrefix(req.Header.Get("X-Envelope"), "dest="))
 	timeLeft, _ := strconv.ParseFloat(req.Header.Get("Request-Timeout"), 64)
@@ -252,7 +254,8 @@
 	return m
 }
 
-// deliverOrdered delivers a message of an ordered class. It reports whether it is accepted: one of each order key is at a time.
+// deliverOrdered starts to deliver a message of an ordered class. It reports whether the message is accepted, which it is if no
+// other message with its order key is in progress.
 func (s *relayStandIn) deliverOrdered(ctx context.Context, m *standInMessage) bool {
 	s.mu.Lock()
 	inUse := s.orderKeys[m.orderKey]
--- a/internal/faultinjection/harness/reload_test.go
+++ b/internal/faultinjection/harness/reload_test.go
@@ -9,14 +9,14 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// Every corruption that a scenario can name breaks a relay's configuration file in its own way.
+// Every corruption that a scenario can name changes a relay's configuration file in the intended way.
 func TestCorruptFile_BreaksTheConfiguration(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 1))
 	original := configuration(t, h.relays[0])
 	for _, test := range []struct {
 		corruption string
 		readable   bool
-		lostLimit  string // key of the settings' limits that is gone
+		lostLimit  string // key that is missing from the settings' limits
 	}{
 		{corruption: scenario.CorruptionEmpty},
 		{corruption: scenario.CorruptionTruncated},
@@ -36,19 +36,19 @@
 				t.Fatal(err)
 			}
 			if string(corrupted) == string(original) {
-				t.Error("nothing changed")
+				t.Error("the file is unchanged")
 			}
 			if json.Valid(corrupted) != test.readable {
-				t.Errorf("valid JSON: %v", !test.readable)
+				t.Errorf("the file is valid JSON: %v", !test.readable)
 			}
 			if test.lostLimit != "" && limits(t, corrupted)[test.lostLimit] != nil {
-				t.Errorf("%s is still there", test.lostLimit)
+				t.Errorf("%s is still in the file", test.lostLimit)
 			}
 		})
 	}
 }
 
-// configuration writes a relay's configuration file, and returns what it holds.
+// configuration writes a relay's configuration file, and returns its content.
 func configuration(t *testing.T, r *relay) []byte {
 	t.Helper()
 	if err := r.configure(); err != nil {
--- a/internal/faultinjection/harness/run_helpers_test.go
+++ b/internal/faultinjection/harness/run_helpers_test.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxPlays is how often a scenario is played until the machine is not too busy.
+// maxPlays bounds how often a scenario is played again because the machine was too busy.
 const maxPlays = 3
 
 // buildRelay builds the real relay, and returns the program's path.
@@ -22,7 +22,7 @@
 	return program
 }
 
-// playConclusive plays a scenario, again where the machine was too busy for the run to prove anything.
+// playConclusive plays a scenario, and repeats the run if the machine was too busy for the run to prove anything.
 func playConclusive(t *testing.T, s *scenario.Scenario, o Options) *Result {
 	t.Helper()
 	var result *Result
@@ -34,14 +34,14 @@
 		if !result.Void {
 			return result
 		}
-		t.Logf("a void run: %.2f%% of %d events late, the latest by %v", 100*result.LateShare, result.Events, result.MaxLateness)
+		t.Logf("void run: %.2f%% of %d events late, the latest by %v", 100*result.LateShare, result.Events, result.MaxLateness)
 	}
 	t.Fatalf("the machine was too busy: %.2f%% of events late", 100*result.LateShare)
 	return nil
 }
 
-// loadScenario returns a scenario with one class, of a mean service time in milliseconds, and a number of destinations without a
-// rate limit, each with one endpoint of so many slots and a queue.
+// loadScenario returns a scenario with one class, whose mean service time is serviceMS milliseconds, and a number of destinations
+// without a rate limit, each with one endpoint that has the given numbers of slots and of places in its queue.
 func loadScenario(t *testing.T, rate, length float64, relays, destinations, slots, queue int, serviceMS float64) *scenario.Scenario {
 	t.Helper()
 	text := fmt.Sprintf(`version=1
--- a/internal/faultinjection/harness/run_test.go
+++ b/internal/faultinjection/harness/run_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// minDelivered is the number of deliveries that show that a stand-in relay did its work.
+	// minDelivered is the least number of deliveries of a stand-in relay that did its work.
 	minDelivered = 20
 	// maxUnrulyTime bounds a run of a few seconds with relays that do not end by themselves.
 	maxUnrulyTime = 30 * time.Second
@@ -21,9 +21,9 @@
 	failedStartTimeout = 20 * time.Second
 )
 
-// plantedScenario is what all stand-in relays are played against. Its classes are idempotent, idempotent by key, not idempotent and
-// ordered; its destinations one that drops responses and of which an endpoint drains, one that rejects with a Retry-After, one
-// that is out for a while, and another.
+// plantedScenario is the scenario of the runs in which stand-in relays break rules. Its classes are idempotent, idempotent by key,
+// not idempotent, and ordered. Its destinations are one that drops responses and of which an endpoint drains, one that rejects
+// with a Retry-After, one that has an outage, and one without faults.
 const plantedScenario = `version = 1
 name = "planted"
 length_s = 4
@@ -133,7 +133,7 @@
 for_s = 1.5
 `
 
-// unrulyScenario asks one relay for a graceful shutdown and hangs the other until the end.
+// unrulyScenario shuts one relay down gracefully, and suspends the other until the end of the run.
 const unrulyScenario = `version = 1
 name = "unruly"
 length_s = 3
@@ -160,7 +160,7 @@
 for_s = 60
 `
 
-// playStandIn plays a scenario against stand-in relays with one misbehavior. If the test fails, it logs the log of one of them.
+// playStandIn plays a scenario against stand-in relays with one misbehavior. If the test fails, it shows the first relay's log.
 func playStandIn(t *testing.T, text, misbehavior string) *Result {
 	t.Helper()
 	s, err := scenario.Parse("planted.toml", []byte(text))
@@ -177,7 +177,7 @@
 			return
 		}
 		log, err := os.ReadFile(filepath.Join(logs, "relay-1.log"))
-		t.Logf("its log: %.2000s (%v)", log, err)
+		t.Logf("the log of relay 1: %.2000s (%v)", log, err)
 	})
 	result, err := Run(t.Context(), s, Options{
 		Seed: 1, RelayCommand: []string{program}, Env: []string{standInEnv + "=" + misbehavior}, KeepDir: logs,
@@ -188,11 +188,11 @@
 	return result
 }
 
-// Each rule is broken by a stand-in relay on real sockets, and the run has to report that rule and no other.
+// For each rule, a stand-in relay breaks it on real sockets, and the run has to report that rule and no other.
 func TestRun_ReportsEachPlantedViolation(t *testing.T) {
 	for misbehavior, rule := range map[string]checker.Rule{
 		"loses":          checker.OutcomeMissing,
-		"ends late":      checker.OutcomeMissing, // so late that it is none
+		"ends late":      checker.OutcomeMissing, // the outcome is so late that it counts as missing
 		"ends twice":     checker.OutcomeTwice,
 		"doubles":        checker.ExecutedTwice,
 		"two copies":     checker.ConcurrentAttempts,
@@ -216,12 +216,12 @@
 			}
 			switch {
 			case rule == "" && len(found) > 0:
-				t.Errorf("rules kept, reported %v, first %+v", found, result.Violations[0])
+				t.Errorf("the stand-in broke no rule, but the run reported %v, first %+v", found, result.Violations[0])
 			case rule != "" && (found[rule] == 0 || len(found) != 1):
-				t.Errorf("broken: %q; reported %v", rule, found)
+				t.Errorf("the stand-in broke %q, but the run reported %v", rule, found)
 				for _, v := range result.Violations {
 					if v.Rule != rule {
-						t.Errorf("first other: %+v", v)
+						t.Errorf("first violation of another rule: %+v", v)
 						break
 					}
 				}
@@ -230,13 +230,13 @@
 				t.Errorf("failures %v", result.Failures)
 			}
 			if result.Counts.Delivered < minDelivered {
-				t.Errorf("only %d delivered: the stand-in did not do its job", result.Counts.Delivered)
+				t.Errorf("only %d messages delivered: the stand-in did not work", result.Counts.Delivered)
 			}
 		})
 	}
 }
 
-// A relay that crashes, answers nobody or does not end when asked to does not hang the run, which leaves no process and no file
+// A relay that crashes, does not answer or ignores SIGTERM does not make the run hang, and the run leaves no process and no file
 // behind.
 func TestRun_EndsWithUnrulyRelays(t *testing.T) {
 	for _, misbehavior := range []string{"crashes", "mute", "stubborn"} {
@@ -246,7 +246,7 @@
 			begun := time.Now()
 			result := playStandIn(t, unrulyScenario, misbehavior)
 			if took := time.Since(begun); took > maxUnrulyTime {
-				t.Errorf("took %v", took)
+				t.Errorf("the run took %v", took)
 			}
 			crashed := strings.Contains(strings.Join(result.Failures, "\n"), "ended without being asked to")
 			if crashed != (misbehavior == "crashes") {
@@ -257,7 +257,7 @@
 				t.Fatal(err)
 			}
 			if len(left) > 0 {
-				t.Errorf("left behind: %v", left)
+				t.Errorf("files left behind: %v", left)
 			}
 			if alive := countChildren(t); alive > 0 {
 				t.Errorf("%d processes left behind", alive)
@@ -266,12 +266,12 @@
 	}
 }
 
-// countChildren returns the number of processes that this one started and that are there still.
+// countChildren returns the number of this process's child processes that still exist.
 func countChildren(t *testing.T) (n int) {
 	t.Helper()
 	tasks, err := filepath.Glob(filepath.Join("/proc", "self", "task", "*", "children"))
 	if err != nil || len(tasks) == 0 {
-		t.Fatalf("no list of children: %v", err)
+		t.Fatalf("list child processes: %v", err)
 	}
 	for _, path := range tasks {
 		raw, _ := os.ReadFile(path) // a thread may have ended
@@ -280,7 +280,7 @@
 	return n
 }
 
-// A relay that never becomes ready, or a program that is none, is an error and no verdict.
+// A relay that never becomes ready or ends at once, and a program that does not exist, give an error and no verdict.
 func TestRun_FailsIfRelaysDoNotStart(t *testing.T) {
 	text := strings.Replace(plantedScenario, "[relay]\n", "[relay]\nready_within_s = 1\n", 1)
 	s, err := scenario.Parse("planted.toml", []byte(text))
--- a/internal/faultinjection/harness/setup_test.go
+++ b/internal/faultinjection/harness/setup_test.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// concurrentRuns are opened at once, in each of addressRounds: one round rarely shows an address that two runs share.
+	// concurrentRuns runs are opened at once, in each of addressRounds rounds, since a single round rarely shows an address that
+	// two runs share.
 	concurrentRuns = 20
 	addressRounds  = 30
 )
@@ -36,8 +37,8 @@
 share = 1
 `
 
-// Concurrent runs, as another test or another user of the machine plays them, never share an address: each relay can bind the
-// addresses in its configuration.
+// Concurrent runs, such as those of another test or of another user of the machine, never share an address: each relay can bind
+// the addresses in its configuration.
 func TestOpen_AssignsAddressesThatNoConcurrentRunHas(t *testing.T) {
 	s, err := scenario.Parse("addresses.toml", []byte(manyRelaysScenario))
 	if err != nil {
@@ -48,7 +49,8 @@
 	}
 }
 
-// openConcurrently opens runs at once, and has their relays' addresses bound when each run has chosen its own, the worst order of the two.
+// openConcurrently opens runs at once, and binds their relays' addresses only when every run has chosen its addresses, the order in
+// which conflicts are most likely.
 func openConcurrently(t *testing.T, s *scenario.Scenario) {
 	t.Helper()
 	var opening, binding sync.WaitGroup
--- a/internal/faultinjection/harness/soak_test.go
+++ b/internal/faultinjection/harness/soak_test.go
@@ -8,21 +8,23 @@
 )
 
 const (
-	// soakRelays, soakLength and soakSeeds keep the soak of each landing short; frostlinkctl scenario soak plays more of all.
+	// soakRelays, soakLength (in seconds) and soakSeeds keep the soak in this test short; the command frostlinkctl scenario soak
+	// plays more relays, longer runs and more seeds.
 	soakRelays = 24
 	soakLength = 7
 	soakSeeds  = 2
 
-	// restartSoakLength leaves room for shutdowns that are killed when their time is up. Of two seeds, one has crowds, the other
-	// handovers.
+	// restartSoakLength, in seconds, is long enough for shutdowns that are killed at the end of their grace period. Of the two
+	// seeds, one has crowds and the other has hand-overs.
 	restartSoakLength = 9
 
-	// drawnSeeds are drawn, and each kind of fault has to be drawn so often among them.
+	// drawnSeeds is the number of seeds whose scenarios are drawn, and minDrawn how often these scenarios have to contain each
+	// kind of fault.
 	drawnSeeds = 200
 	minDrawn   = 20
 )
 
-// Random faults that overlap upon two dozen relay processes break no rule and no invariant.
+// Random overlapping faults of two dozen relay processes break no rule and no invariant.
 func TestRelays_TolerateRandomFaults(t *testing.T) {
 	program := buildRelay(t)
 	for seed := range int64(soakSeeds) {
@@ -40,8 +42,8 @@
 	}
 }
 
-// Processes that are ended and replaced in all the ways of the platform, while clients go on using connections that are open, break no
-// rule and no invariant. What is to happen in these runs did.
+// Processes that are ended and replaced in all the ways of the platform, while clients keep using open connections, break no rule
+// and no invariant. The runs together contain every occurrence that they have to contain.
 func TestRelays_TolerateRestartsOfThePlatform(t *testing.T) {
 	program := buildRelay(t)
 	var occurred []map[Occurrence]int
@@ -61,17 +63,18 @@
 		}
 	}
 	if missing := Missing(occurred...); len(missing) > 0 {
-		t.Errorf("in no run: %v", missing)
+		t.Errorf("occurrences that no run contained: %v", missing)
 	}
 }
 
-// Every seed draws a scenario that can be played, the same one each time, and all draw several kinds of fault.
+// Every seed draws a scenario that can be played, and the same one each time. Together, the seeds draw all kinds of fault often
+// enough.
 func TestSoakScenario_IsPlayableAndVaried(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range int64(drawnSeeds) {
 		text := scenario.SoakScenario(seed, 36, 9)
 		if text != scenario.SoakScenario(seed, 36, 9) {
-			t.Fatalf("seed %d draws two scenarios", seed)
+			t.Fatalf("seed %d draws a different scenario the second time", seed)
 		}
 		s, err := scenario.Parse(fmt.Sprintf("soak-%d.toml", seed), []byte(text))
 		if err != nil {
@@ -86,7 +89,7 @@
 		"pause", "register", "loss",
 	} {
 		if kinds[kind] < minDrawn {
-			t.Errorf("%s is drawn %d times only", kind, kinds[kind])
+			t.Errorf("%s is drawn only %d times", kind, kinds[kind])
 		}
 	}
 }
