--- a/internal/faultinjection/harness/doc.go
+++ b/internal/faultinjection/harness/doc.go
@@ -31,7 +31,7 @@
 //	relay.go                 a relay, and its state that outlives its processes
 //	relay_config.go          a relay's configuration files
 //	relay_process.go         a relay's processes: start, end, signals
-//	relay_faults.go          faults of a relay: kill, hang, failing system calls
+//	relay_faults.go          faults of a relay: kill, suspension, failing system calls
 //	relay_shutdown.go        graceful shutdowns and restarts of a relay, with series of signals
 //	relay_usage.go           memory, descriptors, CPU time and disk space that a relay uses
 //	deadletter_stores.go     the relays' dead-letter stores before and after a run
--- a/internal/faultinjection/harness/endpoint_server_test.go
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// An attempt that its relay abandons is recorded as abandoned, but the destination still executes it if it had started to.
+// An attempt that its relay abandons is recorded as ended, but a destination that ignores cancellation still executes it.
 func TestEndpointConn_AbandonedAttemptsRunOn(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 200))
 	conn := dialEndpoint(t, h.destinations[0].endpoints[0].addrs[0])
@@ -154,8 +154,8 @@
 	}
 }
 
-// Attempts that do not reach the destination are those under an id that no client submitted, at the wrong destination, after
-// the deadline, after the client withdrew, and above the maximum number of attempts.
+// As the platform does, an endpoint stops attempts under an id that no client submitted, at the wrong destination, after the
+// deadline, for a submission whose client got no response, and above the maximum number of attempts.
 func TestEndpointConn_StopsAttemptsAsThePlatformDoes(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 2, 4, 4, 1))
 	addr := h.destinations[0].endpoints[0].addrs[0]
--- a/internal/faultinjection/harness/helpers_test.go
+++ b/internal/faultinjection/harness/helpers_test.go
@@ -50,7 +50,7 @@
 	return n
 }
 
-// waitUntil waits for a condition.
+// waitUntil waits for a condition, and fails the test if the condition does not hold within eventTimeout.
 func waitUntil(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
--- a/internal/faultinjection/harness/load_balancer.go
+++ b/internal/faultinjection/harness/load_balancer.go
@@ -59,8 +59,8 @@
 	b.changeAfter(relay, delay, relayDown)
 }
 
-// relayDraining makes the load balancer open no new connections to a relay that is shutting down after a delay, unless the
-// relay becomes ready again before.
+// relayDraining makes the load balancer, after a delay, open no more new connections to a relay that is shutting down, unless
+// the relay becomes ready again before.
 func (b *loadBalancer) relayDraining(relay int, delay time.Duration) {
 	b.changeAfter(relay, delay, relayOpenConnsOnly)
 }
--- a/internal/faultinjection/harness/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -19,7 +19,7 @@
 // measure enables the measurements of the harness. They need an idle machine, and take a minute or two.
 var measure = flag.Bool("measure", false, "measure the harness: model on sockets, capacity, punctuality")
 
-// skipUnlessMeasuring skips a measurement that was not asked for.
+// skipUnlessMeasuring skips a measurement unless the flag -measure is set.
 func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if !*measure {
--- a/internal/faultinjection/harness/relay.go
+++ b/internal/faultinjection/harness/relay.go
@@ -24,7 +24,7 @@
 	name     string
 	listen   string   // address to which clients connect
 	peer     string   // address at which other relays' datagrams arrive
-	peers    []string // by relay: address to which this relay sends datagrams for it
+	peers    []string // by relay: address to which this relay sends its datagrams for that relay
 	peersAll string   // address to which this relay sends datagrams for all others
 
 	clock         *faults.WallClock     // of all its processes; nil: the machine's
--- a/internal/faultinjection/harness/relay_process.go
+++ b/internal/faultinjection/harness/relay_process.go
@@ -35,7 +35,7 @@
 	endState  string        // how it ended; set before exited is closed
 
 	// Guarded by the relay's mutex.
-	expected  bool // it was sent a signal that ends it
+	expected  bool // a signal that ends it has been sent
 	replaced  bool // another process serves clients in its place
 	successor bool // it is to replace another process, and has not done so yet
 }
--- a/internal/faultinjection/harness/relay_shutdown.go
+++ b/internal/faultinjection/harness/relay_shutdown.go
@@ -168,7 +168,8 @@
 	}
 }
 
-// repeatFault injects a fault once more if the fault says so, at the time after the relay's return that the fault specifies.
+// repeatFault calls do to inject a fault a second time, RestartAgain seconds after the relay has come back, if the scenario asks
+// for that and the relay is up then.
 func (r *relay) repeatFault(f *scenario.Fault, do func()) {
 	if f.RestartAgain > 0 && wait.For(r.h.ctx, scenario.Seconds(f.RestartAgain)) && r.serving() != nil {
 		r.h.count(RestartedAgain)
--- a/internal/faultinjection/harness/relay_standin_delivery_test.go
+++ b/internal/faultinjection/harness/relay_standin_delivery_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// misbehaves reports whether the stand-in has a misbehavior and shows it with a message.
+// misbehaves reports whether the stand-in has a misbehavior that concerns single messages, and shows it with this message.
 func (s *relayStandIn) misbehaves(how misbehavior, m *standInMessage) bool {
 	return s.misbehavior == how && m.number%misbehaveEvery == 0
 }
@@ -221,7 +221,7 @@
 	}
 }
 
-// attempt makes one attempt. Its status is 0 where the outcome is unknown.
+// attempt makes one attempt. The status is 0 if the outcome is unknown.
 func (s *relayStandIn) attempt(ctx context.Context, m *standInMessage, addr string, end time.Time) (status int, retryAfter time.Duration) {
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
--- a/internal/faultinjection/harness/relay_standin_shutdown_test.go
+++ b/internal/faultinjection/harness/relay_standin_shutdown_test.go
@@ -15,7 +15,7 @@
 const (
 	closesReadRequests   misbehavior = "closes read requests" // at SIGTERM
 	endsOnSecondSIGTERM  misbehavior = "ends on a second SIGTERM"
-	losesStateAtRestart  misbehavior = "forgets at a restart" // nothing special: no stand-in has a journal
+	losesStateAtRestart  misbehavior = "forgets at a restart" // by default: no stand-in has a journal
 	shutdownResponseTime             = 300 * time.Millisecond
 )
 
--- a/internal/faultinjection/harness/relay_standin_test.go
+++ b/internal/faultinjection/harness/relay_standin_test.go
@@ -83,11 +83,11 @@
 	misbehavior misbehavior
 	config      standInConfig
 	client      *http.Client
-	terminated  atomic.Bool // SIGTERM has come, where it does not end the process
+	terminated  atomic.Bool // SIGTERM has arrived, in stand-ins that it does not end
 
 	mu            sync.Mutex // guards everything below
 	endpoints     map[string]*standInEndpoint
-	retryAt       map[int]time.Time // when a destination may be sent to again
+	retryAt       map[int]time.Time // by destination: when attempts may be sent again
 	paced         map[int]bool      // by destination: attempts are paced by pacedInterval, since one has failed
 	lastSent      map[int]time.Time // by destination: when the last attempt was sent
 	orderKeys     map[string]chan bool
--- a/internal/faultinjection/harness/relay_usage.go
+++ b/internal/faultinjection/harness/relay_usage.go
@@ -24,7 +24,7 @@
 	quarters = 4
 )
 
-// ProcessUsage holds the machine's resources that one relay's processes used.
+// ProcessUsage is the amount of the machine's resources that one relay's processes used.
 type ProcessUsage struct {
 	Name         string            `json:"name"`
 	Starts       int               `json:"starts"`
@@ -81,7 +81,7 @@
 	return u
 }
 
-// residentMB returns the resident memory of the process with a folder in /proc; 0: the process is a zombie.
+// residentMB returns the resident memory of the process whose folder in /proc is given; 0: the process is a zombie.
 func residentMB(proc string) (mb float64, ok bool) {
 	status, err := os.ReadFile(filepath.Join(proc, "status"))
 	if err != nil {
