--- a/internal/faultinjection/harness/helpers_test.go
+++ b/internal/faultinjection/harness/helpers_test.go
@@ -14,11 +14,11 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// eventTimeout is how long tests wait for what must come. How long that takes decides nothing.
+// eventTimeout bounds the wait for an event that must happen. It is long, since no test depends on how fast the event happens.
 const eventTimeout = 10 * time.Second
 
-// bare returns a harness without relay processes: the test plays the relays.
-func bare(t *testing.T, s *scenario.Scenario) *harness {
+// newHarnessWithoutRelays returns a harness whose stand-ins run, without relay processes: the test acts as the relays.
+func newHarnessWithoutRelays(t *testing.T, s *scenario.Scenario) *harness {
 	t.Helper()
 	h := &harness{
 		scenario: s, random: scenario.NewRandomStreams(1), workDir: t.TempDir(),
@@ -33,8 +33,8 @@
 	return h
 }
 
-// handed records a submission of a message that no client made.
-func (h *harness) handed(number int) *submission {
+// addSubmission adds a submission of a message to the ledger, without a client that makes it.
+func (h *harness) addSubmission(number int) *submission {
 	s := &submission{message: h.clients.messages[number], id: h.random.RequestID(number, 0), expiresAt: time.Hour}
 	h.ledger.submitted(s)
 	return s
@@ -50,12 +50,12 @@
 	return n
 }
 
-// waitUntil waits for a condition.
+// waitUntil waits for a condition, and fails the test if the condition does not hold within eventTimeout.
 func waitUntil(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", description)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
