--- a/policy/actions.go
+++ b/policy/actions.go
@@ -34,9 +34,9 @@
 }
 
 // CancelBeforeSend cancels an attempt if no byte of it has been sent yet, for example while its
-// connection is being established. It is emitted when the destination answers with Retry-After, and
-// when the endpoint starts draining or is removed. A cancelled attempt ends as NotSent; an attempt
-// of which a byte has been sent continues.
+// connection is being established. It is emitted when the destination answers another call with
+// Retry-After, and when the endpoint starts draining or is removed. A cancelled attempt ends as
+// NotSent; an attempt of which a byte has been sent continues.
 type CancelBeforeSend struct {
 	ID      string
 	Attempt int
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// maxQueuedShare is the share of MaxQueued above which a queue that holds more than half of that
-// share admits no further message, so that no single queue uses up MaxQueued.
+// maxQueuedShare prevents a single queue from using up MaxQueued: while more than this share of
+// MaxQueued is in use, a queue that holds more than half of the share admits no further message.
 const maxQueuedShare = 0.75
 
 // admitArrivals applies admission to the messages that arrived in this batch.
@@ -30,7 +30,9 @@
 	arrivalRate, shadowRejectionRate := q.arrivals.rate(d.now), q.shadowRejections.rate(d.now)
 	d.recordShadowArrival(q, timeLeft-latency)
 	if arrivalRate*q.serviceInterval() > 1 { // overload: messages arrive faster than the queue is served
-		timeLeft = math.Min(timeLeft, d.maxUsefulAge(m.terms).Seconds()) // a short time left does not mean that the message is old
+		// The age of the message is not subtracted, because it is unknown: a message with little
+		// time left may have been submitted just now.
+		timeLeft = math.Min(timeLeft, d.maxUsefulAge(m.terms).Seconds())
 	}
 	late := mustReject(backlog, latency, timeLeft-latency, arrivalRate-shadowRejectionRate, len(q.queued) > 0)
 	if late || d.exceedsQueueLimits(q) {
@@ -91,8 +93,8 @@
 }
 
 // backlog returns the seconds of work ahead of an arriving message: messages queued × mean latency
-// ÷ calls in flight, or the wait imposed by Retry-After, backoff, the send rate and slow start if
-// that is longer. It is zero if nothing is queued and none of these imposes a wait.
+// ÷ calls in flight, or timeToNextSend if that is longer. It is zero if nothing is queued and the
+// queue may send now.
 func (d *Dispatcher) backlog(q *queue) float64 {
 	work := float64(len(q.queued)) * d.agedLatency(q) / math.Max(1, float64(len(q.inFlight)))
 	return math.Max(work, d.timeToNextSend(q, len(q.queued)))
--- a/policy/attempt_outcome.go
+++ b/policy/attempt_outcome.go
@@ -73,7 +73,9 @@
 		ep.classFailures[m.Class] = 0
 		d.recordSuccess(ep, e.LoadReport == nil || e.LoadReport.Remaining >= minRemaining)
 	case Rejected:
-		if c.sent >= q.backoffStart { // otherwise it counts as one rejection with the call whose rejection started the backoff
+		// Calls sent before the backoff started count as one rejection, together with the call whose
+		// rejection started the backoff.
+		if c.sent >= q.backoffStart {
 			// A destination that reports its rate limit, but not in this answer, rejected the
 			// connection without checking the rate limit: it has reached its connection limit or
 			// is unavailable.
--- a/policy/background_test.go
+++ b/policy/background_test.go
@@ -78,13 +78,13 @@
 	}
 }
 
-// A recovered background message is sent if it has no attempt yet, and rejected otherwise.
+// A recovered background message is sent if it has no attempt yet, and given up otherwise.
 func TestBackground_Recovered(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"})
-	tried := []PriorAttempt{{Endpoint: "a", SentAt: ms}}
+	prior := []PriorAttempt{{Endpoint: "a", SentAt: ms}}
 	got := d.Handle(time.Second, []Event{
 		Arrived{ID: "new", TimeLeft: time.Second, Background: true, Recovered: true},
-		Arrived{ID: "old", TimeLeft: time.Second, Background: true, Recovered: true, PriorAttempts: tried},
+		Arrived{ID: "old", TimeLeft: time.Second, Background: true, Recovered: true, PriorAttempts: prior},
 	})
 	wantActions(t, "recovered after a restart", got, "reject old new>a")
 }
--- a/policy/cancel_before_send.go
+++ b/policy/cancel_before_send.go
@@ -1,9 +1,8 @@
 package policy
 
-// cancelBeforeSend cancels the calls of which no byte has been sent yet, for example because their
-// connections are still being established. It is used when the destination answers one of the
-// calls, answered, with Retry-After, and when an endpoint drains or is removed; answered is nil
-// then.
+// cancelBeforeSend cancels the given calls of which no byte has been sent yet, for example because
+// their connections are still being established. If the destination has answered one of the calls
+// with Retry-After, answered is that call. It is nil if an endpoint starts draining or is removed.
 func (d *Dispatcher) cancelBeforeSend(calls []*call, answered *call) {
 	for _, c := range calls {
 		if c == answered {
--- a/policy/class.go
+++ b/policy/class.go
@@ -25,8 +25,9 @@
 	Name string `json:"Name"`
 
 	// A message delivered within LatencyObjective has its full value, PriorityWeight. After that
-	// its value falls to LateFraction of PriorityWeight at Deadline, when the message is given up.
-	// It falls linearly or, with ExponentialDecay, by half with each further LatencyObjective.
+	// its value falls, but not below LateFraction of PriorityWeight: linearly to that minimum at
+	// Deadline or, with ExponentialDecay, by half with each further LatencyObjective. At Deadline
+	// the message is given up.
 	LatencyObjective time.Duration `json:"Aim"`
 	Deadline         time.Duration `json:"Deadline"`
 	PriorityWeight   float64       `json:"Worth"`
--- a/policy/dispatcher.go
+++ b/policy/dispatcher.go
@@ -35,7 +35,7 @@
 	coolingDown []*message // completed, but their order keys are still blocked
 
 	inFlight        int         // calls in flight
-	unansweredShare float64     // share of the calls overdue by stuckFactor that did not succeed
+	unansweredShare float64     // moving average: share of the calls overdue by stuckFactor that did not succeed
 	idleCandidates  []*endpoint // endpoints at which calls ended in the current batch
 
 	watchAt time.Duration // when to request a watch of the endpoint list
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -30,10 +30,10 @@
 // # Terms
 //
 // A relay is one of the processes that share the traffic. A destination has endpoints; an endpoint
-// is one address that accepts calls. Each time a message is sent is an attempt. A call to an
-// endpoint carries one attempt, or a batch of attempts of different messages. At most MaxInFlight
-// calls are in flight at once, and each of them occupies a slot. A message that may have executed
-// is retried only if its idempotency allows a second execution.
+// is one address that accepts calls. An attempt is one sending of a message to an endpoint. A call
+// to an endpoint carries one attempt, or a batch of attempts of different messages. At most
+// MaxInFlight calls are in flight at once, and each of them occupies a slot. A message that may
+// have executed is retried only if its idempotency allows a second execution.
 //
 // # Files
 //
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -13,7 +13,7 @@
 	}
 	fails := step{"fails", func(d *Dispatcher, ep *endpoint) { d.markUnhealthy(ep) }}
 	succeeds := step{"succeeds", func(d *Dispatcher, ep *endpoint) { d.recordSuccess(ep, false) }}
-	recoveryRead := step{"recovery recorded by an earlier process", func(d *Dispatcher, ep *endpoint) {
+	recoveryRecorded := step{"recovery recorded by an earlier process", func(d *Dispatcher, ep *endpoint) {
 		d.recoverHealth(HealthRecovered{Endpoint: ep.ID, At: d.now})
 	}}
 	timePasses := step{"slow start ends", func(d *Dispatcher, ep *endpoint) {
@@ -27,19 +27,19 @@
 	}{
 		{healthy, fails, unhealthy},
 		{healthy, succeeds, healthy},
-		{healthy, recoveryRead, slowStart},
+		{healthy, recoveryRecorded, slowStart},
 		{healthy, timePasses, healthy},
 		{slowStart, fails, unhealthy},
 		{slowStart, succeeds, slowStart},
-		{slowStart, recoveryRead, slowStart},
+		{slowStart, recoveryRecorded, slowStart},
 		{slowStart, timePasses, healthy},
 		{unhealthy, fails, unhealthy},
 		{unhealthy, succeeds, slowStart},
-		{unhealthy, recoveryRead, unhealthyRecoveryRecorded},
+		{unhealthy, recoveryRecorded, unhealthyRecoveryRecorded},
 		{unhealthy, timePasses, unhealthy},
 		{unhealthyRecoveryRecorded, fails, unhealthyRecoveryRecorded},
 		{unhealthyRecoveryRecorded, succeeds, slowStart},
-		{unhealthyRecoveryRecorded, recoveryRead, unhealthyRecoveryRecorded},
+		{unhealthyRecoveryRecorded, recoveryRecorded, unhealthyRecoveryRecorded},
 		{unhealthyRecoveryRecorded, timePasses, unhealthyRecoveryRecorded},
 	} {
 		s := testSettings()
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -77,8 +77,8 @@
 
 // recovered returns the arrival of a message that an earlier process accepted, with the attempts
 // made by that process.
-func recovered(id string, class int, tried ...PriorAttempt) Event {
-	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: tried}
+func recovered(id string, class int, prior ...PriorAttempt) Event {
+	return Arrived{ID: id, Class: class, TimeLeft: 10 * time.Second, Recovered: true, PriorAttempts: prior}
 }
 
 func backgroundArrival(id string, class int) Event {
--- a/policy/idle_connections.go
+++ b/policy/idle_connections.go
@@ -32,8 +32,8 @@
 
 // closesIdleConn reports whether a connection to an endpoint is closed after its call: because it
 // would probably stay idle until its timeout, because the endpoint has reached its connection limit
-// before, or because idle connections of a large fleet would exhaust that limit. Closing a
-// connection that would have been used again costs a handshake.
+// before, or because the idle connections of a large fleet would use up the connection limit of a
+// small endpoint. Closing a connection that would have been used again costs a handshake.
 func (d *Dispatcher) closesIdleConn(ep *endpoint) bool {
 	// The decayed count is used instead of the rate, because the rate of a new counter is high
 	// after a single arrival.
@@ -42,8 +42,9 @@
 		d.settings.Instances > smallFleet && expected < minConnReuses*float64(max(1, len(ep.queue.endpoints)))
 }
 
-// closeIdleConns closes the connections whose calls ended in this batch and that carry no further
-// call, unless they are worth keeping open. No connection counts as reusable after the batch.
+// closeIdleConns closes the idle connections to the endpoints at which calls ended in this batch,
+// unless the endpoint got a new call or closesIdleConn keeps the connections open. No connection
+// counts as reusable after the batch.
 func (d *Dispatcher) closeIdleConns() {
 	for _, ep := range d.idleCandidates {
 		ep.queue.reusableConn = nil
--- a/policy/load_report.go
+++ b/policy/load_report.go
@@ -14,9 +14,10 @@
 	minRemaining = 0.5
 )
 
-// recordReportedLimit records the rate limit that a destination reports. A destination may accept
-// less than its listed rate for a while and reject calls above its reported limit. If the effective
-// limit has changed, the send rate is reset to the relay's even share.
+// recordReportedLimit records the rate limit that a destination reports, if a rate is listed for
+// the destination. A destination may accept less than its listed rate for a while and reject calls
+// above its reported limit. If the effective limit has changed, the send rate is reset to the
+// relay's even share, but to no less than the lower of minStartRate and that limit.
 func (d *Dispatcher) recordReportedLimit(q *queue, limit float64) {
 	if !(limit > 0) || math.IsInf(limit, 0) || q.listedRate == 0 {
 		return
--- a/policy/load_report_test.go
+++ b/policy/load_report_test.go
@@ -21,12 +21,12 @@
 		{0, 10, 10},
 		{math.Inf(1), 10, 10},
 		{math.NaN(), 10, 10},
-		{-3, 10, 10}, // noise, and unusable values
+		{-3, 10, 10}, // up to here: noise and unusable values
 		{4, 2, 2},
-		{4.4, 2, 2.06}, // lowered
+		{4.4, 2, 2.06}, // 4 is a lowered limit; 4.4 only moves the average of the reported limits
 		{20, 10, 10},   // restored
 		{0.2, 0.2, 0.1},
-		{1e9, 10, 10}, // the listed rate bounds it
+		{1e9, 10, 10}, // the listed rate is the upper bound
 	} {
 		d.recordReportedLimit(q, c.limit)
 		if math.Abs(q.sendRate-c.sendRate) > 1e-9 || math.Abs(d.evenShare(q)-c.even) > 1e-9 {
--- a/policy/message.go
+++ b/policy/message.go
@@ -22,7 +22,7 @@
 const (
 	messageActive         messageState = iota // no terminal outcome yet
 	messageUnacknowledged                     // terminal outcome given, but not acknowledged yet
-	messageCompleted                          // terminal outcome given, no acknowledgement pending
+	messageCompleted                          // terminal outcome given or message cancelled; no acknowledgement pending
 )
 
 // message is a message that has arrived and is not evicted yet.
--- a/policy/order.go
+++ b/policy/order.go
@@ -8,8 +8,8 @@
 // ordered reports whether a message must be sent in order with the other messages of its order key.
 func (m *message) ordered() bool { return m.terms.Ordered && m.OrderKey != "" }
 
-// isNextInOrder reports whether order allows m to be sent: m is not ordered, or no earlier message
-// blocks its order key.
+// isNextInOrder reports whether the message order allows m to be sent: m is not ordered, or no
+// earlier message blocks its order key.
 func (d *Dispatcher) isNextInOrder(m *message) bool {
 	return !m.ordered() || d.orderKeys[m.OrderKey][0] == m
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -57,9 +57,10 @@
 // this relay's share of what a cold destination bears. If the destination was merely at its rate
 // limit, the cost is the calls that the recovery rate holds back; other relays, which were not
 // rejected, use that capacity. After a single failure each relay decides at random, so that half of
-// the relays may send one more trial request. A Retry-After excludes that, since all relays would
-// send at its end. A success within unavailableAfter excludes an early decision: the outage has
-// only just begun and is not about to end.
+// the relays may send one more trial request. During a Retry-After, a single failure always
+// suffices, because otherwise those relays would all send at the end of the Retry-After. After a
+// success within unavailableAfter, no number of failures suffices: the outage has only just begun
+// and is not about to end.
 func (d *Dispatcher) unhealthyEarly(q *queue, failures int) bool {
 	if !d.lowTraffic(q) || q.lastSuccess > 0 && d.now-q.lastSuccess <= unavailableAfter {
 		return false
@@ -74,8 +75,8 @@
 	}
 }
 
-// markUnhealthy marks an endpoint unhealthy if it is not yet. If the endpoint is a separate route,
-// the messages queued for it select their routes again.
+// markUnhealthy marks an endpoint unhealthy unless it already is. If the endpoint is a separate
+// route, the messages queued for it select their routes again.
 func (d *Dispatcher) markUnhealthy(ep *endpoint) {
 	if ep.health.isUnhealthy() {
 		return
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -35,7 +35,7 @@
 	for _, tt := range []struct {
 		relays      int
 		outcome     Outcome
-		wait        time.Duration
+		retryAfter  time.Duration
 		least, most int // relays of 40 that mark the endpoint unhealthy after one failure
 	}{
 		{400, Rejected, 0, 10, 30},
@@ -56,7 +56,7 @@
 				EndpointsChanged{Full: true, Endpoints: []Endpoint{{ID: "a", Weight: 4}}},
 				arrival("m", 0),
 			})
-			d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.wait}})
+			d.Handle(ms, []Event{AttemptEnded{ID: "m", Endpoint: "a", Outcome: tt.outcome, RetryAfter: tt.retryAfter}})
 			if d.endpoints["a"].health.isUnhealthy() {
 				unhealthy++
 			}
@@ -66,7 +66,7 @@
 			}
 		}
 		if unhealthy < tt.least || unhealthy > tt.most {
-			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 unhealthy", tt.relays, tt.outcome, tt.wait, unhealthy)
+			t.Errorf("%d relays, outcome %d, Retry-After %v: %d of 40 unhealthy", tt.relays, tt.outcome, tt.retryAfter, unhealthy)
 		}
 	}
 }
@@ -164,11 +164,13 @@
 	}
 }
 
-// TestUnhealthyEarly_FewCallsWithoutListedWeight guards against an outage that goes undetected
-// where no weight is listed. Relays then never counted their traffic as low and waited for four
-// failures in a row. Of thirty relays with one call in some seconds each, most never had four
-// failures during an outage of ten seconds, kept sending as to a healthy destination, and
-// overloaded it with 3.8 times its capacity when it recovered cold.
+// TestUnhealthyEarly_FewCallsWithoutListedWeight guards against an outage that goes undetected if
+// no weight is listed. Without a listed weight, relays never treated their traffic as low and
+// waited for four consecutive failures. Of thirty relays with one call every few seconds each, most
+// never had four failures during an outage of ten seconds in which nearly all calls failed. They
+// kept sending as to a healthy destination, and overloaded it with 3.8 times its capacity when it
+// recovered cold. Found by: bench, site seedbank-lots, throng+brink+mass, seed 340045587386, in six
+// runs of six.
 func TestUnhealthyEarly_FewCallsWithoutListedWeight(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
--- a/policy/rate_control.go
+++ b/policy/rate_control.go
@@ -7,8 +7,8 @@
 
 const (
 	// rateIncrease is the fraction of this relay's even share by which a success raises the send
-	// rate while messages are queued. If the even share is below minStartRate, it is a fraction of
-	// the send rate up to minStartRate instead.
+	// rate while messages are queued. If the send rate exceeds an even share that is below
+	// minStartRate, the fraction is taken of the send rate instead, but of minStartRate at most.
 	rateIncrease = 0.1
 	// rateDecrease is the factor by which a rejection lowers the send rate. Together with
 	// rateIncrease, about one call in eight is rejected if demand always exceeds the rate limit.
@@ -23,8 +23,8 @@
 	minFractionOfEvenShare = 0.7
 	// minCallsPerWindow is the least send rate to start with, in calls per rateLimitWindow. If the
 	// even share is lower, relays have calls only now and then, and rejections show sooner than
-	// even shares how much capacity the other relays leave. Each rejection halves the excess over
-	// the even share.
+	// even shares how much capacity the other relays leave. Each rejection by the rate limit
+	// at least halves the excess over the even share.
 	minCallsPerWindow = 0.5
 	// rateLimitWindow is about the time window over which destinations count calls for their rate
 	// limit. The calls that the send rate allows in one window may be sent at once.
@@ -34,8 +34,8 @@
 // minStartRate returns minCallsPerWindow in calls per second.
 func minStartRate() float64 { return minCallsPerWindow / rateLimitWindow.Seconds() }
 
-// setListedRate applies the rate limit of a queue from the endpoint list. If it has changed, the
-// send rate is reset.
+// setListedRate applies the rate limit of a queue from the endpoint list. If the limit is usable
+// and has changed, the send rate is reset to its start value.
 func (d *Dispatcher) setListedRate(q *queue, rate float64) {
 	if d.settings.Weights == WeightsOff || !(rate > 0) || math.IsInf(rate, 0) || rate == q.listedRate {
 		return
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -66,8 +66,8 @@
 	if out := sends(HealthRecovered{Endpoint: "a", Unhealthy: true, At: time.Hour - time.Minute}); out > maxTrialCalls || out >= healthy {
 		t.Errorf("during an outage: %d calls at once, %d when healthy", out, healthy)
 	}
-	if ramp := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Second}); ramp >= healthy {
-		t.Errorf("in slow start: %d calls at once, %d when healthy", ramp, healthy)
+	if recovering := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Second}); recovering >= healthy {
+		t.Errorf("in slow start: %d calls at once, %d when healthy", recovering, healthy)
 	}
 	if warm := sends(HealthRecovered{Endpoint: "a", At: time.Hour - time.Minute}); warm != healthy {
 		t.Errorf("after slow start: %d calls at once, want %d", warm, healthy)
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -41,9 +41,9 @@
 // are not cancelled, and a rejection without Retry-After cancels nothing.
 func TestRetryAfter_CancelsBeforeSend(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		wait time.Duration
-		want []Action
+		name       string
+		retryAfter time.Duration
+		want       []Action
 	}{
 		{"with Retry-After", 2 * time.Second, []Action{CancelBeforeSend{ID: "m1", Attempt: 0}}},
 		{"without Retry-After", 0, nil},
@@ -58,7 +58,7 @@
 			}
 			var got []Action
 			ep := d.messages["m0"].attempts[0].call.endpoint.ID
-			for _, a := range d.Handle(1100*ms, []Event{AttemptEnded{ID: "m0", Endpoint: ep, Outcome: Rejected, RetryAfter: tt.wait, Latency: 100 * ms}}) {
+			for _, a := range d.Handle(1100*ms, []Event{AttemptEnded{ID: "m0", Endpoint: ep, Outcome: Rejected, RetryAfter: tt.retryAfter, Latency: 100 * ms}}) {
 				if u, ok := a.(CancelBeforeSend); ok {
 					got = append(got, u)
 				}
@@ -66,7 +66,7 @@
 			if len(got) != len(tt.want) || len(got) > 0 && got[0] != tt.want[0] {
 				t.Errorf("%v, want %v", got, tt.want)
 			}
-			if tt.wait == 0 {
+			if tt.retryAfter == 0 {
 				return
 			}
 			ep = d.messages["m1"].attempts[0].call.endpoint.ID
@@ -127,7 +127,7 @@
 	if q.rejections != 1 || q.sendRate != 100*rateDecrease && q.sendRate != (100+100)/2 || q.backoffUntil > 50*ms+20*ms {
 		t.Errorf("%d consecutive rejections, send rate %v, backoff %v", q.rejections, q.sendRate, q.backoffUntil-50*ms)
 	}
-	// The next call sent after the backoff and rejected counts as the second rejection.
+	// Each call that is sent after the backoff and then rejected counts as one more rejection.
 	at := 50 * ms
 	for n := 2; n < 6; n++ {
 		at = max(q.backoffUntil, at) + 50*ms
@@ -153,10 +153,10 @@
 // destination unavailable.
 func TestRejection_OfConnectionLeavesSendRate(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		reports bool
-		report  *LoadReport
-		cut     bool
+		name       string
+		reports    bool
+		report     *LoadReport
+		lowersRate bool
 	}{
 		{"by the rate limit", true, &LoadReport{Remaining: 0, RateLimit: 20}, true},
 		{"of the connection", true, nil, false},
@@ -182,7 +182,7 @@
 						AttemptEnded{ID: id, Endpoint: "a", Outcome: Rejected, LoadReport: tt.report},
 						MessageCanceled{id},
 					})
-					if i == 0 && (q.sendRate < before) != tt.cut {
+					if i == 0 && (q.sendRate < before) != tt.lowersRate {
 						t.Errorf("send rate %v after %v", q.sendRate, before)
 					}
 					if q.pausedUntil() <= now {
--- a/policy/rules_checker_test.go
+++ b/policy/rules_checker_test.go
@@ -80,9 +80,9 @@
 
 // applyEndpoints applies a change of the endpoint list.
 func (c *checker) applyEndpoints(e policy.EndpointsChanged) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, x := range e.Endpoints {
-		named[x.ID] = true
+		listed[x.ID] = true
 		p := c.endpoints[x.ID]
 		if p == nil {
 			p = &endpointHistory{scope: fmt.Sprint("d", x.Destination)}
@@ -94,7 +94,7 @@
 		p.Endpoint, p.closed = x, x.Draining || x.Removed
 	}
 	for id, p := range c.endpoints {
-		if e.Full && !named[id] {
+		if e.Full && !listed[id] {
 			p.closed = true
 		}
 	}
@@ -117,8 +117,8 @@
 		m.completed = true
 		c.failures[t.endpoint], c.lastSuccess[t.endpoint] = 0, c.now
 	case t.sent <= max(c.lastSuccess[t.endpoint], c.lastFailureSent[t.endpoint]):
-		// No new information: the call is older than another outcome, or the failure of its batch
-		// is already counted.
+		// No new information: the call was sent before the endpoint's last success, or no later
+		// than a call whose failure is already counted, such as the call of the same batch.
 	case e.Outcome == policy.Failed || e.Outcome == policy.ConnectionReset || e.Outcome == policy.ConnectError:
 		c.failures[t.endpoint]++
 		c.lastFailureSent[t.endpoint] = t.sent
@@ -252,8 +252,8 @@
 }
 
 // checkOutage checks that an endpoint whose calls all fail gets no more calls than this relay's
-// share of what a cold destination bears. The budget also allows one call per endpoint, one call
-// that is brought forward by the recovery of another endpoint, and two by chance.
+// share of the load that a cold destination bears. The budget also allows one call per endpoint,
+// one call that the recovery of another endpoint brings forward, and two for random variation.
 func (c *checker) checkOutage(p *endpointHistory) error {
 	const outageFailures = 5 // consecutive failures that certainly mean an outage
 	if c.failures[p.ID] < outageFailures {
--- a/policy/settings_change_test.go
+++ b/policy/settings_change_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// New settings apply to unfinished messages: a message that has used up a lowered number of
-// attempts is ended, a message keeps its class when the class is retired, and messages of a new
-// class are served besides those of the old ones.
+// New settings apply to unfinished messages: a message that has used up the lowered MaxAttempts is
+// ended, a message keeps its class when the class is retired, and messages of a new class are
+// served.
 func TestSettingsChanged_BindsMessagesUnderWay(t *testing.T) {
 	s := testSettings()
 	for i := range s.Classes {
@@ -105,8 +105,7 @@
 	wantActions(t, "delivered", d.Handle(now+4*ms, []Event{ended("n", Succeeded)}), "")
 	wantActions(t, "no third attempt", d.Handle(now+5*ms, []Event{reset("m", 1)}), "reject m")
 
-	// A queued message that has used up the number of attempts in the new settings is given up at
-	// once.
+	// A queued message that has used up the MaxAttempts of the new settings is given up immediately.
 	d = newDispatcher(t, s, Endpoint{ID: "a"})
 	full := AttemptEnded{ID: "h", Endpoint: "a", Outcome: Rejected, RetryAfter: 5 * time.Second}
 	d.Handle(now, []Event{arrival("h", 0)})
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// recoverySafety is the share of the load that a cold destination bears, according to the
-	// settings, which all relays together use. The rest is a margin for uneven shares of the relays
-	// and for random variation.
+	// recoverySafety is the share that all relays together use of the load that, according to the
+	// settings, a cold destination bears. The rest is a margin for uneven shares of the relays and
+	// for random variation.
 	recoverySafety = 0.8
 	// lowTrafficSafety replaces recoverySafety at low traffic, where many relays each make less
 	// than one call per OverloadWindow. Even with a second trial request by half of the rejected
@@ -70,9 +70,10 @@
 }
 
 // recoveryRate returns the calls per second that this relay may make to an endpoint at the given
-// time since its recovery: the relay's share of the load that the destination bears after an outage
-// by the settings. If no rate is listed, the full capacity is assumed to be one call per second and
-// relay.
+// time since its recovery. According to the settings, the destination bears OverloadFactor times
+// its capacity at that time. All relays together use the safe share of that load (recoverySafety or
+// lowTrafficSafety), evenly divided among the relays and the endpoints of the queue. If no rate is
+// listed, the full capacity is assumed to be one call per second for each relay.
 func (d *Dispatcher) recoveryRate(ep *endpoint, sinceRecovery time.Duration) float64 {
 	capacity := 1.0
 	if d.settings.SlowStartTime > 0 {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -76,11 +76,11 @@
 }
 
 // TestSnapshot_CarriesKeyCooldownOfUnacknowledged guards against an order key that is released
-// before its cooldown has ended. A message ends with an attempt that may still be executing, and
-// the process hands over before the outcome is acknowledged. A message whose outcome is decided is
-// handed over without its attempts, and the snapshot held the cooldowns of acknowledged messages
-// only. The next process therefore sent the next message directly after the acknowledgement, 2.5 s
-// too early.
+// before its cooldown has ended. An ordered message ends with an attempt that may still be
+// executing, and the process hands over before the outcome is acknowledged. A message whose outcome
+// is decided is handed over without its attempts, and the snapshot held the cooldowns of
+// acknowledged messages only. The successor process therefore sent the next message directly after
+// the acknowledgement, 2.5 s too early.
 func TestSnapshot_CarriesKeyCooldownOfUnacknowledged(t *testing.T) {
 	s := testSettings()
 	s.OrderKeyCooldown, s.AwaitAcknowledgement = 4*time.Second, true
--- a/policy/stuck_attempts.go
+++ b/policy/stuck_attempts.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// The following factors are multiples of the usual latency of a call; see overdueAt.
+// unresponsiveFactor and stuckFactor are in usual latencies of a call; see overdueAt.
 const (
-	// unresponsiveFactor is the factor for the time in flight after which a call makes its endpoint
-	// unresponsive, and after which a call is cancelled as lost if a call sent later has succeeded.
+	// unresponsiveFactor is the time in flight after which a call makes its endpoint unresponsive.
+	// The call is then cancelled as lost if a call sent later to the endpoint has succeeded, and as
+	// stuck if its slot is needed.
 	unresponsiveFactor = 6
-	// stuckFactor is the factor for the time in flight after which a call is cancelled as stuck if
-	// its slot is needed and most overdue calls are never answered.
+	// stuckFactor is the time in flight after which a call is already cancelled as stuck, if its
+	// slot is needed and most overdue calls are never answered.
 	stuckFactor = 3
-	// nonRetryableFactor multiplies the time before a call is cancelled whose message cannot be
-	// sent again and therefore fails. The failure is made up for by the slot, which can serve
-	// another message of equal value in each mean latency.
+	// nonRetryableFactor multiplies the time after which a call is cancelled as stuck if its
+	// messages cannot be sent again. These messages fail when the call is cancelled, but the freed
+	// slot can serve another message of equal value in each mean latency.
 	nonRetryableFactor = 2
 	// unansweredThreshold is the share of overdue calls that do not succeed above which stuckFactor
 	// applies instead of unresponsiveFactor.
--- a/policy/terminal.go
+++ b/policy/terminal.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// giveUpTime returns the time at which a queued message is given up, because its time left equals
-// its expected latency, or two batch intervals if these are longer.
+// giveUpTime returns the time at which a queued message is given up: its time left has then fallen
+// to its expected latency, or to two batch intervals if these are longer.
 func (d *Dispatcher) giveUpTime(m *message) time.Duration {
 	latency := time.Duration(m.queue.latency.byClass[m.Class] * float64(time.Second))
 	return m.deadline - max(2*d.settings.BatchInterval, latency)
--- a/policy/timeout.go
+++ b/policy/timeout.go
@@ -14,9 +14,9 @@
 	timeoutLatencies = 8
 )
 
-// attemptTimeout returns the timeout of an attempt; 0 means the message's deadline. An attempt of a
-// message that is not idempotent has no earlier timeout, since the message could only fail after
-// it. Neither has the last allowed attempt of a message.
+// attemptTimeout returns the timeout of an attempt; 0 means the message's deadline. The timeout is 0
+// if the message is not idempotent, since it could only fail after an earlier timeout, and for the
+// last allowed attempt of a message.
 func (d *Dispatcher) attemptTimeout(m *message, c *call) time.Duration {
 	timeLeft := m.deadline - d.now
 	if m.terms.Idempotency == NotIdempotent || len(m.attempts) >= d.settings.MaxAttempts {
--- a/policy/token_bucket.go
+++ b/policy/token_bucket.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// tokenBucket is a token bucket. Its zero value is empty. The number of tokens is negative while
-// more tokens were taken than available.
+// tokenBucket is a token bucket. Its zero value is empty. The number of tokens is negative if more
+// tokens have been taken than were available.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
--- a/policy/trial_request.go
+++ b/policy/trial_request.go
@@ -20,8 +20,8 @@
 
 // trialAllowed reports whether a queued message may be sent as a trial request to an unhealthy
 // endpoint now. A message without attempts always may, and so may any message if the queue has only
-// one endpoint. Otherwise, a retry waits for an endpoint that is not unhealthy, with the exception
-// in retryTrialAllowed.
+// one endpoint. Otherwise, a retry waits for an endpoint that is not unhealthy, except if
+// retryTrialAllowed reports true and nextTrialAt has passed.
 func (d *Dispatcher) trialAllowed(q *queue, m *message) bool {
 	if len(m.attempts) == 0 || len(q.endpoints) == 1 {
 		return true
@@ -31,10 +31,10 @@
 
 // retryTrialAllowed reports whether a message that was sent before may become a trial request. The
 // message must be recovered after a restart, all its attempts must provably not have executed, and
-// its queue must have no healthy endpoint for it. The restart lost the earlier process's state, and
-// there may be no new message whose trial request would detect the end of the outage. Other retries
-// wait for such a message: as trial requests they would use up their attempts during the outage,
-// and fewer messages would be delivered.
+// all endpoints that it may be sent to must be unhealthy. The restart lost the earlier process's
+// state, and there may be no new message whose trial request would detect the end of the outage.
+// Other retries wait for such a message: as trial requests they would use up their attempts during
+// the outage, and fewer messages would be delivered.
 func (d *Dispatcher) retryTrialAllowed(q *queue, m *message) bool {
 	return m.Recovered && m.firstExecuted() == nil && !d.hasHealthyEndpoint(q, m)
 }
--- a/policy/trial_retry_test.go
+++ b/policy/trial_retry_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// TestTrialRetry_RestartFindsDestinationOut guards against recovered messages that are never sent
-// although their destination has recovered. A destination with two endpoints refuses connections,
-// and a relay is restarted meanwhile. Both endpoints are unhealthy, and a message with earlier
-// attempts was never sent as a trial request if its destination had more than one endpoint. Only a
-// new message could detect the recovery. Without one, a recovered message stayed queued until its
-// deadline, although trial requests were allowed at both endpoints: the fleet had used 29 of 303
-// allowed calls.
+// TestTrialRetry_RestartFindsDestinationOut guards against messages that a restarted relay recovers
+// and never sends, although their destination has recovered from an outage seconds ago. During the
+// outage, a destination with two endpoints refuses connections, and both endpoints are unhealthy. A
+// message with earlier attempts was never sent as a trial request if its destination had more than
+// one endpoint, so that only a new message could detect the recovery. Without a new message, a
+// recovered message stayed queued for the 1.7 s until its deadline, although both endpoints had a
+// token for a trial request, no backoff applied, and the fleet had used 29 of 303 allowed calls.
+// Found by: scenario soak, seed 15.
 func TestTrialRetry_RestartFindsDestinationOut(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -30,7 +31,8 @@
 	}
 }
 
-// The same without a restart: both endpoints refuse connections, and no other message arrives.
+// TestTrialRetry_OnlyMessageFindsDestinationBack covers the failure above without a restart: both
+// endpoints refuse connections, and no other message arrives.
 func TestTrialRetry_OnlyMessageFindsDestinationBack(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
@@ -71,8 +73,8 @@
 	return false
 }
 
-// The attempts of a recovered message are spread over its time left, so that an outage shorter than
-// that does not use them up.
+// The attempts of a recovered message are spread over its time left, so that an outage that is
+// shorter than the time left does not use up the attempts.
 func TestTrialRetry_SpreadsAttempts(t *testing.T) {
 	s := testSettings()
 	s.Weights = WeightsNominal
