--- a/internal/faultinjection/destination/admission.go
+++ b/internal/faultinjection/destination/admission.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// Arrive takes an attempt whose last byte has arrived at an endpoint.
+// Arrive processes an attempt whose last byte has arrived at an endpoint.
 func (m *Model) Arrive(now time.Duration, endpoint int, a *Attempt) []Action {
 	m.advance(now)
 	a.endpoint = endpoint
@@ -15,7 +15,7 @@
 	return m.takeActions()
 }
 
-// admit executes, queues or rejects an attempt. At an endpoint that is down it gets no response.
+// admit executes, queues or rejects an attempt. An attempt at an endpoint that is down gets no response.
 func (m *Model) admit(e *endpoint, a *Attempt) {
 	if e.mode.isDown() {
 		return
@@ -44,7 +44,7 @@
 		m.rememberKey(a)
 		e.queue = append(e.queue, a)
 	default:
-		m.returnToLimit()
+		m.refundLimit()
 		m.reject(a, m.timeUntilFree(e))
 	}
 }
@@ -58,7 +58,7 @@
 	m.addCompletion(c)
 }
 
-// timeUntilFree returns the time until an endpoint completes an attempt, or 0 if that is unknown.
+// timeUntilFree returns the time until an endpoint completes its next attempt, or 0 if that time is unknown.
 func (m *Model) timeUntilFree(e *endpoint) time.Duration {
 	next := e.nextDue()
 	if next == never {
@@ -67,7 +67,7 @@
 	return max(time.Millisecond, next-m.now)
 }
 
-// decideOutcome returns the outcome of an attempt that is executed, by its draw.
+// decideOutcome returns the outcome of an attempt if it is executed, which follows from the attempt's Draw.
 func (e *endpoint) decideOutcome(a *Attempt) Outcome {
 	errorShare := e.currentErrorShare()
 	switch {
@@ -80,7 +80,7 @@
 	}
 }
 
-// currentErrorShare returns the share of attempts that fail at present.
+// currentErrorShare returns the share of attempts that get an error at present.
 func (e *endpoint) currentErrorShare() float64 {
 	if e.mode == ModeFailing {
 		return max(e.spec.ErrorRate, e.errorShare)
--- a/internal/faultinjection/destination/advance.go
+++ b/internal/faultinjection/destination/advance.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// NextDue returns when something is due next without a call.
+// NextDue returns when the model next has to be advanced if no other method is called before.
 func (m *Model) NextDue() time.Duration {
 	next := min(m.reports.nextDue(), m.overload.nextDue())
 	for _, e := range m.endpoints {
@@ -14,7 +14,7 @@
 	return next
 }
 
-// Advance brings the model to a time.
+// Advance advances the model to a time, and returns the actions that became due.
 func (m *Model) Advance(now time.Duration) []Action {
 	m.advance(now)
 	return m.takeActions()
@@ -32,11 +32,11 @@
 	m.now = max(m.now, now)
 }
 
-// runDue does what is due now.
+// runDue handles all events that are due now.
 func (m *Model) runDue() {
 	recovers := m.overload.endsBy(m.now)
 	for i, e := range m.endpoints {
-		for _, a := range slices.Clone(e.executing) { // completing one changes the list
+		for _, a := range slices.Clone(e.executing) { // complete changes e.executing
 			if e.due(a) <= m.now {
 				m.complete(e, a)
 			}
--- a/internal/faultinjection/destination/attempt.go
+++ b/internal/faultinjection/destination/attempt.go
@@ -8,49 +8,49 @@
 // The outcomes.
 const (
 	OutcomeDelivered   Outcome = iota // 200
-	OutcomeError                      // 500; it may have been executed
+	OutcomeError                      // 500; the attempt may have been executed
 	OutcomeUnavailable                // 503
 	OutcomeRetryAfter                 // 429 with Retry-After
-	OutcomeReset                      // the connection is reset after the request body; it was executed
+	OutcomeReset                      // the connection is reset after the request body; the attempt was executed
 )
 
-// Attempt is an attempt whose last byte has arrived. It belongs to the model from Arrive on.
+// Attempt is an attempt whose last byte has arrived at an endpoint. The caller must not change it after passing it to [Model.Arrive].
 type Attempt struct {
 	ID                  string
 	Relay               int
 	Key                 string        // idempotency key, or ""
 	KeyTTL              time.Duration // how long the key is remembered
-	ServiceTime         time.Duration // at a destination with service time factor 1
-	Draw                float64       // 0 to 1: decides whether it meets what a share of attempts meets
-	NewConnection       bool          // the first attempt on its connection
+	ServiceTime         time.Duration // at a destination whose service time factor is 1
+	Draw                float64       // random number from 0 to 1 that decides whether the attempt gets an error or a reset
+	NewConnection       bool          // it is the first attempt on its connection
 	OverConnectionLimit bool          // its connection exceeds the endpoint's limit
 	Probe               bool          // a health check
 
 	endpoint  int
 	outcome   Outcome
-	duplicate bool          // its key is remembered, so that it has no effect
-	work      time.Duration // that is left as of workAt, in time at full speed
+	duplicate bool          // the destination remembers its key, so that it has no effect
+	work      time.Duration // work that remains at workAt, as the time that it takes at full speed
 	workAt    time.Duration
 }
 
-// Completion is the end of an attempt that gets a response.
+// Completion is the end of an attempt by a response or by a reset of its connection.
 type Completion struct {
 	Attempt    *Attempt
 	At         time.Duration
 	Outcome    Outcome
-	RetryAfter time.Duration // of OutcomeRetryAfter
+	RetryAfter time.Duration // set if Outcome is OutcomeRetryAfter
 	Executed   bool          // the attempt had its effect
-	LoadReport *LoadReport   // nil: none is sent
+	LoadReport *LoadReport   // nil: the response has no load report
 }
 
-// ModeChange is a change of an endpoint's mode by an overload, or by recovery from one.
+// ModeChange is a change of an endpoint's mode that an overload or the recovery from an overload causes.
 type ModeChange struct {
 	Endpoint int
 	Mode     Mode
 	At       time.Duration
 }
 
-// Action is something that the caller has to do. One of its fields is set.
+// Action is something that the caller has to do. Exactly one of its fields is set.
 type Action struct {
 	Completion *Completion
 	ModeChange *ModeChange
--- a/internal/faultinjection/destination/completion.go
+++ b/internal/faultinjection/destination/completion.go
@@ -7,7 +7,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// complete completes an attempt, and begins the next one that waits.
+// complete completes an attempt, and begins the next queued one.
 func (m *Model) complete(e *endpoint, a *Attempt) {
 	e.removeExecuting(a)
 	executed := e.hasEffect(a)
@@ -18,8 +18,8 @@
 	e.beginQueued(m.now)
 }
 
-// hasEffect reports whether an attempt that completes now had its effect. Half of the errors come after the effect, so that nobody
-// can tell from the response.
+// hasEffect reports whether an attempt that completes now had its effect. Half of the attempts that get an error had their effect, so
+// that a client cannot infer from the response whether its request was executed.
 func (e *endpoint) hasEffect(a *Attempt) bool {
 	if a.duplicate {
 		return false
@@ -27,7 +27,8 @@
 	return a.outcome != OutcomeError || a.Draw < e.currentErrorShare()/2
 }
 
-// Cancel takes back an attempt whose response nobody waits for: it was cancelled or timed out, or its connection broke.
+// Cancel cancels an attempt whose caller no longer waits for the response, because the caller cancelled it, because it timed out, or
+// because its connection broke. The destination's cancel behavior decides what becomes of the attempt.
 func (m *Model) Cancel(now time.Duration, a *Attempt) []Action {
 	m.advance(now)
 	e := m.endpoints[a.endpoint]
--- a/internal/faultinjection/destination/completion_test.go
+++ b/internal/faultinjection/destination/completion_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Of three attempts at an endpoint that executes one at a time, the first and the second are cancelled.
+// An endpoint executes one attempt at a time. Of its three attempts the first, which is executing, and the second, which is queued, are
+// cancelled; the test checks for each cancel behavior which attempts are executed, which keys are forgotten, and when the third completes.
 func TestModel_CancelBehavior(t *testing.T) {
 	for _, test := range []struct {
 		behavior string
-		executed []bool          // by attempt
-		lastAt   time.Duration   // when the third completes
+		executed []bool          // indexed by attempt
+		lastAt   time.Duration   // when the third attempt completes
 		lost     map[string]bool // keys that are forgotten
 	}{
 		{"runs-on", []bool{true, true, true}, 3 * time.Second, nil},
@@ -33,14 +34,14 @@
 			}
 			for i, attempt := range attempts {
 				if executed[attempt] != test.executed[i] {
-					t.Errorf("attempt %d: executed %v", i, executed[attempt])
+					t.Errorf("attempt %d: got executed %v", i, executed[attempt])
 				}
 				if m.keys.has(attempt.Key, 0) == test.lost[attempt.Key] {
-					t.Errorf("attempt %d: its key is remembered: %v", i, test.lost[attempt.Key])
+					t.Errorf("attempt %d: got key remembered %v", i, test.lost[attempt.Key])
 				}
 			}
 			if lastAt != test.lastAt {
-				t.Errorf("the last completes at %v, want %v", lastAt, test.lastAt)
+				t.Errorf("last attempt completed at %v, want %v", lastAt, test.lastAt)
 			}
 		})
 	}
--- a/internal/faultinjection/destination/endpoint.go
+++ b/internal/faultinjection/destination/endpoint.go
@@ -8,21 +8,21 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// endpoint is the state of one endpoint. Its methods that depend on the time are called with the model's.
+// endpoint is the state of one endpoint. Callers pass the model's current time to its methods.
 type endpoint struct {
 	spec *scenario.Destination
 	mode Mode
 
-	errorShare float64 // of attempts, in ModeFailing
-	resetShare float64 // of attempts whose connection is reset after the request body
+	errorShare float64 // share of attempts that fail in ModeFailing
+	resetShare float64 // share of attempts whose connection is reset after the request body
 	slowdown   float64 // divides the speed
 
-	paused      bool // by the destination's own pauses
-	stopped     bool // by a fault
+	paused      bool // by one of the pauses that the scenario configures for the destination
+	stopped     bool // by an injected fault
 	pauses      *rand.Rand
 	pauseChange time.Duration // when paused changes next
 
-	cold     bool          // since warmFrom
+	cold     bool          // slow start began at warmFrom; stays set once the endpoint is warm
 	warmFrom time.Duration // when slow start began
 
 	draining    bool
@@ -40,10 +40,10 @@
 	return e
 }
 
-// acceptsAttempts reports whether the endpoint is still part of the destination.
+// acceptsAttempts reports whether the endpoint is neither removed nor draining.
 func (e *endpoint) acceptsAttempts() bool { return !e.removed && !e.draining }
 
-// speed returns how fast the endpoint executes: 1 when it is warm and healthy.
+// speed returns the speed at which the endpoint executes attempts, relative to a warm and healthy endpoint.
 func (e *endpoint) speed(now time.Duration) float64 {
 	if e.paused || e.stopped {
 		return 0
@@ -72,7 +72,7 @@
 	e.executing = append(e.executing, a)
 }
 
-// beginQueued begins the attempts that waited for one to complete.
+// beginQueued begins queued attempts while the endpoint executes fewer attempts than its concurrency allows.
 func (e *endpoint) beginQueued(now time.Duration) {
 	for len(e.queue) > 0 && len(e.executing) < e.spec.Concurrency {
 		next := e.queue[0]
@@ -81,7 +81,7 @@
 	}
 }
 
-// due returns when an attempt completes if nothing changes.
+// due returns when an executing attempt completes if the endpoint's state does not change until then, or never.
 func (e *endpoint) due(a *Attempt) time.Duration {
 	if e.paused || e.stopped || e.mode.isDown() {
 		return never
@@ -89,7 +89,7 @@
 	return e.finishTime(a.workAt, a.work.Seconds()*e.slowdown)
 }
 
-// nextDue returns when the next attempt completes if nothing changes, or never.
+// nextDue returns when the next attempt completes if the endpoint's state does not change until then, or never.
 func (e *endpoint) nextDue() time.Duration {
 	next := never
 	for _, a := range e.executing {
@@ -98,7 +98,8 @@
 	return next
 }
 
-// recordProgress brings the work that executing attempts have left to the present. It is called before the speed changes.
+// recordProgress updates the work that remains of each executing attempt to the present. It must be called before the endpoint's
+// speed changes, because it calculates the work done since the last update from the present state.
 func (e *endpoint) recordProgress(now time.Duration) {
 	for _, a := range e.executing {
 		if due := e.due(a); due != never {
--- a/internal/faultinjection/destination/load_report.go
+++ b/internal/faultinjection/destination/load_report.go
@@ -7,9 +7,9 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// LoadReport is what a destination reports of its limit, with noise.
+// LoadReport is a destination's report about its rate limit. Both values contain random noise.
 type LoadReport struct {
-	Left  float64 // fraction of the limit that is left
+	Left  float64 // fraction of the limit that is unused
 	Limit float64 // attempts per second
 }
 
@@ -19,13 +19,13 @@
 	report    LoadReport
 }
 
-// loadReports draws reports and delays them.
+// loadReports creates load reports with random noise at random intervals, and makes them visible after a random delay.
 type loadReports struct {
-	spec     *scenario.LoadReport // nil: there are no reports
+	spec     *scenario.LoadReport // nil: the destination sends no reports
 	random   *rand.Rand
 	nextDraw time.Duration
-	delayed  []delayedReport // by time
-	visible  *LoadReport     // nil: none yet
+	delayed  []delayedReport // ordered by visibleAt
+	visible  *LoadReport     // the latest visible report; nil: none yet
 }
 
 func newLoadReports(spec *scenario.LoadReport, random *rand.Rand) loadReports {
@@ -43,7 +43,7 @@
 	return r.nextDraw
 }
 
-// updateLoadReports makes reports visible whose delay is over, and draws one if that is due.
+// updateLoadReports makes those reports visible whose delay is over, and creates the next report if it is due.
 func (m *Model) updateLoadReports() {
 	r := &m.reports
 	for len(r.delayed) > 0 && r.delayed[0].visibleAt <= m.now {
@@ -55,7 +55,8 @@
 	}
 }
 
-// draw draws a report of a limit, and the time of the next one. A destination without a limit draws as well, but reports nothing.
+// draw creates a report about a limit, and draws the time of the next report. Without a limit no report is created, but the same
+// random numbers are drawn from the stream.
 func (r *loadReports) draw(now time.Duration, limit rateLimit) {
 	noise := func() float64 { return max(0, 1+r.spec.Noise*r.random.NormFloat64()) }
 	leftNoise, limitNoise := noise(), noise()
@@ -65,7 +66,7 @@
 		return
 	}
 	if n := len(r.delayed); n > 0 {
-		visibleAt = max(visibleAt, r.delayed[n-1].visibleAt) // reports do not overtake each other
+		visibleAt = max(visibleAt, r.delayed[n-1].visibleAt) // reports become visible in the order of their creation
 	}
 	r.delayed = append(r.delayed, delayedReport{visibleAt, LoadReport{
 		Left:  min(1, limit.fractionLeft(now)*leftNoise),
--- a/internal/faultinjection/destination/mmck_test.go
+++ b/internal/faultinjection/destination/mmck_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// At 0.5, 0.9 and 1.3 of its capacity a destination does what queueing theory says of its scenario.
+// Under a load of 0.5, 0.9 and 1.3 times its capacity a destination rejects the share of attempts, and completes the others in the mean
+// time, that queueing theory predicts for its scenario.
 func TestModel_IsAnMMcKQueue(t *testing.T) {
 	const concurrency, queueLength, attempts = 4, 8, 200_000
 	for _, load := range []float64{0.5, 0.9, 1.3} {
@@ -28,9 +29,9 @@
 func TestMMcK_IsErlangsLossFormulaWithoutQueue(t *testing.T) {
 	rejected, meanTime := MMcK(10, 0.1, 2, 2)
 	if math.Abs(rejected-0.2) > 1e-12 {
-		t.Errorf("%v rejected, want 0.2", rejected)
+		t.Errorf("got rejected share %v, want 0.2", rejected)
 	}
 	if math.Abs(meanTime-0.1) > 1e-12 {
-		t.Errorf("%v s, want the service time, 0.1", meanTime)
+		t.Errorf("got mean time %v s, want the service time of 0.1 s", meanTime)
 	}
 }
--- a/internal/faultinjection/destination/mode.go
+++ b/internal/faultinjection/destination/mode.go
@@ -1,16 +1,16 @@
 package destination
 
-// Mode is how an endpoint responds.
+// Mode is an endpoint's way to respond to attempts.
 type Mode int
 
-// The modes. From ModeRefusing on an endpoint is down: no attempt gets a response.
+// The modes. In ModeRefusing and the modes after it an endpoint is down: no attempt gets a response.
 const (
 	ModeServing      Mode = iota
 	ModeOverloaded        // rejects every attempt
-	ModeFailing           // responds to a share of its attempts with an error
-	ModeRefusing          // refuses connections; open ones were reset
+	ModeFailing           // responds to a share of the attempts with an error
+	ModeRefusing          // refuses new connections; the connections open when the mode began are reset
 	ModeUnresponsive      // accepts connections and never responds
-	ModeUnreachable       // like a machine that vanished: no connection is established
+	ModeUnreachable       // no connection is established, as with a machine that is gone
 )
 
 func (m Mode) isDown() bool { return m >= ModeRefusing }
--- a/internal/faultinjection/destination/model.go
+++ b/internal/faultinjection/destination/model.go
@@ -8,10 +8,10 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// never is the time of what is not due.
+// never is the due time of an event that is not scheduled.
 const never = time.Duration(math.MaxInt64)
 
-// AllEndpoints stands for all endpoints where an endpoint's number is asked for.
+// AllEndpoints can be passed in place of an endpoint's number to address all endpoints of the destination.
 const AllEndpoints = -1
 
 // Model is the model of one destination.
@@ -24,7 +24,7 @@
 	keys      keyMemory
 	overload  overloadState
 	reports   loadReports
-	actions   []Action // since the last call
+	actions   []Action // produced since takeActions was last called
 }
 
 // New returns the model of a scenario's destination, all of whose endpoints are healthy and warm.
@@ -43,7 +43,7 @@
 	return m
 }
 
-// AddEndpoint adds an endpoint, and returns its number. Its pauses are drawn from the stream given.
+// AddEndpoint adds an endpoint, and returns its number. The endpoint's pauses are drawn from the given random stream.
 func (m *Model) AddEndpoint(now time.Duration, pauses *rand.Rand) (number int, actions []Action) {
 	m.advance(now)
 	return m.addEndpoint(pauses), m.takeActions()
@@ -67,7 +67,7 @@
 // Disconnect counts the end of a connection.
 func (m *Model) Disconnect(endpoint int) { m.endpoints[endpoint].connections-- }
 
-// Capacity returns the attempts per second that the destination can execute at present.
+// Capacity returns how many attempts per second the destination can execute at present.
 func (m *Model) Capacity() float64 {
 	speed := 0.0
 	for _, e := range m.endpoints {
@@ -78,7 +78,7 @@
 	return speed * float64(m.spec.Concurrency) / m.scenario.MeanServiceTime(m.spec)
 }
 
-// Cold reports whether all endpoints are back from an outage, and none of them is warm yet.
+// Cold reports whether every endpoint that accepts attempts has recovered from an outage and is still in slow start.
 func (m *Model) Cold() bool {
 	found := false
 	for _, e := range m.endpoints {
@@ -101,7 +101,8 @@
 	m.addAction(Action{Completion: &c})
 }
 
-// takeActions returns the actions since the last call, with the completions of attempts that took no time.
+// takeActions returns the actions produced since its last call. It first completes the attempts that are due now, such as those with
+// a service time of 0.
 func (m *Model) takeActions() []Action {
 	m.advance(m.now)
 	actions := m.actions
--- a/internal/faultinjection/destination/model_test.go
+++ b/internal/faultinjection/destination/model_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// newScenario returns a scenario with one class, of mean service time 100 ms, and one destination with the lines given.
+// newScenario returns a scenario with one class, whose mean service time is 100 ms, and one destination with the given TOML lines.
 func newScenario(tb rapid.TB, destinationLines string) *scenario.Scenario {
 	tb.Helper()
 	s, err := scenario.Parse("t", []byte(`version=1
@@ -44,13 +44,13 @@
 	return New(newScenario(tb, destinationLines), 0, scenario.NewRandomStreams(1))
 }
 
-// loadResult is what became of the attempts of runLoad.
+// loadResult summarizes the completions of the attempts that runLoad sent.
 type loadResult struct {
 	delivered, rejected int
-	meanTime            float64 // seconds, of those delivered
+	meanTime            float64 // of the delivered attempts, in seconds
 }
 
-// runLoad sends attempts to the first endpoint of a model as a Poisson process with a rate per second, and waits for all of them.
+// runLoad sends attempts to the first endpoint of a model as a Poisson process with a rate per second, and waits for their completions.
 func runLoad(m *Model, rate float64, attempts int) loadResult {
 	random := rand.New(rand.NewPCG(7, 7))
 	arrivedAt := map[*Attempt]time.Duration{}
@@ -65,7 +65,7 @@
 				totalTime += (completion.At - arrivedAt[completion.Attempt]).Seconds()
 			case OutcomeUnavailable:
 				result.rejected++
-			default: // the caller sees it in the sum
+			default: // the caller notices other outcomes, because delivered and rejected do not add up to the attempts
 			}
 			delete(arrivedAt, completion.Attempt)
 		}
@@ -82,26 +82,26 @@
 	return result
 }
 
-// However often the speed changes, an attempt takes the work that it brought.
+// An endpoint does exactly the work of an attempt, also when its speed changes several times while it executes the attempt.
 func TestModel_KeepsWorkWhenSpeedChanges(t *testing.T) {
 	m := newModel(t, "slots=1\ncold_share=0.2\nwarm_s=10\n")
-	m.Recover(0, AllEndpoints, true) // cold: 0.2 + 0.08 t
+	m.Recover(0, AllEndpoints, true) // capacity in slow start: 0.2 + 0.08 t
 	m.Arrive(0, 0, &Attempt{ServiceTime: 2 * time.Second, Draw: 1})
-	m.SetSlowdown(time.Second, AllEndpoints, 2)      // done: 0.24
+	m.SetSlowdown(time.Second, AllEndpoints, 2)      // work done in the first second: 0.24
 	m.SetStopped(2*time.Second, AllEndpoints, true)  // + (0.28+0.36)/2/2 = 0.16
 	m.SetStopped(5*time.Second, AllEndpoints, false) // + 0
-	m.SetSlowdown(5*time.Second, AllEndpoints, 1)    // from here 0.6 + 0.08 t, 1.6 to do: t = 2.337 s
-	actions := m.Advance(7 * time.Second)            // too early
+	m.SetSlowdown(5*time.Second, AllEndpoints, 1)    // capacity from here 0.6 + 0.08 t, remaining work 1.6: t = 2.337 s
+	actions := m.Advance(7 * time.Second)            // before the attempt is due
 	actions = append(actions, m.Advance(8*time.Second)...)
 	if len(actions) != 1 || math.Abs(actions[0].Completion.At.Seconds()-7.31) > 0.03 {
-		t.Errorf("actions %+v", actions)
+		t.Errorf("got actions %+v, want one completion at 7.31 s", actions)
 		for _, action := range actions {
 			t.Error(action.Completion.At)
 		}
 	}
 }
 
-// A key is remembered from the first attempt on that may have its effect, and a duplicate within its time has none.
+// The key of an admitted attempt is remembered for the key TTL. A duplicate within the TTL has no effect, and an attempt after it has.
 func TestModel_RemembersKeys(t *testing.T) {
 	m := newModel(t, "slots=5\n")
 	executions := func(at time.Duration) (n int) {
@@ -114,16 +114,17 @@
 		return n
 	}
 	if first, duplicate, expired := executions(0), executions(14*time.Second), executions(17*time.Second); first != 1 || duplicate != 0 || expired != 1 {
-		t.Errorf("executed %d, %d, %d times; want once, not, once", first, duplicate, expired)
+		t.Errorf("first, duplicate and expired attempt executed %d, %d, %d times; want 1, 0, 1", first, duplicate, expired)
 	}
 	m.ExpireKeys(time.Hour)
 	if len(m.keys) != 0 {
-		t.Error("keys are never deleted")
+		t.Error("ExpireKeys did not delete an expired key")
 	}
 }
 
-// Whatever happens, each attempt completes at most once and never before it is due, the bounds of concurrency and queue hold, and
-// time does not stand still.
+// Under random faults and cancellations each attempt completes at most once and never before it is due, the concurrency and the queue
+// length stay within their bounds, and after an advance the next event is always in the future, so that a caller which waits for it
+// makes progress.
 func TestModel_CompletesEachAttemptOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SampledFrom([]string{
@@ -137,17 +138,17 @@
 			r.check(t, r.model.Advance(r.now))
 			for _, e := range r.model.endpoints {
 				if len(e.executing) > 2 || len(e.queue) > 2 {
-					t.Fatalf("%d execute and %d wait", len(e.executing), len(e.queue))
+					t.Fatalf("%d attempts executing and %d queued, want at most 2 of each", len(e.executing), len(e.queue))
 				}
 			}
 			if next := r.model.NextDue(); next <= r.now {
-				t.Fatalf("something is due at %v, and it is %v", next, r.now)
+				t.Fatalf("next event due at %v, which is not after the present, %v", next, r.now)
 			}
 		}
 	})
 }
 
-// randomRun is a run of random calls of a model.
+// randomRun makes random calls on a model.
 type randomRun struct {
 	model     *Model
 	now       time.Duration
@@ -155,7 +156,7 @@
 	completed map[*Attempt]bool
 }
 
-// step makes a random call.
+// step makes one random call.
 func (r *randomRun) step(t *rapid.T) {
 	endpoint := rapid.IntRange(0, 1).Draw(t, "endpoint")
 	switch rapid.IntRange(0, 8).Draw(t, "call") {
@@ -192,7 +193,7 @@
 			t.Fatal("an attempt completed twice")
 		}
 		if completion.At > r.now {
-			t.Fatalf("completed at %v, before it is due at %v", r.now, completion.At)
+			t.Fatalf("attempt completed at %v, before it is due at %v", r.now, completion.At)
 		}
 		r.completed[completion.Attempt] = true
 	}
--- a/internal/faultinjection/destination/outage.go
+++ b/internal/faultinjection/destination/outage.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// changeEndpoints changes one endpoint or all, apart from removed ones.
+// changeEndpoints applies a change to one endpoint or to all. It leaves out removed endpoints.
 func (m *Model) changeEndpoints(now time.Duration, number int, change func(e *endpoint)) []Action {
 	m.advance(now)
 	for i, e := range m.endpoints {
@@ -14,11 +14,11 @@
 	return m.takeActions()
 }
 
-// Fail puts an endpoint, or all, into a mode; share is the share of attempts that fail in ModeFailing. An endpoint that is down
-// loses its attempts.
+// Fail puts one endpoint or all into a mode; share is the share of attempts that fail in ModeFailing. If endpoints in the mode are
+// down, the attempts that the endpoint is executing or has queued are lost.
 func (m *Model) Fail(now time.Duration, number int, mode Mode, share float64) []Action {
 	if number == AllEndpoints {
-		m.overload.downUntil = 0 // this outage replaces one by overload
+		m.overload.downUntil = 0 // the new outage replaces an outage by overload
 	}
 	return m.changeEndpoints(now, number, func(e *endpoint) {
 		e.mode, e.errorShare = mode, share
@@ -28,8 +28,8 @@
 	})
 }
 
-// Recover ends the outage of an endpoint, or of all. A cold endpoint begins its slow start. It has no effect on a destination that is
-// down by overload.
+// Recover ends the outage of one endpoint or of all. If cold is set, the endpoints begin their slow start. Recover has no effect on a
+// destination that is down by overload.
 func (m *Model) Recover(now time.Duration, number int, cold bool) []Action {
 	return m.changeEndpoints(now, number, func(e *endpoint) {
 		if m.overload.downUntil > now {
@@ -41,22 +41,22 @@
 	})
 }
 
-// SetSlowdown divides the speed of an endpoint, or of all.
+// SetSlowdown divides the speed of one endpoint or of all by a factor.
 func (m *Model) SetSlowdown(now time.Duration, number int, factor float64) []Action {
 	return m.changeEndpoints(now, number, func(e *endpoint) { e.slowdown = factor })
 }
 
-// SetResetShare sets the share of attempts that end by a reset connection after the request body.
+// SetResetShare sets the share of attempts whose connection is reset after the request body, for one endpoint or for all.
 func (m *Model) SetResetShare(now time.Duration, number int, share float64) []Action {
 	return m.changeEndpoints(now, number, func(e *endpoint) { e.resetShare = share })
 }
 
-// SetStopped stops the execution of attempts at an endpoint, or at all, or lets it go on.
+// SetStopped stops or resumes the execution of attempts at one endpoint or at all.
 func (m *Model) SetStopped(now time.Duration, number int, stopped bool) []Action {
 	return m.changeEndpoints(now, number, func(e *endpoint) { e.stopped = stopped })
 }
 
-// DrainEndpoint has an endpoint complete its attempts and reject new ones.
+// DrainEndpoint drains an endpoint: it completes the attempts that it has, and rejects new ones.
 func (m *Model) DrainEndpoint(now time.Duration, number int) []Action {
 	return m.changeEndpoints(now, number, func(e *endpoint) { e.draining = true })
 }
--- a/internal/faultinjection/destination/overload.go
+++ b/internal/faultinjection/destination/overload.go
@@ -6,15 +6,15 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// OverloadSlack is the number of attempts beyond the rule's budget that a cold destination bears: the rule allows "a little slack
-// for chance".
+// OverloadSlack is how many attempts more than OverloadFactor times its capacity in an OverloadWindow a cold destination tolerates
+// before it goes down, because the overload rule allows "a little slack for chance".
 const OverloadSlack = 3
 
-// overloadState is what a cold destination was sent, and whether that was too much.
+// overloadState records the attempts that arrived at a cold destination, and whether they overloaded it.
 type overloadState struct {
-	arrivals  []time.Duration // within the rule's window, while the destination is cold
+	arrivals  []time.Duration // times of arrival within the last OverloadWindow, while the destination is cold
 	downUntil time.Duration   // 0: not down by overload
-	count     int
+	count     int             // how often the destination went down by overload
 }
 
 func (o *overloadState) nextDue() time.Duration {
@@ -24,14 +24,14 @@
 	return never
 }
 
-// endsBy reports whether an outage by overload has ended at a time.
+// endsBy reports whether the destination is down by overload and that outage is over at the given time.
 func (o *overloadState) endsBy(now time.Duration) bool { return o.downUntil > 0 && o.downUntil <= now }
 
 // Overloads returns how often the destination went down by overload.
 func (m *Model) Overloads() int { return m.overload.count }
 
-// recordArrival counts an attempt against the budget of a cold destination. One that is sent more than the rule's multiple of its
-// capacity over the rule's window goes down.
+// recordArrival counts an attempt that arrives at a cold destination. The destination goes down if more attempts arrive within the
+// OverloadWindow than its present capacity times OverloadFactor allows, plus OverloadSlack.
 func (m *Model) recordArrival() {
 	if !m.Cold() {
 		m.overload.arrivals = nil
@@ -61,7 +61,7 @@
 	}
 }
 
-// recoverFromOverload ends an endpoint's outage by overload. It is cold again.
+// recoverFromOverload ends an endpoint's outage by overload. The endpoint begins a new slow start.
 func (m *Model) recoverFromOverload(number int) {
 	if e := m.endpoints[number]; !e.removed && e.mode == ModeRefusing {
 		e.cold, e.warmFrom = true, m.now
--- a/internal/faultinjection/destination/rate_limit.go
+++ b/internal/faultinjection/destination/rate_limit.go
@@ -6,24 +6,24 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// minRefillRate bounds the wait for a token while a limit is lowered to nothing, in tokens per second.
+// minRefillRate, in tokens per second, bounds the calculated wait for a token while a limit is lowered to 0.
 const minRefillRate = 1e-3
 
 // rateLimit limits the attempts that a destination admits.
 type rateLimit interface {
-	// take takes an attempt from the limit. If none is left it returns the wait until one is.
+	// take counts an attempt against the limit. If the limit is used up, it returns the wait until the next attempt can be admitted.
 	take(now time.Duration) (ok bool, wait time.Duration)
-	// giveBack undoes a take that admitted an attempt, unless rejected attempts count too.
-	giveBack()
-	// fractionLeft returns the fraction of the limit that is left.
+	// refund undoes a take whose attempt was then rejected for another reason. It has no effect if rejected attempts count as well.
+	refund()
+	// fractionLeft returns the fraction of the limit that is unused.
 	fractionLeft(now time.Duration) float64
-	// scale sets the fraction of the configured limit that holds from now on.
+	// scale sets the fraction of the configured limit that applies from now on.
 	scale(now time.Duration, fraction float64)
-	// perSecond returns the attempts per second that are admitted at present.
+	// perSecond returns how many attempts per second the limit allows at present.
 	perSecond() float64
 }
 
-// newRateLimit returns the limit of a destination, or nil.
+// newRateLimit returns the limit of a destination, or nil if it has none.
 func newRateLimit(spec *scenario.Destination) rateLimit {
 	limit := spec.Limit
 	switch {
@@ -36,11 +36,12 @@
 	}
 }
 
-// tokenBucket is a limit on the rate. Where rejected attempts count, its tokens fall below 0.
+// tokenBucket limits the rate of attempts. If rejected attempts count as well, each takes a token, so that the number of tokens can fall
+// below 0.
 type tokenBucket struct {
 	limit          *scenario.Limit
 	countsRejected bool
-	fraction       float64 // of the limit that holds
+	fraction       float64 // of the configured limit, as set by scale
 	tokens         float64
 	filledAt       time.Duration
 }
@@ -62,7 +63,7 @@
 	return false, scenario.Seconds((1 - b.tokens) / max(b.limit.Rate*b.fraction, minRefillRate))
 }
 
-func (b *tokenBucket) giveBack() {
+func (b *tokenBucket) refund() {
 	if !b.countsRejected {
 		b.tokens++
 	}
@@ -80,13 +81,13 @@
 
 func (b *tokenBucket) perSecond() float64 { return b.limit.PerSecond() * b.fraction }
 
-// windowCounter is a limit on the count in each window of time. Windows follow each other from time 0 on.
+// windowCounter limits the number of attempts in each of the successive time windows, which begin at time 0.
 type windowCounter struct {
 	limit          *scenario.Limit
 	countsRejected bool
-	fraction       float64 // of the limit that holds
+	fraction       float64 // of the configured limit, as set by scale
 	window         int64   // the number of the current window
-	count          int     // in the current window
+	count          int     // attempts counted in the current window
 }
 
 func (c *windowCounter) enterWindow(now time.Duration) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// maxCount returns the count that a window admits at present.
+// maxCount returns how many attempts a window admits at present.
 func (c *windowCounter) maxCount() int { return int(float64(c.limit.Count) * c.fraction) }
 
 func (c *windowCounter) take(now time.Duration) (ok bool, wait time.Duration) {
@@ -107,7 +108,7 @@
 	return false, scenario.Seconds(c.limit.Window*float64(c.window+1)) - now
 }
 
-func (c *windowCounter) giveBack() {
+func (c *windowCounter) refund() {
 	if !c.countsRejected {
 		c.count--
 	}
@@ -125,7 +126,7 @@
 
 func (c *windowCounter) perSecond() float64 { return c.limit.PerSecond() * c.fraction }
 
-// LowerLimit lowers the destination's limit to a fraction of the configured one from now on; 1 restores it.
+// LowerLimit lowers the destination's limit to a fraction of the configured limit from now on. A fraction of 1 restores the limit.
 func (m *Model) LowerLimit(now time.Duration, fraction float64) []Action {
 	m.advance(now)
 	if m.limit != nil {
@@ -141,8 +142,8 @@
 	return m.limit.take(m.now)
 }
 
-func (m *Model) returnToLimit() {
+func (m *Model) refundLimit() {
 	if m.limit != nil {
-		m.limit.giveBack()
+		m.limit.refund()
 	}
 }
--- a/internal/faultinjection/destination/rate_limit_test.go
+++ b/internal/faultinjection/destination/rate_limit_test.go
@@ -17,9 +17,9 @@
 		{"slots=50\nlimit={count=20,span_s=1}\n", 60, 20},
 		{"slots=50\nlimit={count=20,span_s=2}\n", 60, 10},
 		{"slots=50\nlimit={rate=20,burst=5}\n", 60, 20},
-		// Each rejection costs what an attempt would: a bucket that is sent three times its rate stays empty.
+		// A rejected attempt takes a token as well, so that a bucket that gets attempts at three times its rate stays empty.
 		{"slots=50\nlimit={rate=20,burst=5}\nrefused_counted=true\n", 60, 0},
-		// Half of what the limit admits meets a full queue, and uses the limit up all the same.
+		// Three quarters of the attempts that the limit admits find all slots taken, are rejected, and count against the limit as well.
 		{"slots=1\nqueue=0\nlimit={count=20,span_s=1}\nrefused_counted=true\n", 40, 5},
 	} {
 		t.Run(test.lines, func(t *testing.T) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// An attempt after the wait of a Retry-After is admitted, and one just before its end is not.
+// An attempt is admitted after exactly the wait of a Retry-After, and is rejected 2 ms before.
 func TestModel_RetryAfterIsExact(t *testing.T) {
 	for _, lines := range []string{"slots=9\nlimit={count=2,span_s=1}\n", "slots=9\nlimit={rate=2,burst=2}\n", "slots=2\nqueue=0\n"} {
 		for _, early := range []time.Duration{0, 2 * time.Millisecond} {
@@ -49,21 +49,21 @@
 					}
 				}
 				if wait <= 0 {
-					t.Fatal("no Retry-After")
+					t.Fatal("no attempt was rejected with a Retry-After")
 				}
 				rejected := false
 				for _, action := range m.Arrive(at+wait-early, 0, &Attempt{Draw: 1}) {
 					rejected = rejected || action.Completion.Outcome == OutcomeRetryAfter
 				}
 				if rejected != (early > 0) {
-					t.Errorf("%v before the wait's end: rejected %v", early, rejected)
+					t.Errorf("%v before the end of the wait: got rejected %v", early, rejected)
 				}
 			})
 		}
 	}
 }
 
-// A destination that lowers its limit admits that fraction of it, and all of it again later.
+// A destination whose limit is lowered admits that fraction of the configured limit, and all of it after the limit is restored.
 func TestModel_LowerLimitScalesWhatIsAdmitted(t *testing.T) {
 	for _, limit := range []string{"limit = { count = 20, span_s = 1 }", "limit = { rate = 20, burst = 5 }"} {
 		t.Run(limit, func(t *testing.T) {
@@ -72,7 +72,7 @@
 				from := time.Duration(i) * 10 * time.Second
 				m.LowerLimit(from, fraction)
 				admitted := countAdmitted(m, from)
-				if want := 200 * fraction; math.Abs(float64(admitted)-want) > 6 { // a burst, and what is cut off of a window
+				if want := 200 * fraction; math.Abs(float64(admitted)-want) > 6 { // tolerance for a burst, and for a window that the measured time covers in part
 					t.Errorf("lowered to %v: %d admitted in 10 s, want %v", fraction, admitted, want)
 				}
 			}
--- a/internal/faultinjection/destination/slow_start.go
+++ b/internal/faultinjection/destination/slow_start.go
@@ -7,15 +7,15 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// slowStartTime returns the time in which a cold endpoint becomes warm.
+// slowStartTime returns how long a cold endpoint takes to become warm.
 func (e *endpoint) slowStartTime() time.Duration { return scenario.Seconds(e.spec.SlowStartTime) }
 
-// isWarm reports whether the endpoint has its full capacity at a time.
+// isWarm reports whether the endpoint has its full capacity at the given time.
 func (e *endpoint) isWarm(at time.Duration) bool {
 	return !e.cold || at >= e.warmFrom+e.slowStartTime()
 }
 
-// capacityFraction returns the fraction of its capacity that the endpoint has at a time.
+// capacityFraction returns the fraction of its full capacity that the endpoint has at the given time.
 func (e *endpoint) capacityFraction(at time.Duration) float64 {
 	if e.isWarm(at) {
 		return 1
@@ -23,12 +23,14 @@
 	return e.rampCapacity(float64(at-e.warmFrom), float64(e.slowStartTime()))
 }
 
-// rampCapacity returns the fraction of the capacity after a part of the slow start. It rises linearly from the cold capacity to 1.
+// rampCapacity returns the fraction of the full capacity at a time after the begin of slow start. The fraction rises linearly from the
+// cold capacity to 1.
 func (e *endpoint) rampCapacity(elapsed, slowStartTime float64) float64 {
 	return e.spec.ColdCapacity + (1-e.spec.ColdCapacity)*elapsed/slowStartTime
 }
 
-// workBetween returns the work, in seconds at full speed, that the endpoint does between two times without a slowdown.
+// workBetween returns the work, in seconds at full speed, that the endpoint does for each executing attempt between two times. It
+// does not take a slowdown into account.
 func (e *endpoint) workBetween(from, to time.Duration) float64 {
 	if e.isWarm(from) {
 		return (to - from).Seconds()
@@ -41,7 +43,7 @@
 	return onRamp + (to - rampEnd).Seconds()
 }
 
-// finishTime returns when work that begins at a time is finished.
+// finishTime returns when an amount of work is finished that begins at a given time.
 //
 // During slow start, with
 //
@@ -52,8 +54,8 @@
 //	w  the work, in seconds at full speed
 //	t  the time since the work began
 //
-// the capacity is v + a·t, so that v·t + a·t²/2 is done after t. All of w is done at t = (√(v² + 2·a·w) - v) / a. What is left when
-// slow start ends goes at full speed.
+// the capacity is v + a·t, so that after t the work done is v·t + a·t²/2. All of w is done at t = (√(v² + 2·a·w) - v) / a. Work that
+// remains when slow start ends is done at full speed.
 func (e *endpoint) finishTime(begin time.Duration, w float64) time.Duration {
 	if e.isWarm(begin) {
 		return begin + scenario.Seconds(w)
