--- a/internal/faultinjection/destination/slow_start.go
+++ b/internal/faultinjection/destination/slow_start.go
@@ -23,7 +23,7 @@
 	return e.rampCapacity(float64(at-e.warmFrom), float64(e.slowStartTime()))
 }
 
-// rampCapacity returns the fraction of the full capacity at a time after the begin of slow start. The fraction rises linearly from the
+// rampCapacity returns the fraction of the full capacity at a time after the start of slow start. The fraction rises linearly from the
 // cold capacity to 1.
 func (e *endpoint) rampCapacity(elapsed, slowStartTime float64) float64 {
 	return e.spec.ColdCapacity + (1-e.spec.ColdCapacity)*elapsed/slowStartTime
--- a/internal/faultinjection/faults/executions_check.go
+++ b/internal/faultinjection/faults/executions_check.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Check names what a run is checked for.
+// Check is the name of a check of a run.
 type Check string
 
 // The checks.
 const (
 	CheckOverlap  Check = "overlap"  // accepted executions under two tokens never overlap
 	CheckToken    Check = "token"    // the tokens of accepted executions never decrease, and a token belongs to one relay
-	CheckUnpaused Check = "unpaused" // executions never overlap at all, accepted or not, where neither relay was paused
-	CheckIdle     Check = "idle"     // some relay acts at the end of a run
-	CheckProcess  Check = "process"  // no process exits by itself
+	CheckUnpaused Check = "unpaused" // executions under two tokens, accepted or not, overlap only if one of the two relays was paused
+	CheckIdle     Check = "idle"     // some relay sends requests to the resource at the end of a run
+	CheckProcess  Check = "process"  // no process exits unexpectedly, and all can be started and killed
 )
 
 // Violation is a check that failed.
@@ -24,17 +24,17 @@
 	Detail string `json:"what"`
 }
 
-// Pause is a time in which a relay was suspended.
+// Pause is a period in which a relay was suspended.
 type Pause struct {
 	Relay    string
 	From, To time.Duration
 }
 
-// pauseLag is how long before an execution a pause may have ended that counts for it: a signal takes a while to reach all of a
-// process.
+// pauseLag is the longest time from the end of a pause to the start of an execution for which the relay still counts as paused in the
+// execution, because SIGCONT does not resume all threads of a process at once.
 const pauseLag = 100 * time.Millisecond
 
-// CheckExecutions checks what a resource recorded: overlap, token and unpaused.
+// CheckExecutions applies CheckOverlap, CheckToken and CheckUnpaused to the executions that a resource recorded.
 func CheckExecutions(executions []Execution, pauses []Pause) []Violation {
 	executions = slices.Clone(executions)
 	slices.SortStableFunc(executions, func(a, b Execution) int { return int(a.Begin - b.Begin) })
@@ -45,12 +45,12 @@
 	return c.violations
 }
 
-// executionChecker checks executions one by one, by their begin.
+// executionChecker checks executions one by one, in the order of their start.
 type executionChecker struct {
 	pauses          []Pause
 	ownerOf         map[uint64]string // the relay that used a token last
-	open            []Execution       // those that had not ended when the last one began
-	highestAccepted uint64            // token of the last accepted one
+	open            []Execution       // executions that had not ended when the last one began
+	highestAccepted uint64            // token of the last accepted execution
 	violations      []Violation
 }
 
@@ -67,25 +67,25 @@
 	c.checkOrder(e)
 }
 
-// checkOwner checks that a token belongs to one relay.
+// checkOwner checks that only one relay uses a token.
 func (c *executionChecker) checkOwner(e Execution) {
 	if owner, ok := c.ownerOf[e.Token]; ok && owner != e.Relay {
-		c.report(CheckToken, "token %d: of %s, and of %s from %v on", e.Token, owner, e.Relay, e.Begin)
+		c.report(CheckToken, "token %d: used by %s, and by %s from %v on", e.Token, owner, e.Relay, e.Begin)
 	}
 	c.ownerOf[e.Token] = e.Relay
 }
 
-// checkOverlap checks that of two executions at one time, under two tokens, not both were accepted.
+// checkOverlap checks that two overlapping executions under two tokens were not both accepted.
 func (c *executionChecker) checkOverlap(earlier, later Execution) {
 	if earlier.Accepted && later.Accepted {
-		c.report(CheckOverlap, "%v, and %v, both accepted", earlier, later)
+		c.report(CheckOverlap, "overlapping executions were both accepted: %v, and %v", earlier, later)
 	}
 }
 
-// checkUnpaused checks that of two executions at one time, under two tokens, one was of a relay that was paused.
+// checkUnpaused checks that, of two overlapping executions under two tokens, at least one was by a paused relay.
 func (c *executionChecker) checkUnpaused(earlier, later Execution) {
 	if !c.wasPaused(earlier) && !c.wasPaused(later) {
-		c.report(CheckUnpaused, "%v, and %v, and neither stood still", earlier, later)
+		c.report(CheckUnpaused, "executions overlap, and neither relay was paused: %v, and %v", earlier, later)
 	}
 }
 
@@ -95,12 +95,12 @@
 		return
 	}
 	if e.Token < c.highestAccepted {
-		c.report(CheckToken, "%s under %d at %v, accepted after %d", e.Relay, e.Token, e.Begin, c.highestAccepted)
+		c.report(CheckToken, "%s under token %d at %v was accepted after token %d", e.Relay, e.Token, e.Begin, c.highestAccepted)
 	}
 	c.highestAccepted = e.Token
 }
 
-// wasPaused reports whether an execution's relay was paused in it, or right before.
+// wasPaused reports whether an execution's relay was paused during the execution, or up to pauseLag before it.
 func (c *executionChecker) wasPaused(e Execution) bool {
 	return slices.ContainsFunc(c.pauses, func(p Pause) bool {
 		return p.Relay == e.Relay && p.From < e.End && p.To > e.Begin-pauseLag
@@ -111,7 +111,7 @@
 	c.violations = append(c.violations, Violation{check, fmt.Sprintf(format, args...)})
 }
 
-// String describes an execution in a violation.
+// String describes the execution for the text of a violation.
 func (e Execution) String() string {
-	return fmt.Sprintf("%s under %d from %v to %v", e.Relay, e.Token, e.Begin, e.End)
+	return fmt.Sprintf("%s under token %d from %v to %v", e.Relay, e.Token, e.Begin, e.End)
 }
--- a/internal/faultinjection/faults/executions_check_test.go
+++ b/internal/faultinjection/faults/executions_check_test.go
@@ -16,35 +16,35 @@
 		pauses     []Pause
 		want       []Check
 	}{
-		"one after the other": {
+		"no overlap": {
 			[]Execution{execution("a", 1, 0, 10, true), execution("b", 2, 10, 20, true)},
 			nil, nil,
 		},
-		"two at once": {
+		"two overlap": {
 			[]Execution{execution("a", 1, 0, 15, true), execution("b", 2, 10, 20, true)},
 			nil,
 			[]Check{CheckOverlap, CheckUnpaused},
 		},
-		"an old one rejected at its end": {
+		"older token rejected at the end": {
 			[]Execution{execution("a", 1, 150, 250, false), execution("b", 2, 200, 260, true)},
 			paused, nil,
 		},
-		"the same without a pause": {
+		"older token rejected at the end, without a pause": {
 			[]Execution{execution("a", 1, 150, 250, false), execution("b", 2, 200, 260, true)},
 			nil,
 			[]Check{CheckUnpaused},
 		},
-		"an old one accepted afterwards": {
+		"older token accepted after a newer one": {
 			[]Execution{execution("b", 2, 0, 10, true), execution("a", 1, 20, 30, true)},
 			nil,
 			[]Check{CheckToken},
 		},
-		"one token of two relays": {
+		"one token used by two relays": {
 			[]Execution{execution("b", 2, 0, 10, true), execution("a", 2, 20, 30, true)},
 			nil,
 			[]Check{CheckToken},
 		},
-		"a long one during several": {
+		"long execution overlaps several": {
 			[]Execution{execution("a", 1, 0, 100, true), execution("b", 2, 150, 160, true), execution("c", 3, 155, 158, true)},
 			nil,
 			[]Check{CheckOverlap, CheckUnpaused},
@@ -57,7 +57,7 @@
 				got = append(got, v.Check)
 			}
 			if !slices.Equal(got, tt.want) {
-				t.Errorf("%v, want %v", got, tt.want)
+				t.Errorf("got violations of %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/faultinjection/faults/harness.go
+++ b/internal/faultinjection/faults/harness.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// minExecutionShare and maxExecutionShare bound how long an execution takes, as a part of a lease: TTL/100 to TTL/10. The
-	// relays' timeout is longer.
+	// An execution takes between TTL/minExecutionShare and TTL/maxExecutionShare, where TTL is the lease's time to live. The relays'
+	// timeout for a request, TTL/5, is longer.
 	minExecutionShare = 100
 	maxExecutionShare = 10
 )
 
-// harness is the members and relays of a run, with proxies between them.
+// harness holds the members and relays of a run, and the proxies between them.
 type harness struct {
 	options  Options
 	cluster  string
@@ -34,14 +34,15 @@
 	recorder recorder
 }
 
-// runCount counts the runs of this program.
+// runCount counts the runs of this process.
 var runCount atomic.Int64
 
-// newHarness prepares all folders and proxies, and starts no process that lasts. It has to be closed.
+// newHarness prepares all folders and starts all proxies. The only processes that it runs are the members' init commands, which have
+// ended when it returns. The harness has to be closed.
 func newHarness(o Options) (*harness, error) {
 	h := &harness{
 		options: o,
-		// A name of its own: what crosses from one run to another is rejected.
+		// The name is unique to the run, so that members reject requests that come from another run.
 		cluster:  fmt.Sprintf("rehearsed-%d-%d", os.Getpid(), runCount.Add(1)),
 		start:    time.Now(),
 		launcher: NewLauncher(),
@@ -76,10 +77,10 @@
 	return nil
 }
 
-// now returns the time since the harness was made: the one clock of a run.
+// now returns the time since the harness was created. All times in a run's records are on this clock.
 func (h *harness) now() time.Duration { return time.Since(h.start) }
 
-// link puts a proxy before an address.
+// link starts a proxy in front of an address.
 func (h *harness) link(address string) (*Proxy, error) {
 	p, err := NewProxy(h.loopback, address)
 	if err != nil {
@@ -89,23 +90,23 @@
 	return p, nil
 }
 
-// newProcess returns a process whose exit is a violation, unless it was caused on purpose.
+// newProcess returns a process whose exit is recorded as a violation unless the harness caused it.
 func (h *harness) newProcess(name, logFile string, command ...string) *Process {
 	p := NewProcess(name, logFile, h.launcher, command...)
 	p.onExit = func(incarnation int, expected bool, err error) {
 		if !expected {
-			h.recorder.recordProcessViolation("%s ended by itself in its life %d: %v", name, incarnation, err)
+			h.recorder.recordProcessViolation("%s exited unexpectedly in incarnation %d: %v", name, incarnation, err)
 		}
 	}
 	return p
 }
 
-// close ends all processes, proxies and listeners.
+// close ends all processes, and closes all proxies and listeners.
 func (h *harness) close() {
 	h.recorder.close()
 	var work sync.WaitGroup
 	for _, p := range h.processes() {
-		work.Go(func() { _ = p.Kill() }) // the launcher's end kills what is left
+		work.Go(func() { _ = p.Kill() }) // closing the launcher kills remaining processes
 	}
 	work.Wait()
 	h.launcher.Close()
@@ -119,7 +120,7 @@
 		return
 	}
 	if err := h.loopback.Close(); err != nil {
-		slog.Error("a loopback network stays reserved", logkey.Err, err)
+		slog.Error("release of a loopback network failed; it stays reserved until this process exits", logkey.Err, err)
 	}
 }
 
--- a/internal/faultinjection/faults/inject.go
+++ b/internal/faultinjection/faults/inject.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// statusTimeout is how long a member may take to say whether it leads.
+	// statusTimeout bounds the request for a member's status, which tells whether the member is the leader.
 	statusTimeout = 200 * time.Millisecond
-	// slowLinkDelay delays what goes over a slow link.
+	// slowLinkDelay is the delay of traffic over a slow link.
 	slowLinkDelay = 100 * time.Millisecond
-	// executionPollInterval is between two looks for an execution's request on its way.
+	// executionPollInterval is the interval of checks whether a link holds a request to the resource.
 	executionPollInterval = time.Millisecond
 )
 
-// target is whom a fault concerns: a kind concerns the one or the other.
+// target holds the processes to which a fault can be applied. Most kinds of faults use only one of them.
 type target struct {
 	member *member
 	relay  *relay
 }
 
-// inject applies one fault until it is over.
+// inject applies one fault, and returns when the fault is over.
 func (h *harness) inject(ctx context.Context, f Fault) {
 	h.recorder.countFault(f.Kind)
 	i := slices.IndexFunc(kinds, func(k kindSpec) bool { return k.name == f.Kind })
@@ -45,7 +45,7 @@
 	kinds[i].inject(h, ctx, t, f)
 }
 
-// findLeader returns the member that says that it leads, else the first.
+// findLeader returns the first member whose status says that it is the leader. If there is none, it returns the first member.
 func (h *harness) findLeader(ctx context.Context) *member {
 	for _, m := range h.members {
 		statusCtx, cancel := context.WithTimeout(ctx, statusTimeout)
@@ -58,7 +58,8 @@
 	return h.members[0]
 }
 
-// findHolder returns the relay whose execution began last, else the first.
+// findHolder returns the relay whose execution began last, which is taken for the lease holder. Before any execution it returns the
+// first relay.
 func (h *harness) findHolder() *relay {
 	last := h.resource.LastRelay()
 	for _, r := range h.relays {
@@ -90,7 +91,7 @@
 	work.Wait()
 }
 
-// restart kills a process and starts it again after a while.
+// restart kills a process, and starts it again after its downtime.
 func (h *harness) restart(ctx context.Context, p *Process, downtime time.Duration) {
 	if err := p.Kill(); err != nil {
 		h.recorder.recordProcessViolation("%v", err)
@@ -112,7 +113,7 @@
 	h.suspendRelay(ctx, t.relay, f.Duration)
 }
 
-// suspendRelay suspends a relay for a while, and records the pause.
+// suspendRelay suspends a relay for the time d, and records the pause.
 func (h *harness) suspendRelay(ctx context.Context, r *relay, d time.Duration) {
 	from := h.now()
 	resume := r.Suspend()
@@ -121,19 +122,19 @@
 	h.recorder.recordPause(Pause{r.Name, from, h.now()})
 }
 
-// pauseRelayInExecution suspends a relay while a request to the resource is on its way. The request arrives when the lease
-// has long passed to another relay.
+// pauseRelayInExecution suspends a relay while a proxy holds one of its requests to the resource. The proxy forwards the request 1.5
+// TTLs later, when the relay's lease has expired and another relay holds the lease.
 func (h *harness) pauseRelayInExecution(ctx context.Context, t target, f Fault) {
 	ttl := h.options.TTL
 	heal := t.relay.resourceLink.Partition(ToTarget)
 	defer heal()
 	for deadline := h.now() + ttl; !t.relay.resourceLink.IsHolding(); {
 		if h.now() > deadline || !wait.For(ctx, executionPollInterval) {
-			return // it does not hold the lease any more
+			return // the relay no longer holds the lease
 		}
 	}
-	arrival := time.AfterFunc(ttl+ttl/2, heal)
-	defer arrival.Stop()
+	healTimer := time.AfterFunc(ttl+ttl/2, heal)
+	defer healTimer.Stop()
 	h.suspendRelay(ctx, t.relay, max(f.Duration, 2*ttl+ttl/2))
 }
 
@@ -153,11 +154,11 @@
 	partition(ctx, t.member.links, f.Duration, f.Direction)
 }
 
-// partition partitions links in some directions for a while.
-func partition(ctx context.Context, links []*Proxy, d time.Duration, ways ...Direction) {
+// partition partitions links in the given directions for the time d.
+func partition(ctx context.Context, links []*Proxy, d time.Duration, dirs ...Direction) {
 	for _, link := range links {
-		for _, way := range ways {
-			defer link.Partition(way)()
+		for _, dir := range dirs {
+			defer link.Partition(dir)()
 		}
 	}
 	wait.For(ctx, d)
--- a/internal/faultinjection/faults/kind.go
+++ b/internal/faultinjection/faults/kind.go
@@ -5,8 +5,8 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. A holder is the relay that holds the lease, a leader the member that leads, when the fault begins; a relay
-// or a member is any one, as drawn.
+// The kinds of faults. "Holder" is the relay that holds the lease when the fault begins, "leader" the member that is the leader then.
+// "Relay" and "member" are the relay or member that the schedule draws.
 const (
 	HolderKilled            Kind = "holder killed"
 	HolderPaused            Kind = "holder stopped"
@@ -29,27 +29,27 @@
 	DiskFull                Kind = "disk full"
 )
 
-// role is a process's part in the service when a fault begins.
+// role selects a fault's target by its role in the service when the fault begins.
 type role int
 
 const (
-	anyRole role = iota // the target that was drawn
+	anyRole role = iota // the target drawn by the schedule
 	holder              // the relay that holds the lease
-	leader              // the member that leads
+	leader              // the member that is the leader
 )
 
 // kindSpec describes a kind of fault.
 type kindSpec struct {
 	name   Kind
-	weight int // how likely it is drawn, against the others
+	weight int // relative probability to be drawn
 	role   role
 	inject injector
 }
 
-// injector applies a fault until it is over.
+// injector applies a fault, and returns when the fault is over.
 type injector func(h *harness, ctx context.Context, t target, f Fault)
 
-// kinds are all kinds of faults. Their order and weights decide what a seed draws.
+// kinds are all kinds of faults. A change of their order or weights changes the schedule that is drawn from a seed.
 var kinds = []kindSpec{
 	{HolderKilled, 2, holder, (*harness).killHolder},
 	{HolderPaused, 1, holder, (*harness).pauseRelay},
--- a/internal/faultinjection/faults/lateness.go
+++ b/internal/faultinjection/faults/lateness.go
@@ -7,17 +7,18 @@
 	"frostlink/internal/wait"
 )
 
-// latenessInterval is between two measurements of the harness's own lateness.
+// latenessInterval is the duration of the timers whose lateness is measured.
 const latenessInterval = 5 * time.Millisecond
 
-// latenessMonitor measures how late the harness's own timers fire, which shows a machine too busy for a verdict.
+// latenessMonitor measures how late the harness's own timers fire. Timers that fire very late show that the machine is too busy for a
+// conclusive run.
 type latenessMonitor struct {
 	cancel context.CancelFunc
 	done   chan struct{}
-	max    time.Duration // read when done is closed
+	max    time.Duration // may be read once done is closed
 }
 
-// monitorLateness starts to measure. The monitor has to be stopped.
+// monitorLateness starts a monitor, which has to be stopped.
 func monitorLateness(ctx context.Context) *latenessMonitor {
 	ctx, cancel := context.WithCancel(ctx)
 	m := &latenessMonitor{cancel: cancel, done: make(chan struct{})}
@@ -36,7 +37,7 @@
 	}
 }
 
-// stop ends the measuring, and returns the greatest lateness.
+// stop stops the monitor, and returns the greatest lateness that it measured.
 func (m *latenessMonitor) stop() time.Duration {
 	m.cancel()
 	<-m.done
--- a/internal/faultinjection/faults/launcher.go
+++ b/internal/faultinjection/faults/launcher.go
@@ -5,8 +5,8 @@
 	"runtime"
 )
 
-// Launcher starts processes from one thread that lives as long as they may: the kernel kills them when it ends, so that
-// none outlives a harness that is itself killed.
+// Launcher starts all its processes from one thread, which lives until Close. The kernel kills a process when the thread that started it
+// ends (Pdeathsig), so that no process outlives the harness even if the harness is killed.
 type Launcher struct {
 	jobs chan func()
 	done chan struct{} // closed when the thread's goroutine has returned
@@ -27,13 +27,13 @@
 	}
 }
 
-// Close ends the launcher, and all its processes.
+// Close ends the launcher's thread, so that the kernel kills all processes that were started with Pdeathsig.
 func (l *Launcher) Close() {
 	close(l.jobs)
 	<-l.done
 }
 
-// Start starts a command.
+// Start starts a command from the launcher's thread.
 func (l *Launcher) Start(cmd *exec.Cmd) error {
 	started := make(chan error)
 	l.jobs <- func() { started <- cmd.Start() }
--- a/internal/faultinjection/faults/loopback.go
+++ b/internal/faultinjection/faults/loopback.go
@@ -14,31 +14,32 @@
 	// firstNetwork to lastNetwork are the values of N in the networks 127.N.0.0/16 that runs reserve. The lower half of
 	// 127.0.0.0/8 is left to other programs.
 	firstNetwork, lastNetwork = 128, 254
-	// loopbackPort is the port of every address of a run. It is below the ports that Linux draws for connections and for
-	// listeners without a port (ip_local_port_range, from 32768), so that no other program gets it by chance.
+	// loopbackPort is the port of every address of a run. It is below the range from which Linux assigns ports to connections and to
+	// listeners that request no particular port (ip_local_port_range, from 32768), so that no other program is assigned it by chance.
 	loopbackPort = 20011
-	// hostsPerBlock are the addresses used in each 127.N.B.0/24: the last byte is never 0 or 255.
+	// hostsPerBlock is the number of addresses used in each block 127.N.B.0/24: the last byte is 1 to 250, never 0 or 255.
 	hostsPerBlock = 250
-	// hostBlocks are the blocks of a network that are used for addresses. The last one, 255, holds the lock.
+	// hostBlocks is the number of blocks of a network, 0 to 254, that are used for addresses. Block 255 contains the address of the
+	// lock.
 	hostBlocks = 255
 )
 
-// Loopback is a network of loopback addresses that belongs to one run alone until it is closed. Every address of a run is assigned
-// once, so a process may bind the one in its configuration long after that was written, and bind it again after a restart: no other
-// run takes it.
+// Loopback is a network of loopback addresses that is reserved for one run until it is closed. Each address is assigned only once, so
+// that a process can bind the address in its configuration long after the configuration was written, and again after a restart, and
+// no other process has taken the address meanwhile.
 type Loopback struct {
-	lock    net.Listener // bound to a fixed address of the network: whoever holds it has the network
+	lock    net.Listener // bound to a fixed address of the network; the process that has bound it owns the network
 	network byte
 
 	mu   sync.Mutex // guards used
 	used int        // addresses assigned so far
 }
 
-// NewLoopback reserves a network that no other run on the machine has. The reservation is a bound socket: it has just the scope of the
-// addresses, the kernel's network namespace, and ends with the process, however that ends.
+// NewLoopback reserves a network that no other run on the machine uses. The reservation is a bound socket: it is valid in the same
+// kernel network namespace as the addresses, and the kernel releases it when the process ends, even by a crash.
 func NewLoopback() (*Loopback, error) {
 	const networks = lastNetwork - firstNetwork + 1
-	first := rand.IntN(networks) // not by the run's seed: runs of one seed may be played side by side
+	first := rand.IntN(networks) // not from the run's seed: several runs with one seed may execute at the same time
 	for i := range networks {
 		l := &Loopback{network: byte(firstNetwork + (first+i)%networks)}
 		lock, err := net.Listen("tcp", l.address(hostBlocks, 1))
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// Address returns a new address of the run, as HOST:PORT, for TCP or UDP.
+// Address returns an address of the network, as HOST:PORT for TCP or UDP, that has not been assigned before.
 func (l *Loopback) Address() (string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,28 +75,28 @@
 	return l.address(block, host), nil
 }
 
-// Listen listens for TCP on a new address of the run.
+// Listen listens for TCP connections on a new address of the network.
 func (l *Loopback) Listen() (net.Listener, error) {
-	at, err := l.Address()
+	address, err := l.Address()
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", at)
+	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen on the run's loopback network: %w", err)
 	}
 	return ln, nil
 }
 
-// ListenUDP opens a UDP socket on a new address of the run.
+// ListenUDP opens a UDP socket on a new address of the network.
 func (l *Loopback) ListenUDP() (*net.UDPConn, error) {
-	at, err := l.Address()
+	address, err := l.Address()
 	if err != nil {
 		return nil, err
 	}
-	addr, err := net.ResolveUDPAddr("udp", at)
+	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
-		return nil, fmt.Errorf("loopback address %s: %w", at, err)
+		return nil, fmt.Errorf("resolve the loopback address %s: %w", address, err)
 	}
 	c, err := net.ListenUDP("udp", addr)
 	if err != nil {
--- a/internal/faultinjection/faults/loopback_test.go
+++ b/internal/faultinjection/faults/loopback_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// openLoopback reserves a network until the test ends.
+// openLoopback reserves a network, and releases it when the test ends. A test that closes the network itself sets its lock to nil.
 func openLoopback(t *testing.T) *Loopback {
 	t.Helper()
 	l, err := NewLoopback()
@@ -51,7 +51,7 @@
 	l := openLoopback(t)
 	lock := l.lock.Addr().String()
 	if _, err := net.Listen("tcp", lock); err == nil {
-		t.Errorf("%s can be bound while its run goes on", lock)
+		t.Errorf("the lock address %s can be bound while its network is reserved", lock)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	l.lock = nil
 	reopened, err := net.Listen("tcp", lock)
 	if err != nil {
-		t.Fatalf("after Close: %v", err)
+		t.Fatalf("listen on the lock address after Close: %v", err)
 	}
 	_ = reopened.Close()
 }
@@ -73,17 +73,17 @@
 			t.Fatal(err)
 		}
 		if assigned[at] {
-			t.Fatalf("%s is assigned twice", at)
+			t.Fatalf("%s was assigned twice", at)
 		}
 		assigned[at] = true
 	}
 	if at, err := l.Address(); err == nil {
-		t.Errorf("assigned %s when all addresses were used up", at)
+		t.Errorf("assigned %s after all addresses were used up", at)
 	}
 }
 
-// A relay is configured with its address before it runs, and binds it again at each restart: no listener of its own run or another takes
-// it meanwhile.
+// A relay's configuration contains its address before the relay starts, and the relay binds that address again at each restart. Other
+// listeners of the run must not take the address while the relay does not run.
 func TestLoopback_AddressCanBeBoundAgain(t *testing.T) {
 	l := openLoopback(t)
 	first, err := l.Listen()
--- a/internal/faultinjection/faults/main_test.go
+++ b/internal/faultinjection/faults/main_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// programs is the folder of the programs that runs start.
-var programs string
+// programsDir is the folder that contains the built programs that runs start.
+var programsDir string
 
-// TestMain builds the programs that runs start, or is a helper process of a test.
+// TestMain builds the programs that runs start, and runs the tests. If an environment variable says so, it acts as a test's helper
+// process instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(clockReaderEnv) != "" {
 		readClocks()
@@ -23,7 +24,7 @@
 	os.Exit(runTests(m))
 }
 
-// runTests runs the tests with the programs built, and returns their exit code.
+// runTests builds the programs, runs the tests, and returns the exit code.
 func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "faults-")
 	if err != nil {
@@ -31,7 +32,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	programs = dir
+	programsDir = dir
 	out, err := exec.Command("go", "build", "-o", dir, "frostlink/cmd/frostlink", "frostlink/cmd/frostlink-coord").CombinedOutput()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%v: %s\n", err, out)
--- a/internal/faultinjection/faults/members.go
+++ b/internal/faultinjection/faults/members.go
@@ -12,7 +12,7 @@
 	links   []*Proxy // to the other members
 }
 
-// addMembers prepares the members' folders, and the proxies between them.
+// addMembers prepares the members' folders, and starts the proxies between the members.
 func (h *harness) addMembers() error {
 	var addresses []string
 	for range h.options.Members {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// addMember prepares one of the members that listen on addresses.
+// addMember prepares the member with an index; addresses are those of all members.
 func (h *harness) addMember(index int, addresses []string) error {
 	name := fmt.Sprint("member-", memberID(index))
 	folder, logFile := filepath.Join(h.options.Dir, name), filepath.Join(h.options.Dir, name+".log")
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// initializeMember runs the command that makes a member's folder.
+// initializeMember runs the command that creates a member's folder.
 func (h *harness) initializeMember(index int, addresses []string, folder, logFile string) error {
 	command := []string{
 		h.options.CoordinatorPath, "init", "--folder", folder, "--cluster", h.cluster, "--id", fmt.Sprint(memberID(index)),
@@ -67,14 +67,14 @@
 	if err := initialization.Start(); err != nil {
 		return err
 	}
-	<-initialization.exited // where it failed, the member can't start
+	<-initialization.exited // if the command failed, the member can't start, and the run reports its exit
 	return nil
 }
 
 // memberID returns a member's id by its index.
 func memberID(index int) int { return index + 1 }
 
-// memberFlag returns the text of a command line that says where a member is reached.
+// memberFlag returns the command-line argument that assigns an address to a member, as ID=ADDRESS.
 func memberFlag(index int, address string) string {
 	return fmt.Sprintf("%d=%s", memberID(index), address)
 }
--- a/internal/faultinjection/faults/preload/syscalls.c
+++ b/internal/faultinjection/faults/preload/syscalls.c
@@ -1,12 +1,12 @@
 /*
- * Makes system calls of one process fail, or transfer only a part, as Linux documents that they may.
+ * Makes system calls of one process fail or transfer only a part of their length, as Linux documents that they may, or execute late.
  *
- * Loaded by LD_PRELOAD. The Go runtime makes its calls without the C library, so that no function can be interposed: a system-call
- * filter (seccomp(2)) on this process alone makes the chosen calls raise SIGSYS. The handler below returns an error from them, or
- * makes them itself, from the one address that the filter lets through. It needs no privileges.
+ * Loaded by LD_PRELOAD. The Go runtime makes its system calls without the C library, so that no function can be interposed. Instead a
+ * system call filter (seccomp(2)) of this process makes the trapped calls raise SIGSYS. The signal handler below returns an error from
+ * a trapped call, or executes the call from the only address from which the filter allows it. No privileges are needed.
  *
- * FROSTLINK_SYSCALL_RULES names a file that is mapped shared: a write to it changes the rules at once. Rules on files concern those
- * in the folder FROSTLINK_SYSCALL_FOLDER. See syscalls.go for the layout and the meaning of the rules.
+ * FROSTLINK_SYSCALL_RULES names the rules file, which is mapped shared, so that a write to it changes the rules at once. Rules for calls
+ * on files apply to the files in the folder FROSTLINK_SYSCALL_FOLDER. See syscalls.go for the layout and the meaning of the rules.
  */
 #define _GNU_SOURCE
 #include <errno.h>
@@ -35,22 +35,22 @@
 enum group { ACCEPT = 1, CONNECT, SOCKET, SOCKET_READ, SOCKET_WRITE, WAIT, FILE_WRITE, FILE_SYNC, FILE_OPEN, FILE_RENAME };
 
 struct rule {
-	uint32_t group;  /* 0: none */
+	uint32_t group;  /* 0: the rule is not used */
 	uint32_t error;  /* an errno, SHORT or HELD_UP */
-	uint32_t chance; /* of 2^32 */
-	uint32_t hits;   /* how often it was applied */
+	uint32_t chance; /* probability in units of 1/2^32 */
+	uint32_t hits;   /* number of calls that the rule was applied to */
 };
 
 struct rules {
 	uint64_t seed;
-	uint64_t calls; /* that a rule concerned: numbers the draws */
+	uint64_t calls; /* number of times that a rule was considered for a call; numbers the draws */
 	struct rule rule[RULES];
 };
 
 static struct rules *rules;
 static char folder[4096];
 
-/* The only address from which the filter lets the chosen calls through is the one behind this syscall instruction. */
+/* The filter allows the trapped calls only from the address after this syscall instruction. */
 extern const char frostlink_after_syscall[];
 long frostlink_syscall(long number, long a, long b, long c, long d, long e, long f);
 __asm__(".text\n"
@@ -70,11 +70,11 @@
 	"frostlink_after_syscall:\n"
 	"	ret\n");
 
-/* Calls that may be made to fail, each with the groups of rules that it may fall under. */
+/* The trapped calls, each with the groups of rules that can apply to it. */
 static const struct {
 	int number;
-	enum group socket, file; /* by what the first argument is; 0: never */
-} chosen[] = {
+	enum group socket, file; /* the group if the first argument is a socket or a file; 0: none */
+} trapped_calls[] = {
 	{SYS_accept, ACCEPT, 0},         {SYS_accept4, ACCEPT, 0},        {SYS_connect, CONNECT, 0},
 	{SYS_socket, SOCKET, 0},         {SYS_read, SOCKET_READ, 0},      {SYS_write, SOCKET_WRITE, FILE_WRITE},
 	{SYS_recvfrom, SOCKET_READ, 0},
@@ -84,8 +84,8 @@
 	{SYS_unlinkat, 0, FILE_RENAME},  {SYS_unlink, 0, FILE_RENAME},    {SYS_bind, 0, FILE_OPEN},
 };
 
-/* of returns the type of a descriptor's file, or 0. */
-static unsigned of(long descriptor)
+/* file_type returns the file type of a descriptor (S_IFMT), or 0 for the standard streams and on an error. */
+static unsigned file_type(long descriptor)
 {
 	struct stat s;
 	if (descriptor <= 2 || frostlink_syscall(SYS_fstat, descriptor, (long)&s, 0, 0, 0, 0) != 0)
@@ -93,10 +93,10 @@
 	return s.st_mode & S_IFMT;
 }
 
-/* inside reports whether a path is in the folder; file_inside, whether a descriptor's file is. */
-static int inside(const char *path) { return folder[0] != 0 && strncmp(path, folder, strlen(folder)) == 0; }
+/* path_in_folder reports whether a path is in the folder; descriptor_in_folder, whether a descriptor's file is. */
+static int path_in_folder(const char *path) { return folder[0] != 0 && strncmp(path, folder, strlen(folder)) == 0; }
 
-static int file_inside(long descriptor)
+static int descriptor_in_folder(long descriptor)
 {
 	char link[32] = "/proc/self/fd/", path[4096], digits[12];
 	int n = 0, at = 14;
@@ -109,46 +109,46 @@
 	if (length <= 0)
 		return 0;
 	path[length] = 0;
-	return inside(path);
+	return path_in_folder(path);
 }
 
-/* group_of returns the group of rules that a call falls under, or 0. */
+/* group_of returns the group of rules that apply to a call, or 0. */
 static enum group group_of(int number, const long *argument)
 {
-	for (size_t i = 0; i < sizeof chosen / sizeof chosen[0]; i++) {
-		if (chosen[i].number != number)
+	for (size_t i = 0; i < sizeof trapped_calls / sizeof trapped_calls[0]; i++) {
+		if (trapped_calls[i].number != number)
 			continue;
 		switch (number) {
 		case SYS_accept:
 		case SYS_accept4:
 		case SYS_connect:
 		case SYS_epoll_pwait:
-			return chosen[i].socket;
+			return trapped_calls[i].socket;
 		case SYS_socket:
 			return argument[0] == 2 ? SOCKET : 0; /* AF_INET */
-		case SYS_openat: /* for writing, below the folder */
-			return (argument[2] & O_ACCMODE) != O_RDONLY && inside((const char *)argument[1]) ? FILE_OPEN : 0;
-		case SYS_bind: /* a Unix socket's file; its family comes first */
-			return ((const short *)argument[1])[0] == 1 && inside((const char *)argument[1] + 2) ? FILE_OPEN : 0;
+		case SYS_openat: /* opened for writing, below the folder */
+			return (argument[2] & O_ACCMODE) != O_RDONLY && path_in_folder((const char *)argument[1]) ? FILE_OPEN : 0;
+		case SYS_bind: /* creates a Unix socket's file; the address begins with its family, 1 = AF_UNIX */
+			return ((const short *)argument[1])[0] == 1 && path_in_folder((const char *)argument[1] + 2) ? FILE_OPEN : 0;
 		case SYS_unlink:
 		case SYS_rename:
-			return inside((const char *)argument[0]) ? FILE_RENAME : 0;
+			return path_in_folder((const char *)argument[0]) ? FILE_RENAME : 0;
 		case SYS_unlinkat:
 		case SYS_renameat:
 		case SYS_renameat2:
-			return inside((const char *)argument[1]) ? FILE_RENAME : 0;
+			return path_in_folder((const char *)argument[1]) ? FILE_RENAME : 0;
 		}
-		switch (of(argument[0])) {
+		switch (file_type(argument[0])) {
 		case S_IFSOCK:
-			return chosen[i].socket;
+			return trapped_calls[i].socket;
 		case S_IFREG:
-			return chosen[i].file != 0 && file_inside(argument[0]) ? chosen[i].file : 0;
+			return trapped_calls[i].file != 0 && descriptor_in_folder(argument[0]) ? trapped_calls[i].file : 0;
 		}
 	}
 	return 0;
 }
 
-/* draw returns the same number for the same seed and number of the call. */
+/* draw returns a pseudo-random number that depends only on the seed and on n. */
 static uint32_t draw(uint64_t n)
 {
 	uint64_t z = rules->seed + n * 0x9e3779b97f4a7c15u;
@@ -157,7 +157,7 @@
 	return (uint32_t)((z ^ (z >> 31)) >> 32);
 }
 
-/* hold_up waits for HELD_UP_NS, by the monotonic clock, also past signals. */
+/* hold_up waits for HELD_UP_NS by the monotonic clock, and continues to wait after signals. */
 static void hold_up(void)
 {
 	struct timespec left = {0, HELD_UP_NS};
@@ -165,17 +165,17 @@
 		;
 }
 
-static long answer(int number, long *argument)
+static long fail_or_execute(int number, long *argument)
 {
 	enum group group = 0;
-	int known = 0;
+	int group_known = 0;
 	for (int i = 0; i < RULES; i++) {
 		struct rule *r = &rules->rule[i];
 		if (r->group == 0)
 			continue;
-		if (!known) {
+		if (!group_known) {
 			group = group_of(number, argument);
-			known = 1;
+			group_known = 1;
 		}
 		if (r->group != group || group == 0)
 			continue;
@@ -198,19 +198,22 @@
 	return frostlink_syscall(number, argument[0], argument[1], argument[2], argument[3], argument[4], argument[5]);
 }
 
-static void handle(int signal, siginfo_t *info, void *context)
+static void handle_sigsys(int signal, siginfo_t *info, void *context)
 {
 	greg_t *registers = ((ucontext_t *)context)->uc_mcontext.gregs;
 	long argument[6] = {registers[REG_RDI], registers[REG_RSI], registers[REG_RDX],
 			    registers[REG_R10], registers[REG_R8], registers[REG_R9]};
 	(void)signal;
-	registers[REG_RAX] = answer(info->si_syscall, argument);
+	registers[REG_RAX] = fail_or_execute(info->si_syscall, argument);
 }
 
-/* filter makes the chosen calls raise SIGSYS, and keeps the handler: the Go runtime's attempt to replace it has no effect. */
-static int filter(void)
+/*
+ * install_filter installs the filter that makes the trapped calls raise SIGSYS. The filter also makes sigaction calls for SIGSYS return
+ * success without an effect, so that the Go runtime does not replace the signal handler.
+ */
+static int install_filter(void)
 {
-	enum { COUNT = sizeof chosen / sizeof chosen[0] };
+	enum { COUNT = sizeof trapped_calls / sizeof trapped_calls[0] };
 	uint64_t pass = (uintptr_t)frostlink_after_syscall;
 	struct sock_filter program[COUNT + 16];
 	int n = 0;
@@ -226,29 +229,29 @@
 	program[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_rt_sigaction, 0, 3);
 	program[n++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, args[0]));
 	program[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SIGSYS, 0, COUNT + 1);
-	program[n++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO); /* 0: done */
+	program[n++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO); /* errno 0: reports success without executing the call */
 	for (int i = 0; i < COUNT; i++)
-		program[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, chosen[i].number, COUNT - i, 0);
+		program[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, trapped_calls[i].number, COUNT - i, 0);
 	program[n++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW);
 	program[n++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_TRAP);
-	struct sock_fprog whole = {.len = n, .filter = program};
-	return prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) != 0 || prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &whole) != 0;
+	struct sock_fprog filter = {.len = n, .filter = program};
+	return prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) != 0 || prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &filter) != 0;
 }
 
 __attribute__((constructor)) static void load(void)
 {
-	const char *path = getenv("FROSTLINK_SYSCALL_RULES"), *where = getenv("FROSTLINK_SYSCALL_FOLDER");
-	struct sigaction action = {.sa_sigaction = handle, .sa_flags = SA_SIGINFO | SA_ONSTACK | SA_NODEFER};
+	const char *path = getenv("FROSTLINK_SYSCALL_RULES"), *folder_path = getenv("FROSTLINK_SYSCALL_FOLDER");
+	struct sigaction action = {.sa_sigaction = handle_sigsys, .sa_flags = SA_SIGINFO | SA_ONSTACK | SA_NODEFER};
 	if (path == NULL)
 		return;
-	if (where != NULL && strlen(where) < sizeof folder)
-		strcpy(folder, where);
+	if (folder_path != NULL && strlen(folder_path) < sizeof folder)
+		strcpy(folder, folder_path);
 	int file = open(path, O_RDWR | O_CLOEXEC);
 	void *mapped = file < 0 ? MAP_FAILED : mmap(NULL, sizeof *rules, PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
 	if (mapped == MAP_FAILED)
 		_exit(125);
 	close(file);
 	rules = mapped;
-	if (sigaction(SIGSYS, &action, NULL) != 0 || filter() != 0)
+	if (sigaction(SIGSYS, &action, NULL) != 0 || install_filter() != 0)
 		_exit(125);
 }
--- a/internal/faultinjection/faults/preload/wallclock.c
+++ b/internal/faultinjection/faults/preload/wallclock.c
@@ -1,13 +1,13 @@
 /*
- * Steps the wall clock of one process, and of that process alone.
+ * Steps the wall clock of one process without affecting other processes.
  *
- * Loaded by LD_PRELOAD. The kernel maps the vDSO into every process and the Go runtime calls its clock_gettime without the
- * C library, so that no symbol can be interposed. Instead the entries in this process's own, private copy of the page are
- * replaced by jumps to the functions below, which call the kernel and add an offset to the wall clock. All other clocks are
- * unchanged, as clock_settime(2) leaves them.
+ * Loaded by LD_PRELOAD. The kernel maps the vDSO into every process, and the Go runtime calls the vDSO's clock_gettime without the C
+ * library, so that no symbol can be interposed. Instead the vDSO functions in this process's private copy of the page are overwritten by
+ * jumps to the functions below, which call the kernel and add an offset to the wall clock. All other clocks are unchanged, as they are
+ * by clock_settime(2).
  *
- * The offset, in nanoseconds, is the int64 at the start of the file that FROSTLINK_WALL_CLOCK_OFFSET names. The file is
- * mapped shared: a write to it steps the clock.
+ * The offset, in nanoseconds, is the int64 at the start of the file that FROSTLINK_WALL_CLOCK_OFFSET names. The file is mapped shared,
+ * so that a write to it steps the clock at once.
  */
 #define _GNU_SOURCE
 #include <elf.h>
@@ -35,7 +35,7 @@
 	return result;
 }
 
-static void step(int64_t *seconds, int64_t *nanoseconds)
+static void add_offset(int64_t *seconds, int64_t *nanoseconds)
 {
 	int64_t sum = *seconds * 1000000000 + *nanoseconds + *offset;
 	*seconds = sum / 1000000000;
@@ -46,7 +46,7 @@
 {
 	long result = kernel_call(SYS_clock_gettime, id, (long)at);
 	if (result == 0 && (id == CLOCK_REALTIME || id == CLOCK_REALTIME_COARSE))
-		step(&at->tv_sec, &at->tv_nsec);
+		add_offset(&at->tv_sec, &at->tv_nsec);
 	return (int)result;
 }
 
@@ -71,8 +71,8 @@
 	return exact.tv_sec;
 }
 
-/* replace writes "mov rax, to; jmp rax" over a function's first bytes. */
-static void replace(unsigned char *function, void *to)
+/* redirect overwrites the first bytes of a function with "mov rax, to; jmp rax". */
+static void redirect(unsigned char *function, void *to)
 {
 	unsigned char jump[12] = {0x48, 0xb8, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xe0};
 	uintptr_t page = (uintptr_t)function & ~(uintptr_t)4095;
@@ -83,7 +83,7 @@
 	memcpy(function, jump, sizeof jump);
 }
 
-static void replace_entries(unsigned char *vdso)
+static void redirect_vdso(unsigned char *vdso)
 {
 	Elf64_Ehdr *header = (Elf64_Ehdr *)vdso;
 	Elf64_Phdr *segments = (Elf64_Phdr *)(vdso + header->e_phoff);
@@ -112,11 +112,11 @@
 		const char *name = names + symbols[i].st_name;
 		unsigned char *at = base + symbols[i].st_value;
 		if (strcmp(name, "__vdso_clock_gettime") == 0)
-			replace(at, (void *)stepped_clock_gettime);
+			redirect(at, (void *)stepped_clock_gettime);
 		else if (strcmp(name, "__vdso_gettimeofday") == 0)
-			replace(at, (void *)stepped_gettimeofday);
+			redirect(at, (void *)stepped_gettimeofday);
 		else if (strcmp(name, "__vdso_time") == 0)
-			replace(at, (void *)stepped_time);
+			redirect(at, (void *)stepped_time);
 	}
 }
 
@@ -132,5 +132,5 @@
 		_exit(125);
 	close(file);
 	offset = mapped;
-	replace_entries(vdso);
+	redirect_vdso(vdso);
 }
--- a/internal/faultinjection/faults/process.go
+++ b/internal/faultinjection/faults/process.go
@@ -15,11 +15,11 @@
 const (
 	// killTimeout is how long a killed process may take to exit.
 	killTimeout = 5 * time.Second
-	// fullDiskFileSize is the length, in bytes, beyond which files can't be written on a full disk.
+	// fullDiskFileSize is the file size, in bytes, beyond which writes fail while FillDisk simulates a full disk.
 	fullDiskFileSize = 4096
 )
 
-// Process is a program that is started, killed and started again.
+// Process runs a program that can be started, suspended, killed and started again.
 type Process struct {
 	Name     string
 	command  []string
@@ -27,15 +27,15 @@
 	launcher *Launcher
 	onExit   func(incarnation int, expected bool, err error) // set before the first Start; nil: none
 
-	mu          sync.Mutex    // guards what is below
+	mu          sync.Mutex    // guards the fields below
 	cmd         *exec.Cmd     // nil: not running
-	exited      chan struct{} // of the current or last incarnation; closed when it has exited
-	incarnation int           // counts starts
-	expected    bool          // the exit was caused on purpose
-	suspensions int           // faults that suspend the process now
+	exited      chan struct{} // closed when the current or last incarnation has exited
+	incarnation int           // number of starts so far
+	expected    bool          // a fault or the harness causes the incarnation's exit
+	suspensions int           // number of faults that suspend the process at present
 }
 
-// NewProcess returns a process that is not started yet. Its output is appended to a log file.
+// NewProcess returns a process that is not started yet. The process's output is appended to a log file.
 func NewProcess(name, logFile string, launcher *Launcher, command ...string) *Process {
 	return &Process{Name: name, logFile: logFile, launcher: launcher, command: command}
 }
@@ -51,12 +51,12 @@
 	if err != nil {
 		return fmt.Errorf("open the log of %s: %w", p.Name, err)
 	}
-	defer func() { _ = log.Close() }() // nothing was written here: the process has a descriptor of its own
+	defer func() { _ = log.Close() }() // the harness writes nothing to it: the process has its own descriptor
 	cmd := exec.Command(p.command[0], p.command[1:]...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := p.launcher.Start(cmd); err != nil {
-		return fmt.Errorf("%s: %w", p.Name, err)
+		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	p.incarnation++
 	p.cmd, p.exited, p.expected, p.suspensions = cmd, make(chan struct{}), false, 0
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// wait waits for an incarnation to exit. Whoever waits for exited waits for it.
+// wait waits until an incarnation has exited, calls onExit, and then closes exited.
 func (p *Process) wait(cmd *exec.Cmd, incarnation int, exited chan<- struct{}) {
 	defer close(exited)
 	err := cmd.Wait()
@@ -80,11 +80,11 @@
 // signal sends a signal to the process group if the process is running. The caller holds p.mu.
 func (p *Process) signal(sig syscall.Signal) {
 	if p.cmd != nil {
-		_ = syscall.Kill(-p.cmd.Process.Pid, sig) // it may have exited by itself
+		_ = syscall.Kill(-p.cmd.Process.Pid, sig) // fails if the process has exited meanwhile
 	}
 }
 
-// Kill kills the process by SIGKILL, and waits until it has exited.
+// Kill sends SIGKILL to the process, and waits until it has exited.
 func (p *Process) Kill() error {
 	p.mu.Lock()
 	p.expected = true
@@ -98,12 +98,12 @@
 	case <-exited:
 		return nil
 	case <-time.After(killTimeout):
-		return fmt.Errorf("%s does not end on SIGKILL", p.Name)
+		return fmt.Errorf("%s did not exit after SIGKILL", p.Name)
 	}
 }
 
-// Suspend stops the process by SIGSTOP until it is resumed. A process that several faults suspend runs again when all
-// have resumed it.
+// Suspend stops the process by SIGSTOP until it is resumed. If several faults suspend the process, it continues when all of them have
+// resumed it.
 func (p *Process) Suspend() (resume func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,8 +122,8 @@
 	})
 }
 
-// FillDisk makes every write beyond a file's first 4 KB fail, as on a full disk, until the process exits. It is expected to:
-// it must not go on from what it could not write.
+// FillDisk makes every write beyond a file's first 4 KB fail, as on a full disk, until the process exits. An exit of the process is
+// expected from then on, because it must not continue after a write that failed.
 func (p *Process) FillDisk() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	limit := unix.Rlimit{Cur: fullDiskFileSize, Max: fullDiskFileSize}
 	err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil)
 	if err != nil && !errors.Is(err, unix.ESRCH) {
-		return fmt.Errorf("%s: %w", p.Name, err)
+		return fmt.Errorf("limit the file size of %s: %w", p.Name, err)
 	}
 	return nil
 }
--- a/internal/faultinjection/faults/proxy.go
+++ b/internal/faultinjection/faults/proxy.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// chunkSize is how much a proxy forwards at once, in bytes.
+	// chunkSize is the largest number of bytes that a proxy forwards at once.
 	chunkSize = 16 << 10
-	// dialTimeout is how long a proxy tries to reach its target.
+	// dialTimeout bounds the time to connect to a proxy's target.
 	dialTimeout = 2 * time.Second
 )
 
@@ -22,31 +22,31 @@
 const (
 	ToTarget Direction = iota
 	FromTarget
-	directions // their number
+	directions // number of directions
 )
 
-// Proxy forwards TCP connections to one address, unchanged unless it is told otherwise.
+// Proxy forwards TCP connections to one address. Its methods partition, delay and reset them.
 type Proxy struct {
 	listener net.Listener
 	target   string
-	closing  chan struct{}  // closed by Close: nothing is held any more
-	work     sync.WaitGroup // all its goroutines
+	closing  chan struct{}  // closed by Close, which ends all waits for a partition
+	work     sync.WaitGroup // all goroutines of the proxy
 
-	mu     sync.Mutex // guards what is below
+	mu     sync.Mutex // guards the fields below
 	links  [directions]link
 	conns  map[net.Conn]struct{}
-	held   int // chunks, and new connections, that a partition may be holding
+	held   int // number of chunks and new connections that wait in hold
 	closed bool
 }
 
-// link is how a proxy treats one direction.
+// link is the state of one direction of a proxy.
 type link struct {
 	delay      time.Duration
-	partitions int           // faults that partition it now
-	healed     chan struct{} // closed while there are none
+	partitions int           // number of faults that partition the direction at present
+	healed     chan struct{} // closed while partitions is 0
 }
 
-// NewProxy starts a proxy for a target, on an address of a run.
+// NewProxy starts a proxy for a target, on a new address of the run's loopback network.
 func NewProxy(l *Loopback, target string) (*Proxy, error) {
 	listener, err := l.Listen()
 	if err != nil {
@@ -64,7 +64,7 @@
 // Addr returns the address on which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Partition holds all traffic in one direction until it is healed. Nothing is lost: it arrives late, as after TCP's
+// Partition holds all traffic in one direction until the partition is healed. No traffic is lost: it arrives late, as after TCP
 // retransmissions.
 func (p *Proxy) Partition(d Direction) (heal func()) {
 	p.mu.Lock()
@@ -82,7 +82,7 @@
 	})
 }
 
-// IsHolding reports whether something waits for a partition to be healed.
+// IsHolding reports whether the proxy holds traffic or a new connection because of a partition.
 func (p *Proxy) IsHolding() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// Close ends the proxy, and waits for its goroutines.
+// Close closes the proxy and its connections, and waits until its goroutines have ended.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -119,7 +119,7 @@
 	p.work.Wait()
 }
 
-// add keeps a connection for resets. It closes it and returns false if the proxy is closed.
+// add registers a connection, so that ResetConnections resets it. If the proxy is closed, add closes the connection and returns false.
 func (p *Proxy) add(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +132,7 @@
 }
 
 func (p *Proxy) remove(c net.Conn) {
-	_ = c.Close() // what it carried was written, or is cut off on purpose
+	_ = c.Close() // its data was forwarded, or is dropped on purpose
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -145,7 +145,7 @@
 			return
 		}
 		if err != nil {
-			continue // one connection less: its client dials again
+			continue // this connection is lost; its client dials again
 		}
 		p.work.Go(func() { p.proxy(conn) })
 	}
@@ -177,7 +177,8 @@
 	<-ended
 }
 
-// hold waits while a direction is partitioned, and for its delay. It returns false if the proxy was closed meanwhile.
+// hold waits until a direction is not partitioned, and then for the direction's delay. It returns false if the proxy was closed
+// meanwhile.
 func (p *Proxy) hold(d Direction) bool {
 	p.mu.Lock()
 	l := p.links[d]
@@ -213,7 +214,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				p.hold(d) // the end of a stream does not overtake what a partition holds
+				p.hold(d) // a partition holds the end of the stream as well
 			}
 			return
 		}
--- a/internal/faultinjection/faults/proxy_test.go
+++ b/internal/faultinjection/faults/proxy_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// held is how long a test waits for what must not arrive.
-	held = 50 * time.Millisecond
-	// arrival bounds how long a test waits for what must arrive.
-	arrival = 10 * time.Second
+	// noArrivalWait is how long a test waits to check that a byte does not arrive.
+	noArrivalWait = 50 * time.Millisecond
+	// arrivalTimeout bounds how long a test waits for a byte that has to arrive.
+	arrivalTimeout = 10 * time.Second
 )
 
-// echoThroughProxy returns a proxy before a server that sends back what it receives, and a connection through it.
+// echoThroughProxy returns a proxy in front of an echo server, and a connection to the server through the proxy.
 func echoThroughProxy(t *testing.T) (*Proxy, net.Conn) {
 	t.Helper()
 	l := openLoopback(t)
@@ -45,7 +45,7 @@
 	return p, conn
 }
 
-// exchange sends a byte, and waits for it to come back.
+// exchange sends a byte, and waits until the server has echoed it.
 func exchange(t *testing.T, conn net.Conn, within time.Duration) error {
 	t.Helper()
 	if _, err := conn.Write([]byte{1}); err != nil {
@@ -68,19 +68,19 @@
 		t.Run(name, func(t *testing.T) {
 			p, conn := echoThroughProxy(t)
 			defer p.Close()
-			if err := exchange(t, conn, arrival); err != nil {
+			if err := exchange(t, conn, arrivalTimeout); err != nil {
 				t.Fatal(err)
 			}
 			heal := p.Partition(direction)
-			if err := exchange(t, conn, held); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("%v through a partition", err)
+			if err := exchange(t, conn, noArrivalWait); !errors.Is(err, os.ErrDeadlineExceeded) {
+				t.Errorf("echo through a partition: got %v, want a timeout", err)
 			}
 			if !p.IsHolding() {
-				t.Error("nothing is held in a partition")
+				t.Error("the proxy reports that it holds nothing during a partition")
 			}
 			heal()
-			if err := receive(t, conn, arrival); err != nil {
-				t.Errorf("after the partition was healed: %v", err)
+			if err := receive(t, conn, arrivalTimeout); err != nil {
+				t.Errorf("echo after the partition was healed: %v", err)
 			}
 		})
 	}
@@ -89,23 +89,23 @@
 func TestProxy_ResetEndsConnections(t *testing.T) {
 	p, conn := echoThroughProxy(t)
 	defer p.Close()
-	if err := exchange(t, conn, arrival); err != nil {
+	if err := exchange(t, conn, arrivalTimeout); err != nil {
 		t.Fatal(err)
 	}
 	p.ResetConnections()
-	if err := receive(t, conn, arrival); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v after a reset", err)
+	if err := receive(t, conn, arrivalTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("read after a reset: got %v, want a connection error", err)
 	}
 }
 
 func TestProxy_CloseDropsWhatAPartitionHolds(t *testing.T) {
 	p, conn := echoThroughProxy(t)
 	p.Partition(ToTarget) // never healed
-	if err := exchange(t, conn, held); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v through a partition", err)
+	if err := exchange(t, conn, noArrivalWait); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("echo through a partition: got %v, want a timeout", err)
 	}
-	p.Close() // waits for its goroutines
-	if err := receive(t, conn, arrival); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%v after Close", err)
+	p.Close() // returns once the proxy's goroutines have ended
+	if err := receive(t, conn, arrivalTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("read after Close: got %v, want a connection error", err)
 	}
 }
--- a/internal/faultinjection/faults/recorder.go
+++ b/internal/faultinjection/faults/recorder.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// recorder collects what happens in a run.
+// recorder records the injected faults, pauses, deaths of lease holders and process violations of a run.
 type recorder struct {
 	mu           sync.Mutex // guards all fields
 	pauses       []Pause
 	violations   []Violation
 	holderDeaths []time.Duration
 	injected     map[Kind]int
-	closed       bool // the run is over: processes may exit
+	closed       bool // the run is over, and exits of processes are no violations any more
 }
 
 func (r *recorder) countFault(k Kind) {
@@ -36,7 +36,7 @@
 	r.holderDeaths = append(r.holderDeaths, at)
 }
 
-// recordProcessViolation records that a process did not start or exit as it should.
+// recordProcessViolation records a process that could not be started or killed, or exited unexpectedly.
 func (r *recorder) recordProcessViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +52,7 @@
 	r.closed = true
 }
 
-// observations are what a run recorded.
+// observations are the records of a run that its result is calculated from.
 type observations struct {
 	executions   []Execution
 	pauses       []Pause
@@ -60,10 +60,10 @@
 	holderDeaths []time.Duration
 	injected     map[Kind]int
 	maxLateness  time.Duration // of the harness's own timers
-	end          time.Duration
+	end          time.Duration // of the run, on the harness's clock
 }
 
-// observations returns a copy of what was recorded so far, without what others record.
+// observations returns a copy of the recorder's own records so far. The caller sets the other fields: executions, maxLateness and end.
 func (r *recorder) observations() observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultinjection/faults/relays.go
+++ b/internal/faultinjection/faults/relays.go
@@ -10,14 +10,14 @@
 	"frostlink/internal/settings"
 )
 
-// relay is a relay without traffic: it takes part in the fleet's tasks alone.
+// relay is a relay that gets no client requests, and only takes part in the fleet tasks.
 type relay struct {
 	*Process
-	memberLinks  []*Proxy
-	resourceLink *Proxy
+	memberLinks  []*Proxy // to the members
+	resourceLink *Proxy   // to the resource
 }
 
-// relayConfig is the platform's file for a relay.
+// relayConfig is a relay's configuration file as the platform writes it.
 type relayConfig struct {
 	Name      string            `json:"name"`
 	Listen    string            `json:"listen"`
@@ -28,7 +28,7 @@
 	Settings  settings.Settings `json:"settings"`
 }
 
-// processLimits bound a relay's process.
+// processLimits are the resource limits of a relay's process.
 type processLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
@@ -36,7 +36,7 @@
 	DiskMB   int `json:"disk_mb"`
 }
 
-// endpointList is a relay's first list of endpoints, which has none.
+// endpointList is a relay's initial endpoint list, which is empty in a run.
 type endpointList struct {
 	Sequence  int   `json:"seq"`
 	Complete  bool  `json:"whole"`
@@ -61,13 +61,13 @@
 	dir := filepath.Join(h.options.Dir, name)
 	state, config, operator := filepath.Join(dir, "state"), filepath.Join(dir, "config.json"), filepath.Join(dir, "frostlink.toml")
 	if err := os.MkdirAll(state, 0o700); err != nil {
-		return fmt.Errorf("state folder of %s: %w", name, err)
+		return fmt.Errorf("create the state folder of %s: %w", name, err)
 	}
 	if err := h.writeRelayConfig(config, name, index); err != nil {
 		return fmt.Errorf("configuration of %s: %w", name, err)
 	}
 	if err := os.WriteFile(operator, h.operatorFile(r), 0o600); err != nil {
-		return fmt.Errorf("operator's file of %s: %w", name, err)
+		return fmt.Errorf("write the operator's file of %s: %w", name, err)
 	}
 	r.Process = h.newProcess(name, filepath.Join(h.options.Dir, name+".log"),
 		h.options.RelayPath, "-config", config, "-state", state, "-operator", operator)
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// operatorFile returns the operator's file of a relay: where the members are, and a heartbeat to the resource as the fleet's task.
+// operatorFile returns the operator's file of a relay. It contains the members' addresses, and a heartbeat to the resource as the only
+// fleet task.
 func (h *harness) operatorFile(r *relay) []byte {
 	var members []string
 	for i, link := range r.memberLinks {
@@ -96,7 +97,7 @@
 		(ttl / 5).Milliseconds())
 }
 
-// writeRelayConfig writes the platform's file of a relay. Nobody listens where its discovery should be.
+// writeRelayConfig writes the configuration file of a relay. No discovery service listens on the discovery address in it.
 func (h *harness) writeRelayConfig(file, name string, index int) error {
 	listen, err := h.loopback.Address()
 	if err != nil {
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// relaySettings returns the settings of a relay. Most say nothing where there is no traffic, but have to be valid.
+// relaySettings returns the settings of a relay. Most of them have no effect without client requests, but the relay requires valid
+// values.
 func relaySettings(instances, ordinal int) settings.Settings {
 	return settings.Settings{
 		Discovery: "subscribe", Instances: instances, Ordinal: ordinal, BatchIntervalS: 0.002, Weights: "nominal",
--- a/internal/faultinjection/faults/resource.go
+++ b/internal/faultinjection/faults/resource.go
@@ -15,36 +15,37 @@
 	"frostlink/internal/logkey"
 )
 
-// executionStream is the random stream of how long executions take, of each seed.
+// executionStream selects the random stream, of a run's seed, from which the durations of executions are drawn.
 const executionStream = 3
 
-// Execution is one request that a lease's holder made to the resource, on the harness's clock.
+// Execution is one request of a lease holder to the resource. Its times are on the harness's clock.
 type Execution struct {
 	Relay      string        `json:"relay"`
 	Token      uint64        `json:"token"`
 	Begin, End time.Duration `json:"-"`
-	Accepted   bool          `json:"accepted"` // it was not rejected, neither at its begin nor at its end
+	Accepted   bool          `json:"accepted"` // the resource rejected it neither at its start nor at its end
 }
 
-// Resource is the stand-in to which the holder of a lease sends its requests. Each takes a while. A fenced resource rejects a
-// token lower than one that it has seen, when a request begins and when it ends.
+// Resource is a stand-in for the service to which the holder of a lease sends its requests. Each request takes a random time between
+// minDuration and maxDuration. A fenced resource checks the request's token when the request begins and again when it ends, and rejects
+// a token lower than the highest one that it has received.
 type Resource struct {
 	fenced      bool
 	minDuration time.Duration // of an execution
-	maxDuration time.Duration
+	maxDuration time.Duration // of an execution
 	now         func() time.Duration
 	listener    net.Listener
 	server      *http.Server
 	served      chan struct{} // closed when the server's goroutine has returned
 
-	mu           sync.Mutex // guards what is below
+	mu           sync.Mutex // guards the fields below
 	random       *rand.Rand
 	highestToken uint64
 	executions   []*Execution
-	lastRelay    string // whose execution began last
+	lastRelay    string // the relay whose execution began last
 }
 
-// NewResource starts a resource on an address of a run.
+// NewResource starts a resource on a new address of the run's loopback network.
 func NewResource(l *Loopback, fenced bool, seed uint64, minDuration, maxDuration time.Duration, now func() time.Duration) (*Resource, error) {
 	listener, err := l.Listen()
 	if err != nil {
@@ -62,20 +63,21 @@
 func (r *Resource) serve() {
 	defer close(r.served)
 	if err := r.server.Serve(r.listener); !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("the resource does not serve any more", logkey.Err, err)
+		slog.Error("resource server failed; it serves no further requests", logkey.Err, err)
 	}
 }
 
 // Addr returns the address on which the resource listens.
 func (r *Resource) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the resource.
+// Close stops the resource's server.
 func (r *Resource) Close() {
-	_ = r.server.Close() // what it still serves is cut off on purpose
+	_ = r.server.Close() // requests in flight are aborted on purpose
 	<-r.served
 }
 
-// Executions returns the executions so far, by their begin. Those in flight end now.
+// Executions returns the executions so far, in the order of their start. Executions in flight are returned with the present as their
+// end.
 func (r *Resource) Executions() []Execution {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +99,7 @@
 	return r.lastRelay
 }
 
-// ServeHTTP serves one execution.
+// ServeHTTP serves one request, and records it as an execution.
 func (r *Resource) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	token, err := strconv.ParseUint(q.Header.Get(fleettask.HeaderToken), 10, 64)
 	if err != nil {
@@ -110,7 +112,7 @@
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-		case <-q.Context().Done(): // its relay has cut it off, or is gone
+		case <-q.Context().Done(): // the relay has aborted the request, or has exited
 		}
 	}
 	if !r.end(execution) {
@@ -118,7 +120,7 @@
 	}
 }
 
-// begin records that an execution begins, and draws how long it takes.
+// begin records the start of an execution, and draws its duration.
 func (r *Resource) begin(relay string, token uint64) (*Execution, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,7 +131,7 @@
 	return e, r.minDuration + time.Duration(r.random.Int64N(int64(r.maxDuration-r.minDuration)))
 }
 
-// end records that an execution ends, and reports whether it was accepted.
+// end records the end of an execution, and reports whether the execution was accepted.
 func (r *Resource) end(e *Execution) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,5 +140,5 @@
 	return e.Accepted
 }
 
-// admits reports whether a token is accepted now. The caller holds r.mu.
+// admits reports whether the resource accepts a token at present. The caller holds r.mu.
 func (r *Resource) admits(token uint64) bool { return !r.fenced || token >= r.highestToken }
--- a/internal/faultinjection/faults/run.go
+++ b/internal/faultinjection/faults/run.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// quietPeriod is how long a run goes on without faults, besides two times to live.
+	// quietPeriod is how long a run continues without faults at its end, in addition to twice the lease TTL.
 	quietPeriod = 6 * time.Second
-	// startTimeout is how long the first execution may take to begin.
+	// startTimeout bounds the time from the start of the processes to the first execution.
 	startTimeout = 20 * time.Second
-	// startPollInterval is between two looks for the first execution.
+	// startPollInterval is the interval of checks for the first execution.
 	startPollInterval = 20 * time.Millisecond
 )
 
 // Options describe a run.
 type Options struct {
-	Dir             string // of the run: logs and folders stay in it
-	RelayPath       string // the relay's program
-	CoordinatorPath string // the coordination service's program
+	Dir             string // folder of the run, with the logs and data folders of its processes
+	RelayPath       string // path of the relay's program
+	CoordinatorPath string // path of the program of the coordination service's members
 	Members         int
 	Relays          int
 	TTL             time.Duration // of a lease
 	Seed            uint64
-	Length          time.Duration // of the time with faults; a quiet period follows
-	Fenced          bool          // the resource rejects old tokens
+	Length          time.Duration // of the period with faults; a quiet period follows
+	Fenced          bool          // the resource rejects outdated tokens
 	Schedule        []Fault       // nil: drawn from the seed
 }
 
-// RunIn plays one run in a folder of its own below another. The folder is removed unless the run failed.
+// RunIn executes one run in a new folder below parent. The folder is removed unless the run failed.
 func RunIn(ctx context.Context, parent string, o Options) (Result, error) {
 	dir, err := os.MkdirTemp(parent, fmt.Sprintf("run-%d-", o.Seed))
 	if err != nil {
-		return Result{}, fmt.Errorf("folder of a run: %w", err)
+		return Result{}, fmt.Errorf("create the folder of a run: %w", err)
 	}
 	if o.Dir, err = filepath.Abs(dir); err != nil {
-		return Result{}, fmt.Errorf("folder of a run: %w", err)
+		return Result{}, fmt.Errorf("resolve the folder of a run: %w", err)
 	}
 	result, err := Run(ctx, o)
 	if err != nil || len(result.Violations) > 0 {
 		return result, err
 	}
 	if err := os.RemoveAll(dir); err != nil {
-		return result, fmt.Errorf("folder of a run: %w", err)
+		return result, fmt.Errorf("remove the folder of a run: %w", err)
 	}
 	return result, nil
 }
 
-// Run plays one run with real processes, and judges it.
+// Run executes one run with real processes, and returns its checked result.
 func Run(ctx context.Context, o Options) (Result, error) {
 	h, err := newHarness(o)
 	if err != nil {
@@ -86,13 +86,13 @@
 	}
 	for deadline := h.now() + startTimeout; len(h.resource.Executions()) == 0; {
 		if h.now() > deadline || !wait.For(ctx, startPollInterval) {
-			return fmt.Errorf("no relay acted within %v; see the logs in %s", startTimeout, h.options.Dir)
+			return fmt.Errorf("no request of a relay reached the resource within %v; see the logs in %s", startTimeout, h.options.Dir)
 		}
 	}
 	return nil
 }
 
-// injectAll injects the faults of a schedule, each at its time, and waits until all are over.
+// injectAll injects each fault of a schedule at its time, and waits until all faults are over.
 func (h *harness) injectAll(ctx context.Context, schedule []Fault) {
 	start := h.now()
 	var work sync.WaitGroup
@@ -105,7 +105,7 @@
 	work.Wait()
 }
 
-// observe returns what the run recorded up to now.
+// observe returns the run's observations up to the present.
 func (h *harness) observe(maxLateness time.Duration) observations {
 	seen := h.recorder.observations()
 	seen.executions, seen.maxLateness, seen.end = h.resource.Executions(), maxLateness, h.now()
--- a/internal/faultinjection/faults/run_test.go
+++ b/internal/faultinjection/faults/run_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// maxPlays is how often a run is played, at most, until the machine is not too busy for a verdict.
-const maxPlays = 4
+// maxRuns is how many times a run is executed at most until it is conclusive.
+const maxRuns = 4
 
-// play plays a run, and again where the machine was too busy for a verdict.
-func play(t *testing.T, o Options) Result {
+// runUntilConclusive executes a run, and repeats it up to maxRuns times in all while it is inconclusive because the machine was too busy.
+func runUntilConclusive(t *testing.T, o Options) Result {
 	t.Helper()
-	o.RelayPath, o.CoordinatorPath = filepath.Join(programs, "frostlink"), filepath.Join(programs, "frostlink-coord")
-	for range maxPlays {
+	o.RelayPath, o.CoordinatorPath = filepath.Join(programsDir, "frostlink"), filepath.Join(programsDir, "frostlink-coord")
+	for range maxRuns {
 		r, err := RunIn(t.Context(), t.TempDir(), o)
 		if err != nil {
 			t.Fatal(err)
@@ -23,29 +23,31 @@
 			return r
 		}
 	}
-	t.Logf("the machine was too busy %d times: no verdict", maxPlays)
+	t.Logf("all %d runs were inconclusive: the machine was too busy", maxRuns)
 	return Result{Void: true}
 }
 
-// frostlinkctl coord rehearse plays hundreds of such runs.
+// At any time at most one relay has its requests accepted, whichever faults a seed draws. The command "frostlinkctl coord rehearse"
+// executes hundreds of such runs.
 func TestRun_KeepsLeasesExclusiveUnderDrawnFaults(t *testing.T) {
 	for _, o := range []Options{{Seed: 1, Members: 3, Relays: 40}, {Seed: 2, Members: 5, Relays: 12}} {
 		t.Run(fmt.Sprintf("seed %d, %d members, %d relays", o.Seed, o.Members, o.Relays), func(t *testing.T) {
 			t.Parallel()
 			o.TTL, o.Length, o.Fenced = time.Second, 10*time.Second, true
-			r := play(t, o)
+			r := runUntilConclusive(t, o)
 			for _, v := range r.Violations {
 				t.Errorf("%s: %s", v.Check, v.Detail)
 			}
 			if !r.Void && (r.Grants < 2 || r.Accepted < 20) {
-				t.Errorf("%d executions accepted under %d grants: the run says nothing", r.Accepted, r.Grants)
+				t.Errorf("only %d executions accepted under %d grants, too few for a meaningful run", r.Accepted, r.Grants)
 			}
 		})
 	}
 }
 
-// A holder that is paused with its request on the way, until the lease has passed on, acts at the same time as the next holder if
-// the resource does not look at tokens, and is rejected if it does.
+// A lease holder is paused while its request is on the way to the resource, and the request arrives when another relay holds the lease.
+// A resource that checks fencing tokens rejects the request; a resource that does not accepts it while it executes requests of the new
+// holder.
 func TestRun_OnlyFencingStopsAHolderPausedInAnExecution(t *testing.T) {
 	var schedule []Fault
 	for i := range 3 {
@@ -54,17 +56,17 @@
 	for name, fenced := range map[string]bool{"fenced": true, "unfenced": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, Options{Seed: 7, Members: 3, Relays: 4, TTL: time.Second, Fenced: fenced, Schedule: schedule})
+			r := runUntilConclusive(t, Options{Seed: 7, Members: 3, Relays: 4, TTL: time.Second, Fenced: fenced, Schedule: schedule})
 			overlaps := 0
 			for _, v := range r.Violations {
 				if v.Check == CheckOverlap {
 					overlaps++
-				} else if fenced || v.Check != CheckToken { // without fencing an older token is accepted after a newer one, too
+				} else if fenced || v.Check != CheckToken { // without fencing a violation of CheckToken is expected as well: an older token is accepted after a newer one
 					t.Errorf("%s: %s", v.Check, v.Detail)
 				}
 			}
 			if !r.Void && fenced != (overlaps == 0) {
-				t.Errorf("%d overlaps: %+v", overlaps, r)
+				t.Errorf("got %d overlaps: %+v", overlaps, r)
 			}
 		})
 	}
--- a/internal/faultinjection/faults/schedule.go
+++ b/internal/faultinjection/faults/schedule.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Fault is a fault of a schedule. Which processes are holder and leader is only known when it begins.
+// Fault is a fault of a schedule. The lease holder and the leader, which are the targets of some kinds, are only determined when the
+// fault begins.
 type Fault struct {
-	At        time.Duration // since the first execution had begun
+	At        time.Duration // start of the fault, from the time of the first execution
 	Duration  time.Duration
 	Kind      Kind
-	Target    int       // number of a relay or member, where the kind leaves it open
-	Direction Direction // of a partition in one direction, or of slow links
+	Target    int       // index of the relay or member, modulo their number, for kinds without a holder or leader as the target
+	Direction Direction // of a one-way partition or of slow links
 }
 
 const (
-	// scheduleStream is the random stream of schedules, of each seed.
+	// scheduleStream selects the random stream, of a run's seed, from which the schedule is drawn.
 	scheduleStream = 0x6661756c7473
 	firstFaultAt   = time.Second
-	maxInterval    = 3 * time.Second // between two faults: 1.5 s on average
+	maxInterval    = 3 * time.Second // between the starts of two faults: 1.5 s on average
 	minDuration    = 200 * time.Millisecond
 	durationRange  = 3 * time.Second
 )
 
-// DrawSchedule draws a schedule of faults from a seed, up to a length of time.
+// DrawSchedule draws a schedule from a seed. All faults begin before the given length of time.
 func DrawSchedule(seed uint64, length time.Duration, members, relays int) []Fault {
 	random := rand.New(rand.NewPCG(seed, scheduleStream))
-	var names []Kind // each as often as its weight
+	var weightedKinds []Kind // each kind as often as its weight
 	for _, k := range kinds {
 		for range k.weight {
-			names = append(names, k.name)
+			weightedKinds = append(weightedKinds, k.name)
 		}
 	}
 	var schedule []Fault
@@ -38,10 +39,10 @@
 		if at >= length {
 			return schedule
 		}
-		schedule = append(schedule, Fault{ // drawn in the order of the fields
+		schedule = append(schedule, Fault{ // a change of the fields' order would change the schedule of a seed
 			At:        at,
 			Duration:  minDuration + time.Duration(random.Int64N(int64(durationRange))),
-			Kind:      names[random.IntN(len(names))],
+			Kind:      weightedKinds[random.IntN(len(weightedKinds))],
 			Target:    random.IntN(members * relays),
 			Direction: Direction(random.IntN(int(directions))),
 		})
--- a/internal/faultinjection/faults/syscalls_test.go
+++ b/internal/faultinjection/faults/syscalls_test.go
@@ -14,16 +14,18 @@
 	"time"
 )
 
-// callerEnv makes the test binary make system calls of each kind in a folder that it names, and print how they ended.
+// callerEnv is an environment variable that names a folder. It makes the test binary act as a helper process, which makes system calls of
+// each kind, with files in that folder, and prints the errors.
 const callerEnv = "FROSTLINK_TEST_CALLER"
 
 const (
-	// callsOfAKind is how many calls of each kind the helper process makes.
-	callsOfAKind = 200
-	// written is what it writes each time.
-	written = "0123456789"
-	// renamed is the file that it renames, without the last character.
-	renamed = "move"
+	// callsPerKind is the number of calls of each kind that the helper process makes.
+	callsPerKind = 200
+	// writtenText is the text that each file-write call writes.
+	writtenText = "0123456789"
+	// renamedFile is the name, without its last character, of the file that the helper process renames. The last character alternates between
+	// 0 and 1.
+	renamedFile = "move"
 )
 
 // The kinds of calls that the helper process makes.
@@ -37,17 +39,17 @@
 	accept           = "accept"
 )
 
-// makeCalls is the helper process: it makes calls on files inside and outside of the folder and on sockets, and prints a line a
-// kind with its name and how often it failed with which error.
+// makeCalls is the main function of the helper process. It makes calls on files inside and outside of the folder and on sockets, and
+// prints a line for each kind with the kind's name and the number of failures by error.
 func makeCalls(folder string) {
 	makeFileCalls(folder)
 	makeSocketCalls()
 }
 
-// countErrors makes one kind of call many times, and prints how often it failed with which error.
+// countErrors makes calls of one kind, and prints the number of failures by error.
 func countErrors(kind string, call func(i int) error) {
 	failed := map[string]int{}
-	for i := range callsOfAKind {
+	for i := range callsPerKind {
 		var errno syscall.Errno
 		if err := call(i); errors.As(err, &errno) {
 			failed[errno.Error()]++
@@ -68,8 +70,8 @@
 		return file
 	}
 	inside, outside := open(filepath.Join(folder, "in")), open(folder+"-out")
-	countErrors(fileWrite, func(int) error { _, err := inside.WriteString(written); return err })
-	countErrors(fileWriteOutside, func(int) error { _, err := outside.WriteString(written); return err })
+	countErrors(fileWrite, func(int) error { _, err := inside.WriteString(writtenText); return err })
+	countErrors(fileWriteOutside, func(int) error { _, err := outside.WriteString(writtenText); return err })
 	countErrors(fileSync, func(int) error { return inside.Sync() })
 	countErrors(fileOpen, func(int) error {
 		file, err := os.OpenFile(filepath.Join(folder, "new"), os.O_CREATE|os.O_WRONLY, 0o600)
@@ -77,7 +79,7 @@
 		return err
 	})
 	countErrors(fileRename, func(i int) error {
-		name := filepath.Join(folder, renamed)
+		name := filepath.Join(folder, renamedFile)
 		return os.Rename(fmt.Sprint(name, i%2), fmt.Sprint(name, 1-i%2))
 	})
 }
@@ -99,7 +101,7 @@
 		_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 		conn, err := listener.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil // no connection was left
+			return nil // no connection was waiting
 		}
 		if err == nil {
 			err = conn.Close()
@@ -108,7 +110,8 @@
 	})
 }
 
-// Without a rule no call fails.
+// A rule makes calls of its own kind fail with its error, and no others; calls on files outside the folder never fail. Without a rule no
+// call fails.
 func TestSyscallErrors_FailTheCallsOfTheirKindAlone(t *testing.T) {
 	library, err := BuildSyscallLibrary(t.TempDir())
 	if err != nil {
@@ -129,10 +132,10 @@
 	}
 }
 
-// syscallTest is a rule for half of the calls of a kind, and which calls of the helper process it makes fail.
+// syscallTest is a rule for half of the calls of one kind, and the kind of calls of the helper process that it makes fail.
 type syscallTest struct {
 	name  string
-	kind  string // "": none
+	kind  string // kind that fails; "": none
 	call  Syscall
 	errno syscall.Errno
 }
@@ -144,7 +147,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, renamed+"0"), nil, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, renamedFile+"0"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	syscallErrors, err := NewSyscallErrors(library, filepath.Join(dir, "rules"), folder, 1)
@@ -160,28 +163,28 @@
 	output := runHelper(t, append(syscallErrors.Env(), Preload(syscallErrors.Library()), callerEnv+"="+folder))
 	if tt.call != 0 {
 		hits, err := syscallErrors.Clear(rule)
-		if err != nil || tt.call != PollWait && (hits < callsOfAKind/4 || hits > 2*callsOfAKind) {
-			t.Errorf("applied %d times, %v", hits, err)
+		if err != nil || tt.call != PollWait && (hits < callsPerKind/4 || hits > 2*callsPerKind) {
+			t.Errorf("rule applied to %d calls, error %v", hits, err)
 		}
 	}
 	for _, kind := range []string{fileWrite, fileWriteOutside, fileSync, fileOpen, fileRename, connect, accept} {
 		tt.checkFailures(t, kind, lineOf(output, kind+" "))
 	}
 	raw, err := os.ReadFile(filepath.Join(folder, "in"))
-	if tt.errno == ShortTransfer && (err != nil || string(raw) != strings.Repeat(written, callsOfAKind)) {
-		t.Errorf("%d bytes were written, %v", len(raw), err)
+	if tt.errno == ShortTransfer && (err != nil || string(raw) != strings.Repeat(writtenText, callsPerKind)) {
+		t.Errorf("file has wrong content of %d bytes after short writes, error %v", len(raw), err)
 	}
 }
 
-// checkFailures checks the line that the helper process printed of one kind of call.
+// checkFailures checks the line that the helper process printed for one kind of call.
 func (tt syscallTest) checkFailures(t *testing.T, kind, line string) {
 	t.Helper()
 	wanted := kind == tt.kind && tt.errno != ShortTransfer
 	failed := line != "map[]"
-	// After a rename that failed the next ones find no file.
+	// After a rename that failed, the next renames fail with another error, because their source file does not exist.
 	otherError := wanted && kind != fileRename && !strings.Contains(line, tt.errno.Error())
 	if failed != wanted || otherError {
-		t.Errorf("%s failed with %s", kind, line)
+		t.Errorf("%s calls failed with %s", kind, line)
 	}
 }
 
@@ -202,7 +205,7 @@
 	return output.String()
 }
 
-// lineOf returns what follows a prefix in the line that begins with it.
+// lineOf returns the text that follows a prefix in the line that begins with the prefix.
 func lineOf(text, prefix string) string {
 	for line := range strings.Lines(text) {
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(line), prefix); ok {
--- a/internal/faultinjection/faults/verdict.go
+++ b/internal/faultinjection/faults/verdict.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxLateness is how late the harness's own timers may be: beyond it the machine was too busy for a verdict.
+	// maxLateness is how late the harness's own timers may fire in a conclusive run. If they fire later, the machine was too busy.
 	maxLateness = 150 * time.Millisecond
-	// idleAfter is how long before the end of a run the last execution may have begun.
+	// idleAfter is the longest time from the start of the last execution to the end of a run that passes CheckIdle.
 	idleAfter = 2 * time.Second
 )
 
@@ -20,20 +20,20 @@
 	Fenced             bool         `json:"fenced"`
 	Executions         int          `json:"acts"`
 	Accepted           int          `json:"accepted"`
-	Grants             int          `json:"grants"` // tokens seen
+	Grants             int          `json:"grants"` // number of different tokens of all executions
 	InjectedFaults     map[Kind]int `json:"caused"`
-	TakeoverSeconds    []float64    `json:"takeover_s"`       // from a holder's death to another's next execution
+	TakeoverSeconds    []float64    `json:"takeover_s"`       // from the death of each lease holder to the next accepted execution
 	MaxLatenessSeconds float64      `json:"rig_late_s"`       // of the harness's own timers
-	Void               bool         `json:"void"`             // inconclusive: the machine was too busy for a verdict
-	Violations         []Violation  `json:"faults,omitempty"` // none: the run passed
-	Dir                string       `json:"folder,omitempty"` // of a run that failed: logs and data
+	Void               bool         `json:"void"`             // inconclusive, because the machine was too busy
+	Violations         []Violation  `json:"faults,omitempty"` // empty if the run passed
+	Dir                string       `json:"folder,omitempty"` // with the logs and data, if the run failed
 }
 
 func newResult(o Options) Result {
 	return Result{Seed: o.Seed, Members: o.Members, Relays: o.Relays, Fenced: o.Fenced}
 }
 
-// judge returns the result of a run by what it recorded.
+// judge returns the result of a run from its observations.
 func judge(o Options, seen observations) Result {
 	r := newResult(o)
 	tokens := map[uint64]bool{}
@@ -48,7 +48,7 @@
 	r.MaxLatenessSeconds, r.Void = seen.maxLateness.Seconds(), seen.maxLateness > maxLateness
 	r.Violations = append(seen.violations, CheckExecutions(seen.executions, seen.pauses)...)
 	if seen.isIdle() {
-		r.Violations = append(r.Violations, Violation{CheckIdle, "nobody acts at the end of the calm"})
+		r.Violations = append(r.Violations, Violation{CheckIdle, "no relay sends requests to the resource at the end of the quiet period"})
 	}
 	if len(r.Violations) > 0 {
 		r.Dir = o.Dir
@@ -56,12 +56,12 @@
 	return r
 }
 
-// isIdle reports whether no relay acts at the end of the quiet period.
+// isIdle reports whether no execution began within idleAfter before the end of the run.
 func (o *observations) isIdle() bool {
 	return len(o.executions) == 0 || o.end-o.executions[len(o.executions)-1].Begin > idleAfter
 }
 
-// takeoverSeconds returns how long it took from each death of a holder to the next accepted execution.
+// takeoverSeconds returns the time from each death of a lease holder to the next accepted execution.
 func (o *observations) takeoverSeconds() []float64 {
 	var list []float64
 	for _, death := range o.holderDeaths {
--- a/internal/faultinjection/faults/verdict_test.go
+++ b/internal/faultinjection/faults/verdict_test.go
@@ -31,10 +31,10 @@
 				got = append(got, v.Check)
 			}
 			if !slices.Equal(got, tt.want) || !slices.Equal(r.TakeoverSeconds, tt.takeovers) || r.Void != tt.void {
-				t.Errorf("%+v", r)
+				t.Errorf("got %+v", r)
 			}
 			if failed := r.Dir != ""; failed != (len(tt.want) > 0) {
-				t.Errorf("folder %q with violations %v", r.Dir, got)
+				t.Errorf("got folder %q with violations of %v", r.Dir, got)
 			}
 		})
 	}
--- a/internal/faultinjection/faults/wallclock.go
+++ b/internal/faultinjection/faults/wallclock.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// wallClockSource is the library that steps a process's wall clock, in C since it is loaded before the program starts.
+// wallClockSource is the C source of the preloaded library that steps a process's wall clock. It is in C because the library is loaded
+// before the program starts.
 //
 //go:embed preload/wallclock.c
 var wallClockSource []byte
 
 const (
 	offsetEnv = "FROSTLINK_WALL_CLOCK_OFFSET"
-	// offsetSize is the length of the file that holds a clock's offset: an int64 of nanoseconds in the machine's byte order.
+	// offsetSize is the size in bytes of the file that holds a clock's offset, an int64 of nanoseconds in the machine's byte order.
 	offsetSize = 8
 )
 
-// WallClock is the wall clock of the processes that are started with its Env. Their monotonic clocks run on unchanged when it is
-// stepped. The processes have to be linked dynamically against the C library.
+// WallClock is the wall clock of the processes that are started with its Env and with its Library preloaded. A step of the wall clock
+// does not change their monotonic clocks. The processes have to be linked dynamically against the C library.
 type WallClock struct {
 	library string
 	path    string
@@ -30,7 +31,7 @@
 	offset time.Duration
 }
 
-// BuildWallClockLibrary compiles the library into a folder and returns its path. It needs a C compiler.
+// BuildWallClockLibrary compiles the library into a folder and returns the library's path. It requires a C compiler.
 func BuildWallClockLibrary(dir string) (string, error) {
 	return buildLibrary(dir, "wallclock", wallClockSource)
 }
@@ -38,18 +39,18 @@
 // NewWallClock returns a clock that is not stepped yet. Its offset is stored in a file at path.
 func NewWallClock(library, path string) (*WallClock, error) {
 	if err := os.WriteFile(path, make([]byte, offsetSize), 0o600); err != nil {
-		return nil, fmt.Errorf("offset of a wall clock: %w", err)
+		return nil, fmt.Errorf("write the offset of a wall clock: %w", err)
 	}
 	return &WallClock{library: library, path: path}, nil
 }
 
-// Env returns what a process needs in its environment to use this clock, besides the library in LD_PRELOAD.
+// Env returns the environment variables that a process needs to use this clock, in addition to the library in LD_PRELOAD.
 func (c *WallClock) Env() []string { return []string{offsetEnv + "=" + c.path} }
 
 // Library returns the path of the library to preload.
 func (c *WallClock) Library() string { return c.library }
 
-// Step moves the clock at once, for running processes and later ones.
+// Step adds a time, which may be negative, to the clock of running processes and of processes started later.
 func (c *WallClock) Step(by time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultinjection/faults/wallclock_test.go
+++ b/internal/faultinjection/faults/wallclock_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// clockReaderEnv makes the test binary print its clocks, a line for each line that it reads.
+// clockReaderEnv is an environment variable that makes the test binary act as a helper process, which prints its wall clock and its
+// monotonic clock for each line that it reads.
 const clockReaderEnv = "FROSTLINK_TEST_CLOCK_READER"
 
-// readClocks is the helper process.
+// readClocks is the main function of the helper process.
 func readClocks() {
 	start := time.Now()
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
@@ -60,7 +61,7 @@
 		}
 		return time.Unix(0, wall).Sub(before.Round(0)), time.Duration(monotonic)
 	}
-	const slack = 10 * time.Second // far more than a busy machine takes for a line, far less than the steps
+	const slack = 10 * time.Second // much longer than an answer takes on a busy machine, and much shorter than the steps
 	_, last := read()
 	for _, step := range []time.Duration{time.Hour, -2 * time.Hour, time.Hour} {
 		if err := clock.Step(step); err != nil {
