--- a/internal/faultinjection/destination/admission.go
+++ b/internal/faultinjection/destination/admission.go
@@ -67,7 +67,7 @@
 	return max(time.Millisecond, next-m.now)
 }
 
-// decideOutcome returns the outcome of an attempt if it is executed, which follows from the attempt's Draw.
+// decideOutcome returns the outcome that an attempt gets when it is executed. The attempt's Draw decides the outcome.
 func (e *endpoint) decideOutcome(a *Attempt) Outcome {
 	errorShare := e.currentErrorShare()
 	switch {
--- a/internal/faultinjection/destination/doc.go
+++ b/internal/faultinjection/destination/doc.go
@@ -1,5 +1,5 @@
 // Package destination models a destination: endpoints that execute attempts and queue them, a limit on attempts, pauses, outages,
-// and the slow start after them.
+// and the slow start after an outage.
 //
 // A [Model] has no sockets, no clock and no goroutines. The caller passes in each attempt, cancellation and fault with its time, and
 // these times never decrease. The model returns completions and mode changes as [Action] values. When no other call is due earlier,
--- a/internal/faultinjection/destination/mode.go
+++ b/internal/faultinjection/destination/mode.go
@@ -1,6 +1,6 @@
 package destination
 
-// Mode is an endpoint's way to respond to attempts.
+// Mode determines how an endpoint responds to attempts.
 type Mode int
 
 // The modes. In ModeRefusing and the modes after it an endpoint is down: no attempt gets a response.
@@ -8,7 +8,7 @@
 	ModeServing      Mode = iota
 	ModeOverloaded        // rejects every attempt
 	ModeFailing           // responds to a share of the attempts with an error
-	ModeRefusing          // refuses new connections; the connections open when the mode began are reset
+	ModeRefusing          // refuses new connections; open ones are reset when the mode begins
 	ModeUnresponsive      // accepts connections and never responds
 	ModeUnreachable       // no connection is established, as with a machine that is gone
 )
--- a/internal/faultinjection/destination/outage.go
+++ b/internal/faultinjection/destination/outage.go
@@ -14,8 +14,8 @@
 	return m.takeActions()
 }
 
-// Fail puts one endpoint or all into a mode; share is the share of attempts that fail in ModeFailing. If endpoints in the mode are
-// down, the attempts that the endpoint is executing or has queued are lost.
+// Fail puts one endpoint or all into a mode; share is the share of attempts that fail in ModeFailing. A mode that takes
+// an endpoint down also drops the attempts that the endpoint is executing or has queued.
 func (m *Model) Fail(now time.Duration, number int, mode Mode, share float64) []Action {
 	if number == AllEndpoints {
 		m.overload.downUntil = 0 // the new outage replaces an outage by overload
--- a/internal/faultinjection/destination/overload.go
+++ b/internal/faultinjection/destination/overload.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// OverloadSlack is how many attempts more than OverloadFactor times its capacity in an OverloadWindow a cold destination tolerates
-// before it goes down, because the overload rule allows "a little slack for chance".
+// OverloadSlack is the number of attempts per OverloadWindow that a cold destination tolerates in addition to OverloadFactor times its
+// capacity before it goes down. The overload rule allows "a little slack for chance".
 const OverloadSlack = 3
 
 // overloadState records the attempts that arrived at a cold destination, and whether they overloaded it.
--- a/internal/faultinjection/destination/slow_start.go
+++ b/internal/faultinjection/destination/slow_start.go
@@ -43,7 +43,7 @@
 	return onRamp + (to - rampEnd).Seconds()
 }
 
-// finishTime returns when an amount of work is finished that begins at a given time.
+// finishTime returns the time at which work that begins at a given time is finished.
 //
 // During slow start, with
 //
--- a/internal/faultinjection/faults/executions_check.go
+++ b/internal/faultinjection/faults/executions_check.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Check is the name of a check of a run.
+// Check is the name of a check that every run has to pass.
 type Check string
 
 // The checks.
--- a/internal/faultinjection/faults/inject.go
+++ b/internal/faultinjection/faults/inject.go
@@ -31,7 +31,7 @@
 	h.recorder.countFault(f.Kind)
 	i := slices.IndexFunc(kinds, func(k kindSpec) bool { return k.name == f.Kind })
 	if i < 0 {
-		slog.Error("unknown fault", logkey.Kind, f.Kind)
+		slog.Error("unknown kind of fault; fault not injected", logkey.Kind, f.Kind)
 		return
 	}
 	t := target{h.members[f.Target%len(h.members)], h.relays[f.Target%len(h.relays)]}
@@ -130,7 +130,7 @@
 	defer heal()
 	for deadline := h.now() + ttl; !t.relay.resourceLink.IsHolding(); {
 		if h.now() > deadline || !wait.For(ctx, executionPollInterval) {
-			return // the relay no longer holds the lease
+			return // no request within a TTL: the relay no longer holds the lease
 		}
 	}
 	healTimer := time.AfterFunc(ttl+ttl/2, heal)
--- a/internal/faultinjection/faults/loopback.go
+++ b/internal/faultinjection/faults/loopback.go
@@ -25,8 +25,8 @@
 )
 
 // Loopback is a network of loopback addresses that is reserved for one run until it is closed. Each address is assigned only once, so
-// that a process can bind the address in its configuration long after the configuration was written, and again after a restart, and
-// no other process has taken the address meanwhile.
+// that no other process of any run takes it. A process can therefore bind the address in its configuration long after the
+// configuration was written, and bind it again after a restart.
 type Loopback struct {
 	lock    net.Listener // bound to a fixed address of the network; the process that has bound it owns the network
 	network byte
--- a/internal/faultinjection/faults/process.go
+++ b/internal/faultinjection/faults/process.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// Kill sends SIGKILL to the process, and waits until it has exited.
+// Kill sends SIGKILL to the process group, and waits until the process has exited.
 func (p *Process) Kill() error {
 	p.mu.Lock()
 	p.expected = true
--- a/internal/faultinjection/faults/proxy.go
+++ b/internal/faultinjection/faults/proxy.go
@@ -25,7 +25,7 @@
 	directions // number of directions
 )
 
-// Proxy forwards TCP connections to one address. Its methods partition, delay and reset them.
+// Proxy forwards TCP connections to one address. Its methods partition and delay the traffic, and reset the connections.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -35,7 +35,7 @@
 	mu     sync.Mutex // guards the fields below
 	links  [directions]link
 	conns  map[net.Conn]struct{}
-	held   int // number of chunks and new connections that wait in hold
+	held   int // number of chunks and new connections that wait until their direction is not partitioned
 	closed bool
 }
 
--- a/internal/faultinjection/faults/run_test.go
+++ b/internal/faultinjection/faults/run_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxRuns is how many times a run is executed at most until it is conclusive.
+// maxRuns bounds how many times runUntilConclusive executes a run.
 const maxRuns = 4
 
-// runUntilConclusive executes a run, and repeats it up to maxRuns times in all while it is inconclusive because the machine was too busy.
+// runUntilConclusive executes a run until it is conclusive, at most maxRuns times. A run is inconclusive if the machine was too busy.
 func runUntilConclusive(t *testing.T, o Options) Result {
 	t.Helper()
 	o.RelayPath, o.CoordinatorPath = filepath.Join(programsDir, "frostlink"), filepath.Join(programsDir, "frostlink-coord")
@@ -61,7 +61,7 @@
 			for _, v := range r.Violations {
 				if v.Check == CheckOverlap {
 					overlaps++
-				} else if fenced || v.Check != CheckToken { // without fencing a violation of CheckToken is expected as well: an older token is accepted after a newer one
+				} else if fenced || v.Check != CheckToken { // without fencing an older token is also accepted after a newer one
 					t.Errorf("%s: %s", v.Check, v.Detail)
 				}
 			}
--- a/internal/faultinjection/faults/syscalls.go
+++ b/internal/faultinjection/faults/syscalls.go
@@ -53,10 +53,10 @@
 )
 
 // ShortTransfer as the error of a rule makes a read or write transfer only a part of its length in place of failing.
-const ShortTransfer syscall.Errno = shortErrno //nolint:errname // not an error: its value marks a short transfer in the errno field of a rule
+const ShortTransfer syscall.Errno = shortErrno //nolint:errname // not an error, but marks a short transfer in a rule
 
 // HeldUp as the error of a rule delays a call by HeldUpTime in place of making it fail.
-const HeldUp syscall.Errno = heldUp //nolint:errname // not an error: its value marks a delay in the errno field of a rule
+const HeldUp syscall.Errno = heldUp //nolint:errname // not an error, but marks a delay in a rule
 
 // HeldUpTime is the delay of a call that is held up; the library has the same value in HELD_UP_NS.
 const HeldUpTime = 150 * time.Millisecond
--- a/internal/faultinjection/faults/wallclock.go
+++ b/internal/faultinjection/faults/wallclock.go
@@ -50,7 +50,7 @@
 // Library returns the path of the library to preload.
 func (c *WallClock) Library() string { return c.library }
 
-// Step adds a time, which may be negative, to the clock of running processes and of processes started later.
+// Step adds a duration, which may be negative, to the clock of running processes and of processes started later.
 func (c *WallClock) Step(by time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
