--- a/cmd/frostlink/main.go
+++ b/cmd/frostlink/main.go
@@ -110,7 +110,7 @@
 	}
 	// The environment goes before the file, which may be that of the process whose place this one takes.
 	if address := os.Getenv(envManagement); address != "" {
-		config.Management = address
+		config.AdminAddress = address
 	}
 	return config, nil
 }
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -24,14 +24,14 @@
 	serving    atomic.Bool // clients are served and no graceful shutdown has begun
 }
 
-// openAdminEndpoint opens the admin endpoint, if the configuration has an address for it. The endpoint answers from now on, and
-// reports that the relay does not serve until startServing is called.
+// openAdminEndpoint opens the admin endpoint, if the configuration has an address for it. Until startServing is called, the
+// endpoint answers that the relay does not serve.
 func openAdminEndpoint(cfg *Config, mode *servingmode.Mode, metrics *admin.Metrics, violations *invariant.Counts) (*adminEndpoint, error) {
 	a := &adminEndpoint{mode: mode, metrics: metrics, violations: violations}
-	if cfg.Management == "" {
+	if cfg.AdminAddress == "" {
 		return a, nil
 	}
-	listener, err := socket.Listen(cfg.Management)
+	listener, err := socket.Listen(cfg.AdminAddress)
 	if err != nil {
 		return nil, fmt.Errorf("admin endpoint: %w", err)
 	}
@@ -48,7 +48,7 @@
 func (a *adminEndpoint) startServing(frontend *front.Server) {
 	a.frontend.Store(frontend)
 	a.serving.Store(true)
-	if standby, _ := a.mode.InStandby(); standby { // handed over by a predecessor
+	if standby, _ := a.mode.InStandby(); standby { // the relay was in standby when a predecessor handed it over
 		go frontend.CloseIdleConns()
 	}
 }
@@ -72,7 +72,7 @@
 	return false, "handed over"
 }
 
-// Standby drains clients.
+// Standby puts the relay in standby: the health check fails, and clients' connections are closed in stages.
 func (a *adminEndpoint) Standby() {
 	slog.Info("entered standby: client connections are being drained")
 	a.mode.EnterStandby(time.Now())
@@ -81,7 +81,7 @@
 	}
 }
 
-// Active serves clients again.
+// Active ends standby.
 func (a *adminEndpoint) Active() {
 	slog.Info("left standby: clients are served again")
 	a.mode.Activate()
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -51,7 +51,7 @@
 }
 
 // Each request is counted under exactly one outcome, and a repeated submission of a known id under none. The expected counts
-// follow from what the clients submit and the endpoints respond.
+// follow from the submissions and from the endpoints' responses.
 func TestAdmin_MetricsCountEachOutcomeOnce(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -15,12 +15,12 @@
 	l.requests[r.ID] = r
 	l.candidates = append(l.candidates, r)
 	l.events = append(l.events, policy.Arrived{
-		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey, Background: r.Redelivery,
+		ID: r.ID, Class: l.classIndex(r.Class), Destination: r.Destination, OrderKey: r.OrderKey, Background: r.Redelivery,
 		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
 	})
 }
 
-// acceptCandidates accepts the candidates of this batch that were not rejected.
+// acceptCandidates accepts the candidates of this batch that the dispatcher has not rejected.
 func (l *loop) acceptCandidates() {
 	for _, r := range l.candidates {
 		if !r.completed() {
@@ -30,7 +30,7 @@
 }
 
 func (l *loop) accept(r *request) {
-	if class := l.class(r.Class); class >= 0 {
+	if class := l.classIndex(r.Class); class >= 0 {
 		l.journal.SetTerms(r.Entry, l.cfg.policy.Classes[class])
 	}
 	l.journal.Accept(r.Entry)
@@ -52,7 +52,7 @@
 }
 
 // respondToCandidate answers the submissions of a candidate that are not answered yet. durable says whether the records of
-// its batch are durable.
+// the batch are durable.
 func (l *loop) respondToCandidate(r *request, durable bool) {
 	switch {
 	case durable && r.responses != nil:
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -30,10 +30,11 @@
 	endpoint discovery.Endpoint
 	timeout  time.Duration
 	writeBy  time.Time // its last byte must be written by then; zero: no limit
-	record   uint64    // the journal's number of its record
+	record   uint64    // the number of its record in the journal
 }
 
-// planAttempt notes an attempt in the journal and schedules its start for the end of the batch.
+// planAttempt adds an attempt to the journal and schedules its start for the end of the batch. An attempt that violates an
+// invariant, or whose endpoint is not listed for the destination, ends unsent.
 func (l *loop) planAttempt(now time.Duration, a policy.Send) {
 	r := l.requests[a.ID]
 	if r == nil || r.completed() {
@@ -57,7 +58,7 @@
 		return
 	}
 	if !listed || endpoint.Destination != r.Destination {
-		// Guards the protocol's rule that a request goes only to a listed endpoint of its destination.
+		// Guards the protocol's rule that a request is sent only to a listed endpoint of its destination.
 		slog.Error("attempt not sent: the endpoint is not listed for the request's destination", logkey.Endpoint, a.Endpoint, logkey.Destination, r.Destination)
 		l.attemptNotSent(p)
 		return
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -19,7 +19,8 @@
 	// 1. Records.
 	durable := l.writeRecords()
 
-	// 2. Effects that need the records of this batch. If these are not durable, the candidates and attempts are undone.
+	// 2. Effects that need the records of this batch. If the records are not durable, the candidates are rejected and dropped,
+	// and the attempts are not started.
 	candidates, attempts, immediate := l.candidates, l.attempts, l.effects.immediate
 	l.candidates, l.attempts, l.effects.immediate = nil, nil, nil
 	for _, r := range candidates {
@@ -50,7 +51,7 @@
 }
 
 // writeRecords writes the records of the batch and reports whether they are durable. It tracks the folder's state: while the
-// folder is degraded, no attempt starts, and the write is retried after a pause.
+// folder is degraded, the dispatcher starts no attempt, and the write is retried after a pause.
 func (l *loop) writeRecords() (durable bool) {
 	now, before := l.now(), l.folder.State()
 	if !l.folder.MayWrite(now) {
@@ -83,8 +84,8 @@
 	}
 }
 
-// folderRetryAt returns when the write of a degraded folder is retried, or when an effect must run without its record if
-// that is earlier. ok is false if the folder is not degraded.
+// folderRetryAt returns when the next write to a degraded folder is due, or the earliest time at which an effect must run
+// without its record, if that is earlier. ok is false if the folder is not degraded.
 func (l *loop) folderRetryAt() (at time.Duration, ok bool) {
 	if l.folder.State() != journal.Degraded {
 		return 0, false
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -19,11 +19,11 @@
 // Config is the platform's configuration file for one relay.
 type Config struct {
 	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"` // hexadecimal
-	// Management is the address of the admin endpoint; empty: there is none.
-	Management     string                 `json:"management"`
+	Listen    string `json:"listen"`    // the address for clients
+	Discovery string `json:"discovery"` // the address of the discovery service
+	Seed      string `json:"seed"`      // hexadecimal
+	// AdminAddress is the address of the admin endpoint; empty: there is none.
+	AdminAddress   string                 `json:"management"`
 	Limits         Limits                 `json:"limits"`
 	KnownEndpoints discovery.EndpointList `json:"known"`
 	Settings       settings.Settings      `json:"settings"`
@@ -102,7 +102,8 @@
 	return longest
 }
 
-// addRetiredClasses adds the classes that are no longer in the settings but that requests in the journal belong to.
+// addRetiredClasses adds the classes that the settings no longer have, but that requests in the journal belong to. Their terms
+// are read from the journal.
 func (c *Config) addRetiredClasses(j *journal.Journal) {
 	for _, e := range j.Entries() {
 		if terms := j.Terms(e); terms != nil && !slices.Contains(c.classNames(), e.Class) {
--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -33,7 +33,7 @@
 		}
 	}
 	c.applySocketLimits()
-	if _, err := policy.New(c.policy, c.seed); err != nil { // checks the settings
+	if _, err := policy.New(c.policy, c.seed); err != nil { // policy.New validates the settings
 		return &ConfigError{Reason: err}
 	}
 	return nil
--- a/internal/relay/config_error.go
+++ b/internal/relay/config_error.go
@@ -6,8 +6,8 @@
 
 // ConfigError is a fault in the platform's configuration file.
 type ConfigError struct {
-	File   string // empty if Reason names it or it is unknown
-	Key    string // empty if Reason names it or the fault is not in one key
+	File   string // empty if Reason names the file, or if the file is unknown
+	Key    string // empty if Reason names the key, or if the fault is not in a single key
 	Reason error
 }
 
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -23,12 +23,12 @@
 		{"no JSON", `{"name"`, `["name"`, "invalid"},
 		{"no address", `"listen":"127.0.0.1:1",`, "", "listen"},
 		{"no discovery", `"discovery":"127.0.0.1:2",`, "", "discovery"},
-		{"odd seed", "8c1f30d27a5be964", "seed", "seed"},
+		{"invalid seed", "8c1f30d27a5be964", "seed", "seed"},
 		{"no cores", `"cores":1`, `"cores":0`, "cores"},
 		{"no memory", `"memory_mb":192`, `"memory_mb":-1`, "memory_mb"},
 		{"no sockets", `"sockets":1024`, `"sockets":0`, "sockets"},
 		{"no disk", `"disk_mb":3`, `"disk_mb":0`, "disk_mb"},
-		{"unknown effect", "fragile", "fragrant", "idempotency"},
+		{"unknown idempotency", "fragile", "fragrant", "idempotency"},
 		{"no instances", `"n_instances":1`, `"n_instances":0`, "Instances"},
 	}
 	for _, tt := range tests {
@@ -110,13 +110,13 @@
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
 	p.changeSettings = func(string) string { return unfamiliar }
-	of := func(tenant string) func(*http.Request) {
+	withTenant := func(tenant string) func(*http.Request) {
 		return func(r *http.Request) { r.Header.Set("Tenant", tenant) }
 	}
 	c := p.start()
 	for i, class := range []string{"ferry", "kelp", "buoy-7", "x"} {
 		id := "m-" + class
-		if resp := p.submit(class, id, "20", of([]string{"gull", "tern"}[i%2]), orderKey("tide")); resp.StatusCode != http.StatusAccepted {
+		if resp := p.submit(class, id, "20", withTenant([]string{"gull", "tern"}[i%2]), orderKey("tide")); resp.StatusCode != http.StatusAccepted {
 			t.Fatalf("%s: %s", class, resp.Status)
 		}
 		if got := p.nextAttempt(); got != id {
@@ -125,7 +125,7 @@
 	}
 	p.waitFor("all requests are delivered", func() bool { return len(readEntries(t, p.dir)) == 0 })
 	for class, tenant := range map[string]string{"status": "gull", "ferry": "acme"} { // the class or the tenant is not in these settings
-		if resp := p.submit(class, "no", "20", of(tenant)); resp.StatusCode/100 != 4 {
+		if resp := p.submit(class, "no", "20", withTenant(tenant)); resp.StatusCode/100 != 4 {
 			t.Errorf("%s of %s: %s", class, tenant, resp.Status)
 		}
 	}
--- a/internal/relay/deadletter_batch.go
+++ b/internal/relay/deadletter_batch.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/logkey"
 )
 
-// lostReason is the reason that the store lists for requests that it could not store.
+// lostReason is the reason that the store records for requests that were evicted from the journal before they were stored.
 const lostReason = "the store did not take it, and the journal had no room"
 
 // writeBatch writes a batch to the store, part by part, and stops at the first part that fails. Rejected requests come last,
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// writeLost lists requests as lost.
+// writeLost writes the ids of lost requests.
 func (w *deadLetterWriter) writeLost(ids []string) error {
 	if len(ids) == 0 {
 		return nil
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// writeRecords writes requests that were accepted and not delivered. If the store does not take them together, it writes the
-// first one alone, so that one request that can't be stored does not hold back those before it.
+// writeRecords writes requests that were accepted and not delivered. If writing them together fails, it writes the first one
+// alone, so that a request that can't be stored does not hold back the requests before it in the queue.
 func (w *deadLetterWriter) writeRecords(records []deadletter.Message) error {
 	if len(records) == 0 {
 		return nil
--- a/internal/relay/deadletter_events.go
+++ b/internal/relay/deadletter_events.go
@@ -30,10 +30,11 @@
 	}
 }
 
-// storeSynced names the store that from now on has recorded all deliveries, or gets them from this journal.
+// storeSynced names the store that misses no delivery from now on: each delivery stays in the journal until that store has
+// recorded it.
 type storeSynced struct {
 	store   string
-	dropped int // how many of the requests dropped from the journal the store has taken into account
+	dropped int // number of requests dropped from the journal unrecorded that the store has taken into account
 }
 
 func (e storeSynced) applyTo(d *deadLetterLink) {
--- a/internal/relay/deadletter_helpers_test.go
+++ b/internal/relay/deadletter_helpers_test.go
@@ -13,7 +13,8 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// enableDeadLetters makes relays keep dead letters, with further lines of the section, and returns the store's folder.
+// enableDeadLetters makes relays keep dead letters, and returns the store's folder. lines are further lines of the operator's
+// section on dead letters.
 func (p *platform) enableDeadLetters(lines string) string {
 	p.t.Helper()
 	folder := filepath.Join(p.t.TempDir(), "deadletters")
@@ -25,8 +26,8 @@
 	return folder
 }
 
-// deadLetter returns a request from the store of a relay that has ended.
-func (p *platform) deadLetter(folder, id string) (*deadletter.Record, *deadletter.Totals) {
+// readDeadLetter returns a request from the store of a relay that has ended, and the store's totals. It checks the body.
+func (p *platform) readDeadLetter(folder, id string) (*deadletter.Record, *deadletter.Totals) {
 	p.t.Helper()
 	s, err := deadletter.OpenToRead(folder)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return r, t
 }
 
-// journalSize returns how many requests the journal of a running relay holds.
-func (p *platform) journalSize() int {
+// journalEntryCount returns how many requests the journal of a running relay holds.
+func (p *platform) journalEntryCount() int {
 	p.t.Helper()
 	j, err := journal.Inspect(p.dir)
 	if err != nil {
@@ -66,7 +67,7 @@
 rate = 100
 `
 
-// redeliveries returns the ids of the attempts of redeliveries.
+// redeliveries returns the id of each attempt of a redelivery.
 func (p *platform) redeliveries() (ids []string) {
 	for _, id := range p.attempts() {
 		if strings.HasPrefix(id, "again-") {
@@ -76,8 +77,8 @@
 	return ids
 }
 
-// parcelSubjects are lines of the section by which requests of class status name their subject (a parcel) and their order in
-// headers, and dead letters are redelivered as soon as the rule allows.
+// parcelSubjects are lines of the operator's section on dead letters: requests of class status have their subject, a parcel, and
+// their order in headers, and dead letters are redelivered as soon as the rule allows.
 const parcelSubjects = "subjects_stick = true\n" + redeliveryRule + `[[undelivered.subject]]
 class = "status"
 header = "Parcel"
@@ -136,8 +137,8 @@
 	}
 }
 
-// readDeadLetters reads the store of a relay that has ended.
-func (p *platform) readDeadLetters(folder string, read func(s *deadletter.Store)) {
+// readStore reads the store of a relay that has ended.
+func (p *platform) readStore(folder string, read func(s *deadletter.Store)) {
 	p.t.Helper()
 	s, err := deadletter.OpenToRead(folder)
 	if err != nil {
--- a/internal/relay/deadletter_kill_test.go
+++ b/internal/relay/deadletter_kill_test.go
@@ -126,9 +126,9 @@
 	p.update(func() { p.respond = func(r *http.Request) int { return l.respond(r, 1) } })
 	c := p.start()
 	p.waitFor("20 attempts of redeliveries have arrived", func() bool { return len(p.redeliveries()) >= 20 })
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	p.readDeadLetters(folder, func(s *deadletter.Store) { l.check(t, p, s) })
+	p.readStore(folder, func(s *deadletter.Store) { l.check(t, p, s) })
 }
 
 // check compares the store with what endpoints and clients observed.
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -16,8 +16,8 @@
 	loop   *loop
 	writer *deadLetterWriter // nil if the store is off
 
-	awaitingStore []*request // those that are in the journal only for the store, the oldest first
-	dropped       int        // how many of them were evicted to free journal space for new requests
+	awaitingStore []*request // requests that are in the journal only for the store, the oldest first
+	dropped       int        // number of such requests that were evicted to free journal space for new requests
 	lastArrival   int64      // the last Order.Arrival assigned
 
 	// Requests with a subject whose outcome the store has not recorded yet.
@@ -168,10 +168,10 @@
 	return true
 }
 
-// requestStored notes that the store has recorded a request or its delivery, and evicts the request if nothing else is pending.
+// requestStored notes that the store has recorded a request or its delivery, and evicts the request unless its notice is pending.
 func (d *deadLetterLink) requestStored(r *request) {
 	r.inDeadLetters = true
-	d.inFlightSubmissions.Remove(r.ID, r.topic()) // from now on the store tracks it
+	d.inFlightSubmissions.Remove(r.ID, r.topic()) // from now on the store tracks the request
 	if r.state == stateNotified || r.Redelivery || r.Delivered {
 		d.loop.evict(r)
 	}
@@ -192,8 +192,8 @@
 	}
 }
 
-// freeJournalSpace evicts the oldest request that is in the journal only for the store. Its record is lost; the store will list
-// its id as lost.
+// freeJournalSpace evicts the oldest request that is in the journal only for the store. If the request was not delivered, its
+// record is lost, and the store will list its id as lost.
 func (d *deadLetterLink) freeJournalSpace() (freed bool) {
 	d.trimAwaitingStore()
 	if len(d.awaitingStore) == 0 {
@@ -202,7 +202,7 @@
 	r := d.awaitingStore[0]
 	d.awaitingStore = d.awaitingStore[1:]
 	d.dropped++
-	d.loop.journal.SetStore("") // until the store has taken the missing request into account
+	d.loop.journal.SetStore("") // until storeSynced says that the store has taken the eviction into account
 	d.writer.queue.addLost(r)
 	d.loop.evict(r)
 	return true
--- a/internal/relay/deadletter_queue.go
+++ b/internal/relay/deadletter_queue.go
@@ -13,7 +13,7 @@
 const (
 	// maxBatch is the largest number of records in one transaction of the store.
 	maxBatch = 200
-	// maxWaitingRejected is the largest number of records of requests that were never accepted in the queue.
+	// maxWaitingRejected limits how many records of requests that were never accepted wait in the queue.
 	maxWaitingRejected = 2000
 )
 
@@ -24,7 +24,7 @@
 	lost            []string              // ids of requests to be listed as lost
 	delivered       []deadletter.Delivery // of requests with a subject
 	rejectedCounts  map[string]int        // of requests that were never accepted, by class and tenant
-	rejectedRecords []deadletter.Message  // of these requests, if the operator keeps them; the journal does not have them, so the loop needs no acknowledgement
+	rejectedRecords []deadletter.Message  // of requests that were never accepted, if the operator's file says so; the loop gets no acknowledgement, since the journal does not have them
 }
 
 // deadLetterQueue holds the entries that wait for the writer. The loop adds entries and is never blocked; the writer removes
@@ -33,14 +33,14 @@
 	keepRejected bool // keep records of requests that were never accepted, instead of only counting them
 
 	mu      sync.Mutex // guards the fields below
-	changed sync.Cond  // signals that the condition of nextBatch may have changed
+	changed sync.Cond  // signals that the result of hasWorkLocked may have changed
 	waiting deadLetterBatch
-	polling bool // the retention bounds and the due redeliveries are to be checked
-	closing bool
+	polling bool // poll was called since the last batch
+	closing bool // close was called
 
 	newClasses []deadletter.Class // of new settings, until the writer has applied them
 	lostCount  int                // number of requests listed as lost so far
-	unrecorded int                // number of requests dropped unrecorded; an increase makes the store track topics anew
+	unrecorded int                // number of requests dropped unrecorded; an increase makes the store's tracking of topics begin anew
 }
 
 // newDeadLetterQueue returns an empty queue.
@@ -87,8 +87,8 @@
 	})
 }
 
-// addLost adds a request to be listed as lost, because the journal has no space for it any more, and logs the loss. A request
-// that was delivered is not lost: only the pending entry of its delivery is dropped.
+// addLost adds a request that was evicted from the journal to free space, to be listed as lost, and logs the loss. A request that
+// was delivered is not lost: only the pending entry of its delivery is dropped.
 func (q *deadLetterQueue) addLost(r *request) {
 	ids := []string{r.ID}
 	q.mu.Lock()
@@ -104,7 +104,7 @@
 	lost := q.lostCount
 	q.mu.Unlock()
 	q.changed.Signal()
-	slog.Error("dead letters lost: the store does not accept them and the journal is full", logkey.RequestIDs, ids, logkey.Count, lost)
+	slog.Error("dead letter lost: it was evicted from the journal to free space for a new request before the store recorded it", logkey.RequestIDs, ids, logkey.Count, lost)
 }
 
 // setClasses passes the classes of new settings to the writer.
@@ -128,14 +128,15 @@
 	return q.unrecorded
 }
 
-// poll makes nextBatch return even if the queue is empty.
+// poll makes nextBatch return even if the queue is empty, so that the writer checks the retention bounds and the due
+// redeliveries.
 func (q *deadLetterQueue) poll() { q.update(func() { q.polling = true }) }
 
 // close makes nextBatch return ok = false from now on.
 func (q *deadLetterQueue) close() { q.update(func() { q.closing = true }) }
 
 // nextBatch waits for work and returns the next batch; ok is false after close. Rejected requests do not count as work: they
-// go with the next batch, so that they cause no transaction of their own.
+// wait for the next batch, so that a transaction writes many of them.
 func (q *deadLetterQueue) nextBatch() (batch deadLetterBatch, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -157,7 +158,7 @@
 	return q.closing || q.polling || len(w.records) > 0 || len(w.results) > 0 || len(w.lost) > 0 || len(w.delivered) > 0
 }
 
-// removeRecords removes records by id. Some may already have been removed as lost.
+// removeRecords removes records by id. addLost may already have removed some of them.
 func (q *deadLetterQueue) removeRecords(ids []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -168,7 +169,7 @@
 	q.waiting.records = slices.DeleteFunc(q.waiting.records, func(m deadletter.Message) bool { return slices.Contains(ids, m.ID) })
 }
 
-// removeDelivered removes deliveries by id. Some may already have been removed by addLost.
+// removeDelivered removes deliveries by id. addLost may already have removed some of them.
 func (q *deadLetterQueue) removeDelivered(ids []string) {
 	q.update(func() {
 		q.waiting.delivered = slices.DeleteFunc(q.waiting.delivered, func(n deadletter.Delivery) bool { return slices.Contains(ids, n.ID) })
--- a/internal/relay/deadletter_record.go
+++ b/internal/relay/deadletter_record.go
@@ -5,7 +5,7 @@
 	"frostlink/policy"
 )
 
-// incarnation returns the store's record of this acceptance of a request: its attempts and its outcome.
+// incarnation returns the store's record of one acceptance of a request, with the attempts and the outcome that followed.
 func (d *deadLetterLink) incarnation(r *request) deadletter.Incarnation {
 	incarnation := deadletter.Incarnation{
 		ID: r.ID, Relay: d.loop.cfg.Name, AcceptedAt: r.AcceptedAt.Time(), Deadline: r.Deadline.Time(), CompletedAt: r.CompletedAt.Time(),
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -31,9 +31,9 @@
 	p.kill(c)
 	// A later process writes the requests that the store may lack, and must store none twice.
 	c = p.start()
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	r, totals := p.deadLetter(folder, "executed")
+	r, totals := p.readDeadLetter(folder, "executed")
 	if totals.Messages != 2 || totals.States[deadletter.Held] != 2 {
 		t.Errorf("totals %+v", totals)
 	}
@@ -45,7 +45,7 @@
 	if a := l.Attempts[0]; a.Endpoint != "h1" || a.Execution != deadletter.ExecutionUnknown || a.Outcome != "error" || a.EndedAt.Before(a.StartedAt) {
 		t.Errorf("attempt %+v", a)
 	}
-	r, _ = p.deadLetter(folder, "rejected")
+	r, _ = p.readDeadLetter(folder, "rejected")
 	l = r.Last()
 	if l.Reason != deadletter.DeadlineExceeded || l.Status != notification.Deferred || r.MayHaveExecuted() != nil || len(l.Attempts) == 0 {
 		t.Errorf("record %+v", r)
@@ -64,9 +64,9 @@
 	p.kill(c)
 	c = p.start()
 	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
-	p.waitFor("the request is stored", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the request is stored", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	r, _ := p.deadLetter(folder, "a")
+	r, _ := p.readDeadLetter(folder, "a")
 	if len(r.Last().Attempts) != 1 || r.MayHaveExecuted() == nil || r.Last().Reason != deadletter.OutcomeUnknown {
 		t.Errorf("record %+v", r)
 	}
@@ -92,10 +92,10 @@
 	p.waitFor("request b has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	late.Store(true)
 	p.waitFor("two redeliveries are attempted", func() bool { return len(p.redeliveries()) >= 2 })
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
 	for _, id := range []string{"a", "b"} {
-		r, _ := p.deadLetter(folder, id)
+		r, _ := p.readDeadLetter(folder, id)
 		if r.State != deadletter.Held || r.Incarnations[0].Reason != deadletter.DeadlineExceeded || r.MayHaveExecuted() != nil {
 			t.Errorf("%s: %+v", id, r)
 		}
@@ -119,9 +119,9 @@
 			}
 			p.mustAccept("order", "b", "1")
 			p.waitFor("the accepted request has failed", func() bool { return len(p.receivedNotices()) == 1 })
-			p.waitFor("the accepted request is stored", func() bool { return p.journalSize() == 0 })
+			p.waitFor("the accepted request is stored", func() bool { return p.journalEntryCount() == 0 })
 			p.kill(c)
-			p.readDeadLetters(folder, func(s *deadletter.Store) {
+			p.readStore(folder, func(s *deadletter.Store) {
 				totals, _, err := s.Totals()
 				if err != nil || totals.Rejected["order of acme"] != 1 {
 					t.Errorf("%+v, %v", totals, err)
@@ -153,9 +153,9 @@
 	p.mustAccept("order", "a", "1")
 	p.waitFor("the accepted copy has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	_ = other.Close()
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	r, totals := p.deadLetter(folder, "a")
+	r, totals := p.readDeadLetter(folder, "a")
 	if totals.Messages != 1 || r.Last().Reason == deadletter.RejectedOnArrival || len(r.Last().Attempts) == 0 {
 		t.Errorf("%+v, %+v", totals, r)
 	}
@@ -186,20 +186,20 @@
 	}
 	// Each run submits a request of its own: a submission with a completed id would be answered from the journal, and the process
 	// could be killed before it has opened the store.
-	run := func(own, id string) {
-		p.operatorPath = own
+	run := func(operatorPath, id string) {
+		p.operatorPath = operatorPath
 		c := p.start()
 		p.mustAcceptStatus(id, "20", "k-1", "1")
-		p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+		p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 		p.kill(c)
 	}
-	with := p.operatorPath
-	run(with, "m1")
+	withStore := p.operatorPath
+	run(withStore, "m1")
 	if !known() {
 		t.Error("after a restart the store does not know the newest requests")
 	}
 	run("", "m2")
-	run(with, "m3")
+	run(withStore, "m3")
 	if known() {
 		t.Error("the store claims to know the newest requests, though a process has recorded nothing in it")
 	}
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -34,9 +34,9 @@
 	timeline       *clock.Timeline
 	newRedeliverer func(*deadletter.Store) *deadletter.Redeliverer
 	gate           deadletter.Gate                  // of redeliveries; nil: every redelivery is allowed
-	openStore      atomic.Pointer[deadletter.Store] // nil until the store is open; for other goroutines, which only read it
+	openStore      atomic.Pointer[deadletter.Store] // nil until the store is open; for other goroutines, which only read the store
 
-	// Used only by the goroutine of run and those that it starts.
+	// Used only by the goroutine of run and the goroutines that it starts.
 	classes          []deadletter.Class
 	journalledStore  string            // the store that has recorded all deliveries, according to the journal
 	deadLetters      *deadletter.Store // nil until it is open
--- a/internal/relay/deadletter_writer_test.go
+++ b/internal/relay/deadletter_writer_test.go
@@ -34,7 +34,7 @@
 	}
 	stop() // at once, so that most of them are still in the queue
 	waittest.Receive(t, done)
-	_, totals := p.deadLetter(folder, "m0")
+	_, totals := p.readDeadLetter(folder, "m0")
 	if totals.Rejected["order of acme"] != n || totals.Messages != n {
 		t.Errorf("%d counted and %d stored of %d", totals.Rejected["order of acme"], totals.Messages, n)
 	}
@@ -60,9 +60,9 @@
 		t.Errorf("the request is in a store that another process holds: %v", err)
 	}
 	_ = s.Close()
-	p.waitFor("the request is stored", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the request is stored", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	p.deadLetter(folder, "a")
+	p.readDeadLetter(folder, "a")
 }
 
 // If the store accepts nothing and the journal is full of requests that wait for it, the oldest of these are evicted and listed
@@ -85,7 +85,7 @@
 		p.waitFor("the platform has its notice", func() bool { return len(p.receivedNotices()) == i+1 })
 	}
 	_ = s.Close()
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
 	s, err = deadletter.OpenToRead(folder)
 	if err != nil {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -38,7 +38,7 @@
 }
 
 // updateEndpoint applies one endpoint of a list. For an endpoint that is new to this process it returns the health that an
-// earlier process recorded: the list in the configuration may have lacked the endpoint.
+// earlier process recorded. An endpoint may be new long after the start, since the list in the configuration may lack it.
 func (l *loop) updateEndpoint(endpoint discovery.Endpoint) (recovered []policy.Event) {
 	id := endpoint.ID
 	old, known := l.endpoints[id]
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/discovery"
 )
 
-// A process starts from the newest known list: the list of an earlier process, or that of the configuration if it is newer. A
+// A process starts from the newest known list: an earlier process's list, or the configuration's list if that is newer. A
 // list of another discovery service is used, but without its version, since the versions of two services can't be compared.
 func TestLatestEndpointList(t *testing.T) {
 	const here, elsewhere = "127.0.0.1:1", "127.0.0.1:2"
@@ -20,11 +20,11 @@
 		from                   string
 		want, wantAt           int64 // the version of the list that is used, and the version from which the watch requests changes
 	}{
-		{"none in the journal", 7, 0, "", 7, 7},
-		{"a newer one in the journal", 7, 9, here, 9, 9},
-		{"the same", 9, 9, here, 9, 9},
-		{"a newer one in the configuration", 12, 9, here, 12, 12},
-		{"another discovery's", 12, 9, elsewhere, 9, 0},
+		{"no list in the journal", 7, 0, "", 7, 7},
+		{"a newer list in the journal", 7, 9, here, 9, 9},
+		{"the same version", 9, 9, here, 9, 9},
+		{"a newer list in the configuration", 12, 9, here, 12, 12},
+		{"a list of another discovery service", 12, 9, elsewhere, 9, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			j := openEarlierJournal(t, t.TempDir())
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -23,7 +23,7 @@
 
 func (e submissionReceived) apply(l *loop) { l.handleSubmission(e.submission) }
 
-// submissionRejectedUnread says that the frontend rejected a submission because it had no memory to read it.
+// submissionRejectedUnread says that the frontend rejected a submission unread, for lack of memory.
 type submissionRejectedUnread struct{ class string }
 
 func (e submissionRejectedUnread) apply(l *loop) { l.metrics.Completed(e.class, admin.Shed, false) }
@@ -55,7 +55,7 @@
 
 func (e endpointsUpdated) apply(l *loop) { l.handleEndpointsUpdated(e) }
 
-// watchEnded says that the watch on discovery ended or could not be opened. lists is how many lists it brought.
+// watchEnded says that the watch on discovery ended or could not be opened. lists is the number of lists received on it.
 type watchEnded struct{ lists int }
 
 func (e watchEnded) apply(l *loop) {
@@ -97,7 +97,7 @@
 }
 
 // quiesceRequested asks the loop to send its state and then do nothing until it is resumed or ended. The loop does so as soon
-// as every attempt in flight has ended or its connection is detached.
+// as every attempt in flight has ended or has had its connection detached.
 type quiesceRequested struct {
 	state  chan *handoverState // buffers the answer, which is nil if the state can't be handed over
 	resume chan struct{}       // closed to resume the loop
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -13,7 +13,7 @@
 	"frostlink/policy"
 )
 
-// handoverState is the state that one process hands over to another in addition to the journal: docs/design/handover.md.
+// handoverState is the state that one process hands over to another in addition to the journal; see docs/design/handover.md.
 type handoverState struct {
 	Snapshot  *policy.Snapshot   `json:"memory"`
 	Classes   []policy.Class     `json:"classes"` // Snapshot refers to classes by their index in this list
@@ -72,7 +72,7 @@
 	if standby, since := l.mode.InStandby(); standby {
 		h.Standby, h.StandbySince = true, l.timeline.InstantOf(since)
 	}
-	for _, e := range l.journal.CompletedRequests() { // includes those that the journal file had no space for
+	for _, e := range l.journal.CompletedRequests() { // includes requests for which the journal file had no space
 		h.Completed = append(h.Completed, completedRequest(e))
 	}
 	for id := range l.detached {
@@ -84,8 +84,9 @@
 	return h
 }
 
-// resumeHandedOverAttempt awaits the response to a predecessor's attempt, and reports whether it does: it needs the attempt's
-// connection. Without the connection, only the journal's record of the attempt is available.
+// resumeHandedOverAttempt awaits the response to a request's attempt that was in flight at the hand-over, if the predecessor
+// handed over the attempt's connection, and reports whether there is such an attempt. Otherwise only the journal's records of
+// the request's attempts are available.
 func (l *loop) resumeHandedOverAttempt(ctx context.Context, r *request, predecessor *handoverState) bool {
 	conn := predecessor.conns[r.ID]
 	if conn == nil {
--- a/internal/relay/handover_kill_test.go
+++ b/internal/relay/handover_kill_test.go
@@ -13,14 +13,14 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// load is a workload of several clients. It records the accepted requests and the faults.
-type load struct {
+// workload is the load of several clients. It records the accepted requests and the faults.
+type workload struct {
 	mu       sync.Mutex
 	accepted map[string]bool
 	faults   []string
 }
 
-func (l *load) run(p *platform, name string, stop <-chan struct{}) {
+func (l *workload) run(p *platform, name string, stop <-chan struct{}) {
 	client := &http.Client{Timeout: waittest.Long, Transport: &http.Transport{}}
 	for i := 0; ; i++ {
 		select {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (l *load) fault(text string) {
+func (l *workload) fault(text string) {
 	l.mu.Lock()
 	l.faults = append(l.faults, text)
 	l.mu.Unlock()
@@ -71,7 +71,7 @@
 	p.addEndpoint("h1", 7)
 	p.endpoints[0].Weight = 2000
 	random := rand.New(rand.NewPCG(20261201, 18))
-	l := &load{accepted: map[string]bool{}}
+	l := &workload{accepted: map[string]bool{}}
 	inFlight, executed, answered, twice := map[string]int{}, map[string]int{}, map[string]int{}, map[string]bool{}
 	p.begunAttempts = make(chan string, 1<<20)
 	p.serveAttempt = func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/relay/handover_successor.go
+++ b/internal/relay/handover_successor.go
@@ -21,7 +21,7 @@
 // minOpenBackoff and maxOpenBackoff limit the pause before another try to open a journal that could not be read.
 const minOpenBackoff, maxOpenBackoff = 20 * time.Millisecond, 500 * time.Millisecond
 
-// Start starts the relay from the journal alone, as no other process owns the folder.
+// Start starts the relay from the journal alone. It is called if no other process owns the folder.
 func (n *node) Start() error {
 	j, err := n.openJournal()
 	if err != nil {
@@ -104,7 +104,7 @@
 			n.loop.pool.Adopt(http1.IdleConn{
 				Target: upstream.Target{Endpoint: c.Endpoint, Addr: c.Addr}, Conn: c.Conn, Since: n.loop.timeline.TimeOf(c.Since),
 			})
-		case handover.ClientConn: // adoptClientConns takes these over once the loop runs
+		case handover.ClientConn: // adoptClientConns takes over clients' connections once the loop runs
 		default:
 			_ = c.Conn.Close()
 		}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -170,7 +170,7 @@
 	}
 	old := p.start()
 	p.mustAccept("status", "stored", "1")
-	p.waitFor("the first request is in the store", func() bool { return len(p.receivedNotices()) == 1 && p.journalSize() == 0 })
+	p.waitFor("the first request is in the store", func() bool { return len(p.receivedNotices()) == 1 && p.journalEntryCount() == 0 })
 	p.mustAccept("order", "out", "25")
 	p.waitFor("the second request is in flight", func() bool { return slices.Contains(p.attempts(), "out") })
 	p.mustAccept("status", "waits", "4")
@@ -182,13 +182,13 @@
 		t.Errorf("the old process ended with %v: %s", err, old.Stderr)
 	}
 	answer <- http.StatusOK
-	p.waitFor("all requests are completed", func() bool { return len(p.receivedNotices()) == 2 && p.journalSize() == 0 })
+	p.waitFor("all requests are completed", func() bool { return len(p.receivedNotices()) == 2 && p.journalEntryCount() == 0 })
 	if f := p.metrics(); f.Success["order"] != 1 || f.Busy["status"] != 1 {
 		t.Errorf("metrics %+v", f)
 	}
 	p.kill(next)
 	for _, id := range []string{"stored", "waits"} {
-		if r, totals := p.deadLetter(folder, id); totals.Messages != 2 || len(r.Incarnations) != 1 || r.MayHaveExecuted() != nil {
+		if r, totals := p.readDeadLetter(folder, id); totals.Messages != 2 || len(r.Incarnations) != 1 || r.MayHaveExecuted() != nil {
 			t.Errorf("%s: %+v of %+v", id, r, totals)
 		}
 	}
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -72,8 +72,8 @@
 	return c
 }
 
-// openUsedConn opens a client connection and has one request answered on it, after which a request on it may take 2.5 s to
-// arrive.
+// openUsedConn opens a client connection and has one request answered on it. The relay then allows a further request on it 2.5 s
+// to arrive.
 func (p *platform) openUsedConn() net.Conn {
 	p.t.Helper()
 	c, err := p.dialUsedConn()
@@ -191,7 +191,7 @@
 	return resp.StatusCode
 }
 
-// orderKey gives a request an order key, where ordered classes carry it.
+// orderKey gives a request an order key, in the cookie in which requests of ordered classes carry it.
 func orderKey(name string) func(*http.Request) {
 	return func(r *http.Request) { r.Header.Set("Cookie", "other=1; subject="+name) }
 }
@@ -247,7 +247,7 @@
 	return j
 }
 
-// openEarlierJournal opens a journal for writing, in the place of an earlier process.
+// openEarlierJournal opens a journal for writing, so that a test can write the records of an earlier process.
 func openEarlierJournal(t *testing.T, dir string) *journal.Journal {
 	t.Helper()
 	j, err := journal.Open(dir, 3, false)
--- a/internal/relay/invariants.go
+++ b/internal/relay/invariants.go
@@ -10,8 +10,8 @@
 	"frostlink/policy"
 )
 
-// overdueMargin is how long after a request's outcome is due the loop checks that it was decided: the delay lets one batch
-// check several requests.
+// overdueMargin is the delay between the time at which a request's outcome is due and the loop's check that the outcome was
+// decided. The delay lets one batch check several requests.
 const overdueMargin = 20 * time.Millisecond
 
 // invariantFacts returns the facts about a request that the checks of package invariant need.
@@ -44,7 +44,8 @@
 	}
 }
 
-// checkMixedClocks records a violation for each time that was converted to the timeline without being read in this process.
+// checkMixedClocks records a violation for each time that was converted to the timeline although it was not read in this
+// process: such a conversion depends on the wall clock.
 func (l *loop) checkMixedClocks() {
 	for range l.timeline.MixedReadings() {
 		l.violations.Record(invariant.MixedClocks, "", "at", clock.Instant(l.now()).Time())
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -11,7 +11,7 @@
 )
 
 // openListener returns the clients' listening socket: a duplicate of the socket that the platform holds and passes to every
-// process, or a new socket. Closing it does not close the platform's socket, nor that of another process.
+// process, or a new socket. Closing it closes neither the platform's socket nor another process's duplicate.
 func openListener(cfg *Config) (net.Listener, error) {
 	if cfg.ListenFD <= 0 {
 		return socket.Listen(cfg.Listen)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -27,8 +27,8 @@
 	housekeepingInterval = time.Second
 )
 
-// loop owns the dispatcher and the journal: nothing else accesses their state. It collects events into batches, passes them
-// to the dispatcher, and carries out the dispatcher's actions. It never waits for a socket.
+// loop owns the dispatcher and the journal: while the loop runs, only its goroutine accesses their state. It collects events into
+// batches, passes them to the dispatcher, and carries out the dispatcher's actions. It never waits for a socket.
 type loop struct {
 	cfg          *Config
 	dispatcher   *policy.Dispatcher
@@ -50,15 +50,15 @@
 	deadlines  invariant.Deadlines // of accepted requests
 
 	endpoints    map[string]discovery.Endpoint // by id
-	destinations map[int]bool                  // those that have occurred in any endpoint list
+	destinations map[int]bool                  // destinations that have occurred in any endpoint list
 
 	wakeAt      time.Duration // when the loop runs a batch even without an event
-	timerAt     time.Duration // the last timer that the dispatcher set; it sets no other until that one fires
+	timerAt     time.Duration // the last timer that the dispatcher set; until it fires, the dispatcher sets only an earlier one
 	lastBatchAt time.Duration // the start of the last batch
 
 	attemptsInFlight int                     // attempts that were passed to the pool and whose end has not reached the loop
 	detached         map[string]*net.TCPConn // connections of attempts that a quiesce has interrupted, by request id
-	quiescing        *quiesceRequested       // a request to quiesce that waits until no attempt is in flight; nil: none
+	quiescing        *quiesceRequested       // the pending request to quiesce, which waits until no attempt is in flight; nil: none
 	stopping         bool                    // the process is about to end, so the dispatcher starts no attempt
 	folder           journal.FolderMonitor
 
@@ -73,11 +73,11 @@
 // and the requests are comparable even when the wall clock is stepped.
 func (l *loop) now() time.Duration { return time.Duration(l.timeline.Now()) }
 
-// send sends an event to the loop.
+// send sends an event to the loop. It blocks while the inbox is full.
 func (l *loop) send(e event) { l.inbox <- e }
 
-// class returns the index of a class in the settings, or -1 for an unknown class.
-func (l *loop) class(name string) int {
+// classIndex returns the index of a classIndex in the settings, or -1 for an unknown classIndex.
+func (l *loop) classIndex(name string) int {
 	for i := range l.cfg.policy.Classes {
 		if l.cfg.policy.Classes[i].Name == name {
 			return i
--- a/internal/relay/missing_key.go
+++ b/internal/relay/missing_key.go
@@ -20,56 +20,56 @@
 // part can still be valid JSON, and the missing values would be read as 0. The elements of a list must have the keys that all
 // elements of the running list share. The list of endpoints is not compared, since it may be empty.
 func checkNoKeyMissing(running, next []byte) *ConfigError {
-	var had, has any
-	if err := errors.Join(json.Unmarshal(running, &had), json.Unmarshal(next, &has)); err != nil {
+	var runningValue, nextValue any
+	if err := errors.Join(json.Unmarshal(running, &runningValue), json.Unmarshal(next, &nextValue)); err != nil {
 		return &ConfigError{Reason: err}
 	}
-	if top, ok := had.(map[string]any); ok {
+	if top, ok := runningValue.(map[string]any); ok {
 		delete(top, "known")
 	}
-	return missingKey("", had, has)
+	return missingKey("", runningValue, nextValue)
 }
 
-// missingKey compares the running value (had) and the next value (has) at a path.
-func missingKey(path string, had, has any) *ConfigError {
-	switch had := had.(type) {
+// missingKey compares the running value and the next value at a path.
+func missingKey(path string, running, next any) *ConfigError {
+	switch running := running.(type) {
 	case map[string]any:
-		return missingKeyOfObject(path, had, has)
+		return missingKeyOfObject(path, running, next)
 	case []any:
-		return missingKeyOfList(path, had, has)
+		return missingKeyOfList(path, running, next)
 	}
 	return nil
 }
 
-func missingKeyOfObject(path string, had map[string]any, value any) *ConfigError {
-	has, ok := value.(map[string]any)
+func missingKeyOfObject(path string, running map[string]any, value any) *ConfigError {
+	next, ok := value.(map[string]any)
 	if !ok {
 		return &ConfigError{Key: path, Reason: errNotObject}
 	}
-	for _, key := range slices.Sorted(maps.Keys(had)) {
+	for _, key := range slices.Sorted(maps.Keys(running)) {
 		at := strings.TrimPrefix(path+"."+key, ".")
-		v, ok := has[key]
+		v, ok := next[key]
 		if !ok {
 			return &ConfigError{Key: at, Reason: errMissing}
 		}
-		if err := missingKey(at, had[key], v); err != nil {
+		if err := missingKey(at, running[key], v); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func missingKeyOfList(path string, had []any, value any) *ConfigError {
-	has, ok := value.([]any)
+func missingKeyOfList(path string, running []any, value any) *ConfigError {
+	next, ok := value.([]any)
 	if !ok {
 		return &ConfigError{Key: path, Reason: errNotList}
 	}
-	common := commonKeys(had)
+	common := commonKeys(running)
 	if common == nil {
 		return nil
 	}
-	for i := range has {
-		if err := missingKey(fmt.Sprintf("%s[%d]", path, i), common, has[i]); err != nil {
+	for i := range next {
+		if err := missingKey(fmt.Sprintf("%s[%d]", path, i), common, next[i]); err != nil {
 			return err
 		}
 	}
--- a/internal/relay/node.go
+++ b/internal/relay/node.go
@@ -35,7 +35,7 @@
 	shutdownRequested context.Context  // ends when the platform signals the process to end
 	running           context.Context  // ends when all parts of this process must stop
 	stop              context.CancelFunc
-	goroutines        sync.WaitGroup // those that stop when running ends
+	goroutines        sync.WaitGroup // the goroutines that stop when running ends
 	serveErr          chan error     // the result of frontend.Serve
 
 	predecessor *handoverState // the state that a predecessor handed over; nil: none
--- a/internal/relay/ordered_class_test.go
+++ b/internal/relay/ordered_class_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// The next request of a key is sent only when the platform has the notice of the previous one, not when the outcome of that one
+// The next request of a key is sent only when the platform has the notice of the previous request, not when the previous outcome
 // is decided. Posts of notices fail for a while in this test.
 func TestOrderedClass_WaitsForNotice(t *testing.T) {
 	p := newPlatform(t)
@@ -133,7 +133,7 @@
 }
 
 // Two hand-overs take place during the key cooldown after an attempt that may still be executing. Both must succeed, and the
-// next request of the key is sent once, after the cooldown. Guards against a nil pointer dereference in policy.Snapshot during
+// next request of the key is sent only after the cooldown. Guards against a nil pointer dereference in policy.Snapshot during
 // the second hand-over, by which clients lost the connections that were to be handed over.
 func TestOrderedClass_CooldownOutlastsTwoHandovers(t *testing.T) {
 	const cooldown = 3 * time.Second
--- a/internal/relay/platform_test.go
+++ b/internal/relay/platform_test.go
@@ -46,7 +46,7 @@
 		cfg.ListenFD, err = strconv.Atoi(fd)
 	}
 	if at := os.Getenv("NODE_MANAGEMENT"); err == nil && at != "" {
-		cfg.Management = at
+		cfg.AdminAddress = at
 	}
 	if err == nil {
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -96,7 +96,7 @@
 	responseHeader map[string]string                        // of endpoints' responses
 	serveAttempt   func(http.ResponseWriter, *http.Request) // if set, serves attempts instead of respond
 	attemptIDs     []string                                 // ids of the attempts at endpoints, in order
-	begunAttempts  chan string                              // receives each of attemptIDs
+	begunAttempts  chan string                              // receives the id of each attempt
 	watches        []string                                 // address and query string of each watch
 	endedWatches   []string                                 // address of each watch that has ended
 	notices        []notification.Notice
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -75,7 +75,7 @@
 	case e.Delivered:
 		r.transition(stateOutcomeDecided)
 		l.publishDelivered(r)
-	case l.class(e.Class) < 0: // the settings have changed, and the dispatcher can't handle an unknown class
+	case l.classIndex(e.Class) < 0: // the settings have changed, and the dispatcher can't handle an unknown class
 		l.fail(r, frontend.Response{}, notification.Undeliverable)
 	default:
 		l.recoverOpenRequest(ctx, r, predecessor)
@@ -86,8 +86,8 @@
 func (l *loop) recoverOutcome(r *request) {
 	r.transition(stateOutcomeDecided)
 	l.publishOutcome(r)
-	if class := l.class(r.Class); class >= 0 && r.OrderKey != "" {
-		// Guards against an attempt of the next request of the same order key that overtakes this request's notice.
+	if class := l.classIndex(r.Class); class >= 0 && r.OrderKey != "" {
+		// Guards against an attempt of the order key's next request that overtakes the notice of this request.
 		l.events = append(l.events, policy.Arrived{
 			ID: r.ID, Class: class, Destination: r.Destination, OrderKey: r.OrderKey, Recovered: true, OutcomeDecided: true,
 		})
@@ -99,7 +99,7 @@
 	l.countAccepted(r)
 	l.deadlines.Add(r.ID, r.Deadline)
 	arrived := policy.Arrived{
-		ID: r.ID, Class: l.class(r.Class), Destination: r.Destination, OrderKey: r.OrderKey,
+		ID: r.ID, Class: l.classIndex(r.Class), Destination: r.Destination, OrderKey: r.OrderKey,
 		Recovered: true, Background: r.Redelivery, Terms: l.journal.Terms(r.Entry),
 		TimeLeft: r.Deadline.Sub(l.timeline.Now()),
 	}
--- a/internal/relay/redelivery_rules.go
+++ b/internal/relay/redelivery_rules.go
@@ -35,8 +35,8 @@
 	return classes
 }
 
-// newRedeliverer returns the redeliverer, which decides what is redelivered. If the rules differ from the rules that the store
-// was last used with, it decides on all held requests again.
+// newRedeliverer returns the redeliverer, which decides what is redelivered. If the rules differ from the rules with which
+// the store was last used, the redeliverer decides again on all held requests.
 func newRedeliverer(cfg *Config, store *deadletter.Store) *deadletter.Redeliverer {
 	section := cfg.OperatorFile.DeadLetter
 	classes := cfg.RedeliveryClasses(section)
@@ -47,7 +47,7 @@
 	}
 	digest := sha256.Sum256(rules)
 	if changed, err := store.SetRules(digest[:]); err != nil {
-		slog.Error("comparing the redelivery rules with those used last failed", logkey.Err, err)
+		slog.Error("comparison of the redelivery rules with the previous rules failed", logkey.Err, err)
 	} else if changed {
 		r.Sweep()
 	}
--- a/internal/relay/redelivery_test.go
+++ b/internal/relay/redelivery_test.go
@@ -32,9 +32,9 @@
 	p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
 	up.Store(true)
 	p.waitFor("the request is redelivered", func() bool { return len(p.redeliveries()) == 1 })
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	r, totals := p.deadLetter(folder, "a")
+	r, totals := p.readDeadLetter(folder, "a")
 	if totals.States[deadletter.Delivered] != 1 || len(r.Incarnations) != 2 || r.Last().ID != p.redeliveries()[0] || r.Last().Attempts[0].Execution != deadletter.Executed {
 		t.Errorf("%+v, %+v", totals, r)
 	}
@@ -76,7 +76,7 @@
 	p.waitFor("the other request has failed", func() bool { return len(p.receivedNotices()) == 2 })
 	p.waitFor("the other request is redelivered", func() bool { return len(p.redeliveries()) > 0 })
 	p.kill(c)
-	if r, _ := p.deadLetter(folder, "executed"); len(r.Incarnations) != 1 || r.State != deadletter.Held || !strings.Contains(r.Reason, "may have run") {
+	if r, _ := p.readDeadLetter(folder, "executed"); len(r.Incarnations) != 1 || r.State != deadletter.Held || !strings.Contains(r.Reason, "may have run") {
 		t.Errorf("%+v", r)
 	}
 }
@@ -102,16 +102,17 @@
 	p.kill(c)
 	before := len(p.redeliveries())
 	c = p.start()
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	r, totals := p.deadLetter(folder, "a")
+	r, totals := p.readDeadLetter(folder, "a")
 	if totals.Messages != 1 || r.State != deadletter.Held || r.MayHaveExecuted() == nil || len(p.redeliveries()) != before {
 		t.Errorf("%+v, %d more attempts", r, len(p.redeliveries())-before)
 	}
 }
 
-// A status that a newer one of the same parcel has superseded is not redelivered, and its record names the newer one. Statuses of
-// other parcels are redelivered, also if an older one was delivered meanwhile. All this holds after a kill too.
+// A status that a newer status of the same parcel has superseded is not redelivered, and its record names the newer status.
+// Statuses that none has superseded are redelivered, even if an older status of their parcel is delivered meanwhile. All this
+// holds after a kill too.
 func TestRedelivery_SupersededIsNotSent(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(strings.Replace(parcelSubjects, "after_s = 0.2", "after_s = 2", 1))
@@ -143,25 +144,25 @@
 	p.kill(c)
 	c = p.start()
 	p.waitFor("two are redelivered", func() bool { return len(p.redeliveries()) == 2 })
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	p.readDeadLetters(folder, func(s *deadletter.Store) {
+	p.readStore(folder, func(s *deadletter.Store) {
 		for id, want := range map[string]struct {
-			state deadletter.State
-			why   string
+			state  deadletter.State
+			reason string
 		}{
 			"old": {deadletter.Superseded, `a newer message of "k-1", new, has overtaken it`}, "other": {deadletter.Delivered, "delivered as again-"},
 			"waits": {deadletter.Superseded, `a newer message of "k-3", newer, has overtaken it`}, "newer": {deadletter.Delivered, "delivered as again-"},
 		} {
 			r, err := s.Get(id)
-			if err != nil || r.State != want.state || !strings.HasPrefix(r.Reason, want.why) {
+			if err != nil || r.State != want.state || !strings.HasPrefix(r.Reason, want.reason) {
 				t.Errorf("%s: %+v, %v", id, r, err)
 			}
 		}
 	})
 }
 
-// A newer status that is submitted while an older one of the same parcel is being redelivered cancels the redelivery at once.
+// A status that is submitted while an older status of the same parcel is being redelivered cancels the redelivery at once.
 func TestRedelivery_CancelledWhenSuperseded(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(parcelSubjects)
@@ -196,9 +197,9 @@
 		t.Error("the attempt of the redelivery is not cancelled")
 	}
 	p.waitFor("the newer one is sent", func() bool { return strings.Contains(strings.Join(p.attempts(), " "), "new") })
-	p.waitFor("the journal is empty", func() bool { return p.journalSize() == 0 })
+	p.waitFor("the journal is empty", func() bool { return p.journalEntryCount() == 0 })
 	p.kill(c)
-	p.readDeadLetters(folder, func(s *deadletter.Store) {
+	p.readStore(folder, func(s *deadletter.Store) {
 		r, err := s.Get("old")
 		if err != nil || r.State != deadletter.Superseded || !strings.HasPrefix(r.Reason, "new, newer of") {
 			t.Errorf("%+v, %v", r, err)
@@ -206,13 +207,13 @@
 	})
 }
 
-// A request is held if the relay can't tell whether a newer one was delivered: its parcel or its order can't be read, or the
-// store has not recorded all deliveries for long enough.
+// A request is held if the relay can't tell whether a newer request of the same parcel was delivered: because the parcel or the
+// order can't be read, or because the store has not recorded all deliveries for long enough.
 func TestRedelivery_UnknownOrderIsHeld(t *testing.T) {
 	for name, c := range map[string]struct {
 		known  bool
 		change func(*http.Request)
-		why    string
+		reason string
 	}{
 		"no parcel":        {true, func(*http.Request) {}, "its subject can't be read"},
 		"unreadable order": {true, parcelStatus("k-1", "soon"), "its subject can't be read"},
@@ -231,14 +232,14 @@
 				t.Fatal(resp.Status)
 			}
 			p.waitFor("the request has failed", func() bool { return len(p.receivedNotices()) == 1 })
-			p.waitFor("the request is stored", func() bool { return p.journalSize() == 0 })
+			p.waitFor("the request is stored", func() bool { return p.journalEntryCount() == 0 })
 			time.Sleep(500 * time.Millisecond) // several rounds of the redeliverer, in which a redelivery would happen
 			p.kill(child)
 			if len(p.redeliveries()) > 0 {
 				t.Errorf("%s: the request was redelivered", name)
 			}
-			p.readDeadLetters(folder, func(s *deadletter.Store) {
-				if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Reason, c.why) {
+			p.readStore(folder, func(s *deadletter.Store) {
+				if r, err := s.Get("a"); err != nil || r.State != deadletter.Held || !strings.HasPrefix(r.Reason, c.reason) {
 					t.Errorf("%s: %+v, %v", name, r, err)
 				}
 			})
--- a/internal/relay/redelivery_unrecorded_test.go
+++ b/internal/relay/redelivery_unrecorded_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// A redelivery that is rejected before it was accepted leaves no entry in the journal, neither open nor completed.
+// A redelivery that is rejected before it is accepted leaves no entry in the journal, neither open nor completed.
 func TestRedelivery_RejectedIsInNoJournal(t *testing.T) {
 	l, link, r := loopWithRedelivery(t)
 	link.claimOutcome(r, "deferred")
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -15,8 +15,8 @@
 	Err    error
 }
 
-// WatchReloads reads the configuration again at each hang-up signal, until ctx ends. A configuration that can't be used
-// changes nothing.
+// WatchReloads reads the configuration again at each hang-up signal, until ctx ends, and sends the results on the channel that
+// it returns. A configuration that can't be used changes nothing.
 func WatchReloads(ctx context.Context, path string, running *Config, hangups <-chan os.Signal) <-chan Reload {
 	readings := make(chan Reload)
 	go func() {
@@ -55,7 +55,8 @@
 	return cfg, nil
 }
 
-// reload sends a configuration that was read again to the loop, and switches to its discovery service if that has changed.
+// reload sends a configuration that was read again to the loop, and switches to another discovery service if the configuration
+// names another one.
 func (n *node) reload(r Reload) {
 	if n.running.Err() != nil {
 		return // handed over: the successor reads the configuration itself
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -17,10 +17,10 @@
 	state         requestState
 	responses     []chan frontend.Response // to its submissions, until they are answered
 	retryInfo     string                   // the client's own account of an earlier submission, for the trace
-	acceptedTerms *policy.Class            // the terms of its class at its acceptance; set at the first use
-	outcomeRecord uint64                   // the journal's number of the record of its terminal outcome
+	acceptedTerms *policy.Class            // the terms of its class when it was accepted; read from the journal at the first use
+	outcomeRecord uint64                   // the number of its terminal outcome's record in the journal
 	recovered     bool                     // accepted by an earlier process
-	inDeadLetters bool                     // the dead-letter store has recorded it or its delivery
+	inDeadLetters bool                     // the dead-letter store has recorded the request or its delivery
 
 	// The latest attempt.
 	attempt          plannedAttempt
@@ -29,7 +29,7 @@
 	cancel           context.CancelFunc // cancels it; nil while no goroutine runs one
 	cancelBeforeSend *atomic.Bool       // cancels it unless a byte of it has been sent
 
-	// Whether the metrics have counted it.
+	// Whether the metrics have counted the request.
 	countedInFlight  bool
 	countedCompleted bool
 }
--- a/internal/relay/resource_limits.go
+++ b/internal/relay/resource_limits.go
@@ -23,7 +23,7 @@
 
 // maxAdminConns returns the limit of operators' connections.
 func (c *Config) maxAdminConns() int {
-	if c.Management == "" {
+	if c.AdminAddress == "" {
 		return 0
 	}
 	return max(minAdminConns, int(adminConnFraction*float64(c.Limits.Sockets)))
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -12,8 +12,8 @@
 	"frostlink/policy"
 )
 
-// The stages of a graceful shutdown, as times since the signal. Clients still open connections for up to 0.4 s after it, and
-// the process may be killed after 3.7 s.
+// The stages of a graceful shutdown, as times since the signal. Clients still open connections for up to 0.4 s after
+// the signal, and the process may be killed 3.7 s after it.
 const (
 	acceptConnsFor        = time.Second             // new connections are accepted until then
 	startAttemptsFor      = 2700 * time.Millisecond // attempts are started until then
@@ -27,7 +27,7 @@
 func (n *node) drain(ctx context.Context) {
 	l := n.loop
 	begun := time.Now()
-	if n.stopTasks != nil { // other relays need not wait for the leases to expire; the shutdown does not wait for the release
+	if n.stopTasks != nil { // releases the leases in the background, so that other relays need not wait until they expire
 		n.stopTasks()
 	}
 	until := func(stage time.Duration) time.Duration { return time.Until(begun.Add(stage)) }
--- a/internal/relay/submission_test.go
+++ b/internal/relay/submission_test.go
@@ -38,9 +38,9 @@
 		{"unknown tenant", "status", header("Tenant", "nobody"), 400},
 		{"no tenant", "status", header("Tenant", ""), 400},
 		{"no destination", "status", header("X-Envelope", ""), 400},
-		{"odd destination", "status", header("X-Envelope", "dest=seven"), 400},
+		{"destination is no number", "status", header("X-Envelope", "dest=seven"), 400},
 		{"negative destination", "status", header("X-Envelope", "dest=-7"), 400},
-		{"huge destination", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
+		{"destination overflows", "status", header("X-Envelope", "dest=99999999999999999999"), 400},
 		{"no id", "status", header("Request-Id", ""), 400},
 		{"long id", "status", header("Request-Id", strings.Repeat("i", frontend.MaxNameLength+1)), 400},
 		{"no key in a class that needs one", "payment", header("Idempotency-Key", ""), 400},
@@ -49,8 +49,8 @@
 		{"negative time-out", "status", header("Request-Timeout", "-1"), 400},
 		{"time-out is no number", "status", header("Request-Timeout", "soon"), 400},
 		{"time-out NaN", "status", header("Request-Timeout", "NaN"), 400},
-		{"endless time-out", "status", header("Request-Timeout", "+Inf"), 400},
-		{"absurd time-out", "status", header("Request-Timeout", "99999999999999999999999"), 400},
+		{"infinite time-out", "status", header("Request-Timeout", "+Inf"), 400},
+		{"time-out overflows", "status", header("Request-Timeout", "99999999999999999999999"), 400},
 		{"body too large", "status", body(frontend.MaxBodySize + 1), 413},
 	}
 	for _, tt := range tests {
@@ -73,8 +73,8 @@
 	}
 }
 
-// A request for a destination that no list has named is rejected with a Retry-After: the list may lag behind, and the dispatcher
-// keeps state for each destination.
+// A request for a destination that no list has named is rejected with a Retry-After. Guards the dispatcher, which keeps state for
+// each destination; the destination may be in a later list.
 func TestSubmission_RejectsUnknownDestination(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
@@ -186,7 +186,7 @@
 				t.Fatalf("%s answered %d", class, status)
 			}
 		}
-		p.waitFor("all three requests are delivered and evicted", func() bool { return len(p.attempts()) >= 3 && p.journalSize() == 0 })
+		p.waitFor("all three requests are delivered and evicted", func() bool { return len(p.attempts()) >= 3 && p.journalEntryCount() == 0 })
 		p.kill(c)
 		c = p.start()
 	}
--- a/internal/relay/subsystem.go
+++ b/internal/relay/subsystem.go
@@ -17,7 +17,7 @@
 
 	// submitted completes the journal entry of a submission before the dispatcher sees it.
 	submitted(e *journal.Entry)
-	// rejected is called for a candidate that the dispatcher rejects with a status. The journal has no record of it.
+	// rejected is called for a candidate that the dispatcher rejects with a status. The journal has no record of the candidate.
 	rejected(r *request, status string)
 	// accepted is called for a request that was added to the journal in this batch, or that was recovered from the journal.
 	accepted(r *request)
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -21,7 +21,7 @@
 // time.
 const deadlineMargin = time.Second
 
-// fail ends a request undelivered: by the response to its submission if that is still due, else by a notice.
+// fail ends a request undelivered: by the response to its submission if the submission is not answered yet, else by a notice.
 func (l *loop) fail(r *request, response frontend.Response, status string) {
 	if r == nil || r.completed() {
 		return
@@ -60,7 +60,7 @@
 	l.evict(r)
 }
 
-// decideOutcome decides a request's terminal outcome. A request has only one, so callers must not pass a completed request.
+// decideOutcome decides a request's terminal outcome. A request has only one outcome, so the request must not be completed.
 func (l *loop) decideOutcome(r *request, status string) {
 	if r.completed() {
 		l.violations.Record(invariant.CompletedTwice, r.ID, "destination", r.Destination, "outcome", status)
@@ -69,13 +69,13 @@
 	r.transition(stateOutcomeDecided)
 }
 
-// recordOutcome notes a terminal outcome in the journal.
+// recordOutcome adds a terminal outcome to the journal. The record is durable after the next commit that succeeds.
 func (l *loop) recordOutcome(r *request, notice notification.Notice, reason deadletter.Reason, at clock.Instant) {
 	l.journal.DecideOutcome(r.Entry, notice, string(reason), at)
 	r.outcomeRecord = l.journal.LastRecord()
 }
 
-// publishOutcome publishes a terminal outcome to the platform, unless it gets no notice, and to the subsystems.
+// publishOutcome publishes a terminal outcome to the subsystems, and to the platform if the outcome needs a notice.
 func (l *loop) publishOutcome(r *request) {
 	l.checkOutcomeRecorded(r)
 	needsNotice := !r.Redelivery && r.PendingNotice.Status != expiredAtEndpoint
@@ -163,7 +163,7 @@
 func (l *loop) failureReason(r *request, status string) deadletter.Reason {
 	now := l.timeline.Now()
 	switch {
-	case l.class(r.Class) < 0:
+	case l.classIndex(r.Class) < 0:
 		return deadletter.SettingsChanged
 	case now > r.Deadline && r.recovered:
 		return deadletter.ProcessEnded
--- a/internal/relay/terminal_outcome_test.go
+++ b/internal/relay/terminal_outcome_test.go
@@ -42,7 +42,7 @@
 }
 
 // A notice that the platform has not received is posted by the next process.
-func TestNotice_IsOwedAfterRestart(t *testing.T) {
+func TestNotice_IsPostedAfterRestart(t *testing.T) {
 	p := newPlatform(t)
 	p.addEndpoint("h1", 7)
 	p.respond = func(*http.Request) int { return 0 }
--- a/internal/relay/timer.go
+++ b/internal/relay/timer.go
@@ -18,8 +18,8 @@
 	l.wakeAt = 0
 }
 
-// timerFired reports whether wakeAt has passed, and sets the next wakeAt. It guards against a lost timer: if an earlier timer
-// or wakeDispatcher has caused this wake-up, the timer that the dispatcher set last is still pending and stays set.
+// timerFired reports whether wakeAt has passed, and sets the next wakeAt. It guards against a lost timer: if an earlier timer or
+// wakeDispatcher caused this wake-up, the timer that the dispatcher set last still has to fire.
 func (l *loop) timerFired(now time.Duration) bool {
 	if l.wakeAt > now {
 		return false
--- a/internal/relay/timer_test.go
+++ b/internal/relay/timer_test.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// The timer that the dispatcher set last fires even if the dispatcher is woken before, since the dispatcher sets it only once.
+// The timer that the dispatcher set last fires even if the dispatcher is woken before that, since the dispatcher does not set it
+// again.
 func TestTimer_NoneIsLost(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		ask  func(l *loop)
+		set  func(l *loop)
 		wake []time.Duration // the wake-ups within a minute
 	}{
-		"one":                        {func(l *loop) { l.setTimer(30 * ms) }, []time.Duration{30 * ms}},
-		"a later one after it":       {func(l *loop) { l.setTimer(3 * ms); l.setTimer(time.Second) }, []time.Duration{3 * ms, time.Second}},
-		"an earlier one after it":    {func(l *loop) { l.setTimer(time.Second); l.setTimer(3 * ms) }, []time.Duration{3 * ms}},
-		"the loop has its own cause": {func(l *loop) { l.setTimer(time.Second); l.wakeAt = 0 }, []time.Duration{ms, time.Second}},
+		"one timer":                 {func(l *loop) { l.setTimer(30 * ms) }, []time.Duration{30 * ms}},
+		"a later timer follows":     {func(l *loop) { l.setTimer(3 * ms); l.setTimer(time.Second) }, []time.Duration{3 * ms, time.Second}},
+		"an earlier timer follows":  {func(l *loop) { l.setTimer(time.Second); l.setTimer(3 * ms) }, []time.Duration{3 * ms}},
+		"the loop is woken at once": {func(l *loop) { l.setTimer(time.Second); l.wakeAt = 0 }, []time.Duration{ms, time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := &loop{wakeAt: time.Hour}
-			c.ask(l)
+			c.set(l)
 			var got []time.Duration
 			for now := ms; now <= time.Minute; now += ms {
 				if l.timerFired(now) {
--- a/internal/relay/tracing.go
+++ b/internal/relay/tracing.go
@@ -46,7 +46,7 @@
 	t.TimeLeftMs = milliseconds(entry.Deadline.Sub(l.timeline.Now()))
 	t.Key, t.Retry, t.Deadline = trace.Digest(entry.IdempotencyKey), retryInfo, float64(entry.Deadline)/float64(time.Millisecond)
 	terms := l.journal.Terms(entry)
-	if class := l.class(entry.Class); terms == nil && class >= 0 {
+	if class := l.classIndex(entry.Class); terms == nil && class >= 0 {
 		terms = &l.cfg.policy.Classes[class]
 	}
 	if terms != nil {
@@ -67,10 +67,10 @@
 	rejectedUnrecorded  = "its record could not be written"
 )
 
-// milliseconds returns a duration in milliseconds, truncated to microseconds, as traces have it.
+// milliseconds returns a duration in milliseconds, truncated to whole microseconds, as in trace events.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// traceRejected records that a request is rejected before it is accepted, with the reason and the client's Retry-After.
+// traceRejected records that a request is rejected before it is accepted, with the reason and the Retry-After of the response.
 func (l *loop) traceRejected(entry *journal.Entry, retryInfo, reason string, retryAfter time.Duration) {
 	l.traceRequest(trace.Rejected, entry, retryInfo, trace.Event{DurationMs: float64(retryAfter.Milliseconds()), Reason: reason})
 }
@@ -96,7 +96,7 @@
 	if outcome != trace.Delivered && outcome != trace.Withdrawn {
 		t.Reason = string(l.failureReason(r, outcome))
 	}
-	if class := l.class(r.Class); class >= 0 {
+	if class := l.classIndex(r.Class); class >= 0 {
 		terms := &l.cfg.policy.Classes[class]
 		age := l.timeline.Now().Sub(r.Deadline) + terms.Deadline
 		t.DurationMs, t.Late = float64(age.Milliseconds()), age > terms.LatencyObjective
