--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// validateOperatorFile checks the redelivery rules of the operator's file against the platform's settings.
+// validateOperatorFile checks the redelivery rules of the operator's file against the platform's settings, before the relay
+// listens.
 func (c *Config) validateOperatorFile() error {
 	section := c.deadLetterSection()
 	if section == nil {
--- a/internal/relay/node_test.go
+++ b/internal/relay/node_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// A redelivery rule that a class forbids makes the relay fail before it listens.
+// A redelivery rule that a class forbids makes Run fail with an error that names the rule and the reason.
 func TestRun_RejectsRulesThatClassesForbid(t *testing.T) {
 	p := newPlatform(t)
 	p.enableDeadLetters("[[undelivered.rule]]\nclass = \"order\"\nmay_have_run = true\naction = \"resend\"\nmost = 2\nrate = 1\n")
