--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -33,7 +33,7 @@
 		}
 	}
 	c.applySocketLimits()
-	if _, err := policy.New(c.policy, c.seed); err != nil { // checks the settings
+	if _, err := policy.New(c.policy, c.seed); err != nil { // policy.New validates the settings
 		return &ConfigError{Reason: err}
 	}
 	return nil
@@ -72,7 +72,8 @@
 	}
 }
 
-// validateOperatorFile checks the redelivery rules of the operator's file against the platform's settings.
+// validateOperatorFile checks the redelivery rules of the operator's file against the platform's settings, before the relay
+// listens.
 func (c *Config) validateOperatorFile() error {
 	section := c.deadLetterSection()
 	if section == nil {
