--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -19,7 +19,7 @@
 type conn struct {
 	net.Conn
 	server      *Server
-	requestRead bool // the request was read and is answered at once, so admit never closes this connection; guarded by server.mu
+	requestRead bool // the request was read; it is answered at once, so admit does not close this connection; guarded by server.mu
 }
 
 // connKey is the key of the request's *conn in its context.
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// Metrics contains the counters. Only one goroutine, the relay's event loop, may call its methods, except Snapshot and JSON: any
-// goroutine may call these, and they return the values that were published last.
+// Metrics contains the counters. Only one goroutine, the relay's event loop, may call its methods, except Snapshot and JSON: these
+// return the values that were published last, and any goroutine may call them.
 type Metrics struct {
 	// AttemptsSent counts attempts written completely to endpoints. The goroutines that send attempts increment it.
 	AttemptsSent atomic.Int64
@@ -60,9 +60,9 @@
 // Withdrawn undoes Accepted for a request that ended without an outcome, such as a request that its client has withdrawn.
 func (m *Metrics) Withdrawn() { m.current.InFlight-- }
 
-// HandedOver sets the requests in flight to 0, because the successor counts them. It does not publish the change: until this process
-// ends, shortly after, its readers see the metrics from the time of the hand-over. A value of 0 would be wrong about the relay until
-// the successor answers readers.
+// HandedOver sets the requests in flight to 0, because the successor counts them. It does not publish the change: this process ends
+// shortly after the hand-over, and until then its readers see the metrics from the time of the hand-over. A value of 0 would be wrong
+// for the relay until the successor answers readers.
 func (m *Metrics) HandedOver() { m.current.InFlight = 0 }
 
 // Reconfigured counts a configuration that was applied (ok) or rejected.
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -86,8 +86,8 @@
 		{"wrong method", "GET /standby HTTP/1.1\r\nHost: x\r\n\r\n", 405, ""},
 		{"wrong method of status", "POST /status HTTP/1.1\r\nHost: x\r\n\r\n", 405, ""},
 		{"wrong path", "GET /status/metrics/all HTTP/1.1\r\nHost: x\r\n\r\n", 404, ""},
-		{"no HTTP", "standby\r\n\r\n", 400, ""},
-		{"an endless header", "GET /status HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 64<<10) + "\r\n\r\n", 431, ""},
+		{"not HTTP", "standby\r\n\r\n", 400, ""},
+		{"header larger than the limit", "GET /status HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", 64<<10) + "\r\n\r\n", 431, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Connections that send nothing, or only a part of a request, can't lock out other callers, however many there are. The server does not
-// keep more of them than the limit allows.
+// Connections that send nothing, or only a part of a request, can't lock out other callers, however many such connections there are.
+// The server does not keep more connections than the limit allows.
 func TestServer_IdleConnectionsLockNobodyOut(t *testing.T) {
 	_, addr := startServer(t)
 	var idle []net.Conn
--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -17,7 +17,7 @@
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("clock: " + err.Error()) // unreachable: Linux has CLOCK_BOOTTIME since 2.6.39
+		panic("clock: " + err.Error()) // unreachable: Linux has had CLOCK_BOOTTIME since 2.6.39
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/clock/lint_test.go
+++ b/internal/clock/lint_test.go
@@ -20,7 +20,7 @@
 var wallOnly = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
 // allowed are the uses of wall-clock time outside of this package, with their reasons. The key is a file, a
-// colon, and what the file uses.
+// colon, and the use in the form that wallTimeUses returns.
 var allowed = map[string]string{
 	"cmd/frostlinkctl/follow.go: UnixMilli":         "a date of a log, shown to people",
 	"cmd/frostlinkctl/lease.go: UnixMilli":          "a date of a record, shown to people",
@@ -34,7 +34,7 @@
 
 // wallTimeUses returns the uses of wall-clock time in a file.
 func wallTimeUses(path string, file *ast.File) (uses []string) {
-	add := func(what string) { uses = append(uses, filepath.ToSlash(path)+": "+what) }
+	add := func(use string) { uses = append(uses, filepath.ToSlash(path)+": "+use) }
 	calledFunctions := map[ast.Node]bool{}
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
--- a/internal/clock/step_detector.go
+++ b/internal/clock/step_detector.go
@@ -22,8 +22,8 @@
 	offset   time.Duration // time by which the wall clock was ahead of the timeline after the last step
 }
 
-// NewStepDetector returns a detector. If the timeline continues that of an earlier process, the first Check
-// detects a step that has occurred since the timeline's anchor.
+// NewStepDetector returns a detector. If the timeline was begun by an earlier process, the first Check detects
+// a step that has occurred since the timeline's anchor.
 func NewStepDetector(t *Timeline) *StepDetector { return &StepDetector{timeline: t} }
 
 // Check reports whether the wall clock was stepped since the last call, and by how much, and logs the step.
--- a/internal/clock/timeline.go
+++ b/internal/clock/timeline.go
@@ -22,8 +22,8 @@
 	mixed         atomic.Int64 // calls of InstantOf with a time without a monotonic reading
 }
 
-// sources contains the readings of the clocks from which a timeline is created.
-type sources struct {
+// clockReadings contains the readings of the clocks from which a timeline is created.
+type clockReadings struct {
 	bootID    string
 	sinceBoot time.Duration
 	wall      time.Time // with a monotonic reading
@@ -37,10 +37,10 @@
 // new timeline at the time of the wall clock, but not before latest, so that spans are not negative if the
 // wall clock was stepped back in the meantime.
 func Continue(anchor *Anchor, latest Instant) *Timeline {
-	return newTimeline(anchor, latest, sources{bootID: readBootID(), sinceBoot: SinceBoot(), wall: time.Now()})
+	return newTimeline(anchor, latest, clockReadings{bootID: readBootID(), sinceBoot: SinceBoot(), wall: time.Now()})
 }
 
-func newTimeline(anchor *Anchor, latest Instant, now sources) *Timeline {
+func newTimeline(anchor *Anchor, latest Instant, now clockReadings) *Timeline {
 	if anchor.continuesTo(now) {
 		return &Timeline{
 			anchor:        *anchor,
@@ -59,15 +59,15 @@
 
 // continuesTo reports whether there is an anchor from the boot in which now was read. It returns false if
 // the boot's id could not be read, because then one boot can't be told from another.
-func (a *Anchor) continuesTo(now sources) bool {
+func (a *Anchor) continuesTo(now clockReadings) bool {
 	return a != nil && a.Boot != "" && a.Boot == now.bootID && now.sinceBoot >= a.Since
 }
 
 // Anchor returns the anchor from which a later process can continue this timeline.
 func (t *Timeline) Anchor() Anchor { return t.anchor }
 
-// SameBoot reports whether this timeline continues that of an earlier process. If so, spans between the
-// instants of both processes are exact.
+// SameBoot reports whether this timeline continues the timeline of an earlier process of the same boot. If so,
+// spans between the instants of both processes are exact.
 func (t *Timeline) SameBoot() bool { return t.continued }
 
 // Now returns the current instant.
--- a/internal/clock/timeline_test.go
+++ b/internal/clock/timeline_test.go
@@ -15,16 +15,16 @@
 	wall      time.Duration
 }
 
-func (m *machine) sources() sources {
-	return sources{bootID: m.bootID, sinceBoot: m.sinceBoot, wall: time.Unix(0, int64(m.wall))}
+func (m *machine) readings() clockReadings {
+	return clockReadings{bootID: m.bootID, sinceBoot: m.sinceBoot, wall: time.Unix(0, int64(m.wall))}
 }
 
-// Spans between the instants of any processes of one boot equal those of CLOCK_BOOTTIME, even if the wall
+// Spans between the instants of any processes of one boot equal the spans of CLOCK_BOOTTIME, even if the wall
 // clock is stepped. Spans across a reboot are not negative.
 func TestTimeline_SpansSurviveStepsAndRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := machine{bootID: "first", sinceBoot: time.Hour, wall: time.Duration(1_800_000_000) * time.Second}
-		timeline := newTimeline(nil, 0, m.sources())
+		timeline := newTimeline(nil, 0, m.readings())
 		start, startInstant := m.sinceBoot, timeline.originInstant
 		for range rapid.IntRange(1, 20).Draw(t, "events") {
 			passed := time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "passed"))
@@ -34,7 +34,7 @@
 				m.wall += time.Duration(rapid.Int64Range(int64(-2*time.Hour), int64(2*time.Hour)).Draw(t, "by"))
 			case "restart":
 				anchor := timeline.Anchor()
-				timeline = newTimeline(&anchor, startInstant, m.sources())
+				timeline = newTimeline(&anchor, startInstant, m.readings())
 				if got, want := timeline.originInstant.Sub(startInstant), m.sinceBoot-start; got != want {
 					t.Fatalf("span of %v on the timeline, want %v", got, want)
 				}
@@ -44,9 +44,9 @@
 			case "reboot":
 				anchor, latest := timeline.Anchor(), startInstant
 				m.bootID, m.sinceBoot = m.bootID+"'", time.Second
-				timeline = newTimeline(&anchor, latest, m.sources())
+				timeline = newTimeline(&anchor, latest, m.readings())
 				if timeline.originInstant.Sub(latest) < 0 || timeline.SameBoot() {
-					t.Fatalf("after a reboot the timeline begins at %v, or continues that of the boot before; latest instant before the reboot: %v", timeline.originInstant, latest)
+					t.Fatalf("after a reboot the timeline begins at %v, or continues the timeline of the previous boot; latest instant before the reboot: %v", timeline.originInstant, latest)
 				}
 				start, startInstant = m.sinceBoot, timeline.originInstant
 			}
--- a/internal/handover/acquire.go
+++ b/internal/handover/acquire.go
@@ -17,7 +17,7 @@
 
 // Recipient is the relay of the successor.
 type Recipient interface {
-	// Start starts the relay from the journal. It is called if no other process owned the folder.
+	// Start starts the relay from the journal. It is called if no other process owns the folder.
 	Start() error
 	// Prepare reads the journal, which it must not change, and prepares the relay to serve with the
 	// predecessor's state.
@@ -71,8 +71,8 @@
 	}
 }
 
-// perform carries out actions in order. It returns the result of the last action that has one, or serving
-// true once the relay serves.
+// perform carries out actions in order. It returns the result of the last action that has a result, or
+// serving true once the relay serves.
 func (a *acquisition) perform(ctx context.Context, actions []action) (next event, serving bool, err error) {
 	for _, do := range actions {
 		switch do {
@@ -130,7 +130,8 @@
 	return eventPeerGone
 }
 
-// logLockFailure logs the reason of a failure only when it changes, not at each attempt.
+// logLockFailure logs why the folder could not be locked. It logs an error only when the error differs from the
+// one logged before, and the wait for another process only once.
 func (a *acquisition) logLockFailure(err error) {
 	switch {
 	case !errors.Is(err, errFolderLocked):
@@ -198,7 +199,7 @@
 	batch, done, err := a.nextBatch()
 	switch {
 	case err != nil:
-		slog.Warn("hand-over ended early; remaining connections are lost", logkey.Err, err, logkey.Connections, len(a.conns))
+		slog.Warn("hand-over ended early; only the connections received so far are kept", logkey.Err, err, logkey.Connections, len(a.conns))
 		return eventPeerGone
 	case done:
 		return eventAllReceived
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -15,7 +15,7 @@
 	"frostlink/internal/logkey"
 )
 
-// ConnKind is what a passed connection is used for.
+// ConnKind is the use of a passed connection.
 type ConnKind string
 
 // The kinds of connection.
--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -43,8 +43,8 @@
 // brackets is the timeout of its step. After a timeout the predecessor resumes; once it has sent the
 // lock, it instead counts the connections that were not acknowledged as lost. The successor waits for
 // the lock without a timeout: the lock may have been sent already, and only the end of the link proves
-// that it was not. After 'd' the link stays open, so that a predecessor that has not been stopped yet
-// notices the death of its successor, and reclaims the folder.
+// that the lock was not sent. After 'd' the link stays open, so that a predecessor that has not been
+// stopped yet notices the death of its successor, and reclaims the folder.
 //
 // Connections are passed in batches after the lock, so that the two processes together hold only a few
 // more descriptors than one process does.
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -15,7 +15,7 @@
 	// buffer.
 	maxFrameBody = 64 << 10
 	// maxFrameFiles is the maximum number of descriptors in a frame. It also bounds how many descriptors
-	// the two processes hold in addition to those of one relay.
+	// the two processes together hold in addition to the descriptors of one process.
 	maxFrameFiles = 16
 )
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -226,7 +226,8 @@
 	}
 }
 
-// A hello of another version, or another first frame, is rejected before the source is called.
+// A hello of another version, a malformed hello and any other first frame are rejected before the source is
+// called.
 func TestOwner_RejectsInvalidHello(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -234,8 +235,8 @@
 		body []byte
 	}{
 		{"another version", frameHello, encode(hello{Version + 1})},
-		{"no JSON", frameHello, []byte("hello")},
-		{"another frame", frameReady, nil},
+		{"malformed JSON", frameHello, []byte("hello")},
+		{"another kind of frame", frameReady, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return frame{}, fmt.Errorf("handover: receive frame: %w", err)
 	}
-	if n == 0 { // not a frame: every frame has at least its kind
+	if n == 0 { // unreachable: on this network ReadMsgUnix returns io.EOF with n == 0; protects packet[0]
 		return frame{}, net.ErrClosed
 	}
 	files, err := receivedFiles(control[:controlSize])
@@ -146,4 +146,4 @@
 	}
 }
 
-func (l *link) close() { _ = l.conn.Close() } // nothing is buffered, so an error loses nothing
+func (l *link) close() { _ = l.conn.Close() } // no data is buffered, so an error loses none
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -30,9 +30,9 @@
 	return &link{dialed}, &link{accepted}
 }
 
-// Guards against a predecessor that is blocked, with all its clients, by a successor that stops reading while the state is sent (because
-// it is suspended or gets no processor time). Frames were written without a deadline, and a write blocks once the socket's buffer is full.
-// A state larger than the buffer, such as that of a fleet with thousands of endpoints, was then blocked until the successor ended:
+// Guards against a successor that stops reading while the state is sent (because it is suspended or gets no processor time) and thereby
+// blocks the predecessor and all its clients. Frames were written without a deadline, and a write blocks once the socket's buffer is full.
+// A predecessor with a larger state, for example in a fleet with thousands of endpoints, was then blocked until the successor ended:
 // sendLong of 4 MB to a peer that reads nothing did not return within this test's timeout.
 func TestLink_SendEndsWhereThePeerReadsNothing(t *testing.T) {
 	near, _ := linkPair(t)
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -31,7 +31,7 @@
 		return "", nil, fmt.Errorf("handover: %w", err)
 	}
 	path = "/proc/self/fd/" + strconv.Itoa(int(folder.Fd())) + "/" + socketName
-	return path, func() { _ = folder.Close() }, nil // opened only for reading, so an error loses nothing
+	return path, func() { _ = folder.Close() }, nil // opened only for reading, so an error loses no data
 }
 
 // folderLock is the lock on a folder. The lock belongs to the open file description, not to the process
@@ -63,6 +63,6 @@
 // descriptor of it.
 func (l *folderLock) close() {
 	if l != nil {
-		_ = l.file.Close() // nothing was written, so an error loses nothing
+		_ = l.file.Close() // nothing was written, so an error loses no data
 	}
 }
--- a/internal/handover/machine.go
+++ b/internal/handover/machine.go
@@ -20,7 +20,7 @@
 	eventHelloReceived
 	// eventQuiesced: the relay is quiesced, and its state is durable.
 	eventQuiesced
-	// eventQuiesceFailed: the relay could not be quiesced, or its state not made durable.
+	// eventQuiesceFailed: the relay could not be quiesced, or its state could not be made durable.
 	eventQuiesceFailed
 	// eventPeerReady: the successor has read the state and the journal, and is ready to serve.
 	eventPeerReady
--- a/internal/handover/owner.go
+++ b/internal/handover/owner.go
@@ -75,7 +75,7 @@
 		}
 		l := &link{conn}
 		if err := l.receiveHello(); err != nil {
-			slog.Warn("successor rejected: no valid hello", logkey.Err, err)
+			slog.Warn("hand-over request rejected: no valid hello frame received", logkey.Err, err)
 			l.close()
 			continue
 		}
@@ -88,7 +88,7 @@
 }
 
 // startListening listens for successors. If the folder or the machine temporarily does not allow this,
-// startListening returns nil: the relay can serve, and Serve tries to listen again. Until that succeeds
+// startListening returns nil: the relay can serve, and Serve tries to listen again. Until a retry succeeds,
 // the relay can't be handed over.
 func (o *Owner) startListening() error {
 	o.successors = make(chan *link)
@@ -139,8 +139,8 @@
 		return err
 	}
 	defer release()
-	// Remove the socket of an earlier process. No process listens on it, because this one has the folder's
-	// lock.
+	// Remove the socket of an earlier process. No process listens on it, because this process has the
+	// folder's lock.
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("handover: %w", err)
 	}
@@ -148,16 +148,16 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be that of the next owner's socket
+	l.SetUnlinkOnClose(false) // when l is closed, the next owner's socket may already have this path
 	if err := os.Chmod(path, 0o600); err != nil {
 		_ = l.Close()
 		return fmt.Errorf("handover: %w", err)
 	}
-	return o.adopt(l)
+	return o.setListener(l)
 }
 
-// adopt makes l the owner's listener, or closes it if the folder was released in the meantime.
-func (o *Owner) adopt(l *net.UnixListener) error {
+// setListener makes l the owner's listener, or closes it if the folder was released in the meantime.
+func (o *Owner) setListener(l *net.UnixListener) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.released {
@@ -170,13 +170,14 @@
 	return nil
 }
 
-// Release stops listening and unlocks the folder. It is called when the process ends.
+// Release stops listening, and unlocks the folder if this process still has the lock. It is called after
+// Serve has returned.
 func (o *Owner) Release() {
 	o.stopListening()
 	o.lock.close()
 }
 
-// stopListening closes the folder's socket, and makes adopt close a socket that is opened later.
+// stopListening closes the folder's socket. setListener closes a socket that is opened later.
 func (o *Owner) stopListening() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/handover/pair_test.go
+++ b/internal/handover/pair_test.go
@@ -27,7 +27,7 @@
 	return e
 }
 
-// side is the state that both processes have.
+// side is the state of one process that the model has for both processes.
 type side struct {
 	alive  bool
 	locked bool // the process has a descriptor of the folder's lock
@@ -37,10 +37,10 @@
 // pair is a model of a predecessor and a successor, with the events in flight between them. It is comparable,
 // because walk uses pairs as map keys.
 type pair struct {
-	old  side
-	new  side
-	from predecessor
-	to   successor
+	old         side
+	new         side
+	predecessor predecessor
+	successor   successor
 
 	linkUp        bool
 	lockInFlight  bool
@@ -68,7 +68,7 @@
 
 // handleOld passes an event to the predecessor, and carries out its actions.
 func (p *pair) handleOld(e event) {
-	for _, a := range p.from.handle(e) {
+	for _, a := range p.predecessor.handle(e) {
 		switch a {
 		case actionQuiesce:
 			p.quiescing = true
@@ -84,7 +84,8 @@
 		case actionPassBatch:
 			p.passBatch()
 		case actionReclaim:
-			p.old.locked = false // not a lock of its own: the descriptor refers to the successor's open file description
+			// The predecessor's descriptor shares its open file description with the successor's, so it is not a separate lock.
+			p.old.locked = false
 			if !p.new.locked && !p.lockInFlight {
 				p.old.locked, p.reclaimed = true, true
 			}
@@ -107,7 +108,7 @@
 
 // handleNew passes an event to the successor, and carries out its actions.
 func (p *pair) handleNew(e event) {
-	for _, a := range p.to.handle(e) {
+	for _, a := range p.successor.handle(e) {
 		switch a {
 		case actionDiscard:
 			p.prepared = false
@@ -115,7 +116,7 @@
 			p.sendToPredecessor(eventPeerReady)
 		case actionAcquireJournal:
 			p.new.locked, p.lockInFlight = true, false
-			p.sendToPredecessor(eventBatchAcknowledged) // the first acknowledgement is that of the lock
+			p.sendToPredecessor(eventBatchAcknowledged) // the first acknowledgement is for the lock
 		case actionAcceptBatch:
 			p.sendToPredecessor(eventBatchAcknowledged)
 		case actionStart:
@@ -160,7 +161,7 @@
 	} else if !p.linkUp && p.oldHasLink() {
 		step(func(q *pair) { q.handleOld(eventPeerGone) })
 	}
-	if p.quiescing && p.from.state.isQuiescing() {
+	if p.quiescing && p.predecessor.state.isQuiescing() {
 		step(func(q *pair) { q.handleOld(eventQuiesced) })
 		step(func(q *pair) { q.handleOld(eventQuiesceFailed) })
 	}
@@ -176,7 +177,7 @@
 
 // oldHasLink reports whether the predecessor is in a state in which it has a link.
 func (p pair) oldHasLink() bool {
-	switch p.from.state {
+	switch p.predecessor.state {
 	case predecessorQuiescing, predecessorQuiescingStopPending,
 		predecessorOffered, predecessorOfferedStopPending,
 		predecessorPassing, predecessorPassingStopPending, predecessorHandedOver:
@@ -201,7 +202,7 @@
 	} else if !p.linkUp && p.newHasLink() {
 		step(func(q *pair) { q.handleNew(eventPeerGone) })
 	}
-	if p.to.state == successorAsking && p.new.inbox.count == 0 {
+	if p.successor.state == successorAsking && p.new.inbox.count == 0 {
 		switch {
 		case !p.old.locked && !p.new.locked && !p.lockInFlight:
 			step(func(q *pair) { q.handleNew(eventLockFree) })
@@ -209,10 +210,10 @@
 			step(func(q *pair) { q.linkUp = true; q.sendToPredecessor(eventHelloReceived) })
 		}
 	}
-	if p.to.state == successorPreparing {
+	if p.successor.state == successorPreparing {
 		step(func(q *pair) { q.handleNew(eventPrepared) })
 	}
-	if p.to.state == successorReceiving {
+	if p.successor.state == successorReceiving {
 		step(func(q *pair) { q.handleNew(eventTimedOut) })
 	}
 	return to
@@ -220,7 +221,7 @@
 
 // newHasLink reports whether the successor is in a state in which it has a link.
 func (p pair) newHasLink() bool {
-	switch p.to.state {
+	switch p.successor.state {
 	case successorPreparing, successorAwaitingLock, successorReceiving:
 		return true
 	case successorAsking, successorServing, successorFailed:
@@ -231,7 +232,7 @@
 
 // canConnect reports whether the predecessor listens and has no link.
 func (p pair) canConnect() bool {
-	return p.old.alive && !p.reclaimed && !p.linkUp && p.old.inbox.count == 0 && p.from.state == predecessorOwning
+	return p.old.alive && !p.reclaimed && !p.linkUp && p.old.inbox.count == 0 && p.predecessor.state == predecessorOwning
 }
 
 // deaths returns the pairs in which one living process has been killed. This can happen between any two
@@ -265,9 +266,9 @@
 	return n
 }
 
-func (p pair) oldOwns() bool { return p.old.alive && (p.from.owns() || p.reclaimed) }
+func (p pair) oldOwns() bool { return p.old.alive && (p.predecessor.owns() || p.reclaimed) }
 
-func (p pair) newOwns() bool { return p.new.alive && p.to.owns() }
+func (p pair) newOwns() bool { return p.new.alive && p.successor.owns() }
 
 // walk visits every reachable pair, together with the pairs that can follow it, and returns the number of
 // reachable pairs.
@@ -299,7 +300,7 @@
 		if p.newOwns() && !p.new.locked {
 			t.Fatalf("the successor owns the relay without the lock: %+v", p)
 		}
-		if p.old.alive && p.from.owns() && !p.old.locked {
+		if p.old.alive && p.predecessor.owns() && !p.old.locked {
 			t.Fatalf("the predecessor owns the relay without the lock: %+v", p)
 		}
 	})
@@ -316,7 +317,7 @@
 		if !p.old.alive || p.reclaimed {
 			return
 		}
-		machine := p.from
+		machine := p.predecessor
 		ended := machine.state == predecessorFinished || machine.state == predecessorShuttingDown
 		for _, e := range []event{eventTimedOut, eventStopRequested, eventTimedOut} {
 			for _, a := range machine.handle(e) {
@@ -352,8 +353,8 @@
 		}
 	}
 	for p := range edges {
-		newCanServe := p.new.alive && p.to.state != successorFailed
-		oldCanServe := p.old.alive && !p.stopRequested && p.from.state != predecessorFinished
+		newCanServe := p.new.alive && p.successor.state != successorFailed
+		oldCanServe := p.old.alive && !p.stopRequested && p.predecessor.state != predecessorFinished
 		if (newCanServe || oldCanServe) && !reachesOwner[p] {
 			t.Fatalf("no process can become the owner of the relay: %+v", p)
 		}
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -4,7 +4,7 @@
 type successorState int
 
 const (
-	// successorAsking: the process tries to lock the folder, and asks its owner for a hand-over.
+	// successorAsking: the process tries to lock the folder, and asks the folder's owner for a hand-over.
 	successorAsking successorState = iota
 	// successorPreparing: the process reads the journal and the predecessor's state.
 	successorPreparing
@@ -31,7 +31,7 @@
 		eventPeerGone:      {successorAsking, []action{actionDiscard, actionAsk}},
 	},
 	// There is no timeout: the predecessor may have sent the lock already, and only the end of the link
-	// proves that it has not.
+	// proves that the lock was not sent.
 	successorAwaitingLock: {
 		eventLockTransferred: {successorReceiving, []action{actionAcquireJournal}},
 		eventPeerGone:        {successorAsking, []action{actionDiscard, actionAsk}},
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// perform carries out actions in order. It returns the result of the last action that has one, or
-// eventNone if no action has a result. If an action ends this process's ownership, perform returns its
+// perform carries out actions in order. It returns the result of the last action that has a result, or
+// eventNone if no action has one. If an action ends this process's ownership, perform returns its
 // outcome. The results of earlier actions are dropped: after actionTransferLock the first batch is sent
 // whether or not the lock was acknowledged.
 func (t *transfer) perform(actions []action, started time.Time) (next event, outcome Outcome, ended bool) {
@@ -88,7 +88,7 @@
 		case actionShutDown:
 			return eventNone, StopRequested, true
 		case actionReclaim:
-			slog.Warn("successor died after it received the lock; locking the folder again")
+			slog.Warn("link to the successor ended after the lock was sent; locking the folder again")
 			return eventNone, SuccessorDied, true
 		case actionRejectPeer:
 			slog.Warn("hand-over failed; this process stays the owner of the relay", logkey.Err, t.err, logTook, time.Since(started))
--- a/internal/invariant/counts.go
+++ b/internal/invariant/counts.go
@@ -7,8 +7,8 @@
 	"frostlink/internal/logkey"
 )
 
-// LogMessage is the message under which violations are logged. Its attribute logkey.Kind names the
-// invariant.
+// LogMessage is the log message of a violation. The attribute logkey.Kind is the name of the violation's
+// kind.
 const LogMessage = "invariant violated"
 
 // Counts counts the violations in a process by kind. It is safe for concurrent use. The zero value is ready
--- a/internal/invariant/deadlines.go
+++ b/internal/invariant/deadlines.go
@@ -19,7 +19,7 @@
 // is not safe for concurrent use.
 type Deadlines struct{ queue deadlineQueue }
 
-// Add starts to watch a request that expires at its deadline.
+// Add watches a request until it is completed. expires is the request's deadline.
 func (d *Deadlines) Add(requestID string, expires clock.Instant) {
 	d.queue.push(deadline{requestID, expires.Add(completionSlack)})
 }
@@ -33,8 +33,9 @@
 }
 
 // Overdue returns the requests whose terminal outcome is due by now and that isOpen reports as not
-// completed. It returns each request once. If a call is later than stallThreshold, the process was stalled,
-// and so was the code that completes requests: such requests get another completionSlack from now on.
+// completed. It returns each request once. If a call comes more than stallThreshold after the outcome of a
+// request was due, the process was stalled, and with it the code that completes requests: the request then
+// gets another completionSlack from now on.
 func (d *Deadlines) Overdue(now clock.Instant, isOpen func(requestID string) bool) (overdue []string) {
 	for len(d.queue) > 0 && d.queue[0].at <= now {
 		due := d.queue.pop()
--- a/internal/invariant/kind.go
+++ b/internal/invariant/kind.go
@@ -21,7 +21,8 @@
 	ExpiredKeyRepeat
 	// CompletedTwice: a second terminal outcome was decided for a request.
 	CompletedTwice
-	// CompletionOverdue: a request has no terminal outcome in time.
+	// CompletionOverdue: no terminal outcome of a request was decided within completionSlack after its
+	// deadline.
 	CompletionOverdue
 	// CompletionUnrecorded: the platform was to be notified of a terminal outcome before its journal record
 	// was durable.
@@ -54,4 +55,5 @@
 	MixedClocks:              "mixed_clocks",
 }
 
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
--- a/internal/invariant/send.go
+++ b/internal/invariant/send.go
@@ -8,7 +8,7 @@
 
 // Request contains the facts about an accepted request that the checks need.
 type Request struct {
-	*journal.Entry               // Attempts are those before the attempt that is checked
+	*journal.Entry               // its Attempts do not include the attempt that is checked
 	Terms          *policy.Class // the class settings at acceptance; nil if they are unknown
 	Completed      bool          // the terminal outcome is decided
 	InFlight       bool          // an attempt of this process is in flight
--- a/internal/invariant/send_test.go
+++ b/internal/invariant/send_test.go
@@ -45,7 +45,7 @@
 			Request{Terms: shortTTL, Entry: entryWith(outcomeUnknown)}, time.Second, ExpiredKeyRepeat,
 		},
 		"key expired, not executed": {Request{Terms: shortTTL, Entry: entryWith(notExecuted)}, time.Second, none},
-		"class not known":           {Request{Entry: entryWith(outcomeUnknown)}, time.Second, none},
+		"unknown terms":             {Request{Entry: entryWith(outcomeUnknown)}, time.Second, none},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := test.request
--- a/internal/journal/changes.go
+++ b/internal/journal/changes.go
@@ -7,14 +7,15 @@
 	"frostlink/policy"
 )
 
-// SetTerms records the current settings of its class in a request that is about to be accepted. The
-// request keeps them when the settings change.
+// SetTerms sets the terms of a request that is about to be accepted: the current settings of its class.
+// The request keeps these terms when the operator changes the settings.
 func (j *Journal) SetTerms(e *Entry, class policy.Class) { e.TermsNumber = j.termsNumber(class) }
 
-// termsNumber returns the number of these class settings, and records them if they are new.
+// termsNumber returns the number under which class settings are stored, and records the settings if they
+// are not stored yet.
 func (j *Journal) termsNumber(class policy.Class) int {
 	if j.terms[j.lastTermsNumber] == class {
-		return j.lastTermsNumber // the usual case: the same settings as those of the previous request
+		return j.lastTermsNumber // the usual case: the terms of the previous request
 	}
 	for number, known := range j.terms {
 		if known == class {
@@ -61,8 +62,9 @@
 	j.addRecord(record{Kind: kindCompleted, ID: e.ID, At: at})
 }
 
-// SetStore records the name that Store returns. An empty name means that no dead-letter store has, or
-// will get from this journal, a complete record of deliveries.
+// SetStore records the name of the dead-letter store that Store returns. The name is empty if no store
+// can have a complete record of deliveries, even after it has been notified of the deliveries in this
+// journal.
 func (j *Journal) SetStore(store string) {
 	j.addRecord(record{Kind: kindStore, Source: store, Count: j.lastArrival})
 }
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -15,8 +15,8 @@
 // Durable reports whether a later process that replays the file will read the record with this number.
 func (j *Journal) Durable(record uint64) bool { return record <= j.durable }
 
-// Commit writes the buffered records. After an error, no effect that relies on them may be carried out;
-// the next Commit writes a new file from the state in memory.
+// Commit writes the buffered records. After an error, no effect that relies on these records may be
+// carried out, and the next Commit writes a new file from the state in memory.
 func (j *Journal) Commit() error {
 	j.reservedSize = 0
 	if len(j.buffer) == 0 && !j.failed {
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	if j.file != nil {
-		_ = j.file.Close() // the new file has replaced this one, so an error here loses nothing
+		_ = j.file.Close() // the new file has replaced this file, so an error loses no record
 	}
 	j.file, j.fileSize, j.completedSize = file, len(contents), len(completed)
 	return nil
@@ -55,7 +55,7 @@
 	}
 	if _, err = file.Write(contents); err == nil {
 		if err = os.Rename(j.temporaryPath(), j.path); err != nil {
-			j.mayHoldUncommitted = true // after an EIO, rename(2) does not guarantee which file has the name
+			j.mayHoldUncommitted = true // after EIO, either file may have the journal's name (rename(2))
 		}
 	}
 	if err != nil {
@@ -68,7 +68,7 @@
 
 func (j *Journal) temporaryPath() string { return j.path + ".new" }
 
-// dropUnusedTerms deletes the class settings under which no open request was accepted.
+// dropUnusedTerms deletes the class settings that are not the terms of any open request.
 func (j *Journal) dropUnusedTerms() {
 	used := map[int]bool{}
 	for _, e := range j.accepted {
--- a/internal/journal/completed.go
+++ b/internal/journal/completed.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxCompleted is the number of completed requests that are remembered, the latest ones. It exceeds
-	// the number that are completed during the period in which a request can be submitted again.
+	// maxCompleted is the maximum number of completed requests that are remembered. It exceeds the number
+	// of requests that are completed during the period in which a request can be submitted again.
 	maxCompleted = 1 << 16
-	// maxMilliseconds is the largest distance of a stored time from 1970, before or after: an Instant
-	// counts nanoseconds in 64 bits.
+	// maxMilliseconds is the largest distance of a stored time from 1970, before or after, because an
+	// Instant counts nanoseconds in 64 bits.
 	maxMilliseconds = math.MaxInt64 / 1_000_000
 )
 
@@ -61,11 +61,11 @@
 	}
 	r.ordered = r.ordered[n:]
 	if len(r.ordered) == 0 {
-		r.ordered = nil // frees the memory behind it
+		r.ordered = nil // releases the slice's memory
 	}
 }
 
-// latest returns as many of the latest requests as can be encoded in capacity bytes.
+// latest returns the most recently completed requests whose encodings together fit into capacity bytes.
 func (r *completedRequests) latest(capacity int) []CompletedRequest {
 	first := len(r.ordered)
 	for first > 0 {
--- a/internal/journal/completed_test.go
+++ b/internal/journal/completed_test.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// However many requests are completed, memory contains only the latest maxCompleted of them, the file only
-// as many of the latest as fit into completedCapacity, and they never cause a new request to be rejected.
+// However many requests are completed, only the latest maxCompleted of them are kept in memory, and a
+// compaction writes only the latest that fit into completedCapacity bytes. Completed requests never cause a
+// new request to be rejected.
 func TestCompletedRequests_AreBounded(t *testing.T) {
 	const mb = 1
 	dir, at := t.TempDir(), clock.New().Now()
@@ -86,7 +87,7 @@
 	}
 }
 
-// If the record of completed requests is malformed, only these are lost.
+// If the record of completed requests is malformed, only the completed requests are lost.
 func TestReplay_SkipsMalformedCompletedRequests(t *testing.T) {
 	dir := t.TempDir()
 	raw := appendRecord(nil, record{Kind: kindCompletedRequests, Body: []byte{200, 'x'}})
@@ -99,7 +100,7 @@
 	}
 }
 
-// Requests that readCompleted has decoded are the same after they are encoded and decoded again, and their
+// Requests that readCompleted has decoded are unchanged when they are encoded and decoded again, and their
 // encoding is not longer than the input.
 func FuzzReadCompleted(f *testing.F) {
 	f.Add(encodeCompleted([]CompletedRequest{
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -23,12 +23,12 @@
 //
 //	op        members                  meaning
 //	"anchor"  anchor                   the clock.Anchor of the timeline to which all instants belong
-//	"terms"   terms, count             class settings, stored under the number count
+//	"terms"   terms, count             class settings; entries refer to them by the number count
 //	"taken"   entry; body              a request was accepted; the body is its payload
 //	"begun"   id, host, at             an attempt to the endpoint host starts
 //	"ended"   id, unrun, why, at       the last attempt of the request ended, with outcome why
 //	"done"    id                       delivered; the dead-letter store has not been notified yet
-//	"owed"    id, notice, why, at      terminal outcome decided; the platform has not acknowledged the notice
+//	"owed"    id, notice, why, at      terminal outcome decided; its recipient has not acknowledged it yet
 //	"over"    id, at                   completed: the relay has nothing left to do for the request
 //	"past"    body                     completed requests, see appendCompleted
 //	"list"    list, from               endpoint list, or a change of it, and the discovery service that sent it
@@ -48,26 +48,27 @@
 // # Compaction
 //
 // The file is compacted when it is much larger than its live content, when it would exceed its size
-// limit, or after an append has failed. The live records are written to "journal.new", which is then
+// limit, or after a commit has failed. The live records are written to "journal.new", which is then
 // renamed to "journal". The old file stays complete until the rename, so a process that is killed at
-// any point of a compaction loses nothing. Acquire compacts too, to drop a corrupt tail before records
-// are appended after it.
+// any point of a compaction loses no record. Acquire compacts too, to drop a corrupt tail before
+// records are appended after it.
 //
 // # Guarantees
 //
 // After Commit has returned nil, every record added so far survives SIGKILL of the process. The file is
-// not synced to the disk, so a crash of the machine may lose the latest commits. A failed Commit
-// truncates the file to its size after the last successful commit; if the truncation fails as well,
-// MayHoldUncommitted reports that a later process may read uncommitted records.
+// not synced to the disk, so a crash of the machine may lose the latest commits. If an append fails,
+// Commit truncates the file to its size before the append. If this truncation or the rename of a
+// compaction fails, MayHoldUncommitted reports that a later process may read uncommitted records.
 //
 // # Versions
 //
 // An anchored file starts with an "anchor" record; its instants belong to the relay's timeline. An
 // unanchored file was written by a program version from before that record existed: its instants are
-// wall-clock times in the same encoding, and the time since the file was written counts as zero. An
-// "over" record without the member at was written by an earlier version too; its request is not
-// remembered as completed. A request whose "entry" has no terms was accepted by an earlier version; the
-// current settings apply to it.
+// wall-clock times in the same encoding, and the timeline of the process that reads the file begins at
+// the time of the wall clock, but not before the latest instant in the file. An "over" record without
+// the member at was written by an earlier version too; its request is not remembered as completed. A
+// request whose "entry" has no terms was accepted by an earlier version; the current settings apply to
+// it.
 //
 // # Files
 //
@@ -79,7 +80,7 @@
 //   - record.go: the encoding of records
 //   - replay.go: reading a file, and the effect of each kind of record
 //   - compact.go: writing a new file with the live records
-//   - completed.go: the bounded memory of completed requests, and its encoding
+//   - completed.go: the completed requests that are remembered, and their encoding
 //   - folder_monitor.go: backoff and recovery after failed writes
 //   - errors.go: the errors
 package journal
--- a/internal/journal/entry.go
+++ b/internal/journal/entry.go
@@ -37,8 +37,9 @@
 	// Delivered is set if the request was delivered and the dead-letter store has not been notified yet.
 	// The store needs the notification so that it redelivers no older message of the subject.
 	Delivered bool `json:"-"`
-	// PendingNotice reports the terminal outcome to the platform; it is nil before the outcome is decided.
-	// The entry is open until the platform has acknowledged the notice.
+	// PendingNotice contains the terminal outcome; it is nil before the outcome is decided. The entry is
+	// open until the platform has acknowledged the notice or, for a redelivery, the dead-letter store has
+	// recorded the outcome.
 	PendingNotice *notification.Notice `json:"-"`
 	// Reason is the reason of the terminal outcome, CompletedAt the time at which it was decided. Both are
 	// set where a dead-letter store is configured.
--- a/internal/journal/failure_test.go
+++ b/internal/journal/failure_test.go
@@ -10,13 +10,13 @@
 
 // tornFile writes only the first bytes of each write and returns ENOSPC, as a full disk does.
 type tornFile struct {
-	openFile
+	writableFile
 	written     int // number of bytes of each write that reach the file
 	truncateErr error
 }
 
 func (f *tornFile) Write(b []byte) (int, error) {
-	n, err := f.openFile.Write(b[:min(f.written, len(b))])
+	n, err := f.writableFile.Write(b[:min(f.written, len(b))])
 	if err == nil {
 		err = syscall.ENOSPC
 	}
@@ -27,12 +27,12 @@
 	if f.truncateErr != nil {
 		return f.truncateErr
 	}
-	return f.openFile.Truncate(size)
+	return f.writableFile.Truncate(size)
 }
 
 // At whichever byte a write fails, a later process reads none of the requests of the failed commit, because
-// their clients were told that they were rejected. If the partial write can't be truncated, the journal
-// reports so. The next successful commit contains all records.
+// their clients were told that the requests were rejected. If a partial write can't be truncated,
+// MayHoldUncommitted reports it. The next successful commit writes all records.
 func TestCommit_CutsOffTornWrite(t *testing.T) {
 	batch := func(j *Journal) {
 		for _, id := range []string{"first", "second"} {
--- a/internal/journal/folder_monitor.go
+++ b/internal/journal/folder_monitor.go
@@ -27,7 +27,7 @@
 	// minBackoff and maxBackoff bound the backoff between commits to a degraded folder. The backoff is
 	// needed because each of these commits writes the whole file.
 	minBackoff, maxBackoff = 20 * time.Millisecond, 100 * time.Millisecond
-	// recoveryPeriod is the time between the first successful commit and the state Healthy.
+	// recoveryPeriod is the time for which commits must succeed before a recovering folder is healthy.
 	recoveryPeriod = time.Second
 )
 
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -19,8 +19,8 @@
 // FileName is the name of the file in the relay's folder.
 const FileName = "journal"
 
-// openFile has the operations that a commit needs on the journal's file.
-type openFile interface {
+// writableFile contains the operations of *os.File that commits use on the journal's file.
+type writableFile interface {
 	io.WriteCloser
 	Truncate(size int64) error
 }
@@ -32,17 +32,17 @@
 	detailed bool // store the outcomes and times of attempts and requests as well
 
 	// The file and its commits.
-	file               openFile // nil until the first compaction
-	failed             bool     // the last commit failed
-	mayHoldUncommitted bool     // a failed commit may have left records in the file
-	buffer             []byte   // encoded records since the last Commit
-	recordCount        uint64   // number of records added
-	durable            uint64   // number of the last record that a later process can read
+	file               writableFile // nil until the first compaction
+	failed             bool         // the last commit failed
+	mayHoldUncommitted bool         // a failed commit may have left records in the file
+	buffer             []byte       // encoded records since the last Commit
+	recordCount        uint64       // number of records added
+	durable            uint64       // number of the last record that a later process can read
 
 	// Sizes in bytes.
 	sizeLimit     int // of the old and the new file together during a compaction
 	fileSize      int
-	liveSize      int // estimate of what a compaction has to write, with the later records of open requests
+	liveSize      int // estimate for the records of a compaction and the later records of open requests
 	reservedSize  int // for requests that may be accepted before the next Commit
 	endpointsSize int // the share of the endpoint list in liveSize
 	completedSize int // of the completed requests that the last compaction wrote
@@ -53,9 +53,9 @@
 	completed       completedRequests
 	health          map[string]Health // by endpoint
 	endpoints       *discovery.EndpointList
-	endpointSource  string // the discovery service that sent endpoints
-	store           string // name of the dead-letter store, see Store
-	terms           map[int]policy.Class
+	endpointSource  string               // the discovery service that sent endpoints
+	store           string               // name of the dead-letter store, see Store
+	terms           map[int]policy.Class // class settings at the acceptance of requests, by number
 	lastTermsNumber int
 	lastArrival     int64
 	anchor          *clock.Anchor // as read from the file; nil: the file is unanchored
@@ -63,9 +63,9 @@
 	timeline        *clock.Timeline
 }
 
-// Open replays the journal of a folder that this process owns, and prepares it for writing. detailed
-// selects whether the outcomes and times of attempts and requests are stored, which the dead-letter
-// store needs.
+// Open replays the journal of a folder that this process owns, and prepares it for writing. diskMB is the
+// size limit of the folder in MB. detailed selects whether the outcomes and times of attempts and requests
+// are stored, which the dead-letter store needs.
 func Open(dir string, diskMB float64, detailed bool) (*Journal, error) {
 	j, err := Read(dir, diskMB, detailed)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return j, j.Acquire()
 }
 
-// Read replays the journal of a folder that another process still owns, without changing the folder.
-// Commit must not be called before Acquire.
+// Read replays the journal of a folder that another process still owns, without changing the folder. Its
+// parameters are those of Open. Commit must not be called before Acquire.
 func Read(dir string, diskMB float64, detailed bool) (*Journal, error) {
 	j, corrupt, err := load(dir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// Inspect reads the current journal of a folder, also while another process writes it. The result must
-// not be written to.
+// Inspect reads the current journal of a folder, also while another process writes it. The result is only
+// for reading: no records may be added to it.
 func Inspect(dir string) (*Journal, error) {
 	j, _, err := load(dir) // the tail may be corrupt because the owner is in the middle of a write
 	if err != nil {
@@ -149,8 +149,8 @@
 // Entry returns an open request, or nil.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
-// Terms returns the settings of a request's class as they were when the request was accepted, or nil if
-// the journal does not have them.
+// Terms returns a request's terms, which are the settings of its class at acceptance, or nil if the journal
+// does not contain them.
 func (j *Journal) Terms(e *Entry) *policy.Class {
 	if terms, ok := j.terms[e.TermsNumber]; ok {
 		return &terms
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Requests with bodies of the largest size never fill the folder beyond its limit, the new file of a compaction
-// included.
+// Requests with bodies of the largest size never fill the folder beyond its limit, even during a compaction,
+// when the old file and the new file exist.
 func TestCommit_StaysUnderDiskLimit(t *testing.T) {
 	const mb = 1
 	dir := t.TempDir()
@@ -167,7 +167,7 @@
 	}
 }
 
-// After a failed commit no request is accepted until a new file with all records has been written.
+// After a failed commit, Reserve rejects requests until a new file with all records has been written.
 func TestCommit_RewritesFileAfterFailure(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
@@ -185,7 +185,7 @@
 }
 
 // The timeline of a journal continues from one process to the next. The instants of an unanchored file are
-// read unchanged, and the time since it was written counts as zero.
+// read unchanged, and the new timeline does not begin before them, even if the wall clock was stepped back.
 func TestTimeline_ContinuesAcrossProcesses(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3)
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -97,8 +97,7 @@
 	return r, size, nil
 }
 
-// checksum returns the checksum of an encoded record. It covers all bytes except those of the checksum
-// field.
+// checksum returns the checksum of an encoded record. It covers all bytes except the checksum field.
 func checksum(encoded []byte) uint32 {
 	sum := crc32.Checksum(encoded[:lengthsSize], castagnoli)
 	return crc32.Update(sum, castagnoli, encoded[headerSize:])
--- a/internal/notification/notifier.go
+++ b/internal/notification/notifier.go
@@ -13,13 +13,12 @@
 
 const (
 	// postTimeout bounds one post, and retryDelay is the pause after a failed post. A notice has to be
-	// acknowledged within 300 ms of its request's deadline; with these values up to two posts may stall
-	// before that.
+	// acknowledged within 300 ms of its request's deadline. Two posts may time out within this period.
 	postTimeout = 120 * time.Millisecond
 	retryDelay  = 20 * time.Millisecond
 	// maxConcurrentPosts is the number of posts at the same time, so that a stalled post does not delay
-	// the others. Connections are kept open: with a new connection for each post there would be a hundred
-	// a second when many requests fail, and opening one may stall for a second.
+	// the others. Connections are kept open: a new connection for each post would mean a hundred
+	// connections a second when many requests fail, and opening a connection may stall for a second.
 	maxConcurrentPosts = 4
 	idleConnTimeout    = 5 * time.Second
 	// maxBatchSize is the maximum number of notices in one post.
--- a/internal/notification/queue.go
+++ b/internal/notification/queue.go
@@ -28,9 +28,9 @@
 	q.changed.Signal()
 }
 
-// nextBatch waits for notices, and removes and returns at most the given number of them. It returns nil
-// once the queue is closed.
-func (q *queue) nextBatch(most int) []Notice {
+// nextBatch waits for notices, and removes and returns at most limit of them. It returns nil once the queue
+// is closed.
+func (q *queue) nextBatch(limit int) []Notice {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for len(q.pending) == 0 && !q.closed {
@@ -39,7 +39,7 @@
 	if q.closed {
 		return nil
 	}
-	batch := slices.Clone(q.pending[:min(len(q.pending), most)])
+	batch := slices.Clone(q.pending[:min(len(q.pending), limit)])
 	q.pending = slices.Delete(q.pending, 0, len(batch))
 	return batch
 }
--- a/internal/servingmode/doc.go
+++ b/internal/servingmode/doc.go
@@ -11,8 +11,8 @@
 //	Standby          Activate         Active
 //	any              Shutdown         ShuttingDown     final
 //
-// In each state every other call has no effect; in particular, a second EnterStandby does not restart the drain. A shutdown does not
-// end standby: in ShuttingDown, the reported health and the limits on idle connections still depend on EnterStandby and Activate.
+// Any other call leaves the state unchanged; in particular, a second EnterStandby does not restart the drain. A shutdown does not end
+// standby: in ShuttingDown, the reported health and the limits on idle connections still depend on EnterStandby and Activate.
 //
 // The behavior of a relay in each state:
 //
@@ -26,5 +26,5 @@
 // The drain has stages because the front layer polls health every 0.1 s and sends new connections for another 0.2 s, and because
 // clients use a connection as long as it is open. Therefore the health check fails at once, but requests that still arrive are
 // served. Each response is the last on its connection, and idle connections are closed: first those that were idle for MinIdle, later
-// all. A request that begins after that has arrived on a new connection, which is closed after the response.
+// all. A request that begins after CloseAllAfter has arrived on a new connection, which is closed after the response.
 package servingmode
--- a/internal/servingmode/servingmode.go
+++ b/internal/servingmode/servingmode.go
@@ -12,8 +12,8 @@
 	CloseIdleAfter = 600 * time.Millisecond
 	// MinIdle is the idle time of a connection after which it is unlikely that a request is on its way.
 	MinIdle = 400 * time.Millisecond
-	// CloseAllAfter is the time from which all idle connections are closed. By the platform's rules, 4 s after EnterStandby no
-	// connection may be open and idle, nor may one carry a request that began in the last 2 s.
+	// CloseAllAfter is the time from which all idle connections are closed. It is less than 2 s because of a rule of the platform:
+	// 4 s after EnterStandby no connection may be idle, and none may carry a request that began less than 2 s before.
 	CloseAllAfter = 1500 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 	return [...]string{"active", "leaving", "standing by", "ending"}[s]
 }
 
-// Mode contains the state of one relay. Its zero value is in the state Active. It is safe for concurrent use.
+// Mode contains the serving state of one relay. Its zero value is in the state Active. It is safe for concurrent use.
 type Mode struct {
 	mu           sync.Mutex // guards the fields below
 	standby      bool       // EnterStandby was called, and Activate has not been called since
@@ -87,8 +87,8 @@
 	return m.standby, m.drainStart
 }
 
-// Healthy reports whether the front layer may send clients to this process. During a graceful shutdown the process stays healthy until
-// the listener closes: the platform has requested the shutdown, and stops sending clients by itself.
+// Healthy reports whether the front layer may send clients to this process. A graceful shutdown does not change the result, so the
+// health check passes until the listener closes: the platform has requested the shutdown, and stops sending clients by itself.
 func (m *Mode) Healthy() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
