--- a/internal/faultinjection/simulation/attempt.go
+++ b/internal/faultinjection/simulation/attempt.go
@@ -9,44 +9,44 @@
 	"frostlink/policy"
 )
 
-// attemptState is how far an attempt is.
+// attemptState is the progress of an attempt.
 type attemptState int
 
 const (
 	attemptConnecting attemptState = iota
-	attemptConnected               // it has a connection, and is not written yet
-	attemptSent                    // it is written
+	attemptConnected               // it has a connection, and its request is not written yet
+	attemptSent                    // its request is written
 	attemptEnded
 )
 
-// resetState is what is known of the reset of an attempt's connection.
+// resetState says whether an attempt's connection was reset, and whether the relay has noticed.
 type resetState int
 
 const (
 	notReset       resetState = iota
-	resetUnnoticed            // the relay is still to notice it
+	resetUnnoticed            // the relay has not noticed it yet
 	resetNoticed
 )
 
-// attempt is an attempt of a relay.
+// attempt is an attempt by a relay to deliver a request to an endpoint.
 type attempt struct {
 	relay        *relay
 	incarnation  int
 	request      *openRequest
-	index        int // among the attempts of its request
+	index        int // among the attempts of its request, from 0
 	endpoint     *endpoint
 	model        *destination.Attempt
 	sentAt       time.Duration
 	state        attemptState
 	reset        resetState
 	responseLost bool
-	number       int // in the event log, from its arrival until its end is recorded; else 0
+	number       int // its number in the event log, from its arrival at the endpoint until its end is recorded; 0 otherwise
 }
 
-// maxAttemptsPerSubmission keeps the draws of a message's submissions apart.
+// maxAttemptsPerSubmission separates the attempts of a message's submissions in the numbers by which service times are drawn.
 const maxAttemptsPerSubmission = 100
 
-// send begins an attempt.
+// send begins an attempt, on an idle connection if there is one.
 func (r *relay) send(action policy.Send) {
 	f, request, to := r.fleet, r.requests[action.ID], r.fleet.endpoints[action.Endpoint]
 	if request == nil || to == nil {
@@ -74,7 +74,8 @@
 	f.after(f.oneWay(), a.connect)
 }
 
-// checkSend checks what a relay must not do, whatever its decision module wants.
+// checkSend reports attempts that break a rule: at an endpoint that is not of the destination or that drains, or while another
+// attempt of the request is in flight.
 func (r *relay) checkSend(request *openRequest, action policy.Send) {
 	f := r.fleet
 	listed, known := r.listed[action.Endpoint]
@@ -103,7 +104,7 @@
 	return a
 }
 
-// closeIdle closes connections to an endpoint that have been idle since before a time.
+// closeIdle closes the connections to an endpoint that became idle before a time.
 func (r *relay) closeIdle(id string, before time.Duration) {
 	e := r.fleet.endpoints[id]
 	for len(r.idleConns[id]) > 0 && r.idleConns[id][0] < before {
@@ -112,7 +113,7 @@
 	}
 }
 
-// connect reaches the endpoint with a new connection.
+// connect handles the arrival of a new connection at the endpoint.
 func (a *attempt) connect() {
 	f, d := a.relay.fleet, a.endpoint.destination
 	mode := d.Mode(a.endpoint.index)
@@ -132,8 +133,8 @@
 	}
 }
 
-// rejectConnection rejects an attempt whose connection is more than the endpoint accepts. It counts against a cold
-// destination all the same.
+// rejectConnection rejects an attempt whose connection exceeds the endpoint's limit of connections. The attempt counts towards
+// the load of a destination in slow start all the same.
 func (a *attempt) rejectConnection() {
 	f, d := a.relay.fleet, a.endpoint.destination
 	d.Disconnect(a.endpoint.index)
@@ -153,7 +154,7 @@
 	a.relay.fleet.after(a.relay.fleet.oneWay(), a.arrive)
 }
 
-// arrive reaches the endpoint completely.
+// arrive handles the complete arrival of the request at the endpoint.
 func (a *attempt) arrive() {
 	f, d := a.relay.fleet, a.endpoint.destination
 	if a.state == attemptEnded || f.isPartitioned(a.relay, a.endpoint) {
@@ -184,18 +185,19 @@
 	}
 }
 
-// resetAtEndpoint resets the attempt's connection; what the endpoint has begun it goes on executing.
+// resetAtEndpoint resets the attempt's connection. The endpoint completes an execution that it has begun.
 func (a *attempt) resetAtEndpoint() {
 	f, d := a.relay.fleet, a.endpoint.destination
 	if _, waits := d.attempts[a.model]; !waits {
-		return // its response is on its way
+		return // its response is already on its way
 	}
 	delete(d.attempts, a.model)
 	a.recordEnd(checker.Event{Outcome: checker.Interrupted})
 	f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 }
 
-// end ends the attempt for its relay. With keepConn its connection becomes idle.
+// end ends the attempt and reports its outcome to the decision module. With keepConn its connection becomes idle instead of
+// being closed.
 func (a *attempt) end(e policy.AttemptEnded, keepConn bool) {
 	r, f := a.relay, a.relay.fleet
 	if a.state == attemptEnded || !r.runs(a.incarnation) {
--- a/internal/faultinjection/simulation/client.go
+++ b/internal/faultinjection/simulation/client.go
@@ -4,13 +4,14 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// submit has a client submit a message to a relay that is up; submission counts its submissions before this one.
+// submit has a client submit a message to a relay that accepts submissions, or try again later if there is none. submission is
+// the number of earlier submissions of the message.
 func (f *fleet) submit(m *scenario.Message, submission int) {
 	up := f.acceptingRelays()
 	timeLeft := scenario.Seconds(f.Scenario.Classes[m.Class].Deadline) - (f.now - m.At)
 	switch {
 	case timeLeft <= 0:
-		f.completed[m.Number] = true // its client has given up, and no relay had accepted it
+		f.completed[m.Number] = true // its deadline has passed: the client has given up, and no relay has accepted the message
 		return
 	case len(up) == 0:
 		f.after(m.ResubmitDelay, func() { f.submit(m, submission) })
@@ -19,7 +20,7 @@
 	f.chooseRelay(up, m, submission).receive(m, submission, timeLeft)
 }
 
-// acceptingRelays returns the relays that clients reach.
+// acceptingRelays returns the relays that accept submissions.
 func (f *fleet) acceptingRelays() (up []*relay) {
 	for _, r := range f.relays {
 		if r.alive && !r.stopping {
@@ -40,8 +41,8 @@
 	return up[int(draw*float64(len(up)))]
 }
 
-// clientLeaves reports whether the client of a submission leaves before its response: what its relay does then counts for
-// nothing, and the client submits the message elsewhere.
+// clientLeaves reports whether the client of a submission disconnects before the response. A delivery by the relay then does not
+// count, and the client submits the message again.
 func (f *fleet) clientLeaves(m *scenario.Message, submission int) bool {
 	return f.leavingShare > 0 && f.random.Stream("hasty", m.Number, submission).Float64() < f.leavingShare
 }
--- a/internal/faultinjection/simulation/day.go
+++ b/internal/faultinjection/simulation/day.go
@@ -10,53 +10,53 @@
 // FaultKind is a kind of fault.
 type FaultKind string
 
-// The kinds of fault, with the fields that each takes beside At.
+// The kinds of fault, with the fields of Fault that each uses in addition to At.
 const (
-	FaultLimitLowered   FaultKind = "lower"   // Destination Share: it admits a share of its limit from now on
-	FaultOutage         FaultKind = "out"     // Destination: it refuses connections
-	FaultRecovery       FaultKind = "back"    // Destination: it is back from its outage, cold
-	FaultUnreachable    FaultKind = "vanish"  // Destination Duration: it answers nothing, as if its machines had vanished, and returns cold
+	FaultLimitLowered   FaultKind = "lower"   // Destination Share: its limit is lowered to a share of the configured one, until the next such fault
+	FaultOutage         FaultKind = "out"     // Destination: it refuses connections until FaultRecovery
+	FaultRecovery       FaultKind = "back"    // Destination: it recovers from its outage, in slow start
+	FaultUnreachable    FaultKind = "vanish"  // Destination Duration: it does not respond, as if its machines had vanished, and recovers in slow start
 	FaultSlowdown       FaultKind = "slow"    // Destination Factor Duration: service times are multiplied
 	FaultErrors         FaultKind = "errors"  // Destination Share Duration: a share of its responses are errors
 	FaultReplacement    FaultKind = "replace" // Destination: its endpoints are replaced by new ones
-	FaultKill           FaultKind = "kill"    // First Share: a share of the relays is killed at once, and starts again
-	FaultRollingRestart FaultKind = "roll"    // First Share: a share of the relays restarts, every second one gracefully, the others killed
-	FaultDiscoveryDown  FaultKind = "down"    // Duration
-	FaultPartition      FaultKind = "cut"     // Zone Duration: nothing passes between a zone's relays and endpoints and the others
-	FaultNetworkHarm    FaultKind = "harm"    // Share Duration: that share of attempts loses its response or its connection
-	FaultClientsLeaving FaultKind = "hasty"   // Share Duration: that share of clients leaves before its response, and submits elsewhere
+	FaultKill           FaultKind = "kill"    // First Share: a share of the relays is killed at the same time, and starts again
+	FaultRollingRestart FaultKind = "roll"    // First Share: a share of the relays restarts; every second one shuts down gracefully, the others are killed
+	FaultDiscoveryDown  FaultKind = "down"    // Duration: the discovery service is unavailable
+	FaultPartition      FaultKind = "cut"     // Zone Duration: a zone's relays and endpoints are cut off from those of the other zones
+	FaultNetworkHarm    FaultKind = "harm"    // Share Duration: a share of attempts loses its response or its connection
+	FaultClientsLeaving FaultKind = "hasty"   // Share Duration: a share of clients disconnects before the response, and submits again
 )
 
-// Fault is a fault of a fleet.
+// Fault is a fault that concerns a fleet.
 type Fault struct {
 	At          time.Duration
 	Kind        FaultKind
 	Destination int
-	Share       float64 // of the limit, the relays, the responses, the attempts or the clients
-	First       float64 // the first relay, as a share of all
+	Share       float64 // of the limit, the relays, the responses, the attempts or the clients, by kind
+	First       float64 // position of the first relay concerned, as a share of all relays
 	Factor      float64
 	Zone        int
 	Duration    time.Duration
 }
 
-// PlantedBug is a bug that is put into the relays, so that tests see it caught.
+// PlantedBug is a bug that a test puts into the relays, to show that the checks find it.
 type PlantedBug struct {
-	NoJitter     bool // relays poll discovery at once, and again after fixed delays
-	MinimumQuota bool // an even share of a limit that is below one attempt per second counts as one
-	TrustsGossip bool // the word that a destination has recovered opens all of a relay's queues
-	ProbesAlone  bool // each relay probes a destination that is down, four times a second
-	NoJournal    bool // accepted requests are lost with their process
-	// Events and Actions, where set, change what a relay's decision module hears and what it decides in a batch.
+	NoJitter            bool // relays poll discovery immediately at their start, and retry after fixed delays
+	MinimumQuota        bool // a quota, the even share of a limit, is never below one attempt per second
+	TrustsGossip        bool // news that a destination has recovered makes relays forget its outage, and open all of its queues
+	UncoordinatedProbes bool // each relay probes an unhealthy destination four times a second
+	NoJournal           bool // accepted requests are lost when their process is killed
+	// Events and Actions, where set, change the events that a relay's decision module gets in a batch, and the actions that it returns.
 	Events  func(relay int, events []policy.Event) []policy.Event
 	Actions func(relay int, now time.Duration, actions []policy.Action) []policy.Action
 }
 
-// Day is what is played.
+// Day is a scenario for a fleet, with faults.
 type Day struct {
 	Scenario  *scenario.Scenario
 	Faults    []Fault
 	Discovery Discovery
 	Bug       PlantedBug
-	Skew      float64 // share of all messages that goes to the first relay, beside its even part of the rest
+	Skew      float64 // share of all messages that goes to the first relay, in addition to its even part of the others
 	Seed      int64
 }
--- a/internal/faultinjection/simulation/day_drawn.go
+++ b/internal/faultinjection/simulation/day_drawn.go
@@ -12,8 +12,8 @@
 
 // Further kinds of drawn days.
 const (
-	RollingDay = "roll"  // all relays are restarted by tenths while endpoints are replaced
-	SplitDay   = "split" // a zone is cut off, or destinations vanish; responses get lost and connections are reset
+	RollingDay = "roll"  // all relays restart, a tenth at a time, while endpoints are replaced
+	SplitDay   = "split" // a zone is cut off, or destinations are unreachable; responses are lost and connections reset
 )
 
 // DrawnDayNames are the kinds of drawn days.
@@ -29,11 +29,11 @@
 	JoinDay:    (*drawnDay).addLoweredLimits,
 }
 
-// NewDrawnDay returns a day of a kind, with sizes, shares, limits and the times of its faults drawn from the seed. The spans are
-// those in which the platform says that such faults happen.
+// NewDrawnDay returns a day of a kind. Its sizes, shares, limits and the times of its faults are drawn from the seed, from the ranges
+// that the platform states for such faults.
 func NewDrawnDay(kind string, relays int, seed int64) (*Day, error) {
 	if !slices.Contains(DrawnDayNames, kind) {
-		return nil, fmt.Errorf("%q is no kind of day that is drawn: there are %s", kind, strings.Join(DrawnDayNames, ", "))
+		return nil, fmt.Errorf("%q is no kind of drawn day: known kinds are %s", kind, strings.Join(DrawnDayNames, ", "))
 	}
 	random := drawSource{scenario.NewRandomStreams(seed).Stream("day of kind " + kind)}
 	day, _, err := drawWorkload(random).newDay(relays, seed)
@@ -46,18 +46,18 @@
 	return day, nil
 }
 
-// drawSource draws numbers of a range, and parts of a set.
+// drawSource draws numbers from ranges, and subsets.
 type drawSource struct{ *rand.Rand }
 
 func (s drawSource) between(low, high float64) float64 { return low + (high-low)*s.Float64() }
 
-// some draws a share of n things, one at least, in no order.
+// some draws the indices of a share of n items, at least one of them, in random order.
 func (s drawSource) some(n int, share float64) []int {
 	return s.Perm(n)[:max(1, int(share*float64(n)+0.5))]
 }
 
 func drawWorkload(random drawSource) workload {
-	const largestShare = 0.35 // a few destinations get much of the traffic
+	const largestShare = 0.35 // one destination gets much of the traffic
 	w := workload{
 		ratePerRelay: random.between(5, 9), sentShare: random.between(0.75, 1), limitFactor: random.between(1, 1.4),
 		capacityRatio: random.between(1.2, 1.6), length: random.between(26, 34),
@@ -83,7 +83,7 @@
 	random drawSource
 }
 
-// drawClients draws the habits of clients and what destinations tell of a rejection.
+// drawClients draws how clients retry, the delay of watch events, and the destinations that send Retry-After with a rejection.
 func (d *drawnDay) drawClients() {
 	s := d.Scenario
 	s.Clients.Retries, s.Clients.HonourRetryAfter = d.random.IntN(3), d.random.between(0.37, 0.82)
@@ -172,7 +172,7 @@
 	d.addToSome(0.3, d.random.between(3, 8), Fault{Kind: FaultErrors, Share: d.random.between(0.02, 0.1), Duration: d.duration(8, 15)})
 }
 
-// lowerSomeLimits lowers the limits of some destinations for a time.
+// lowerSomeLimits lowers the limits of some destinations, and restores them after 5 to 10 s.
 func (d *drawnDay) lowerSomeLimits() {
 	for _, number := range d.some(0.3) {
 		at := d.random.between(5, 12)
--- a/internal/faultinjection/simulation/day_drawn_test.go
+++ b/internal/faultinjection/simulation/day_drawn_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// On drawn days of each kind no rule is broken: some of a few relays, one each of 300. The same seed gives the same day.
+// On drawn days of each kind no rule is broken: with 6 seeds of 30 relays and one of 300. The same seed gives the same result.
 func TestPlay_KeepsTheRulesOnDrawnDays(t *testing.T) {
 	for _, kind := range DrawnDayNames {
 		for relays, seeds := range map[int]int64{30: 6, 300: 1} {
@@ -25,8 +25,8 @@
 			})
 		}
 	}
-	one, two := playDrawn(t, SplitDay, 12, 3, nil), playDrawn(t, SplitDay, 12, 3, nil)
-	if !reflect.DeepEqual(one, two) {
-		t.Errorf("%+v and %+v of one seed", one, two)
+	first, second := playDrawn(t, SplitDay, 12, 3, nil), playDrawn(t, SplitDay, 12, 3, nil)
+	if !reflect.DeepEqual(first, second) {
+		t.Errorf("two runs of one seed differ: %+v and %+v", first, second)
 	}
 }
--- a/internal/faultinjection/simulation/day_standard.go
+++ b/internal/faultinjection/simulation/day_standard.go
@@ -7,40 +7,40 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// The standard days. Each has the same length and the same faults, whatever the number of relays.
+// The standard days. Length and faults of each are the same for any number of relays.
 const (
 	CalmDay = "calm" // no fault
 	JoinDay = "join" // the destination with a third of the traffic admits a quarter of its limit for 9 s
 	ZoneDay = "zone" // destinations with half of the traffic are down for 5 s, and return cold
 	HerdDay = "herd" // relays are killed while endpoints are replaced
-	RushDay = "rush" // half as much again is sent, more than destinations admit
+	RushDay = "rush" // clients send 1.5 times the usual traffic, more than the destinations' limits allow
 )
 
 // DayNames are the standard days.
 var DayNames = []string{CalmDay, JoinDay, ZoneDay, HerdDay, RushDay}
 
-// rushShare is what is sent on the day of that name, over the usual.
+// rushShare is the traffic of RushDay as a multiple of that of the other days.
 const rushShare = 1.5
 
-// standardWorkload is that of the standard days.
+// standardWorkload is the workload of the standard days.
 var standardWorkload = workload{
 	ratePerRelay: 7.5, sentShare: 1, limitFactor: 1.15, capacityRatio: 1.35, length: 30,
 	shares: []float64{0.34, 0.26, 0.16, 0.12, 0.07, 0.05},
 }
 
-// NewDay returns a standard day for a number of relays. Its faults are at the same times whatever the seed.
+// NewDay returns a standard day for a number of relays. The times of its faults do not depend on the seed.
 func NewDay(name string, relays int, seed int64) (*Day, error) {
 	w := standardWorkload
 	if name == RushDay {
 		w.sentShare = rushShare
 	}
-	day, alike, err := w.newDay(relays, seed)
+	day, numbersByShare, err := w.newDay(relays, seed)
 	if err != nil {
 		return nil, err
 	}
-	// each adds a fault of all destinations of a share.
+	// each adds a fault to each destination that has its traffic from a share of the workload.
 	each := func(share int, seconds float64, fault Fault) {
-		for _, number := range alike[share] {
+		for _, number := range numbersByShare[share] {
 			fault.At, fault.Destination = scenario.Seconds(seconds), number
 			day.Faults = append(day.Faults, fault)
 		}
@@ -61,7 +61,7 @@
 		}
 		day.Faults = append(day.Faults, Fault{At: scenario.Seconds(10), Kind: FaultKill, Share: 0.7})
 	default:
-		return nil, fmt.Errorf("%q is no day: there are %s", name, strings.Join(DayNames, ", "))
+		return nil, fmt.Errorf("%q is no day: known days are %s", name, strings.Join(DayNames, ", "))
 	}
 	return day, nil
 }
--- a/internal/faultinjection/simulation/day_standard_test.go
+++ b/internal/faultinjection/simulation/day_standard_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// The fleet keeps all rules on each kind of day, at any size. Small fleets' counts in a second are too small for the bounds on
-// shares.
+// The fleet keeps all rules on each kind of day, at any size. The bounds on shares of limits hold from 12 relays on: in smaller fleets
+// the counts of a second are too small for them.
 func TestPlay_KeepsTheRulesOnStandardDays(t *testing.T) {
 	for _, relays := range []int{1, 2, 3, 12, 80} {
 		for _, day := range DayNames {
@@ -41,8 +41,8 @@
 	}
 }
 
-// An outage of a destination with many endpoints, at each of which a relay of many rarely makes an attempt, is recognized: attempts
-// fall to the trial requests that the rule allows, and nobody overloads it when it recovers.
+// In a large fleet each relay rarely makes an attempt at any one endpoint of a destination with many. Relays must recognize an outage
+// of such a destination all the same: attempts drop to the allowed trial requests, and its recovery brings no overload.
 func TestPlay_RecognizesOutageOfManyEndpoints(t *testing.T) {
 	r := playStandard(t, ZoneDay, 120, func(day *Day) {
 		p := &day.Scenario.Destinations[0]
@@ -50,8 +50,8 @@
 		p.Endpoints = 12
 	})
 	p := r.Destinations[0]
-	if calls := p.Attempts(10, 13); float64(calls) > 3*0.5*p.Limit || r.Overloads > 0 || len(r.Failures) > 0 {
-		t.Errorf("%d attempts in 3 s of an outage at a limit of %.0f a second, %d overloads, %v", calls, p.Limit, r.Overloads, r.Failures)
+	if attempts := p.Attempts(10, 13); float64(attempts) > 3*0.5*p.Limit || r.Overloads > 0 || len(r.Failures) > 0 {
+		t.Errorf("%d attempts in 3 s of an outage at a limit of %.0f a second, %d overloads, %v", attempts, p.Limit, r.Overloads, r.Failures)
 	}
 }
 
@@ -93,10 +93,10 @@
 			t.Parallel()
 			r := playStandard(t, CalmDay, 80, change)
 			if strings.Contains(name, "discovery") && r.FailedPolls < 80 {
-				t.Errorf("discovery rejected %d polls: the case is not what it says", r.FailedPolls)
+				t.Errorf("%d polls failed, want 80 or more: the case does not load discovery as its name says", r.FailedPolls)
 			}
-			if calls := r.Destinations[5].Attempts(8, 13); strings.Contains(name, "few") && (calls == 0 || calls > 20) {
-				t.Errorf("%d attempts in the outage: the case is not what it says", calls)
+			if attempts := r.Destinations[5].Attempts(8, 13); strings.Contains(name, "few") && (attempts == 0 || attempts > 20) {
+				t.Errorf("%d attempts during the outage, want 1 to 20: the case is not what its name says", attempts)
 			}
 			for _, f := range append(r.Failures, make([]string, r.Overloads)...) {
 				t.Errorf("failure or overload: %s", f)
@@ -105,9 +105,9 @@
 	}
 }
 
-// A day has the same result each time that it is played.
+// Two runs of the same day have the same result.
 func TestPlay_IsDeterministic(t *testing.T) {
 	if a, b := playStandard(t, HerdDay, 12, nil), playStandard(t, HerdDay, 12, nil); !reflect.DeepEqual(a, b) {
-		t.Error("two plays of one day differ")
+		t.Error("two runs of one day differ")
 	}
 }
--- a/internal/faultinjection/simulation/destination.go
+++ b/internal/faultinjection/simulation/destination.go
@@ -14,17 +14,17 @@
 type endpoint struct {
 	id          string
 	destination *destinationNode
-	index       int // in the model
+	index       int // in the destination's model
 }
 
-// destinationNode is the model of a destination with the attempts that are at its endpoints.
+// destinationNode is a destination: its model, and the attempts that its endpoints have received and not completed.
 type destinationNode struct {
 	*destination.Model
 	number    int
-	limit     float64 // attempts per second while it is not lowered
+	limit     float64 // attempts per second, without a fault that lowers it
 	endpoints []*endpoint
 	attempts  map[*destination.Attempt]*attempt
-	advanceAt time.Duration // when the model is advanced next
+	advanceAt time.Duration // when the model is to be advanced next
 }
 
 func (f *fleet) addDestination(number int) {
@@ -47,17 +47,17 @@
 	return e
 }
 
-// currentSecond returns the counts of a destination in the present second.
+// currentSecond returns the counts of a destination for the current second.
 func (f *fleet) currentSecond(d *destinationNode) *Second {
 	return f.result.Destinations[d.number].second(f.now)
 }
 
-// carryOut carries out a model's actions, and schedules what is due next in it.
+// carryOut carries out a model's actions, and schedules the model's next advance.
 func (f *fleet) carryOut(d *destinationNode, actions []destination.Action) {
 	modeChanged := false
 	for _, action := range actions {
 		switch {
-		case action.ModeChange != nil && !modeChanged: // there is one for each endpoint
+		case action.ModeChange != nil && !modeChanged: // all endpoints change together, with an action each: record one
 			modeChanged = true
 			f.recordModeChange(d, action.ModeChange)
 		case action.Completion != nil:
@@ -73,7 +73,7 @@
 	}
 }
 
-// complete takes in the completion of an attempt, also of one whose relay does not wait any more: its execution counts.
+// complete handles the completion of an attempt. An execution counts even if the relay no longer waits for the response.
 func (f *fleet) complete(d *destinationNode, c *destination.Completion) {
 	if c.Executed {
 		f.record(checker.Event{Kind: checker.Executed, ID: c.Attempt.ID, Destination: d.number})
@@ -87,7 +87,7 @@
 	}
 }
 
-// respond sends the response to an attempt to its relay.
+// respond sends the response to an attempt to its relay, unless the network loses it.
 func (f *fleet) respond(d *destinationNode, a *attempt, c *destination.Completion) {
 	if a.responseLost || f.isPartitioned(a.relay, a.endpoint) {
 		a.recordEnd(checker.Event{Outcome: checker.Interrupted, Executed: c.Executed})
@@ -113,11 +113,11 @@
 	case policy.Rejected:
 		f.currentSecond(d).Rejected++
 		f.result.Rejected++
-	default: // it is in the event log
+	default: // other outcomes are only in the event log
 	}
 }
 
-// resetConns resets the connections of all attempts at endpoints that respond no more.
+// resetConns resets the connections of all attempts at endpoints that no longer respond.
 func (f *fleet) resetConns(d *destinationNode) {
 	for key, a := range d.attempts {
 		if d.Mode(a.endpoint.index) >= destination.ModeRefusing {
@@ -126,7 +126,7 @@
 			a.recordEnd(checker.Event{Outcome: checker.Interrupted})
 		}
 	}
-	// Relays notice in an order that does not depend on that of the map.
+	// Relays notice the resets in an order that does not depend on the iteration order of the map.
 	for _, r := range f.relays {
 		for _, request := range r.order {
 			if a := request.inFlight; a != nil && a.reset == resetUnnoticed {
@@ -137,7 +137,7 @@
 	}
 }
 
-// sampleCapacity records what destinations can execute in the second that begins.
+// sampleCapacity records the capacity of each destination for the second that begins.
 func (f *fleet) sampleCapacity() {
 	for _, d := range f.destinations {
 		f.carryOut(d, d.Advance(f.now))
--- a/internal/faultinjection/simulation/discovery.go
+++ b/internal/faultinjection/simulation/discovery.go
@@ -7,7 +7,7 @@
 	"frostlink/policy"
 )
 
-// endpointState is the state of an endpoint as discovery lists it, in the checker's words.
+// endpointState is the state of an endpoint in the endpoint list, as the checker names it.
 type endpointState string
 
 const (
@@ -16,12 +16,13 @@
 	deleted  endpointState = checker.Deleted
 )
 
-// Discovery says how the discovery service works: it serves polls one after another, also those whose caller has gone.
+// Discovery has the parameters of the discovery service. The service serves polls one after another, even those that their relays
+// no longer wait for.
 type Discovery struct {
 	ServiceTime  time.Duration // of one poll
-	Timeout      time.Duration // a poll that is not answered by then has failed
-	MaxQueueTime time.Duration // a poll whose answer would take longer is rejected
-	PublishDelay time.Duration // from a change to the watch event
+	Timeout      time.Duration // after which a relay gives up a poll
+	MaxQueueTime time.Duration // a poll that would take longer is rejected
+	PublishDelay time.Duration // from a change of the endpoint list to its watch event
 }
 
 // endpointChange is one change of the endpoint list.
@@ -30,17 +31,17 @@
 	state    endpointState
 }
 
-// discoveryService is the discovery service of a fleet. Version n of its list has the first n changes.
+// discoveryService is the discovery service of a fleet. Version n of its endpoint list is the result of the first n changes.
 type discoveryService struct {
 	fleet *fleet
 	Discovery
 	changes   []endpointChange
 	busyUntil time.Duration
 	downUntil time.Duration
-	watchers  map[*relay]int // incarnation by relay
+	watchers  map[*relay]int // relays with a watch, and the incarnation of the process that opened it
 }
 
-// publish changes the list.
+// publish changes the endpoint list. Watchers are notified after PublishDelay.
 func (s *discoveryService) publish(e *endpoint, state endpointState) {
 	s.changes = append(s.changes, endpointChange{e, state})
 	if s.fleet.now == 0 {
@@ -57,7 +58,8 @@
 	})
 }
 
-// notify sends a relay the list up to a version. What is on its way to a process that dies notifies nobody.
+// notify sends a relay the endpoint list up to a version. A notification that is in flight when the process dies is lost, and not
+// recorded.
 func (s *discoveryService) notify(r *relay, incarnation, version int) {
 	writtenAt := s.fleet.now
 	s.fleet.after(s.fleet.oneWay(), func() {
@@ -74,7 +76,7 @@
 	})
 }
 
-// poll takes a relay's request for a watch.
+// poll handles a relay's request for a watch.
 func (s *discoveryService) poll(r *relay) {
 	f := s.fleet
 	p := &discoveryPoll{service: s, relay: r, incarnation: r.incarnation, begun: f.now}
@@ -92,7 +94,7 @@
 	f.at(s.busyUntil, p.answer)
 }
 
-// discoveryPoll is a request for a watch.
+// discoveryPoll is a relay's request for a watch.
 type discoveryPoll struct {
 	service     *discoveryService
 	relay       *relay
@@ -122,7 +124,7 @@
 	}
 }
 
-// fail makes discovery unavailable for a time: all watches end.
+// fail makes discovery unavailable for a time. All watches end.
 func (s *discoveryService) fail(duration time.Duration) {
 	f := s.fleet
 	s.downUntil, s.busyUntil = f.now+duration, f.now+duration
@@ -137,13 +139,14 @@
 		f.record(checker.Event{Kind: checker.WatchEnded, Relay: r.number})
 		f.after(f.oneWay(), func() {
 			if r.runs(incarnation) {
-				r.watchEnded(time.Minute) // it stood long enough for the first backoff
+				r.watchEnded(time.Minute) // a watch of this length resets the backoff of the relay's polls
 			}
 		})
 	}
 }
 
-// list returns changes as the decision module gets them; full says that they are the complete list.
+// list returns changes as an event for the decision module, with the last change of each endpoint only. full says that they make up
+// the complete endpoint list.
 func (s *discoveryService) list(changes []endpointChange, full bool) policy.EndpointsChanged {
 	list := policy.EndpointsChanged{Full: full}
 	index := map[string]int{}
--- a/internal/faultinjection/simulation/doc.go
+++ b/internal/faultinjection/simulation/doc.go
@@ -1,30 +1,31 @@
-// Package simulation plays a whole fleet of relays in virtual time: real decision modules, each with a seed of its own,
-// among models of destinations and of an overbooked discovery service, on one thread and without a socket. A second of real
-// time shows what so many processes can't show on one machine: what relays do together to a destination or to discovery.
+// Package simulation runs a whole fleet of relays in virtual time: the decision modules are those of production, each with a
+// seed of its own, and the destinations and an overloaded discovery service are models. All of it runs on one thread and opens
+// no socket. One machine can't run so many relay processes; the simulation shows within seconds what load the relays of a
+// fleet together put on a destination or on discovery.
 //
-// A Day is a scenario with the faults of a fleet. Play plays it, and has package checker judge it by what the stand-ins saw.
-// The same day gives the same result each time.
+// A Day is a scenario with faults that concern a fleet. Play runs it, and package checker judges it by the events that the
+// models recorded. The same day gives the same result each time.
 //
 // Files:
 //
-//	day.go             Day, its faults, and the bugs that tests plant
-//	day_standard.go    days whose faults are the same whatever the seed
+//	day.go             Day, its faults, and the bugs that tests put into relays
+//	day_standard.go    days with the same faults for every seed
 //	day_drawn.go       days whose sizes and faults are drawn from the seed
-//	workload.go        the destinations and the traffic of a day, by the number of relays
-//	event_queue.go     what is due, in the order of virtual time
+//	workload.go        the destinations and the traffic of a day, sized by the number of relays
+//	event_queue.go     scheduled calls, in the order of virtual time
 //	fleet.go           the state of a fleet, and the run of a day
-//	fault.go           what each kind of fault does
-//	network.go         latency, partitions, and harm to attempts
+//	fault.go           the functions that apply the kinds of fault
+//	network.go         latency, partitions, and attempts that lose their response or connection
 //	client.go          submissions
-//	destination.go     destinations: completions of attempts, connections that are reset
+//	destination.go     destinations: completions of attempts, connection resets
 //	discovery.go       the discovery service
 //	relay.go           the processes of a relay: start, kill, graceful shutdown
 //	relay_batch.go     batches of events for the decision module, and its actions
 //	relay_request.go   requests that a relay has accepted
 //	relay_discovery.go a relay's endpoint list and watch
 //	attempt.go         an attempt, from its connection to its end
-//	planted_bug.go     what planted bugs do
+//	planted_bug.go     the effects of planted bugs
 //	history.go         the event log, and the checker's verdict
-//	result.go          what a day came to
-//	summary.go         means over several runs, and growth by the size of the fleet
+//	result.go          the result of a day
+//	summary.go         means over several runs, and growth with the size of the fleet
 package simulation
--- a/internal/faultinjection/simulation/event_queue.go
+++ b/internal/faultinjection/simulation/event_queue.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// never is the time of what is not due.
+// never is a time that no run reaches: nothing is due.
 const never = time.Duration(1<<63 - 1)
 
-// scheduledCall is a call that is due at a time.
+// scheduledCall is a function call that is scheduled for a time.
 type scheduledCall struct {
 	at       time.Duration
-	sequence int // in which it was scheduled
+	sequence int // the order of scheduling
 	run      func()
 }
 
-// eventQueue is a heap of calls, the earliest first, and those of one time in the order in which they were scheduled.
+// eventQueue is a heap of calls: the earliest first, and calls with equal times in the order of their scheduling.
 type eventQueue []scheduledCall
 
 func (q eventQueue) Len() int { return len(q) }
@@ -34,23 +34,23 @@
 	return last
 }
 
-// virtualClock runs calls at their times.
+// virtualClock runs scheduled calls in virtual time.
 type virtualClock struct {
 	now      time.Duration
 	sequence int
 	queue    eventQueue
 }
 
-// at has a call run at a time, or now if that has passed.
+// at schedules a call for a time, or for now if that has passed.
 func (c *virtualClock) at(at time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, scheduledCall{max(at, c.now), c.sequence, run})
 }
 
-// after has a call run after a delay.
+// after schedules a call after a delay.
 func (c *virtualClock) after(delay time.Duration, run func()) { c.at(c.now+delay, run) }
 
-// runUntil runs all calls that are due up to a time.
+// runUntil runs all calls that are due up to a time, in order.
 func (c *virtualClock) runUntil(end time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		next := heap.Pop(&c.queue).(scheduledCall)
--- a/internal/faultinjection/simulation/fault.go
+++ b/internal/faultinjection/simulation/fault.go
@@ -7,13 +7,13 @@
 	"frostlink/internal/faultinjection/destination"
 )
 
-// The times of a replacement: after the new endpoint is listed the old one drains, and then it is removed.
+// In a replacement the old endpoint drains and is removed at these times after the new one is listed.
 const (
 	drainDelay  = time.Second
 	removeDelay = 4 * time.Second
 )
 
-// faults are what each kind of fault does.
+// faults has the function that applies each kind of fault.
 var faults = map[FaultKind]func(f *fleet, fault Fault){
 	FaultLimitLowered:   (*fleet).lowerLimit,
 	FaultOutage:         (*fleet).beginOutage,
@@ -30,7 +30,7 @@
 	FaultClientsLeaving: (*fleet).haveClientsLeave,
 }
 
-// apply has a fault begin.
+// apply begins a fault.
 func (f *fleet) apply(fault Fault) { faults[fault.Kind](f, fault) }
 
 func (f *fleet) lowerLimit(fault Fault) {
@@ -75,7 +75,7 @@
 	f.after(fault.Duration, func() { f.carryOut(d, d.Recover(f.now, destination.AllEndpoints, false)) })
 }
 
-// replaceEndpoints replaces all endpoints of a destination by new ones.
+// replaceEndpoints adds a new endpoint for each endpoint of a destination, then drains and removes the old ones.
 func (f *fleet) replaceEndpoints(fault Fault) {
 	d := f.destinations[fault.Destination]
 	replaced := d.endpoints
--- a/internal/faultinjection/simulation/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// drainTime after the last deadline a day ends, whatever is still open.
+	// drainTime is how long after the last deadline a day ends, even if requests are still open.
 	drainTime = 5 * time.Second
-	// sampleInterval is between samples of what destinations can execute.
+	// sampleInterval is the time between samples of the destinations' capacity.
 	sampleInterval = time.Second
 )
 
-// fleet is a day that is being played.
+// fleet is the state of a run of a day.
 type fleet struct {
 	*Day
 	virtualClock
 	random       scenario.RandomStreams
-	latency      *rand.Rand // of the network
+	latency      *rand.Rand // random numbers for network latency
 	destinations []*destinationNode
 	endpoints    map[string]*endpoint // by id
 	relays       []*relay
@@ -28,17 +28,17 @@
 	log          []checker.Event
 	result       *Result
 
-	completed    map[int]bool                 // by message number: it has its terminal outcome
+	completed    map[int]bool                 // by message number: whether it has its terminal outcome
 	submitted    map[string]*scenario.Message // by request id
-	executions   map[int]int                  // by message number, of those that must not be executed twice
+	executions   map[int]int                  // by message number, for messages that must not be executed twice
 	lastAttempt  int                          // the highest number of an attempt that reached an endpoint
-	partition    int                          // the zone that is cut off, from 1; 0: none is
-	unnoticed    []*endpoint                  // of connections that relays closed behind the partition
-	harmShare    float64                      // of attempts
-	leavingShare float64                      // of clients
+	partition    int                          // number of the zone that is cut off, plus 1; 0: no partition
+	unnoticed    []*endpoint                  // the endpoint of each connection that a relay closed across the partition, so that the endpoint has not noticed
+	harmShare    float64                      // share of attempts that the network harms
+	leavingShare float64                      // share of clients that leave before the response
 }
 
-// Play plays a day to its end. It fails where the scenario's settings are none that a relay accepts.
+// Play runs a day to its end and checks it. It returns an error if the scenario's settings are not valid for a relay.
 func Play(day *Day) (*Result, error) { return newFleet(day).play() }
 
 func newFleet(day *Day) *fleet {
@@ -72,7 +72,7 @@
 	return f.result, nil
 }
 
-// schedule schedules all that is known ahead.
+// schedule schedules the submissions, the faults and the capacity samples.
 func (f *fleet) schedule(messages []*scenario.Message) {
 	for _, m := range messages {
 		f.at(m.At, func() { f.submit(m, 0) })
@@ -85,7 +85,7 @@
 	}
 }
 
-// end returns when the day ends.
+// end returns the time at which the day ends.
 func (f *fleet) end() time.Duration {
 	length := scenario.Seconds(f.Scenario.Length)
 	end := length
@@ -95,9 +95,9 @@
 	return end
 }
 
-// relaysFrom returns a share of the relays, beginning at a share of them.
+// relaysFrom returns the relays from position first on, as many as share says; both are shares of the number of relays.
 func (f *fleet) relaysFrom(first, share float64) []*relay {
-	const rounding = 1e-9 // 0.3 + 0.1 of 10 is 4
+	const rounding = 1e-9 // makes up for floating-point errors: 0.3 + 0.1 of 10 relays are 4
 	index := func(share float64) int { return min(len(f.relays), int(share*float64(len(f.relays))+rounding)) }
 	return f.relays[index(first):index(first+share)]
 }
--- a/internal/faultinjection/simulation/helpers_test.go
+++ b/internal/faultinjection/simulation/helpers_test.go
@@ -1,6 +1,7 @@
 //go:build !race
 
-// A fleet runs on one thread: with the race detector it would take ten times as long for nothing. .ci/test plays it without.
+// A fleet runs on one thread, so the race detector can find nothing in it, and would make these tests take ten times as long.
+// .ci/test runs them without it.
 
 package simulation
 
@@ -19,9 +20,9 @@
 	return playDay(t, NewDrawnDay, kind, relays, seed, change)
 }
 
-func playDay(t *testing.T, of DayMaker, name string, relays int, seed int64, change func(*Day)) *Result {
+func playDay(t *testing.T, newDay DayMaker, name string, relays int, seed int64, change func(*Day)) *Result {
 	t.Helper()
-	day, err := of(name, relays, seed)
+	day, err := newDay(name, relays, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,8 +36,9 @@
 	return res
 }
 
-// faults returns what is wrong with a day, whatever its kind: a message lost, late or executed twice, an attempt at an endpoint
-// that is not listed or drains, a destination overloaded, or discovery polled by more relays at once than it serves.
+// ruleFindings returns the faults that must not occur on a day of any kind: a message that is lost, late or executed twice, an
+// attempt at an endpoint that is not listed or drains, an overloaded destination, more polls of discovery in a second than a
+// fleet may make, or a relay without a watch at the end.
 func ruleFindings(r *Result) (out []string) {
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	for _, f := range r.Failures {
@@ -45,7 +47,8 @@
 	if r.Overloads > 0 {
 		add("overload: %d destinations", r.Overloads)
 	}
-	// Discovery serves a poll of each relay in 5 s; polls are spread over 8 s, and their variance adds to that.
+	// Discovery can serve one poll of each relay within 5 s. Relays spread their polls over 8 s, so that an eighth of the fleet polls
+	// in a second on average; a quarter allows for the variance.
 	if most := max(12, r.Relays/4); r.PeakPolls > most {
 		add("polls: %d in one second, %d at most", r.PeakPolls, most)
 	}
@@ -55,27 +58,29 @@
 	return out
 }
 
-// joinFindings returns what is wrong where destination 0 admitted a quarter of its limit from 8 to 17 s. Relays are
-// notified of it with the first responses and keep to their quotas: a tenth above for the noise of load reports, a tenth for
-// the raises by success that find the limit, and the variance of a Poisson count, which is a fifth more at a second's 60 calls.
+// joinFindings returns the faults of a JoinDay, on which destination 0 admits a quarter of its limit from 8 to 17 s. The first
+// responses report the lowered limit to relays, which then keep to their quotas. The bound on the excess allows a tenth for
+// the noise of load reports, a tenth for the raises after successes by which relays search for the limit, and a fifth for the
+// variance of a Poisson count of 60 attempts in a second.
 func joinFindings(r *Result) (out []string) {
 	p := r.Destinations[0]
 	if over := p.Excess(9, 17, 0.25); over > 0.45 {
 		out = append(out, fmt.Sprintf("excess: %.2f of the lowered limit above it", over))
 	}
-	if again := p.SecondsUntilUsed(17, 0.8); again < 0 || again > 3 {
-		out = append(out, fmt.Sprintf("unused: %d s until the limit is used again", again))
+	if delay := p.SecondsUntilUsed(17, 0.8); delay < 0 || delay > 3 {
+		out = append(out, fmt.Sprintf("unused: %d s until the limit is used again", delay))
 	}
-	// All have messages queued when it is raised again, and all raise their send rates: half above is what a burst of each would be.
+	// When the limit is raised again, all relays have messages queued and raise their send rates. A burst of each relay would exceed
+	// the limit by half.
 	if over := p.Excess(17, 21, 1); over > 0.5 {
 		out = append(out, fmt.Sprintf("burst: %.2f of the limit above it when it is raised again", over))
 	}
 	return out
 }
 
-// rushFindings returns what is wrong where all destinations are sent more than they admit all day: send rates seek the limit, and cost
-// a rejection for five or six attempts at most; what destinations admit is used, but for the smallest, where the variance of a
-// second counts.
+// rushFindings returns the faults of a RushDay, on which clients send all destinations more than their limits allow, all day. Send
+// rates that search for the limit may cost one rejection for every five or six attempts. Limits must be used; the bound leaves
+// a margin for the smallest destination, where the variance of the counts of a second matters.
 func rushFindings(r *Result) (out []string) {
 	for i, p := range r.Destinations {
 		delivered := 0
@@ -92,9 +97,10 @@
 	return out
 }
 
-// zoneFindings returns what is wrong where destination 0 was down from 8 to 13 s and came back at 17% of its capacity. The rule lets 2.5
-// times its present capacity through in 1.5 s; a second's count may be a little more. In the outage relays make trial
-// requests, each at its part of that budget, and new ones fail for the first time: half of the limit is far above both.
+// zoneFindings returns the faults of a ZoneDay, on which destination 0 is down from 8 to 13 s and recovers at 17% of its capacity.
+// The checker's rule allows 2.5 times the current capacity over 1.5 s; the count of a single second may be a little higher.
+// During the outage each relay makes trial requests within its part of that budget, and relays that have not yet noticed the
+// outage have their first failures: half of the limit is far above both together.
 func zoneFindings(r *Result) (out []string) {
 	p := r.Destinations[0]
 	for i := 14; i < 24; i++ {
@@ -102,11 +108,11 @@
 			out = append(out, fmt.Sprintf("overload: %d attempts in second %d at a capacity of %.0f", s.Attempts, i, s.Capacity))
 		}
 	}
-	if calls := p.Attempts(10, 13); float64(calls) > 3*0.5*p.Limit+6 {
-		out = append(out, fmt.Sprintf("trials: %d attempts in 3 s of an outage at a limit of %.0f", calls, p.Limit))
+	if attempts := p.Attempts(10, 13); float64(attempts) > 3*0.5*p.Limit+6 {
+		out = append(out, fmt.Sprintf("trials: %d attempts in 3 s of an outage at a limit of %.0f", attempts, p.Limit))
 	}
-	if again := p.SecondsUntilUsed(14, 0.8); again < 0 || again > 4 {
-		out = append(out, fmt.Sprintf("unused: %d s until its capacity is used", again))
+	if delay := p.SecondsUntilUsed(14, 0.8); delay < 0 || delay > 4 {
+		out = append(out, fmt.Sprintf("unused: %d s until its capacity is used", delay))
 	}
 	return out
 }
--- a/internal/faultinjection/simulation/history.go
+++ b/internal/faultinjection/simulation/history.go
@@ -10,17 +10,17 @@
 	"frostlink/policy"
 )
 
-// The event log is that of the stand-ins of a real run, so that the checker judges a day by nothing that relays or decision
-// modules say of themselves.
+// The event log has the events that the stand-ins of a run with real processes record. The checker judges a day by these events
+// alone, and by nothing that relays or decision modules report about themselves.
 
-// The statuses of responses to submissions.
+// HTTP statuses of responses to submissions.
 const (
 	statusAccepted = 202
 	statusRejected = 429
 	statusFailed   = 502
 )
 
-// outcomes are the outcomes of the destination's model as the checker names them, and as a relay sees them.
+// outcomes maps the outcomes of a destination's model to those of the checker and of a relay.
 var outcomes = map[destination.Outcome]struct {
 	checker string
 	relay   policy.Outcome
@@ -47,7 +47,7 @@
 	})
 }
 
-// respond responds to a submission. An accepted request is the relay's from then on.
+// respond responds to a submission. Once a request is accepted, the relay is responsible for it.
 func (r *relay) respond(request *openRequest, status int) {
 	request.accepted = status == statusAccepted
 	if request.clientLeft {
@@ -57,7 +57,7 @@
 	r.fleet.record(checker.Event{Kind: checker.Answered, ID: request.id, Relay: r.number, Status: status})
 }
 
-// recordFailed records that a request ends undelivered: by its response if that is still due, else by a notice.
+// recordFailed records that a request ends undelivered: by its response if none has been sent yet, by a notice otherwise.
 func (r *relay) recordFailed(request *openRequest, rejected bool) {
 	status, state := statusFailed, checker.Undeliverable
 	if rejected {
@@ -70,7 +70,7 @@
 	r.fleet.record(checker.Event{Kind: checker.Notified, ID: request.id, Relay: r.number, State: state})
 }
 
-// recordArrival records that an attempt has reached its endpoint completely.
+// recordArrival records that the complete request of an attempt has reached its endpoint.
 func (a *attempt) recordArrival() {
 	f := a.relay.fleet
 	f.lastAttempt++
@@ -81,11 +81,11 @@
 	})
 }
 
-// recordEnd records how an attempt ended now, once.
+// recordEnd records that an attempt ends now. Only the first end of an attempt is recorded.
 func (a *attempt) recordEnd(e checker.Event) { a.recordEndAt(a.relay.fleet.now, e) }
 
-// recordEndAt records how an attempt ended a short time ago: whether a response that was written reaches its relay is known only
-// when it does.
+// recordEndAt records that an attempt ended a short time ago. The end is the time at which the endpoint wrote the response, but
+// whether the response reaches the relay is known only on its arrival.
 func (a *attempt) recordEndAt(at time.Duration, e checker.Event) {
 	if a.number == 0 {
 		return
@@ -96,7 +96,7 @@
 	a.relay.fleet.log = append(a.relay.fleet.log, e)
 }
 
-// recordModeChange records that a destination goes down by overload, or is back from that.
+// recordModeChange records that a destination goes down by overload, or recovers from that.
 func (f *fleet) recordModeChange(d *destinationNode, c *destination.ModeChange) {
 	if c.Mode == destination.ModeRefusing {
 		f.record(checker.Event{Kind: checker.OutageBegan, Destination: d.number, State: "fell"})
@@ -106,7 +106,7 @@
 	f.record(checker.Event{Kind: checker.OutageEnded, Destination: d.number, OK: true})
 }
 
-// check has the checker judge the day, and adds what it finds to the result.
+// check has the checker judge the day, and adds the violations to the result.
 func (f *fleet) check() {
 	f.result.Violations = map[checker.Rule]int{}
 	for _, v := range checker.Judge(f.parameters(), f.log, f.now).Violations {
@@ -115,7 +115,7 @@
 	}
 }
 
-// parameters are what the checker judges by.
+// parameters returns the parameters of the checker's rules.
 func (f *fleet) parameters() checker.Parameters {
 	parameters := checker.Parameters{
 		Settings: f.Scenario.RelaySettings(0), NotifyWithin: scenario.Seconds(f.Scenario.Discovery.NotifyWithin),
--- a/internal/faultinjection/simulation/network.go
+++ b/internal/faultinjection/simulation/network.go
@@ -9,16 +9,16 @@
 // zones is the number of zones; relays and endpoints are assigned to them in turn.
 const zones = 3
 
-// handshakeRoundTrips are round trips before a new connection carries an attempt, beside that of the attempt itself.
+// handshakeRoundTrips is the number of round trips before a new connection can carry an attempt.
 const handshakeRoundTrips = 2
 
-// oneWayLatencyMS is what a packet takes between two machines, in milliseconds.
+// oneWayLatencyMS is the one-way latency between two machines, in milliseconds.
 var oneWayLatencyMS = scenario.Range{Low: 15, High: 27}
 
-// oneWay draws what a packet takes between two machines.
+// oneWay draws a one-way latency between two machines.
 func (f *fleet) oneWay() time.Duration { return scenario.Milliseconds(oneWayLatencyMS.Draw(f.latency)) }
 
-// isPartitioned reports whether nothing passes between a relay and an endpoint.
+// isPartitioned reports whether a partition separates a relay from an endpoint.
 func (f *fleet) isPartitioned(r *relay, e *endpoint) bool {
 	if f.partition == 0 {
 		return false
@@ -33,7 +33,7 @@
 	f.after(fault.Duration, f.endPartition)
 }
 
-// endPartition ends a partition: endpoints notice the connections that were closed behind it.
+// endPartition ends a partition. Endpoints notice the connections that relays closed during it.
 func (f *fleet) endPartition() {
 	f.partition = 0
 	for _, e := range f.unnoticed {
@@ -42,23 +42,23 @@
 	f.unnoticed = nil
 }
 
-// harm is what the network does to an attempt.
+// harm is a fault of the network that concerns one attempt.
 type harm int
 
 const (
 	unharmed    harm = iota
-	resetBefore      // its connection is reset before its last byte is written
-	resetAfter       // or after that
+	resetBefore      // its connection is reset before the last byte of the request is written
+	resetAfter       // its connection is reset after that
 	responseLost
 )
 
-// The parts of the harmed attempts that each kind of harm has.
+// Cumulative shares of the harmed attempts: half lose their response, a quarter each is reset before and after the last byte.
 const (
 	lostResponses   = 0.5
-	resetsBeforeEnd = 0.75 // up to here
+	resetsBeforeEnd = 0.75 // including lostResponses
 )
 
-// drawHarm draws what the network does to an attempt.
+// drawHarm draws whether and how the network harms an attempt.
 func (f *fleet) drawHarm(a *attempt) harm {
 	if f.harmShare == 0 {
 		return unharmed
--- a/internal/faultinjection/simulation/planted_bug.go
+++ b/internal/faultinjection/simulation/planted_bug.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// aloneProbeInterval is between the probes of PlantedBug.ProbesAlone.
-	aloneProbeInterval = 250 * time.Millisecond
-	// The delays of PlantedBug.NoJitter double from the first on.
+	// uncoordinatedProbeInterval is the time between two probes of a relay with PlantedBug.UncoordinatedProbes.
+	uncoordinatedProbeInterval = 250 * time.Millisecond
+	// The delays between the polls of PlantedBug.NoJitter double, from firstPollDelay up to maxPollDelay.
 	firstPollDelay = 250 * time.Millisecond
 	maxPollDelay   = 2 * time.Second
 	pollDoublings  = 4
 )
 
-// fixedPollDelay is the delay of PlantedBug.NoJitter before a retry.
+// fixedPollDelay returns the delay of PlantedBug.NoJitter before a retry.
 func fixedPollDelay(retry int) time.Duration {
 	return min(maxPollDelay, firstPollDelay<<min(retry, pollDoublings)-firstPollDelay)
 }
 
-// minimumQuotaInstances returns the number of relays for which the even share of the smallest limit is one attempt per second,
-// if there are more: PlantedBug.MinimumQuota.
+// minimumQuotaInstances implements PlantedBug.MinimumQuota: it returns a number of relays so low that the even share of the smallest
+// limit is at least one attempt per second.
 func (f *fleet) minimumQuotaInstances(instances int) int {
 	smallest := f.destinations[0].limit
 	for _, d := range f.destinations {
@@ -32,7 +32,7 @@
 	return max(1, min(instances, int(smallest)))
 }
 
-// forgetOutages has the relay take all destinations for healthy: PlantedBug.TrustsGossip.
+// forgetOutages implements PlantedBug.TrustsGossip: the relay considers all destinations healthy from now on.
 func (r *relay) forgetOutages() {
 	snapshot := r.dispatcher.Snapshot()
 	for i := range snapshot.Endpoints {
@@ -46,15 +46,15 @@
 	r.enqueue(policy.SnapshotRestored{Snapshot: snapshot})
 }
 
-// probeAlone has the relay probe each destination that is down: PlantedBug.ProbesAlone.
-func (r *relay) probeAlone() {
+// probeUncoordinated implements PlantedBug.UncoordinatedProbes: the relay probes each destination whose first endpoint it considers unhealthy.
+func (r *relay) probeUncoordinated() {
 	f := r.fleet
 	for _, d := range f.destinations {
 		first := d.endpoints[0]
 		if health, ok := r.health[first.id]; ok && health.Unhealthy {
 			f.currentSecond(d).Attempts++
 			f.carryOut(d, d.Arrive(f.now, first.index, &destination.Attempt{ID: fmt.Sprint("probe", r.number), Probe: true}))
-			r.scheduleBatch(f.now + aloneProbeInterval)
+			r.scheduleBatch(f.now + uncoordinatedProbeInterval)
 		}
 	}
 }
--- a/internal/faultinjection/simulation/planted_bug_test.go
+++ b/internal/faultinjection/simulation/planted_bug_test.go
@@ -14,7 +14,7 @@
 	"frostlink/policy"
 )
 
-// Each bug that makes a fleet harmful is planted, and caught for what it is.
+// Each planted bug makes the fleet harmful to destinations, discovery or messages. The findings must name the harm.
 func TestPlay_CatchesHarmfulFleets(t *testing.T) {
 	for _, tt := range []struct {
 		day    string
@@ -33,9 +33,9 @@
 			}
 			return all
 		}}, rushFindings, []string{"used: "}},
-		{ZoneDay, PlantedBug{MinimumQuota: true}, ruleFindings, []string{"overload: "}}, // of 120 relays: at 80 their quotas are not that much too large
+		{ZoneDay, PlantedBug{MinimumQuota: true}, ruleFindings, []string{"overload: "}}, // with 120 relays: with 80 the quotas are not large enough for an overload
 		{ZoneDay, PlantedBug{TrustsGossip: true}, ruleFindings, []string{"overload: "}},
-		{ZoneDay, PlantedBug{ProbesAlone: true}, func(r *Result) []string { return append(ruleFindings(r), zoneFindings(r)...) }, []string{"overload: ", "trials: "}},
+		{ZoneDay, PlantedBug{UncoordinatedProbes: true}, func(r *Result) []string { return append(ruleFindings(r), zoneFindings(r)...) }, []string{"overload: ", "trials: "}},
 		{HerdDay, PlantedBug{NoJournal: true}, ruleFindings, []string{"rule: "}},
 	} {
 		t.Run(fmt.Sprint(tt.day, tt.caught), func(t *testing.T) {
@@ -47,14 +47,14 @@
 			found := tt.check(playStandard(t, tt.day, relays, func(d *Day) { d.Bug = tt.bug }))
 			for _, want := range tt.caught {
 				if !slices.ContainsFunc(found, func(f string) bool { return strings.HasPrefix(f, want) }) {
-					t.Errorf("found %q, want one with %q", found, want)
+					t.Errorf("found %q, want a finding that begins with %q", found, want)
 				}
 			}
 		})
 	}
 }
 
-// Each rule that is checked is broken by a changed decision module, and caught.
+// Each case changes the events or actions of the decision module so that a rule is broken. The findings must show it.
 func TestPlay_CatchesEachBrokenRule(t *testing.T) {
 	for name, tt := range map[string]struct {
 		bug    PlantedBug
@@ -123,8 +123,8 @@
 	}
 }
 
-// Each rule is broken by a changed decision module in a fleet of 300, and the checker, which sees what the stand-ins saw and no more,
-// names it.
+// Each case changes the events or actions of the decision modules of 300 relays so that a rule is broken. The checker, which has only
+// the events that the models recorded, must name the rule.
 func TestCheck_NamesEachBrokenRuleOfLargeFleets(t *testing.T) {
 	for name, tt := range map[string]struct {
 		kind   string
@@ -138,8 +138,8 @@
 			}
 			return []policy.Action{a}
 		})}, nil, checker.OutcomeMissing},
-		"rejections are late":                   {JoinDay, PlantedBug{Actions: delayedRejections()}, nil, checker.OutcomeLate},
-		"what was sent fails, delivered or not": {CalmDay, PlantedBug{Actions: prematureFailures()}, nil, checker.OutcomeTwice},
+		"rejections are late":                  {JoinDay, PlantedBug{Actions: delayedRejections()}, nil, checker.OutcomeLate},
+		"sent messages fail, delivered or not": {CalmDay, PlantedBug{Actions: prematureFailures()}, nil, checker.OutcomeTwice},
 		"what was in flight at a kill counts as not executed": {RollingDay, PlantedBug{Events: eachEvent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
 				for i := range a.PriorAttempts {
@@ -167,7 +167,7 @@
 			}
 			return e
 		})}, nil, checker.DrainBroken},
-		"gossip of a recovery opens all queues": {ZoneDay, PlantedBug{TrustsGossip: true}, nil, checker.DestinationOverloaded},
+		"news of a recovery opens all queues": {ZoneDay, PlantedBug{TrustsGossip: true}, nil, checker.DestinationOverloaded},
 		"a Retry-After is ignored": {JoinDay, PlantedBug{Events: eachEvent(func(e policy.Event) policy.Event {
 			if end, ok := e.(policy.AttemptEnded); ok {
 				end.RetryAfter = 0
@@ -210,13 +210,13 @@
 			}
 		})
 	}
-	// The planted bug breaks the rule, and not the class itself.
+	// Without the bug the ordered class breaks no rule.
 	if r := playDrawn(t, CalmDay, 60, 2, orderClass); len(r.Violations) > 0 {
 		t.Errorf("without the bug: %v", r.Failures)
 	}
 }
 
-// each changes each action of a batch by itself.
+// eachAction returns a PlantedBug.Actions that replaces each action by the result of change.
 func eachAction(change func(policy.Action) []policy.Action) func(int, time.Duration, []policy.Action) []policy.Action {
 	return func(_ int, _ time.Duration, all []policy.Action) (out []policy.Action) {
 		for _, a := range all {
@@ -226,7 +226,7 @@
 	}
 }
 
-// bent changes each event that a decision module gets; nil drops it.
+// eachEvent returns a PlantedBug.Events that replaces each event by the result of change, and drops it if that is nil.
 func eachEvent(change func(policy.Event) policy.Event) func(int, []policy.Event) []policy.Event {
 	return func(_ int, all []policy.Event) (out []policy.Event) {
 		for _, e := range all {
@@ -238,7 +238,7 @@
 	}
 }
 
-// heldBack delays the rejections of a decision module by 14 s.
+// delayedRejections returns a PlantedBug.Actions that delays rejections by up to 14 s.
 func delayedRejections() func(int, time.Duration, []policy.Action) []policy.Action {
 	late, due := map[int][]policy.Action{}, map[int]time.Duration{}
 	return func(relay int, now time.Duration, all []policy.Action) (out []policy.Action) {
@@ -259,21 +259,21 @@
 	}
 }
 
-// givenUp fails each message 3 s after it was sent.
+// prematureFailures returns a PlantedBug.Actions that fails each message 3 s after each attempt.
 func prematureFailures() func(int, time.Duration, []policy.Action) []policy.Action {
 	type sent struct {
 		id string
 		at time.Duration
 	}
-	by := map[int][]sent{}
+	byRelay := map[int][]sent{}
 	return func(relay int, now time.Duration, all []policy.Action) []policy.Action {
 		for _, a := range all {
 			if s, ok := a.(policy.Send); ok {
-				by[relay] = append(by[relay], sent{s.ID, now})
+				byRelay[relay] = append(byRelay[relay], sent{s.ID, now})
 			}
 		}
-		for len(by[relay]) > 0 && by[relay][0].at <= now-3*time.Second {
-			all, by[relay] = append(all, policy.Fail{ID: by[relay][0].id}), by[relay][1:]
+		for len(byRelay[relay]) > 0 && byRelay[relay][0].at <= now-3*time.Second {
+			all, byRelay[relay] = append(all, policy.Fail{ID: byRelay[relay][0].id}), byRelay[relay][1:]
 		}
 		return all
 	}
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// restartDelay is how long a relay that was killed is down.
+	// restartDelay is the time from the end of a relay's process to the start of the next one.
 	restartDelay = time.Second
-	// shutdownTimeout is how long a graceful shutdown may take.
+	// shutdownTimeout is the time after which a graceful shutdown ends even if requests are left.
 	shutdownTimeout = 3700 * time.Millisecond
-	// shutdownPoll is between looks whether a relay that shuts down is idle.
+	// shutdownPoll is the interval at which a relay that shuts down is checked for open requests.
 	shutdownPoll = 100 * time.Millisecond
 )
 
-// relay is one relay: the decision module, and what its network code and its journal hold.
+// relay is one relay: its decision module, and the state of its network code and its journal.
 type relay struct {
 	fleet       *fleet
 	number      int
-	incarnation int // counts its processes
+	incarnation int // number of processes so far
 	alive       bool
-	stopping    bool // it shuts down gracefully: clients find it closed
+	stopping    bool // it shuts down gracefully and accepts no submissions
 	readyAt     time.Duration
 	dispatcher  *policy.Dispatcher
 
-	// Of the present process.
-	events        []policy.Event             // of the next batch
-	arrivals      []*openRequest             // of the next batch
+	// State of the current process.
+	events        []policy.Event             // for the next batch
+	arrivals      []*openRequest             // requests in the next batch that have no response yet
 	batchAt       time.Duration              // when the next batch is due
-	idleConns     map[string][]time.Duration // by endpoint, since when each is idle
+	idleConns     map[string][]time.Duration // by endpoint: the time since which each connection is idle, oldest first
 	watchSchedule *discovery.Schedule
 	pollDelay     time.Duration
-	pollRetries   int // of the planted fixed delays
+	pollRetries   int // retries since the start, for PlantedBug.NoJitter
 
-	// In the journal.
+	// State in the journal, which outlives the process.
 	requests map[string]*openRequest // by id
-	order    []*openRequest          // the same, in the order of their submission
+	order    []*openRequest          // the same requests, in the order of their submission
 	health   map[string]policy.PersistHealth
 
-	// The endpoint list.
+	// The endpoint list, as far as the relay has been notified.
 	listed      map[string]policy.Endpoint
-	drainingAt  map[string]time.Duration // when it was notified that an endpoint drains or is removed
+	drainingAt  map[string]time.Duration // when the relay was first notified that an endpoint drains or is removed
 	listVersion int
 }
 
@@ -59,7 +59,7 @@
 // runs reports whether the process of an incarnation is alive.
 func (r *relay) runs(incarnation int) bool { return r.alive && r.incarnation == incarnation }
 
-// start starts a process, which recovers what the journal holds.
+// start starts a process, which recovers its state from the journal.
 func (r *relay) start() error {
 	f := r.fleet
 	settings, err := r.settings()
@@ -93,10 +93,10 @@
 	return settings, err
 }
 
-// recover gives the decision module what the journal holds.
+// recover passes the state from the journal to the decision module: endpoint list, health and open requests.
 func (r *relay) recover() {
 	known := r.fleet.discovery.changes[:r.listVersion]
-	r.learn(r.fleet.discovery.list(known, true))
+	r.updateEndpoints(r.fleet.discovery.list(known, true))
 	for _, c := range known {
 		if health, ok := r.health[c.endpoint.id]; ok {
 			r.enqueue(policy.HealthRecovered(health))
@@ -114,7 +114,7 @@
 	}
 }
 
-// kill ends the process, if there is one: its connections break, and its journal stays. It is started again after a while.
+// kill ends the process if it runs. Its connections break, its journal stays. The relay starts again after restartDelay.
 func (r *relay) kill() {
 	f := r.fleet
 	if !r.alive {
@@ -136,11 +136,11 @@
 		r.requests, r.order = map[string]*openRequest{}, nil
 	}
 	f.after(restartDelay, func() {
-		_ = r.start() // it fails for settings that no relay accepts, and these were accepted at the first start
+		_ = r.start() // it fails for invalid settings only, and these were valid at the first start
 	})
 }
 
-// interrupt ends what a process that is killed was doing for a request.
+// interrupt ends the attempt of a request whose process is killed. A request that was not accepted yet is removed, and submitted again.
 func (r *relay) interrupt(request *openRequest) {
 	f := r.fleet
 	if request.inFlight != nil {
@@ -150,15 +150,15 @@
 	if request.accepted {
 		return
 	}
-	// Nor is it in the journal: its client submits the message elsewhere.
+	// The journal does not have the request either, so its client submits the message again.
 	request.clientLeft = true
 	r.respond(request, 0)
 	r.remove(request)
 	f.after(request.message.ResubmitDelay, func() { f.submit(request.message, request.submission+1) })
 }
 
-// shutDown ends the process gracefully: it accepts nothing and makes no attempt any more, and ends once it holds no request,
-// or is killed.
+// shutDown ends the process gracefully. The relay accepts no submissions and makes no new attempts. The process ends when no request
+// is open, or after shutdownTimeout.
 func (r *relay) shutDown() {
 	f, incarnation := r.fleet, r.incarnation
 	if !r.alive || r.stopping {
--- a/internal/faultinjection/simulation/relay_batch.go
+++ b/internal/faultinjection/simulation/relay_batch.go
@@ -7,13 +7,13 @@
 	"frostlink/policy"
 )
 
-// enqueue gives the decision module an event, in the batch of the present tick.
+// enqueue adds an event to the next batch for the decision module, which is handled at the next tick at the latest.
 func (r *relay) enqueue(e policy.Event) {
 	r.events = append(r.events, e)
 	r.scheduleBatch(r.fleet.now)
 }
 
-// scheduleBatch has a batch handled at a time, or at the next tick after it.
+// scheduleBatch schedules a batch for a time, rounded up to the next tick. Only the earliest scheduled batch is kept.
 func (r *relay) scheduleBatch(at time.Duration) {
 	interval := scenario.Milliseconds(r.fleet.Scenario.Relay.BatchIntervalMS)
 	at = (at + interval - 1) / interval * interval
@@ -30,7 +30,7 @@
 	})
 }
 
-// setTimer has the decision module called at a time: it relies on that, whatever calls it before.
+// setTimer schedules a batch for a time. The decision module relies on this call, so an earlier batch does not replace it.
 func (r *relay) setTimer(at time.Duration) {
 	incarnation := r.incarnation
 	r.fleet.at(at, func() {
@@ -40,8 +40,8 @@
 	})
 }
 
-// handleBatch has the decision module handle a batch, and carries its actions out: rejections first, then responses to
-// submissions, then the others.
+// handleBatch has the decision module handle a batch, and carries its actions out: first those that end requests, then the
+// responses to accepted submissions, then all others.
 func (r *relay) handleBatch() {
 	actions := r.decide()
 	arrivals := r.arrivals
@@ -62,12 +62,12 @@
 	for _, action := range actions {
 		r.carryOut(action)
 	}
-	if r.fleet.Bug.ProbesAlone {
-		r.probeAlone()
+	if r.fleet.Bug.UncoordinatedProbes {
+		r.probeUncoordinated()
 	}
 }
 
-// decide returns the decision module's actions on the events of a batch.
+// decide returns the actions of the decision module for the events of a batch.
 func (r *relay) decide() []policy.Action {
 	f := r.fleet
 	events := r.events
@@ -82,7 +82,7 @@
 	return actions
 }
 
-// carryOut carries out an action that ends no request.
+// carryOut carries out an action, except those that end a request.
 func (r *relay) carryOut(action policy.Action) {
 	f := r.fleet
 	switch a := action.(type) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// attemptInFlight returns an attempt of a request if it is in flight, or nil.
+// attemptInFlight returns the attempt of a request that has an index if it is in flight, or nil.
 func (r *relay) attemptInFlight(id string, index int) *attempt {
 	request := r.requests[id]
 	if request == nil || request.inFlight == nil || request.inFlight.index != index {
--- a/internal/faultinjection/simulation/relay_discovery.go
+++ b/internal/faultinjection/simulation/relay_discovery.go
@@ -6,7 +6,7 @@
 	"frostlink/policy"
 )
 
-// schedulePoll has the relay ask discovery for a watch, after the delay that spreads the polls of a fleet.
+// schedulePoll schedules a request for a watch, after the delay that spreads the polls of a fleet over time.
 func (r *relay) schedulePoll() {
 	incarnation := r.incarnation
 	r.fleet.after(r.pollDelay, func() {
@@ -16,27 +16,27 @@
 	})
 }
 
-// watchEnded takes in the end of a watch that stood for a time.
-func (r *relay) watchEnded(stood time.Duration) {
-	if r.pollDelay = r.watchSchedule.Retry(stood); r.fleet.Bug.NoJitter {
+// watchEnded handles the end of a watch, or of a request for one, that lasted for a time.
+func (r *relay) watchEnded(lasted time.Duration) {
+	if r.pollDelay = r.watchSchedule.Retry(lasted); r.fleet.Bug.NoJitter {
 		r.pollRetries++
 		r.pollDelay = fixedPollDelay(r.pollRetries)
 	}
 	r.enqueue(policy.WatchFailed{})
 }
 
-// receiveChanges takes in the list up to a change.
+// receiveChanges handles all changes of the endpoint list so far. Those that the relay already has are ignored.
 func (r *relay) receiveChanges(changes []endpointChange) {
 	if len(changes) <= r.listVersion {
 		return
 	}
 	list := r.fleet.discovery.list(changes[r.listVersion:], false)
 	r.listVersion = len(changes)
-	r.learn(list)
+	r.updateEndpoints(list)
 }
 
-// learn takes in a list or a change of it.
-func (r *relay) learn(list policy.EndpointsChanged) {
+// updateEndpoints applies an endpoint list or changes of it, and passes them to the decision module.
+func (r *relay) updateEndpoints(list policy.EndpointsChanged) {
 	for _, e := range list.Endpoints {
 		r.listed[e.ID] = e
 		if _, known := r.drainingAt[e.ID]; (e.Draining || e.Removed) && !known {
--- a/internal/faultinjection/simulation/relay_request.go
+++ b/internal/faultinjection/simulation/relay_request.go
@@ -9,23 +9,23 @@
 	"frostlink/policy"
 )
 
-// recoverySlack is how long after a start terminal outcomes may be late.
+// recoverySlack is the time after a start during which terminal outcomes may be late, as deadlines pass while a relay is down.
 const recoverySlack = 1500 * time.Millisecond
 
-// openRequest is a message that a relay was sent, until its terminal outcome.
+// openRequest is a message that was submitted to a relay, until its terminal outcome.
 type openRequest struct {
 	message    *scenario.Message
-	submission int // submissions of the message before this one
+	submission int // number of earlier submissions of the message
 	id         string
 	deadline   time.Duration
 	attempts   []policy.PriorAttempt
-	ended      []bool   // of each attempt, whether its outcome is known
-	inFlight   *attempt // nil: none is
-	accepted   bool     // its client has the response, or has left
-	clientLeft bool     // without a response
+	ended      []bool   // for each attempt: whether its outcome is known
+	inFlight   *attempt // nil: no attempt is in flight
+	accepted   bool     // its client was sent the response, or has left
+	clientLeft bool     // its client left before the response
 }
 
-// receive takes in a submission.
+// receive handles a submission.
 func (r *relay) receive(m *scenario.Message, submission int, timeLeft time.Duration) {
 	f := r.fleet
 	request := &openRequest{message: m, submission: submission, id: f.random.RequestID(m.Number, submission), deadline: f.now + timeLeft}
@@ -41,13 +41,13 @@
 	r.enqueue(policy.Arrived{ID: request.id, Class: m.Class, Destination: m.Destination, OrderKey: m.OrderKey, TimeLeft: timeLeft})
 }
 
-// remove drops a request.
+// remove deletes a request.
 func (r *relay) remove(request *openRequest) {
 	delete(r.requests, request.id)
 	r.order = slices.DeleteFunc(r.order, func(other *openRequest) bool { return other == request })
 }
 
-// evict drops a request that has its terminal outcome, which has to come in time.
+// evict deletes a request that has its terminal outcome, and reports a failure if that came too late.
 func (r *relay) evict(request *openRequest) {
 	f := r.fleet
 	r.remove(request)
@@ -56,12 +56,12 @@
 	}
 }
 
-// fail ends a request undelivered. After a rejection its client may submit the message again.
+// fail ends a request undelivered. After a rejection its client may submit the message again, after a backoff.
 func (r *relay) fail(id string, retryAfter time.Duration, rejected bool) {
 	f, request := r.fleet, r.requests[id]
 	if request == nil {
 		f.result.recordFailure("%s was ended twice", id)
-		// What the decision module wants is done.
+		// The notice goes out all the same, as it would from a real relay, so that the checker gets to see it.
 		f.record(checker.Event{Kind: checker.Notified, ID: id, Relay: r.number, State: checker.Undeliverable})
 		return
 	}
@@ -69,7 +69,7 @@
 	r.evict(request)
 	f.result.GivenUp++
 	if request.clientLeft {
-		return // it has submitted the message again already
+		return // the client has already submitted the message again
 	}
 	m := request.message
 	if rejected && request.submission < len(m.Backoff) {
--- a/internal/faultinjection/simulation/result.go
+++ b/internal/faultinjection/simulation/result.go
@@ -9,47 +9,47 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxFailures are reported one by one.
+// maxFailures is the number of failures in a result; further ones are not reported.
 const maxFailures = 20
 
-// Result is what a day came to.
+// Result is the result of a day.
 type Result struct {
 	Relays             int                  `json:"relays"`
 	Messages           int                  `json:"messages"`
 	DeliveredWeight    float64              `json:"worth"` // priority weight delivered, as a share of all
-	AttemptedMessages  int                  `json:"first"` // messages of which there was an attempt
+	AttemptedMessages  int                  `json:"first"` // messages with at least one attempt
 	GivenUp            int                  `json:"given_up"`
-	Rejected           int                  `json:"refused"`     // attempts, at a limit or a full queue
-	ConnectionRejected int                  `json:"door"`        // attempts, since the endpoint had all connections that it accepts
-	Connections        int                  `json:"connections"` // opened or tried
+	Rejected           int                  `json:"refused"`     // attempts that a limit or a full queue rejected
+	ConnectionRejected int                  `json:"door"`        // attempts whose connection the endpoint rejected, as it had its maximum
+	Connections        int                  `json:"connections"` // including those that failed
 	Polls              int                  `json:"asks"`        // of discovery
 	FailedPolls        int                  `json:"turned"`
-	PeakPolls          int                  `json:"ask_peak"`  // the most in one second
+	PeakPolls          int                  `json:"ask_peak"`  // the maximum in one second
 	Unwatched          int                  `json:"unwatched"` // relays without a watch at the end
 	Overloads          int                  `json:"falls"`     // of recovering destinations
 	Failures           []string             `json:"faults,omitempty"`
-	Violations         map[checker.Rule]int `json:"breaches,omitempty"` // of the six rules, as the checker of real runs finds them
+	Violations         map[checker.Rule]int `json:"breaches,omitempty"` // of the six rules of the checker that also judges runs with real processes
 	Destinations       []*Destination       `json:"partners"`
 
 	deliveredWeight, totalWeight float64
 	pollsBySecond                map[int]int
 }
 
-// Destination is what one destination did, by second.
+// Destination has the counts of one destination, by second.
 type Destination struct {
 	Limit   float64   `json:"limit"` // attempts per second
 	Seconds []*Second `json:"seconds"`
 }
 
-// Second is one second at a destination.
+// Second has the counts of one second at a destination.
 type Second struct {
-	Attempts  int     `json:"calls"` // that came, rejected ones included
+	Attempts  int     `json:"calls"` // that arrived, including rejected ones
 	Delivered int     `json:"delivered"`
 	Rejected  int     `json:"refused"`
-	Capacity  float64 `json:"capacity"` // attempts per second that it could execute
+	Capacity  float64 `json:"capacity"` // attempts per second that the destination could execute
 }
 
-// second returns the counts of the second at a time.
+// second returns the counts of the second that contains a time.
 func (d *Destination) second(at time.Duration) *Second {
 	for int(at/time.Second) >= len(d.Seconds) {
 		d.Seconds = append(d.Seconds, &Second{})
@@ -57,8 +57,8 @@
 	return d.Seconds[at/time.Second]
 }
 
-// Excess returns the most attempts in one of the seconds [from, to) above a share of the destination's limit, as a part of that
-// share.
+// Excess returns by how much the attempts in a second exceed a share of the destination's limit, relative to that share. It is the
+// maximum over the seconds [from, to), and 0 if no second exceeds it.
 func (d *Destination) Excess(from, to int, share float64) float64 {
 	limit := d.Limit * share
 	excess := 0.0
@@ -84,8 +84,8 @@
 	return d.Seconds[from:to]
 }
 
-// SecondsUntilUsed returns how many seconds after a second the first two begin in which the destination delivers a share of what
-// its limit and its capacity allow; -1: none do.
+// SecondsUntilUsed returns the number of seconds from second from to the first two consecutive seconds in which the destination
+// together delivers at least a share of what its limit and its capacity allow, or -1 if there are no such seconds.
 func (d *Destination) SecondsUntilUsed(from int, share float64) int {
 	for i := from; i+1 < len(d.Seconds); i++ {
 		first, second := d.Seconds[i], d.Seconds[i+1]
@@ -98,7 +98,7 @@
 	return -1
 }
 
-// recordFailure records that a relay did what it must not.
+// recordFailure records that a relay broke a rule.
 func (r *Result) recordFailure(format string, args ...any) {
 	if len(r.Failures) < maxFailures {
 		r.Failures = append(r.Failures, fmt.Sprintf(format, args...))
@@ -116,13 +116,14 @@
 	r.PeakPolls = max(r.PeakPolls, r.pollsBySecond[second])
 }
 
-// countDelivery counts that a message was delivered now.
+// countDelivery counts a message that is delivered now.
 func (f *fleet) countDelivery(m *scenario.Message) {
 	f.result.deliveredWeight += remainingWeight(&f.Scenario.Classes[m.Class], f.now-m.At)
 	f.completed[m.Number] = true
 }
 
-// remainingWeight is the priority weight of a message that is delivered at an age.
+// remainingWeight returns the priority weight that counts for a message delivered at an age: all of it within the latency objective,
+// then linearly less down to the late fraction at the deadline, and none after that.
 func remainingWeight(c *scenario.Class, age time.Duration) float64 {
 	seconds := age.Seconds()
 	switch {
@@ -135,7 +136,7 @@
 	return c.PriorityWeight * (1 - (1-c.LateFraction)*late)
 }
 
-// summarize completes the result at the end of the day.
+// summarize completes the result at the end of the day, and reports messages and requests without a terminal outcome.
 func (f *fleet) summarize(messages []*scenario.Message) {
 	for _, m := range messages {
 		f.result.totalWeight += f.Scenario.Classes[m.Class].PriorityWeight
--- a/internal/faultinjection/simulation/summary.go
+++ b/internal/faultinjection/simulation/summary.go
@@ -15,27 +15,27 @@
 	Plays              int         `json:"plays"`
 	DeliveredWeight    float64     `json:"worth"`       // priority weight delivered, as a share of all
 	StdDev             float64     `json:"spread"`      // of DeliveredWeight
-	Rejected           float64     `json:"refused"`     // attempts at a limit or a full queue, for each message that was attempted
-	ConnectionRejected float64     `json:"door"`        // attempts at endpoints that had all connections that they accept, likewise
-	Connections        float64     `json:"connections"` // likewise
-	Polls              float64     `json:"asks"`        // of discovery, for each relay
-	PeakPolls          float64     `json:"ask_peak"`    // the most in one second
+	Rejected           float64     `json:"refused"`     // attempts that a limit or a full queue rejected, per message with an attempt
+	ConnectionRejected float64     `json:"door"`        // attempts whose connection the endpoint rejected, per message with an attempt
+	Connections        float64     `json:"connections"` // per message with an attempt
+	Polls              float64     `json:"asks"`        // of discovery, per relay
+	PeakPolls          float64     `json:"ask_peak"`    // the maximum in one second, over all runs
 	Overloads          int         `json:"falls"`       // of recovering destinations, in all runs
 	Failures           int         `json:"faults"`      // broken rules, in all runs
 	FailedRuns         []FailedRun `json:"found,omitempty"`
 }
 
-// FailedRun is a run in which something was wrong: its seed plays it again.
+// FailedRun is a run with failures or overloads. Its seed reproduces it.
 type FailedRun struct {
 	Seed      int64    `json:"seed"`
 	Overloads int      `json:"falls"`
 	Failures  []string `json:"faults,omitempty"`
 }
 
-// DayMaker makes the day of a name for a number of relays from a seed: NewDay or NewDrawnDay.
+// DayMaker returns the day with a name, for a number of relays and a seed: NewDay or NewDrawnDay.
 type DayMaker func(name string, relays int, seed int64) (*Day, error)
 
-// Measure runs days of one size with seeds from the first on, as many at once as there are processors.
+// Measure runs a day at one size with consecutive seeds from firstSeed on, up to GOMAXPROCS runs at a time.
 func Measure(newDay DayMaker, day string, relays, plays int, firstSeed int64) (Summary, error) {
 	summary := Summary{Day: day, Relays: relays, Plays: plays}
 	results := make([]*Result, plays)
@@ -51,7 +51,7 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return summary, err //nolint:wrapcheck // it is one of this package
+		return summary, err //nolint:wrapcheck // the error is from this package
 	}
 	var weights []float64
 	for i, r := range results {
@@ -80,8 +80,8 @@
 	s.Failures += len(r.Failures)
 }
 
-// GrowthExponent fits value(summary) = a·relays^b by least squares on logarithms, and returns b; NaN where there are not two sizes,
-// or a value is 0.
+// GrowthExponent fits value(summary) = a·relays^b by least squares on logarithms, and returns b. It returns NaN if there are fewer
+// than two sizes, or if a value is 0.
 func GrowthExponent(summaries []Summary, value func(Summary) float64) float64 {
 	var x, y []float64
 	for _, s := range summaries {
--- a/internal/faultinjection/simulation/workload.go
+++ b/internal/faultinjection/simulation/workload.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// attemptsPerEndpoint is what one endpoint executes per second, and minEndpointConns the connections that it accepts at least.
+	// attemptsPerEndpoint is the highest limit of one endpoint, in attempts per second. An endpoint accepts at least minEndpointConns
+	// connections.
 	attemptsPerEndpoint, minEndpointConns = 60.0, 12
-	// The destination with most traffic has up to maxEndpointsOfLargest endpoints, the others up to maxEndpoints, so that a larger
-	// fleet has more destinations and not larger ones: the platform's have one to four, two in the mean.
+	// Destinations of the largest share of the traffic have up to maxEndpointsOfLargest endpoints, the others up to maxEndpoints, so that
+	// a larger fleet has more destinations and not larger ones. The platform's destinations have one to four endpoints, two on average.
 	maxEndpointsOfLargest, maxEndpoints = 4, 2
-	// minLimit, minConcurrency and minEndpointsOfLargest bound small destinations.
+	// Lower bounds for small destinations.
 	minLimit, minConcurrency, minEndpointsOfLargest = 2, 2, 2
-	// queuePerSlot and connsPerSlot are what an endpoint queues, and the connections that it accepts, for each concurrent attempt.
+	// queuePerSlot and connsPerSlot are the queued attempts and the connections that an endpoint accepts per concurrent attempt.
 	queuePerSlot, connsPerSlot = 2, 3
-	// serviceTimeFactor multiplies the service times of the classes: they are far shorter than the network's latency.
+	// serviceTimeFactor scales the service times of the classes at the destinations, so that they are far shorter than network latency.
 	serviceTimeFactor = 0.25
-	// meanServiceTimeMS is that of the classes below, by their shares.
+	// meanServiceTimeMS is the mean service time of the classes in scenarioHead, weighted by their shares.
 	meanServiceTimeMS = 0.5*230 + 0.4*340 + 0.1*260
 )
 
 const (
-	// discoveryPeriod is the time in which discovery can serve one poll of each relay, of minDiscoveryClients at least.
+	// Discovery can serve one poll of each relay within discoveryPeriod, and one of minDiscoveryClients relays in a smaller fleet.
 	discoveryPeriod     = 5 * time.Second
 	minDiscoveryClients = 12
 	discoveryTimeout    = 2 * time.Second
@@ -34,17 +35,17 @@
 	publishDelay        = time.Second
 )
 
-// workload is what a fleet is sent on a day, and the destinations that it is for.
+// workload describes the traffic of a day and the destinations that it goes to.
 type workload struct {
-	ratePerRelay  float64   // messages per second for each relay
-	sentShare     float64   // of that rate, what is sent
-	limitFactor   float64   // destinations' limits over ratePerRelay
-	capacityRatio float64   // destinations' capacity over their limits
-	shares        []float64 // of the traffic, by destination, or by destinations that are alike where one would need too many endpoints
+	ratePerRelay  float64   // messages per second per relay
+	sentShare     float64   // traffic as a share of that rate
+	limitFactor   float64   // the destinations' limits as a multiple of their traffic at ratePerRelay
+	capacityRatio float64   // the destinations' capacity as a multiple of their limits
+	shares        []float64 // of the traffic; each goes to one destination, or to several equal ones if one would need too many endpoints
 	length        float64   // seconds
 }
 
-// scenarioHead is the scenario of all workloads but for its destinations; it takes the length and the rate.
+// scenarioHead is the scenario of all workloads without its destinations. Its format arguments are the length and the rate.
 const scenarioHead = `version = 1
 name = "fleet"
 length_s = %v
@@ -95,9 +96,9 @@
 noise = 0.3
 `
 
-// newDay builds a day without faults. It returns the numbers of the destinations that are alike, by share. The number of destinations
-// grows with that of the relays; what one endpoint executes does not.
-func (w workload) newDay(relays int, seed int64) (day *Day, alike [][]int, err error) {
+// newDay returns a day without faults, and the numbers of the destinations of each share in w.shares. The number of destinations
+// grows with the number of relays; the limit of one endpoint does not.
+func (w workload) newDay(relays int, seed int64) (day *Day, numbersByShare [][]int, err error) {
 	rate := w.ratePerRelay * float64(relays)
 	var text strings.Builder
 	fmt.Fprintf(&text, scenarioHead, w.length, rate*w.sentShare)
@@ -111,7 +112,7 @@
 			numbers = append(numbers, next)
 			next++
 		}
-		alike = append(alike, numbers)
+		numbersByShare = append(numbersByShare, numbers)
 	}
 	s, err := scenario.Parse("fleet", []byte(text.String()))
 	if err != nil {
@@ -121,19 +122,19 @@
 	return &Day{Scenario: s, Seed: seed, Discovery: Discovery{
 		ServiceTime: discoveryPeriod / time.Duration(max(minDiscoveryClients, relays)), Timeout: discoveryTimeout,
 		MaxQueueTime: discoveryQueueTime, PublishDelay: publishDelay,
-	}}, alike, nil
+	}}, numbersByShare, nil
 }
 
-// destinationSpec are destinations that are alike.
+// destinationSpec describes equal destinations.
 type destinationSpec struct {
 	count       int
-	share       float64 // of the traffic, each
-	limit       float64 // attempts per second, each
+	share       float64 // of the traffic, for each destination
+	limit       float64 // attempts per second, for each destination
 	endpoints   int
-	concurrency int // of each endpoint
+	concurrency int // concurrent attempts at each endpoint
 }
 
-// sizeDestinations returns destinations with a limit in all, in attempts per second.
+// sizeDestinations returns equal destinations whose limits add up to a limit, in attempts per second.
 func (w workload) sizeDestinations(limit float64, largest bool) destinationSpec {
 	endpoints := float64(maxEndpoints)
 	if largest {
@@ -150,7 +151,7 @@
 	return d
 }
 
-// write writes one of the destinations in the form of a scenario.
+// write writes one of the destinations as a table of a scenario file.
 func (d *destinationSpec) write(text *strings.Builder, number int) {
 	fmt.Fprintf(text, "[[partner]]\nname = \"p%d\"\nshare = %v\nendpoints = %d\nslots = %d\nqueue = %d\npace = %v\n"+
 		"limit = { count = %d, span_s = 1 }\nrefused_counted = true\nhandshake_ms = 2\nconnections = %d\n",
