--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// The checks, as violations name them.
+// The names of the checks in violations. Each check requires what its comment says.
 const (
-	checkOverlap         = "overlap" // executions of two holders of a lease never overlap in true time
-	checkToken           = "token"   // tokens of a lease never decrease, and a token is of one grant
-	checkQueue           = "queue"   // nobody who asked later is granted a lease while a client waits
-	checkLinearizability = "linear"  // values are linearizable
-	checkHeld            = "held"    // after the quiet period every lease is held
-	checkSame            = "same"    // members with the same entries have the same state
-	checkMembers         = "members" // a replacement that was begun is done by the end
-	checkDisk            = "disk"    // a disk that was rolled back is noticed
+	checkOverlap         = "overlap" // executions under two tokens of a lease never overlap in true time
+	checkToken           = "token"   // the tokens of executions under a lease never decrease, and no two grants have the same token
+	checkQueue           = "queue"   // while a client waits for a lease, no client that requested it later gets it
+	checkLinearizability = "linear"  // the writes and reads of values are linearizable
+	checkHeld            = "held"    // after the quiet period every lease is held by exactly one client
+	checkSame            = "same"    // members that have applied the same entries have the same state
+	checkMembers         = "members" // a replacement of a member that has begun is complete at the end
+	checkDisk            = "disk"    // a member whose disk was rolled back terminates
 	checkStart           = "start"   // a member can start from its disk
-	checkPanic           = "panic"   // nothing panics
+	checkPanic           = "panic"   // no event panics
 )
 
-// maxViolations bounds how many violations of a run are reported.
+// maxViolations bounds the number of violations that are reported for a run.
 const maxViolations = 20
 
 // Violation is a check that failed.
@@ -25,14 +25,14 @@
 	Detail string `json:"what"`
 }
 
-// report reports a violation.
+// report records a violation of a check.
 func (s *simulation) report(check, format string, args ...any) {
 	if len(s.violations) < maxViolations {
 		s.violations = append(s.violations, Violation{check, fmt.Sprintf(format, args...)})
 	}
 }
 
-// check makes the checks of a run that has ended. Others were made while it was played.
+// check makes the checks at the end of a run. The checks of the queue, the disk, starts and panics are made during the run.
 func (s *simulation) check() {
 	s.checkExecutions()
 	s.checkGrants()
--- a/internal/faultinjection/coordsim/check_executions.go
+++ b/internal/faultinjection/coordsim/check_executions.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// checkExecutions checks the executions under each lease in the order of their begin, each against the one that ended last of
-// those before.
+// checkExecutions checks the executions under each lease in the order of their start. Each is compared with the one that ends last
+// among those that started before it.
 func (s *simulation) checkExecutions() {
 	byLease := map[string][]*execution{}
 	for _, e := range s.executions {
@@ -15,7 +15,7 @@
 	for _, name := range s.leases {
 		list := byLease[name]
 		slices.SortStableFunc(list, func(a, b *execution) int { return int(a.start - b.start) })
-		var last *execution // that ends last
+		var last *execution // the one that ends last so far
 		for _, e := range list {
 			if last != nil {
 				s.checkOverlap(last, e)
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkTokenOrder checks that tokens do not decrease.
+// checkTokenOrder checks that the later execution does not have the lower token.
 func (s *simulation) checkTokenOrder(earlier, later *execution) {
 	if later.token < earlier.token {
 		s.report(checkToken, "%s: an act under %d at %v, after one under %d at %v", later.lease, later.token, later.start,
--- a/internal/faultinjection/coordsim/check_members.go
+++ b/internal/faultinjection/coordsim/check_members.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/coord"
 )
 
-// checkLeasesHeld checks that after the quiet period every lease is held by one of the clients, who all want it.
+// checkLeasesHeld checks that after the quiet period every lease is held by exactly one client. All clients request all leases by then.
 func (s *simulation) checkLeasesHeld() {
 	for _, name := range s.leases {
 		holders := 0
@@ -21,9 +21,9 @@
 	}
 }
 
-// checkMemberStates checks the states of the members that run.
+// checkMemberStates checks the state machines of the running members.
 func (s *simulation) checkMemberStates() {
-	snapshots := map[uint64][]byte{} // by the index of the last entry
+	snapshots := map[uint64][]byte{} // by the index of the last applied entry
 	for _, m := range s.members {
 		if !m.running {
 			continue
@@ -34,7 +34,7 @@
 	}
 }
 
-// checkSameState checks that members that have applied the same entries have the same state.
+// checkSameState checks that a member has the same state as other members that have applied the same entries.
 func (s *simulation) checkSameState(m *member, snapshot []byte, snapshots map[uint64][]byte) {
 	index := m.core.Machine().Index()
 	if other, ok := snapshots[index]; ok && !bytes.Equal(snapshot, other) {
@@ -43,7 +43,7 @@
 	snapshots[index] = snapshot
 }
 
-// checkSnapshot checks that a state that is restored from a snapshot is the same.
+// checkSnapshot checks that a state restored from a snapshot encodes to the same snapshot.
 func (s *simulation) checkSnapshot(m *member, snapshot []byte) {
 	restored, err := coord.Restore(snapshot)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// checkReplacement checks that a replacement that was begun is done by the end of the quiet period.
+// checkReplacement checks that a replacement that has begun is complete at the end of the quiet period.
 func (s *simulation) checkReplacement() {
 	if s.replacement == replacing {
 		s.report(checkMembers, "a member was to be replaced, and is not after %v of calm", s.quietTime)
--- a/internal/faultinjection/coordsim/check_test.go
+++ b/internal/faultinjection/coordsim/check_test.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/coord"
 )
 
-// requireChecks requires that just these checks have failed.
+// requireChecks requires that exactly the checks in want have reported violations, in this order.
 func requireChecks(t *testing.T, s *simulation, want ...string) {
 	t.Helper()
 	var got []string
@@ -16,7 +16,7 @@
 		got = append(got, v.Check)
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", s.violations, want)
+		t.Errorf("violations %v, want of the checks %v", s.violations, want)
 	}
 }
 
@@ -33,7 +33,7 @@
 		"one after the other":       {[]*execution{ended(1, 0, 10), ended(2, 10, 20)}, nil},
 		"one token":                 {[]*execution{ended(1, 0, 10), ended(1, 5, 20)}, nil},
 		"two tokens at once":        {[]*execution{ended(1, 0, 10), ended(2, 9, 20)}, []string{checkOverlap}},
-		"an old token afterwards":   {[]*execution{ended(2, 0, 10), ended(1, 10, 20)}, []string{checkToken}},
+		"an old token later":        {[]*execution{ended(2, 0, 10), ended(1, 10, 20)}, []string{checkToken}},
 		"an old token at once":      {[]*execution{ended(2, 0, 10), ended(1, 5, 20)}, []string{checkOverlap, checkToken}},
 		"a long one during several": {[]*execution{ended(1, 0, 100), ended(1, 10, 20), ended(2, 30, 40)}, []string{checkOverlap}},
 		"one in flight at the end":  {[]*execution{{client: client, lease: lease, token: 1}, ended(2, 50, 60)}, []string{checkOverlap}},
@@ -48,18 +48,18 @@
 	}
 }
 
-func TestCheckGrants_ATokenIsOfOneGrant(t *testing.T) {
+func TestCheckGrants_TokenBelongsToOneGrant(t *testing.T) {
 	first := grant{client: "c0", lease: "lease-0", token: 1}
 	tests := map[string]struct {
 		second grant
 		want   []string
 	}{
-		"learned again":       {first, nil},
-		"of another token":    {grant{client: "c1", lease: "lease-0", token: 2}, nil},
-		"of another client":   {grant{client: "c1", lease: "lease-0", token: 1}, []string{checkToken}},
-		"of a later process":  {grant{client: "c0", incarnation: 1, lease: "lease-0", token: 1}, []string{checkToken}},
-		"of another lease":    {grant{client: "c0", lease: "lease-1", token: 1}, []string{checkToken}},
-		"learned later again": {grant{client: "c0", lease: "lease-0", token: 1, learnedAt: 5}, nil},
+		"observed again":       {first, nil},
+		"another token":        {grant{client: "c1", lease: "lease-0", token: 2}, nil},
+		"another client":       {grant{client: "c1", lease: "lease-0", token: 1}, []string{checkToken}},
+		"later incarnation":    {grant{client: "c0", incarnation: 1, lease: "lease-0", token: 1}, []string{checkToken}},
+		"another lease":        {grant{client: "c0", lease: "lease-1", token: 1}, []string{checkToken}},
+		"observed again later": {grant{client: "c0", lease: "lease-0", token: 1, observedAt: 5}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,20 +70,20 @@
 	}
 }
 
-func TestCheckQueueOrder_NobodyPassesAWaitingClient(t *testing.T) {
+func TestCheckQueueOrder_NoClientOvertakesAWaitingOne(t *testing.T) {
 	const since, until = 10, 100
 	tests := map[string]struct {
 		grant     grant
 		transfers []transfer
 		want      []string
 	}{
-		"asked later":           {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 50}, nil, []string{checkQueue}},
-		"asked before":          {grant{client: "c1", lease: "lease-0", askedAt: 10, learnedAt: 50}, nil, nil},
-		"learned after":         {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 100}, nil, nil},
-		"its own":               {grant{client: "c0", lease: "lease-0", askedAt: 20, learnedAt: 50}, nil, nil},
-		"of another lease":      {grant{client: "c1", lease: "lease-1", askedAt: 20, learnedAt: 50}, nil, nil},
-		"transferred":           {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 50}, []transfer{{"lease-0", "c1", 40}}, nil},
-		"transferred to others": {grant{client: "c1", lease: "lease-0", askedAt: 20, learnedAt: 50}, []transfer{{"lease-0", "c2", 40}}, []string{checkQueue}},
+		"requested later":        {grant{client: "c1", lease: "lease-0", requestedAt: 20, observedAt: 50}, nil, []string{checkQueue}},
+		"requested before":       {grant{client: "c1", lease: "lease-0", requestedAt: 10, observedAt: 50}, nil, nil},
+		"granted after the wait": {grant{client: "c1", lease: "lease-0", requestedAt: 20, observedAt: 100}, nil, nil},
+		"own grant":              {grant{client: "c0", lease: "lease-0", requestedAt: 20, observedAt: 50}, nil, nil},
+		"another lease":          {grant{client: "c1", lease: "lease-1", requestedAt: 20, observedAt: 50}, nil, nil},
+		"transferred":            {grant{client: "c1", lease: "lease-0", requestedAt: 20, observedAt: 50}, []transfer{{"lease-0", "c1", 40}}, nil},
+		"transferred to others":  {grant{client: "c1", lease: "lease-0", requestedAt: 20, observedAt: 50}, []transfer{{"lease-0", "c2", 40}}, []string{checkQueue}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -105,14 +105,14 @@
 		operations []operation
 		want       []string
 	}{
-		"read what was written":          {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(5, "a", 10, 20)}, nil},
-		"read before a write ends":       {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 5, 20)}, nil},
-		"stale read":                     {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 11, 20)}, []string{checkLinearizability}},
-		"write over an unknown revision": {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 6, "b", coord.CodeOK, 11, 20)}, []string{checkLinearizability}},
-		"conflict":                       {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 5, "b", coord.CodeConflict, 11, 20)}, nil},
-		"conflict without a reason":      {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(5, 5, "b", coord.CodeConflict, 11, 20)}, []string{checkLinearizability}},
-		"outcome unknown, executed":      {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(5, "a", 11, 20)}, nil},
-		"outcome unknown, not executed":  {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(0, "", 11, 20)}, nil},
+		"read what was written":             {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(5, "a", 10, 20)}, nil},
+		"read before a write ends":          {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 5, 20)}, nil},
+		"stale read":                        {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 11, 20)}, []string{checkLinearizability}},
+		"write over an unknown revision":    {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 6, "b", coord.CodeOK, 11, 20)}, []string{checkLinearizability}},
+		"conflict":                          {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 5, "b", coord.CodeConflict, 11, 20)}, nil},
+		"conflict at the expected revision": {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(5, 5, "b", coord.CodeConflict, 11, 20)}, []string{checkLinearizability}},
+		"outcome unknown, executed":         {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(5, "a", 11, 20)}, nil},
+		"outcome unknown, not executed":     {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(0, "", 11, 20)}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/faultinjection/coordsim/check_values.go
+++ b/internal/faultinjection/coordsim/check_values.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// forever is when an operation ends whose outcome is unknown.
+	// forever is the end of an operation whose outcome is unknown: it may take effect at any later time.
 	forever = time.Duration(math.MaxInt64)
-	// codeUnknown is the code of such an operation.
+	// codeUnknown is the code of an operation whose outcome is unknown.
 	codeUnknown coord.Code = ""
-	// linearizabilityTimeout bounds the search for an order of the operations on a key. Without one by then there is no verdict.
+	// linearizabilityTimeout bounds the search for a linearization of the operations on a key. After it there is no verdict, and no
+	// violation is reported.
 	linearizabilityTimeout = 5 * time.Second
 )
 
@@ -23,14 +24,14 @@
 	client     int
 	key        string
 	isWrite    bool
-	expected   uint64 // revision that a write expects
+	expected   uint64 // revision that the key must have for a write
 	value      string
 	revision   uint64
 	code       coord.Code
 	begin, end time.Duration
 }
 
-// register is the state of one key in the model. A revision of 0 with a value is not known.
+// register is the state of one key in the model. With a non-empty value a revision of 0 means that the revision is unknown.
 type register struct {
 	revision uint64
 	value    string
@@ -48,7 +49,7 @@
 	},
 }
 
-// apply returns the states that an operation may leave. None: it can't have been made in this state.
+// apply returns the possible states after an operation. There are none if its result is impossible in this state.
 func (r register) apply(op operation) []register {
 	switch {
 	case !op.isWrite:
@@ -67,13 +68,13 @@
 	return nil
 }
 
-// mayHave reports whether a revision may be that of the state.
+// mayHave reports whether a revision is that of the state, or may be if that is unknown.
 func (r register) mayHave(revision uint64) bool {
 	isUnknown := r.value != "" && r.revision == 0
 	return isUnknown && revision != 0 || r.revision == revision
 }
 
-// checkValues checks that the writes and reads of each key have an order that fits the times at which they were made.
+// checkValues checks that the writes and reads of each key are linearizable.
 func (s *simulation) checkValues() {
 	byKey := map[string][]porcupine.Operation{}
 	for _, op := range s.operations {
--- a/internal/faultinjection/coordsim/draw.go
+++ b/internal/faultinjection/coordsim/draw.go
@@ -9,53 +9,55 @@
 	"frostlink/internal/coord/replica"
 )
 
-// randomStream is the random stream of runs, of each seed.
+// randomStream is the second half of the random generator's seed, after the seed of the run. It spells "quorum".
 const randomStream = 0x71756f72756d
 
-// The numbers of processes on the network: members from 0, then clients.
+// The first network numbers of clients. Members are numbered from 0.
 const (
 	firstLeaseClient = 100
 	firstValueClient = 200
 )
 
 const (
-	// maxUsualDrift is how far a clock's rate may be off in runs that are not about clocks.
+	// maxUsualDrift bounds the deviation of a clock's rate from true time, except with clockProfile.
 	maxUsualDrift = 400e-6
-	// driftInClockRuns is how far each clock's rate is off in runs about clocks: just within the 500 parts per million that
-	// leases allow for.
+	// driftInClockRuns is the deviation of each clock's rate with clockProfile, fast or slow: just within the 500 parts per million
+	// that leases allow for.
 	driftInClockRuns = 490e-6
-	// maxClientStart is when the last client starts.
+	// maxClientStart bounds the time at which a client starts.
 	maxClientStart = 2 * time.Second
-	// fastDiskDelay is the longest write in runs about clocks, and the shortest maximum in others.
+	// fastDiskDelay is the longest duration of a write with clockProfile. With other profiles the longest duration is drawn for each
+	// member, and is at least this.
 	fastDiskDelay = 200 * time.Microsecond
 )
 
-// profile is what a run is about.
+// profile is the focus of a run, which sets its network, clocks and leases.
 type profile int
 
 const (
-	// clockProfile has a fast network, clients that are partitioned, long leases and no guard: only the clocks matter.
+	// clockProfile has a fast network, long leases and no guard, and partitions of clients as the only faults, so that safety depends
+	// on the clocks alone.
 	clockProfile profile = iota
 	slowNetworkProfile
 	usualProfile
 )
 
-// drawnProfiles has each profile as often as its weight.
+// drawnProfiles contains each profile as often as its weight.
 var drawnProfiles = []profile{clockProfile, slowNetworkProfile, usualProfile, usualProfile}
 
-// parameters are drawn when a run begins, and stay.
+// parameters are drawn at the start of a run, and do not change.
 type parameters struct {
 	profile          profile
 	ttl, guard       time.Duration // of leases
-	advanceInterval  time.Duration // between two looks of a member at its clock
-	maxDelay         time.Duration // of the network, without a fault
+	advanceInterval  time.Duration // at which a member passes its clock's time to its core
+	maxDelay         time.Duration // of messages, without a fault
 	faultTime        time.Duration
 	quietTime        time.Duration
 	snapshotInterval uint64 // in entries
-	retainedEntries  uint64
+	retainedEntries  uint64 // that a snapshot leaves in the log
 }
 
-// newSimulation draws the run of a seed.
+// newSimulation returns the simulation of a seed, with parameters and processes drawn.
 func newSimulation(seed uint64) *simulation {
 	random := randomSource{rand.New(rand.NewPCG(seed, randomStream))}
 	s := &simulation{scheduler: &scheduler{}, random: random, counts: map[faultKind]int{}}
@@ -94,7 +96,7 @@
 	s.quietTime = 2*s.ttl + 10*time.Second
 }
 
-// drawProcess draws a process's clock.
+// drawProcess returns a process with a random clock.
 func (s *simulation) drawProcess(number int) process {
 	rate := s.drawClockRate()
 	return process{number: number, clockRate: rate, clockOffset: time.Duration(s.random.Int64N(int64(time.Hour)))}
@@ -107,7 +109,7 @@
 	return 1 + maxUsualDrift*(2*s.random.Float64()-1)
 }
 
-// drawMembers draws three or five members.
+// drawMembers draws three or five members with their disks.
 func (s *simulation) drawMembers() {
 	var founders []coord.Member
 	for range 3 + 2*s.random.IntN(2) {
@@ -129,7 +131,7 @@
 // addressOf returns the address of a member.
 func addressOf(id uint64) string { return fmt.Sprint("m", id) }
 
-// drawClients draws leases, the clients that want them, and those of values.
+// drawClients draws the leases, the lease clients and the value clients.
 func (s *simulation) drawClients() {
 	for i := range 1 + s.random.IntN(3) {
 		s.leases = append(s.leases, fmt.Sprint("lease-", i))
--- a/internal/faultinjection/coordsim/inject.go
+++ b/internal/faultinjection/coordsim/inject.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// minFaultDuration and maxFaultDuration bound how long faults last, unless their kind says otherwise.
+	// minFaultDuration and maxFaultDuration bound the duration of faults whose kind has no duration of its own.
 	minFaultDuration = 50 * time.Millisecond
 	maxFaultDuration = 6 * time.Second
-	// slowWriteDelay is the longest write to a slow disk.
+	// slowWriteDelay is the longest duration of a write to a slow disk.
 	slowWriteDelay = 300 * time.Millisecond
-	// writePollInterval is between two looks for a write that is on its way to the disk, writePolls how many there are.
+	// A fault that waits for a write in progress looks for one every writePollInterval, at most writePolls times.
 	writePollInterval = 500 * time.Microsecond
 	writePolls        = 2000
 )
 
-// scheduleFault injects the next fault after a while, and so on until the quiet period.
+// scheduleFault schedules the next fault, which schedules the one after it, until the quiet period begins.
 func (s *simulation) scheduleFault() {
 	pause := s.random.between(100*time.Millisecond, 4*time.Second)
 	specs := drawnKinds
@@ -33,7 +33,7 @@
 	})
 }
 
-// injectFault draws whom a fault concerns and for how long, and injects it.
+// injectFault draws the target and the duration of a fault, and injects it.
 func (s *simulation) injectFault(k kindSpec) {
 	s.counts[k.name]++
 	var t target
@@ -46,7 +46,7 @@
 	k.inject(s, t)
 }
 
-// undoUnlessQuiet ends a fault after a while, unless the quiet period has ended it.
+// undoUnlessQuiet ends a fault after a delay, unless the quiet period has already ended it.
 func (s *simulation) undoUnlessQuiet(d time.Duration, undo func()) {
 	s.scheduler.after(d, nil, func() {
 		if !s.quiet {
@@ -64,7 +64,7 @@
 	for _, m := range s.members {
 		m.crash()
 		s.scheduler.after(s.random.between(0, 3*time.Second), nil, m.start)
-		if s.random.chance(0.5) { // and again while it starts
+		if s.random.chance(0.5) { // crash again while it starts up
 			s.scheduler.after(s.random.between(0, time.Second), nil, func() {
 				m.crash()
 				s.scheduler.after(s.random.between(0, time.Second), nil, m.start)
@@ -73,7 +73,7 @@
 	}
 }
 
-// crashMemberInWrite crashes a member while a write is on its way to the disk, if there is one soon.
+// crashMemberInWrite crashes a member during its next write to the disk, if one begins soon enough.
 func (s *simulation) crashMemberInWrite(t target) {
 	s.pollForWrite(t, writePolls)
 }
--- a/internal/faultinjection/coordsim/kind.go
+++ b/internal/faultinjection/coordsim/kind.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// faultKind is a kind of fault, as results name it.
+// faultKind is the name of a kind of fault in results.
 type faultKind string
 
-// The kinds of faults that are drawn. Those of a leader concern the member that leads, if there is one.
+// The kinds of faults that are drawn. The leader kinds concern the leader if there is one, and any member otherwise.
 const (
 	memberCrash             faultKind = "crash"
 	allMembersCrash         faultKind = "crash all"
@@ -28,7 +28,7 @@
 	memberReplacement       faultKind = "replace"
 )
 
-// Faults that are counted as they come about.
+// Faults that are counted when they occur, as a drawn fault does not always lead to one.
 const (
 	leaseRevoked    faultKind = "revoke"
 	rollbackBegun   faultKind = "were set back"
@@ -36,7 +36,7 @@
 	memberToReplace faultKind = "were replaced"
 )
 
-// target is what was drawn for a fault.
+// target has the candidates that were drawn for a fault, and its duration. Each kind uses some of them.
 type target struct {
 	member   *member
 	client   *leaseClient
@@ -46,12 +46,12 @@
 // kindSpec describes a kind of fault.
 type kindSpec struct {
 	name   faultKind
-	weight int  // how likely it is drawn, against the others
-	leader bool // it concerns the member that leads
+	weight int  // relative probability of being drawn
+	leader bool // it concerns the leader, if there is one
 	inject func(s *simulation, t target)
 }
 
-// kinds are all kinds of faults that are drawn. Their order and weights decide what a seed plays.
+// kinds are all kinds of faults that are drawn. A change of their order or weights changes the run of every seed.
 var kinds = []kindSpec{
 	{memberCrash, 1, false, (*simulation).crashMember},
 	{allMembersCrash, 1, false, (*simulation).crashAllMembers},
@@ -74,10 +74,10 @@
 	{memberReplacement, 1, false, (*simulation).replaceMember},
 }
 
-// drawnKinds has each kind as often as its weight.
+// drawnKinds contains each kind as often as its weight.
 var drawnKinds = repeatByWeight(kinds)
 
-// clockRunKinds are the kinds of faults in runs about clocks.
+// clockRunKinds are the kinds of faults with clockProfile.
 var clockRunKinds = []kindSpec{{clientOneWayPartition, 1, false, (*simulation).partitionClientOneWay}}
 
 func repeatByWeight(specs []kindSpec) []kindSpec {
--- a/internal/faultinjection/coordsim/lease_calls.go
+++ b/internal/faultinjection/coordsim/lease_calls.go
@@ -8,17 +8,17 @@
 	"frostlink/internal/lease"
 )
 
-// grant is a lease as a client learned of it.
+// grant is the grant of a lease, as its client observed it.
 type grant struct {
 	client      string
 	incarnation int
 	lease       string
 	token       uint64
-	askedAt     time.Duration // when the command that asked was first sent
-	learnedAt   time.Duration
+	requestedAt time.Duration // when the acquire command was first sent
+	observedAt  time.Duration
 }
 
-// call sends a call of the core to a member, and hands the reply to the core.
+// call sends a call of the core to a member, and passes the reply to the core.
 func (c *leaseClient) call(call lease.Call) {
 	command := call.Command
 	if command.Op == coord.OpAcquire && c.acquisitions[command.Lease].sequence != command.Seq {
@@ -33,7 +33,7 @@
 				c.core.HandleResult(now, call.ID, r.result)
 				c.observe(r.result, sentAt)
 			} else {
-				c.core.SetServers(r.leader + 1) // the leader comes with its address: its number may be new
+				c.core.SetServers(r.leader + 1) // the leader may be a member that has joined since; a real reply has its address
 				c.core.HandleFailure(now, call.ID, r.leader)
 			}
 			c.step()
@@ -41,7 +41,7 @@
 	})
 }
 
-// observe notes, for the checks, what a result says of grants and queues.
+// observe records new grants after a result, and checks the queue order of the leases that the client waits for.
 func (c *leaseClient) observe(result coord.Result, sentAt time.Duration) {
 	for _, name := range c.sim.leases {
 		c.observeGrant(name)
--- a/internal/faultinjection/coordsim/lease_client.go
+++ b/internal/faultinjection/coordsim/lease_client.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/lease"
 )
 
-// leaseClient is a process that wants leases, and executes something under those that it holds.
+// leaseClient is a process that requests leases, and executes work under the leases that it holds.
 type leaseClient struct {
 	process
 	sim        *simulation
@@ -14,31 +14,31 @@
 	core       *lease.Core
 	executions []*execution // in flight
 
-	acquisitions map[string]acquisition // the last one, by lease
-	waiting      map[string]queueEntry  // by lease
-	tokens       map[string]uint64      // those last held, by lease
-	wakeups      int                    // counts scheduled wake-ups: only the last one counts
+	acquisitions map[string]acquisition // the last acquire command, by lease
+	waiting      map[string]queueEntry  // by lease that the client waits for
+	tokens       map[string]uint64      // the last one held, by lease
+	wakeups      int                    // number of scheduled wake-ups; only the last one takes effect
 }
 
-// acquisition is the command by which a client last asked for a lease.
+// acquisition is an acquire command of a client.
 type acquisition struct {
 	sequence uint64
 	sentAt   time.Duration // when it was first sent
 }
 
-// queueEntry is since when a client knows that it waits for a lease, without a break in one session.
+// queueEntry is an uninterrupted wait for a lease in one session.
 type queueEntry struct {
-	since   time.Duration
+	since   time.Duration // when the first result showed that the client waits
 	session uint64
 }
 
-// transfer is a lease that its holder released for another client.
+// transfer is the release of a lease by its holder for a certain client.
 type transfer struct {
 	lease, to string
 	at        time.Duration
 }
 
-// The purposes for which leases are requested, as members show them.
+// The purposes that clients give in lease requests.
 const (
 	purposeDrawn = "drawn"
 	purposeQuiet = "calm"
@@ -55,7 +55,7 @@
 	c.step()
 }
 
-// reconsider requests and releases leases at random, from time to time.
+// reconsider requests or releases each lease at random, and does so again at random intervals.
 func (c *leaseClient) reconsider() {
 	random := c.sim.random
 	for _, name := range c.sim.leases {
@@ -84,13 +84,13 @@
 	c.step()
 }
 
-// handleHint takes a hint that something has changed for the client's session.
+// handleHint handles a hint from a member that a lease of the client's session has changed.
 func (c *leaseClient) handleHint() {
 	c.core.HandleHint(c.clock(c.sim.now()))
 	c.step()
 }
 
-// step stops what the client may not execute any more, executes what it may, sends the core's calls, and schedules the next step.
+// step ends expired executions, begins executions under held leases, sends the core's calls, and schedules the next step.
 func (c *leaseClient) step() {
 	now := c.clock(c.sim.now())
 	c.stopExpired(now)
@@ -110,7 +110,7 @@
 	})
 }
 
-// crash ends the process, and its executions with it.
+// crash ends the process and its executions.
 func (c *leaseClient) crash() {
 	c.pauseExecutions()
 	c.executions = nil
--- a/internal/faultinjection/coordsim/lease_execution.go
+++ b/internal/faultinjection/coordsim/lease_execution.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// minExecution and maxExecution bound the time for which a client asks to execute something.
+	// minExecution and maxExecution bound the time for which a client requests permission to execute.
 	minExecution = 2 * time.Millisecond
 	maxExecution = 400 * time.Millisecond
-	// hangProbability is how likely an execution takes far longer than was asked for.
+	// hangProbability is the probability that an execution takes far longer than permitted.
 	hangProbability = 0.1
 )
 
-// execution is something done under a lease, in true time.
+// execution is work that a client executes under a lease. Its start and end are true times.
 type execution struct {
 	client     *leaseClient
 	lease      string
@@ -23,10 +23,10 @@
 	start, end time.Duration
 	permit     lease.Permit
 	ended      bool
-	paused     bool // its process was paused or crashed at its end: what it did then no lease can promise
+	paused     bool // its process was paused or crashed at end; a lease promises nothing about effects after that
 }
 
-// execute begins an execution under a lease where none is in flight. Most end within the time that was asked for.
+// execute begins an execution under a lease if none is in flight. Most executions end within the permitted time.
 func (c *leaseClient) execute(now time.Duration, name string) {
 	if slices.ContainsFunc(c.executions, func(e *execution) bool { return e.lease == name }) {
 		return
@@ -35,14 +35,14 @@
 	permitted := random.between(minExecution, min(maxExecution, c.sim.ttl/3))
 	permit, err := c.core.Act(now, name, permitted)
 	if err != nil {
-		return // the client does not hold the lease for so long
+		return // the client does not hold the lease for that long
 	}
 	e := &execution{client: c, lease: name, token: permit.Token, start: c.sim.now(), permit: permit}
 	c.executions = append(c.executions, e)
 	c.sim.executions = append(c.sim.executions, e)
 	duration := permitted - random.between(0, permitted)
 	if random.chance(hangProbability) {
-		duration = 3 * c.sim.ttl // it has to be stopped
+		duration = 3 * c.sim.ttl // stopExpired has to end it
 	}
 	c.sim.scheduler.after(duration, &c.process, func() {
 		if !e.ended {
@@ -52,7 +52,7 @@
 	})
 }
 
-// stopExpired ends the executions whose time is over.
+// stopExpired ends the executions whose permit has expired.
 func (c *leaseClient) stopExpired(now time.Duration) {
 	for _, permit := range c.core.ExpiredActs(now) {
 		for _, e := range slices.Clone(c.executions) {
@@ -72,7 +72,7 @@
 	c.core.EndAct(c.clock(c.sim.now()), e.permit)
 }
 
-// pauseExecutions notes that all that the process does pauses: for the checks its executions end here.
+// pauseExecutions records that the process pauses or crashes. For the checks its executions end now.
 func (c *leaseClient) pauseExecutions() {
 	for _, e := range c.executions {
 		if !e.paused {
--- a/internal/faultinjection/coordsim/member.go
+++ b/internal/faultinjection/coordsim/member.go
@@ -14,29 +14,29 @@
 	heartbeatTicks = 2
 )
 
-// errDiskFull is what a write to a full disk returns.
-var errDiskFull = errors.New("the disk does not take it")
+// errDiskFull is the error of a write to a full disk.
+var errDiskFull = errors.New("disk full")
 
-// member is a process of the service.
+// member is a member process of the coordination service.
 type member struct {
 	process
 	sim  *simulation
 	id   uint64
 	core *replica.Core
 	disk replica.PersistentState
-	// writing is on its way to the disk until writtenAt: a crash before leaves it there, or not.
+	// writing is the last write, which reaches the disk at writtenAt. After an earlier crash the disk may have it or not.
 	writing         *replica.WriteBatch
 	writtenAt       time.Duration
 	diskFull        bool
 	maxWriteDelay   time.Duration
-	usualWriteDelay time.Duration // the maximum without a fault
-	terminated      error         // why it has ended for good; nil: it has not
-	pending         map[uint64]func(replica.Completion)
-	lastTag         uint64                  // of pending requests
-	sessions        map[uint64]*leaseClient // who gets the hints of a session
+	usualWriteDelay time.Duration                       // maxWriteDelay without a fault
+	terminated      error                               // why it does not start again; nil: it may
+	pending         map[uint64]func(replica.Completion) // by tag
+	lastTag         uint64                              // of a request
+	sessions        map[uint64]*leaseClient             // client that gets the hints for a session, by session
 }
 
-// start starts a member from its disk.
+// start starts a member with the state on its disk, unless it runs or is permanently terminated.
 func (m *member) start() {
 	if m.running || m.terminated != nil {
 		return
@@ -60,7 +60,7 @@
 	m.round()
 }
 
-// every calls the core at an interval.
+// every makes a call and a round at an interval.
 func (m *member) every(interval time.Duration, call func()) {
 	m.sim.scheduler.after(interval, &m.process, func() {
 		call()
@@ -69,7 +69,7 @@
 	})
 }
 
-// crash ends the process as SIGKILL does. What is on its way to the disk is there or not.
+// crash ends the process as SIGKILL does. A write in progress reaches the disk or not, at random.
 func (m *member) crash() {
 	if !m.running {
 		return
@@ -82,7 +82,7 @@
 	m.process.crash()
 }
 
-// fail ends a member that can't go on. Only after a full disk does it start again.
+// fail ends a member whose core has failed. It may start again only if its disk was full.
 func (m *member) fail(err error) {
 	m.crash()
 	if !errors.Is(err, errDiskFull) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// leads reports whether the member is the leader, as it believes.
+// leads reports whether the member considers itself the leader.
 func (m *member) leads() bool {
 	if !m.running {
 		return false
--- a/internal/faultinjection/coordsim/member_requests.go
+++ b/internal/faultinjection/coordsim/member_requests.go
@@ -5,36 +5,36 @@
 	"frostlink/internal/coord/replica"
 )
 
-// noLeader stands for the number of a leader that is not known.
+// noLeader is the number of an unknown leader.
 const noLeader = -1
 
 // reply is a member's reply to a client.
 type reply struct {
-	ok     bool // a command has a result, or a read was made
+	ok     bool // the command has a result, or the read has its values
 	result coord.Result
 	values []coord.Value
-	leader int // where not ok: number of the member to call instead, or noLeader
+	leader int // if not ok: number of the member to call instead, or noLeader
 }
 
-// call serves a command of a process. Hints of the session that it opens or uses go to a lease client; nil: to none.
-func (m *member) call(from *process, hinted *leaseClient, command coord.Command, respond func(reply)) {
+// call serves a command of a process. Hints for the session of the command go to hintReceiver; nil: to no client.
+func (m *member) call(from *process, hintReceiver *leaseClient, command coord.Command, respond func(reply)) {
 	propose := func(tag uint64) bool { return m.core.Propose(tag, command) }
 	m.serve(from, propose, respond, func(c replica.Completion) reply {
-		if hinted != nil && c.Result.Session != 0 {
-			m.sessions[c.Result.Session] = hinted
+		if hintReceiver != nil && c.Result.Session != 0 {
+			m.sessions[c.Result.Session] = hintReceiver
 		}
 		return reply{ok: true, result: c.Result, leader: noLeader}
 	})
 }
 
-// read serves a read of a key: its values at some moment between the request and the reply.
+// read serves a read of a key. The reply has the key's values at some time between the request and the reply.
 func (m *member) read(from *process, key string, respond func(reply)) {
 	m.serve(from, m.core.ReadIndex, respond, func(replica.Completion) reply {
 		return reply{ok: true, values: m.core.Machine().Values(key), leader: noLeader}
 	})
 }
 
-// serve begins a request, and sends a reply when it is completed or rejected.
+// serve begins a request, and sends a reply when the request is completed or rejected.
 func (m *member) serve(from *process, begin func(tag uint64) bool, respond func(reply), complete func(replica.Completion) reply) {
 	send := func(r reply) { m.sim.network.send(&m.process, from, func() { respond(r) }) }
 	m.lastTag++
@@ -52,7 +52,7 @@
 	m.round()
 }
 
-// rejection returns the reply that names the leader, as far as it is known.
+// rejection returns a reply that names the leader, if that is another member and known.
 func (m *member) rejection() reply {
 	r := reply{leader: noLeader}
 	if leads, id := m.core.Leadership(); !leads && id != 0 {
--- a/internal/faultinjection/coordsim/member_round.go
+++ b/internal/faultinjection/coordsim/member_round.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxReadyPerRound bounds how often a core is asked for its work in a round.
+	// maxReadyPerRound bounds the calls of ProcessReady in a round.
 	maxReadyPerRound = 100
-	// minWriteDelay is the shortest write to a disk.
+	// minWriteDelay is the shortest duration of a write to the disk.
 	minWriteDelay = 100 * time.Microsecond
 )
 
-// round lets the core work until it has nothing to do. Its writes take time, in which nothing else happens, and its output leaves
-// afterwards.
+// round has the core process its pending work. The core's writes take time, in which the member does nothing else; each output is
+// emitted when the writes before it are on the disk.
 func (m *member) round() {
 	m.completeWrite()
 	m.writing, m.writtenAt = nil, m.sim.now()
@@ -36,7 +36,7 @@
 // roundWriter writes the batches of one round to a member's disk.
 type roundWriter struct {
 	member *member
-	last   *replica.WriteBatch // nil: none yet
+	last   *replica.WriteBatch // nil: no write yet
 }
 
 func (w *roundWriter) write(batch replica.WriteBatch) error {
@@ -44,7 +44,7 @@
 	if m.diskFull {
 		return errDiskFull
 	}
-	if w.last != nil { // writes are in order: the one before is on the disk when the next one begins
+	if w.last != nil { // writes are sequential: the previous one is on the disk before the next one begins
 		m.disk.Apply(*w.last)
 	}
 	w.last = &batch
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// completeWrite applies the last write to the disk if it has reached it.
+// completeWrite applies the last write to the disk if its time has come.
 func (m *member) completeWrite() {
 	if m.writing != nil && m.sim.now() >= m.writtenAt {
 		m.disk.Apply(*m.writing)
@@ -61,13 +61,14 @@
 	}
 }
 
-// emitWritten emits output when what was written before is on the disk.
+// emitWritten emits output as soon as the writes before it are on the disk.
 func (m *member) emitWritten(out replica.Output) {
 	incarnation := m.incarnation
 	m.sim.scheduler.after(m.writtenAt-m.sim.now(), nil, func() { m.emit(out, incarnation) })
 }
 
-// emit emits output of an incarnation, unless it has crashed. If it is paused, the output leaves afterwards.
+// emit sends the messages, replies and hints of an output, unless the incarnation that made it has crashed. A paused member emits
+// the output after the pause.
 func (m *member) emit(out replica.Output, incarnation int) {
 	if !m.running || m.incarnation != incarnation {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// sendToPeer sends a message to another member, through its encoding.
+// sendToPeer sends a message to another member. The message is encoded and decoded on the way.
 func (m *member) sendToPeer(e replica.Envelope) {
 	to := m.sim.memberByID(e.To)
 	if to == nil {
@@ -100,7 +101,7 @@
 	}
 	decoded, err := replica.DecodeEnvelope(e.Encode())
 	if err != nil {
-		panic(fmt.Errorf("a member's own message: %w", err)) // reported as a violation
+		panic(fmt.Errorf("decode an encoded message: %w", err)) // the scheduler reports it as a violation
 	}
 	m.sim.network.send(&m.process, &to.process, func() {
 		to.core.Receive(decoded)
--- a/internal/faultinjection/coordsim/network.go
+++ b/internal/faultinjection/coordsim/network.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// link is the path of messages from one process to another, by their numbers.
+// link is one direction between two processes, given by their numbers.
 type link struct{ from, to int }
 
 // network carries messages between processes.
@@ -13,12 +13,12 @@
 	lossProbability      float64
 	duplicateProbability float64
 	minDelay, maxDelay   time.Duration
-	duplicateDelay       time.Duration         // how much later a duplicate comes, at most
-	extraDelay           map[int]time.Duration // of what goes to a process, by its number
-	partitions           map[link]int          // faults that partition a link now
+	duplicateDelay       time.Duration         // maximum additional delay of a duplicate
+	extraDelay           map[int]time.Duration // of messages to a process, by its number
+	partitions           map[link]int          // number of faults that currently partition a link
 }
 
-// send delivers a message from one process to another, or loses or duplicates it.
+// send sends a message from one process to another. The message may be delayed, lost or duplicated.
 func (n *network) send(from, to *process, deliver func()) {
 	copies := 1
 	if n.random.chance(n.lossProbability) {
@@ -33,15 +33,15 @@
 			delay += n.random.between(0, n.duplicateDelay)
 		}
 		n.scheduler.after(delay, nil, func() {
-			// A partition loses what is in flight, too. What arrives at a process that is down is lost.
+			// A message is lost if its link is partitioned or its receiver is down at its arrival.
 			if n.partitions[link{from.number, to.number}] == 0 && to.running {
-				n.scheduler.after(0, to, deliver) // an event of the process: it may be paused
+				n.scheduler.after(0, to, deliver) // as an event of the receiver, which may be paused
 			}
 		})
 	}
 }
 
-// direction is a direction of messages, seen from a process.
+// direction is the direction of messages relative to a process.
 type direction int
 
 const (
@@ -50,7 +50,7 @@
 	incoming
 )
 
-// partition loses the messages between a process and others, in a direction, for a while.
+// partition loses messages between a process and others for a time, in one direction or both.
 func (n *network) partition(process int, others []int, d direction, duration time.Duration) {
 	var links []link
 	for _, other := range others {
@@ -66,14 +66,14 @@
 	}
 	n.scheduler.after(duration, nil, func() {
 		for _, l := range links {
-			if n.partitions[l] > 0 { // else the quiet period has begun
+			if n.partitions[l] > 0 { // it is 0 if the quiet period has healed the network
 				n.partitions[l]--
 			}
 		}
 	})
 }
 
-// heal ends all faults of the network. Delays stay as they were drawn, up to a bound.
+// heal ends all network faults. The maximum delay stays as it was drawn, but no higher than a bound.
 func (n *network) heal(maxDelay time.Duration) {
 	n.lossProbability, n.duplicateProbability = 0, 0
 	n.maxDelay = min(n.maxDelay, maxDelay)
--- a/internal/faultinjection/coordsim/partition.go
+++ b/internal/faultinjection/coordsim/partition.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// slowNetworkDelay bounds delays on a slow network.
+// slowNetworkDelay is the maximum delay of messages on a slow network.
 const slowNetworkDelay = 600 * time.Millisecond
 
-// drawDirection draws a direction of a one-way partition.
+// drawDirection draws the direction of a one-way partition.
 func (s *simulation) drawDirection() direction {
 	if s.random.chance(0.5) {
 		return outgoing
@@ -21,18 +21,18 @@
 	s.network.partition(t.member.number, s.processNumbers(), s.drawDirection(), t.duration)
 }
 
-// partitionLeaderFromMembers partitions a leader from the other members. Clients still reach it.
+// partitionLeaderFromMembers partitions a leader from the other members, but not from clients.
 func (s *simulation) partitionLeaderFromMembers(t target) {
 	s.network.partition(t.member.number, s.memberNumbers(), bothWays, t.duration)
 }
 
-// partitionClientOneWay partitions a client for about as long as its leases last.
+// partitionClientOneWay partitions a client in one direction, for half to twice the time to live of leases.
 func (s *simulation) partitionClientOneWay(t target) {
 	d := s.drawDirection()
 	s.network.partition(t.client.number, s.processNumbers(), d, s.random.between(s.ttl/2, 2*s.ttl))
 }
 
-// delayAndPartitionClient delays what a client receives. Then nothing is received from it any more.
+// delayAndPartitionClient delays messages to a client for a time, and then loses all messages from it.
 func (s *simulation) delayAndPartitionClient(t target) {
 	client := t.client.number
 	s.network.extraDelay[client] = s.random.between(50*time.Millisecond, 280*time.Millisecond)
--- a/internal/faultinjection/coordsim/play_test.go
+++ b/internal/faultinjection/coordsim/play_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// frostlink-coord prove plays ten thousand such runs.
+// frostlink-coord prove plays ten thousand runs of this kind.
 func TestPlay_DrawnRunsPassAllChecks(t *testing.T) {
 	const seeds, shards = 300, 12
 	for shard := range uint64(shards) {
@@ -21,13 +21,13 @@
 					continue
 				}
 				raw, err := json.Marshal(r)
-				t.Errorf("%s, %v", raw, err)
+				t.Errorf("violations in run %s (encoding error: %v)", raw, err)
 			}
 		})
 	}
 }
 
-// A seed plays its run again, to the last execution.
+// Two runs of one seed have the same operations, grants and number of executions.
 func TestPlay_SameSeedSameRun(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 5; seed++ {
@@ -36,7 +36,7 @@
 		second.play()
 		if !reflect.DeepEqual(first.operations, second.operations) || !reflect.DeepEqual(first.grants, second.grants) ||
 			len(first.executions) != len(second.executions) || len(first.executions) == 0 {
-			t.Errorf("seed %d: %d executions, %d grants and %d operations, and again %d, %d and %d", seed,
+			t.Errorf("seed %d: first run has %d executions, %d grants and %d operations, second run %d, %d and %d, or their contents differ", seed,
 				len(first.executions), len(first.grants), len(first.operations),
 				len(second.executions), len(second.grants), len(second.operations))
 		}
--- a/internal/faultinjection/coordsim/quiet.go
+++ b/internal/faultinjection/coordsim/quiet.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// maxQuietDelay bounds the network's delays in the quiet period.
+	// maxQuietDelay bounds message delays in the quiet period.
 	maxQuietDelay = 5 * time.Millisecond
-	// quietWriteDelay bounds what a write takes in the quiet period.
+	// quietWriteDelay is the longest duration of a write in the quiet period.
 	quietWriteDelay = 2 * time.Millisecond
 )
 
-// beginQuietPeriod ends all faults, and makes all clients want all leases.
+// beginQuietPeriod ends all faults, starts processes that are down, and has all lease clients request all leases.
 func (s *simulation) beginQuietPeriod() {
 	s.quiet = true
 	s.network.heal(maxQuietDelay)
--- a/internal/faultinjection/coordsim/random.go
+++ b/internal/faultinjection/coordsim/random.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// randomSource is the only source of chance in a run.
+// randomSource is the only source of randomness in a run.
 type randomSource struct{ *rand.Rand }
 
-// chance is true with a probability.
+// chance returns true with a probability.
 func (r randomSource) chance(probability float64) bool { return r.Float64() < probability }
 
-// between draws a time, shorter ones more often.
+// between draws a duration. Short durations are more likely than long ones.
 func (r randomSource) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.Float64()*r.Float64()*float64(high-low))
 }
--- a/internal/faultinjection/coordsim/replacement.go
+++ b/internal/faultinjection/coordsim/replacement.go
@@ -9,13 +9,13 @@
 	"frostlink/internal/coord/replica"
 )
 
-// errRemoved is why a member that was removed does not start again.
-var errRemoved = errors.New("removed")
+// errRemoved is the reason why a removed member does not start again.
+var errRemoved = errors.New("member removed")
 
-// replacementInterval is between an operator's attempts to change the members.
+// replacementInterval is the time between attempts to change the members.
 const replacementInterval = 200 * time.Millisecond
 
-// replacementState says how far the replacement of a member is.
+// replacementState is the state of the one replacement of a run.
 type replacementState int
 
 const (
@@ -24,8 +24,8 @@
 	replaced
 )
 
-// replacement puts a new member in the place of an old one, as an operator does: the new one joins as a learner, the old one is
-// removed, the new one gets its vote.
+// replacement replaces an old member by a new one in the steps of an operator: the new member joins as a learner, the old member is
+// removed, and the new member becomes a voter.
 type replacement struct {
 	sim     *simulation
 	old     *member
@@ -34,7 +34,7 @@
 	step    int
 }
 
-// replacementSteps are the steps of a replacement. Each is attempted until some member has applied it.
+// replacementSteps are the steps of a replacement. Each is retried until a running member has applied it.
 var replacementSteps = []struct {
 	isDone  func(r *replacement, m *coord.Machine) bool
 	attempt func(r *replacement, c *replica.Core) error
@@ -57,8 +57,8 @@
 	},
 }
 
-// replaceMember replaces a member: the one that has ended for good, if there is one. Once a run. It goes on in the quiet period, and
-// has to be done by its end.
+// replaceMember begins the replacement of a member, preferably of one that is permanently terminated. There is one replacement per run.
+// It continues in the quiet period, and must be complete by the end of that.
 func (s *simulation) replaceMember(t target) {
 	if s.replacement != notReplacing {
 		return
@@ -83,7 +83,7 @@
 	r.advance()
 }
 
-// advance goes on with the current step, and is called again until the last one is done.
+// advance attempts the current step, or moves on to the next one if that is done. It reschedules itself until all steps are done.
 func (r *replacement) advance() {
 	if r.step == len(replacementSteps) {
 		r.sim.replacement = replaced
@@ -102,7 +102,7 @@
 		}
 		if m.leads() {
 			r.sim.scheduler.after(0, &m.process, func() {
-				_ = step.attempt(r, m.core) // another attempt follows
+				_ = step.attempt(r, m.core) // the step is retried after replacementInterval
 				m.round()
 			})
 		}
@@ -110,7 +110,7 @@
 	r.sim.scheduler.after(replacementInterval, nil, r.advance)
 }
 
-// endOldMember ends the old member for good.
+// endOldMember terminates the old member permanently.
 func (r *replacement) endOldMember() {
 	r.old.crash()
 	r.old.terminated = errRemoved
--- a/internal/faultinjection/coordsim/rollback.go
+++ b/internal/faultinjection/coordsim/rollback.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// rollBackDisk restarts a member, and some time later crashes it and starts it with the disk that it had before, if by then all
-// others knew of its new incarnation: that has to be noticed. One member a run: a majority has to keep its disks.
+// rollBackDisk restarts a member, later crashes it, and starts it with the disk that it had before the restart. It does so only if
+// all other members have acknowledged the new incarnation by then, since only in this case must the rollback be noticed. There is at
+// most one rollback per run, because a majority of members has to keep its disks.
 func (s *simulation) rollBackDisk(t target) {
 	m := t.member
 	if s.rollback || !m.running || s.replacement != notReplacing {
@@ -34,7 +35,7 @@
 	})
 }
 
-// checkRollback checks that a member with a disk that was rolled back has ended.
+// checkRollback checks that a member whose disk was rolled back has terminated.
 func (s *simulation) checkRollback(m *member) {
 	if m.terminated == nil {
 		s.report(checkDisk, "member %d took part with a disk that was set back", m.id)
--- a/internal/faultinjection/coordsim/scheduler.go
+++ b/internal/faultinjection/coordsim/scheduler.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// event is something that happens to a process at a moment of true time.
+// event is an action of a process that is scheduled for a true time.
 type event struct {
 	at          time.Duration
-	sequence    uint64   // orders events of one moment
-	owner       *process // nil: none
-	incarnation int      // of the owner; events of an earlier one are dropped
+	sequence    uint64   // order of scheduling, for events with equal times
+	owner       *process // nil: no process
+	incarnation int      // of the owner; the event is dropped if the owner has a later one
 	action      func()
 }
 
-// eventQueue is a heap of events, for package heap.
+// eventQueue is a heap of events that implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -34,10 +34,11 @@
 	now          time.Duration // true time
 	lastSequence uint64
 	queue        eventQueue
-	onPanic      func(owner *process, reason any) // takes the panic of an event
+	onPanic      func(owner *process, reason any) // called when an event panics
 }
 
-// after schedules an action of a process, which is dropped if the process has crashed by then. Without an owner it is always run.
+// after schedules an action of a process after a delay. The action is dropped if the process crashes before; without an owner it
+// always runs.
 func (s *scheduler) after(d time.Duration, owner *process, action func()) {
 	s.lastSequence++
 	e := event{at: s.now + d, sequence: s.lastSequence, owner: owner, action: action}
@@ -47,7 +48,7 @@
 	heap.Push(&s.queue, e)
 }
 
-// runUntil runs all events up to a moment. Events of a process that is busy wait until it is not, in the same order.
+// runUntil runs all events up to a time. Events of a busy process are deferred until it is no longer busy, and keep their order.
 func (s *scheduler) runUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := heap.Pop(&s.queue).(event)
@@ -66,7 +67,7 @@
 	s.now = end
 }
 
-// run runs an event. A process that panics in it has ended.
+// run runs an event, and passes a panic in it to onPanic.
 func (s *scheduler) run(e event) {
 	defer func() {
 		if reason := recover(); reason != nil {
--- a/internal/faultinjection/coordsim/simulation.go
+++ b/internal/faultinjection/coordsim/simulation.go
@@ -10,21 +10,21 @@
 	members      []*member
 	leaseClients []*leaseClient
 	valueClients []*valueClient
-	leases       []string // their names
+	leases       []string // names of the leases
 
 	parameters
 	quiet        bool // the quiet period has begun
 	lastMemberID uint64
-	rollback     bool // a disk was to be rolled back
+	rollback     bool // a disk rollback has been started: there is one per run
 	replacement  replacementState
 
-	// What was seen, for the checks.
+	// Observations for the checks.
 	executions []*execution
 	grants     []grant
 	transfers  []transfer
 	operations []operation
 	violations []Violation
-	counts     map[faultKind]int // faults that were injected
+	counts     map[faultKind]int // number of injected faults by kind
 }
 
 // Result is the result of a run.
@@ -39,7 +39,7 @@
 	InjectedFaults map[string]int `json:"done"` // by kind
 }
 
-// Play plays the run of a seed, and checks it.
+// Play plays the run of a seed, and makes the checks.
 func Play(seed uint64) Result {
 	s := newSimulation(seed)
 	s.play()
@@ -47,7 +47,7 @@
 	return s.result(seed)
 }
 
-// play lets the time with faults pass, then the quiet period.
+// play simulates the period with faults, then the quiet period.
 func (s *simulation) play() {
 	for _, m := range s.members {
 		m.start()
@@ -64,7 +64,7 @@
 	s.scheduler.runUntil(s.end())
 }
 
-// end returns when the run ends.
+// end returns the true time at which the run ends.
 func (s *simulation) end() time.Duration { return s.faultTime + s.quietTime }
 
 // now returns the true time.
@@ -81,7 +81,7 @@
 	return r
 }
 
-// handlePanic ends the process whose event has panicked.
+// handlePanic reports a panic in an event, and crashes the process that owns the event.
 func (s *simulation) handlePanic(owner *process, reason any) {
 	s.report(checkPanic, "%v", reason)
 	if owner != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// memberByID returns the member with an id, or nil.
+// memberByID returns the member with an id, or nil if there is none.
 func (s *simulation) memberByID(id uint64) *member {
 	for _, m := range s.members {
 		if m.id == id {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// peersOf returns the ids of all other members that have not ended for good.
+// peersOf returns the ids of all other members that are not permanently terminated.
 func (s *simulation) peersOf(id uint64) []uint64 {
 	var ids []uint64
 	for _, m := range s.members {
--- a/internal/faultinjection/coordsim/value_client.go
+++ b/internal/faultinjection/coordsim/value_client.go
@@ -7,25 +7,25 @@
 	"frostlink/internal/coord"
 )
 
-// valueRole is what a client of values does.
+// valueRole is the kind of requests that a value client makes.
 type valueRole int
 
 const (
-	writer  valueRole = iota // writes and reads
-	reader                   // reads, more often
-	revoker                  // revokes leases of others, and has nothing to do with values
+	writer  valueRole = iota // writes and reads values
+	reader                   // reads values, more often than a writer
+	revoker                  // revokes leases, and does not use values
 )
 
 const (
-	// valueSessionTTL is the time to live of sessions of value clients.
+	// valueSessionTTL is the time to live of the sessions of value clients.
 	valueSessionTTL = 5 * time.Second
-	// The longest pauses between two requests.
+	// The longest pauses between two requests, by role.
 	maxWriterPause = 900 * time.Millisecond
 	maxReaderPause = 120 * time.Millisecond
 	maxRevokePause = 4 * time.Second
 )
 
-// keys are the keys of values.
+// keys are the keys of the values that clients write and read.
 var keys = []string{"k0", "k1"}
 
 // valueClient is a process that writes and reads values, or revokes leases.
@@ -35,10 +35,10 @@
 	sim       *simulation
 	name      string
 	session   uint64
-	sequence  uint64 // of the last command in the session
-	server    int    // index of the member to call
-	revisions map[string]uint64
-	attempt   int // number of the last attempt that began or finished: replies to others are ignored
+	sequence  uint64            // of the last command in the session
+	server    int               // index of the member to call
+	revisions map[string]uint64 // the last one seen, by key
+	attempt   int               // changes when an attempt begins or finishes, so that late replies and time-outs are ignored
 }
 
 func (c *valueClient) start() {
@@ -56,7 +56,7 @@
 	}, c.openSession)
 }
 
-// scheduleRequest makes the next request after a while.
+// scheduleRequest schedules the next request.
 func (c *valueClient) scheduleRequest() {
 	random := c.sim.random
 	switch c.role {
@@ -79,7 +79,7 @@
 	c.write(key)
 }
 
-// write writes a key if it still has the revision that the client knows.
+// write writes a key on the condition that it still has the revision that the client saw last.
 func (c *valueClient) write(key string) {
 	c.sequence++
 	value := fmt.Sprintf("%s-%d", c.name, c.sim.random.Uint64())
@@ -99,7 +99,7 @@
 	})
 }
 
-// revoke revokes a lease from its holder, as some member believes it to be.
+// revoke revokes a random lease, with the holder's token that a random member has, which may be outdated.
 func (c *valueClient) revoke() {
 	random := c.sim.random
 	m := c.sim.members[random.IntN(len(c.sim.members))]
@@ -119,7 +119,7 @@
 		func(coord.Result) { c.scheduleRequest() }, c.openSession)
 }
 
-// read reads a key once. A read without a reply says nothing.
+// read reads a key without retries. A read that fails is not recorded, as the checks can conclude nothing from it.
 func (c *valueClient) read(key string) {
 	op := operation{client: c.number, key: key, begin: c.sim.now()}
 	finish := c.beginAttempt()
--- a/internal/faultinjection/coordsim/value_requests.go
+++ b/internal/faultinjection/coordsim/value_requests.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// attemptTimeout is how long a client of values waits for a reply.
+	// attemptTimeout is how long a value client waits for a reply.
 	attemptTimeout = 400 * time.Millisecond
-	// submitTimeout is how long a command is retried: its session may have ended by then.
+	// submitTimeout is how long a command is retried. After that its session may have ended.
 	submitTimeout = 4 * time.Second
-	// The backoff between attempts.
+	// The bounds of the backoff between attempts.
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 200 * time.Millisecond
 )
 
-// beginAttempt begins an attempt. The first call of finish ends it, and returns true unless another one has begun.
+// beginAttempt begins an attempt. The first call of finish ends it and returns true. Later calls return false, and so do calls after
+// another attempt has begun.
 func (c *valueClient) beginAttempt() (finish func() bool) {
 	c.attempt++
 	current := c.attempt
@@ -29,7 +30,7 @@
 	}
 }
 
-// send sends a request to the current server, with a timeout.
+// send sends a request to the current server, and schedules onTimeout in case that no reply comes.
 func (c *valueClient) send(deliver func(m *member), onTimeout func()) {
 	m := c.sim.members[c.server]
 	c.sim.network.send(&c.process, &m.process, func() { deliver(m) })
@@ -39,14 +40,15 @@
 // nextServer returns the index of the member after the current server.
 func (c *valueClient) nextServer() int { return (c.server + 1) % len(c.sim.members) }
 
-// submit submits a command until it has a result, or for so long that its session may have ended.
-func (c *valueClient) submit(command coord.Command, done func(coord.Result), lost func()) {
-	c.submitUntil(c.sim.now()+submitTimeout, command, done, lost)
+// submit sends a command, with retries, until it has a result, and passes that to onResult. It calls onLost instead if the session has ended,
+// or may have ended by the timeout; the outcome of the command is then unknown.
+func (c *valueClient) submit(command coord.Command, onResult func(coord.Result), onLost func()) {
+	c.submitUntil(c.sim.now()+submitTimeout, command, onResult, onLost)
 }
 
-func (c *valueClient) submitUntil(deadline time.Duration, command coord.Command, done func(coord.Result), lost func()) {
+func (c *valueClient) submitUntil(deadline time.Duration, command coord.Command, onResult func(coord.Result), onLost func()) {
 	if c.sim.now() > deadline {
-		lost()
+		onLost()
 		return
 	}
 	finish := c.beginAttempt()
@@ -59,7 +61,7 @@
 			c.server = leader
 		}
 		c.sim.scheduler.after(c.sim.random.between(minBackoff, maxBackoff), &c.process, func() {
-			c.submitUntil(deadline, command, done, lost)
+			c.submitUntil(deadline, command, onResult, onLost)
 		})
 	}
 	c.send(func(m *member) {
@@ -69,9 +71,9 @@
 				retry(r.leader)
 			case !finish():
 			case r.result.Code == coord.CodeNoSession || r.result.Code == coord.CodeStale:
-				lost()
+				onLost()
 			default:
-				done(r.result)
+				onResult(r.result)
 			}
 		})
 	}, func() { retry(noLeader) })
