--- a/internal/faultinjection/coordsim/check_test.go
+++ b/internal/faultinjection/coordsim/check_test.go
@@ -16,7 +16,7 @@
 		got = append(got, v.Check)
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("violations %v, want of the checks %v", s.violations, want)
+		t.Errorf("violations %v, want violations of the checks %v", s.violations, want)
 	}
 }
 
@@ -105,10 +105,10 @@
 		operations []operation
 		want       []string
 	}{
-		"read what was written":             {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(5, "a", 10, 20)}, nil},
+		"read of the written value":         {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(5, "a", 10, 20)}, nil},
 		"read before a write ends":          {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 5, 20)}, nil},
 		"stale read":                        {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), read(0, "", 11, 20)}, []string{checkLinearizability}},
-		"write over an unknown revision":    {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 6, "b", coord.CodeOK, 11, 20)}, []string{checkLinearizability}},
+		"write over a wrong revision":       {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 6, "b", coord.CodeOK, 11, 20)}, []string{checkLinearizability}},
 		"conflict":                          {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(4, 5, "b", coord.CodeConflict, 11, 20)}, nil},
 		"conflict at the expected revision": {[]operation{write(0, 5, "a", coord.CodeOK, 0, 10), write(5, 5, "b", coord.CodeConflict, 11, 20)}, []string{checkLinearizability}},
 		"outcome unknown, executed":         {[]operation{write(0, 0, "a", codeUnknown, 0, forever), read(5, "a", 11, 20)}, nil},
--- a/internal/faultinjection/coordsim/lease_calls.go
+++ b/internal/faultinjection/coordsim/lease_calls.go
@@ -33,7 +33,7 @@
 				c.core.HandleResult(now, call.ID, r.result)
 				c.observe(r.result, sentAt)
 			} else {
-				c.core.SetServers(r.leader + 1) // the leader may be a member that has joined since; a real reply has its address
+				c.core.SetServers(r.leader + 1) // the leader may be a member that has joined since; a real reply has its address, so the core can reach it
 				c.core.HandleFailure(now, call.ID, r.leader)
 			}
 			c.step()
--- a/internal/faultinjection/coordsim/lease_client.go
+++ b/internal/faultinjection/coordsim/lease_client.go
@@ -84,7 +84,7 @@
 	c.step()
 }
 
-// handleHint handles a hint from a member that a lease of the client's session has changed.
+// handleHint handles a member's hint that the state of the client's session has changed.
 func (c *leaseClient) handleHint() {
 	c.core.HandleHint(c.clock(c.sim.now()))
 	c.step()
--- a/internal/faultinjection/coordsim/member.go
+++ b/internal/faultinjection/coordsim/member.go
@@ -31,8 +31,8 @@
 	maxWriteDelay   time.Duration
 	usualWriteDelay time.Duration                       // maxWriteDelay without a fault
 	terminated      error                               // why it does not start again; nil: it may
-	pending         map[uint64]func(replica.Completion) // by tag
-	lastTag         uint64                              // of a request
+	pending         map[uint64]func(replica.Completion) // called when a request is completed, by tag
+	lastTag         uint64                              // of the requests so far
 	sessions        map[uint64]*leaseClient             // client that gets the hints for a session, by session
 }
 
--- a/internal/faultinjection/coordsim/scheduler_test.go
+++ b/internal/faultinjection/coordsim/scheduler_test.go
@@ -41,6 +41,6 @@
 	s.after(0, owner, func() { panic("broken") })
 	s.runUntil(time.Second)
 	if got != "broken" {
-		t.Errorf("%v", got)
+		t.Errorf("onPanic got %v, want the value of the panic: broken", got)
 	}
 }
--- a/internal/faultinjection/simulation/day_drawn.go
+++ b/internal/faultinjection/simulation/day_drawn.go
@@ -19,7 +19,7 @@
 // DrawnDayNames are the kinds of drawn days.
 var DrawnDayNames = []string{CalmDay, RollingDay, HerdDay, ZoneDay, SplitDay, JoinDay}
 
-// drawnFaults add the faults of each kind of day.
+// drawnFaults has the function that adds the faults of each kind of day.
 var drawnFaults = map[string]func(d *drawnDay){
 	CalmDay:    (*drawnDay).addSurge,
 	RollingDay: (*drawnDay).addRollingRestart,
--- a/internal/faultinjection/simulation/day_standard.go
+++ b/internal/faultinjection/simulation/day_standard.go
@@ -11,7 +11,7 @@
 const (
 	CalmDay = "calm" // no fault
 	JoinDay = "join" // the destination with a third of the traffic admits a quarter of its limit for 9 s
-	ZoneDay = "zone" // destinations with half of the traffic are down for 5 s, and return cold
+	ZoneDay = "zone" // destinations with half of the traffic are down for 5 s, and recover in slow start
 	HerdDay = "herd" // relays are killed while endpoints are replaced
 	RushDay = "rush" // clients send 1.5 times the usual traffic, more than the destinations' limits allow
 )
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// each adds a fault to each destination that has its traffic from a share of the workload.
+	// each adds a fault at a time for all destinations of one of the workload's shares.
 	each := func(share int, seconds float64, fault Fault) {
 		for _, number := range numbersByShare[share] {
 			fault.At, fault.Destination = scenario.Seconds(seconds), number
--- a/internal/faultinjection/simulation/discovery.go
+++ b/internal/faultinjection/simulation/discovery.go
@@ -41,7 +41,8 @@
 	watchers  map[*relay]int // relays with a watch, and the incarnation of the process that opened it
 }
 
-// publish changes the endpoint list. Watchers are notified after PublishDelay.
+// publish changes the endpoint list. Watchers are notified after PublishDelay, except of the list with which a day begins, which all
+// relays have from the start.
 func (s *discoveryService) publish(e *endpoint, state endpointState) {
 	s.changes = append(s.changes, endpointChange{e, state})
 	if s.fleet.now == 0 {
--- a/internal/faultinjection/simulation/event_queue.go
+++ b/internal/faultinjection/simulation/event_queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// never is a time that no run reaches: nothing is due.
+// never is a time after the end of every run, used where nothing is scheduled.
 const never = time.Duration(1<<63 - 1)
 
 // scheduledCall is a function call that is scheduled for a time.
--- a/internal/faultinjection/simulation/planted_bug_test.go
+++ b/internal/faultinjection/simulation/planted_bug_test.go
@@ -96,7 +96,7 @@
 		"changes of the list are ignored": {PlantedBug{Events: func(_ int, all []policy.Event) []policy.Event {
 			return slices.DeleteFunc(all, func(e policy.Event) bool { l, ok := e.(policy.EndpointsChanged); return ok && !l.Full })
 		}}, "after it drained"},
-		"what was in flight at a kill counts as not executed": {PlantedBug{Events: func(_ int, all []policy.Event) []policy.Event {
+		"attempts in flight at a kill count as not executed": {PlantedBug{Events: func(_ int, all []policy.Event) []policy.Event {
 			for i, e := range all {
 				if a, ok := e.(policy.Arrived); ok {
 					for j := range a.PriorAttempts {
@@ -117,7 +117,7 @@
 		t.Run(name, func(t *testing.T) {
 			found := strings.Join(ruleFindings(playStandard(t, HerdDay, 40, func(d *Day) { d.Bug = tt.bug })), "\n")
 			if !strings.Contains(found, tt.caught) {
-				t.Errorf("found %q, want %q", found, tt.caught)
+				t.Errorf("found %q, want a finding that contains %q", found, tt.caught)
 			}
 		})
 	}
@@ -140,7 +140,7 @@
 		})}, nil, checker.OutcomeMissing},
 		"rejections are late":                  {JoinDay, PlantedBug{Actions: delayedRejections()}, nil, checker.OutcomeLate},
 		"sent messages fail, delivered or not": {CalmDay, PlantedBug{Actions: prematureFailures()}, nil, checker.OutcomeTwice},
-		"what was in flight at a kill counts as not executed": {RollingDay, PlantedBug{Events: eachEvent(func(e policy.Event) policy.Event {
+		"attempts in flight at a kill count as not executed": {RollingDay, PlantedBug{Events: eachEvent(func(e policy.Event) policy.Event {
 			if a, ok := e.(policy.Arrived); ok {
 				for i := range a.PriorAttempts {
 					a.PriorAttempts[i].NotExecuted = true
@@ -206,13 +206,13 @@
 				}
 			}
 			if r := playDrawn(t, tt.kind, 300, 2, day); r.Violations[tt.caught] == 0 {
-				t.Errorf("%v, want %q", r.Violations, tt.caught)
+				t.Errorf("violations %v, want one of rule %q", r.Violations, tt.caught)
 			}
 		})
 	}
 	// Without the bug the ordered class breaks no rule.
 	if r := playDrawn(t, CalmDay, 60, 2, orderClass); len(r.Violations) > 0 {
-		t.Errorf("without the bug: %v", r.Failures)
+		t.Errorf("violations without the bug: %v", r.Failures)
 	}
 }
 
@@ -238,7 +238,7 @@
 	}
 }
 
-// delayedRejections returns a PlantedBug.Actions that delays rejections by up to 14 s.
+// delayedRejections returns a PlantedBug.Actions that collects rejections for 14 s, and then returns them together.
 func delayedRejections() func(int, time.Duration, []policy.Action) []policy.Action {
 	late, due := map[int][]policy.Action{}, map[int]time.Duration{}
 	return func(relay int, now time.Duration, all []policy.Action) (out []policy.Action) {
@@ -259,7 +259,7 @@
 	}
 }
 
-// prematureFailures returns a PlantedBug.Actions that fails each message 3 s after each attempt.
+// prematureFailures returns a PlantedBug.Actions that fails each message 3 s after an attempt was sent, whatever its outcome.
 func prematureFailures() func(int, time.Duration, []policy.Action) []policy.Action {
 	type sent struct {
 		id string
--- a/internal/faultinjection/simulation/relay_request.go
+++ b/internal/faultinjection/simulation/relay_request.go
@@ -61,7 +61,7 @@
 	f, request := r.fleet, r.requests[id]
 	if request == nil {
 		f.result.recordFailure("%s was ended twice", id)
-		// The notice goes out all the same, as it would from a real relay, so that the checker gets to see it.
+		// The decision module's action is carried out all the same, so that the checker gets the second outcome.
 		f.record(checker.Event{Kind: checker.Notified, ID: id, Relay: r.number, State: checker.Undeliverable})
 		return
 	}
--- a/internal/faultinjection/simulation/workload.go
+++ b/internal/faultinjection/simulation/workload.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// attemptsPerEndpoint is the highest limit of one endpoint, in attempts per second. An endpoint accepts at least minEndpointConns
+	// attemptsPerEndpoint is the number of attempts per second that one endpoint is sized for. An endpoint accepts at least minEndpointConns
 	// connections.
 	attemptsPerEndpoint, minEndpointConns = 60.0, 12
 	// Destinations of the largest share of the traffic have up to maxEndpointsOfLargest endpoints, the others up to maxEndpoints, so that
@@ -27,7 +27,8 @@
 )
 
 const (
-	// Discovery can serve one poll of each relay within discoveryPeriod, and one of minDiscoveryClients relays in a smaller fleet.
+	// Discovery can serve one poll of each relay within discoveryPeriod. For fewer than minDiscoveryClients relays it has the capacity
+	// for that number.
 	discoveryPeriod     = 5 * time.Second
 	minDiscoveryClients = 12
 	discoveryTimeout    = 2 * time.Second
@@ -97,7 +98,7 @@
 `
 
 // newDay returns a day without faults, and the numbers of the destinations of each share in w.shares. The number of destinations
-// grows with the number of relays; the limit of one endpoint does not.
+// grows with the number of relays; the load of one endpoint does not.
 func (w workload) newDay(relays int, seed int64) (day *Day, numbersByShare [][]int, err error) {
 	rate := w.ratePerRelay * float64(relays)
 	var text strings.Builder
