--- a/internal/faultinjection/simulation/attempt.go
+++ b/internal/faultinjection/simulation/attempt.go
@@ -74,8 +74,8 @@
 	f.after(f.oneWay(), a.connect)
 }
 
-// checkSend reports attempts that break a rule: at an endpoint that is not of the destination or that drains, or while another
-// attempt of the request is in flight.
+// checkSend reports an attempt that a relay must not make, whatever its decision module decides: at an endpoint that is not of the
+// destination or that has drained too long, or while another attempt of the request is in flight.
 func (r *relay) checkSend(request *openRequest, action policy.Send) {
 	f := r.fleet
 	listed, known := r.listed[action.Endpoint]
--- a/internal/faultinjection/simulation/day_drawn.go
+++ b/internal/faultinjection/simulation/day_drawn.go
@@ -57,7 +57,7 @@
 }
 
 func drawWorkload(random drawSource) workload {
-	const largestShare = 0.35 // one destination gets much of the traffic
+	const largestShare = 0.35 // one destination, or a few equal ones in a large fleet, get much of the traffic
 	w := workload{
 		ratePerRelay: random.between(5, 9), sentShare: random.between(0.75, 1), limitFactor: random.between(1, 1.4),
 		capacityRatio: random.between(1.2, 1.6), length: random.between(26, 34),
--- a/internal/faultinjection/simulation/doc.go
+++ b/internal/faultinjection/simulation/doc.go
@@ -1,7 +1,7 @@
 // Package simulation runs a whole fleet of relays in virtual time: the decision modules are those of production, each with a
-// seed of its own, and the destinations and an overloaded discovery service are models. All of it runs on one thread and opens
-// no socket. One machine can't run so many relay processes; the simulation shows within seconds what load the relays of a
-// fleet together put on a destination or on discovery.
+// seed of its own, and the destinations and a discovery service of limited capacity are models. All of it runs on one thread
+// and opens no socket. A second of real time shows what load the relays of a fleet together put on a destination or on
+// discovery, which so many relay processes could not show on one machine.
 //
 // A Day is a scenario with faults that concern a fleet. Play runs it, and package checker judges it by the events that the
 // models recorded. The same day gives the same result each time.
