--- a/cmd/frostlink/build_test.go
+++ b/cmd/frostlink/build_test.go
@@ -19,7 +19,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// deployKey returns a key of deploy/balancer.toml.
+// deployKey returns the value of a key in deploy/balancer.toml.
 func deployKey(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -33,8 +33,9 @@
 	return string(m[1])
 }
 
-// The platform loads a library into the relay and watches one process: what the deploy file's build makes is linked against the C
-// library, and what its run starts is one process, the relay itself, that starts no other.
+// The platform preloads a library into the relay and supervises a single process. Therefore the program that the deploy file's build
+// command makes must be linked dynamically against the C library, and its run command must start the relay itself, as one process that
+// starts no other.
 func TestDeployFile_BuildAndRun(t *testing.T) {
 	if _, err := exec.LookPath("gcc"); err != nil {
 		t.Skip("external linking needs a C compiler: ", err)
@@ -48,7 +49,7 @@
 	checkSingleProcess(t, relay.Pid)
 }
 
-// buildRelay builds the relay into a folder as the deploy file says.
+// buildRelay builds the relay into dir with the deploy file's build command.
 func buildRelay(t *testing.T, dir string) {
 	t.Helper()
 	build := strings.ReplaceAll(strings.ReplaceAll(deployKey(t, "build"), "-o bin/", "-o "+dir+"/"), "./cmd/...", "./cmd/frostlink")
@@ -68,19 +69,19 @@
 	defer f.Close()
 	libs, err := f.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libs, func(lib string) bool { return strings.HasPrefix(lib, "libc.so") }) {
-		t.Errorf("linked against %v, %v: want the C library", libs, err)
+		t.Errorf("linked against %v (error %v), want the C library among them", libs, err)
 	}
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("it names no dynamic loader")
+		t.Error("the program names no dynamic loader")
 	}
 }
 
-// startRelay starts the relay as the deploy file says, until the test ends.
+// startRelay starts the relay with the deploy file's run command, and kills it when the test ends.
 func startRelay(t *testing.T, dir string, env []string) *os.Process {
 	t.Helper()
 	run := deployKey(t, "run")
 	if !strings.HasPrefix(run, "exec ") {
-		t.Errorf("run = %q does not replace its shell", run)
+		t.Errorf("run = %q does not replace the shell by exec", run)
 	}
 	relay := exec.Command("sh", "-c", strings.Replace(run, "bin/", dir+"/", 1))
 	relay.Dir, relay.Env = "../..", append(os.Environ(), env...)
@@ -104,30 +105,31 @@
 			}
 		}
 		if time.Now().After(until) {
-			t.Fatal("not ready within 20 s")
+			t.Fatal("the relay is not healthy within 20 s")
 		}
 	}
 }
 
-// checkSingleProcess checks that a process runs the relay, and that none of its threads has started another.
+// checkSingleProcess checks that a process runs the relay, and that none of its threads has started another process.
 func checkSingleProcess(t *testing.T, pid int) {
 	t.Helper()
 	proc := fmt.Sprintf("/proc/%d", pid)
 	if exe, err := os.Readlink(proc + "/exe"); err != nil || filepath.Base(exe) != "frostlink" {
-		t.Errorf("the process that was started runs %s, %v", exe, err)
+		t.Errorf("the process runs %s (error %v), want frostlink", exe, err)
 	}
 	threads, err := filepath.Glob(proc + "/task/*/children")
 	if err != nil || len(threads) == 0 {
-		t.Fatalf("no threads seen: %v", err)
+		t.Fatalf("no threads of the process found: %v", err)
 	}
 	for _, path := range threads {
 		if children, err := os.ReadFile(path); err == nil && len(children) > 0 {
-			t.Errorf("it has started %s", children)
+			t.Errorf("the relay has started child processes: %s", children)
 		}
 	}
 }
 
-// writeConfig writes a configuration whose discovery rejects all requests, and returns the relay's address and environment.
+// writeConfig writes a configuration with a discovery service that answers every request with 503, and returns the relay's address and
+// environment.
 func writeConfig(t *testing.T, dir string) (address string, env []string) {
 	t.Helper()
 	s, err := scenario.Read("../../scenarios/quiet.toml")
--- a/cmd/frostlink/golden_test.go
+++ b/cmd/frostlink/golden_test.go
@@ -14,7 +14,7 @@
 	"frostlink/internal/goldentest"
 )
 
-// What the relay says of input that it can't use, and its exit codes, to the byte.
+// Checks the exact error messages and the exit codes of the relay for invalid input.
 func TestGoldenBadInput(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "frostlink")
@@ -52,7 +52,7 @@
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
 		if err := cmd.Run(); err == nil {
-			t.Fatalf("%s: it runs", tt.name)
+			t.Fatalf("%s: the relay accepts the input", tt.name)
 		}
 		fmt.Fprintf(&got, "# %s: %d\n%s", tt.name, cmd.ProcessState.ExitCode(), strings.ReplaceAll(stderr.String(), dir, "DIR"))
 	}
--- a/cmd/frostlink/main.go
+++ b/cmd/frostlink/main.go
@@ -1,15 +1,15 @@
 // Command frostlink is the relay: it accepts requests from clients, records them in a journal, and delivers them to their
 // destinations' endpoints as package policy decides.
 //
-// It is configured by the platform's file (-config) and the operator's own (-operator), and by these variables:
+// It is configured by the platform's file (-config), the operator's file (-operator) and these environment variables:
 //
-//	NODE_CONFIG      the platform's file, where -config is absent
-//	NODE_STATE       the folder that outlives the process, where -state is absent
-//	NODE_LISTEN_FD   an inherited listening socket for clients
-//	NODE_MANAGEMENT  the address of the admin endpoint, in place of the file's
+//	NODE_CONFIG      the path of the platform's file, if -config is not given
+//	NODE_STATE       the folder for data that outlives the process, if -state is not given
+//	NODE_LISTEN_FD   the descriptor of an inherited listening socket for clients
+//	NODE_MANAGEMENT  the address of the admin endpoint; overrides the platform's file
 //
-// SIGTERM and SIGINT begin a graceful shutdown, SIGHUP has the platform's file read again. The exit code is 2 where the operator's file
-// can't be used, and 1 for any other error.
+// SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the platform's file. The exit code is 2 if the operator's file is invalid,
+// and 1 for any other error.
 package main
 
 import (
@@ -42,19 +42,19 @@
 )
 
 const (
-	// heapFraction of the memory limit is the runtime's soft limit: the journal's files count as memory too.
+	// heapFraction is the runtime's soft limit as a fraction of the memory limit, which also covers the journal's files.
 	heapFraction   = 0.6
 	bytesPerMB     = 1 << 20
-	firstInherited = 3 // descriptors below are standard input, output and error
+	firstInherited = 3 // lower descriptors are standard input, output and error
 )
 
 func main() {
-	// Before all else: a SIGHUP that is not caught ends the process.
+	// This has to come first, because a SIGHUP that is not caught ends the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	config := flag.String("config", os.Getenv(envConfig), "configuration `file` (default $NODE_CONFIG)")
-	state := flag.String("state", os.Getenv(envState), "`folder` that outlasts the process (default $NODE_STATE)")
-	operator := flag.String("operator", "", "the operator's own `file`, as deploy/frostlink.toml (default none: every section off)")
+	state := flag.String("state", os.Getenv(envState), "`folder` for data that outlives the process (default $NODE_STATE)")
+	operator := flag.String("operator", "", "the operator's `file`, such as deploy/frostlink.toml (default none: every section is off)")
 	flag.Parse()
 	operatorFile, err := readOperatorFile(*operator)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-// readOperatorFile reads the operator's file, or returns one with every section off where there is none.
+// readOperatorFile reads the operator's file. Without a path it returns a file in which every section is off.
 func readOperatorFile(path string) (*operatorconfig.File, error) {
 	if path == "" {
 		return operatorconfig.Off(), nil
@@ -75,7 +75,7 @@
 	return operatorconfig.Read(path)
 }
 
-// run runs the relay until it is asked to shut down or has handed over.
+// run runs the relay until it is asked to shut down or has handed over to a successor.
 func run(configPath, state string, operatorFile *operatorconfig.File, hangups <-chan os.Signal) error {
 	if state == "" {
 		return errors.New("no folder for the journal: set NODE_STATE or -state")
@@ -90,13 +90,13 @@
 	return relay.Run(ctx, config, state, relay.WatchReloads(ctx, configPath, config, hangups))
 }
 
-// limitRuntime holds the Go runtime to the platform's limits on cores and memory.
+// limitRuntime applies the platform's limits on cores and memory to the Go runtime.
 func limitRuntime(config *relay.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
 	debug.SetMemoryLimit(int64(heapFraction * config.Limits.MemoryMB * bytesPerMB))
 }
 
-// readConfig reads the platform's file, and adds what the environment alone tells a process.
+// readConfig reads the platform's file, and adds the operator's file and the settings from environment variables.
 func readConfig(path string, operatorFile *operatorconfig.File) (*relay.Config, error) {
 	config, err := relay.ReadConfig(path)
 	if err != nil {
@@ -105,10 +105,10 @@
 	config.OperatorFile = operatorFile
 	if fd := os.Getenv(envListenFD); fd != "" {
 		if config.ListenFD, err = strconv.Atoi(fd); err != nil || config.ListenFD < firstInherited {
-			return nil, fmt.Errorf("NODE_LISTEN_FD: %q is no descriptor that can be inherited", fd)
+			return nil, fmt.Errorf("NODE_LISTEN_FD: %q is not a file descriptor of 3 or above", fd)
 		}
 	}
-	// The environment goes before the file, which may be that of the process whose place this one takes.
+	// The environment overrides the file, because a successor may be started with its predecessor's file.
 	if address := os.Getenv(envManagement); address != "" {
 		config.Management = address
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs the decisions of package policy on the simulator's protocol: batches on standard input, replies on standard
-// output. The protocol is written down in package internal/simadapter.
+// Command simadapter connects package policy to the simulator: it reads batches of messages from standard input and writes a reply to each
+// to standard output. Package internal/simadapter documents the protocol.
 package main
 
 import (
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Backoff draws one caller's delays. It is not safe for concurrent use.
+// Backoff draws the retry delays of one caller. It is not safe for concurrent use.
 type Backoff struct {
 	minDelay      time.Duration
 	initialWindow time.Duration
 	maxWindow     time.Duration
-	window        time.Duration // of the next delay; 0: initialWindow
+	window        time.Duration // the window of the next delay; 0 means initialWindow
 	random        *rand.Rand
 }
 
-// New returns a Backoff whose delays are from minDelay up to a window, which is initialWindow at first and doubles with each attempt
-// up to maxWindow.
+// New returns a Backoff whose delays lie between minDelay and the current window. The window starts at initialWindow and doubles with
+// each delay, up to maxWindow.
 func New(minDelay, initialWindow, maxWindow time.Duration, seed int64) *Backoff {
 	initialWindow = max(initialWindow, minDelay)
 	return &Backoff{
@@ -33,13 +33,14 @@
 	return b.between(b.minDelay, window)
 }
 
-// Start returns the delay of a first attempt that many callers make for one cause, such as a release.
+// Start returns the delay before a first attempt that many callers would otherwise make at the same time, for example because a release
+// restarted all of them.
 func (b *Backoff) Start() time.Duration { return b.between(0, b.initialWindow) }
 
-// Reset notes a success: the next delay is drawn from the initial window again.
+// Reset records a success: the next delay is drawn from the initial window again.
 func (b *Backoff) Reset() { b.window = 0 }
 
-// between draws a delay.
+// between draws a delay uniformly between low and high.
 func (b *Backoff) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(b.random.Float64()*float64(high-low))
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Every delay lies in its window, windows double up to the limit, and a success begins anew; the same seed draws the same delays.
+// Every delay lies in its window, windows double up to the limit, and Reset returns to the initial window. The same seed draws the same
+// delays.
 func TestBackoff_DelaysLieInDoublingWindows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		duration := func(name string) time.Duration {
@@ -35,26 +36,26 @@
 }
 
 const (
-	// callers call one server for observed, from time 0 on, until each is served.
-	callers  = 80
-	observed = time.Minute
+	callers  = 80          // all call one server from time 0 on, each until it is served
+	observed = time.Minute // the simulated time
 )
 
-// server serves one request after the other, also those whose caller has given up.
+// server serves one request at a time, including requests whose callers have already timed out.
 type server struct {
 	serviceTime time.Duration
-	idleAt      time.Duration // when all that it has accepted is done
-	timeout     time.Duration // a caller waits so long
-	maxWait     time.Duration // it rejects a request that would take longer
+	idleAt      time.Duration // when all accepted requests will have been served
+	timeout     time.Duration // how long a caller waits for a response
+	maxWait     time.Duration // requests that would be served later than this are rejected
 }
 
-// newServer returns a server for a number of requests a second.
+// newServer returns a server that serves rate requests per second.
 func newServer(rate int) *server {
 	return &server{serviceTime: time.Second / time.Duration(rate), timeout: 2 * time.Second, maxWait: 6 * time.Second}
 }
 
-// call reports whether a request at a time is served before its caller gives up, and when its caller knows.
-func (s *server) call(now time.Duration) (served bool, known time.Duration) {
+// call submits a request at time now. It returns whether the request is served before its caller times out, and when the caller learns
+// the result.
+func (s *server) call(now time.Duration) (served bool, knownAt time.Duration) {
 	s.idleAt = max(s.idleAt, now)
 	if s.idleAt+s.serviceTime-now > s.maxWait {
 		return false, now
@@ -66,13 +67,13 @@
 	return true, s.idleAt
 }
 
-// delays makes the delays of a caller.
+// delays returns the function that draws the successive delays of a caller.
 type delays func(caller int) (next func() time.Duration)
 
-// simulateHerd has all callers call at 0, and again after their delays until they are served. It returns how many were served, and in how
-// many calls.
+// simulateHerd has all callers call at time 0 and retry after their delays until they are served. It returns how many callers were served,
+// and the total number of calls.
 func simulateHerd(s *server, newDelays delays) (served, calls int) {
-	due := make([]time.Duration, callers) // -1: served
+	due := make([]time.Duration, callers) // the time of each caller's next call; -1 if it was served
 	next := make([]func() time.Duration, callers)
 	for i := range due {
 		next[i] = newDelays(i)
@@ -88,16 +89,17 @@
 			return served, calls
 		}
 		calls++
-		ok, known := s.call(due[first])
-		if due[first] = known + next[first](); ok {
+		ok, knownAt := s.call(due[first])
+		if due[first] = knownAt + next[first](); ok {
 			due[first] = -1
 			served++
 		}
 	}
 }
 
-// All callers that come at once to a server for ten requests a second are served. By the rule that relays had before, without jitter and
-// without regard for the number of callers, the server is busy for a minute with requests whose callers have given up.
+// All callers that start at the same time are served by a server that serves ten requests per second. With the delays that relays used
+// before, which had no jitter and were not scaled by the number of callers, the server spends the whole minute on requests whose callers
+// have already timed out.
 func TestBackoff_HerdIsServed(t *testing.T) {
 	served, calls := simulateHerd(newServer(10), func(caller int) func() time.Duration {
 		return New(250*time.Millisecond, 8*time.Second, 32*time.Second, int64(caller)).Next
@@ -113,12 +115,12 @@
 		}
 	})
 	if served > 40 {
-		t.Errorf("%d served without jitter: the test does not cause the failure that it is about", served)
+		t.Errorf("%d callers served without jitter: the test does not reproduce the failure that it guards against", served)
 	}
 }
 
-// The forms of backoff that are compared. Those of doubling windows draw a part of each window; decorrelated jitter draws from the last
-// delay.
+// The backoff algorithms that are compared. Most draw a delay from a window that doubles; decorrelated jitter derives the range of each
+// delay from the previous delay.
 
 func randomOf(caller int) *rand.Rand { return rand.New(rand.NewPCG(uint64(caller), 7)) }
 
@@ -152,9 +154,9 @@
 	}
 }
 
-// The usual forms against servers for 5, 10 and 40 requests a second: what is in the table of docs/design/fleet.md, by
-// go test -run TestForms -v. Only forms that are scaled by the number of callers get them served where the server is slow; among these
-// the form matters little, but that none may be without jitter.
+// Compares the usual backoff algorithms against servers that serve 5, 10 and 40 requests per second. go test -run TestForms -v prints the
+// figures of the table in docs/design/fleet.md. When the server is slow, only algorithms that are scaled by the number of callers get the
+// callers served; among these the choice matters little, except that there must be jitter.
 func TestForms_OnlyScaledOnesAreServed(t *testing.T) {
 	const (
 		minDelay, limit = 250 * time.Millisecond, 2 * time.Second
@@ -182,9 +184,9 @@
 		}
 	}
 	if got := served[ours+" at 5"]; got < 76 {
-		t.Errorf("ours: %d of %d served at 5 a second", got, callers)
+		t.Errorf("ours: %d of %d callers served at 5 requests per second", got, callers)
 	}
 	if got := served["full jitter at 5"]; got > 60 {
-		t.Errorf("full jitter that is not scaled: %d served, the need for scaling does not show", got)
+		t.Errorf("full jitter, not scaled: %d callers served, so the test does not show that scaling is needed", got)
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the commands that people use have in common: exit codes, and where JSON is written.
+// Package cli holds what the command-line tools have in common: their exit codes and how they write JSON.
 package cli
 
 import (
@@ -15,17 +15,17 @@
 // The exit codes of every command.
 const (
 	ExitOK       = 0
-	ExitFindings = 1 // the command did its work and found something wrong
-	ExitError    = 2 // the command could not do its work
+	ExitFindings = 1 // the command completed and found problems
+	ExitError    = 2 // the command could not complete
 )
 
-// ErrFindings is returned by a command that did its work, found something wrong and has printed it.
-var ErrFindings = errors.New("found something")
+// ErrFindings is returned by a command that completed, and found and printed problems.
+var ErrFindings = errors.New("problems found")
 
 // stdout is the path that stands for standard output.
 const stdout = "-"
 
-// Run runs a command, prints its error, and returns its exit code.
+// Run runs a command, prints its error to errs, and returns the exit code.
 func Run(ctx context.Context, root *cobra.Command, args []string, in io.Reader, out, errs io.Writer) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetArgs(args)
@@ -43,7 +43,7 @@
 	}
 }
 
-// WriteJSON writes a value to a file, or to out where the path is "-".
+// WriteJSON writes a value as indented JSON to a file, or to out if the path is "-".
 func WriteJSON(out io.Writer, path string, v any) error {
 	raw, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
@@ -56,5 +56,5 @@
 		}
 		return nil
 	}
-	return os.WriteFile(path, raw, 0o644) //nolint:wrapcheck // it names the operation and the file
+	return os.WriteFile(path, raw, 0o644) //nolint:wrapcheck // the error names the operation and the file
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -49,6 +49,6 @@
 		t.Errorf("to a file: %q, %v", got, err)
 	}
 	if err := WriteJSON(nil, filepath.Join(path, "below"), value); err == nil {
-		t.Error("a file that can't be written gives no error")
+		t.Error("no error for a file that can't be written")
 	}
 }
--- a/internal/goldentest/files.go
+++ b/internal/goldentest/files.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// dir holds the golden files of a package.
+// dir is the folder of a package's golden files.
 const dir = "testdata/golden"
 
-var update = flag.Bool("update-golden", false, "write the golden files anew")
+var update = flag.Bool("update-golden", false, "rewrite the golden files")
 
-// Bytes compares got with a golden file.
+// Bytes compares got with a golden file. With -update-golden it writes got to the file first.
 func Bytes(tb testing.TB, file string, got []byte) {
 	tb.Helper()
 	path := filepath.Join(dir, file)
@@ -39,8 +39,8 @@
 	return raw
 }
 
-// Regenerate writes a golden file anew with -update-golden, and else does nothing. generate writes the file under the given name into a
-// folder.
+// Regenerate rewrites a golden file if -update-golden is set, and otherwise does nothing. The function generate has to write the new
+// content to a file of the given name in a folder.
 func Regenerate(tb testing.TB, file, name string, generate func(folder string)) {
 	tb.Helper()
 	if !*update {
--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// instantType is the name of the type for an instant in nanoseconds, which is stored as a date: small numbers would all look the same.
+// instantType is the name of the type for a point in time in nanoseconds. It is stored as a date, in which small numbers could not be told
+// apart.
 const instantType = "Instant"
 
-// fill sets each exported field of v, and what is below it, to a value that no other field has. next counts the values. The golden files
-// hold these very values, so their order must stay.
+// fill sets v, or each exported field in it at any depth, to a different value. next counts the values. The golden files contain these
+// values, so the order in which they are assigned must not change.
 func fill(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -55,7 +56,7 @@
 	}
 }
 
-// setScalar sets a value by its number. Kinds that JSON does not encode stay as they are.
+// setScalar sets v to a value derived from a number. Values of kinds that JSON does not encode are left unchanged.
 func setScalar(v reflect.Value, number int) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -76,7 +77,7 @@
 	}
 }
 
-// date returns a time that differs for each number.
+// date returns a different time for each number.
 func date(number int) time.Time {
 	return time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).Add(time.Duration(number) * time.Second)
 }
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recorder is a testing.TB that records failures in place of failing.
+// recorder is a testing.TB that records failures instead of failing the test.
 type recorder struct {
 	testing.TB
 	failures []string
@@ -14,7 +14,7 @@
 func (r *recorder) Helper()                        {}
 func (r *recorder) Errorf(format string, _ ...any) { r.failures = append(r.failures, format) }
 
-// A field that is renamed without a tag, whose tag is changed, or that is dropped fails the comparison.
+// JSON fails if a field is renamed without a tag, gets another tag, or is removed.
 func TestJSON_SeesARenamedField(t *testing.T) {
 	type stored struct {
 		ID   string `json:"id"`
@@ -36,7 +36,7 @@
 		value any
 		fails bool
 	}{
-		{"as it was", &stored{}, false},
+		{"unchanged", &stored{}, false},
 		{"renamed", &renamed{}, true},
 		{"another tag", &retagged{}, true},
 		{"dropped", &dropped{}, true},
@@ -45,7 +45,7 @@
 			r := &recorder{TB: t}
 			JSON(r, "planted.txt", Form{Name: "stored", Value: tt.value})
 			if failed := len(r.failures) > 0; failed != tt.fails {
-				t.Errorf("failures %s, want some: %v", strings.Join(r.failures, "; "), tt.fails)
+				t.Errorf("failures: %s; want any: %v", strings.Join(r.failures, "; "), tt.fails)
 			}
 		})
 	}
--- a/internal/goldentest/json.go
+++ b/internal/goldentest/json.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Form is a type whose JSON form is pinned.
+// Form is a type whose JSON encoding is compared with a golden file.
 type Form struct {
-	Name      string // of the form; it stays when the type's name changes
+	Name      string // identifies the type in the golden file; it stays when the Go type is renamed
 	Value     any    // a pointer to the zero value of the type
-	WriteOnly bool   // no program reads it back into this type
+	WriteOnly bool   // no program decodes the JSON into this type
 }
 
-// JSON compares the JSON forms of types, one line each, with a golden file. Each value is filled, field by field, with values that
-// differ, so that every key shows. Each line is read back as well and has to give the same line again: what an earlier build stored can
-// still be read completely.
+// JSON compares the JSON encodings of types, one line each, with a golden file. Each field is filled with a different value, so that every
+// key is encoded. Each line of the golden file is also decoded and encoded again, and has to give the same line: what an earlier build
+// stored can still be read completely.
 func JSON(tb testing.TB, file string, forms ...Form) {
 	tb.Helper()
 	var got bytes.Buffer
@@ -41,15 +41,15 @@
 	}
 }
 
-// readBack reads a stored form into its type, and compares what the type gives for it.
+// readBack decodes a stored line into its type, encodes the result again and compares it with the line.
 func readBack(tb testing.TB, form Form, stored []byte) {
 	tb.Helper()
 	value := reflect.New(reflect.TypeOf(form.Value).Elem())
 	if err := json.Unmarshal(stored, value.Interface()); err != nil {
-		tb.Errorf("%s: what an earlier build wrote can't be read: %v", form.Name, err)
+		tb.Errorf("%s: JSON written by an earlier build can't be decoded: %v", form.Name, err)
 		return
 	}
 	if again, err := json.Marshal(value.Interface()); err != nil || !bytes.Equal(again, stored) {
-		tb.Errorf("%s: read and written again it is %s, %v; want %s", form.Name, again, err, stored)
+		tb.Errorf("%s: decoded and encoded again it is %s (error %v), want %s", form.Name, again, err, stored)
 	}
 }
--- a/internal/logkey/messages_test.go
+++ b/internal/logkey/messages_test.go
@@ -19,13 +19,14 @@
 	page = root + "/docs/operators/log-messages.md"
 )
 
-// logged are the programs' folders: what they log at warn or above, staff on call read.
+// logged are the folders of the programs in production: on-call staff read what they log at warn level or above.
 var logged = []string{"cmd/frostlink", "cmd/frostlink-coord", "internal"}
 
-// stoodIn are folders whose logs are of tests and of tools on a developer's machine.
-var stoodIn = []string{"internal/faultinjection", "internal/goldentest", "internal/testseed", "internal/cli"}
+// excludedFolders are folders whose logs come only from tests and from tools on a developer's machine.
+var excludedFolders = []string{"internal/faultinjection", "internal/goldentest", "internal/testseed", "internal/cli"}
 
-// messages returns what a file logs at warn or above. A message that is no constant is an empty one.
+// messages returns the messages that a file logs at warn level or above. A message that is neither a literal nor a constant of the file is
+// returned as an empty string.
 func messages(file *ast.File, constants map[string]string) (found []string) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
@@ -76,7 +77,7 @@
 	return constants
 }
 
-// allMessages returns each message of the programs, with the file that logs it.
+// allMessages returns each message that the programs log at warn level or above, with a file that logs it.
 func allMessages(t *testing.T) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -89,7 +90,7 @@
 			if err != nil {
 				return err
 			}
-			if d.IsDir() && slices.Contains(stoodIn, filepath.ToSlash(rel)) {
+			if d.IsDir() && slices.Contains(excludedFolders, filepath.ToSlash(rel)) {
 				return filepath.SkipDir
 			}
 			if d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -111,11 +112,11 @@
 	return all
 }
 
-// row matches a row of the page's tables: a message, its meaning, and what to do.
+// row matches a row of the page's tables: a message, its meaning, and the action to take.
 var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| [^|]+ \\|$")
 
-// TestEveryWarningIsExplained: each message that is logged at warn or above has a row in the page for staff on call, and each row
-// is of a message that is logged.
+// TestEveryWarningIsExplained checks that each message logged at warn level or above has a row on the page for on-call staff, and that
+// each row is for a message that a program logs.
 func TestEveryWarningIsExplained(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
@@ -127,22 +128,22 @@
 	}
 	logged := allMessages(t)
 	if len(logged) < 20 {
-		t.Fatalf("only %d messages found: is the tree read at all?", len(logged))
+		t.Fatalf("only %d messages found: the source files are probably not being read", len(logged))
 	}
 	for message, file := range logged {
 		if !explained[message] {
-			t.Errorf("%s logs %q, and %s has no row for it", file, message, page)
+			t.Errorf("%s logs %q, but %s has no row for it", file, message, page)
 		}
 	}
 	for message := range explained {
 		if logged[message] == "" {
-			t.Errorf("%s explains %q, which no program logs", page, message)
+			t.Errorf("%s has a row for %q, which no program logs", page, message)
 		}
 	}
 }
 
-// TestPlantedMessagesAreFound: warnings by a package's function and by a logger are found, by literal and by constant; what is
-// logged below warn is not.
+// TestPlantedMessagesAreFound checks that messages finds warnings logged by a package function and by a logger's method, given as
+// literals and as constants, and skips messages below warn level.
 func TestPlantedMessagesAreFound(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "planted.go", `package planted
 const lost = "lease lost"
--- a/internal/operatorconfig/operatorconfig.go
+++ b/internal/operatorconfig/operatorconfig.go
@@ -1,5 +1,6 @@
-// Package operatorconfig reads the operator's own file, deploy/frostlink.toml. Each subsystem that an operator may turn on has a
-// section in it; an absent section means off. The platform's configuration of a relay is not in this file; see package settings.
+// Package operatorconfig reads the operator's file, such as deploy/frostlink.toml. The file has a section for each subsystem that an
+// operator may turn on; a subsystem whose section is absent is off. The configuration that the platform gives a relay is a separate
+// file; see package settings.
 package operatorconfig
 
 import (
@@ -9,23 +10,23 @@
 	"frostlink/internal/trace"
 )
 
-// Version is the version of the file's form that this program reads.
+// Version is the version of the file format that this program reads.
 const Version = 1
 
-// File is the operator's file. A section is a pointer, and nil is off.
+// File is the operator's file. A subsystem whose section is nil is off.
 type File struct {
 	Version    int                 `toml:"version"`
 	DeadLetter *deadletter.Section `toml:"undelivered"` // the dead-letter store
 	Trace      *trace.Section      `toml:"trace"`
 
-	// Coordination names the service by which relays agree on who does the fleet's tasks.
+	// Coordination names the coordination service, through which relays agree on which of them runs each fleet task.
 	Coordination *fleettask.Section `toml:"coordination"`
 }
 
-// Off returns the file in which every section is absent.
+// Off returns a file in which every section is absent.
 func Off() *File { return &File{Version: Version} }
 
-// Read reads and checks a file. Its error is strictconfig.FieldErrors with all that is wrong in the file, or says why it can't be read.
+// Read reads and checks a file. Its error is a strictconfig.FieldErrors with all errors in the file, or says why the file can't be read.
 func Read(path string) (*File, error) {
 	f := Off()
 	doc, err := strictconfig.ReadFile(path, f)
@@ -39,7 +40,7 @@
 	return f, nil
 }
 
-// check adds to the document what is wrong with the values, each section's by the section's own Check.
+// check adds an error to the document for each invalid value. Each section checks its own values.
 func (f *File) check(doc *strictconfig.Document) {
 	if f.Version != Version {
 		doc.AddError("version", "is %d; this program reads version %d", f.Version, Version)
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	if *f != *Off() {
-		t.Errorf("the shipped file turns something on: %+v", f)
+		t.Errorf("the shipped file turns a section on: %+v", f)
 	}
 }
 
@@ -33,6 +33,6 @@
 
 func TestRead_MissingFile(t *testing.T) {
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: error %v, want os.ErrNotExist", err)
 	}
 }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -7,9 +7,9 @@
 	"frostlink/policy"
 )
 
-// The meanings of the object's words. A word that is not here is rejected by Validate.
+// The meanings of the strings that the object may contain. Validate rejects any other string.
 var (
-	watchesEndpoints  = map[string]bool{"subscribe": true, "automatic": false} // by discovery mode
+	watchesEndpoints  = map[string]bool{"subscribe": true, "automatic": false} // keyed by discovery mode
 	idempotencyByWord = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NotIdempotent}
 	weightsByWord     = map[string]policy.Weights{"off": policy.WeightsOff, "nominal": policy.WeightsNominal, "rough": policy.WeightsApproximate}
 )
@@ -19,7 +19,7 @@
 	allZones         = "all"     // Category.Group
 )
 
-// Policy returns the settings in the policy's terms, or the error of Validate.
+// Policy validates the settings and translates them into policy.Settings. Its error is that of Validate.
 func (s *Settings) Policy() (policy.Settings, error) {
 	if err := s.Validate(); err != nil {
 		return policy.Settings{}, err
@@ -55,7 +55,7 @@
 	return p, nil
 }
 
-// class translates a category that Validate has passed.
+// class translates a class of requests that has passed validation.
 func (s *Settings) class(c *Class) policy.Class {
 	return policy.Class{
 		Name:             c.Name,
@@ -71,7 +71,7 @@
 	}
 }
 
-// kind returns the kind of destination with an index in Shapes. The object's lists may be shorter than Shapes.
+// kind returns the kind of destination at index i of Settings.DestinationKinds. The lists in Specifics may be shorter than that list.
 func (s *Specifics) kind(i int) policy.DestinationKind {
 	k := policy.DestinationKind{MaxBatch: 1}
 	if i < len(s.MaxBatch) {
@@ -83,7 +83,7 @@
 	return k
 }
 
-// Seconds returns a number of seconds as a duration, rounded to the nanosecond.
+// Seconds converts a number of seconds to a duration, rounded to the nanosecond.
 func Seconds(v float64) time.Duration {
 	return time.Duration(math.Round(v * float64(time.Second)))
 }
--- a/internal/settings/validate_test.go
+++ b/internal/settings/validate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// valid returns settings that Validate passes.
+// valid returns settings that Validate accepts.
 func valid() *Settings {
 	category := Class{Name: "A", DeadlineS: 5, LatencyObjectiveS: 1, Idempotency: "retryable", KeyScope: "all", LateFraction: 0.5, PriorityWeight: 1}
 	return &Settings{
@@ -15,7 +15,7 @@
 	}
 }
 
-// The texts are what the operators see of a bad configuration.
+// Operators see these texts when a configuration is invalid.
 func TestSettings_ValidateNamesTheFirstBadValue(t *testing.T) {
 	tests := []struct {
 		change func(s *Settings)
@@ -26,11 +26,11 @@
 		{func(s *Settings) { s.Weights = "heavy" }, "weights", `settings: weights: unknown meaning "heavy"`},
 		{
 			func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) }, "categories[1].name",
-			`settings: categories[1].name: "A" is there twice`,
+			`settings: categories[1].name: duplicate name "A"`,
 		},
 		{
 			func(s *Settings) { s.Classes[0].DeadlineS = 0 }, "categories[0].deadline_s",
-			"settings: categories[0].deadline_s: 0 is not above 0 and up to a day",
+			"settings: categories[0].deadline_s: 0 is not above 0 and at most a day",
 		},
 		{
 			func(s *Settings) { s.Classes[0].LatencyObjectiveS = math.NaN() }, "categories[0].aim_s",
@@ -42,7 +42,7 @@
 		},
 		{
 			func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) }, "categories[0].points",
-			"settings: categories[0].points: +Inf is negative or no number",
+			"settings: categories[0].points: +Inf is negative or not a finite number",
 		},
 		{
 			func(s *Settings) { s.Classes[0].LateFraction = 1.5 }, "categories[0].late_share",
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,31 +1,32 @@
-// Package simadapter runs the decisions of package policy on the simulator's protocol. It translates, and decides nothing.
+// Package simadapter connects package policy to the simulator: it translates the simulator's protocol into the policy's events, and the
+// policy's actions into replies. It makes no decisions itself.
 //
 // # Protocol
 //
-// One process plays many instances of the relay. It reads batches from standard input and writes a reply to each to standard output. A
-// line is a JSON array: a message's name, then its values by position, null or absent where there is none. Times are seconds. Unknown
-// messages are ignored.
+// One process runs many instances of the relay. It reads batches from standard input and writes a reply to each batch to standard output.
+// Each line is a JSON array: a message's name, then its values by position. A missing value is null or absent. Times are in seconds.
+// Unknown messages are ignored.
 //
-// A batch is a "round", messages in the order in which they happened, and "your_turn":
+// A batch is a "round" line, any number of messages in chronological order, and a "your_turn" line:
 //
 //	["round", clock]
-//	["manifest", list, [entry...]]                             a numbered endpoint list of the process; replaces the last of that number
+//	["manifest", list, [entry...]]                             an endpoint list, shared by all instances; replaces an earlier list of that number
 //	["begin", instance, seed, settings]                        an instance starts
-//	["killed", instance]                                       it ends, and all it knew is void
-//	["update", instance, scope, version, list]                 its endpoint list is a manifest, or changes by one; or its watch failed
+//	["killed", instance]                                       an instance is killed and loses its state
+//	["update", instance, scope, version, list]                 the instance's endpoint list is replaced or changed by a manifest, or its watch failed
 //	["call", instance, id, write, tenant, redelivery, retry,   a request
 //	    cost, time_left, order_key, class, destination]
 //	["answer", instance, id, endpoint, attempt, outcome,       an attempt has ended
 //	    retry_after_ms, latency, final, load_report]
-//	["left", instance, id]                                     a request's client has withdrawn
+//	["left", instance, id]                                     a client has withdrawn its request
 //	["wakeup", instance, label]                                a timer has fired
 //	["your_turn"]
 //
 // An entry of a manifest is [kind, destination, endpoint, weight, state, zone, listed_at]; state is "in_service", "terminating"
 // (draining) or "terminated" (removed). The scope of an update is "SAVED" or "FULL" (the whole list), "INCREMENTAL" (changes) or
-// "FAILED" (no list). A load report is an object; x0 and x1 are what is left of the rate limit, and the limit.
+// "FAILED" (no list). A load report is an object with the remaining part of the rate limit as x0 and the rate limit as x1.
 //
-// A reply is the actions of the instances that had events, in the order of their first event, and "ready":
+// A reply is the actions of the instances that had events, ordered by each instance's first event in the batch, and a "ready" line:
 //
 //	["relay", instance, id, endpoint, timeout]                 send an attempt
 //	["refuse", instance, id, retry_after]                      reject a request: it may be submitted again
@@ -33,17 +34,17 @@
 //	["abort_attempt", instance, id, attempt]                   cancel an attempt
 //	["shut_idle", instance, endpoint]                          close idle connections to an endpoint
 //	["remind", instance, delay, label]                         set a timer; the label is always 0
-//	["subscribe", instance, on]                                ask for a watch of the endpoint list
-//	["die", instance, text]                                    the instance has failed: settings that can't be used, or a panic
+//	["subscribe", instance, on]                                request a watch of the endpoint list
+//	["die", instance, text]                                    the instance has failed: invalid settings, or a panic
 //	["ready"]
 //
 // The messages first_byte, pong and peer_data, and the replies fetch, poll, announce and debug, are not used.
 //
 // # Files
 //
-//	serve.go    Serve: batches in, replies out
-//	session.go  the instances, endpoint lists and the batch that is being read
-//	events.go   messages translated into the policy's events
-//	reply.go    the policy's actions translated into a reply
-//	fields.go   the values of a line by position
+//	serve.go    Serve: reads batches and writes replies
+//	session.go  the state of a process: instances, endpoint lists and the current batch
+//	events.go   translates messages into the policy's events
+//	reply.go    translates the policy's actions into a reply
+//	fields.go   decodes the values of a line by position
 package simadapter
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -7,10 +7,10 @@
 	"frostlink/policy"
 )
 
-// errUnknownList is an update that refers to no manifest.
-var errUnknownList = errors.New("unknown list")
+// errUnknownList reports an update that refers to a manifest that was never received.
+var errUnknownList = errors.New("unknown endpoint list")
 
-// outcomes are the protocol's outcomes of attempts.
+// outcomes maps the protocol's names of attempt outcomes to the policy's outcomes.
 var outcomes = map[string]policy.Outcome{
 	"Ok":           policy.Succeeded,
 	"Failed":       policy.Failed,
@@ -22,7 +22,8 @@
 	"Ignored":      policy.NotSent,
 }
 
-// The scopes of an update and the states of an endpoint that matter here; any other scope is the complete list, any other state in service.
+// The scopes of an update and the states of an endpoint that are treated specially. Any other scope means a complete list, and any other
+// state means in service.
 const (
 	scopeFailed      = "FAILED"
 	scopeIncremental = "INCREMENTAL"
@@ -31,7 +32,8 @@
 	stateRemoved  = "terminated"
 )
 
-// event translates a message to one instance; unknown ones, and those with errors in f, give nil.
+// event translates a message for one instance into an event. It returns nil for an unknown message. If a value is invalid, it records an
+// error in f, and the event must not be used.
 func (s *session) event(name string, f *fields) policy.Event {
 	switch name {
 	case "call":
@@ -64,7 +66,7 @@
 		Final:      f.truth(8),
 		LoadReport: f.loadReport(9),
 	}
-	if e.Outcome == policy.Rejected { // value 6 means something else with other outcomes
+	if e.Outcome == policy.Rejected { // with other outcomes value 6 has another meaning
 		e.RetryAfter = time.Duration(f.number(6) * float64(time.Millisecond))
 	}
 	return e
--- a/internal/simadapter/fields.go
+++ b/internal/simadapter/fields.go
@@ -10,7 +10,8 @@
 	"frostlink/policy"
 )
 
-// fields reads the values of one line by position, and holds the first error. Values are read on after it, and are then of no use.
+// fields decodes the values of one line by position, and keeps the first error. Decoding may continue after an error, but the values are
+// then meaningless.
 type fields struct {
 	values []json.RawMessage
 	err    error
@@ -22,7 +23,7 @@
 	}
 }
 
-// decode reads value i into v; one that is absent or null leaves v as it is.
+// decode decodes value i into v. If the value is absent or null, v is unchanged.
 func (f *fields) decode(i int, v any) {
 	if i >= len(f.values) {
 		return
@@ -38,7 +39,7 @@
 
 func (f *fields) seconds(i int) time.Duration { return settings.Seconds(f.number(i)) }
 
-// whole reads a whole number, also one that is written as 1e3 or 7.0. Seeds need all 64 bits, which a float64 does not hold.
+// whole decodes an integer, which may be written as 1e3 or 7.0. It does not decode all numbers as float64, because seeds need all 64 bits.
 func (f *fields) whole(i int) int64 {
 	var n json.Number
 	f.decode(i, &n)
@@ -47,7 +48,7 @@
 	}
 	v, err := n.Float64()
 	if err != nil || v != math.Trunc(v) {
-		f.fail(fmt.Errorf("value %d: not a whole number", i))
+		f.fail(fmt.Errorf("value %d: not an integer", i))
 	}
 	return int64(v)
 }
@@ -61,7 +62,7 @@
 	return outcome
 }
 
-// loadReport reads a load report; one that lacks either value is none.
+// loadReport decodes a load report. It returns nil if either value is missing.
 func (f *fields) loadReport(i int) *policy.LoadReport {
 	var values map[string]float64
 	f.decode(i, &values)
@@ -73,7 +74,7 @@
 	return &policy.LoadReport{Remaining: remaining, RateLimit: limit}
 }
 
-// endpoints reads the entries of a manifest.
+// endpoints decodes the entries of a manifest.
 func (f *fields) endpoints(i int) []policy.Endpoint {
 	var entries [][]json.RawMessage
 	f.decode(i, &entries)
@@ -88,7 +89,7 @@
 	return list
 }
 
-// endpoint reads one entry of a manifest.
+// endpoint decodes one entry of a manifest.
 func (f *fields) endpoint() policy.Endpoint {
 	state := f.text(4)
 	return policy.Endpoint{
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/goldentest"
 )
 
-// TestGoldenSession: the replies to a session on the simulator's protocol, to the byte.
+// TestGoldenSession checks the exact bytes of the replies to a session.
 func TestGoldenSession(t *testing.T) {
 	call := func(id, destination string) string {
 		return `["call",0,"` + id + `",false,0,false,false,null,4.5,null,0,` + destination + `]`
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -8,14 +8,15 @@
 	"frostlink/policy"
 )
 
-// reply lets every instance with events act, and returns the reply to the batch.
+// reply runs every instance that has events, and returns the reply to the batch.
 func (s *session) reply() []byte {
 	var b bytes.Buffer
 	for _, failed := range s.failures {
 		writeLine(&b, "die", failed.instance, failed.text)
 	}
 	for _, id := range s.active {
-		// One that was killed is nil, and one that began again after that has its own place in active.
+		// An instance that was killed in this batch is nil. If it was started again and has events since then, its id is in s.active a
+		// second time, so in.active avoids running it twice.
 		if in := s.instances[id]; in != nil && in.active {
 			in.active = false
 			s.act(&b, id, in)
@@ -26,7 +27,8 @@
 	return b.Bytes()
 }
 
-// act runs one instance on its events. A panic in it is reported in place of its actions, so that the simulator says what failed.
+// act passes an instance its events and writes its actions. If the instance panics, the panic is written in place of its actions, so that
+// the simulator can report what failed.
 func (s *session) act(b *bytes.Buffer, id int64, in *instance) {
 	start := b.Len()
 	defer func() {
@@ -42,7 +44,7 @@
 	}
 }
 
-// writeAction translates one action. Those that the protocol has no line for are left out.
+// writeAction writes one action. Actions for which the protocol has no message are omitted.
 func writeAction(b *bytes.Buffer, id int64, action policy.Action) {
 	switch a := action.(type) {
 	case policy.Send:
@@ -66,7 +68,7 @@
 func writeLine(b *bytes.Buffer, values ...any) {
 	line, err := json.Marshal(values)
 	if err != nil {
-		panic(err) // texts and finite numbers always encode
+		panic(err) // can't happen: strings and finite numbers can always be encoded
 	}
 	b.Write(line)
 	b.WriteByte('\n')
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxLineBytes bounds one line of input; a whole endpoint list is the longest.
+	// maxLineBytes is the maximum length of an input line; the longest lines are whole endpoint lists.
 	maxLineBytes = 64 << 20
-	// lineBuffer is what the reader of lines starts with.
-	lineBuffer = 64 << 10
+	// initialLineBytes is the initial size of the line buffer.
+	initialLineBytes = 64 << 10
 )
 
-// Serve reads batches from r and writes a reply to each to w, until the input ends. A reply is written completely or not at all.
+// Serve reads batches from r and writes a reply to each batch to w, until the input ends. If a line of a batch is invalid, Serve returns
+// an error and writes no part of the reply.
 func Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, lineBuffer), maxLineBytes)
+	in.Buffer(make([]byte, initialLineBytes), maxLineBytes)
 	out := bufio.NewWriter(w)
 	s := newSession()
 	for number := 1; in.Scan(); number++ {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// writeReply writes a reply and flushes it: the simulator waits for it.
+// writeReply writes a reply and flushes it, because the simulator waits for it.
 func writeReply(out *bufio.Writer, reply []byte) error {
 	if _, err := out.Write(reply); err != nil {
 		return fmt.Errorf("write reply: %w", err)
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -9,7 +9,7 @@
 	`"discovery":"automatic","limits":{"max_attempts":4,"max_open":20},"n_instances":1,"quantum_s":0.005,"news":1,` +
 	`"shapes":["k"],"specifics":{"max_calls":3,"bundle_max":[1]},"weights":"off"}]`
 
-// serve runs a session on lines, and returns its replies.
+// serve runs a session with the given input lines, and returns its replies.
 func serve(t *testing.T, lines ...string) (string, error) {
 	t.Helper()
 	var out strings.Builder
@@ -69,12 +69,12 @@
 			}
 			for _, want := range tt.want {
 				if !strings.Contains(out, want) {
-					t.Errorf("no %s in %s", want, out)
+					t.Errorf("replies lack %s: %s", want, out)
 				}
 			}
 			for _, never := range tt.never {
 				if strings.Contains(out, never) {
-					t.Errorf("%s in %s", never, out)
+					t.Errorf("replies contain %s: %s", never, out)
 				}
 			}
 		})
@@ -89,10 +89,10 @@
 		t.Run(bad, func(t *testing.T) {
 			out, err := serve(t, `["round",1]`, begin, bad, `["your_turn"]`)
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want an error of one line", err)
 			}
 			if out != "" {
-				t.Errorf("part of a reply is written: %q", out)
+				t.Errorf("part of a reply was written: %q", out)
 			}
 		})
 	}
--- a/internal/simadapter/session.go
+++ b/internal/simadapter/session.go
@@ -9,25 +9,25 @@
 	"frostlink/policy"
 )
 
-// session is the state of one process.
+// session is the state of the adapter's process.
 type session struct {
 	instances map[int64]*instance
 	lists     map[int64][]policy.Endpoint // endpoint lists by their number
 
-	// Of the batch that is being read.
+	// The state of the batch that is being read.
 	now      time.Duration
-	active   []int64 // instances with events, in the order of their first
+	active   []int64 // the ids of instances with events, in the order of their first events
 	failures []failure
 }
 
-// instance is one relay.
+// instance is one simulated relay.
 type instance struct {
 	dispatcher *policy.Dispatcher
-	events     []policy.Event // in the batch that is being read
-	active     bool           // in session.active
+	events     []policy.Event // the events in the batch that is being read
+	active     bool           // whether the instance is in session.active
 }
 
-// failure is an instance that could not begin.
+// failure is an instance that could not be started.
 type failure struct {
 	instance int64
 	text     string
@@ -37,11 +37,11 @@
 	return &session{instances: map[int64]*instance{}, lists: map[int64][]policy.Endpoint{}}
 }
 
-// read takes in one line, and reports whether it completes the batch.
+// read processes one line, and reports whether it completes the batch.
 func (s *session) read(line []byte) (complete bool, err error) {
 	var values []json.RawMessage
 	if err := json.Unmarshal(line, &values); err != nil {
-		return false, fmt.Errorf("not an array: %w", err)
+		return false, fmt.Errorf("not a JSON array: %w", err)
 	}
 	f := &fields{values: values}
 	name := f.text(0)
@@ -67,7 +67,7 @@
 	return false, nil
 }
 
-// begin starts an instance. One whose settings can't be used is reported as failed in the reply.
+// begin starts an instance. If its settings are invalid, the reply reports the instance as failed.
 func (s *session) begin(f *fields) {
 	id, seed := f.whole(1), f.whole(2)
 	var object settings.Settings
@@ -92,7 +92,7 @@
 	return policy.New(translated, seed)
 }
 
-// add gives an event to an instance, if it has begun.
+// add adds an event to an instance's events. Events for an unknown instance are ignored.
 func (s *session) add(id int64, e policy.Event) {
 	in := s.instances[id]
 	if in == nil {
--- a/internal/strictconfig/assign.go
+++ b/internal/strictconfig/assign.go
@@ -10,16 +10,17 @@
 	"strings"
 )
 
-// Unmarshaler is a type that reads itself from a TOML value, which is an int64, float64, string, bool, []any or map[string]any.
+// Unmarshaler is implemented by types that decode themselves from a TOML value. The value is an int64, float64, string, bool, []any or
+// map[string]any.
 type Unmarshaler interface{ FromTOML(value any) error }
 
-// tagRequired is the option of a field's tag that makes its key required.
+// tagRequired is the tag option that makes a field's key required.
 const tagRequired = "required"
 
-// assignTable assigns the values of a table to the fields of a struct that their tags name. It reports keys that no field names, and
+// assignTable assigns the values of a table to the struct fields whose tags name their keys. It reports keys that no tag names, and
 // required keys that are missing.
 func (d *Document) assignTable(table string, values map[string]any, into reflect.Value) {
-	var names []string // that the table may have
+	var names []string // the keys that the table may have
 	for i := range into.NumField() {
 		name, option, _ := strings.Cut(into.Type().Field(i).Tag.Get("toml"), ",")
 		if name == "" {
@@ -41,7 +42,7 @@
 	}
 }
 
-// assign assigns one value to a field, which is addressable because it lies in the struct that Decode has a pointer to.
+// assign assigns one value to a field. The field is addressable because it belongs to the struct that Decode was given a pointer to.
 func (d *Document) assign(key string, value any, field reflect.Value) {
 	if own, ok := field.Addr().Interface().(Unmarshaler); ok {
 		if err := own.FromTOML(value); err != nil {
@@ -59,8 +60,8 @@
 	}
 }
 
-// assignByKind assigns a value to a field by the field's kind. It returns false where the value's type does not fit, and reports what
-// else is wrong itself.
+// assignByKind assigns a value to a field according to the field's kind. It returns false if the value's type does not fit the field;
+// any other error it adds to the document itself.
 func (d *Document) assignByKind(key string, value any, field reflect.Value) (fits bool) {
 	switch field.Kind() {
 	case reflect.Struct:
@@ -96,7 +97,7 @@
 	}
 }
 
-// assignList assigns a list to a slice, element by element, so that each error has its element's key.
+// assignList assigns a list to a slice element by element, so that each error is reported under the key of its element.
 func (d *Document) assignList(key string, list []any, field reflect.Value) {
 	field.Set(reflect.MakeSlice(field.Type(), len(list), len(list)))
 	for i, value := range list {
@@ -104,14 +105,14 @@
 	}
 }
 
-// assignFloat assigns a number, also a whole one. TOML's inf and nan are no numbers to a setting.
+// assignFloat assigns a float or an integer. It rejects TOML's inf and nan, which are not valid in any setting.
 func (d *Document) assignFloat(key string, value any, field reflect.Value) (fits bool) {
 	switch n := value.(type) {
 	case int64:
 		field.SetFloat(float64(n))
 	case float64:
 		if math.IsNaN(n) || math.IsInf(n, 0) {
-			d.AddError(key, "%v is no finite number", n)
+			d.AddError(key, "%v is not a finite number", n)
 			return true
 		}
 		field.SetFloat(n)
@@ -121,7 +122,7 @@
 	return true
 }
 
-// assignInt assigns a whole number that the field's type can hold.
+// assignInt assigns an integer, and reports one that overflows the field's type.
 func (d *Document) assignInt(key string, value any, field reflect.Value) (fits bool) {
 	n, ok := value.(int64)
 	if !ok {
@@ -135,7 +136,7 @@
 	return true
 }
 
-// describeValue names the type of a TOML value, and the value where that is short.
+// describeValue names the type of a TOML value for an error message, with the value itself if it is a scalar.
 func describeValue(value any) string {
 	switch v := value.(type) {
 	case int64:
@@ -154,7 +155,7 @@
 	return "a date or time"
 }
 
-// describeType names what a field takes.
+// describeType names the type of value that a field accepts, for an error message.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int, reflect.Int64:
--- a/internal/strictconfig/document.go
+++ b/internal/strictconfig/document.go
@@ -7,15 +7,16 @@
 	"strings"
 )
 
-// Document is a file that was read. Callers that check its values add what they find with AddError.
+// Document is a decoded file. Callers that check its values report invalid ones with AddError.
 type Document struct {
 	file   string
-	lines  map[string]int // of each key and table
+	lines  map[string]int // the line of each key and table
 	errors FieldErrors
 }
 
-// AddError notes that the value of a key can't be used. A key that the file lacks is reported at its table's line. Only the first error
-// of a key counts: what a value of the wrong type would be checked for is not known.
+// AddError records that the value of a key can't be used. A key that is absent from the file is reported at the line of its table. Only
+// the first error for a key is kept: after a value of the wrong type, the field still has its old value, and errors from checking that
+// value would mislead.
 func (d *Document) AddError(key, format string, args ...any) {
 	if slices.ContainsFunc(d.errors, func(e FieldError) bool { return e.Key == key }) {
 		return
@@ -23,7 +24,8 @@
 	d.errors = append(d.errors, FieldError{File: d.file, Line: d.Line(key), Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Line returns the line of a key, or of the innermost table or list round it that the file has, or 0.
+// Line returns the line of a key. If the key is absent, it returns the line of the innermost enclosing table or list that the file has,
+// or else 0.
 func (d *Document) Line(key string) int {
 	for key != "" {
 		if line := d.lines[key]; line > 0 {
@@ -34,10 +36,10 @@
 	return 0
 }
 
-// Has reports whether the file has a key.
+// Has reports whether the file contains a key.
 func (d *Document) Has(key string) bool { return d.lines[key] > 0 }
 
-// Err returns FieldErrors with all that was found, by line, or nil.
+// Err returns all errors as FieldErrors sorted by line, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.errors) == 0 {
 		return nil
--- a/internal/strictconfig/errors.go
+++ b/internal/strictconfig/errors.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// FieldError is one thing that is wrong in a file.
+// FieldError is one error in a file.
 type FieldError struct {
 	File   string `json:"file"`
-	Line   int    `json:"line,omitempty"` // from 1; 0 where the whole file is meant
-	Key    string `json:"key,omitempty"`  // as in "partner[2].limit.count", elements counted from 1
+	Line   int    `json:"line,omitempty"` // counted from 1; 0 if the error concerns the whole file
+	Key    string `json:"key,omitempty"`  // for example "partner[2].limit.count", where elements are counted from 1
 	Reason string `json:"reason"`
 }
 
-// Error returns "FILE:LINE: KEY: REASON", without the parts that are not known.
+// Error returns "FILE:LINE: KEY: REASON"; a line or key that is not known is left out.
 func (e FieldError) Error() string {
 	var b strings.Builder
 	b.WriteString(e.File)
@@ -28,10 +28,10 @@
 	return b.String()
 }
 
-// FieldErrors is an error that holds all that is wrong in a file.
+// FieldErrors holds all errors in a file, as one error.
 type FieldErrors []FieldError
 
-// Error returns the errors, one a line.
+// Error returns the errors, one per line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, one := range e {
--- a/internal/strictconfig/lines.go
+++ b/internal/strictconfig/lines.go
@@ -6,18 +6,18 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineFinder walks a text that is known to parse, and notes the line on which each key first appears.
+// lineFinder walks a text that is known to be valid TOML, and records the line on which each key first appears.
 type lineFinder struct {
 	parser   unstable.Parser
-	lines    map[string]int // what it finds
-	elements map[string]int // how many elements each array of tables has so far
+	lines    map[string]int // the line of each key
+	elements map[string]int // the number of elements of each array of tables so far
 }
 
-// locateKeys finds the line of each key of the file.
+// locateKeys records the line of each key of the file in d.lines.
 func (d *Document) locateKeys(raw []byte) {
 	f := lineFinder{lines: d.lines, elements: map[string]int{}}
 	f.parser.Reset(raw)
-	table := "" // that the keys below its header belong to
+	table := "" // the table of the most recent header, to which the following keys belong
 	for f.parser.NextExpression() {
 		switch e := f.parser.Expression(); e.Kind {
 		case unstable.Table, unstable.ArrayTable:
@@ -29,8 +29,8 @@
 	}
 }
 
-// header notes the tables that [a.b] or [[a.b]] names, and returns the key of the innermost. A table below an array of tables belongs to
-// the array's last element.
+// header records the lines of the tables that a header [a.b] or [[a.b]] names, and returns the key of the innermost one. A table below an
+// array of tables belongs to the array's last element.
 func (f *lineFinder) header(e *unstable.Node) (table string) {
 	names, line := f.keyPath(e.Key())
 	for i, name := range names {
@@ -47,7 +47,7 @@
 	return table
 }
 
-// keyValue notes the key of KEY = VALUE, the tables that a dotted key names, and what is in the value.
+// keyValue records the lines of the key in KEY = VALUE, of the tables that a dotted key names, and of the keys inside the value.
 func (f *lineFinder) keyValue(table string, e *unstable.Node) {
 	names, line := f.keyPath(e.Key())
 	key := table
@@ -58,7 +58,8 @@
 	f.value(key, e.Value())
 }
 
-// value notes the keys of inline tables in a value. Elements of arrays that are no tables have the line of their array.
+// value records the lines of the keys of inline tables in a value. Array elements that are not tables have no line of their own; Line
+// returns that of their array.
 func (f *lineFinder) value(key string, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.InlineTable:
@@ -71,7 +72,7 @@
 			n++
 			f.value(elementKey(key, n), it.Node())
 		}
-	default: // no keys in it
+	default: // scalars contain no keys
 	}
 }
 
@@ -81,7 +82,7 @@
 	}
 }
 
-// keyPath returns the names of a dotted key, and the line of the last.
+// keyPath returns the names in a dotted key, and the line of the last one.
 func (f *lineFinder) keyPath(it unstable.Iterator) (names []string, line int) {
 	for it.Next() {
 		names = append(names, string(it.Node().Data))
@@ -90,7 +91,7 @@
 	return names, line
 }
 
-// joinKey returns the key of a name in a table; the document itself is "".
+// joinKey returns the key of a name in a table; the key of the top-level table is "".
 func joinKey(table, name string) string {
 	if table == "" {
 		return name
@@ -98,5 +99,5 @@
 	return table + "." + name
 }
 
-// elementKey returns the key of a list's element, counted from 1.
+// elementKey returns the key of a list's nth element, counted from 1.
 func elementKey(list string, n int) string { return fmt.Sprintf("%s[%d]", list, n) }
--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("got %+v", s)
 	}
 	if d.Line("item[1].range") != 7 || d.Line("item[1].deep.x") != 6 || !d.Has("on") || d.Has("rate") {
-		t.Error("lines of keys are wrong")
+		t.Error("Line or Has gives a wrong result")
 	}
 }
 
@@ -108,7 +108,7 @@
 	var s sample
 	err := Decode("f", []byte("name = 1\nsise = 2\n"), &s).Err()
 	if want := (FieldError{File: "f", Line: 1, Key: "name", Reason: "is the whole number 1, has to be a text"}); !errors.Is(err, want) {
-		t.Errorf("%v, want among them %v", err, want)
+		t.Errorf("%v, want an error that wraps %v", err, want)
 	}
 }
 
@@ -129,8 +129,8 @@
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{
-		dir:                             dir + ": is a folder",
-		large:                           large + ": 4194305 bytes, 4194304 at most",
+		dir:                             dir + ": is a directory",
+		large:                           large + ": file has 4194305 bytes, the maximum is 4194304",
 		filepath.Join(dir, "none.toml"): "stat " + filepath.Join(dir, "none.toml") + ": no such file or directory",
 	} {
 		var s sample
--- a/internal/strictconfig/suggest.go
+++ b/internal/strictconfig/suggest.go
@@ -5,11 +5,11 @@
 // maxDistance is the edit distance up to which a known key is suggested for an unknown one.
 const maxDistance = 2
 
-// suggestion returns ` (meant "NAME"?)` with the known name that is nearest to an unknown key, or "" where none is near.
+// suggestion returns ` (meant "NAME"?)` with the known name that is nearest to an unknown key, or "" if no name is within maxDistance.
 func suggestion(key string, names []string) string {
 	nearest, least := "", maxDistance+1
 	for _, name := range names {
-		// A name of one or two letters is near to everything.
+		// At a distance of len(name) nothing of the name matches, yet names of one or two letters are then within maxDistance.
 		if d := editDistance(key, name); d < least && d < len(name) {
 			nearest, least = name, d
 		}
@@ -20,9 +20,9 @@
 	return fmt.Sprintf(" (meant %q?)", nearest)
 }
 
-// editDistance returns the Levenshtein distance of two short texts, in bytes.
+// editDistance returns the Levenshtein distance of two short strings, counted in bytes.
 func editDistance(a, b string) int {
-	row := make([]int, len(b)+1) // of the table: the distances of a[:i] to each b[:j]
+	row := make([]int, len(b)+1) // a row of the distance table: row[j] is the distance between a[:i] and b[:j]
 	for j := range row {
 		row[j] = j
 	}
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed runs a package's property tests from one fixed seed, so that CI gives the same verdict each time. Another seed is
-// given with -rapid.seed.
+// Package testseed runs a package's property tests with a fixed seed, so that CI gives the same result each time. The flag -rapid.seed
+// selects another seed.
 package testseed
 
 import (
@@ -12,17 +12,17 @@
 
 const (
 	seedFlag = "rapid.seed"
-	// unset is the flag's value when it is not given: rapid draws a seed then.
+	// unset is the flag's default value, for which rapid draws a random seed.
 	unset = "0"
 	// fixedSeed is the seed when the flag is not given.
 	fixedSeed = "20261201"
 )
 
-// Main runs a package's tests, as the body of its TestMain.
+// Main runs a package's tests; the package's TestMain calls it.
 func Main(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup(seedFlag); f.Value.String() == unset {
-		_ = f.Value.Set(fixedSeed) // a number, so it can't fail
+		_ = f.Value.Set(fixedSeed) // can't fail: fixedSeed is a number
 	}
 	os.Exit(m.Run())
 }
