--- a/cmd/frostlink-coord/doc.go
+++ b/cmd/frostlink-coord/doc.go
@@ -5,9 +5,9 @@
 // # Files
 //
 //	main.go    the command line
-//	init.go    init: the folder of a member with which a cluster begins
-//	join.go    join: the folder of a member that joins a running cluster
-//	run.go     run: a member, until it is stopped
-//	verify.go  verify: checks the folder of a member that does not run
+//	init.go    init: creates the folder of an initial member of a new cluster
+//	join.go    join: creates the folder of a member that joins a running cluster
+//	run.go     run: runs a member until it is stopped
+//	verify.go  verify: checks the folder of a member that is not running
 //	prove.go   prove: simulates whole clusters in virtual time, and checks them
 package main
--- a/cmd/frostlink-coord/init.go
+++ b/cmd/frostlink-coord/init.go
@@ -16,17 +16,17 @@
 	folder  string
 	cluster string
 	id      uint64
-	members []string // as ID=HOST:PORT
+	members []string // each as ID=HOST:PORT
 }
 
 func initCommand() *cobra.Command {
 	var o initOptions
 	c := &cobra.Command{
 		Use:   "init",
-		Short: "Make the folder of one of the members with which a cluster begins",
-		Long: "Make the folder of one of the members with which a cluster begins. Run it once for each of them, with the same list and the\n" +
-			"same cluster. A folder that holds a member's data already is left alone; a member whose disk was lost is never made anew\n" +
-			"under its old id: remove it, and join another one.",
+		Short: "Create the folder of an initial member of a new cluster",
+		Long: "Create the folder of an initial member of a new cluster. Run it once for each of them, with the same list and the same\n" +
+			"cluster name. A folder that already holds a member's data is not changed. Never create a member whose disk was lost again\n" +
+			"under its old id: remove it, and join another member.",
 		Example: "  frostlink-coord init --folder coord-1 --cluster lahore --id 1 --member 1=127.0.0.1:7101 --member 2=127.0.0.1:7102 --member 3=127.0.0.1:7103",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return o.createFolder() },
@@ -35,8 +35,8 @@
 	f.StringVar(&o.folder, "folder", "", "`folder` of this member's data")
 	f.StringVar(&o.cluster, "cluster", "", "`name` of the cluster")
 	f.Uint64Var(&o.id, "id", 0, "this member's `id`")
-	f.StringArrayVar(&o.members, "member", nil, "a member, as `ID=HOST:PORT`; all of them, this one too")
-	_ = c.MarkFlagRequired("folder") // it fails only for a flag that does not exist
+	f.StringArrayVar(&o.members, "member", nil, "a member, as `ID=HOST:PORT`; repeat it for all members, including this one")
+	_ = c.MarkFlagRequired("folder") // fails only for a flag that does not exist
 	return c
 }
 
@@ -54,9 +54,9 @@
 	const maxClusterName = coord.MaxNameSize - 1
 	switch {
 	case o.cluster == "" || len(o.cluster) > maxClusterName:
-		return fmt.Errorf("--cluster: a name of 1 to %d bytes is wanted", maxClusterName)
+		return fmt.Errorf("--cluster: the name must have 1 to %d bytes", maxClusterName)
 	case len(members) > coord.MaxMembers || len(members)%2 == 0:
-		return fmt.Errorf("--member: %d of them; 1, 3, 5 or 7 are wanted: an even number bears no more losses than one less", len(members))
+		return fmt.Errorf("--member: %d members, must be 1, 3, 5 or 7: an even number tolerates no more failures than one member less", len(members))
 	case identity.Address == "":
 		return fmt.Errorf("--id: member %d is not in the list of --member", o.id)
 	}
--- a/cmd/frostlink-coord/join.go
+++ b/cmd/frostlink-coord/join.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/coord/replica"
 )
 
-// statusTimeout bounds a call for a member's status.
+// statusTimeout is the time limit for requesting a member's status.
 const statusTimeout = 3 * time.Second
 
 // joinOptions are the flags of join.
@@ -28,9 +28,9 @@
 	var o joinOptions
 	c := &cobra.Command{
 		Use:   "join",
-		Short: "Make the folder of a member that joins a running cluster",
-		Long: "Make the folder of a member that joins a running cluster, under an id that was never used in it. Then start it with run, add it as\n" +
-			"a learner, and give it its vote when it has caught up: docs/operators/coordination.md.",
+		Short: "Create the folder of a member that joins a running cluster",
+		Long: "Create the folder of a member that joins a running cluster, under an id that was never used in it. Then start it with run, add it\n" +
+			"as a learner, and make it a voter when it has caught up: docs/operators/coordination.md.",
 		Example: "  frostlink-coord join --folder coord-4 --cluster lahore --member 4=127.0.0.1:7104 --via 127.0.0.1:7101",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return o.createFolder(c.Context()) },
@@ -39,9 +39,9 @@
 	f.StringVar(&o.folder, "folder", "", "`folder` of this member's data")
 	f.StringVar(&o.cluster, "cluster", "", "`name` of the cluster")
 	f.StringVar(&o.member, "member", "", "this member, as `ID=HOST:PORT`")
-	f.StringArrayVar(&o.via, "via", nil, "`address` of a member that runs")
+	f.StringArrayVar(&o.via, "via", nil, "`address` of a running member")
 	for _, name := range []string{"folder", "member", "via"} {
-		_ = c.MarkFlagRequired(name) // it fails only for a flag that does not exist
+		_ = c.MarkFlagRequired(name) // fails only for a flag that does not exist
 	}
 	return c
 }
@@ -58,7 +58,7 @@
 	identity := disk.Identity{Cluster: o.cluster, ID: m.ID, Address: m.Address}
 	for _, other := range status.Members {
 		if other.ID == m.ID || other.Address == m.Address {
-			return fmt.Errorf("--member: %d=%s is a member already", other.ID, other.Address)
+			return fmt.Errorf("--member: %d=%s is already a member", other.ID, other.Address)
 		}
 		if !other.Learner {
 			identity.Peers = append(identity.Peers, other.ID)
@@ -68,10 +68,10 @@
 	return disk.Create(o.folder, identity, replica.PersistentState{})
 }
 
-// firstStatus returns the status of the first member of the cluster that answers.
+// firstStatus returns the status of the first address at which a member of the cluster answers.
 func firstStatus(ctx context.Context, cluster string, addresses []string) (api.Status, error) {
 	caller := api.NewCaller(cluster)
-	err := errors.New("no address")
+	err := errors.New("no address given")
 	for _, address := range addresses {
 		var status api.Status
 		if status, err = statusOf(ctx, caller, address); err == nil {
--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// mutant is a fault planted in the cores by replacing pieces of their source. One of its checks has
-// to catch it.
+// mutant is a fault that is planted in the lease client, the state machine or the replica by
+// replacing pieces of source. One of its checks has to catch it.
 type mutant struct {
 	file     string
 	edits    []edit
 	checks   []string
-	maxSeeds int // until it is caught
+	maxSeeds int // maximum number of runs until it is caught
 }
 
-// edit replaces a piece of source, which must occur once.
+// edit replaces a piece of source, which must occur exactly once.
 type edit struct{ from, to string }
 
-// The files that are mutated, by what they hold.
+// The files that are mutated.
 const (
 	clientCore    = "internal/lease/core.go"
 	clientActs    = "internal/lease/acts.go"
@@ -44,15 +44,15 @@
 	incarnations = "internal/coord/replica/incarnation.go"
 )
 
-// persistSource is the step of ProcessReady that saves a batch, and advanceSource the one after
-// everything was sent.
+// persistSource is the step of ProcessReady that saves a batch, and advanceSource the step after
+// all messages were sent.
 const (
 	persistSource = "	if err := c.persist(batch, save); err != nil {\n		return false, err\n	}\n"
 	advanceSource = "	if hasReady {\n		c.node.Advance(ready)\n"
 )
 
 var clientMutants = map[string]mutant{
-	"validity counted from the arrival of the answer": {
+	"validity counted from the arrival of the response": {
 		file:   clientResults,
 		edits:  []edit{{"call.sent+c.validity())", "now+c.validity())"}},
 		checks: []string{"overlap"}, maxSeeds: 1000,
@@ -75,7 +75,7 @@
 		edits:  []edit{{"case r.releasing && held && c.hasOpenAct(name), now < r.notBefore:", "case now < r.notBefore:"}},
 		checks: []string{"overlap"}, maxSeeds: 300,
 	},
-	"believed to be held while it is released": {
+	"a lease is considered held while it is released": {
 		file:   clientCalls,
 		edits:  []edit{{"	delete(c.held, command.Lease)\n", ""}},
 		checks: []string{"overlap", "token"}, maxSeeds: 1000,
@@ -98,7 +98,7 @@
 		edits:  []edit{{"if s.Deadline <= m.now {", "if s.Deadline-s.TTL/10 <= m.now {"}},
 		checks: []string{"overlap", "same"}, maxSeeds: 1000,
 	},
-	"the last in the queue is next": {
+	"the last in the queue gets the lease": {
 		file: leases,
 		edits: []edit{{
 			"next := l.Queue[0]\n	l.Queue = slices.Delete(l.Queue, 0, 1)",
@@ -150,7 +150,7 @@
 		}},
 		checks: []string{"overlap", "same", "queue", "token"}, maxSeeds: 300,
 	},
-	"a leader's time begins before its term": {
+	"a leader's clock starts before its term": {
 		file:   leadership,
 		edits:  []edit{{"c.leading, c.lastProposal = true, now", "c.leading = true"}},
 		checks: []string{"overlap", "held"}, maxSeeds: 300,
@@ -160,15 +160,15 @@
 		edits:  []edit{{"		c.lastProposal = now\n		c.proposed", "		c.proposed"}},
 		checks: []string{"overlap"}, maxSeeds: 300,
 	},
-	"a disk that was set back goes unnoticed": {
+	"a restored disk goes unnoticed": {
 		file:   incarnations,
 		edits:  []edit{{"case e.Kind == KindStale && !slices.Contains(c.incarnations.history, e.Subject):", "case false:"}},
 		checks: []string{"disk"}, maxSeeds: 300,
 	},
 }
 
-// TestProve_CatchesMutants builds this program with each fault planted, and has prove find it. The
-// cores themselves have no hooks.
+// TestProve_CatchesMutants builds this program with each mutant and checks that prove finds the
+// fault. The mutated packages need no test hooks for this.
 func TestProve_CatchesMutants(t *testing.T) {
 	for _, mutants := range []map[string]mutant{clientMutants, machineMutants, replicaMutants} {
 		for name, m := range mutants {
@@ -190,17 +190,16 @@
 	out, err := run.Output()
 	var p proof
 	if run.ProcessState.ExitCode() != 1 || json.Unmarshal(out, &p) != nil {
-		t.Fatalf("not caught: %v\n%.2000s%.3000s", err, out, stderrOf(err))
+		t.Fatalf("prove did not catch the mutant: %v\n%.2000s%.3000s", err, out, stderrOf(err))
 	}
 	violation := p.Failing[0].Violations[0]
 	if !slices.Contains(m.checks, violation.Check) {
-		t.Fatalf("caught by %s: %s", violation.Check, violation.Detail)
+		t.Fatalf("caught by an unexpected check, %s: %s", violation.Check, violation.Detail)
 	}
 	t.Logf("caught by %s after %d runs: %s", violation.Check, p.Runs, violation.Detail)
 }
 
-// build builds this program with the mutant's source in the place of the original, and returns its
-// path.
+// build builds this program with the mutant's source in place of the original, and returns its path.
 func (m mutant) build(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -232,14 +231,14 @@
 	text := string(raw)
 	for _, e := range m.edits {
 		if n := strings.Count(text, e.from); n != 1 {
-			t.Fatalf("%s holds %d times, not once: %s", m.file, n, e.from)
+			t.Fatalf("%s contains the source to replace %d times, want once: %s", m.file, n, e.from)
 		}
 		text = strings.Replace(text, e.from, e.to, 1)
 	}
 	return text
 }
 
-// stderrOf returns what a program that failed wrote to its standard error.
+// stderrOf returns what a failed program wrote to standard error, given the error of its run.
 func stderrOf(err error) string {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -16,11 +16,10 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// processTimeout bounds whatever the processes do within a few seconds on a machine with nothing
-// else to do.
+// processTimeout is the time limit for steps that take a few seconds on an idle machine.
 const processTimeout = 30 * time.Second
 
-// service is a cluster of processes of the real program.
+// service is a cluster of processes that run the real program.
 type service struct {
 	t        *testing.T
 	program  string
@@ -71,7 +70,7 @@
 	return args
 }
 
-// mustRun runs the program to its end, and fails the test where that is not a success.
+// mustRun runs the program to its end, and fails the test if its exit code is not 0.
 func (s *service) mustRun(args ...string) {
 	s.t.Helper()
 	out, err := exec.Command(s.program, args...).CombinedOutput()
@@ -80,7 +79,7 @@
 	}
 }
 
-// start starts a member, for the first time or again.
+// start starts or restarts a member.
 func (s *service) start(id uint64) {
 	s.t.Helper()
 	if s.running[id] == nil {
@@ -91,19 +90,19 @@
 	}
 }
 
-// callLeader calls whichever member leads.
+// callLeader sends a request to the current leader.
 func (s *service) callLeader(path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(s.t.Context(), processTimeout)
 	defer stop()
 	return s.caller.CallLeader(ctx, s.members, path, r)
 }
 
-// eventually waits until a condition holds, and fails the test where it does not in time.
+// eventually waits until a condition holds, and fails the test if it does not within processTimeout.
 func (s *service) eventually(what string, holds func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(processTimeout); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not within %v: %s\n%s", processTimeout, what, s.logs())
+			s.t.Fatalf("did not happen within %v: %s\n%s", processTimeout, what, s.logs())
 		}
 	}
 }
@@ -119,7 +118,7 @@
 	return text.String()
 }
 
-// put writes a value as a session's command of a sequence number.
+// put opens a session and writes a value in it, as the command with the given sequence number.
 func (s *service) put(seq uint64, key string) error {
 	open, err := s.callLeader(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", TTL: time.Minute}})
 	if err != nil {
@@ -132,15 +131,15 @@
 	return err
 }
 
-// TestRun_ReplacesMemberWithLostDisk: a member whose disk was lost is noticed when it starts again
-// under its old id. Another one joins and becomes a voter, and the first is removed. What was
-// written stays.
+// TestRun_ReplacesMemberWithLostDisk restarts a member with an empty disk under its old id, which is
+// detected. Another member joins and becomes a voter, the first one is removed, and all values are
+// kept.
 func TestRun_ReplacesMemberWithLostDisk(t *testing.T) {
 	s := newService(t, 3)
 	if err := s.put(1, "before"); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("all have acknowledged one another", func() bool {
+	s.eventually("all members have acknowledged one another", func() bool {
 		for _, m := range s.members {
 			status, err := s.caller.Status(s.t.Context(), m.Address)
 			if err != nil {
@@ -173,7 +172,7 @@
 	for _, step := range []api.Request{{AddMember: &fourth}, {RemoveMember: 1}, {AddMember: &coord.Member{ID: 4, Address: fourth.Address}}} {
 		s.eventually(fmt.Sprintf("%+v", step), func() bool { _, err := s.callLeader(api.PathMembers, step); return err == nil })
 	}
-	// The new member and one of the others are a majority.
+	// The new member and one of the other two form a majority.
 	if err := s.running[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -186,8 +185,8 @@
 	}
 }
 
-// TestRun_KeepsValuesWhenAllAreKilled: all members are killed together, and again while they start.
-// What was acknowledged is there.
+// TestRun_KeepsValuesWhenAllAreKilled kills all members at once, and again while they start. All
+// acknowledged values are kept.
 func TestRun_KeepsValuesWhenAllAreKilled(t *testing.T) {
 	s := newService(t, 3)
 	for i := range 3 {
@@ -203,7 +202,7 @@
 			for _, m := range s.members {
 				s.start(m.ID)
 			}
-			time.Sleep(time.Duration(round) * 30 * time.Millisecond) // killed at different moments of their start
+			time.Sleep(time.Duration(round) * 30 * time.Millisecond) // so that they are killed at different moments of their start
 		}
 	}
 	a, err := s.callLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
@@ -220,11 +219,11 @@
 	}
 }
 
-// TestCommands_ReportBadInput: a command prints what is wrong, without a stack trace, and ends with
-// the code that it documents.
+// TestCommands_ReportBadInput checks that a command reports invalid input without a stack trace, and
+// ends with the exit code that it documents.
 func TestCommands_ReportBadInput(t *testing.T) {
 	s := newService(t, 1)
-	s.eventually("it leads", func() bool { return s.put(1, "k") == nil })
+	s.eventually("the member leads", func() bool { return s.put(1, "k") == nil })
 	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -16,25 +16,25 @@
 	"frostlink/internal/faultinjection/coordsim"
 )
 
-// maxSeeds bounds the runs of one call.
+// maxSeeds is the maximum number of runs of one call.
 const maxSeeds = 1_000_000
 
 // proveOptions are the flags of prove.
 type proveOptions struct {
 	seeds       int
 	firstSeed   uint64
-	stopAtFirst bool // run that fails
+	stopAtFirst bool // stop at the first run that fails
 	jsonFile    string
 }
 
-// proof is the result of a number of runs.
+// proof is the combined result of all runs of one call.
 type proof struct {
 	FirstSeed   uint64            `json:"first_seed"`
 	Runs        int               `json:"plays"`
 	Acts        int               `json:"acts"`
 	Grants      int               `json:"grants"`
-	Values      int               `json:"values"` // writes and reads
-	Faults      map[string]int    `json:"caused"` // by kind
+	Values      int               `json:"values"` // number of writes and reads of values
+	Faults      map[string]int    `json:"caused"` // number of injected faults by kind
 	Failing     []coordsim.Result `json:"failing"`
 	TookSeconds float64           `json:"took_s"`
 }
@@ -43,22 +43,22 @@
 	var o proveOptions
 	c := &cobra.Command{
 		Use:   "prove",
-		Short: "Play drawn runs of whole quorums in virtual time, and judge them",
-		Long: "Play runs of three or five members, of clients that act under leases and of writers of values, in virtual time: under a network\n" +
-			"that loses, delays, doubles, reorders and cuts one way, with pauses, crashes at every write, full and slow disks, disks set back\n" +
-			"and clocks apart, all drawn from a seed. Checked: acts of two holders never overlap in true time; tokens only grow; nobody who\n" +
-			"waits is passed over; values are linearizable; leases are held again in the calm; members have the same state; a disk that was\n" +
-			"set back is noticed. A failing seed plays its run again.\n" +
-			"Exit codes: 0 fine, 1 a run failed, 2 could not run.",
+		Short: "Run random simulations of whole quorums in virtual time, and check them",
+		Long: "Simulate clusters of three or five members, with clients that act under leases and writers of values, in virtual time. The network\n" +
+			"loses, delays, duplicates and reorders messages and is cut in one direction; processes pause, and crash at any write; disks are\n" +
+			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. Checked: acts of two holders never\n" +
+			"overlap in true time, whatever the clocks show; tokens only grow; waiters get a lease in order; values are linearizable; leases are held again once faults\n" +
+			"stop; members have the same state; a restored disk is noticed. Running a failing seed again reproduces its run.\n" +
+			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 10000\n  frostlink-coord prove --seeds 1 --seed 4711 --json -",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return o.run(c.Context(), c.OutOrStdout()) },
 	}
 	f := c.Flags()
-	f.IntVar(&o.seeds, "seeds", 1000, "`runs` to play, by seeds one after the other")
+	f.IntVar(&o.seeds, "seeds", 1000, "number of `runs`, with consecutive seeds")
 	f.Uint64Var(&o.firstSeed, "seed", 1, "first `seed`")
 	f.BoolVar(&o.stopAtFirst, "stop", false, "stop at the first run that fails")
-	f.StringVar(&o.jsonFile, "json", "", "write the result as JSON to this `file`; - is standard output, and nothing else then")
+	f.StringVar(&o.jsonFile, "json", "", "write the result as JSON to this `file`; - means standard output, and prints nothing else")
 	return c
 }
 
@@ -68,7 +68,7 @@
 	}
 	p := prove(ctx, o)
 	if err := ctx.Err(); err != nil {
-		return err //nolint:wrapcheck // an interrupted command prints it as it is
+		return err //nolint:wrapcheck // an interrupted command prints the error without more context
 	}
 	var err error
 	if o.jsonFile != "" {
@@ -83,16 +83,16 @@
 	return err
 }
 
-// prover runs the seeds of one call.
+// prover runs the simulations of one call.
 type prover struct {
 	options *proveOptions
 
-	mu       sync.Mutex // guards what is below
+	mu       sync.Mutex // guards the fields below
 	nextSeed uint64
 	proof    *proof
 }
 
-// prove makes as many runs at once as there are processors.
+// prove makes all runs, as many at a time as there are processors.
 func prove(ctx context.Context, o *proveOptions) *proof {
 	begun := time.Now()
 	p := &prover{
@@ -113,7 +113,7 @@
 	return p.proof
 }
 
-// takeSeed returns the next seed, and false where there is none to be run any more.
+// takeSeed returns the next seed, and false if there is no more to run.
 func (p *prover) takeSeed(ctx context.Context) (uint64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// headerTimeout is how long a caller may take for a request's header.
+	// headerTimeout is the maximum time for receiving a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a connection without a request stays open.
+	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = time.Minute
 )
 
-// The keys of log attributes that only the coordination service has.
+// The log attribute keys that only the coordination service uses.
 const (
 	keyCluster = "cluster"
 	keyMember  = "member"
@@ -35,7 +35,7 @@
 type runOptions struct {
 	folder string
 	listen string
-	reach  []string // as ID=HOST:PORT
+	reach  []string // each as ID=HOST:PORT
 }
 
 func runCommand() *cobra.Command {
@@ -43,8 +43,8 @@
 	c := &cobra.Command{
 		Use:   "run",
 		Short: "Run a member",
-		Long: "Run a member until SIGTERM. It listens where its folder says. It has no sign-in and no TLS: who can reach it can take every lease,\n" +
-			"so it warns where it listens on anything but loopback.",
+		Long: "Run a member until SIGTERM. It listens at the address that its folder holds. It has no authentication and no TLS: anyone who can\n" +
+			"reach it can take every lease. Therefore it logs a warning if it listens on any address that is not loopback.",
 		Example: "  frostlink-coord run --folder coord-1",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -53,9 +53,9 @@
 	}
 	f := c.Flags()
 	f.StringVar(&o.folder, "folder", "", "`folder` of this member's data")
-	f.StringVar(&o.listen, "listen", "", "`address` to listen on, where it is not the member's own")
-	f.StringArrayVar(&o.reach, "reach", nil, "where this member reaches another one, as `ID=HOST:PORT`, if not at its own address")
-	_ = c.MarkFlagRequired("folder") // it fails only for a flag that does not exist
+	f.StringVar(&o.listen, "listen", "", "`address` to listen on, if it differs from the member's address")
+	f.StringArrayVar(&o.reach, "reach", nil, "the address at which this member reaches another one, as `ID=HOST:PORT`, if it differs from the other's own address")
+	_ = c.MarkFlagRequired("folder") // fails only for a flag that does not exist
 	return c
 }
 
@@ -64,8 +64,8 @@
 	if err != nil {
 		return err
 	}
-	// A file that grows past a limit on its size is then an error of the write, and does not end
-	// the process.
+	// Without this, a write beyond the file size limit would end the process instead of returning an
+	// error.
 	signal.Ignore(syscall.SIGXFSZ)
 	node, err := server.New(o.folder, addressOverrides, log)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return err //nolint:wrapcheck // it names the address, and is printed as it is
+		return err //nolint:wrapcheck // the error names the address, and is printed as it is
 	}
 	if err := serve(ctx, node, listener, log); err != nil {
 		return fmt.Errorf("member %d: %w", node.Identity().ID, err)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// addressOverrides returns the addresses by member under which this one reaches others.
+// addressOverrides returns the addresses of --reach, by member id.
 func (o *runOptions) addressOverrides() (map[uint64]string, error) {
 	overrides := map[uint64]string{}
 	for _, text := range o.reach {
@@ -98,14 +98,14 @@
 	return overrides, nil
 }
 
-// serve runs a node behind a listener until the context ends or the node can't go on.
+// serve runs a node and serves its HTTP interface until the context ends or the node fails.
 func serve(ctx context.Context, node *server.Node, listener net.Listener, log *slog.Logger) error {
 	address := listener.Addr().String()
 	if tcp, ok := listener.Addr().(*net.TCPAddr); ok && !tcp.IP.IsLoopback() {
-		log.Warn("listening beyond loopback without sign-in: whoever can reach it can take every lease", logkey.Address, address)
+		log.Warn("listening on a non-loopback address without authentication; anyone who can reach it can take every lease", logkey.Address, address)
 	}
-	// There is no write timeout: calls that wait for a hint last. Everything else is bounded by its
-	// handler.
+	// There is no write timeout, because a call that waits for news of its session's leases lasts
+	// long. The handlers limit the time of all other calls.
 	srv := &http.Server{
 		Handler: node.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
--- a/cmd/frostlink-coord/verify.go
+++ b/cmd/frostlink-coord/verify.go
@@ -13,18 +13,18 @@
 	"frostlink/internal/coord/replica"
 )
 
-// stdout is the name of a JSON file that means standard output.
+// stdout is the JSON file name that stands for standard output.
 const stdout = "-"
 
-// verified is what a member's folder holds.
+// verified describes the content of a member's folder.
 type verified struct {
 	Identity    disk.Identity  `json:"identity"`
 	Incarnation uint64         `json:"life"`
-	Snapshot    uint64         `json:"snapshot"` // index of its last entry
+	Snapshot    uint64         `json:"snapshot"` // index of the last log entry that it covers
 	Entries     int            `json:"entries"`
-	Last        uint64         `json:"last"` // index
+	Last        uint64         `json:"last"` // index of the last log entry
 	Committed   uint64         `json:"committed"`
-	Counts      coord.Counts   `json:"counts"` // of the state as far as it is known to be committed
+	Counts      coord.Counts   `json:"counts"` // of the state at the last entry known to be committed
 	Members     []coord.Member `json:"members"`
 	Damage      string         `json:"damage,omitempty"`
 }
@@ -33,16 +33,16 @@
 	var folder, jsonFile string
 	c := &cobra.Command{
 		Use:   "verify",
-		Short: "Read all that the folder of a member that is not running holds, and check it",
-		Long: "Read all that the folder of a member that is not running holds: every checksum, the order of the log, the state that it leads\n" +
-			"to. Nothing is written.\nExit codes: 0 fine, 1 it is damaged, 2 could not run.",
+		Short: "Check the folder of a member that is not running",
+		Long: "Check the folder of a member that is not running: all checksums, the order of the log, and whether the log can be applied.\n" +
+			"Nothing is written.\nExit codes: 0 success, 1 the folder is damaged, 2 could not run.",
 		Example: "  frostlink-coord verify --folder coord-1",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return runVerify(c.OutOrStdout(), folder, jsonFile) },
 	}
 	c.Flags().StringVar(&folder, "folder", "", "`folder` of the member's data")
-	c.Flags().StringVar(&jsonFile, "json", "", "write the result as JSON to this `file`; - is standard output, and nothing else then")
-	_ = c.MarkFlagRequired("folder") // it fails only for a flag that does not exist
+	c.Flags().StringVar(&jsonFile, "json", "", "write the result as JSON to this `file`; - means standard output, and prints nothing else")
+	_ = c.MarkFlagRequired("folder") // fails only for a flag that does not exist
 	return c
 }
 
@@ -73,11 +73,11 @@
 	}
 }
 
-// verify reads a folder. Damage is part of the result; an error means that there is no folder to be
-// read.
+// verify reads a folder. Damage is part of the result; an error means that the folder can't be
+// accessed.
 func verify(folder string) (*verified, error) {
 	if _, err := os.Stat(folder); err != nil {
-		return nil, err //nolint:wrapcheck // it names the folder, and is printed as it is
+		return nil, err //nolint:wrapcheck // the error names the folder, and is printed as it is
 	}
 	id, state, err := disk.Read(folder)
 	v := &verified{Identity: id, Incarnation: uint64(len(state.Incarnations))}
--- a/cmd/frostlink/earlier_build_test.go
+++ b/cmd/frostlink/earlier_build_test.go
@@ -29,22 +29,22 @@
 	"frostlink/internal/notification"
 )
 
-// earlierProgram records the folder of earlierFolder anew, with the program of an earlier build.
-var earlierProgram = flag.String("earlier-program", "", "record the earlier build's folder anew with this relay `program`")
+// earlierProgram is the relay program of an earlier build. If it is given, the test records the content of earlierFolder again with it.
+var earlierProgram = flag.String("earlier-program", "", "record the earlier build's folder again with this relay `program`")
 
 const (
-	// earlierFolder holds the journal that an earlier build left when it was killed (journal), and when that was in
-	// nanoseconds of Unix time (killed_at). The build is that of commit 1723f68.
+	// earlierFolder holds the journal that an earlier build, of commit 1723f68, left when it was killed (journal), and the
+	// time at which it was killed in nanoseconds of Unix time (killed_at).
 	earlierFolder = "testdata/golden/earlier-build"
-	// downtime is between the kill of the earlier process and the start of the next.
+	// downtime is the time between the kill of the earlier process and the start of the next one.
 	downtime = time.Second
-	// requestTimeout is for how long each request may be delivered, as its client says.
+	// requestTimeout is the time that the client gives for the delivery of each request.
 	requestTimeout = 8 * time.Second
-	// outcomeWithin is how long the next process has to end what the earlier one had accepted.
+	// outcomeWithin is the maximum time in which the next process completes the requests that the earlier one had accepted.
 	outcomeWithin = 20 * time.Second
 )
 
-// earlierSettings has a class of each idempotency.
+// earlierSettings has one class for each kind of idempotency.
 const earlierSettings = `{"az":0,"categories":[
  {"name":"status","aim_s":2,"deadline_s":30,"idempotency":"retryable","group":"all","points":1},
  {"name":"payment","aim_s":2,"deadline_s":30,"idempotency":"dedup","group":"all","memory_span_s":25,"points":2},
@@ -55,7 +55,7 @@
  "specifics":{"bundle_max":[1],"loses_worth":"linear","max_calls":8,"separate_routes":[false]},
  "tenants":[{"name":"acme"}],"weights":"nominal"}`
 
-// The destinations of the requests. The endpoint of the last refuses connections while the earlier process runs.
+// The destinations of the requests. While the earlier process runs, the endpoint of refusedDestination refuses connections.
 const (
 	orderDestination = iota + 7
 	statusDestination
@@ -63,29 +63,31 @@
 	refusedDestination
 )
 
-// earlierRequest is a request that the earlier process accepts.
+// earlierRequest is a request that is submitted to the earlier process.
 type earlierRequest struct {
 	id, class, key string
 	destination    int
 }
 
-// earlierRequests are submitted in this order. Their ids say how far each is when the earlier process is killed.
+// earlierRequests are submitted in this order. The id of each names its state when the earlier process is killed: delivered,
+// failed, open (an attempt is in flight) or refused (the endpoint refuses connections).
 var earlierRequests = []earlierRequest{
 	{id: "delivered-order", class: "order", destination: orderDestination},
 	{id: "failed-order", class: "order", destination: orderDestination},
 	{id: "open-order", class: "order", destination: orderDestination},
 	{id: "open-status", class: "status", destination: statusDestination},
 	{id: "open-payment", class: "payment", key: "k1", destination: paymentDestination},
-	{id: "refused-status", class: "status", destination: refusedDestination}, // right before the kill: attempts are limited
+	{id: "refused-status", class: "status", destination: refusedDestination}, // last, right before the kill, because the number of attempts is limited
 }
 
-// A process of this build goes on with the folder of a killed process of an earlier build. It delivers what was not executed
-// or is idempotent. It notifies the platform of the outcome that the platform had not acknowledged, and of requests that may
-// have been executed: also of the one with an idempotency key, since the folder is of another boot of the machine, and how
-// long ago its attempt was is not known. It attempts nothing that was delivered.
+// A relay of this build continues with the folder of a killed relay of an earlier build. It delivers requests that were not
+// executed or are idempotent. It sends a notice for the outcome that the platform had not acknowledged, and for requests that
+// may have been executed. The latter include the request with an idempotency key: the folder was written in another boot of
+// the machine, so the time since the attempt, and thus whether the key is still valid, is not known. The relay makes no
+// attempt for a request that was delivered.
 func TestRelay_ContinuesFolderOfEarlierBuild(t *testing.T) {
 	if _, err := exec.LookPath("gcc"); err != nil {
-		t.Skip("external linking and the wall clock's library need a C compiler: ", err)
+		t.Skip("external linking and the library that shifts the wall clock need a C compiler: ", err)
 	}
 	if *earlierProgram != "" {
 		recordEarlierFolder(t)
@@ -96,7 +98,7 @@
 	killedAt := copyEarlierFolder(t, state)
 	address := p.startRelay(t, filepath.Join(dir, "frostlink"), state, wallClockAt(t, dir, killedAt.Add(downtime))...)
 
-	// A copy of a completed request is answered as accepted, and makes no attempt.
+	// A completed request that is submitted again is acknowledged as accepted, but not attempted.
 	p.submit(t, address, earlierRequests[0])
 
 	want := earlierOutcomes{
@@ -109,28 +111,28 @@
 			break
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // for what must not come
+	time.Sleep(500 * time.Millisecond) // for attempts and notices that must not come
 	if diff := cmp.Diff(want, p.outcomes()); diff != "" {
 		t.Errorf("outcomes (-want +got):\n%s", diff)
 	}
 }
 
-// earlierOutcomes are what reached endpoints and the platform, sorted.
+// earlierOutcomes are the attempts that reached endpoints and the notices that reached the platform, sorted.
 type earlierOutcomes struct{ Attempts, Notices []string }
 
 func (o earlierOutcomes) isComplete(want earlierOutcomes) bool {
 	return len(o.Attempts) >= len(want.Attempts) && len(o.Notices) >= len(want.Notices)
 }
 
-// earlierPlatform stands in for discovery, the platform that takes notices, and the endpoints.
+// earlierPlatform is a stand-in for the discovery service, the platform's receiver of notices, and the endpoints.
 type earlierPlatform struct {
 	discovery *httptest.Server
 	endpoint  *httptest.Server
-	refusing  string        // the address of the endpoint that refuses connections; empty: it is as the other
-	closing   chan struct{} // closed at the end: attempts and watches that are open end
+	refusing  string        // an address that refuses connections, for refusedDestination; if empty, its endpoint is as the others
+	closing   chan struct{} // closed when the test ends, which ends open attempts and watches
 
 	mu       sync.Mutex
-	earlier  bool // the earlier process runs: attempts hang or fail by their ids, and no notice is acknowledged
+	earlier  bool // the earlier process runs: attempts hang or fail according to their request's id, and no notice is acknowledged
 	attempts []string
 	notices  []string
 }
@@ -148,7 +150,7 @@
 	return p
 }
 
-// outcomes returns what has come so far.
+// outcomes returns the attempts and notices received so far.
 func (p *earlierPlatform) outcomes() earlierOutcomes {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// serveNotices takes notices, and acknowledges them unless the earlier process runs.
+// serveNotices receives notices, and acknowledges them unless the earlier process runs.
 func (p *earlierPlatform) serveNotices(w http.ResponseWriter, r *http.Request) {
 	lines := json.NewDecoder(r.Body)
 	for {
@@ -232,7 +234,8 @@
 	return list
 }
 
-// startRelay starts a relay on a folder until the test ends, waits until it is healthy, and returns its address.
+// startRelay starts a relay on a folder, waits until it is healthy, and returns its address. The relay is killed when the test
+// ends.
 func (p *earlierPlatform) startRelay(t *testing.T, program, state string, env ...string) (address string) {
 	t.Helper()
 	address, _ = p.startProcess(t, program, state, env...)
@@ -281,7 +284,7 @@
 	return ln.Addr().String()
 }
 
-// submit submits a request, which has to be accepted.
+// submit submits a request, and fails the test if it is not accepted.
 func (p *earlierPlatform) submit(t *testing.T, address string, r earlierRequest) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address+"/"+r.class, strings.NewReader("the body of "+r.id))
@@ -305,7 +308,7 @@
 	}
 }
 
-// wallClockAt returns the environment of a process whose wall clock shows a time.
+// wallClockAt returns environment variables that make a process's wall clock show the time at.
 func wallClockAt(t *testing.T, dir string, at time.Time) []string {
 	t.Helper()
 	library, err := faults.BuildWallClockLibrary(dir)
@@ -322,7 +325,7 @@
 	return append(clock.Env(), faults.Preload(clock.Library()))
 }
 
-// copyEarlierFolder copies the earlier build's folder, and returns when its process was killed.
+// copyEarlierFolder copies the earlier build's journal into state, and returns when its process was killed.
 func copyEarlierFolder(t *testing.T, state string) (killedAt time.Time) {
 	t.Helper()
 	journal, err := os.ReadFile(filepath.Join(earlierFolder, "journal"))
@@ -343,7 +346,7 @@
 	return time.Unix(0, nanoseconds)
 }
 
-// recordEarlierFolder has an earlier build accept the requests, kills it, and keeps what it left.
+// recordEarlierFolder submits the requests to a relay of an earlier build, kills it, and stores its journal in earlierFolder.
 func recordEarlierFolder(t *testing.T) {
 	t.Helper()
 	p := newEarlierPlatform(t)
@@ -352,7 +355,7 @@
 	address, cmd := p.startProcess(t, *earlierProgram, state)
 	for _, r := range earlierRequests {
 		p.submit(t, address, r)
-		time.Sleep(100 * time.Millisecond) // until it is as far as its id says
+		time.Sleep(100 * time.Millisecond) // until it is in the state that its id names
 	}
 	if err := cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -374,8 +377,8 @@
 	t.Logf("recorded: %v", p.outcomes())
 }
 
-// ofAnotherBoot returns a journal whose anchor is of no boot of this machine, so that the next process goes by the wall
-// clock wherever the test runs. No other byte changes but the checksum of that record.
+// ofAnotherBoot returns a copy of the journal whose anchor names a boot that never happened, so that the next process has to
+// use the wall clock on whichever machine the test runs. Apart from the boot id, only the checksum of that record changes.
 func ofAnotherBoot(t *testing.T, journal []byte) []byte {
 	t.Helper()
 	const header, checksumAt = 12, 8
--- a/cmd/frostlinkctl/concurrent.go
+++ b/cmd/frostlinkctl/concurrent.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// runConcurrently calls do with each index below count, limit calls at once, and waits for all of them. It returns their errors by index.
+// runConcurrently calls do with each index below count, at most limit calls at a time, and waits for all of them. It returns the error of
+// each call by its index.
 func runConcurrently(count, limit int, do func(index int) error) []error {
 	errs := make([]error, count)
 	indices := make(chan int)
--- a/cmd/frostlinkctl/concurrent_test.go
+++ b/cmd/frostlinkctl/concurrent_test.go
@@ -25,13 +25,13 @@
 	}
 	for i, err := range errs {
 		if errors.Is(err, errOdd) != (i%2 == 1) {
-			t.Errorf("error %d is %v", i, err)
+			t.Errorf("error of call %d is %v", i, err)
 		}
 	}
 	if err := firstError(errs); !errors.Is(err, errOdd) {
 		t.Errorf("first error %v", err)
 	}
 	if err := firstError(runConcurrently(0, 3, func(int) error { return errOdd })); err != nil {
-		t.Errorf("error %v of no call", err)
+		t.Errorf("error %v without any call", err)
 	}
 }
--- a/cmd/frostlinkctl/coord_add.go
+++ b/cmd/frostlinkctl/coord_add.go
@@ -18,14 +18,14 @@
 	f := &coordAddFlags{service: s}
 	c := newServiceCall(&cobra.Command{
 		Use:   "add ID=HOST:PORT",
-		Short: "Add a member that joins, as a learner, or give a learner its vote",
-		Long: "Add a member that joins, as a learner: it gets the log and has no vote. When coord status shows that it has caught up, give it its\n" +
-			"vote with --vote. One change at a time.",
+		Short: "Add a joining member as a learner, or make a learner a voter",
+		Long: "Add a joining member as a learner: it receives the log and has no vote. When coord status shows that it has caught up, make it a\n" +
+			"voter with --vote. Make one change at a time.",
 		Example: "  frostlinkctl coord add 4=127.0.0.1:7104 --operator deploy/frostlink.toml\n" +
 			"  frostlinkctl coord add 4=127.0.0.1:7104 --vote --operator deploy/frostlink.toml",
 		Args: cobra.ExactArgs(1),
 	}, s, f.addMember, printMessage)
-	c.Flags().BoolVar(&f.vote, "vote", false, "give it its vote")
+	c.Flags().BoolVar(&f.vote, "vote", false, "make the learner a voter")
 	return c
 }
 
--- a/cmd/frostlinkctl/coord_call.go
+++ b/cmd/frostlinkctl/coord_call.go
@@ -8,15 +8,15 @@
 	"github.com/spf13/cobra"
 )
 
-// serviceCall is a command that calls the coordination service and prints what it got, as JSON where --json asks for it.
+// serviceCall is a command that calls the coordination service and prints the result, as text or with --json as JSON.
 type serviceCall[T any] struct {
 	service  *coordService
 	call     func(c *cobra.Command, args []string) (T, error)
-	print    func(out io.Writer, result T) error // returns cli.ErrFindings where the result shows that something is wrong
+	print    func(out io.Writer, result T) error // prints the result; returns cli.ErrFindings if the result shows a problem
 	jsonFile string
 }
 
-// newServiceCall makes a command run a call.
+// newServiceCall sets a command up to run call and print its result, and adds the flag --json to it.
 func newServiceCall[T any](c *cobra.Command, s *coordService, call func(c *cobra.Command, args []string) (T, error),
 	print func(out io.Writer, result T) error,
 ) *cobra.Command {
@@ -26,7 +26,7 @@
 	return c
 }
 
-// run runs the command. What the call found counts also where it is not printed.
+// run runs the command. A problem that the result shows determines the exit code even if the result is not printed as text.
 func (s *serviceCall[T]) run(c *cobra.Command, args []string) error {
 	if err := s.service.open(); err != nil {
 		return err
@@ -40,7 +40,7 @@
 	return errors.Join(err, found)
 }
 
-// printMessage prints the result of a call that is one line.
+// printMessage prints a result that is a single line.
 func printMessage(out io.Writer, message string) error {
 	fmt.Fprintln(out, message)
 	return nil
--- a/cmd/frostlinkctl/coord_faultrun.go
+++ b/cmd/frostlinkctl/coord_faultrun.go
@@ -12,7 +12,7 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// The bounds of a fault run.
+// Bounds of the flags of coord fault-run.
 const (
 	maxFaultRuns         = 1000
 	maxFaultRunRelays    = 300
@@ -21,12 +21,12 @@
 	maxSessionTTL        = time.Minute
 )
 
-// coordinatorProgram is the name of the coordination service's program.
+// coordinatorProgram is the file name of the coordination service's program.
 const coordinatorProgram = "frostlink-coord"
 
 // coordFaultRunFlags are the flags of coord fault-run.
 type coordFaultRunFlags struct {
-	options  faults.Options // of the first run
+	options  faults.Options // the options of the first run; later runs have other seeds
 	runs     int
 	parallel int
 	unfenced bool
@@ -38,28 +38,28 @@
 	var f coordFaultRunFlags
 	c := &cobra.Command{
 		Use:   "fault-run",
-		Short: "Start members and relays as processes, cause drawn faults between them, and judge their acts",
-		Long: "Start members of the coordination service and relays as real processes on loopback, with proxies between all of them. The relays want\n" +
-			"one lease, and its holder acts upon a stand-in, again and again. Meanwhile holders, relays and members are killed and stopped,\n" +
-			"cut off both ways or one way, slowed and reset, and disks take nothing more, as drawn from a seed. Checked: accepted acts of two\n" +
-			"holders never overlap, tokens only grow, acts of processes that did not stand still never overlap at all, somebody acts in the end.\n" +
-			"With --unfenced the stand-in looks at no token: then a holder that is stopped for longer than its lease shows an overlap.\n" +
-			"Exit codes: 0 fine, 1 a run failed, 2 could not run.",
+		Short: "Run members and relays as processes, inject random faults, and check the lease holders' acts",
+		Long: "Run members of the coordination service and relays as real processes on loopback, with proxies between all of them. All relays request\n" +
+			"the same lease, and its holder repeatedly acts on a stand-in. Meanwhile holders, relays and members are killed and paused, cut off in\n" +
+			"one or both directions, slowed and reset, and disks become full, as drawn from a seed. Checked: accepted acts of two holders never\n" +
+			"overlap; tokens only grow; acts of processes that were not paused never overlap, accepted or not; in the end some relay acts.\n" +
+			"With --unfenced the stand-in does not check tokens: a holder that is paused for longer than its lease then causes an overlap.\n" +
+			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlinkctl coord fault-run --runs 5\n  frostlinkctl coord fault-run --runs 200 --beside 4 --relays 40",
 		Args:    cobra.NoArgs,
 		RunE:    f.run,
 	}
 	flags := c.Flags()
-	flags.IntVar(&f.runs, "runs", 1, "`runs` to play, by seeds one after the other")
-	flags.IntVar(&f.parallel, "beside", 1, "`runs` to play at once")
+	flags.IntVar(&f.runs, "runs", 1, "number of `runs`, with consecutive seeds")
+	flags.IntVar(&f.parallel, "beside", 1, "number of `runs` at a time")
 	flags.Uint64Var(&f.options.Seed, "seed", 1, "first `seed`")
-	flags.IntVar(&f.options.Members, "members", 3, "`members` of the service")
-	flags.IntVar(&f.options.Relays, "relays", 40, "`relays`")
-	flags.DurationVar(&f.options.TTL, "ttl", time.Second, "`time` that a session lasts")
-	flags.DurationVar(&f.options.Length, "length", 30*time.Second, "`time` in which faults are caused")
-	flags.BoolVar(&f.unfenced, "unfenced", false, "have the stand-in look at no token")
+	flags.IntVar(&f.options.Members, "members", 3, "number of `members` of the service")
+	flags.IntVar(&f.options.Relays, "relays", 40, "number of `relays`")
+	flags.DurationVar(&f.options.TTL, "ttl", time.Second, "the sessions' time to live, a `duration`")
+	flags.DurationVar(&f.options.Length, "length", 30*time.Second, "how long faults are injected, a `duration`")
+	flags.BoolVar(&f.unfenced, "unfenced", false, "the stand-in does not check fencing tokens")
 	flags.StringVar(&f.folder, "folder", filepath.Join(os.TempDir(), "frostlink-coord-rehearsals"),
-		"`folder` for the runs; what a failed one leaves stays there")
+		"`folder` for the runs; the files of failed runs are kept there")
 	addJSONFlag(c, &f.jsonFile, "the results")
 	return c
 }
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// prepare finds the programs and makes the folder of the runs.
+// prepare locates the programs and creates the folder for the runs.
 func (f *coordFaultRunFlags) prepare() (err error) {
 	if f.options.RelayPath, err = siblingProgram(relayProgram); err != nil {
 		return err
@@ -113,14 +113,14 @@
 	}
 	for _, program := range []string{f.options.RelayPath, f.options.CoordinatorPath} {
 		if _, err := os.Stat(program); err != nil {
-			return fmt.Errorf("the program beside this one: %w", err)
+			return fmt.Errorf("find the program in the folder of this one: %w", err)
 		}
 	}
 	f.options.Fenced = !f.unfenced
-	return os.MkdirAll(f.folder, 0o700) //nolint:wrapcheck // it names the operation and the folder
+	return os.MkdirAll(f.folder, 0o700) //nolint:wrapcheck // the error names the operation and the folder
 }
 
-// play plays the runs, each with a seed of its own.
+// play executes the runs, each with its own seed.
 func (f *coordFaultRunFlags) play(ctx context.Context) ([]faults.Result, error) {
 	results := make([]faults.Result, f.runs)
 	errs := runConcurrently(f.runs, f.parallel, func(i int) (err error) {
--- a/cmd/frostlinkctl/coord_faultrun_print.go
+++ b/cmd/frostlinkctl/coord_faultrun_print.go
@@ -11,12 +11,12 @@
 // faultRuns are the results of coord fault-run.
 type faultRuns []faults.Result
 
-// failed reports whether a run failed. A run for which the machine was too busy says nothing.
+// failed reports whether a run failed. Runs for which the machine was too busy are inconclusive and do not count.
 func (f faultRuns) failed() bool {
 	return slices.ContainsFunc(f, func(r faults.Result) bool { return !r.Void && len(r.Violations) > 0 })
 }
 
-// print prints a line for each run, the violations, and how long takeovers lasted.
+// print prints a line for each run, the violations, and how long it took until another relay acted after a holder's death.
 func (f faultRuns) print(out io.Writer) {
 	table := newNumberTable(out)
 	fmt.Fprintln(table, "seed\tmembers\trelays\tacts\taccepted\tgrants\trig late s\tverdict\t")
@@ -26,7 +26,7 @@
 			r.MaxLatenessSeconds, faultRunVerdict(&r))
 		takeovers = append(takeovers, r.TakeoverSeconds...)
 	}
-	_ = table.Flush() // a reader that has gone does not change the verdict
+	_ = table.Flush() // a write error, such as a closed pipe, does not change the verdict
 	for _, r := range f {
 		for _, violation := range r.Violations {
 			fmt.Fprintf(out, "seed %d: %s: %s (%s)\n", r.Seed, violation.Check, violation.Detail, r.Dir)
--- a/cmd/frostlinkctl/coord_measure.go
+++ b/cmd/frostlinkctl/coord_measure.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/coord"
 )
 
-// The bounds of a measurement.
+// Upper bounds of the flags of coord measure.
 const (
 	maxMeasuredSessions = 2000
 	maxMeasuredTime     = time.Minute
@@ -21,7 +21,7 @@
 	service  *coordService
 	sessions int
 	leases   int
-	duration time.Duration // of each of the two measurements of renewals
+	duration time.Duration // the duration of each of the two measurements of renewals
 }
 
 func coordMeasureCommand(s *coordService) *cobra.Command {
@@ -29,14 +29,14 @@
 	c := newServiceCall(&cobra.Command{
 		Use:   "measure",
 		Short: "Measure how many leases a service grants and renews, and how long a renewal takes",
-		Long: "Open sessions, spread leases over them, renew all sessions as fast as they go and then once a second each, and close them again. For a\n" +
-			"service that serves nobody yet: it takes all that the members have.",
+		Long: "Open sessions, distribute leases over them, renew all sessions as fast as possible and then each once a second, and close them. Use it\n" +
+			"only on a service that is not in use: it loads the members fully.",
 		Example: "  frostlinkctl coord measure --sessions 300 --leases 10000 --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, s, f.measure, printMeasurement)
-	c.Flags().IntVar(&f.sessions, "sessions", 300, "`sessions` to open")
-	c.Flags().IntVar(&f.leases, "leases", 1000, "`leases` to hold")
-	c.Flags().DurationVar(&f.duration, "for", 5*time.Second, "`time` of each of the two measurements of renewals")
+	c.Flags().IntVar(&f.sessions, "sessions", 300, "number of `sessions` to open")
+	c.Flags().IntVar(&f.leases, "leases", 1000, "number of `leases` to hold")
+	c.Flags().DurationVar(&f.duration, "for", 5*time.Second, "`duration` of each of the two measurements of renewals")
 	return c
 }
 
@@ -56,7 +56,7 @@
 		return err
 	}
 	if f.duration <= 0 || f.duration > maxMeasuredTime {
-		return fmt.Errorf("--for: %v is not up to %v", f.duration, maxMeasuredTime)
+		return fmt.Errorf("--for: %v is not above 0 and at most %v", f.duration, maxMeasuredTime)
 	}
 	return nil
 }
--- a/cmd/frostlinkctl/coord_measurement.go
+++ b/cmd/frostlinkctl/coord_measurement.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// measuredTTL is the sessions' of a measurement: none may expire while leases are granted.
+	// measuredTTL is the time to live of the sessions, so long that none expires while leases are granted.
 	measuredTTL = 2 * time.Minute
-	// pacedInterval is the time between two renewals of a session that is not renewed as fast as it goes.
+	// pacedInterval is the time between two renewals of a session in the measurement with paced renewals.
 	pacedInterval = time.Second
 )
 
 // latencyQuantiles are the median and the 99th percentile of latencies, in ms.
 type latencyQuantiles [2]float64
 
-// measurement is what a coordination service managed.
+// measurement holds the measured performance of a coordination service.
 type measurement struct {
 	Sessions          int              `json:"sessions"`
 	Leases            int              `json:"leases"`
-	GrantSeconds      float64          `json:"granting_s"` // for all leases
+	GrantSeconds      float64          `json:"granting_s"` // for all leases together
 	GrantsPerSecond   float64          `json:"grants_s"`
-	RenewalsPerSecond float64          `json:"renewals_s"`    // as fast as they go
-	RenewalMs         latencyQuantiles `json:"renew_ms"`      // of renewals at that rate
-	PacedRenewalMs    latencyQuantiles `json:"calm_renew_ms"` // of a renewal a second and session
+	RenewalsPerSecond float64          `json:"renewals_s"`    // at the maximum rate
+	RenewalMs         latencyQuantiles `json:"renew_ms"`      // latencies at the maximum rate
+	PacedRenewalMs    latencyQuantiles `json:"calm_renew_ms"` // latencies at one renewal per session and second
 	SnapshotBytes     int64            `json:"snapshot_bytes"`
 }
 
-// measuredSessions are the sessions of a measurement. The calls of each come one after the other, as a client's do; the sessions call
+// measuredSessions are the sessions of a measurement. Each session makes one call at a time, as a client does; the sessions call
 // concurrently.
 type measuredSessions struct {
 	service *coordService
@@ -45,7 +45,7 @@
 	return &measuredSessions{service: s, ids: make([]uint64, count)}
 }
 
-// measure opens the sessions, grants leases to them, renews them in two ways and closes them.
+// measure opens the sessions, acquires leases in them, renews them at the maximum rate and then paced, and closes them.
 func (s *measuredSessions) measure(ctx context.Context, leases int, duration time.Duration) (measurement, error) {
 	m := measurement{Sessions: len(s.ids), Leases: leases}
 	if err := s.service.putLeaderFirst(ctx); err != nil {
@@ -75,9 +75,9 @@
 	return m, s.close(ctx)
 }
 
-// putLeaderFirst puts the member that leads first in the list, so that each call reaches it at once.
+// putLeaderFirst moves the leader to the front of the member list, so that each call goes directly to it.
 func (s *coordService) putLeaderFirst(ctx context.Context) error {
-	if _, err := s.read(ctx, api.Query{}); err != nil { // there is a leader when it returns
+	if _, err := s.read(ctx, api.Query{}); err != nil { // returns once there is a leader
 		return err
 	}
 	for _, status := range s.memberStatuses(ctx) {
@@ -94,7 +94,7 @@
 	if err := firstError(runConcurrently(len(s.ids), len(s.ids), do)); err != nil {
 		return err
 	}
-	return ctx.Err() //nolint:wrapcheck // its text says all
+	return ctx.Err() //nolint:wrapcheck // the error needs no context
 }
 
 func (s *measuredSessions) open(ctx context.Context) error {
@@ -105,7 +105,7 @@
 	})
 }
 
-// acquire grants leases that nobody else wants to the sessions by turns.
+// acquire distributes uncontended leases over the sessions in turn.
 func (s *measuredSessions) acquire(ctx context.Context, leases int) error {
 	prefix := "measure-" + rand.Text()
 	return s.forEach(ctx, func(i int) error {
@@ -121,8 +121,8 @@
 	})
 }
 
-// renew renews all sessions for a while, each once in an interval, or as fast as it goes where that is 0. It returns the renewals a
-// second and how long one took.
+// renew renews all sessions for the given duration, each once per interval, or as fast as possible if the interval is 0. It returns the
+// renewals per second and the quantiles of their latencies.
 func (s *measuredSessions) renew(ctx context.Context, duration, interval time.Duration) (float64, latencyQuantiles, error) {
 	var count atomic.Int64
 	latencies := make([][]float64, len(s.ids))
@@ -136,7 +136,7 @@
 			}
 			latencies[i] = append(latencies[i], time.Since(sent).Seconds()*1000)
 			count.Add(1)
-			time.Sleep(interval - time.Since(sent)) // not at all where the interval is 0 or over
+			time.Sleep(interval - time.Since(sent)) // returns at once if the interval is 0 or has passed
 		}
 		return nil
 	})
--- a/cmd/frostlinkctl/coord_members.go
+++ b/cmd/frostlinkctl/coord_members.go
@@ -13,7 +13,7 @@
 func coordMembersCommand(s *coordService) *cobra.Command {
 	return newServiceCall(&cobra.Command{
 		Use:     "members",
-		Short:   "List the members as the leader has them",
+		Short:   "List the members according to the leader",
 		Example: "  frostlinkctl coord members --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, s, s.leadersMembers, printMembers)
--- a/cmd/frostlinkctl/coord_remove.go
+++ b/cmd/frostlinkctl/coord_remove.go
@@ -12,7 +12,7 @@
 func coordRemoveCommand(s *coordService) *cobra.Command {
 	return newServiceCall(&cobra.Command{
 		Use:     "remove ID",
-		Short:   "Remove a member for good; its id is not used again",
+		Short:   "Remove a member permanently; its id can't be used again",
 		Example: "  frostlinkctl coord remove 2 --operator deploy/frostlink.toml",
 		Args:    cobra.ExactArgs(1),
 	}, s, s.removeMember, printMessage)
@@ -21,7 +21,7 @@
 func (s *coordService) removeMember(c *cobra.Command, args []string) (string, error) {
 	id, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil || id == 0 {
-		return "", fmt.Errorf("%q is no member's id", args[0])
+		return "", fmt.Errorf("%q is not a valid member id", args[0])
 	}
 	if _, err = s.callLeader(c.Context(), api.PathMembers, api.Request{RemoveMember: id}); err != nil {
 		return "", err
--- a/cmd/frostlinkctl/coord_service.go
+++ b/cmd/frostlinkctl/coord_service.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// leaderTimeout bounds a request to the member that leads: an election takes about a second.
+	// leaderTimeout is the time limit for a request to the leader. It allows for an election, which takes about a second.
 	leaderTimeout = 8 * time.Second
-	// statusTimeout bounds a request to one member for its status.
+	// statusTimeout is the time limit for requesting one member's status.
 	statusTimeout = 2 * time.Second
 )
 
-// coordService is the coordination service that a command is for.
+// coordService is the coordination service that a command calls.
 type coordService struct {
 	cluster      string
-	memberFlags  []string // as ID=HOST:PORT
+	memberFlags  []string // each as ID=HOST:PORT
 	operatorFile string
 	members      []coord.Member
 	caller       *api.Caller
 }
 
-// addFlags adds the flags that name the service to a command and all below it.
+// addFlags adds the flags that name the service to a command and all its subcommands.
 func (s *coordService) addFlags(c *cobra.Command) {
 	f := c.PersistentFlags()
 	f.StringVar(&s.cluster, "cluster", "", "`name` of the cluster")
-	f.StringArrayVar(&s.memberFlags, "member", nil, "a member of the service, as `ID=HOST:PORT`; several times")
-	f.StringVar(&s.operatorFile, "operator", "", "operator's `file` whose [coordination] names cluster and members, in place of the two flags")
+	f.StringArrayVar(&s.memberFlags, "member", nil, "a member of the service, as `ID=HOST:PORT`; may be repeated")
+	f.StringVar(&s.operatorFile, "operator", "", "the operator's `file`, whose section [coordination] names cluster and members, instead of these two flags")
 }
 
-// open reads the members from the flags or the operator's file. It calls none of them.
+// open reads the members from the flags or the operator's file. It does not connect to them.
 func (s *coordService) open() error {
 	if s.operatorFile != "" {
 		config, err := operatorconfig.Read(s.operatorFile)
@@ -60,41 +60,41 @@
 	return nil
 }
 
-// callLeader sends a request to the member that leads.
+// callLeader sends a request to the leader.
 func (s *coordService) callLeader(ctx context.Context, path string, r api.Request) (api.Response, error) {
 	ctx, stop := context.WithTimeout(ctx, leaderTimeout)
 	defer stop()
 	return s.caller.CallLeader(ctx, s.members, path, r)
 }
 
-// read sends a query to the member that leads.
+// read sends a query to the leader.
 func (s *coordService) read(ctx context.Context, query api.Query) (api.Response, error) {
 	return s.callLeader(ctx, api.PathRead, api.Request{Query: &query})
 }
 
-// apply sends a command to the member that leads. The command may arrive twice, and is applied once. Besides success,
-// [coord.CodeNotHeld] is no error.
+// apply sends a command to the leader. The command may be sent more than once, but is applied only once. A result with
+// [coord.CodeNotHeld] is not returned as an error.
 func (s *coordService) apply(ctx context.Context, command coord.Command) (coord.Result, error) {
 	response, err := s.callLeader(ctx, api.PathCommand, api.Request{Command: &command})
 	switch {
 	case err != nil:
 		return coord.Result{}, err
 	case response.Result == nil:
-		return coord.Result{}, errors.New("an answer without a result")
+		return coord.Result{}, errors.New("the response has no result")
 	case response.Result.Code == coord.CodeOK || response.Result.Code == coord.CodeNotHeld:
 		return *response.Result, nil
 	}
 	return *response.Result, fmt.Errorf("%s: %s %s", command.Op, response.Result.Code, response.Result.Detail)
 }
 
-// memberStatus is what one member says of itself.
+// memberStatus is the status that one member reports, or the error of the request for it.
 type memberStatus struct {
 	Member coord.Member `json:"member"`
 	Error  string       `json:"error,omitempty"`
 	api.Status
 }
 
-// memberStatuses asks every member for its status, one after the other.
+// memberStatuses requests the status of each member in turn.
 func (s *coordService) memberStatuses(ctx context.Context) []memberStatus {
 	statuses := make([]memberStatus, len(s.members))
 	for i, member := range s.members {
@@ -112,7 +112,7 @@
 	case err != nil:
 		m.Error = err.Error()
 	case status.Cluster != s.cluster:
-		m.Error = fmt.Sprintf("a member of cluster %q", status.Cluster)
+		m.Error = fmt.Sprintf("is a member of cluster %q", status.Cluster)
 	case status.Member.ID != member.ID:
 		m.Error = fmt.Sprintf("is member %d", status.Member.ID)
 	}
--- a/cmd/frostlinkctl/coord_snapshot.go
+++ b/cmd/frostlinkctl/coord_snapshot.go
@@ -12,13 +12,13 @@
 func coordSnapshotCommand(s *coordService) *cobra.Command {
 	return newServiceCall(&cobra.Command{
 		Use:     "snapshot FILE",
-		Short:   "Save the state as it is now, to look at or to compare",
+		Short:   "Save the current state, for inspection or comparison",
 		Example: "  frostlinkctl coord snapshot state.json --operator deploy/frostlink.toml",
 		Args:    cobra.ExactArgs(1),
 	}, s, s.saveSnapshot, printMessage)
 }
 
-// saveSnapshot asks one member after the other for the state: only the one that leads has it.
+// saveSnapshot requests the state from each member in turn, because only the leader returns it.
 func (s *coordService) saveSnapshot(c *cobra.Command, args []string) (string, error) {
 	err := api.ErrNoLeader
 	for _, m := range s.members {
@@ -27,7 +27,7 @@
 			continue
 		}
 		if err := os.WriteFile(args[0], state, 0o600); err != nil {
-			return "", err //nolint:wrapcheck // it names the operation and the file
+			return "", err //nolint:wrapcheck // the error names the operation and the file
 		}
 		return fmt.Sprintf("%d bytes in %s", len(state), args[0]), nil
 	}
--- a/cmd/frostlinkctl/coord_status.go
+++ b/cmd/frostlinkctl/coord_status.go
@@ -14,9 +14,9 @@
 func coordStatusCommand(s *coordService) *cobra.Command {
 	return newServiceCall(&cobra.Command{
 		Use:   "status",
-		Short: "Ask every member how it is",
-		Long: "Ask every member how it is. What a member says of itself may be old: only the one that leads, and has heard a majority, knows.\n" +
-			"Exit codes: 0 fine, 1 a member can't be reached, failed, or not all know of its life, or none leads, 2 could not run.",
+		Short: "Show the status of every member",
+		Long: "Show the status that every member reports, which may be out of date: only a leader in contact with a majority has the current state.\n" +
+			"Exit codes: 0 success, 1 a member is unreachable, failed or not acknowledged by all, or not exactly one leads, 2 could not run.",
 		Example: "  frostlinkctl coord status --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, s, s.status, printStatuses)
@@ -26,7 +26,7 @@
 	return s.memberStatuses(c.Context()), nil
 }
 
-// printStatuses prints a line for each member. It is a finding if something is wrong with one, or not just one leads.
+// printStatuses prints a line for each member. It returns cli.ErrFindings if a member has a problem, or if the number of leaders is not 1.
 func printStatuses(out io.Writer, statuses []memberStatus) error {
 	table := newTextTable(out)
 	fmt.Fprintln(table, "member\taddress\trole\tleader\tterm\tlife\tapplied\tsessions\tleases\twaiting\tnot reached\tis wrong")
@@ -41,14 +41,14 @@
 		fmt.Fprintf(table, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", status.Member.ID, status.Member.Address, m.Role, m.Leader, m.Term,
 			m.Incarnation, m.Applied, status.Counts.Sessions, status.Counts.Leases, status.Counts.QueuedRequests, strings.Join(unreached, ","), fault)
 	}
-	_ = table.Flush() // a reader that has gone does not change what was found
+	_ = table.Flush() // a write error, such as a closed pipe, does not change the exit code
 	if leaders != 1 {
 		fmt.Fprintf(out, "%d members say that they lead\n", leaders)
 	}
 	return findings(faulty || leaders != 1)
 }
 
-// fault is what is wrong with a member; empty: nothing.
+// fault describes what is wrong with a member; it is empty if nothing is.
 func (m *memberStatus) fault() string {
 	if m.Error != "" {
 		return m.Error
@@ -56,7 +56,7 @@
 	return m.Status.Member.Detail
 }
 
-// unreachedPeers lists the ids of the members that have not acknowledged a member's incarnation.
+// unreachedPeers returns the ids of the members that have not acknowledged a member's current incarnation.
 func unreachedPeers(m coord.Status) []string {
 	var ids []string
 	for _, peer := range m.Peers {
--- a/cmd/frostlinkctl/coord_test.go
+++ b/cmd/frostlinkctl/coord_test.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/faultinjection/faults"
 )
 
-// What is wrong with a call is said in one line, before any member is called.
+// Invalid arguments are reported in one line, before any member is called.
 func TestServiceCommands_RejectBadCalls(t *testing.T) {
 	folder := t.TempDir()
 	operator, junk := filepath.Join(folder, "frostlink.toml"), filepath.Join(folder, "junk.json")
@@ -32,11 +32,11 @@
 		{"export cat --folder x", "--cluster, --member: missing (or --operator)"},
 		{"coord members --operator " + operator, "coordination: the section is absent"},
 		{"coord add 4" + service, "4"},
-		{"coord remove 0" + service, `"0" is no member's id`},
-		{"coord remove x" + service, `"x" is no member's id`},
+		{"coord remove 0" + service, `"0" is not a valid member id`},
+		{"coord remove x" + service, `"x" is not a valid member id`},
 		{"coord measure --sessions 2001" + service, "--sessions: 2001 is not from 1 to 2000"},
 		{"coord measure --leases 0" + service, "--leases: 0 is not from 1 to "},
-		{"coord measure --for 2m" + service, "--for: 2m0s is not up to 1m0s"},
+		{"coord measure --for 2m" + service, "--for: 2m0s is not above 0 and at most 1m0s"},
 		{"coord fault-run --runs 1001", "--runs: 1001 is not from 1 to 1000"},
 		{"coord fault-run --relays 301", "--relays: 301 is not from 2 to 300"},
 		{"coord fault-run --members 4", "--members: 4 is not 1, 3 or 5"},
@@ -52,7 +52,7 @@
 		})
 	}
 	if code, out, errs := runTool(t, "", "coord", "verify", junk); code != cli.ExitFindings || !strings.HasPrefix(out, junk+": ") || errs != "" {
-		t.Errorf("verify of a file that is no state: exit %d, stdout %q, stderr %q", code, out, errs)
+		t.Errorf("verify of a file that is not a snapshot: exit %d, stdout %q, stderr %q", code, out, errs)
 	}
 }
 
@@ -67,10 +67,10 @@
 	for _, tt := range []struct {
 		name     string
 		statuses []memberStatus
-		want     string // part of what is printed
+		want     string // part of the output
 		found    bool
 	}{
-		{"all is well", []memberStatus{member(1, coord.RoleLeader, nil), member(2, coord.RoleFollower, nil)}, "leader", false},
+		{"no problem", []memberStatus{member(1, coord.RoleLeader, nil), member(2, coord.RoleFollower, nil)}, "leader", false},
 		{"nobody leads", []memberStatus{member(1, coord.RoleFollower, nil)}, "0 members say that they lead", true},
 		{"two lead", []memberStatus{member(1, coord.RoleLeader, nil), member(2, coord.RoleLeader, nil)}, "2 members say that they lead", true},
 		{"one can't be reached", []memberStatus{
@@ -95,13 +95,13 @@
 	}
 }
 
-// An inconclusive run says nothing: what it broke is printed, and is no failure.
+// Violations in an inconclusive run are printed, but are not a failure.
 func TestFaultRuns_InconclusiveRunIsNoFailure(t *testing.T) {
 	violations := []faults.Violation{{Check: "overlap", Detail: "two holders"}}
 	passed, inconclusive, failed := faults.Result{Seed: 1, TakeoverSeconds: []float64{3, 1, 2}}, faults.Result{Seed: 2, Void: true, Violations: violations},
 		faults.Result{Seed: 3, Violations: violations, Dir: "dir"}
 	if (faultRuns{passed, inconclusive}).failed() || !(faultRuns{passed, inconclusive, failed}).failed() {
-		t.Error("just a conclusive run with violations has failed")
+		t.Error("failed must be true exactly for conclusive runs with violations")
 	}
 	var out strings.Builder
 	faultRuns{passed, inconclusive, failed}.print(&out)
--- a/cmd/frostlinkctl/coord_verify.go
+++ b/cmd/frostlinkctl/coord_verify.go
@@ -13,8 +13,8 @@
 func coordVerifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "verify FILE",
-		Short:   "Check a state that was saved with snapshot",
-		Long:    "Check a state that was saved with snapshot. The folder of a member is checked with frostlink-coord verify.",
+		Short:   "Check a state that was saved with coord snapshot",
+		Long:    "Check a state that was saved with coord snapshot. Use frostlink-coord verify to check the folder of a member.",
 		Example: "  frostlinkctl coord verify state.json",
 		Args:    cobra.ExactArgs(1),
 		RunE:    verifySnapshot,
@@ -24,7 +24,7 @@
 func verifySnapshot(c *cobra.Command, args []string) error {
 	state, err := os.ReadFile(args[0])
 	if err != nil {
-		return err //nolint:wrapcheck // it names the operation and the file
+		return err //nolint:wrapcheck // the error names the operation and the file
 	}
 	m, err := coord.Restore(state)
 	if err != nil {
--- a/cmd/frostlinkctl/deprecated.go
+++ b/cmd/frostlinkctl/deprecated.go
@@ -8,10 +8,11 @@
 	"github.com/spf13/cobra"
 )
 
-// replacementKey is the annotation of a deprecated command that holds the name of the command to use in its place.
+// replacementKey is the key of the annotation that names the replacement of a deprecated command.
 const replacementKey = "replacement"
 
-// deprecatedAlias returns a command under the name that it had before: hidden from help, and otherwise as it is under its new name.
+// deprecatedAlias turns a command into an alias under its old name. The alias is hidden from help, and otherwise works like the command
+// under its new name.
 func deprecatedAlias(c *cobra.Command, oldName string) *cobra.Command {
 	newName := c.Name()
 	c.Use = oldName + strings.TrimPrefix(c.Use, newName)
@@ -20,12 +21,12 @@
 	return c
 }
 
-// warnDeprecated prints one line where the arguments name a deprecated command or one below it. cobra's own notice does not serve: it goes
-// to standard output, where scripts read results.
+// warnDeprecated prints a one-line warning if the arguments name a deprecated command or a subcommand of one. cobra's own deprecation
+// notice can't be used, because it goes to standard output, where scripts read results.
 func warnDeprecated(root *cobra.Command, args []string, errs io.Writer) {
 	c, _, err := root.Find(args)
 	if err != nil {
-		return // the run itself reports it
+		return // running the command reports the error
 	}
 	for ; c.HasParent(); c = c.Parent() {
 		if newName, ok := c.Annotations[replacementKey]; ok {
--- a/cmd/frostlinkctl/deprecated_test.go
+++ b/cmd/frostlinkctl/deprecated_test.go
@@ -7,7 +7,8 @@
 	"frostlink/internal/cli"
 )
 
-// deprecatedWords are the commands' words of before, with those that replace them, and calls that end without starting a process.
+// deprecatedWords lists deprecated command names with their replacements, and arguments with which the commands end without starting a
+// process.
 var deprecatedWords = []struct {
 	old, new string
 	calls    []string
@@ -21,11 +22,11 @@
 	}},
 }
 
-// A command under its old words does what it does under the new ones, and says on standard error alone that they are deprecated.
+// A command under its deprecated name behaves as under its new name, apart from a deprecation warning on standard error.
 func TestDeprecatedCommands_WorkAsTheirReplacements(t *testing.T) {
 	t.Chdir("../..")
 	for _, words := range deprecatedWords {
-		// The examples of both have the new words; what cobra makes of the name differs.
+		// The examples use the new name under both names; the texts that cobra derives from the name differ.
 		named := strings.NewReplacer("frostlinkctl "+words.new, "COMMAND", "frostlinkctl "+words.old, "COMMAND",
 			"help for "+lastWord(words.new), "HELP", "help for "+lastWord(words.old), "HELP")
 		for _, args := range words.calls {
--- a/cmd/frostlinkctl/export.go
+++ b/cmd/frostlinkctl/export.go
@@ -13,8 +13,8 @@
 	s := &coordService{}
 	c := &cobra.Command{
 		Use:     "export",
-		Short:   "Check and read what all relays have collected of their undelivered messages",
-		Long:    "Check and read what all relays have collected of their undelivered messages: docs/operators/coordination.md.",
+		Short:   "Check and read the export of all relays' undelivered messages",
+		Long:    "Check and read the export of all relays' undelivered messages: docs/operators/coordination.md.",
 		Example: "  frostlinkctl export check --operator deploy/frostlink.toml",
 	}
 	s.addFlags(c)
@@ -30,10 +30,10 @@
 
 func (f *exportFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.folder, "folder", "", "the export's `folder`")
-	_ = c.MarkFlagRequired("folder") // it fails only for a flag that does not exist
+	_ = c.MarkFlagRequired("folder") // fails only for a flag that does not exist
 }
 
-// ledger reads from the coordination service which slices are part of the export.
+// ledger reads the export's ledger, which lists the slices that belong to the export, from the coordination service.
 func (f *exportFlags) ledger(ctx context.Context) (fleettask.Ledger, error) {
 	response, err := f.service.read(ctx, api.Query{Values: fleettask.ExportKey})
 	if err != nil {
--- a/cmd/frostlinkctl/export_cat.go
+++ b/cmd/frostlinkctl/export_cat.go
@@ -12,7 +12,7 @@
 	f := &exportFlags{service: s}
 	c := &cobra.Command{
 		Use:     "cat",
-		Short:   "Print all records of the export, a line of JSON each, in the order in which they were added",
+		Short:   "Print all records of the export as lines of JSON, in the order in which they were added",
 		Example: "  frostlinkctl export cat --folder /shared/export --operator deploy/frostlink.toml >all.jsonl",
 		Args:    cobra.NoArgs,
 		RunE:    f.cat,
@@ -35,7 +35,7 @@
 	}
 	printRecord := func(record []byte) error {
 		_, err := fmt.Fprintf(c.OutOrStdout(), "%s\n", record)
-		return err //nolint:wrapcheck // it is the error of the write to standard output, which names it
+		return err //nolint:wrapcheck // the error of a write to standard output names it
 	}
 	for _, slice := range chain {
 		if _, err := fleettask.ReadSlice(f.folder, slice.Name, printRecord); err != nil {
--- a/cmd/frostlinkctl/export_check.go
+++ b/cmd/frostlinkctl/export_check.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/fleettask"
 )
 
-// checkedExport is what the check of an export found.
+// checkedExport is the result of checking an export.
 type checkedExport struct {
 	fleettask.Ledger
 	Fault string `json:"fault,omitempty"`
@@ -19,9 +19,9 @@
 	f := &exportFlags{service: s}
 	c := newServiceCall(&cobra.Command{
 		Use:   "check",
-		Short: "Check that each record is in the export once",
-		Long: "Read all slices that count, from the last one back: each follows the one before of its relay without a gap and without a record\n" +
-			"twice. Other files in the folder count for nothing.\nExit codes: 0 fine, 1 something is wrong, 2 could not run.",
+		Short: "Check that each record is in the export exactly once",
+		Long: "Read all slices of the export, from the last one back, and check that each continues the previous slice of its relay without a gap\n" +
+			"or a repeated record. Other files in the folder are ignored.\nExit codes: 0 success, 1 problems found, 2 could not run.",
 		Example: "  frostlinkctl export check --folder /shared/export --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, s, f.check, printCheckedExport)
--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -10,21 +10,21 @@
 	"frostlink/internal/trace/fleet"
 )
 
-// maxPrinted is how many bad lines or messages are printed one by one; all of them are in the JSON.
+// maxPrinted is the maximum number of invalid lines or messages that are printed; the JSON contains all of them.
 const maxPrinted = 20
 
 func fleetCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:     "fleet",
-		Short:   "Count what all relays of a fleet did together",
-		Long:    "What is harmless at one relay may be harmful when all do it. These commands look at the sum.",
+		Short:   "Analyse the combined behaviour of all relays of a fleet",
+		Long:    "Analyse the combined behaviour of all relays of a fleet. What is harmless at one relay may be harmful when all relays do it.",
 		Example: "  frostlinkctl fleet count logs",
 	}
 	c.AddCommand(fleetCountCommand(), fleetFollowCommand(), fleetPlayCommand())
 	return c
 }
 
-// readTraces reads a fleet's logs, which must hold some trace and none of another version.
+// readTraces reads a fleet's logs. It returns an error if they contain no trace, or one of another version.
 func readTraces(paths []string) (*fleet.Logs, error) {
 	logs, err := fleet.ReadFiles(paths)
 	switch {
@@ -38,7 +38,7 @@
 	return logs, nil
 }
 
-// printBadLines prints the first lines that could not be used.
+// printBadLines prints the first maxPrinted lines that could not be parsed.
 func printBadLines(out io.Writer, lines []fleet.BadLine) {
 	for _, line := range lines[:min(len(lines), maxPrinted)] {
 		fmt.Fprintln(out, line)
--- a/cmd/frostlinkctl/fleet_count.go
+++ b/cmd/frostlinkctl/fleet_count.go
@@ -25,10 +25,10 @@
 	var f fleetCountFlags
 	c := &cobra.Command{
 		Use:   "count LOG...",
-		Short: "Count a fleet's traces by second and by destination",
-		Long: "Count the traces of a fleet's relays, written with [trace] log = true in the operator's file, by second and by\n" +
+		Short: "Count a fleet's traced events by second and by destination",
+		Long: "Count the events that a fleet's relays traced, with [trace] log = true in the operator's file, by second and by\n" +
 			"destination. A LOG is one relay's log, or a folder with a *.log for each relay.\n" +
-			"Exit codes: 0 fine, 1 some lines could not be used and are named, 2 could not run.",
+			"Exit codes: 0 success, 1 some lines could not be used and are listed, 2 could not run.",
 		Example: "  frostlinkctl fleet count logs --json table.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    f.run,
@@ -50,7 +50,7 @@
 	return findings(len(logs.BadLines) > 0)
 }
 
-// print prints the tables by second and by destination, the outages, and how much of the logs was used.
+// print prints the tables by second and by destination, the outages, and how many lines of the logs were used.
 func (f *countedFleet) print(out io.Writer, events int) {
 	printSeconds(out, f.Seconds)
 	fmt.Fprintln(out)
@@ -66,10 +66,10 @@
 	printBadLines(out, f.BadLines)
 }
 
-// countsHeader heads the columns of printCounts.
+// countsHeader is the header of the columns that printCounts prints.
 const countsHeader = "first\tagain\tdelivered\tlimit\tdoor\tunmade\tother\tfresh\ttaken\trefused\tlate\tback\tfailed\t"
 
-// printCounts ends a row with the counts that all tables have.
+// printCounts prints the counts that end each row of all tables.
 func printCounts(table io.Writer, c *fleet.Counts) {
 	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", c.FirstAttempts, c.Retries, c.Delivered, c.OverLimit,
 		c.ConnectionsRejected, c.ConnectFailures, c.OtherFailures, c.NewConnections, c.Accepted, c.Rejected, c.DeliveredLate, c.Deferred, c.Undeliverable)
--- a/cmd/frostlinkctl/fleet_follow.go
+++ b/cmd/frostlinkctl/fleet_follow.go
@@ -13,15 +13,15 @@
 
 // fleetFollowFlags are the flags of fleet follow.
 type fleetFollowFlags struct {
-	wrong    bool // all messages with violations, in place of one by its id
+	wrong    bool // list all messages with violations, instead of following one message
 	jsonFile string
 }
 
 // followedMessages is what fleet follow writes as JSON.
 type followedMessages struct {
 	Histories []*fleet.History `json:"courses"`
-	Messages  int              `json:"messages"` // ids that the logs name
-	Gaps      []string         `json:"unsure"`   // what is wrong with the logs as a whole
+	Messages  int              `json:"messages"` // number of message ids in the logs
+	Gaps      []string         `json:"unsure"`   // problems with the logs because of which findings are uncertain
 	BadLines  []fleet.BadLine  `json:"bad_lines"`
 }
 
@@ -29,22 +29,22 @@
 	var f fleetFollowFlags
 	c := &cobra.Command{
 		Use:   "follow ID LOG...",
-		Short: "Follow one message over all relays that touched it, or list those with which something is wrong",
+		Short: "Follow one message through all relays that handled it, or list the messages with violations",
 		Long: "Follow one message through the traces of a fleet's relays, written with [trace] log = true in the operator's file: its\n" +
-			"hand-ins, decisions, calls, answers, restarts, notices and its end, in order of time. With --wrong there is no ID, and\n" +
-			"all messages are listed with which something is wrong, the worst first. What the logs do not tell (a torn line, a relay without\n" +
-			"a log, a clock that steps back) is said, and is no fault.\n" +
-			"Exit codes: 0 fine, 1 a message lost, ended twice or late, or sent again against its class's rule, 2 could not run.",
+			"submissions, decisions, calls, answers, restarts, notices and outcome, in chronological order. With --wrong there is no ID, and\n" +
+			"all messages with violations are listed, the worst first. Gaps in the logs (a torn line, a relay without a log, a clock that\n" +
+			"steps back) are reported, but are not violations.\n" +
+			"Exit codes: 0 success, 1 a message lost, ended twice or late, or sent again against its class's rule, 2 could not run.",
 		Example: "  frostlinkctl fleet follow 9f84adc60144c0f3 logs\n  frostlinkctl fleet follow --wrong logs",
 		Args:    f.checkArgs,
 		RunE:    f.run,
 	}
-	c.Flags().BoolVar(&f.wrong, "wrong", false, "list all messages with which something is wrong, the worst first")
+	c.Flags().BoolVar(&f.wrong, "wrong", false, "list all messages with violations, the worst first")
 	addJSONFlag(c, &f.jsonFile, "what was found")
 	return c
 }
 
-// checkArgs checks that the logs are named, and the message where there is to be one.
+// checkArgs checks that the arguments name the logs and, without --wrong, a message.
 func (f *fleetFollowFlags) checkArgs(_ *cobra.Command, args []string) error {
 	switch {
 	case f.wrong && len(args) < 1:
@@ -107,7 +107,7 @@
 	f.printDoubts(out)
 }
 
-// printDoubts prints what the logs do not tell.
+// printDoubts prints the gaps in the logs and the lines that could not be parsed.
 func (f *followedMessages) printDoubts(out io.Writer) {
 	printGaps(out, f.Gaps)
 	printBadLines(out, f.BadLines)
--- a/cmd/frostlinkctl/fleet_play.go
+++ b/cmd/frostlinkctl/fleet_play.go
@@ -11,7 +11,7 @@
 	"frostlink/internal/faultinjection/simulation"
 )
 
-// The bounds of one call: a thousand relays take some minutes a day.
+// Upper bounds of one call. Simulating one day of a thousand relays takes some minutes.
 const (
 	maxPlayedRelays = 1000
 	maxPlaysOfDay   = 100
@@ -31,12 +31,12 @@
 	var f fleetPlayFlags
 	c := &cobra.Command{
 		Use:   "play",
-		Short: "Play whole fleets in virtual time, and table cost and benefit by their size",
-		Long: "Play days of whole fleets in virtual time: the relays' real decisions among models of partners and of an overbooked\n" +
-			"register, judged by the auditor that judges rehearsals. The days: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
-			"hosts grow with the relays; what one host takes does not. With --drawn each seed draws its own sizes, shares, limits and times\n" +
-			"of trouble, by kind: " + strings.Join(simulation.DrawnDayNames, ", ") + ". A play in which something is wrong is named by its seed.\n" +
-			"Exit codes: 0 fine, 1 a rule was broken (without --drawn also: a partner was pushed over), 2 could not run.",
+		Short: "Simulate whole fleets in virtual time, and print cost and benefit by fleet size",
+		Long: "Simulate days of whole fleets in virtual time: the relays' real decisions, with models of partners and of an overloaded\n" +
+			"register, checked by the same rules as scenarios. The days: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
+			"the number of hosts grow with the number of relays; the capacity of one host does not. With --drawn each seed draws its own sizes,\n" +
+			"shares, limits and fault times, by kind: " + strings.Join(simulation.DrawnDayNames, ", ") + ". Runs with problems are listed by seed.\n" +
+			"Exit codes: 0 success, 1 a rule was broken (without --drawn also: a partner was overloaded), 2 could not run.",
 		Example: "  frostlinkctl fleet play --relays 1,3,12,80 --day herd --plays 3\n" +
 			"  frostlinkctl fleet play --drawn --relays 300 --plays 17             # a hundred drawn days, about 6 minutes on 6 cores\n" +
 			"  frostlinkctl fleet play --drawn --relays 300 --day zone --plays 1 --seed 8    # one of them again",
@@ -44,11 +44,11 @@
 		RunE: f.run,
 	}
 	flags := c.Flags()
-	flags.IntSliceVar(&f.relayCounts, "relays", []int{1, 2, 3, 12, 80, 160}, "numbers of `relays`")
-	flags.StringSliceVar(&f.days, "day", simulation.DayNames, "`days` to play")
-	flags.IntVar(&f.plays, "plays", 3, "`plays` of each, by seeds one after the other; figures are their means")
+	flags.IntSliceVar(&f.relayCounts, "relays", []int{1, 2, 3, 12, 80, 160}, "fleet sizes, as numbers of `relays`")
+	flags.StringSliceVar(&f.days, "day", simulation.DayNames, "`days` to simulate")
+	flags.IntVar(&f.plays, "plays", 3, "number of `plays` of each day, with consecutive seeds; the figures are means over them")
 	flags.Int64Var(&f.firstSeed, "seed", 1, "first `seed`")
-	flags.BoolVar(&f.drawn, "drawn", false, "draw each day from its seed")
+	flags.BoolVar(&f.drawn, "drawn", false, "draw the parameters of each day from its seed")
 	addJSONFlag(c, &f.jsonFile, "the table")
 	return c
 }
@@ -83,17 +83,17 @@
 	return nil
 }
 
-// play plays each day at each size.
+// play simulates each day with each fleet size.
 func (f *fleetPlayFlags) play(ctx context.Context) ([]simulation.Summary, error) {
 	newDay := simulation.NewDay
 	if f.drawn {
 		newDay = simulation.NewDrawnDay
 	}
-	summaries := []simulation.Summary{} // none is [] in JSON
+	summaries := []simulation.Summary{} // encoded as [] in JSON if empty
 	for _, day := range f.days {
 		for _, relays := range f.relayCounts {
 			if err := ctx.Err(); err != nil {
-				return nil, err //nolint:wrapcheck // its text says all
+				return nil, err //nolint:wrapcheck // the error needs no context
 			}
 			summary, err := simulation.Measure(newDay, day, relays, f.plays, f.firstSeed)
 			if err != nil {
@@ -105,8 +105,8 @@
 	return summaries, nil
 }
 
-// foundFaults reports whether a rule was broken or, but for drawn days, a destination overloaded: there relays that had not seen it out
-// may overload it, which breaks no rule.
+// foundFaults reports whether a rule was broken or, except on drawn days, a destination was overloaded. On drawn days relays that did not
+// observe a destination's outage may overload it, which breaks no rule.
 func (f *fleetPlayFlags) foundFaults(summaries []simulation.Summary) bool {
 	for _, s := range summaries {
 		if s.Failures > 0 || s.Overloads > 0 && !f.drawn {
--- a/cmd/frostlinkctl/fleet_play_print.go
+++ b/cmd/frostlinkctl/fleet_play_print.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/faultinjection/simulation"
 )
 
-// printPlays prints the plays, those that found something, and how the figures grow with the number of relays.
+// printPlays prints a line for each day and fleet size, the runs with problems, and how the figures grow with the number of relays.
 func printPlays(out io.Writer, days []string, summaries []simulation.Summary) {
 	table := newNumberTable(out)
 	fmt.Fprintln(table, "day\trelays\tworth\tspread\trefused/msg\tdoor/msg\tconnections/msg\tasks/relay\tasks/s most\tfalls\tfaults\t")
@@ -16,7 +16,7 @@
 		fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.0f\t%d\t%d\t\n", s.Day, s.Relays, s.DeliveredWeight, s.StdDev, s.Rejected,
 			s.ConnectionRejected, s.Connections, s.Polls, s.PeakPolls, s.Overloads, s.Failures)
 	}
-	_ = table.Flush() // a reader that has gone does not change what was found
+	_ = table.Flush() // a write error, such as a closed pipe, does not change the exit code
 	for _, s := range summaries {
 		printFailedPlays(out, &s)
 	}
@@ -25,7 +25,7 @@
 	}
 }
 
-// printFailedPlays prints the plays of a day in which something is wrong, by their seeds.
+// printFailedPlays prints the runs of a day with problems, by their seeds.
 func printFailedPlays(out io.Writer, s *simulation.Summary) {
 	for _, run := range s.FailedRuns {
 		fmt.Fprintf(out, "%s of %d, seed %d: %d partners pushed over, %d rules broken\n", s.Day, s.Relays, run.Seed, run.Overloads, len(run.Failures))
@@ -35,7 +35,7 @@
 	}
 }
 
-// printGrowth prints how a day's figures grow with the number of relays, where there are two sizes at least.
+// printGrowth prints how a day's figures grow with the number of relays. It prints nothing if there are fewer than two sizes.
 func printGrowth(out io.Writer, day string, summaries []simulation.Summary) {
 	var sizes []simulation.Summary
 	for _, s := range summaries {
--- a/cmd/frostlinkctl/fleet_test.go
+++ b/cmd/frostlinkctl/fleet_test.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/cli"
 )
 
-// writeLogs writes the logs of two relays, the second of which ends in a torn line.
+// writeLogs writes the logs of two relays. The second log ends in a torn line.
 func writeLogs(t *testing.T) (folder, goodLog string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -29,7 +29,7 @@
 	for _, tt := range []struct {
 		args string
 		code int
-		want string // in the output, or in the error's one line
+		want string // part of the output, or of the error, which is one line
 	}{
 		{"fleet count " + goodLog, cli.ExitOK, "1 events of 1 relays"},
 		{"fleet count " + folder, cli.ExitFindings, "n1.log:2: "},
--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/trace/fleet"
 )
 
-// printHistory prints what became of one message, with times since its first event.
+// printHistory prints all events of one message, with times relative to the first event.
 func printHistory(out io.Writer, h *fleet.History) {
 	begin := h.Events[0].At
 	secondsSince := func(at float64) float64 { return (at - begin) / 1000 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// describeRetry says what a client said of its earlier submissions.
+// describeRetry describes the Client-Retry header, with which a client reports earlier submissions.
 func describeRetry(retry string) string {
 	if retry == "" {
 		return ""
@@ -46,7 +46,7 @@
 	return fmt.Sprintf(" (Client-Retry: %s)", retry)
 }
 
-// describe puts an event into words.
+// describe describes an event.
 func describe(e *trace.Event) string {
 	switch e.Kind {
 	case trace.Accepted, trace.Rejected:
@@ -72,7 +72,7 @@
 	}
 }
 
-// describeDecision puts into words that a message was accepted, or rejected on arrival.
+// describeDecision describes that a message was accepted, or rejected on arrival.
 func describeDecision(e *trace.Event) string {
 	var b strings.Builder
 	if e.Kind == trace.Accepted {
@@ -90,7 +90,7 @@
 	return b.String()
 }
 
-// describeAttempt puts the end of an attempt into words.
+// describeAttempt describes the end of an attempt.
 func describeAttempt(e *trace.Event) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "call %d to %s: %s after %.1f ms", e.Count, e.Endpoint, e.Outcome, e.DurationMs)
@@ -101,7 +101,7 @@
 	return b.String()
 }
 
-// textIf returns a text where a condition holds, else none.
+// textIf returns text if the condition holds, and an empty string otherwise.
 func textIf(condition bool, text string) string {
 	if condition {
 		return text
--- a/cmd/frostlinkctl/lease.go
+++ b/cmd/frostlinkctl/lease.go
@@ -16,8 +16,8 @@
 	s := &coordService{}
 	c := &cobra.Command{
 		Use:     "lease",
-		Short:   "Look at the fleet's leases, and take one from its holder",
-		Long:    "Look at the fleet's leases, and take one from its holder: docs/operators/coordination.md.",
+		Short:   "Inspect and revoke the fleet's leases",
+		Long:    "Inspect and revoke the fleet's leases: docs/operators/coordination.md.",
 		Example: "  frostlinkctl lease list --operator deploy/frostlink.toml",
 	}
 	s.addFlags(c)
@@ -29,12 +29,12 @@
 func (s *coordService) leases(ctx context.Context, prefix string) ([]coord.Lease, error) {
 	response, err := s.read(ctx, api.Query{Leases: prefix + "*"})
 	if response.Leases == nil {
-		return []coord.Lease{}, err // none is [] in JSON
+		return []coord.Lease{}, err // encoded as [] in JSON if empty
 	}
 	return response.Leases, err
 }
 
-// lease returns a lease that is held. That it is free is printed, and a finding.
+// lease returns a lease that is held. If the lease is free, it prints that and returns cli.ErrFindings.
 func (s *coordService) lease(c *cobra.Command, name string) (coord.Lease, error) {
 	leases, err := s.leases(c.Context(), name)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return coord.Lease{}, cli.ErrFindings
 }
 
-// eventTime returns when an event of the service happened, by its leader's wall clock.
+// eventTime returns the time of an event of the service, by the wall clock of the leader at that time.
 func eventTime(e *coord.Event) string {
 	return time.UnixMilli(e.WallMillis).UTC().Format(timestampLayout)
 }
--- a/cmd/frostlinkctl/lease_history.go
+++ b/cmd/frostlinkctl/lease_history.go
@@ -10,14 +10,14 @@
 	"frostlink/internal/coord/api"
 )
 
-// allLeases is the name that stands for all leases in a query of their history.
+// allLeases selects all leases in a query of the history.
 const allLeases = "*"
 
 func leaseHistoryCommand(s *coordService) *cobra.Command {
 	return newServiceCall(&cobra.Command{
 		Use:     "history [LEASE]",
-		Short:   "Show what became of a lease, or of all, of late",
-		Long:    fmt.Sprintf("Show what became of a lease, or of all, of late. The last %d events are kept, or up to a quarter less.", coord.MaxRetainedEvents),
+		Short:   "Show the recent events of a lease, or of all leases",
+		Long:    fmt.Sprintf("Show the recent events of a lease, or of all leases. The service keeps the last %d events, or up to a quarter fewer.", coord.MaxRetainedEvents),
 		Example: "  frostlinkctl lease history export --operator deploy/frostlink.toml",
 		Args:    cobra.MaximumNArgs(1),
 	}, s, s.leaseHistory, printLeaseHistory)
@@ -30,7 +30,7 @@
 	}
 	response, err := s.read(c.Context(), api.Query{History: name})
 	if response.History == nil {
-		return []coord.Event{}, err // none is [] in JSON
+		return []coord.Event{}, err // encoded as [] in JSON if empty
 	}
 	return response.History, err
 }
--- a/cmd/frostlinkctl/lease_revoke.go
+++ b/cmd/frostlinkctl/lease_revoke.go
@@ -11,7 +11,7 @@
 	"frostlink/internal/coord"
 )
 
-// toolSessionTTL is the time to live of the tool's own session: it revokes a lease and closes the session.
+// toolSessionTTL is the time to live of the session that the tool opens to revoke a lease, and closes afterwards.
 const toolSessionTTL = 15 * time.Second
 
 // leaseRevokeFlags are the flags of lease revoke.
@@ -24,13 +24,13 @@
 	f := &leaseRevokeFlags{service: s}
 	c := newServiceCall(&cobra.Command{
 		Use:   "revoke LEASE",
-		Short: "Take a lease from its holder; the first who waits gets it",
-		Long: "Take a lease from its holder. The first who waits gets it as soon as the holder has given it back, or can't believe any more that it\n" +
-			"holds it: until then nobody does. The holder asks for it again after a while.\nExit codes: 0 fine, 1 it was free, 2 could not run.",
+		Short: "Revoke a lease; the first waiter gets it",
+		Long: "Revoke a lease. The first waiter gets it as soon as the holder has released it, or can no longer consider itself the holder; until then\n" +
+			"nobody gets it. The holder requests it again after a while.\nExit codes: 0 success, 1 the lease was free, 2 could not run.",
 		Example: "  frostlinkctl lease revoke export --reason 'stuck at 3 %' --operator deploy/frostlink.toml",
 		Args:    cobra.ExactArgs(1),
 	}, s, f.revoke, printMessage)
-	c.Flags().StringVar(&f.reason, "reason", "", "`why`, for the history")
+	c.Flags().StringVar(&f.reason, "reason", "", "the `reason`, for the history")
 	return c
 }
 
@@ -49,7 +49,8 @@
 	return fmt.Sprintf("%s is being revoked from %s (token %d)", lease.Name, lease.Holder, lease.Token), nil
 }
 
-// revoke revokes a lease in a session of its own. The lease's token names the grant that was seen: a later one is not revoked.
+// revoke opens a session and revokes a lease in it. The lease's token identifies the grant to revoke, so that a later grant is not
+// revoked by mistake.
 func (s *coordService) revoke(ctx context.Context, lease coord.Lease, reason string) (coord.Result, error) {
 	opened, err := s.apply(ctx, coord.Command{Op: coord.OpOpen, Nonce: rand.Text(), Name: "frostlinkctl", TTL: toolSessionTTL})
 	if err != nil {
@@ -61,6 +62,6 @@
 	if err != nil {
 		return coord.Result{}, err
 	}
-	_, _ = s.apply(ctx, coord.Command{Op: coord.OpClose, Session: opened.Session}) // else it expires
+	_, _ = s.apply(ctx, coord.Command{Op: coord.OpClose, Session: opened.Session}) // if this fails, the session expires
 	return result, nil
 }
--- a/cmd/frostlinkctl/lease_show.go
+++ b/cmd/frostlinkctl/lease_show.go
@@ -13,8 +13,8 @@
 func leaseShowCommand(s *coordService) *cobra.Command {
 	return newServiceCall(&cobra.Command{
 		Use:     "show LEASE",
-		Short:   "Show a lease: its holder, and who waits in which order",
-		Long:    "Show a lease: its holder, and who waits in which order.\nExit codes: 0 held, 1 free, 2 could not run.",
+		Short:   "Show a lease: its holder and its queue of waiters",
+		Long:    "Show a lease: its holder and its queue of waiters.\nExit codes: 0 held, 1 free, 2 could not run.",
 		Example: "  frostlinkctl lease show export --operator deploy/frostlink.toml",
 		Args:    cobra.ExactArgs(1),
 	}, s, s.showLease, printLease)
--- a/cmd/frostlinkctl/main.go
+++ b/cmd/frostlinkctl/main.go
@@ -24,7 +24,7 @@
 	root := &cobra.Command{
 		Use:   "frostlinkctl",
 		Short: "The operator's tool for frostlink relays",
-		Long:  "The operator's tool for frostlink relays.\nExit codes: 0 fine, 1 found something, 2 could not run.",
+		Long:  "The operator's tool for frostlink relays.\nExit codes: 0 success, 1 problems found, 2 could not run.",
 	}
 	root.AddCommand(scenarioCommand(), undeliveredCommand(), fleetCommand(), coordCommand(), leaseCommand(), exportCommand(),
 		deprecatedAlias(scenarioCommand(), "rehearse"))
--- a/cmd/frostlinkctl/main_test.go
+++ b/cmd/frostlinkctl/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// runTool runs the tool, with its standard input.
+// runTool runs the tool with the given standard input and arguments.
 func runTool(t *testing.T, stdin string, args ...string) (code int, out, errs string) {
 	t.Helper()
 	var stdout, stderr strings.Builder
--- a/cmd/frostlinkctl/output.go
+++ b/cmd/frostlinkctl/output.go
@@ -8,15 +8,16 @@
 	"frostlink/internal/cli"
 )
 
-// stdout is the name of a JSON file that means standard output.
+// stdout is the JSON file name that stands for standard output.
 const stdout = "-"
 
-// addJSONFlag adds the flag --json FILE of a command that prints JSON alone where the file is standard output. what is what is written.
+// addJSONFlag adds the flag --json FILE to a command. If the file is standard output, the command prints only the JSON. The parameter what
+// describes the written data in the help.
 func addJSONFlag(c *cobra.Command, file *string, what string) {
-	c.Flags().StringVar(file, "json", "", "write "+what+" as JSON to this `file`; - is standard output, and nothing else then")
+	c.Flags().StringVar(file, "json", "", "write "+what+" as JSON to this `file`; - means standard output, and prints nothing else")
 }
 
-// textOutput returns where a command prints its text: nowhere where standard output is for the JSON.
+// textOutput returns the writer for a command's text output, which is discarded if the JSON goes to standard output.
 func textOutput(out io.Writer, jsonFile string) io.Writer {
 	if jsonFile == stdout {
 		return io.Discard
@@ -24,7 +25,7 @@
 	return out
 }
 
-// writeJSON writes a result to the file of --json, if there is one.
+// writeJSON writes a result to the file of --json, if the flag is given.
 func writeJSON(out io.Writer, jsonFile string, result any) error {
 	if jsonFile == "" {
 		return nil
@@ -32,8 +33,8 @@
 	return cli.WriteJSON(out, jsonFile, result)
 }
 
-// writeResult writes a result to the file of --json, if there is one, and prints it as text. It prints also where the file can't be
-// written, so that the result is not lost.
+// writeResult writes a result to the file of --json, if the flag is given, and prints it as text. It prints the text even if the file
+// can't be written, so that the result is not lost.
 func writeResult(out io.Writer, jsonFile string, result any, printText func(out io.Writer)) error {
 	err := writeJSON(out, jsonFile, result)
 	printText(textOutput(out, jsonFile))
@@ -48,7 +49,7 @@
 	return printText(out)
 }
 
-// findings returns the error of a command that did its work, and found something wrong or not.
+// findings returns the error of a command that completed: cli.ErrFindings if it found problems, otherwise nil.
 func findings(found bool) error {
 	if found {
 		return cli.ErrFindings
--- a/cmd/frostlinkctl/output_test.go
+++ b/cmd/frostlinkctl/output_test.go
@@ -14,11 +14,11 @@
 	for _, tt := range []struct {
 		name, jsonFile string
 		stdout         string
-		file           string // what the file holds
+		file           string // the content of the file
 		fails          bool
 	}{
 		{"no JSON", "", "text\n", "", false},
-		{"JSON alone", stdout, "[\n  1\n]\n", "", false},
+		{"only JSON", stdout, "[\n  1\n]\n", "", false},
 		{"both", filepath.Join(folder, "a.json"), "text\n", "[\n  1\n]\n", false},
 		{"a file that can't be written", filepath.Join(folder, "none", "a.json"), "text\n", "", true},
 	} {
--- a/cmd/frostlinkctl/program.go
+++ b/cmd/frostlinkctl/program.go
@@ -6,10 +6,10 @@
 	"path/filepath"
 )
 
-// relayProgram is the name of the relay's program.
+// relayProgram is the file name of the relay's program.
 const relayProgram = "frostlink"
 
-// siblingProgram returns the path of a program in the folder of this one.
+// siblingProgram returns the path of a program in the same folder as this one.
 func siblingProgram(name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -18,8 +18,8 @@
 	return filepath.Join(filepath.Dir(self), name), nil
 }
 
-// relayCommand returns the command that starts a relay: the given program, or without one the relay beside this program. Its path is
-// absolute, because each relay runs in a folder of its own.
+// relayCommand returns the command that starts a relay: the given program or, if it is empty, the relay program in the same folder as this
+// one. The path is absolute, because each relay runs in its own folder.
 func relayCommand(program string) ([]string, error) {
 	if program == "" {
 		var err error
@@ -37,7 +37,7 @@
 	return []string{path}, nil
 }
 
-// isFile reports whether a path names something that exists and is no folder.
+// isFile reports whether a path exists and is not a directory.
 func isFile(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && !info.IsDir()
--- a/cmd/frostlinkctl/scenario.go
+++ b/cmd/frostlinkctl/scenario.go
@@ -11,18 +11,18 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// scenariosFolder is where scenarios that are named without a path are looked for.
+// scenariosFolder is the folder in which scenarios that are given by name are looked up.
 const scenariosFolder = "scenarios"
 
-// scenarioSuffix is that of a scenario's file.
+// scenarioSuffix is the suffix of scenario files.
 const scenarioSuffix = ".toml"
 
 func scenarioCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "scenario",
-		Short: "Rehearse an incident on this machine, against real relay processes",
-		Long: "Rehearse an incident on this machine: real relay processes, with clients, partners, register and network\n" +
-			"stood in for on loopback addresses, and an auditor of the six rules.",
+		Short: "Play incidents on this machine, against real relay processes",
+		Long: "Play incidents on this machine: real relay processes with stand-ins for clients, partners, register and network\n" +
+			"on loopback addresses, checked against the six rules.",
 		Example: "  frostlinkctl scenario run scenarios/quiet.toml",
 	}
 	c.AddCommand(scenarioRunCommand(), scenarioRepeatCommand(), scenarioSoakCommand(), scenarioClockStepsCommand(), scenarioCheckCommand(),
@@ -30,25 +30,25 @@
 	return c
 }
 
-// playFlags are the flags of the commands that play one scenario.
+// playFlags are the flags that all commands have that play one scenario.
 type playFlags struct {
 	seed     int64
 	jsonFile string
-	relays   string // path of the relay's program
+	relays   string // path of the relay program
 }
 
 func (p *playFlags) add(c *cobra.Command) {
-	c.Flags().Int64Var(&p.seed, "seed", 0, "seed of all draws (default the script's)")
+	c.Flags().Int64Var(&p.seed, "seed", 0, "seed of all random choices (default the script's)")
 	addPlayOutputFlags(c, &p.jsonFile, &p.relays, "the result")
 }
 
 // addPlayOutputFlags adds the flags of all commands that play scenarios.
 func addPlayOutputFlags(c *cobra.Command, jsonFile, relays *string, what string) {
-	c.Flags().StringVar(jsonFile, "json", "", "write "+what+" as JSON to this `file`; - is standard output")
-	c.Flags().StringVar(relays, "relays", "", "the relay's `program` (default frostlink beside this program)")
+	c.Flags().StringVar(jsonFile, "json", "", "write "+what+" as JSON to this `file`; - means standard output")
+	c.Flags().StringVar(relays, "relays", "", "the relay `program` (default frostlink in the folder of this program)")
 }
 
-// prepare reads the scenario and finds the relay's program. Without --seed the seed is the scenario's.
+// prepare reads the scenario and locates the relay program. If --seed is not given, it uses the scenario's seed.
 func (p *playFlags) prepare(c *cobra.Command, path string) (*scenario.Scenario, harness.Options, error) {
 	s, err := readScenario(path)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return s, harness.Options{Seed: p.seed, RelayCommand: command}, err
 }
 
-// readScenario reads a scenario by its path, or by its name alone.
+// readScenario reads a scenario given by its path, or by its name in scenariosFolder.
 func readScenario(path string) (*scenario.Scenario, error) {
 	if _, err := os.Stat(path); err != nil && !strings.ContainsAny(path, "/.") {
 		if named := filepath.Join(scenariosFolder, path+scenarioSuffix); isFile(named) {
--- a/cmd/frostlinkctl/scenario_check.go
+++ b/cmd/frostlinkctl/scenario_check.go
@@ -19,7 +19,7 @@
 	var f scenarioCheckFlags
 	c := &cobra.Command{
 		Use:     "check FILE...",
-		Short:   "Check scripts, and name all that is wrong in them",
+		Short:   "Check scripts, and list all errors in them",
 		Example: "  frostlinkctl scenario check scenarios/*.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    f.run,
--- a/cmd/frostlinkctl/scenario_clocksteps.go
+++ b/cmd/frostlinkctl/scenario_clocksteps.go
@@ -14,23 +14,24 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// clockSteps are the steps with which scenarios are played, in seconds. The first is none: the others are compared with it.
+// clockSteps are the clock steps with which each scenario is played, in seconds. The first run, without a step, is the baseline for the
+// others.
 var clockSteps = []float64{0, 0.5, -0.5, 5, -5, 60, -60, 3600, -3600}
 
 // scenarioClockStepsFlags are the flags of scenario clock-steps.
 type scenarioClockStepsFlags struct {
-	at       float64 // in seconds since the run's begin
-	maxLoss  float64 // of delivered weight
+	at       float64 // the time of the step, in seconds from the start of the run
+	maxLoss  float64 // the largest accepted loss of delivered weight
 	parallel int
 	jsonFile string
-	relays   string // path of the relay's program
+	relays   string // path of the relay program
 }
 
-// steppedRun is a scenario played with a step of all relays' wall clocks.
+// steppedRun is a run of a scenario in which the wall clocks of all relays are stepped.
 type steppedRun struct {
 	Path       string  `json:"path"`
 	Step       float64 `json:"step_s"`
-	Difference float64 `json:"off"` // of the delivered weight from that without a step
+	Difference float64 `json:"off"` // delivered weight minus that of the run without a step
 	*harness.Result
 }
 
@@ -38,16 +39,16 @@
 	var f scenarioClockStepsFlags
 	c := &cobra.Command{
 		Use:   "clock-steps FILE...",
-		Short: "Play scripts with the relays' wall clocks stepped, and without, and compare the worth",
-		Long: "Play each script without a step and with the wall clocks of all relays stepped by 0.5, 5, 60 and 3,600 s either way, some runs\n" +
-			"side by side, and compare. Exit codes: 0 no rule broken and the worth kept, 1 not so, 2 could not run or the machine was too busy.",
+		Short: "Play scripts with and without steps of the relays' wall clocks, and compare the worth",
+		Long: "Play each script without a step and with the wall clocks of all relays stepped forward or back by 0.5, 5, 60 and 3,600 s, several\n" +
+			"at a time. Exit codes: 0 success, 1 a rule was broken or too much worth lost, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario clock-steps scenarios/quiet.toml scenarios/relay-killed.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    f.run,
 	}
-	c.Flags().Float64Var(&f.at, "at", 8, "seconds after which clocks are stepped")
-	c.Flags().Float64Var(&f.maxLoss, "most", 0.03, "how far the worth may fall")
-	c.Flags().IntVar(&f.parallel, "together", 3, "runs side by side")
+	c.Flags().Float64Var(&f.at, "at", 8, "seconds after which the clocks are stepped")
+	c.Flags().Float64Var(&f.maxLoss, "most", 0.03, "how far the worth may fall below that without a step")
+	c.Flags().IntVar(&f.parallel, "together", 3, "number of runs at a time")
 	addPlayOutputFlags(c, &f.jsonFile, &f.relays, "the results")
 	return c
 }
@@ -75,11 +76,11 @@
 	return counts.verdict()
 }
 
-// play plays the scenario with its step.
+// play plays the scenario with the clock step.
 func (r *steppedRun) play(ctx context.Context, at float64, command []string) error {
 	text, err := os.ReadFile(r.Path)
 	if err != nil {
-		return err //nolint:wrapcheck // it names the operation and the file
+		return err //nolint:wrapcheck // the error names the operation and the file
 	}
 	if r.Step != 0 {
 		text = fmt.Appendf(slices.Clone(text), "\n[[event]]\nat_s = %v\nwhat = \"clock_step\"\nby_s = %v\n", at, r.Step)
@@ -92,8 +93,8 @@
 	return err
 }
 
-// compareSteps compares each run with the one without a step of the same scenario, and counts the verdicts: a run fails also where it
-// delivered less by more than maxLoss.
+// compareSteps compares each run with the run of the same scenario without a step, and counts the verdicts. A run also fails if its
+// delivered weight is lower than that run's by more than maxLoss.
 func compareSteps(runs []*steppedRun, maxLoss float64) (counts tally) {
 	baseline := 0.0
 	for _, r := range runs {
@@ -113,5 +114,5 @@
 		fmt.Fprintf(table, "%s\t%+v\t%.3f\t%+.3f\t%.3f\t%d\t%d\t%.2f\t\n", r.Scenario, r.Step, r.DeliveredWeight.Total, r.Difference,
 			r.DeliveredWeight.WorstWindow, len(r.Violations), len(r.Failures), 100*r.LateShare)
 	}
-	_ = table.Flush() // a reader that has gone does not stop the JSON and the verdict
+	_ = table.Flush() // a write error, such as a closed pipe, does not prevent the JSON and the verdict
 }
--- a/cmd/frostlinkctl/scenario_list.go
+++ b/cmd/frostlinkctl/scenario_list.go
@@ -16,7 +16,7 @@
 	json bool
 }
 
-// listedScenario is a line of scenario list.
+// listedScenario is an entry in the output of scenario list.
 type listedScenario struct {
 	File   string  `json:"file"`
 	Name   string  `json:"name"`
@@ -57,16 +57,16 @@
 	return findings(len(unreadable) > 0)
 }
 
-// readScenarios reads all scenarios of a folder. It returns apart why others can't be read.
+// readScenarios reads all scenarios in a folder. The errors of those that can't be read are returned in unreadable.
 func readScenarios(folder string) (listed []listedScenario, unreadable []error, err error) {
 	if _, err := os.Stat(folder); err != nil {
-		return nil, nil, err //nolint:wrapcheck // it names the operation and the folder
+		return nil, nil, err //nolint:wrapcheck // the error names the operation and the folder
 	}
 	paths, err := filepath.Glob(filepath.Join(folder, "*"+scenarioSuffix))
 	if err != nil {
-		return nil, nil, err //nolint:wrapcheck // it says that the pattern is bad, and FOLDER is all that can be bad in it
+		return nil, nil, err //nolint:wrapcheck // the error reports a malformed pattern, for which only FOLDER can be the cause
 	}
-	listed = []listedScenario{} // none is [] in JSON
+	listed = []listedScenario{} // encoded as [] in JSON if empty
 	for _, path := range paths {
 		s, err := scenario.Read(path)
 		if err != nil {
--- a/cmd/frostlinkctl/scenario_play.go
+++ b/cmd/frostlinkctl/scenario_play.go
@@ -9,10 +9,11 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxPlays is how often a scenario is played where the machine was too busy for a run to say anything.
+// maxPlays is how often a scenario is played at most, while runs are inconclusive because the machine is too busy.
 const maxPlays = 3
 
-// playUntilConclusive plays a scenario until a run is conclusive, maxPlays times at most. It returns the last run and how many there were.
+// playUntilConclusive plays a scenario until a run is conclusive, at most maxPlays times. It returns the result of the last run and the
+// number of runs.
 func playUntilConclusive(ctx context.Context, s *scenario.Scenario, o harness.Options) (result *harness.Result, plays int, err error) {
 	for plays < maxPlays && (result == nil || result.Void) {
 		plays++
@@ -23,12 +24,12 @@
 	return result, plays, nil
 }
 
-// tally counts runs by their verdicts, but for those that passed.
+// tally counts the failed and the inconclusive runs.
 type tally struct {
 	failed, inconclusive int
 }
 
-// add counts a run. An inconclusive run, for which the machine was too busy, is neither passed nor failed.
+// add counts a run. A run is inconclusive if the machine was too busy for it; such a run has neither passed nor failed.
 func (t *tally) add(inconclusive, passed bool) {
 	switch {
 	case inconclusive:
@@ -38,7 +39,7 @@
 	}
 }
 
-// verdict is the error of a command that has played these runs: a failure counts for more than runs that say nothing.
+// verdict returns the error of a command that has played these runs. Failed runs take precedence over inconclusive ones.
 func (t *tally) verdict() error {
 	switch {
 	case t.failed > 0:
--- a/cmd/frostlinkctl/scenario_play_test.go
+++ b/cmd/frostlinkctl/scenario_play_test.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/faultinjection/harness"
 )
 
-// runResult is the result of a run that delivered a share of the weight.
+// runResult returns the result of a run that delivered a fraction of the weight.
 func runResult(deliveredWeight float64, inconclusive bool, failures ...string) *harness.Result {
 	report := &checker.Report{}
 	report.DeliveredWeight.Total = deliveredWeight
@@ -48,7 +48,7 @@
 	}
 }
 
-// Each scenario has a baseline of its own, and a run without a fault fails where it delivered too little beside it.
+// Each scenario has its own baseline, and a run without failures fails if it delivers too much less than the baseline.
 func TestCompareSteps_ComparesWithTheRunWithoutStep(t *testing.T) {
 	runs := []*steppedRun{
 		{Path: "a", Step: 0, Result: runResult(0.9, false)},
@@ -63,7 +63,7 @@
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
 	if difference := runs[5].Difference; difference < 0.049 || difference > 0.051 {
-		t.Errorf("difference %v of the second scenario, want 0.05", difference)
+		t.Errorf("difference %v in the second scenario, want 0.05", difference)
 	}
 }
 
@@ -73,6 +73,6 @@
 		t.Errorf("spread %+v", s)
 	}
 	if s := newSpread("failed", []float64{0, 0}); s.RelativeDeviation != 0 || s.MaxDeviation != 0 {
-		t.Errorf("spread of a figure that is 0: %+v", s)
+		t.Errorf("spread of a figure that is always 0: %+v", s)
 	}
 }
--- a/cmd/frostlinkctl/scenario_repeat.go
+++ b/cmd/frostlinkctl/scenario_repeat.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxInconclusiveRuns is how many inconclusive runs of one scenario are played again.
+// maxInconclusiveRuns is the maximum number of inconclusive runs, which are repeated, before the command gives up.
 const maxInconclusiveRuns = 5
 
 // scenarioRepeatFlags are the flags of scenario repeat.
@@ -23,21 +23,21 @@
 	var f scenarioRepeatFlags
 	c := &cobra.Command{
 		Use:   "repeat FILE",
-		Short: "Play a script several times with one seed, and tell how far the runs differ",
-		Long: "Play a script several times with one seed, and tell how far the runs differ: all that is drawn is the same,\n" +
-			"so that what differs is the machine's timing and what follows from it.",
+		Short: "Play a script several times with one seed, and show how far the runs differ",
+		Long: "Play a script several times with one seed, and show how far the runs differ. All random choices are the same,\n" +
+			"so that the differences come only from the timing on this machine.",
 		Example: "  frostlinkctl scenario repeat scenarios/quiet.toml --runs 10",
 		Args:    cobra.ExactArgs(1),
 		RunE:    f.run,
 	}
 	f.add(c)
-	c.Flags().IntVar(&f.runs, "runs", 10, "how often")
+	c.Flags().IntVar(&f.runs, "runs", 10, "number of runs")
 	return c
 }
 
 func (f *scenarioRepeatFlags) run(c *cobra.Command, args []string) error {
 	if f.runs < 2 {
-		return fmt.Errorf("--runs: %d, 2 at least", f.runs)
+		return fmt.Errorf("--runs: %d, must be at least 2", f.runs)
 	}
 	s, options, err := f.prepare(c, args[0])
 	if err != nil {
@@ -61,7 +61,7 @@
 	return findings(failed)
 }
 
-// play plays the scenario until there are as many conclusive runs as wanted.
+// play plays the scenario until there are f.runs conclusive runs.
 func (f *scenarioRepeatFlags) play(c *cobra.Command, s *scenario.Scenario, options harness.Options) ([]*harness.Result, error) {
 	var results []*harness.Result
 	for inconclusive := 0; len(results) < f.runs; {
@@ -76,7 +76,7 @@
 			continue
 		}
 		if inconclusive++; inconclusive > maxInconclusiveRuns {
-			return nil, fmt.Errorf("%d runs are void: the machine is too busy", inconclusive)
+			return nil, fmt.Errorf("%d runs are void because the machine is too busy", inconclusive)
 		}
 	}
 	return results, nil
--- a/cmd/frostlinkctl/scenario_run.go
+++ b/cmd/frostlinkctl/scenario_run.go
@@ -19,9 +19,9 @@
 	var f scenarioRunFlags
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play a script and audit it",
-		Long: "Play a script and audit it. The run lasts as long as the script says, plus what the last messages need.\n" +
-			"Exit codes: 0 all rules kept, 1 a rule broken or a relay crashed, 2 could not run or the machine was too busy.",
+		Short: "Play a script and check the rules",
+		Long: "Play a script and check the rules. The run lasts as long as the script says, plus the time that the last messages need.\n" +
+			"Exit codes: 0 success, 1 a rule was broken or a relay crashed, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario run scenarios/fiscal-year-end.toml --seed 7 --json out.json --keep logs",
 		Args:    cobra.ExactArgs(1),
 		RunE:    f.run,
@@ -53,7 +53,7 @@
 		return err
 	}
 	if result.Void {
-		return fmt.Errorf("void: %.2f%% of the rig's events were later than 5 ms", 100*result.LateShare)
+		return fmt.Errorf("void: %.2f%% of the harness's events were more than 5 ms late", 100*result.LateShare)
 	}
 	return findings(!result.Passed())
 }
--- a/cmd/frostlinkctl/scenario_soak.go
+++ b/cmd/frostlinkctl/scenario_soak.go
@@ -22,16 +22,16 @@
 	seeds      int
 	relayCount int
 	length     float64 // in seconds
-	restarts   bool    // play the soak of restarts
+	restarts   bool    // play the soak test of restarts
 	jsonFile   string
-	relays     string // path of the relay's program
+	relays     string // path of the relay program
 	keepFolder string
 }
 
-// soakRun is what the runs of one seed came to.
+// soakRun is the result of one seed.
 type soakRun struct {
 	Seed     int64  `json:"seed"`
-	Plays    int    `json:"tries"` // inconclusive runs come before the last one
+	Plays    int    `json:"tries"` // number of runs; all but the last were inconclusive
 	Scenario string `json:"script,omitempty"`
 	*harness.Result
 }
@@ -40,14 +40,14 @@
 	var f scenarioSoakFlags
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Play random faults that overlap upon many relays, a run for each of several seeds",
-		Long: "Play random faults that overlap upon many relays: processes killed, ended and stopped, wall clocks stepped, system calls and\n" +
-			"folders that fail, partners, register and network in trouble. Each run is judged by the auditor of the six rules and by the\n" +
-			"relays' own invariants. The same seed draws the same faults; the script and the logs of a run that fails are kept in --keep.\n" +
-			"With --restarts processes are ended and replaced in all the ways of the platform: series of signals around SIGTERM, while they\n" +
-			"start, in a hand-over, right behind a 202, again at once, in a crowd, stuck until they are killed. What happened is counted and\n" +
-			"printed; something that happened in no run of all seeds fails the soak.\n" +
-			"Exit codes: 0 every run kept all rules, 1 one did not, 2 could not run or the machine was too busy.",
+		Short: "Play random, overlapping faults against many relays, one run for each of several seeds",
+		Long: "Play random, overlapping faults against many relays: processes are killed, terminated and paused, wall clocks stepped, system calls\n" +
+			"and folders fail, and so do partners, register and network. Each run is checked against the six rules and the relays' own\n" +
+			"invariants. The same seed draws the same faults; the script and the logs of a failed run are kept in the folder of --keep.\n" +
+			"With --restarts processes are ended and replaced in all the ways in which the platform does it: by series of signals around\n" +
+			"SIGTERM, during start-up, in a hand-over, right after a 202, again at once, many together, or killed after they got stuck. Each\n" +
+			"such occurrence is counted and printed; the soak fails if one of them happens in no run of any seed.\n" +
+			"Exit codes: 0 every run kept all rules, 1 a run did not, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario soak --seed 1 --seeds 20 --count 36 --keep found\n" +
 			"  frostlinkctl scenario soak --restarts --seed 1 --seeds 50 --keep found",
 		Args: cobra.NoArgs,
@@ -55,12 +55,12 @@
 	}
 	flags := c.Flags()
 	flags.Int64Var(&f.firstSeed, "seed", 1, "the first seed")
-	flags.IntVar(&f.seeds, "seeds", 10, "how many seeds, one after another")
-	flags.IntVar(&f.relayCount, "count", 36, "how many relays")
-	flags.Float64Var(&f.length, "length", 9, "seconds for which clients send")
-	flags.BoolVar(&f.restarts, "restarts", false, "end and replace processes in all the ways of the platform")
+	flags.IntVar(&f.seeds, "seeds", 10, "number of seeds, played one after another")
+	flags.IntVar(&f.relayCount, "count", 36, "number of relays")
+	flags.Float64Var(&f.length, "length", 9, "seconds for which clients submit messages")
+	flags.BoolVar(&f.restarts, "restarts", false, "end and replace processes in all the ways in which the platform does it")
 	addPlayOutputFlags(c, &f.jsonFile, &f.relays, "the results")
-	flags.StringVar(&f.keepFolder, "keep", "", "keep scripts and logs of runs that fail in this `folder`")
+	flags.StringVar(&f.keepFolder, "keep", "", "keep scripts and logs of failed runs in this `folder`")
 	return c
 }
 
@@ -92,7 +92,7 @@
 	return checkOccurrences(out, runs)
 }
 
-// checkOccurrences prints what never happened in any run. The error is that something did not.
+// checkOccurrences prints the kinds of occurrences that happened in no run. If there are any, it returns cli.ErrFindings.
 func checkOccurrences(out io.Writer, runs []soakRun) error {
 	var occurred []map[harness.Occurrence]int
 	for i := range runs {
@@ -122,9 +122,9 @@
 	}
 	logs, err := os.MkdirTemp("", "soak-")
 	if err != nil {
-		return run, err //nolint:wrapcheck // it names the operation and the folder
+		return run, err //nolint:wrapcheck // the error names the operation and the folder
 	}
-	defer func() { _ = os.RemoveAll(logs) }() // what is to be kept has been copied
+	defer func() { _ = os.RemoveAll(logs) }() // logs that are kept have been copied
 	options := harness.Options{Seed: seed, RelayCommand: command, KeepDir: logs}
 	if run.Result, run.Plays, err = playUntilConclusive(ctx, s, options); err != nil {
 		return run, err
@@ -136,15 +136,15 @@
 	return run, err
 }
 
-// soakName is the name of a seed's scenario, without a suffix.
+// soakName returns the name of a seed's scenario, without the suffix.
 func soakName(seed int64) string { return fmt.Sprintf("soak-%d", seed) }
 
-// keepSoakRun writes the scenario and the logs of a run into a folder, over those that an earlier soak kept of the seed. It returns the
-// path of the scenario.
+// keepSoakRun writes the scenario and the logs of a run into a folder, and replaces those that an earlier soak kept for the same seed. It
+// returns the path of the scenario.
 func keepSoakRun(folder string, seed int64, text, logs string) (string, error) {
 	path := filepath.Join(folder, soakName(seed)+scenarioSuffix)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return path, err //nolint:wrapcheck // it names the operation and the folder
+		return path, err //nolint:wrapcheck // the error names the operation and the folder
 	}
 	logsCopy := filepath.Join(folder, soakName(seed))
 	return path, errors.Join(os.WriteFile(path, []byte(text), 0o644), os.RemoveAll(logsCopy), os.CopyFS(logsCopy, os.DirFS(logs)))
@@ -169,7 +169,7 @@
 	}
 }
 
-// printOccurrences prints what happened, and how often, in one line.
+// printOccurrences prints one line with the occurrences of the run and their counts.
 func (r *soakRun) printOccurrences(out io.Writer) {
 	var happened []string
 	for _, o := range harness.Occurrences() {
--- a/cmd/frostlinkctl/scenario_spread.go
+++ b/cmd/frostlinkctl/scenario_spread.go
@@ -7,24 +7,24 @@
 	"frostlink/internal/faultinjection/harness"
 )
 
-// spread is how a figure differs between runs of one scenario and seed.
+// spread describes how a figure varies between runs of one scenario with one seed.
 type spread struct {
 	Figure            string    `json:"figure"`
 	Mean              float64   `json:"mean"`
 	Min               float64   `json:"least"`
 	Max               float64   `json:"most"`
 	MaxDeviation      float64   `json:"off"`   // the largest distance from the mean
-	RelativeDeviation float64   `json:"share"` // the same as a share of the mean
+	RelativeDeviation float64   `json:"share"` // MaxDeviation as a fraction of the mean
 	Runs              []float64 `json:"runs"`
 }
 
-// figure is a number that a run comes to.
+// figure is a number that is computed from the result of a run.
 type figure struct {
 	name string
 	of   func(r *harness.Result) float64
 }
 
-// comparedFigures are those that scenario repeat compares, by the names under which it prints them.
+// comparedFigures returns the figures that scenario repeat compares, with the names under which it prints them.
 func comparedFigures() []figure {
 	figures := []figure{
 		{"worth", func(r *harness.Result) float64 { return r.DeliveredWeight.Total }},
@@ -49,7 +49,7 @@
 	return figures
 }
 
-// measureSpreads compares runs figure by figure.
+// measureSpreads returns the spread of each figure over the runs.
 func measureSpreads(results []*harness.Result) []spread {
 	var spreads []spread
 	for _, f := range comparedFigures() {
--- a/cmd/frostlinkctl/scenario_test.go
+++ b/cmd/frostlinkctl/scenario_test.go
@@ -9,14 +9,14 @@
 	"frostlink/internal/cli"
 )
 
-// A scenario that is named without a path is one of the repository's scenarios folder, which is also what list shows.
+// A scenario that is given by name is looked up in the repository's scenarios folder, which is also the folder that list shows by default.
 func TestScenarioCommands_FindScenariosByName(t *testing.T) {
 	t.Chdir("../..")
 	for _, group := range []string{"scenario", "rehearse"} {
 		for _, tt := range []struct {
 			args   string
 			code   int
-			output string // part of what is printed
+			output string // part of standard output or standard error
 		}{
 			{"list", cli.ExitOK, "scenarios/quiet.toml"},
 			{"check quiet", cli.ExitOK, "quiet: fine; "},
@@ -52,7 +52,7 @@
 		{"list FOLDER", cli.ExitFindings, "", "bad.toml:2: name: ", 0},
 		{"list FOLDER --json", cli.ExitFindings, "[]\n", "bad.toml:2: name: ", 0},
 		{"list none", cli.ExitError, "", "stat none: no such file", 1},
-		{"repeat BAD --runs 1", cli.ExitError, "", "--runs: 1, 2 at least", 1},
+		{"repeat BAD --runs 1", cli.ExitError, "", "--runs: 1, must be at least 2", 1},
 		{"soak --relays no-relay", cli.ExitError, "", "no relay program at no-relay", 1},
 		{"clock-steps BAD --relays no-relay", cli.ExitError, "", "no relay program at no-relay", 1},
 	} {
--- a/cmd/frostlinkctl/undelivered.go
+++ b/cmd/frostlinkctl/undelivered.go
@@ -10,9 +10,9 @@
 	var f storeFlags
 	c := &cobra.Command{
 		Use:   "undelivered",
-		Short: "Look at and decide on messages that were taken on and not delivered",
-		Long: "Look at and decide on messages that were taken on and not delivered: on a running relay by its socket, on a\n" +
-			"stopped one's folder. Both are named in the operator's file.",
+		Short: "Inspect and decide on messages that were accepted but not delivered",
+		Long: "Inspect and decide on messages that were accepted but not delivered: those of a running relay through its socket,\n" +
+			"those of a stopped relay in its folder. The operator's file names both.",
 		Example: "  frostlinkctl undelivered list --operator deploy/frostlink.toml --class fee-payment",
 	}
 	f.add(c)
@@ -25,5 +25,5 @@
 	return c
 }
 
-// localTime returns an instant as the tool prints it, in the zone of whoever reads it.
+// localTime formats a time in the local time zone.
 func localTime(t time.Time) string { return t.Local().Format(timestampLayout) }
--- a/cmd/frostlinkctl/undelivered_check.go
+++ b/cmd/frostlinkctl/undelivered_check.go
@@ -16,20 +16,20 @@
 // deadLetterCheckFlags are the flags of undelivered check.
 type deadLetterCheckFlags struct {
 	store      *storeFlags
-	configFile string // the relay's, as the platform writes it
+	configFile string // the platform's configuration of the relay
 }
 
 func deadLetterCheckCommand(store *storeFlags) *cobra.Command {
 	f := &deadLetterCheckFlags{store: store}
 	c := onStore(&cobra.Command{
 		Use:   "check",
-		Short: "Tell what the operator's rules would do with what is in the store now; nothing is changed",
-		Long: "Tell what the operator's rules would do with what is in the store now; nothing is changed. Rules that break a\n" +
-			"class's allowance are refused. A running relay knows its classes; for a stopped one name its configuration.",
+		Short: "Show what the operator's rules would do with the messages now in the store; nothing is changed",
+		Long: "Show what the operator's rules would do with the messages now in the store; nothing is changed. Rules that a class\n" +
+			"does not allow are refused. The classes are those of the running relay; for a stopped relay give its configuration.",
 		Example: "  frostlinkctl undelivered check --operator deploy/frostlink.toml --config config.json",
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.check)
-	c.Flags().StringVar(&f.configFile, "config", "", "the relay's configuration `file`, as the platform writes it")
+	c.Flags().StringVar(&f.configFile, "config", "", "the relay's configuration `file` from the platform")
 	return c
 }
 
@@ -49,10 +49,10 @@
 	return findings(slices.ContainsFunc(results, func(r deadletter.DryRunResult) bool { return len(r.Faults) > 0 }))
 }
 
-// dryRun returns the operator's rules and, where the relay's configuration is named, its classes.
+// dryRun returns a request with the operator's rules and, if the relay's configuration is given, its classes.
 func (f *deadLetterCheckFlags) dryRun() (request deadletter.DryRunRequest, err error) {
 	if f.store.operatorFile == "" {
-		return request, errors.New("--operator: which rules?")
+		return request, errors.New("--operator: missing; it names the file with the rules")
 	}
 	config, err := operatorconfig.Read(f.store.operatorFile)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return request, nil
 }
 
-// printDryRun prints what each rule would do, and last what becomes of messages that no rule matches, which is the first result.
+// printDryRun prints what each rule would do. The first result, for messages that no rule matches, is printed last.
 func printDryRun(out io.Writer, results []deadletter.DryRunResult, rules []deadletter.Rule) error {
 	for _, r := range slices.Concat(results[1:], results[:1]) {
 		if r.Rule == 0 {
--- a/cmd/frostlinkctl/undelivered_decide.go
+++ b/cmd/frostlinkctl/undelivered_decide.go
@@ -12,10 +12,11 @@
 	"frostlink/internal/deadletter"
 )
 
-// idsFromStdin is the argument that stands for ids on standard input, as from a list that staff have checked against a destination's ledger.
+// idsFromStdin is the argument for reading ids from standard input, for example from a list that staff have checked against a
+// destination's ledger.
 const idsFromStdin = "-"
 
-// decision is a command on messages that also a rule can have as its action.
+// decision is a command on messages that a rule can also have as its action.
 type decision struct {
 	command        string
 	help           string
@@ -23,8 +24,8 @@
 }
 
 var decisions = []decision{
-	{command: deadletter.HoldCommand, help: "Hold a message: no rule resends it"},
-	{command: deadletter.RedeliverCommand, help: "Have a message resent, where its class allows it"},
+	{command: deadletter.HoldCommand, help: "Hold a message, so that no rule resends it"},
+	{command: deadletter.RedeliverCommand, help: "Resend a message, if its class allows it"},
 	{command: deadletter.DiscardCommand, help: "Discard a message, with a reason", reasonRequired: true},
 }
 
@@ -43,10 +44,10 @@
 		Example: fmt.Sprintf("  frostlinkctl undelivered %s 4f0c2a9d1b770000 --folder store --why \"the bank has booked it\"", d.command),
 		Args:    cobra.MinimumNArgs(1),
 	}, store, readWrite, f.decide)
-	c.Flags().StringVar(&f.order.By, "by", currentUser(), "who wants it")
-	c.Flags().StringVar(&f.order.Reason, "why", "", "why")
+	c.Flags().StringVar(&f.order.By, "by", currentUser(), "who decides")
+	c.Flags().StringVar(&f.order.Reason, "why", "", "the reason")
 	if d.reasonRequired {
-		_ = c.MarkFlagRequired("why") // it fails only for a flag that does not exist
+		_ = c.MarkFlagRequired("why") // fails only for a flag that does not exist
 	}
 	return c
 }
@@ -55,25 +56,25 @@
 	f := &decisionFlags{store: store, command: deadletter.AttestCommand}
 	c := onStore(&cobra.Command{
 		Use:   "attest ID... | -",
-		Short: "State by name that the partner does not have a message that may have run",
-		Long: "State by name that the partner does not have a message that may have run. It is kept and shown for ever, and\n" +
-			"allows one resend. - stands for ids on standard input, as from a list that was checked against a ledger.",
+		Short: "Attest that the partner did not receive a message that may have run",
+		Long: "Attest that the partner did not receive a message that may have run. The attestation is kept permanently and shown\n" +
+			"with the message, and allows one resend. - reads ids from standard input, for example of a list checked against a ledger.",
 		Example: "  frostlinkctl undelivered attest 4f0c2a9d1b770000 --folder store --by \"Amina Khan\" --evidence \"ledger of 30 June, page 7\"",
 		Args:    cobra.MinimumNArgs(1),
 	}, store, readWrite, f.decide)
 	c.Flags().StringVar(&f.order.By, "by", "", "who attests it")
-	c.Flags().StringVar(&f.order.Evidence, "evidence", "", "on what evidence")
-	_, _ = c.MarkFlagRequired("by"), c.MarkFlagRequired("evidence") // they fail only for flags that do not exist
+	c.Flags().StringVar(&f.order.Evidence, "evidence", "", "the evidence")
+	_, _ = c.MarkFlagRequired("by"), c.MarkFlagRequired("evidence") // fail only for flags that do not exist
 	return c
 }
 
-// decide carries the decision out on each message, and goes on where the store rejects it for one.
+// decide applies the decision to each message. If the store rejects it for one message, decide continues with the next.
 func (f *decisionFlags) decide(c *cobra.Command, store *deadletter.Client, ids []string) error {
 	if len(ids) == 1 && ids[0] == idsFromStdin {
 		ids = readIDs(c)
 	}
 	rejected := false
-	decided := []*deadletter.Record{} // none is [] in JSON
+	decided := []*deadletter.Record{} // encoded as [] in JSON if empty
 	for _, id := range ids {
 		record, err := store.Command(c.Context(), f.command, id, f.order)
 		if err != nil {
@@ -94,7 +95,7 @@
 	return findings(rejected)
 }
 
-// readIDs reads ids from standard input, several a line or one.
+// readIDs reads ids from standard input, one or more per line.
 func readIDs(c *cobra.Command) []string {
 	var ids []string
 	for lines := bufio.NewScanner(c.InOrStdin()); lines.Scan(); {
@@ -103,7 +104,7 @@
 	return ids
 }
 
-// currentUser returns the name of whoever runs the tool, or none where it is not known.
+// currentUser returns the name of the user who runs the tool, or an empty string if it is not known.
 func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
--- a/cmd/frostlinkctl/undelivered_export.go
+++ b/cmd/frostlinkctl/undelivered_export.go
@@ -14,7 +14,7 @@
 	"frostlink/internal/deadletter"
 )
 
-// exportPageSize is how many messages are read at once.
+// exportPageSize is the number of messages that are listed per call.
 const exportPageSize = 500
 
 // deadLetterExportFlags are the flags of undelivered export.
@@ -27,21 +27,21 @@
 	f := &deadLetterExportFlags{}
 	c := onStore(&cobra.Command{
 		Use:     "export",
-		Short:   "Write messages with their bodies, a line of JSON each",
+		Short:   "Write messages with their bodies as lines of JSON",
 		Example: "  frostlinkctl undelivered export --folder store --state held --to held.jsonl",
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.export)
 	f.filter.add(c)
-	c.Flags().StringVar(&f.file, "to", stdout, "the `file`, which must not be there; - is standard output")
+	c.Flags().StringVar(&f.file, "to", stdout, "the `file` to write, which must not exist; - means standard output")
 	return c
 }
 
 func (f *deadLetterExportFlags) export(c *cobra.Command, store *deadletter.Client, _ []string) (err error) {
 	out := c.OutOrStdout()
 	if f.file != stdout {
-		file, err := os.OpenFile(f.file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600) // nothing is written over
+		file, err := os.OpenFile(f.file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600) // an existing file is not overwritten
 		if err != nil {
-			return err //nolint:wrapcheck // it names the operation and the file
+			return err //nolint:wrapcheck // the error names the operation and the file
 		}
 		defer func() { err = errors.Join(err, file.Close()) }()
 		out = file
@@ -54,11 +54,11 @@
 	return findings(e.damaged > 0)
 }
 
-// deadLetterExport writes messages of a store.
+// deadLetterExport writes the messages of a store to a file.
 type deadLetterExport struct {
 	store   *deadletter.Client
 	out     *bufio.Writer
-	errs    io.Writer // for messages that are damaged
+	errs    io.Writer // receives the errors of damaged messages
 	written int
 	damaged int
 }
@@ -78,10 +78,10 @@
 		e.damaged += page.Damaged
 		from, more = page.Next, page.Next > 0
 	}
-	return e.out.Flush() //nolint:wrapcheck // it names the operation and the file
+	return e.out.Flush() //nolint:wrapcheck // the error names the operation and the file
 }
 
-// writeMessage writes a message with its body. One whose body can't be read is named and counted.
+// writeMessage writes a message with its body. If the body can't be read, it prints the error and counts the message as damaged.
 func (e *deadLetterExport) writeMessage(ctx context.Context, record *deadletter.Record) error {
 	body, err := e.store.Body(ctx, record.ID)
 	if err != nil {
@@ -94,7 +94,7 @@
 		return fmt.Errorf("encode message %s: %w", record.ID, err)
 	}
 	if _, err := e.out.Write(append(line, '\n')); err != nil {
-		return err //nolint:wrapcheck // it names the operation and the file
+		return err //nolint:wrapcheck // the error names the operation and the file
 	}
 	e.written++
 	return nil
--- a/cmd/frostlinkctl/undelivered_filter.go
+++ b/cmd/frostlinkctl/undelivered_filter.go
@@ -6,7 +6,7 @@
 	"frostlink/internal/deadletter"
 )
 
-// filterFlags are the flags of commands on some of the messages.
+// filterFlags are the flags that select messages.
 type filterFlags struct {
 	class, tenant   string
 	destination     int
@@ -16,15 +16,15 @@
 
 func (f *filterFlags) add(c *cobra.Command) {
 	flags := c.Flags()
-	flags.StringVar(&f.class, "class", "", "only this class")
-	flags.StringVar(&f.tenant, "tenant", "", "only this tenant")
-	flags.IntVar(&f.destination, "partner", 0, "only this partner's number")
-	flags.StringVar(&f.reason, "reason", "", "only this reason")
-	flags.StringVar(&f.state, "state", "", "only this state")
-	flags.BoolVar(&f.mayHaveExecuted, "may-have-run", false, "only those that may have run (=false: only those that can't)")
+	flags.StringVar(&f.class, "class", "", "only messages of this class")
+	flags.StringVar(&f.tenant, "tenant", "", "only messages of this tenant")
+	flags.IntVar(&f.destination, "partner", 0, "only messages to the partner of this number")
+	flags.StringVar(&f.reason, "reason", "", "only messages given up for this reason")
+	flags.StringVar(&f.state, "state", "", "only messages in this state")
+	flags.BoolVar(&f.mayHaveExecuted, "may-have-run", false, "only messages that may have run (=false: only messages that can't have run)")
 }
 
-// filter returns what the flags mean. A flag that is not given matches anything.
+// filter returns the filter that the flags describe. Flags that are not given do not restrict it.
 func (f *filterFlags) filter(c *cobra.Command) *deadletter.Filter {
 	filter := &deadletter.Filter{Class: f.class, Tenant: f.tenant, Reason: deadletter.Reason(f.reason), State: deadletter.State(f.state)}
 	if c.Flags().Changed("partner") {
--- a/cmd/frostlinkctl/undelivered_import.go
+++ b/cmd/frostlinkctl/undelivered_import.go
@@ -16,7 +16,7 @@
 func deadLetterImportCommand(store *storeFlags) *cobra.Command {
 	return onStore(&cobra.Command{
 		Use:     "import FILE",
-		Short:   "Take in messages that were exported; they are held",
+		Short:   "Import messages that were exported; they are held",
 		Example: "  frostlinkctl undelivered import held.jsonl --folder store",
 		Args:    cobra.ExactArgs(1),
 	}, store, readWrite, importDeadLetters)
@@ -25,9 +25,9 @@
 func importDeadLetters(c *cobra.Command, store *deadletter.Client, args []string) error {
 	file, err := os.Open(args[0])
 	if err != nil {
-		return err //nolint:wrapcheck // it names the operation and the file
+		return err //nolint:wrapcheck // the error names the operation and the file
 	}
-	defer func() { _ = file.Close() }() // it is only read
+	defer func() { _ = file.Close() }() // the file is only read
 	read, added, err := importMessages(c.Context(), store, file)
 	if err != nil {
 		return fmt.Errorf("%s: message %d: %w", args[0], read+1, err)
@@ -36,15 +36,15 @@
 	return nil
 }
 
-// importMessages adds messages to the store until one fails. It returns how many were imported, and how many of them the store did not
-// have.
+// importMessages imports messages into the store until one fails. It returns how many it imported, and how many of these were new to the
+// store.
 func importMessages(ctx context.Context, store *deadletter.Client, in io.Reader) (read, added int, err error) {
 	for messages := json.NewDecoder(in); ; read++ {
 		var message deadletter.Exported
 		if err := messages.Decode(&message); errors.Is(err, io.EOF) {
 			return read, added, nil
 		} else if err != nil {
-			return read, added, err //nolint:wrapcheck // the caller names file and message
+			return read, added, err //nolint:wrapcheck // the caller adds the file and the message
 		}
 		isNew, err := store.Import(ctx, &message)
 		if err != nil {
--- a/cmd/frostlinkctl/undelivered_list.go
+++ b/cmd/frostlinkctl/undelivered_list.go
@@ -13,7 +13,7 @@
 type deadLetterListFlags struct {
 	store    *storeFlags
 	filter   filterFlags
-	from     uint64 // the record at which the page begins
+	from     uint64 // the number of the record at which the page begins
 	pageSize int
 }
 
@@ -26,8 +26,8 @@
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.list)
 	f.filter.add(c)
-	c.Flags().Uint64Var(&f.from, "from", 0, "begin at this record, as the last page told")
-	c.Flags().IntVar(&f.pageSize, "most", 100, "messages a page")
+	c.Flags().Uint64Var(&f.from, "from", 0, "begin at this record, as printed below the previous page")
+	c.Flags().IntVar(&f.pageSize, "most", 100, "messages per page")
 	return c
 }
 
@@ -39,7 +39,7 @@
 	return printResult(c.OutOrStdout(), f.store.json, page, func(out io.Writer) error { return printPage(out, c.ErrOrStderr(), &page) })
 }
 
-// printPage prints a page of messages, and on errs what it lacks.
+// printPage prints a page of messages. On errs it prints how many records can't be read, and where the next page begins.
 func printPage(out, errs io.Writer, page *deadletter.Listing) error {
 	if err := printDeadLetters(out, page.Messages); err != nil {
 		return err
--- a/cmd/frostlinkctl/undelivered_show.go
+++ b/cmd/frostlinkctl/undelivered_show.go
@@ -21,11 +21,11 @@
 	f := &deadLetterShowFlags{store: store}
 	c := onStore(&cobra.Command{
 		Use:     "show ID",
-		Short:   "Show a message with its whole history; its body only when asked",
+		Short:   "Show a message with its whole history, and with --hex or --text its body",
 		Example: "  frostlinkctl undelivered show 4f0c2a9d1b770000 --folder store --text",
 		Args:    cobra.ExactArgs(1),
 	}, store, readOnly, f.show)
-	c.Flags().BoolVar(&f.asHex, "hex", false, "show the body as hexadecimal numbers")
+	c.Flags().BoolVar(&f.asHex, "hex", false, "show the body as a hex dump")
 	c.Flags().BoolVar(&f.asQuotedText, "text", false, "show the body as quoted text")
 	return c
 }
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// printIncarnation prints what became of a message under one of its ids, with all attempts.
+// printIncarnation prints what happened to a message under one of its ids, with all attempts.
 func printIncarnation(out io.Writer, ordinal int, n *deadletter.Incarnation) {
 	fmt.Fprintf(out, "life %d, id %s, at %s: taken on %s, until %s, given up %s: %s (%s)\n", ordinal, n.ID, n.Relay, localTime(n.AcceptedAt),
 		localTime(n.Deadline), localTime(n.CompletedAt), n.Reason, n.Status)
--- a/cmd/frostlinkctl/undelivered_stats.go
+++ b/cmd/frostlinkctl/undelivered_stats.go
@@ -18,7 +18,7 @@
 	f := &deadLetterStatsFlags{store: store}
 	return onStore(&cobra.Command{
 		Use:     "stats",
-		Short:   "What the store holds, by class and tenant",
+		Short:   "Show how many messages the store holds, by class and tenant",
 		Example: "  frostlinkctl undelivered stats --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.stats)
--- a/cmd/frostlinkctl/undelivered_store.go
+++ b/cmd/frostlinkctl/undelivered_store.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// storeFlags are the flags of all commands on a dead-letter store.
+// storeFlags are the flags that all commands on a dead-letter store have.
 type storeFlags struct {
 	operatorFile string
 	socket       string
@@ -18,16 +18,16 @@
 	json         bool
 }
 
-// add adds the flags to a command and all below it.
+// add adds the flags to a command and all its subcommands.
 func (f *storeFlags) add(c *cobra.Command) {
 	flags := c.PersistentFlags()
-	flags.StringVar(&f.operatorFile, "operator", "", "the operator's `file`, which names socket and folder")
-	flags.StringVar(&f.socket, "socket", "", "the running relay's `socket`")
-	flags.StringVar(&f.folder, "folder", "", "the stopped relay's `folder`")
+	flags.StringVar(&f.operatorFile, "operator", "", "the operator's `file`, which names the socket and the folder")
+	flags.StringVar(&f.socket, "socket", "", "the `socket` of the running relay")
+	flags.StringVar(&f.folder, "folder", "", "the `folder` of the stopped relay's store")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 }
 
-// open opens the store: by the socket where a relay answers there, else in the folder.
+// open opens the store through the relay's socket if a relay answers there, and otherwise in its folder.
 func (f *storeFlags) open(access storeAccess) (*deadletter.Client, error) {
 	socket, folder, err := f.locate()
 	if err != nil {
@@ -40,12 +40,13 @@
 		}
 	}
 	if folder == "" {
-		return nil, errors.New("which store? name --operator FILE, --socket SOCKET or --folder FOLDER")
+		return nil, errors.New("no store given: name --operator FILE, --socket SOCKET or --folder FOLDER")
 	}
 	return deadletter.OpenFolder(folder, access == readWrite)
 }
 
-// locate returns socket and folder of the store: what the flags leave out is in the operator's file.
+// locate returns the socket and the folder of the store. Whichever the flags do not give is taken from the operator's file, if that is
+// given.
 func (f *storeFlags) locate() (socket, folder string, err error) {
 	socket, folder = f.socket, f.folder
 	if f.operatorFile == "" {
@@ -56,7 +57,7 @@
 		return "", "", err
 	}
 	if config.DeadLetter == nil {
-		return "", "", fmt.Errorf("%s has no section [undelivered]: nothing is kept", f.operatorFile)
+		return "", "", fmt.Errorf("%s has no section [undelivered], so no messages are kept", f.operatorFile)
 	}
 	if socket == "" {
 		socket = config.DeadLetter.Socket
@@ -67,7 +68,7 @@
 	return socket, folder, nil
 }
 
-// storeAccess says what a command does with the store.
+// storeAccess is the access to the store that a command needs.
 type storeAccess int
 
 const (
@@ -75,7 +76,7 @@
 	readWrite
 )
 
-// storeAction is what a command does with an open store.
+// storeAction is the function of a command that works on an open store.
 type storeAction func(c *cobra.Command, store *deadletter.Client, args []string) error
 
 // storeCommand is a command on a store.
@@ -85,7 +86,7 @@
 	action storeAction
 }
 
-// onStore makes a command open the store, act on it and close it.
+// onStore sets a command up to open the store, run the action on it, and close it.
 func onStore(c *cobra.Command, f *storeFlags, access storeAccess, action storeAction) *cobra.Command {
 	c.RunE = (&storeCommand{flags: f, access: access, action: action}).run
 	return c
--- a/cmd/frostlinkctl/undelivered_test.go
+++ b/cmd/frostlinkctl/undelivered_test.go
@@ -12,7 +12,7 @@
 	"frostlink/internal/deadletter"
 )
 
-// newStore fills a stopped relay's folder with payments of which it is not known whether they were executed.
+// newStore creates the store of a stopped relay, with payments that may or may not have been executed.
 func newStore(t *testing.T, ids ...string) (folder string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "kept")
@@ -42,7 +42,7 @@
 	return folder
 }
 
-// The calls build on one another: each sees what those before it have done to the store.
+// The calls depend on one another: each works on the store as the calls before it left it.
 func TestDeadLetterCommands_DecideOnMessages(t *testing.T) {
 	folder := newStore(t, "a", "b", "c")
 	operator := filepath.Join(t.TempDir(), "frostlink.toml")
@@ -56,13 +56,13 @@
 		stdin  string
 		code   int
 		stdout string // part of it
-		stderr string // part of it; empty: there is none
+		stderr string // part of it; if empty, nothing must be printed
 	}{
 		{"list --folder DIR --may-have-run --class fee-payment", "", cli.ExitOK, "no rule matches it", ""},
 		{"list --folder DIR --most 2", "", cli.ExitOK, "a  ", "there is more: --from 3"},
 		{"list --folder DIR --state gone", "", cli.ExitError, "", `state: "gone" is none of`},
 		{"list --folder DIR/none", "", cli.ExitError, "", "no store"},
-		{"list", "", cli.ExitError, "", "which store?"},
+		{"list", "", cli.ExitError, "", "no store given: "},
 		{"list --operator OPERATOR --json", "", cli.ExitOK, `"id": "a"`, ""},
 		{"show a --folder DIR --text", "", cli.ExitOK, `"body of a"`, ""},
 		{"show a --folder DIR", "", cli.ExitOK, "ran: may", ""},
@@ -94,11 +94,11 @@
 	_, out, _ := runTool(t, "", "undelivered", "show", "a", "--folder", empty, "--json")
 	var record deadletter.Record
 	if err := json.Unmarshal([]byte(out), &record); err != nil || len(record.Attestations) != 1 || !record.Attestations[0].Used {
-		t.Errorf("an attestation that came with an import serves here: %+v, %v", record.Attestations, err)
+		t.Errorf("an imported attestation can be used for a resend, want it marked as used: %+v, %v", record.Attestations, err)
 	}
 }
 
-// Two tools on one folder, or a tool and a relay: the second gets a clear error, and changes nothing.
+// If another tool or a relay has the folder open, a command reports that and changes nothing.
 func TestDeadLetterCommands_RefuseAFolderInUse(t *testing.T) {
 	folder := newStore(t, "a")
 	store, err := deadletter.Open(folder, 0, 0)
@@ -107,7 +107,7 @@
 	}
 	for _, args := range []string{"list", "discard a --why booked"} {
 		code, out, errs := runTool(t, "", strings.Fields("undelivered "+args+" --folder "+folder)...)
-		if code != cli.ExitError || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "by its socket") {
+		if code != cli.ExitError || out != "" || !strings.Contains(errs, "in use by another process") || !strings.Contains(errs, "use its socket") {
 			t.Errorf("%s: exit %d, %s%s", args, code, out, errs)
 		}
 	}
--- a/cmd/frostlinkctl/undelivered_verify.go
+++ b/cmd/frostlinkctl/undelivered_verify.go
@@ -18,7 +18,7 @@
 	f := &deadLetterVerifyFlags{store: store}
 	return onStore(&cobra.Command{
 		Use:     "verify",
-		Short:   "Read all there is, and name what is damaged",
+		Short:   "Read the whole store, and list damaged records",
 		Example: "  frostlinkctl undelivered verify --folder store",
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.verify)
