--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -181,7 +181,7 @@
 	}
 	a, err := s.callLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
 	if err != nil || len(a.Values) != 2 {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("read all values: %+v, error %v; want 2 values", a, err)
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 	a, err := s.callLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
 	if err != nil || len(a.Values) != 3 {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("read all values: %+v, error %v; want 3 values", a, err)
 	}
 	for _, p := range s.running {
 		if err := p.Kill(); err != nil {
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -47,7 +47,7 @@
 		Long: "Simulate clusters of three or five members, with clients that act under leases and writers of values, in virtual time. The network\n" +
 			"loses, delays, duplicates and reorders messages and is cut in one direction; processes pause, and crash at any write; disks are\n" +
 			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. Checked: acts of two holders never\n" +
-			"overlap in true time, whatever the clocks show; tokens only grow; waiters get a lease in order; values are linearizable; leases are held again once faults\n" +
+			"overlap in true time; tokens only grow; waiters get a lease in order; values are linearizable; leases are held again once faults\n" +
 			"stop; members have the same state; a restored disk is noticed. Running a failing seed again reproduces its run.\n" +
 			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 10000\n  frostlink-coord prove --seeds 1 --seed 4711 --json -",
--- a/cmd/frostlink/earlier_build_test.go
+++ b/cmd/frostlink/earlier_build_test.go
@@ -77,7 +77,7 @@
 	{id: "open-order", class: "order", destination: orderDestination},
 	{id: "open-status", class: "status", destination: statusDestination},
 	{id: "open-payment", class: "payment", key: "k1", destination: paymentDestination},
-	{id: "refused-status", class: "status", destination: refusedDestination}, // last, right before the kill, because the number of attempts is limited
+	{id: "refused-status", class: "status", destination: refusedDestination}, // last, because its number of attempts is limited
 }
 
 // A relay of this build continues with the folder of a killed relay of an earlier build. It delivers requests that were not
@@ -304,7 +304,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusAccepted {
-		t.Fatalf("%s: %s", r.id, resp.Status)
+		t.Fatalf("request %s not accepted: %s", r.id, resp.Status)
 	}
 }
 
--- a/cmd/frostlinkctl/deprecated_test.go
+++ b/cmd/frostlinkctl/deprecated_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("help of %q: exit %d, stderr %q", group, code, errs)
 		}
 		if !strings.Contains(out, "\n  "+newWord+" ") || strings.Contains(out, "\n  "+oldWord+" ") {
-			t.Errorf("help does not name %q alone:\n%s", newWord, out)
+			t.Errorf("help must list %q, and not its deprecated name:\n%s", newWord, out)
 		}
 	}
 }
--- a/cmd/frostlinkctl/fleet_count.go
+++ b/cmd/frostlinkctl/fleet_count.go
@@ -83,7 +83,7 @@
 		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t", s.At, s.Starts, s.WatchRequests, s.EmptyWatches, s.EndpointUpdates)
 		printCounts(table, &s.Counts)
 	}
-	_ = table.Flush() // a reader that has gone does not change what was found
+	_ = table.Flush() // a write error, such as a closed pipe, does not change the exit code
 }
 
 func printDestinations(out io.Writer, summary *fleet.Summary) {
@@ -96,5 +96,5 @@
 	}
 	fmt.Fprint(table, "all\t\t\t\t\t")
 	printCounts(table, &summary.Total)
-	_ = table.Flush() // a reader that has gone does not change what was found
+	_ = table.Flush() // a write error, such as a closed pipe, does not change the exit code
 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -19,13 +19,13 @@
 		minDelay, initial, limit, seed := duration("min"), duration("initial"), duration("max"), rapid.Int64().Draw(t, "seed")
 		b, same := New(minDelay, initial, limit, seed), New(minDelay, initial, limit, seed)
 		if d := b.Start(); d < 0 || d > max(initial, minDelay) || d != same.Start() {
-			t.Fatalf("start %v", d)
+			t.Fatalf("start delay %v is out of range or differs for the same seed", d)
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "rounds") {
 			window := max(initial, minDelay)
 			for range 8 {
 				if d := b.Next(); d < minDelay || d > window || d != same.Next() {
-					t.Fatalf("delay %v, want from %v to %v", d, minDelay, window)
+					t.Fatalf("delay %v, want from %v to %v and the same for the same seed", d, minDelay, window)
 				}
 				window = min(2*window, max(limit, initial, minDelay))
 			}
@@ -105,7 +105,7 @@
 		return New(250*time.Millisecond, 8*time.Second, 32*time.Second, int64(caller)).Next
 	})
 	if served != callers || calls > 3*callers {
-		t.Errorf("%d of %d served in %d calls", served, callers, calls)
+		t.Errorf("%d of %d callers served in %d calls, want all in at most 3 calls per caller", served, callers, calls)
 	}
 	served, _ = simulateHerd(newServer(10), func(int) func() time.Duration {
 		last := time.Duration(0)
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -3,7 +3,7 @@
 // each message is described in docs/operators/log-messages.md.
 package logkey
 
-// The keys. Durations are logged as time.Duration, points in time as time.Time.
+// The keys. Durations are logged as time.Duration, points in time as dates.
 const (
 	Address     = "address"     // a network address that is dialled or listened on
 	Attempt     = "attempt"     // the number of a request's attempt, counted from 1
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -27,7 +27,7 @@
 	_, err := Read(path)
 	var got strictconfig.FieldErrors
 	if !errors.As(err, &got) || len(got) != 3 || got[0].Line != 1 || got[1].Line != 2 || got[2].Line != 4 {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want errors in lines 1, 2 and 4", err)
 	}
 }
 
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	exponentialDecay = "halving" // Specifics.LosesWorth
-	allZones         = "all"     // Category.Group
+	exponentialDecay = "halving" // a value of Specifics.WeightDecay
+	allZones         = "all"     // a value of Class.KeyScope
 )
 
 // Policy validates the settings and translates them into policy.Settings. Its error is that of Validate.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -4,7 +4,7 @@
 type Settings struct {
 	Zone              int       `json:"az"`         // the relay's zone, as an index into Zones
 	Classes           []Class   `json:"categories"` // the classes of requests
-	Discovery         string    `json:"discovery"`  // "subscribe": the relay requests a watch of the endpoint list; "automatic": the list is sent to it unasked
+	Discovery         string    `json:"discovery"`  // "subscribe": the relay requests a watch of the endpoint list; "automatic": it gets the list unasked
 	Limits            Limits    `json:"limits"`
 	Zones             []string  `json:"localities"`       // the names of the zones
 	Instances         int       `json:"n_instances"`      // number of relays in the fleet
@@ -25,7 +25,7 @@
 	LatencyObjectiveS float64 `json:"aim_s"`         // latency objective
 	DeadlineS         float64 `json:"deadline_s"`    // time after which a delivery has no value
 	Idempotency       string  `json:"idempotency"`   // "retryable": idempotent; "dedup": idempotent by key; "fragile": not idempotent
-	KeyScope          string  `json:"group"`         // for "dedup", which endpoints of a destination share idempotency keys: "all", or otherwise those of one zone
+	KeyScope          string  `json:"group"`         // for "dedup", the endpoints of a destination that share keys: "all", or else those of one zone
 	Ordered           bool    `json:"fifo_by_key"`   // requests with the same order key are delivered one at a time
 	LateFraction      float64 `json:"late_share"`    // fraction of the priority weight that remains at the deadline
 	KeyTTLS           float64 `json:"memory_span_s"` // how long a destination remembers an idempotency key
--- a/internal/settings/validate_test.go
+++ b/internal/settings/validate_test.go
@@ -77,6 +77,6 @@
 		})
 	}
 	if err := valid().Validate(); err != nil {
-		t.Errorf("valid settings: %v", err)
+		t.Errorf("valid settings rejected: %v", err)
 	}
 }
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -10,10 +10,10 @@
 // A batch is a "round" line, any number of messages in chronological order, and a "your_turn" line:
 //
 //	["round", clock]
-//	["manifest", list, [entry...]]                             an endpoint list, shared by all instances; replaces an earlier list of that number
+//	["manifest", list, [entry...]]                             an endpoint list for all instances; replaces that of the same number
 //	["begin", instance, seed, settings]                        an instance starts
 //	["killed", instance]                                       an instance is killed and loses its state
-//	["update", instance, scope, version, list]                 the instance's endpoint list is replaced or changed by a manifest, or its watch failed
+//	["update", instance, scope, version, list]                 a manifest replaces or changes its endpoint list, or its watch failed
 //	["call", instance, id, write, tenant, redelivery, retry,   a request
 //	    cost, time_left, order_key, class, destination]
 //	["answer", instance, id, endpoint, attempt, outcome,       an attempt has ended
--- a/internal/strictconfig/strictconfig_test.go
+++ b/internal/strictconfig/strictconfig_test.go
@@ -59,7 +59,7 @@
 	err := Decode("f.toml", []byte(text), &s).Err()
 	var got FieldErrors
 	if !errors.As(err, &got) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want FieldErrors", err)
 	}
 	want := []string{
 		`f.toml: name: is missing`,
@@ -146,7 +146,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var s sample
 		if err := Decode("f", []byte(text), &s).Err(); err == nil && s.Name == "" && !strings.Contains(text, "name") {
-			t.Error("a missing key was not reported")
+			t.Error("the missing required key name was not reported")
 		}
 	})
 }
