--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	if *f != *Off() {
-		t.Errorf("the shipped file turns something on: %+v", f)
+		t.Errorf("the shipped file turns a section on: %+v", f)
 	}
 }
 
@@ -27,12 +27,12 @@
 	_, err := Read(path)
 	var got strictconfig.FieldErrors
 	if !errors.As(err, &got) || len(got) != 3 || got[0].Line != 1 || got[1].Line != 2 || got[2].Line != 4 {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want errors in lines 1, 2 and 4", err)
 	}
 }
 
 func TestRead_MissingFile(t *testing.T) {
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("missing file: error %v, want os.ErrNotExist", err)
 	}
 }
