--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -17,15 +17,15 @@
 	ErrWatchClosed = errors.New("discovery closed the watch")
 )
 
-// StatusError is a response of discovery with a status other than 200.
+// StatusError is the error for a response of discovery with a status other than 200.
 type StatusError struct {
 	Status string // such as "503 Service Unavailable"
 }
 
 func (e *StatusError) Error() string { return "discovery responded with status " + e.Status }
 
-// UnreadableListError is a list that cannot be decoded. Later changes do not repeat its content, so
-// the whole list has to be requested.
+// UnreadableListError is the error for a list that cannot be decoded. Later changes do not repeat the
+// content of that list, so the whole list has to be requested.
 type UnreadableListError struct{ Err error }
 
 func (e *UnreadableListError) Error() string { return "unreadable list: " + e.Err.Error() }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,7 +10,7 @@
 // EndpointList is the endpoint list, or a change of it, as discovery sends it.
 type EndpointList struct {
 	Seq       int64      `json:"seq"`
-	Full      bool       `json:"whole"` // this is the whole list; false: only the endpoints that changed
+	Full      bool       `json:"whole"` // true: the whole list; false: only the endpoints that changed
 	Endpoints []Endpoint `json:"hosts"`
 }
 
@@ -21,7 +21,7 @@
 	Zone        string  `json:"site"`
 	Kind        string  `json:"class"`  // the kind of its machine
 	Destination int     `json:"block"`  // the number of its destination
-	Health      string  `json:"health"` // Draining, Deleted, or any other value: the endpoint takes requests
+	Health      string  `json:"health"` // Draining or Deleted; with any other value the endpoint takes requests
 	Weight      float64 `json:"share"`
 }
 
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -7,32 +7,35 @@
 )
 
 const (
-	// minBackoff is the shortest window of the backoff, and smallFleetBackoff the longest one of a
-	// small fleet. It is short because a relay is required to act on a change in the list after 6 s.
+	// minBackoff is the shortest delay of the backoff. smallFleetBackoff is the longest delay in a
+	// fleet of up to five relays; the longest delay in larger fleets is maxBackoffFactor times the
+	// first window. Both are short because a relay counts as notified of a change in the list 6 s
+	// after the change.
 	minBackoff        = 250 * time.Millisecond
 	smallFleetBackoff = 2 * time.Second
 	// requestInterval is the time that discovery is assumed to need for one request of any relay.
-	// The relays of a fleet spread their requests over requestInterval times their number, and after
-	// failures over up to maxBackoffFactor times that. Discovery also spends time on requests that
-	// it gives up later, so if requests arrive faster than it can serve them, all of them fail from
-	// then on.
+	// The relays of a fleet spread their requests over a window of requestInterval times their
+	// number, and after failures over a window that grows to maxBackoffFactor times the first.
+	// Discovery also spends time on requests that it gives up later, so if requests arrive faster
+	// than it can serve them, all of them fail from then on.
 	requestInterval  = 100 * time.Millisecond
 	maxBackoffFactor = 4
-	// A fleet of largeFleet relays or more also spreads its first requests, and all requests over at
-	// least minLargeFleetSpread. A discovery service that is sized for a small fleet may need some
-	// seconds to serve one request of each relay.
+	// A fleet of largeFleet relays or more also spreads its first requests, and spreads all requests
+	// except those after a silent watch over at least minLargeFleetSpread. In a fleet of fewer than
+	// 40 relays, requestInterval times their number is shorter, and may be too short: a discovery
+	// service that is sized for such a fleet may need some seconds to serve one request of each relay.
 	largeFleet          = 10
 	minLargeFleetSpread = 4 * time.Second
-	// maxSpread bounds the first window, whatever the number of relays that share discovery. At any
-	// scale, discovery can serve one request of every relay in 2 to 8 s (all_call_s in the site's
-	// ranges), in addition to watches and changes. A longer window would leave relays without news
-	// of draining and new endpoints for longer than necessary.
+	// maxSpread bounds the first window of a large fleet, whatever the number of relays that share
+	// discovery. At any scale, discovery can serve one request of every relay in 2 to 8 s (the range
+	// of all_call_s among a site's parameters), in addition to watches and changes. A longer window
+	// would leave relays without news of draining and new endpoints for longer than necessary.
 	maxSpread = 10 * time.Second
 	// maxSilenceSpread bounds the spread of requests after watches that fell silent, in addition to
-	// the 2 s over which the relays detect the silence. A relay that has no list 6 s after the
-	// watch fell silent is required to act on changes that it could not receive.
+	// the 2 s over which the relays detect the silence. 6 s after its watch fell silent, a relay
+	// counts as notified of the changes that it misses, even if it could not receive them.
 	maxSilenceSpread = 1500 * time.Millisecond
-	// minEstablished is the time that a watch must last before the backoff is reset. The first line
+	// minEstablished is the time that a watch must last for the backoff to be reset. The first line
 	// may arrive before discovery has finished its work on the request, which it gives up after 2 s.
 	minEstablished = 2500 * time.Millisecond
 )
@@ -78,5 +81,5 @@
 
 // AfterSilence returns the delay of the next request after a watch that fell silent or had no
 // response. The delay does not grow with repeated failures: a link may be broken, and the relay has
-// little time left before it is required to act on changes that it misses.
+// little time left before it counts as notified of the changes that it misses.
 func (s *Schedule) AfterSilence() time.Duration { return s.silence.Start() }
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -47,10 +47,9 @@
 }
 
 // If the watches of a whole fleet fall silent, every relay has a new list within the 6 s after which
-// it is required to act on changes that it misses. The 6 s run from the moment at which a watch falls
-// silent, up to 2 s after its last byte; the test takes the worst case, the last byte itself. They
-// include the detection of the silence, the policy's pause before it subscribes again, and 1 s for the
-// response.
+// it counts as notified of the changes that it misses. The 6 s begin when a watch falls silent, up to
+// 2 s after its last byte; the test takes the worst case, the last byte itself. The 6 s include the
+// detection of the silence, the policy's pause before it subscribes again, and 1 s for the response.
 func TestSchedule_SilentFleetIsInTime(t *testing.T) {
 	const deadline, policyPause, response = 6 * time.Second, 500 * time.Millisecond, time.Second
 	for _, relays := range []int{1, 24, 300, 3000} {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,9 +15,9 @@
 const (
 	// maxSilence is the time without a byte after which a watch counts as dead. Discovery sends an
 	// empty line every 2 s, and begins a response within the 2 s for which it works on a request.
-	// From 6 s after a watch fell silent, a relay is required to act on changes that it has missed.
-	// Until then there is time for a new watch, even if all relays request one at the same time
-	// (see maxSilenceSpread).
+	// 6 s after a watch fell silent, a relay counts as notified of the changes that it misses, whether
+	// or not it has received them. Until then there is time for a new watch, even if the watches of
+	// all relays fall silent at the same time (see maxSilenceSpread).
 	maxSilence = 3 * time.Second
 	// maxListSize bounds one list of a watch, in bytes.
 	maxListSize = 1 << 20
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -126,9 +126,9 @@
 // whatever its sequence number is.
 func TestWatcher_AsksForWholeListAfterBadOne(t *testing.T) {
 	for name, first := range map[string]string{
-		"cut in two": "{\"seq\":41,\"who\nle\":true}\n",
-		"stale":      "{\"seq\":39,\"whole\":true,\"hosts\":[]}\n",
-		"endless":    "{\"seq\":41,\"hosts\":[" + strings.Repeat(`{"host":"h"},`, maxListSize/10),
+		"line break in a key": "{\"seq\":41,\"who\nle\":true}\n",
+		"stale":               "{\"seq\":39,\"whole\":true,\"hosts\":[]}\n",
+		"endless":             "{\"seq\":41,\"hosts\":[" + strings.Repeat(`{"host":"h"},`, maxListSize/10),
 	} {
 		t.Run(name, func(t *testing.T) {
 			indexes := make(chan string, 10)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -59,8 +59,9 @@
 	}
 }
 
-// SetAddress ends the current watch without a call of onWatchEnd, and at once requests one from
-// another address.
+// SetAddress ends the current watch without a call of onWatchEnd, and requests one from another
+// address, without a call of Subscribe. Only in a large fleet that request is delayed (see
+// [Schedule.Start]).
 func (w *Watcher) SetAddress(address string) {
 	select {
 	case w.addresses <- address:
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -5,7 +5,7 @@
 // is returned as a [Response]. A request that does not pass gives a [RejectionError] with the status
 // code that the client receives.
 //
-// Package http1 in the subfolder implements the protocol, HTTP/1.1.
+// Package http1, in the subfolder of that name, implements the only protocol, HTTP/1.1.
 //
 // Files:
 //
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -26,8 +26,9 @@
 	maxLingerBytes = 1 << 20
 )
 
-// connState is the state of a client's connection. The first four are declared in the order in which
-// connections are evicted, with one exception (see evictionRank). The transitions and their causes:
+// connState is the state of a client's connection. Only connections in the first four states, up to
+// connReading, are evicted, in the order in which these states are declared, with one exception (see
+// evictionRank). The transitions and their causes:
 //
 //	new              → reading          the first byte of a request arrived
 //	idle             → reading          the first byte of a request arrived
@@ -35,7 +36,7 @@
 //	reading          → idle | lingering the request was answered without a submission: a health check or a malformed request
 //	awaitingResponse → idle | lingering the request was answered
 //	new, idle, reading → detached       the server is quiesced
-//	any              → closed           lingering has ended, or for one of the other CloseReasons
+//	any              → closed           lingering has ended, or one of the other CloseReasons applies
 type connState int
 
 const (
@@ -45,7 +46,7 @@
 	connIdle
 	// connNew: no byte has arrived yet.
 	connNew
-	// connReading: a request has been read in part.
+	// connReading: the first byte of a request has arrived, and the request was not read completely.
 	connReading
 	// connAwaitingResponse: a request was read completely and is not answered yet. Such a connection
 	// is never evicted.
@@ -63,7 +64,7 @@
 type conn struct {
 	*net.TCPConn
 	received *recorder         // reads from the connection and records the current request
-	limit    *io.LimitedReader // reads from received, at most the allowed size of the request
+	limit    *io.LimitedReader // reads from received, at most the allowed size of the head, then the rest of the body
 	in       *bufio.Reader     // reads from limit
 
 	// Guarded by the server's lock.
--- a/internal/frontend/http1/doc.go
+++ b/internal/frontend/http1/doc.go
@@ -22,7 +22,7 @@
 //   - conn.go: one connection, its states, reading and writing;
 //   - serve.go: the loop of a connection, from one request to the next;
 //   - request.go: one request: validation, body, submission;
-//   - recorder.go: the bytes read of a request in progress, for a hand-over;
+//   - recorder.go: the bytes read of a request in progress, for a hand-over, and the last read error;
 //   - memory.go: the memory budget for bodies;
 //   - evict.go: the choice of the connection to evict;
 //   - drain.go: closing connections in standby and at shutdown;
--- a/internal/frontend/http1/drain.go
+++ b/internal/frontend/http1/drain.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Shutdown stops accepting connections, closes those without a request in flight, and waits for the
-// others until ctx ends. Lingering connections, whose last response still has to arrive, close by
-// themselves; Shutdown waits for them too.
+// Shutdown stops accepting connections, closes those without a request in flight, and waits until the
+// others are closed or ctx ends. The others include lingering connections, which close by themselves
+// after a time in which their last response can arrive.
 func (s *Server) Shutdown(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.mu.Lock()
--- a/internal/frontend/http1/drain_test.go
+++ b/internal/frontend/http1/drain_test.go
@@ -8,8 +8,8 @@
 	"frostlink/internal/wait/waittest"
 )
 
-// Shutdown closes an idle connection at once, but not a lingering one, whose last response still has
-// to arrive: that one closes by itself.
+// Shutdown closes an idle connection at once, but not a lingering one: its last response still has to
+// arrive, and it closes by itself.
 func TestServer_ShutdownLeavesLingeringConnections(t *testing.T) {
 	s := newIdleServer()
 	add := func(state connState) *conn {
--- a/internal/frontend/http1/evict_test.go
+++ b/internal/frontend/http1/evict_test.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// A connection with an unread request is not evicted: neither for a new one, nor at shutdown, nor
-// when too many are idle. Nor is a lingering one with unread bytes, since closing it would reset it.
+// A connection with an unread request is not evicted: neither for a new connection, nor at shutdown,
+// nor when too many connections are idle. Nor is a lingering connection with unread bytes, since a
+// close would reset it.
 func TestServer_DoesNotEvictWithUnreadRequest(t *testing.T) {
 	for _, state := range []connState{connLingering, connIdle, connNew} {
 		t.Run(fmt.Sprint(int(state)), func(t *testing.T) {
--- a/internal/frontend/http1/handover.go
+++ b/internal/frontend/http1/handover.go
@@ -39,7 +39,7 @@
 func (h *handoverState) isQuiesced() bool { return h.resumed != nil }
 
 // setReadTimeout sets the timeout of reads from a connection. While the server is quiesced it
-// interrupts them instead, so that nothing more is read.
+// interrupts reads instead, so that no further byte is read.
 func (s *Server) setReadTimeout(c *conn, timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/http1/memory.go
+++ b/internal/frontend/http1/memory.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// memoryBudget limits the memory, in bytes, that all requests use together.
+// memoryBudget limits the memory, in bytes, that the bodies of all requests use together.
 type memoryBudget struct {
 	mu   sync.Mutex
 	left int // guarded by mu
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -14,7 +14,7 @@
 	newConnTimeout      = 2 * time.Second
 	firstRequestTimeout = 600 * time.Millisecond
 	// idleTimeout bounds the time for which a connection may be idle, and requestTimeout the time
-	// from the first byte to the end of a later request: clients send a request without pauses.
+	// from the first byte to the end of a later request, which clients send without pauses.
 	idleTimeout    = 8 * time.Second
 	requestTimeout = 2500 * time.Millisecond
 	// maxHeadSize bounds the head of a request, in bytes.
@@ -36,7 +36,7 @@
 	if start == connIdle {
 		idle, request = idleTimeout, requestTimeout
 	}
-	idle = max(0, idle-time.Since(c.since)) // a predecessor may already have waited for a part of it
+	idle = max(0, idle-time.Since(c.since)) // a predecessor may already have waited for a part of the timeout
 	for {
 		if end := s.awaitRequest(c, idle); end != nil {
 			return *end
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// bodyMemoryFraction is the fraction of the relay's memory for the bodies of requests that are
-	// being read or await a decision.
+	// bodyMemoryFraction is the fraction of the relay's memory that is available for the bodies of
+	// requests that are being read or await a decision.
 	bodyMemoryFraction = 1.0 / 16
 	// minAcceptBackoff is the pause after the first failed accept, and maxAcceptBackoff the longest
 	// pause after several failures in a row.
@@ -100,7 +100,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case syserr.Classify(syserr.Accept, err) == syserr.Local:
-			// A temporary shortage on this machine must not end the process.
+			// A temporary error, such as a descriptor shortage or a network error of the new
+			// connection, must not end the process.
 			slog.Warn("connection not accepted", logkey.Err, err)
 			if syserr.IsDescriptorShortage(err) {
 				s.evictForDescriptor()
--- a/internal/frontend/validator.go
+++ b/internal/frontend/validator.go
@@ -151,8 +151,8 @@
 	return number, nil
 }
 
-// parseTimeout returns the timeout of a request from the value of the Request-Timeout header, in
-// seconds since the client sent the request. It is limited to the deadline of the class.
+// parseTimeout returns the timeout of a request, at most the deadline of its class. The value of the
+// Request-Timeout header is in seconds and starts when the client sends the request.
 func parseTimeout(text string, class *policy.Class) (time.Duration, *RejectionError) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(seconds > 0 && seconds <= maxTimeout.Seconds()) {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -43,7 +43,7 @@
 	return n, err
 }
 
-func TestPeek_ReportsWhatIsThere(t *testing.T) {
+func TestPeek_ReportsUnreadBytes(t *testing.T) {
 	local, peer := connect(t)
 	if _, err := Peek(local); !errors.Is(err, syscall.EAGAIN) {
 		t.Errorf("nothing sent: Peek err %v, want EAGAIN", err)
--- a/internal/syserr/classify.go
+++ b/internal/syserr/classify.go
@@ -29,8 +29,8 @@
 const (
 	// Fatal errors are caused by a mistake of the program or its configuration. A retry does not help.
 	Fatal Class = iota
-	// Local errors are caused by a temporary shortage on this machine. They are no sign of a fault of the
-	// peer, and nothing was sent.
+	// Local errors are temporary errors of this machine, such as a shortage of descriptors or memory. They
+	// are no sign of a fault of the peer, and the failed call sent nothing.
 	Local
 	// Peer errors are caused by the peer or the network: the connection could not be established, or is
 	// broken.
@@ -103,8 +103,8 @@
 	return Fatal
 }
 
-// ClassifyPersistent returns the class of a connect error that is left after all attempts. A missing
-// route then counts as a peer error.
+// ClassifyPersistent returns the class of a connect error that persists after all attempts. A missing
+// route then counts as a peer error, while Classify treats it as a local one.
 func ClassifyPersistent(err error) Class {
 	if errors.Is(err, syscall.ENETUNREACH) || errors.Is(err, syscall.ENETDOWN) {
 		return Peer
--- a/internal/syserr/doc.go
+++ b/internal/syserr/doc.go
@@ -1,5 +1,5 @@
 // Package syserr classifies the errors of system calls by their cause: a mistake of the program or its
-// configuration, a shortage on this machine, or the peer.
+// configuration, a temporary error of this machine such as a shortage, or the peer.
 //
 // Callers branch on the class and not on an errno, so that an error is treated the same everywhere. A
 // call that fails with a Local error is retried after a Backoff. A Peer error counts as a fault of the
--- a/internal/upstream/http1/conn.go
+++ b/internal/upstream/http1/conn.go
@@ -17,10 +17,11 @@
 // The rejection grace is the time after writing a request within which a rejection is expected, even
 // if the attempt ends earlier: endpoints reject at once, so only the network delays the rejection.
 // The grace is rejectionGraceFactor times the duration of the dial, since the first request on a new
-// connection may wait for a handshake of several more round trips. minRejectionGrace is for
-// connections whose handshake delays only the first response and not the dial; it is 2.5 times the
-// 100 ms for which the protocol permits further attempts after an endpoint asked for a wait.
-// maxRejectionGrace limits the grace of connections whose dial took long.
+// connection may wait for a handshake of several more round trips. On some connections that
+// handshake delays only the first response, and the dial is short; for them the grace is at least
+// minRejectionGrace, which is 2.5 times the 100 ms for which the protocol still permits attempts
+// after an endpoint has asked for a wait. maxRejectionGrace bounds the grace of connections that were
+// established late, for example once a broken link was repaired.
 const (
 	rejectionGraceFactor = 5
 	minRejectionGrace    = 250 * time.Millisecond
@@ -77,7 +78,8 @@
 	awaitUntil time.Time
 }
 
-// newConn returns an established connection in the state connIdle.
+// newConn returns an established connection in the state connIdle. Its rejection grace is
+// minRejectionGrace, since the duration of its dial is unknown.
 func newConn(raw net.Conn, set *idleSet) *conn {
 	c := &conn{set: set}
 	c.establish(raw, minRejectionGrace)
@@ -133,9 +135,9 @@
 }
 
 // interrupt ends reads and writes of an attempt whose context is done, unless its response has
-// begun. Until awaitUntil it ends only writes, and lets reads continue until then. Otherwise the
-// connection could be closed while a rejection is in transit, and the wait that the rejection asks
-// for, which counts from when the endpoint wrote it, would be missed.
+// begun. If awaitUntil has not passed, it ends only writes, and reads continue until awaitUntil.
+// Otherwise the connection could be closed while a rejection is in transit, and the wait that the
+// rejection asks for would be missed; the wait begins when the endpoint writes the rejection.
 func (c *conn) interrupt() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/http1/deadline_test.go
+++ b/internal/upstream/http1/deadline_test.go
@@ -176,7 +176,7 @@
 			reported := make(chan bool, 1)
 			r := newTestRequest(addr)
 			r.OnDeadline = func() { reported <- true }
-			r.Deadline = time.Now().Add(waittest.Long) // only the context reports that it has passed
+			r.Deadline = time.Now().Add(waittest.Long) // does not pass in the test, which ends the context instead
 			c := newConn(conn, &idleSet{})
 			c.rejectionGrace = tt.grace
 			got := make(chan upstream.Result, 1)
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -57,8 +57,8 @@
 	case p.isQuiesced() || r.SendCanceled():
 		return upstream.Result{Outcome: policy.NotSent, NewConn: dialed}
 	case syserr.ClassifyPersistent(err) == syserr.Local:
-		// The cause is a shortage on this machine, which must not count as a fault of the endpoint.
-		slog.Error("attempt not made: shortage on this machine", logkey.RequestID, r.ID, logkey.Endpoint, r.Endpoint, logkey.Err, err)
+		// The cause is on this machine, so the failure must not count as a fault of the endpoint.
+		slog.Error("attempt not made: this machine has no free descriptor, port or memory, or its firewall forbids the connection", logkey.RequestID, r.ID, logkey.Endpoint, r.Endpoint, logkey.Err, err)
 		return upstream.Result{Outcome: policy.NotSent}
 	}
 	return upstream.Result{Outcome: policy.ConnectError, NewConn: dialed}
--- a/internal/upstream/http1/pool.go
+++ b/internal/upstream/http1/pool.go
@@ -69,7 +69,8 @@
 }
 
 // takeIdleOrReserve returns the most recently used connection to a target that is still usable. If
-// there is none, it reserves capacity for a new connection, which belongs to the returned set.
+// there is none, it reserves capacity for a new connection, which belongs to the returned set; at full
+// capacity it closes the connection that has been idle the longest.
 func (p *Pool) takeIdleOrReserve(t upstream.Target) (*conn, *idleSet) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -17,15 +17,15 @@
 
 const (
 	// responseTimeout bounds the reading of a response from its first byte on, and drainTimeout the
-	// reading of what follows a status line with 200. Endpoints write a response in one go, so one
-	// that does not end in time is malformed. Both timeouts are far longer than the pauses of a
-	// relay that has only a fraction of a core.
+	// reading of the bytes after a status line with 200. Endpoints write a response without pauses,
+	// so a response that does not end in time is malformed. Both timeouts are far longer than the
+	// pauses of a relay that has only a fraction of a core.
 	responseTimeout = time.Second
 	drainTimeout    = 300 * time.Millisecond
 	// deadlineGrace bounds the reading of a response that has begun when the request's deadline
-	// passes: what the endpoint has already written counts, including a wait that it asks for. The
-	// grace is short because a terminal outcome has to be notified within 300 ms of the deadline,
-	// and posting the notice may stall in that time.
+	// passes, since a response that the endpoint has already written counts, including a wait that it
+	// asks for. The grace is short because a terminal outcome has to be notified within 300 ms of the
+	// deadline, and posting the notice may stall in that time.
 	deadlineGrace = 20 * time.Millisecond
 	// maxResponseSize bounds the bytes read of a response including its head, and maxBodySize those
 	// of its body, so that an endpoint cannot exhaust the memory.
@@ -51,7 +51,8 @@
 // readResponse reads a response whose first byte has arrived, to its end, and skips interim ones
 // (RFC 9110, section 15.2). It returns the status only after the end, since a request with a
 // malformed response may have executed whatever its status says. succeeded reports that a status
-// line with 200 was read before the request's deadline, which holds whatever follows it.
+// line with 200 was read before the request's deadline; it stays true if the rest of the response is
+// malformed.
 func (c *conn) readResponse(requestCtx context.Context) (resp *http.Response, succeeded bool, err error) {
 	_ = c.SetReadDeadline(responseDeadline(requestCtx))
 	for range maxInterimResponses + 1 {
@@ -84,8 +85,9 @@
 	return until
 }
 
-// peekStatusOK reports whether the next bytes are a status line with 200 (RFC 9112, section 4). It
-// waits for no more bytes than that, since the rest of the head may never arrive.
+// peekStatusOK reports whether the next bytes begin a status line with 200 (RFC 9112, section 4). It
+// waits only for the bytes up to the one after the status, since the rest of the head may never
+// arrive.
 func (c *conn) peekStatusOK() bool {
 	const version, status = len("HTTP/1.1"), len(" 200")
 	line, _ := c.in.Peek(version + status + 1)
--- a/internal/upstream/http1/response_test.go
+++ b/internal/upstream/http1/response_test.go
@@ -94,10 +94,10 @@
 			false,
 		},
 		{"Content-Length not a number", rejected + "Content-Length: x\r\n\r\n", reset, false},
-		{"3 GB", rejected + "Content-Length: 3000000000\r\n\r\nabc", reset, false},
+		{"Content-Length of 3 GB", rejected + "Content-Length: 3000000000\r\n\r\nabc", reset, false},
 		{"410, truncated", "HTTP/1.1 410 No\r\nContent-Length: 9\r\n\r\nabc", reset, false},
 		{"200, unreadable head", "HTTP/1.1 200 OK\r\nwhat?\x00\r\n\r\n", ok, false},
-		{"200, 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", ok, false},
+		{"200, Content-Length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", ok, false},
 		{"200, truncated head", "HTTP/1.1 200 OK\r\nA: b\r\n", ok, false},
 		{"status 2000", "HTTP/1.1 2000 OK\r\n\r\n", reset, false},
 		{
--- a/internal/upstream/http2/doc.go
+++ b/internal/upstream/http2/doc.go
@@ -1,5 +1,5 @@
 // Package http2 implements the state of an HTTP/2 connection to an endpoint (RFC 9113). The
-// connection carries many requests at once, and the state tells for each one whether the endpoint
+// connection carries many requests at once, and the state shows for each request whether the endpoint
 // may have executed it. No program uses the package yet.
 //
 // [Streams] is a state machine without I/O and without a clock. Its inputs are events (received
--- a/internal/upstream/http2/flow.go
+++ b/internal/upstream/http2/flow.go
@@ -95,7 +95,7 @@
 	return a
 }
 
-// sendBodies returns DATA frames for as much of the pending bodies as the windows allow (section
+// sendBodies adds DATA frames for the parts of the pending bodies that the windows allow (section
 // 6.9). A stream whose window is used up does not block the others.
 func (s *Streams) sendBodies(a *Actions) {
 	stillPending := s.pending[:0]
@@ -112,7 +112,7 @@
 	s.pending = stillPending
 }
 
-// sendBody returns DATA frames for as much of a body as the windows allow. No frame is larger than
+// sendBody adds DATA frames for the part of a body that the windows allow. No frame is larger than
 // the peer's maximum frame size.
 func (s *Streams) sendBody(a *Actions, st *stream) {
 	for len(st.body) > 0 && s.sendWindow > 0 && st.sendWindow > 0 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// refillReceiveWindow counts received DATA bytes. At receiveWindowRefill, it returns a WINDOW_UPDATE
-// that lets the peer send as many bytes again.
+// refillReceiveWindow counts received DATA bytes. When the count reaches receiveWindowRefill, it adds
+// a WINDOW_UPDATE that lets the peer send the counted number of bytes again.
 func (s *Streams) refillReceiveWindow(a *Actions, received int) {
 	if s.unacknowledged += received; s.unacknowledged >= receiveWindowRefill {
 		a.Write = append(a.Write, Frame{Type: http2.FrameWindowUpdate, Window: uint32(s.unacknowledged)})
--- a/internal/upstream/http2/receive.go
+++ b/internal/upstream/http2/receive.go
@@ -81,7 +81,7 @@
 }
 
 // finish ends a stream whose response was received to its end. If a part of the request was not sent
-// yet, that part is dropped: an endpoint that responds early does not need it (section 8.1).
+// yet, that part is dropped, since an endpoint that responds early does not need it (section 8.1).
 func (s *Streams) finish(a *Actions, st *stream) {
 	if st.contentLength >= 0 && st.bodyReceived != st.contentLength { // section 8.1.1
 		s.resetStream(a, st, http2.ErrCodeProtocol, EndBodyTooShort)
@@ -104,8 +104,8 @@
 		// Section 8.7: the stream was closed before any processing.
 		s.end(&a, st, false, EndRefused)
 	default:
-		// A NO_ERROR that follows a complete response (section 8.1) does not get here, since the
-		// stream has ended.
+		// A reset with NO_ERROR after a complete response (section 8.1) does not get here, since the
+		// stream has already ended.
 		s.end(&a, st, st.mayHaveExecuted(), EndReset.with(code))
 	}
 	return a
--- a/internal/upstream/http2/streams.go
+++ b/internal/upstream/http2/streams.go
@@ -14,7 +14,7 @@
 type connState int
 
 const (
-	// connOpen: new streams may begin, within the peer's limit.
+	// connOpen: new streams may begin, within the peer's limit on concurrent streams.
 	connOpen connState = iota
 	// connDraining: no new stream may begin, after a GOAWAY (section 6.8) or because stream numbers
 	// have run out (section 5.1.1). Streams in flight continue to their end.
@@ -24,7 +24,7 @@
 )
 
 // sendState is the progress of sending a request. A request passes through the states in their order.
-// They refine "open" and "half-closed (local)" of section 5.1, which do not tell whether the last
+// They refine "open" and "half-closed (local)" of section 5.1, which do not show whether the last
 // byte has left the process.
 type sendState int
 
--- a/internal/upstream/http2/streams_test.go
+++ b/internal/upstream/http2/streams_test.go
@@ -166,7 +166,7 @@
 			halfSent().reset(http2.ErrCodeInternal),
 			no, 0, false, "", false, "reset: INTERNAL_ERROR",
 		},
-		"reset before the kernel had the request's end": {
+		"reset before the kernel accepted the request's end": {
 			begun(false).reset(http2.ErrCodeInternal),
 			no, 0, false, "", false, "reset: INTERNAL_ERROR",
 		},
@@ -178,23 +178,23 @@
 			begun(true).reset(http2.ErrCodeCancel),
 			may, 0, false, "", false, "reset: CANCEL",
 		},
-		"GOAWAY below it after a 200": {
+		"GOAWAY with a lower last stream, after a 200": {
 			begun(true).respond(200, false).goAway(0),
 			may, 200, false, "", true, "refused by GOAWAY: NO_ERROR",
 		},
-		"GOAWAY below it (6.8)": {
+		"GOAWAY with a lower last stream (6.8)": {
 			begun(true).goAway(0),
 			no, 0, false, "", true, "refused by GOAWAY: NO_ERROR",
 		},
-		"GOAWAY that covers it, then the connection is lost": {
+		"GOAWAY with the stream as the last, then the connection is lost": {
 			begun(true).goAway(1).lost(),
 			may, 0, false, "", true, "closed",
 		},
-		"GOAWAY that covers it, then one below": {
+		"GOAWAY with the stream as the last, then one with a lower last stream": {
 			begun(true).goAway(1).goAway(0),
 			no, 0, false, "", true, "refused by GOAWAY: NO_ERROR",
 		},
-		"GOAWAY that covers it, then its response": {
+		"GOAWAY with the stream as the last, then its response": {
 			begun(true).goAway(1).respond(200, true),
 			may, 200, true, "", true, "responded",
 		},
@@ -254,7 +254,7 @@
 			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 4, EndStream: true}),
 			may, 500, false, "RST_STREAM PROTOCOL_ERROR", false, "response body shorter than Content-Length",
 		},
-		"padding is no body": {
+		"padding does not count as body": {
 			begun(true).headers(HeaderBlock{Status: 500, ContentLength: 3}).data(3, 200, true),
 			may, 500, true, "", false, "responded",
 		},
@@ -278,7 +278,7 @@
 			begun(true).resetOf(3, http2.ErrCodeCancel),
 			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "RST_STREAM on idle stream 3",
 		},
-		"a frame on a stream of the endpoint's": {
+		"a frame on a stream with an even number, which only the endpoint may begin (5.1.1)": {
 			begun(true).dataOf(2, 1, 0, false),
 			may, 0, false, "GOAWAY PROTOCOL_ERROR", true, "DATA on idle stream 2",
 		},
@@ -309,11 +309,11 @@
 func TestStreams_IgnoresFramesAfterTheEnd(t *testing.T) {
 	c := begun(true).respond(200, true)
 	for name, a := range map[string]Actions{
-		"a late reset":  c.Reset(1, http2.ErrCodeNo),
-		"late data":     c.Data(1, 5, 0, true),
-		"late headers":  c.Headers(1, HeaderBlock{Status: 500, ContentLength: unknownLength, EndStream: true}),
-		"a late window": c.WindowUpdate(1, 5),
-		"canceling it":  c.Cancel(1),
+		"a late reset":         c.Reset(1, http2.ErrCodeNo),
+		"late data":            c.Data(1, 5, 0, true),
+		"late headers":         c.Headers(1, HeaderBlock{Status: 500, ContentLength: unknownLength, EndStream: true}),
+		"a late window update": c.WindowUpdate(1, 5),
+		"a cancellation":       c.Cancel(1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if len(a.Write) > 0 || len(a.Ended) > 0 || a.Close {
