--- a/internal/deadletter/permission.go
+++ b/internal/deadletter/permission.go
@@ -87,7 +87,7 @@
 	case c.Idempotency == Idempotent:
 		return Permission{Allowed: true, Reason: "its class is safe to repeat"}
 	case c.ClientsResubmit && r.wasReturnedToClient():
-		// The client may have submitted the message again under another id, and any relay may have delivered that one.
+		// The client may have submitted the message again under another id, and any relay may have delivered that submission.
 	case attempt == nil:
 		return Permission{Allowed: true, Reason: "no attempt can have run"}
 	case c.Idempotency == IdempotentByKey && attempt.Execution != Executed && now.Add(keyMargin).Before(attempt.StartedAt.Add(c.KeyTTL)):
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -16,7 +16,7 @@
 	"frostlink/internal/boltfile"
 )
 
-// The store is one bbolt file with these buckets, and those of subject_buckets.go:
+// The store is one bbolt file with these buckets and the buckets of subject_buckets.go:
 //
 //	meta      "version" -> 4 bytes; "totals" -> Totals as JSON; "rules" -> digest of the rules used last; "id" -> the store's id
 //	records   number (8 bytes, big endian, increasing) -> checksum (4 bytes, CRC-32C of the rest) + Record as JSON
