--- a/internal/coord/api/caller.go
+++ b/internal/coord/api/caller.go
@@ -44,7 +44,8 @@
 	return response, &StatusError{Address: address, Status: status, Message: response.Error}
 }
 
-// Snapshot reads the encoded state (coord.Machine.Snapshot) from the leader.
+// Snapshot reads the encoded state (coord.Machine.Snapshot) from a member. It returns ErrNotLeader
+// if the member is not the leader.
 func (c *Caller) Snapshot(ctx context.Context, address string) ([]byte, error) {
 	status, body, err := c.post(ctx, address, PathSnapshot, Request{})
 	switch {
@@ -90,7 +91,7 @@
 	if err != nil {
 		return 0, nil, &CallError{Address: address, Err: err}
 	}
-	defer func() { _ = resp.Body.Close() }() // an error is harmless: the body was read completely, or reading it failed
+	defer func() { _ = resp.Body.Close() }() // an error is harmless: the body is not read any further
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodySize))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s: %w", address, err)
--- a/internal/coord/api/doc.go
+++ b/internal/coord/api/doc.go
@@ -1,5 +1,5 @@
 // Package api is the coordination service's HTTP interface: its paths, its bodies and a client
-// (Caller). Only the leader answers commands and reads. Each request names the cluster, so that a
+// (Caller). Only the leader answers commands and reads. Each POST names the cluster, so that a
 // member of another cluster rejects it.
 //
 // # Paths
--- a/internal/coord/api/errors.go
+++ b/internal/coord/api/errors.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Errors that callers distinguish. After any other error the outcome of a command is unknown.
+// Errors that callers distinguish. After ErrNoLeader, and after any error that is not listed here,
+// the outcome of a command is unknown.
 var (
 	ErrNotLeader = errors.New("the member is not the leader")
 	ErrRejected  = errors.New("request rejected") // nothing was done, and a retry does not help
--- a/internal/coord/api/protocol.go
+++ b/internal/coord/api/protocol.go
@@ -22,7 +22,7 @@
 	Command      *coord.Command `json:"command,omitempty"`
 	Query        *Query         `json:"query,omitempty"`
 	Wait         *Wait          `json:"wait,omitempty"`
-	AddMember    *coord.Member  `json:"join,omitempty"`  // a learner, or a learner that becomes a voter
+	AddMember    *coord.Member  `json:"join,omitempty"`  // a new learner, or a learner that becomes a voter
 	RemoveMember uint64         `json:"leave,omitempty"` // id of the member to remove
 }
 
@@ -40,7 +40,8 @@
 	Session uint64 `json:"session"`
 }
 
-// Response is the body of every answer except those of PathStatus and PathSnapshot.
+// Response is the body of every answer to a client, except successful answers of PathStatus and
+// PathSnapshot.
 type Response struct {
 	Error   string        `json:"error,omitempty"`
 	Leader  uint64        `json:"leader,omitempty"`  // with status 421: id of the leader, if it is known
@@ -53,7 +54,7 @@
 	History   []coord.Event  `json:"history,omitempty"`
 	Values    []coord.Value  `json:"values,omitempty"`
 	Changes   []coord.Change `json:"changes,omitempty"`
-	Compacted bool           `json:"gone,omitempty"` // some changes are not retained any more: read the values again
+	Compacted bool           `json:"gone,omitempty"` // Changes can't be listed from After on: read the values again
 	Revision  uint64         `json:"at,omitempty"`   // revision of the state that was read
 }
 
--- a/internal/coord/command.go
+++ b/internal/coord/command.go
@@ -12,7 +12,7 @@
 	OpClose    Op = "close"    // close a session, and end its grants and queued requests
 	OpAcquire  Op = "acquire"  // acquire a lease, or join its queue
 	OpRelease  Op = "release"  // release a lease, or leave its queue
-	OpTransfer Op = "handover" // release a lease to a queued session that is identified by its name
+	OpTransfer Op = "handover" // transfer a lease to the first queued session with a given name
 	OpRevoke   Op = "revoke"   // revoke a lease of another session, on behalf of an operator
 	OpPut      Op = "put"      // write a value if its current revision is the expected one
 	OpDelete   Op = "delete"   // delete a value if its current revision is the expected one
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -15,9 +15,9 @@
 	"frostlink/internal/coord/replica"
 )
 
-// TestRead_DetectsFlippedBytes: a damaged byte anywhere in the store either has no effect or is
+// TestRead_DetectsFlippedBytes: a flipped bit anywhere in the store either has no effect or is
 // reported as an error. It must not end the process, and the entries that are read must equal the
-// entries that were written.
+// entries that were written. The test flips one bit in every 13th byte, one byte at a time.
 func TestRead_DetectsFlippedBytes(t *testing.T) {
 	dir, want := createFilled(t)
 	path := filepath.Join(dir, fileName)
--- a/internal/coord/disk/damaged_value_test.go
+++ b/internal/coord/disk/damaged_value_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// A member does not start if its term and vote, or the incarnations of its peers, are damaged: it might vote twice, or accept a
-// peer whose disk was set back to an old copy.
+// A member does not start if its term and vote, the incarnations of its peers, its own incarnations or its identity are damaged:
+// it might vote twice, or accept a peer whose disk was set back to an old copy.
 func TestOpen_RejectsDamagedValues(t *testing.T) {
 	for _, key := range [][]byte{hardStateKey, peerIncarnationsKey, incarnationsKey, identityKey} {
 		t.Run(string(key), func(t *testing.T) {
@@ -50,8 +50,8 @@
 }
 
 // The stored incarnations of a member's peers are damaged while the member runs. A damaged value was taken for a missing one,
-// so saving one peer's incarnation replaced those of all peers: the value read back contained the new peer alone, and no error
-// was reported.
+// so saving the incarnation of one peer removed the incarnations of all other peers: the value read back contained the new peer
+// alone, and no error was reported.
 func TestSave_RejectsDamagedPeerIncarnations(t *testing.T) {
 	dir, _ := createFilled(t)
 	store, _, _, err := Open(dir)
--- a/internal/coord/disk/store.go
+++ b/internal/coord/disk/store.go
@@ -22,7 +22,7 @@
 	lockName = "lock"
 )
 
-// Identity identifies the member to which a folder belongs. It is written once, when the folder is
+// Identity identifies the member to which a folder belongs. It does not change after the folder is
 // created.
 type Identity struct {
 	Cluster       string   `json:"cluster"`
--- a/internal/coord/disk/store_test.go
+++ b/internal/coord/disk/store_test.go
@@ -52,8 +52,8 @@
 	return got, err
 }
 
-// matches reports whether a state equals the one of createFilled. It does not compare the data of
-// the entries.
+// matches reports whether a state equals the state of createFilled in its incarnations, term,
+// snapshot index and number of entries. It does not compare the entries themselves.
 func matches(got, want replica.PersistentState) bool {
 	return len(got.Incarnations) == 1 && got.Incarnations[0] == want.Incarnations[0] &&
 		len(got.PeerIncarnations) == 2 && got.PeerIncarnations[3] == want.PeerIncarnations[3] &&
--- a/internal/coord/doc.go
+++ b/internal/coord/doc.go
@@ -12,9 +12,9 @@
 //     served.
 //   - A grant ends when the holder releases the lease, when the holder transfers it to a queued
 //     session of its choice, when the holder's session ends, or when an operator revokes it. A
-//     revoked lease is granted again only once its holder has released it, or once the holder's
-//     last renewal before the revocation has expired: until then the holder may not have been
-//     informed of the revocation.
+//     revoked lease is granted again only once its holder has released or transferred it or closed
+//     its session, or once the holder's last renewal before the revocation has expired: until then
+//     the holder may not have been informed of the revocation.
 //   - A value has the revision of the write that created it. A write states the revision that it
 //     expects the value to have, and may name a lease and its fencing token: the write is rejected
 //     if the session does not hold the lease under that token any more.
@@ -26,7 +26,7 @@
 // The state machine has no clock. Each entry of the log states the time that has elapsed on its
 // leader's clock since that leader's previous entry; the machine's time is the sum of these. A new
 // leader's first entry renews all sessions, as Chubby's grace period does. So the machine's time
-// never runs ahead of true time by more than the drift of the leaders' clocks.
+// never runs ahead of real time by more than the drift of the leaders' clocks.
 //
 // # What the state machine does not promise
 //
--- a/internal/coord/entry.go
+++ b/internal/coord/entry.go
@@ -19,7 +19,7 @@
 	// of leases; the state does not depend on it.
 	WallMillis int64 `json:"wall,omitempty"`
 	// Proposer, Incarnation and ProposalID identify the proposal, so that the member that proposed
-	// the entry can complete its commands.
+	// the entry can complete the entry's commands.
 	Proposer    uint64 `json:"from"`
 	Incarnation uint64 `json:"life"`
 	ProposalID  uint64 `json:"n"`
--- a/internal/coord/history.go
+++ b/internal/coord/history.go
@@ -14,7 +14,7 @@
 	EventReleased    EventKind = "released"
 	EventTransferred EventKind = "handed over"
 	EventRevoking    EventKind = "being revoked" // an operator has revoked it; the holder may still act
-	EventRevoked     EventKind = "revoked"       // the holder did not release it before RevokedUntil
+	EventRevoked     EventKind = "revoked"       // an operator had revoked it, and the holder did not release it in time
 	EventExpired     EventKind = "ended"         // the holder's session expired
 	EventClosed      EventKind = "closed"        // the holder closed its session
 )
@@ -31,8 +31,8 @@
 	Reason     string        `json:"reason,omitempty"`
 }
 
-// record adds an event of a lease to the history, and drops the oldest events when the history is
-// full.
+// record adds an event of a lease to the history. It first drops the oldest quarter of the history
+// if the history is full.
 func (m *Machine) record(l *leaseState, holder string, kind EventKind, reason string) {
 	if len(m.history) >= MaxRetainedEvents {
 		m.history = slices.Clone(m.history[MaxRetainedEvents/compactionDivisor:])
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -25,9 +25,10 @@
 	Queue        []queuedRequest `json:"queue,omitempty"`   // the next holder first
 }
 
-// acquire grants a lease that is free, and queues the session's request for one that is held. A
-// session that already holds the lease or is queued for it gets its present grant or queue
-// position: a repeated request does not move it to the end of the queue.
+// acquire grants a free lease, and queues the session's request for a lease that is held. A session
+// that already holds the lease or is queued for it keeps its grant or its position in the queue: a
+// repeated request does not move it to the end of the queue. A holder whose grant is revoked is
+// queued like any other session.
 func (m *Machine) acquire(s *session, c *Command) Result {
 	l := m.leases[c.Lease]
 	switch {
--- a/internal/coord/machine.go
+++ b/internal/coord/machine.go
@@ -105,8 +105,8 @@
 	return r
 }
 
-// applyOnce applies a session's command unless it was applied before, which its sequence number
-// shows.
+// applyOnce applies a session's command unless the command's sequence number shows that the command
+// was applied before.
 func (m *Machine) applyOnce(s *session, c *Command) Result {
 	switch {
 	case c.Op == OpRenew:
--- a/internal/coord/machine_test.go
+++ b/internal/coord/machine_test.go
@@ -139,7 +139,7 @@
 		t.Errorf("a command with an earlier sequence number: %+v", stale)
 	}
 	if v := l.m.Values("k"); len(v) != 1 || string(v[0].Value) != "2" {
-		t.Errorf("value: %+v", v)
+		t.Errorf("unexpected values: %+v", v)
 	}
 }
 
@@ -168,7 +168,7 @@
 	var r Result
 	for i := 0; i < MaxLeasesPerSession; i++ {
 		if r = l.next(a, Command{Op: OpAcquire, Lease: fmt.Sprint(i)}); r.Code != CodeOK {
-			t.Fatalf("lease %d: %+v", i, r)
+			t.Fatalf("acquire lease %d: %+v", i, r)
 		}
 		l.apply(0, Command{Op: OpRenew, Session: b})
 	}
@@ -176,7 +176,7 @@
 	big := bytes.Repeat([]byte{1}, MaxValueSize)
 	for i := 0; i < MaxValueBytes/MaxValueSize; i++ {
 		if r = l.next(a, Command{Op: OpPut, Key: fmt.Sprint(i), Value: big}); r.Code != CodeOK {
-			t.Fatalf("value %d: %+v", i, r)
+			t.Fatalf("put value %d: %+v", i, r)
 		}
 	}
 	limited["bytes"] = l.next(a, Command{Op: OpPut, Key: "more", Value: []byte{1}})
@@ -208,7 +208,7 @@
 		version = l.next(a, Command{Op: OpPut, Key: "k", ExpectedRevision: version}).ModRevision
 	}
 	if list, ok := l.m.Changes(version-1, "k"); !ok || len(list) != 1 || list[0].Revision != version {
-		t.Errorf("changes after the second last revision: %v, %v", list, ok)
+		t.Errorf("changes after the second-to-last revision: %v, %v", list, ok)
 	}
 	if _, ok := l.m.Changes(1, "k"); ok {
 		t.Error("changes that were dropped are reported as retained")
--- a/internal/coord/replica/config.go
+++ b/internal/coord/replica/config.go
@@ -23,8 +23,9 @@
 	// maxMessageBytes is the approximate limit of the total size of the entries in one Raft
 	// message.
 	maxMessageBytes = 1 << 20
-	// maxReadyMessages limits the entries that one round applies, and maxUncommittedMessages the
-	// entries that are proposed but not committed. Both are multiples of maxMessageBytes.
+	// maxReadyMessages limits the size of the entries that one round applies, and
+	// maxUncommittedMessages the size of the entries that are proposed but not committed. Both are
+	// multiples of maxMessageBytes.
 	maxReadyMessages, maxUncommittedMessages = 4, 64
 	// maxInFlightMessages bounds the unacknowledged messages to one member.
 	maxInFlightMessages = 256
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -16,7 +16,7 @@
 	Tag            uint64
 	Result         coord.Result // of a command
 	Read           bool         // it was a read: the state machine is now no older than the read
-	OutcomeUnknown bool         // the member is not the leader any more: the command may or may not be applied
+	OutcomeUnknown bool         // the member is not the leader any more or has failed: the command may or may not be applied
 }
 
 // Output is the data that the member may send once its WriteBatch is saved.
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// Machine returns the state machine, with all committed entries known so far applied. Callers must
-// not keep it across calls of Core's methods: a snapshot from another member replaces it.
+// Machine returns the state machine, to which the log is applied up to Status().Applied. Callers
+// must not keep it across calls of Core's methods: a snapshot from another member replaces it.
 func (c *Core) Machine() *coord.Machine { return c.machine }
 
-// Leadership returns whether this member believes that it is the leader, and the id of the leader
-// that it knows (0: none).
+// Leadership returns whether this member believes that it is the leader, and the id of the known
+// leader (0: none).
 func (c *Core) Leadership() (leading bool, leader uint64) { return c.leading, c.leader }
 
 // Tick advances the member's clock by one tick.
@@ -141,11 +141,11 @@
 	c.node.TickQuiesced()
 	if c.ticksSinceLeader++; c.ticksSinceLeader >= c.electionTimeout {
 		c.resetElectionTimer()
-		_ = c.node.Campaign() // fails only for a member that is not a voter, and which does not campaign then
+		_ = c.node.Campaign() // never fails; a member without a vote does not campaign
 	}
 }
 
-// fail stops the member for good.
+// fail stops the member for good. The outcome of its pending commands and reads is unknown.
 func (c *Core) fail(err error) {
 	if c.failed == nil {
 		c.failed = err
--- a/internal/coord/replica/doc.go
+++ b/internal/coord/replica/doc.go
@@ -25,10 +25,10 @@
 // acknowledged to others. Raft is not safe then, so the loss must be detected. Each run of a member
 // is an incarnation: a number, one higher than that of the run before, and a random nonce. A member
 // announces its incarnation together with the list of its earlier incarnations. It takes part in
-// elections and replication only once a majority of the voters, itself included, has the announced
-// incarnation on disk. A peer whose disk holds an incarnation that is missing from the announced
-// list replies with that incarnation, and the announcing member stops for good. It has to be
-// removed from the cluster, and a new member added under another id.
+// elections and replication only once a majority of the voters, itself included if it is a voter,
+// has the announced incarnation on disk. A peer whose disk holds an incarnation that is missing
+// from the announced list replies with that incarnation, and the announcing member stops for good.
+// It has to be removed from the cluster, and a new member added under another id.
 //
 // # States of a member
 //
@@ -39,12 +39,12 @@
 //	failed       has stopped for good
 //
 //	from         to           when
-//	unannounced  candidate    a majority of the voters, itself included, has its incarnation on disk
+//	unannounced  candidate    a majority of the voters has its incarnation on disk
 //	candidate    follower     a leader is known
 //	candidate    leader       it has won an election
 //	follower     candidate    no message from the leader has arrived for an election timeout
 //	leader       follower     a higher term is seen, no majority answers (check-quorum), or leadership is transferred
-//	any          failed       a save failed, an entry can't be applied, or the member's disk is stale
+//	any          failed       a save failed, an entry or snapshot can't be applied, or the member's disk is stale
 //
 // # Commands and reads
 //
--- a/internal/coord/replica/envelope.go
+++ b/internal/coord/replica/envelope.go
@@ -19,7 +19,7 @@
 	KindRaft        Kind = iota + 1 // Body is a message of the Raft library
 	KindAnnounce                    // the sender announces its incarnation; Body lists all its incarnations
 	KindAcknowledge                 // the sender has Subject on disk as the receiver's incarnation
-	KindStale                       // the sender has Subject on disk as a later incarnation of the receiver
+	KindStale                       // the receiver is stale: the sender has Subject on disk as the receiver's latest incarnation
 )
 
 // Envelope is a message between members.
--- a/internal/coord/replica/incarnation.go
+++ b/internal/coord/replica/incarnation.go
@@ -46,7 +46,7 @@
 	history      []Incarnation          // all incarnations of this member, the present one last
 	peers        map[uint64]Incarnation // latest known incarnation of each other member
 	acknowledged map[uint64]bool        // members that have the present incarnation on disk
-	announced    bool                   // a majority of voters, with this member, has it on disk: the member takes part in consensus
+	announced    bool                   // a majority of the voters has the present incarnation on disk: the member takes part in consensus
 	ticks        int
 }
 
--- a/internal/coord/replica/leadership.go
+++ b/internal/coord/replica/leadership.go
@@ -37,7 +37,9 @@
 	c.resetElectionTimer()
 }
 
-// TransferLeadership asks another voter to become the leader, before this member stops.
+// TransferLeadership asks another voter, one that has acknowledged this member's incarnation, to
+// become the leader before this member stops. It does nothing if there is no such voter, or if this
+// member is not the leader.
 func (c *Core) TransferLeadership() {
 	if !c.leading {
 		return
--- a/internal/coord/replica/proposal.go
+++ b/internal/coord/replica/proposal.go
@@ -43,7 +43,7 @@
 
 // proposeQueued proposes the queued commands, with the time elapsed since the previous entry. The
 // clock was read after the commands were received, so a renewal counts from no earlier than the
-// client sent it, and the session never expires before the client's own deadline.
+// time when the client sent it.
 func (c *Core) proposeQueued(now time.Duration, wallMillis int64) {
 	for c.leading && len(c.queue) > 0 {
 		batch := c.queue[:min(len(c.queue), maxBatchCommands)]
@@ -54,7 +54,9 @@
 			tags = append(tags, q.tag)
 		}
 		if !c.proposeEntry(e, wallMillis) {
-			return // leadership is being transferred: the commands stay queued, and complete as OutcomeUnknown when it is lost
+			// Leadership is being transferred, or too many entries are not committed. The commands stay
+			// queued, and complete with OutcomeUnknown if this member stops being the leader.
+			return
 		}
 		c.lastProposal = now
 		c.proposed[c.proposalID] = tags
--- a/internal/coord/replica/ready.go
+++ b/internal/coord/replica/ready.go
@@ -13,9 +13,9 @@
 // the messages and completions that depend on them. It reports false if there was nothing to do. A
 // failed save stops the member for good, since its memory and its disk differ then.
 //
-// now is the time on the boot-time clock, read after the events were received: so a renewal counts
-// from no earlier than the client sent it. wallMillis is the wall clock, which is only shown to
-// operators.
+// now is the time on the boot-time clock, read after the events were received, so that a renewal
+// counts from no earlier than the time when the client sent it. wallMillis is the wall clock, which
+// is only shown to operators.
 func (c *Core) ProcessReady(now time.Duration, wallMillis int64, save func(WriteBatch) error, send func(Output)) (bool, error) {
 	if c.failed != nil {
 		return false, c.failed
--- a/internal/coord/replica/receive.go
+++ b/internal/coord/replica/receive.go
@@ -43,7 +43,9 @@
 		return // members do not forward proposals or reads
 	default:
 	}
-	_ = c.node.Step(&m) // an error means that the sender is not a member or not the leader any more
+	// An error means that the sender is not a member any more, or that members do not send such
+	// messages to each other.
+	_ = c.node.Step(&m)
 }
 
 // sendRaft sends a Raft message.
--- a/internal/coord/result.go
+++ b/internal/coord/result.go
@@ -5,8 +5,8 @@
 // Code is the outcome of a command.
 type Code string
 
-// The codes. A command with any code but CodeOK and CodeQueued has changed nothing, except that it
-// has renewed its session.
+// The codes. A command with any code but CodeOK and CodeQueued has changed no lease and no value. It
+// has renewed its session if the command is valid and the session exists.
 const (
 	CodeOK            Code = "done"
 	CodeQueued        Code = "waiting"    // the session is in the lease's queue
@@ -32,7 +32,7 @@
 	CommandIndex uint64 `json:"stamp"` // number of the command among all commands applied: of two results, the one with the higher number is newer
 	Session      uint64 `json:"session,omitempty"`
 	Token        uint64 `json:"token,omitempty"`   // OpAcquire: of the grant
-	ModRevision  uint64 `json:"version,omitempty"` // OpPut: of the value written; CodeConflict: of the current value
+	ModRevision  uint64 `json:"version,omitempty"` // CodeOK: revision of the write; CodeConflict: of the current value, 0 if there is none
 
 	// The session's time to live, leases and queued requests, as of this result.
 	TTL     time.Duration `json:"ttl,omitempty"`
--- a/internal/coord/server/hints.go
+++ b/internal/coord/server/hints.go
@@ -5,7 +5,8 @@
 // maxHintChannels bounds the number of sessions with a hint channel.
 const maxHintChannels = 2 * coord.MaxSessions
 
-// hint wakes a caller that waits for a session's hints, or the next one if nobody waits.
+// hint sends a hint for a session: it wakes one waiting caller or, if there is none, the next caller
+// that waits.
 func (n *Node) hint(session uint64) {
 	select {
 	case n.hintChannel(session) <- struct{}{}:
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -16,7 +16,7 @@
 	tick             = 50 * time.Millisecond
 	electionTicks    = 10 // an election starts after 0.5 s to 1 s without a leader
 	heartbeatTicks   = 2
-	snapshotInterval = 10000 // entries; bounds the number of entries that a restart has to read
+	snapshotInterval = 10000 // entries; a restart applies about this number of entries at most
 	retainedEntries  = 2000
 	inboxSize        = 4096
 	// maxBatchEvents bounds the events that are handled before the resulting changes are saved. One
@@ -47,7 +47,7 @@
 	hints   map[uint64]chan struct{} // by session
 }
 
-// New opens a member's folder and starts its core. The folder's contents do not change before Run.
+// New opens a member's folder and starts its core. The stored state does not change before Run.
 // addressOverrides are addresses by member id, which take precedence over the addresses in the
 // replicated state.
 func New(dir string, addressOverrides map[uint64]string, log *slog.Logger) (*Node, error) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// transferLeadership passes leadership to another member before this one stops, and waits at most
-// transferTimeout for that.
+// transferLeadership tries to pass leadership to another member before this one stops, and waits at
+// most transferTimeout for that.
 func (n *Node) transferLeadership() {
 	leading, _ := n.core.Leadership()
 	if !leading {
--- a/internal/coord/server/receive.go
+++ b/internal/coord/server/receive.go
@@ -10,8 +10,8 @@
 	"frostlink/internal/logkey"
 )
 
-// handleRaft receives messages from other members. If one message is of another cluster or version,
-// the whole body is rejected, with one line in the log.
+// handleRaft receives messages from other members. If one message is malformed or of another cluster
+// or version, the whole body is rejected, with one line in the log.
 func (n *Node) handleRaft(w http.ResponseWriter, r *http.Request) {
 	envelopes, err := n.decodeEnvelopes(w, r)
 	if err != nil {
--- a/internal/coord/server/request.go
+++ b/internal/coord/server/request.go
@@ -26,8 +26,9 @@
 }
 
 // await submits a command or read to the core under a new tag, and waits for its completion. It
-// reports false if the member is not the leader. If the context ends or the node stops first, the
-// completion has OutcomeUnknown set.
+// reports false if the core did not accept the command or read: the member is not the leader, too
+// many are pending, the node has stopped, or the context ended first. If the context ends or the
+// node stops after that, the completion has OutcomeUnknown set.
 func (n *Node) await(ctx context.Context, submit func(tag uint64) bool) (replica.Completion, bool) {
 	completion := make(chan replica.Completion, 1)
 	accepted := false
--- a/internal/coord/values.go
+++ b/internal/coord/values.go
@@ -42,7 +42,7 @@
 	case c.Op == OpPut:
 		return m.put(current, c)
 	case current == nil:
-		return Result{Code: CodeOK} // the key has no value already
+		return Result{Code: CodeOK} // there is no value to delete
 	}
 	delete(m.values, c.Key)
 	m.valueBytes -= len(current.Value)
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// due reports whether the relay has records that are not exported yet.
+// due reports whether the relay has records that are not exported yet. It reports false if the ledger
+// or the store can't be read.
 func (e *exporter) due(ctx context.Context) bool {
 	slice, err := e.nextSlice(ctx, 1)
 	return err == nil && slice != nil
--- a/internal/fleettask/export_test.go
+++ b/internal/fleettask/export_test.go
@@ -34,11 +34,11 @@
 	now := time.Now()
 	for i := from; i < to; i++ {
 		id := fmt.Sprintf("%s-%d", relay, i)
-		k := deadletter.Message{Record: deadletter.Record{
+		m := deadletter.Message{Record: deadletter.Record{
 			ID: id, Class: "c", State: deadletter.Held, Since: now,
 			Incarnations: []deadletter.Incarnation{{ID: id, Relay: relay, AcceptedAt: now, Deadline: now.Add(time.Second), Reason: deadletter.AttemptsExhausted}},
 		}, Body: []byte(id)}
-		if err := store.Put([]deadletter.Message{k}); err != nil {
+		if err := store.Put([]deadletter.Message{m}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleettask/ledger.go
+++ b/internal/fleettask/ledger.go
@@ -23,7 +23,7 @@
 
 // Position records how far a relay's dead-letter store is exported.
 type Position struct {
-	Store      string `json:"store"` // id of the store; each folder's store has its own
+	Store      string `json:"store"` // id of the store; a new store has another id
 	NextRecord uint64 `json:"from"`  // number of the first record that is not exported
 }
 
--- a/internal/fleettask/rotation.go
+++ b/internal/fleettask/rotation.go
@@ -26,7 +26,7 @@
 	lastDue   time.Duration // when a resend was last due
 	token     uint64        // under which the lease is held; 0: not held
 	heldSince time.Duration
-	releasing bool // released, but still held; the lease is requested again only after that
+	releasing bool // the lease is being released; it is requested again only once it is not held any more
 }
 
 // NewRotation returns a rotation without destinations.
--- a/internal/fleettask/section.go
+++ b/internal/fleettask/section.go
@@ -12,10 +12,10 @@
 // Section is the section [coordination] of the operator's file.
 type Section struct {
 	Cluster     string     `toml:"cluster"`
-	Members     []string   `toml:"members"` // ID=HOST:PORT
-	TTLMillis   int        `toml:"ttl_ms"`  // time to live of a relay's session; 0: DefaultTTL
-	GuardMillis int        `toml:"guard_ms"`
-	Resend      bool       `toml:"resend"` // the rate of a redelivery rule applies to the whole fleet, not to each relay
+	Members     []string   `toml:"members"`  // ID=HOST:PORT
+	TTLMillis   int        `toml:"ttl_ms"`   // time to live of a relay's session; 0: DefaultTTL
+	GuardMillis int        `toml:"guard_ms"` // a lease counts as lost this long before it expires; 0: DefaultGuard
+	Resend      bool       `toml:"resend"`   // the rate of a redelivery rule applies to the whole fleet, not to each relay
 	Heartbeat   *Heartbeat `toml:"beat"`
 	Export      *Export    `toml:"export"`
 }
--- a/internal/lease/calls.go
+++ b/internal/lease/calls.go
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// commandFor returns the next command that a lease request needs, or nil. It deletes a request that is to be released and that
-// the service does not have.
+// commandFor returns the next command that a lease request needs, or nil. It deletes a request that is to be released if the
+// lease is neither held nor queued for.
 func (c *Core) commandFor(now time.Duration, name string) *coord.Command {
 	r := c.requests[name]
 	grant, held := c.held[name]
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -141,8 +141,8 @@
 	return a, err
 }
 
-// End ends the act, and reports whether its lease was still held. If it was not, another process may have acted under the lease
-// meanwhile.
+// End ends the act, and reports whether its permit was still valid. If it was not, another process may have acted under the
+// lease meanwhile.
 func (a *Act) End() (inTime bool) {
 	a.cancel()
 	a.client.update(func(now time.Duration) {
@@ -170,8 +170,8 @@
 	}
 }
 
-// Value reads a value; the value is no older than the call. The version of a missing value is 0.
-func (c *Client) Value(ctx context.Context, key string) (value []byte, version uint64, err error) {
+// Value reads a value; the value is no older than the call. The revision of a missing value is 0.
+func (c *Client) Value(ctx context.Context, key string) (value []byte, revision uint64, err error) {
 	c.mu.Lock()
 	members := c.members
 	c.mu.Unlock()
@@ -187,7 +187,8 @@
 	return nil, 0, nil
 }
 
-// Run keeps the session alive until its context ends, and then releases all leases, within releaseTimeout.
+// Run keeps the session alive until its context ends, and then releases all leases. It waits at most releaseTimeout for the
+// service to confirm that.
 func (c *Client) Run(ctx context.Context) {
 	calls, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var work sync.WaitGroup
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -9,7 +9,7 @@
 )
 
 // RateBound is the largest error of a clock's rate, as a fraction of the elapsed time. Quartz clocks are accurate to 200 parts
-// per million; NTP slews a clock by at most 500.
+// per million; NTP slews a clock by at most 500 parts per million.
 const RateBound = 500e-6
 
 // randStream is the second half of the random generator's seed: the ASCII codes of "lease".
@@ -30,7 +30,7 @@
 	cfg  Config
 	rand *rand.Rand
 
-	// The session. While there is none, all of these but nonce are zero.
+	// The session. While there is none, all of these fields but nonce are zero or empty.
 	session          uint64
 	nonce            string         // identifies the session before the service has assigned its id
 	seq              uint64         // sequence number of the latest numbered command
@@ -90,7 +90,7 @@
 	registered bool          // the session is queued for the lease, according to the newest result
 	releasing  bool          // the lease is to be released once no act under it is open
 	successor  string        // name of the process that gets the lease next; empty: the first in the queue
-	notBefore  time.Duration // no command is sent for the lease before: it was revoked, or the service rejected the last command
+	notBefore  time.Duration // commandFor returns no command before this time: the lease was revoked, or the service rejected a command
 }
 
 // Request requests a lease, and requests it again whenever it is lost, until Release.
@@ -111,7 +111,7 @@
 }
 
 // validity returns how long a renewal lasts after it was sent, on this process's clock. It allows for a fast clock of the
-// service and a slow clock of this process.
+// service, a slow clock of this process, and the guard.
 func (c *Core) validity() time.Duration {
 	return time.Duration(float64(c.cfg.TTL)*(1-2*RateBound)) - c.cfg.Guard
 }
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -9,8 +9,9 @@
 // # Time
 //
 // A session is valid for its time to live, counted from the time when its last renewal was sent, not answered. The process
-// shortens that time by a guard and by twice RateBound, the largest rate error of a clock. So it stops acting before the
-// service can grant its lease to another process, without comparing clocks.
+// shortens that time by a guard and by twice the fraction RateBound, since its own clock and the service's clock may each be
+// too fast or too slow by that rate. So it stops acting before the service can grant its lease to another process, without
+// comparing clocks.
 //
 // # What a lease does not promise
 //
--- a/internal/lease/results.go
+++ b/internal/lease/results.go
@@ -42,7 +42,7 @@
 
 // handleOpen handles the result of opening a session, and reports whether the session was opened.
 func (c *Core) handleOpen(now time.Duration, call inFlightCall, r coord.Result) bool {
-	if r.Code != coord.CodeOK { // the service rejects a further session
+	if r.Code != coord.CodeOK { // the service did not open a session, for instance because it has too many
 		c.backOff(now)
 		return false
 	}
--- a/internal/lease/task.go
+++ b/internal/lease/task.go
@@ -23,8 +23,8 @@
 	reason string
 }
 
-// Fenced is for a resource that gets the fencing token with each act, and rejects a token that is lower than the highest one it
-// has seen.
+// Fenced is for a resource that gets the fencing token with each act, and rejects a token that is lower than the highest token
+// that it has received.
 func Fenced(resource string) Guard { return Guard{true, resource} }
 
 // Idempotent is for acts that any process may do any number of times. reason explains why.
