--- a/internal/faultinjection/checker/counts.go
+++ b/internal/faultinjection/checker/counts.go
@@ -8,7 +8,7 @@
 	InTime        int `json:"in_time"`  // within its class's latency objective
 	Rejected      int `json:"refused"`  // not delivered; the last response or notice allowed the client to submit it again
 	Failed        int `json:"failed"`   // not delivered; the last response or notice reported a failure
-	Unserved      int `json:"unserved"` // not delivered, and there was neither a final response nor a notice
+	Unserved      int `json:"unserved"` // not delivered; there was no response, or an acceptance that no notice followed
 	Submissions   int `json:"hand_ins"`
 	Accepted      int `json:"taken_on"`
 	Unanswered    int `json:"unheard"` // submissions without a response
@@ -52,7 +52,7 @@
 }
 
 // attributed returns an event with its relay and destination filled in, and whether the event is counted. Of the responses to a
-// request, and of its notices, only the first is counted.
+// request, only the first is counted, and only if it accepts the request. Of the notices of a request, only the first is counted.
 func (h *history) attributed(e Event) (Event, bool) {
 	request := h.requestsByID[e.ID]
 	switch e.Kind {
--- a/internal/faultinjection/checker/event.go
+++ b/internal/faultinjection/checker/event.go
@@ -96,7 +96,7 @@
 	State       string        `json:"state,omitempty"`
 	Executed    bool          `json:"ran,omitempty"`
 	OK          bool          `json:"ok,omitempty"`
-	Process     int           `json:"process,omitempty"` // number of the process among those of its relay, from 1
+	Process     int           `json:"process,omitempty"` // number of the process among its relay's processes, from 1
 	Metrics     *Scrape       `json:"figures,omitempty"`
 }
 
--- a/internal/faultinjection/checker/expected_metrics.go
+++ b/internal/faultinjection/checker/expected_metrics.go
@@ -23,8 +23,8 @@
 	outcomes         map[string]map[string][]time.Duration // by metric and class
 	unanswered       map[string][]time.Duration            // submission times by class; these requests may be counted under any metric, or under none
 	attempts         []time.Duration
-	certainInFlight  []inFlightChange // requests from the response that accepts them until their outcome
-	possibleInFlight []inFlightChange // these requests from their submission on, and requests without a response
+	certainInFlight  []inFlightChange // accepted requests, from the response until the outcome
+	possibleInFlight []inFlightChange // all requests, from the submission until the outcome or the rejection; without a response or outcome, until the deadline
 }
 
 // inFlightChange is a change of the number of requests in flight.
--- a/internal/faultinjection/checker/rule_answered.go
+++ b/internal/faultinjection/checker/rule_answered.go
@@ -19,7 +19,8 @@
 
 // checkReadIsAnswered checks that no relay read a request and then closed the connection without a response, even on a connection
 // that had been idle, and even during a graceful shutdown. A regular close (without a reset) proves that the relay had read all data
-// that had arrived. It is no violation if the close crossed with the request, or if the process was killed.
+// that had arrived. It is no violation if the close crossed with the request, if the process was killed, or if fault
+// injection made the connection look broken.
 func (h *history) checkReadIsAnswered(r *request) {
 	for _, e := range r.closedOn {
 		if e.Duration > socketSlack && !h.killedAround(e) && !h.socketFailures.contains(e.Relay, e.At) {
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -96,7 +96,7 @@
 		consider(max(w.shownAt, w.reachableSince) + w.notifyWithin)
 	}
 	if w.silentSince < never {
-		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // a single time limit, from when the watch became silent, for all changes that the watch misses
+		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // one time limit, counted from the time at which the watch became silent, for all changes that the watch misses
 	}
 	if !w.watching {
 		consider(max(w.lastContact, w.shownAt) + w.pollDue)
@@ -133,8 +133,8 @@
 }
 
 // countsAsNotifiedAt returns when a relay counts as notified of a change that discovery showed at a time: as soon as discovery has
-// been up for NotifyWithin since the change, or the relay has neither watched nor polled for the longest time that the settings
-// allow.
+// been up for NotifyWithin since the change, the relay's watch has been silent for NotifyWithin, or the relay has neither watched nor
+// polled for the longest time that the settings allow.
 func (h *history) countsAsNotifiedAt(log []Event, relay int, shownAt time.Duration) time.Duration {
 	pollWithin := settings.Seconds(h.Settings.Rules.PollWithinS)
 	w := &watchState{
--- a/internal/faultinjection/checker/rule_outcome.go
+++ b/internal/faultinjection/checker/rule_outcome.go
@@ -14,8 +14,8 @@
 	h.checkNoAttemptAfterNotice(r)
 }
 
-// outcomeDue returns when the outcome of a request is due. If the relay is absent at that time, the outcome is due when the absence
-// ends, or never if the relay does not return.
+// outcomeDue returns when the outcome of a request is due. The time for which the request stayed unread extends its deadline. If the
+// relay is absent when the outcome is due, the outcome is due when the absence ends, or never if the relay does not return.
 func (h *history) outcomeDue(r *request) time.Duration {
 	due := r.deadline + h.unreadFor(r) + settings.Seconds(h.Settings.Rules.AnswerSlackS)
 	for {
--- a/internal/faultinjection/checker/rule_retry_after.go
+++ b/internal/faultinjection/checker/rule_retry_after.go
@@ -11,7 +11,8 @@
 // hold is the interval after a response with a Retry-After in which a relay may send nothing on a route.
 type hold struct{ from, until time.Duration }
 
-// checkRetryAfter checks that a relay that got a Retry-After sent nothing to the destination until that time had passed.
+// checkRetryAfter checks that a relay that got a Retry-After sent nothing to the destination before the Retry-After was over. Attempts
+// that cross with the response are allowed.
 func (h *history) checkRetryAfter(_ []Event) {
 	holds := h.holds()
 	for _, a := range h.attempts {
--- a/internal/faultinjection/harness/attempt.go
+++ b/internal/faultinjection/harness/attempt.go
@@ -44,7 +44,7 @@
 	firstByte time.Duration // when its first byte was read
 }
 
-// messageBody returns the body of a message, which is the same in every attempt and differs from that of every other message.
+// messageBody returns the body of a message, which is the same in every attempt and differs from the body of every other message.
 func messageBody(s *submission) []byte {
 	text := fmt.Sprintf(bodyFormat, s.message.Number, s.message.Destination) + " "
 	return []byte(strings.Repeat(text, s.message.BodySize/len(text)+1)[:s.message.BodySize])
--- a/internal/faultinjection/harness/check.go
+++ b/internal/faultinjection/harness/check.go
@@ -33,7 +33,7 @@
 	return result, nil
 }
 
-// measure returns what the harness itself measured, and the time at which the run ended.
+// measure returns a result that has the harness's own measurements but no verdict yet, and the time at which the run ended.
 func (h *harness) measure() (result *Result, end time.Duration) {
 	h.mu.Lock()
 	result = &Result{
@@ -57,7 +57,7 @@
 	return result, end
 }
 
-// overloads returns how often each destination was overloaded, by name; nil: none was.
+// overloads returns how often each destination was overloaded, by name, or nil if no destination was.
 func (h *harness) overloads() (byName map[string]int) {
 	for i, destination := range h.destinations {
 		destination.mu.Lock()
--- a/internal/faultinjection/harness/client.go
+++ b/internal/faultinjection/harness/client.go
@@ -27,7 +27,7 @@
 // clientPool stands in for the clients. They submit messages, and resubmit them as the scenario specifies.
 type clientPool struct {
 	h        *harness
-	messages []*scenario.Message // by number, including those of the backlog
+	messages []*scenario.Message // by number, including the messages of the backlog
 	busy     atomic.Int64        // messages whose client is submitting or is about to submit
 
 	mu        sync.Mutex               // guards the fields below
@@ -104,8 +104,8 @@
 	}
 }
 
-// handleNoResponse records that a client got no response, and has the client resubmit the message if that does no harm, since the
-// relay may have accepted it.
+// handleNoResponse records that a client got no response. The relay may have accepted the message, so that the client resubmits it
+// only if a second execution does no harm.
 func (c *clientPool) handleNoResponse(s *submission, err error) {
 	c.h.record(checker.Event{Kind: checker.AnswerMissed, ID: s.id, Relay: s.relay, State: err.Error(), OK: errors.Is(err, errNoResponse)})
 	c.h.ledger.withdraw(s)
--- a/internal/faultinjection/harness/client_exchange.go
+++ b/internal/faultinjection/harness/client_exchange.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	// errNotSubmitted means that no relay could be reached, so that none has read the message.
+	// errNotSubmitted means that the relay could not be reached and has not read the message.
 	errNotSubmitted = errors.New("not handed in")
 	// errNoResponse means that a connection ended before the first byte of a response.
 	errNoResponse = errors.New("closed without an answer")
@@ -41,7 +41,7 @@
 
 func (e *closedError) Unwrap() []error { return []error{errNoResponse, e.err} }
 
-// exchange submits a message and waits for the response. The error is errNotSubmitted if no relay can have read the message.
+// exchange submits a message and waits for the response. The error is errNotSubmitted if the relay cannot have read the message.
 func (c *clientPool) exchange(s *submission, timeLeft time.Duration, mark retryMark) (clientResponse, error) {
 	addr := c.h.relays[s.relay].listen
 	conn, err := c.connFor(s, addr)
@@ -60,7 +60,7 @@
 	return c.exchangeOn(conn, s, timeLeft, mark)
 }
 
-// connFor returns the connection for a submission: an idle one, or a new one unless the relay gets no new connections.
+// connFor returns the connection for a submission: an idle connection or, unless the relay gets no new connections, a new one.
 func (c *clientPool) connFor(s *submission, addr string) (*clientConn, error) {
 	if s.openConnOnly {
 		conn := c.takeOpen(addr)
@@ -80,7 +80,7 @@
 	return conn, nil
 }
 
-// exchangeOn submits a message on a connection and waits for the response. The connection is idle after it, or closed.
+// exchangeOn submits a message on a connection and waits for the response. Afterwards the connection is idle or closed.
 func (c *clientPool) exchangeOn(conn *clientConn, s *submission, timeLeft time.Duration, mark retryMark) (clientResponse, error) {
 	_ = conn.SetDeadline(time.Now().Add(c.responseTimeout())) // fails only on a closed connection, on which the round trip fails too
 	response, err := conn.roundTrip(c.request(s, timeLeft, mark))
--- a/internal/faultinjection/harness/destination_server.go
+++ b/internal/faultinjection/harness/destination_server.go
@@ -17,7 +17,7 @@
 	// timerHorizon is the longest time for which the timer is set. The timer for an action that is due later is set after
 	// some later event.
 	timerHorizon = time.Hour
-	// stateOverloaded is the state of an outage that the destination's own overload caused.
+	// stateOverloaded is the kind of outage, in the field State of its event, that an overload of the destination caused.
 	stateOverloaded = "fell"
 )
 
--- a/internal/faultinjection/harness/discovery_server.go
+++ b/internal/faultinjection/harness/discovery_server.go
@@ -33,7 +33,7 @@
 	mu         sync.Mutex       // guards everything below
 	entries    []endpointEntry  // in the order of their first publication; deleted ones stay
 	changes    []int            // version n changed entries[changes[n-1]]
-	changed    chan struct{}    // closed and replaced when changes or failure changes
+	changed    chan struct{}    // closed and replaced at each update of the fields changes and failure
 	failure    discoveryFailure // of the endpoint list; notifications are received all the same
 	servers    map[int]*http.Server
 	allServers []*http.Server // including those at addresses from before a move
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// publish publishes a state of an endpoint.
+// publish publishes a new state of an endpoint. A deleted endpoint stays deleted.
 func (d *discoveryServer) publish(e *endpointServer, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,7 +125,7 @@
 	d.changed = make(chan struct{})
 }
 
-// setFailure begins a failure of discovery, or (discoveryWorks) ends it.
+// setFailure begins a failure of discovery, or ends the current one if failure is discoveryWorks.
 func (d *discoveryServer) setFailure(failure discoveryFailure) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/faultinjection/harness/endpoint_list.go
+++ b/internal/faultinjection/harness/endpoint_list.go
@@ -41,8 +41,8 @@
 	bornMS   int64 // Unix time in milliseconds; 0: it existed at the start of the run
 }
 
-// list returns the changes after a version, or the complete list if there is no such version, and the entries of which the
-// result notifies a relay; the lock is held.
+// list returns the changes after a version, or the complete list if the version does not exist. It also returns the entries of which
+// this list notifies the relay. The lock is held.
 func (d *discoveryServer) list(relay, after int) (list endpointList, notified []endpointEntry) {
 	list = endpointList{Seq: len(d.changes), Whole: after <= 0 || after > len(d.changes), Hosts: []endpointJSON{}}
 	notified = slices.Clone(d.entries)
--- a/internal/faultinjection/harness/endpoint_replacement.go
+++ b/internal/faultinjection/harness/endpoint_replacement.go
@@ -8,8 +8,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// replacementsPerFault is the number of random streams reserved for the replacements of one fault, so that those of the next
-// fault use other streams.
+// replacementsPerFault is the number of random streams reserved for the replacements of one fault, so that the replacements of
+// different faults use different streams.
 const replacementsPerFault = 1000
 
 // scheduleDrain schedules that an endpoint drains and is removed.
--- a/internal/faultinjection/harness/endpoint_server_test.go
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -171,12 +171,12 @@
 		change func(s *submission)
 		want   string
 	}{
-		"unknown id":            {func(s *submission) { s.id = "nobody" }, "400"},
-		"another destination's": {func(s *submission) { *s = *h.addSubmission(foreign) }, "400"},
-		"expired":               {func(s *submission) { s.expiresAt = -1 }, "410"},
-		"withdrawn":             {func(s *submission) { s.withdrawn = true }, "410"},
-		"too many attempts":     {func(s *submission) { s.attempts = 99 }, "504"},
-		"unchanged":             {func(*submission) {}, "200"},
+		"unknown id":              {func(s *submission) { s.id = "nobody" }, "400"},
+		"for another destination": {func(s *submission) { *s = *h.addSubmission(foreign) }, "400"},
+		"expired":                 {func(s *submission) { s.expiresAt = -1 }, "410"},
+		"withdrawn":               {func(s *submission) { s.withdrawn = true }, "410"},
+		"too many attempts":       {func(s *submission) { s.attempts = 99 }, "504"},
+		"unchanged":               {func(*submission) {}, "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := h.addSubmission(own)
--- a/internal/faultinjection/harness/fault_schedule.go
+++ b/internal/faultinjection/harness/fault_schedule.go
@@ -15,7 +15,7 @@
 	scenario.FaultUnreachable: destination.ModeUnreachable, scenario.FaultFailing: destination.ModeFailing,
 }
 
-// faultSchedulers schedule the faults that are not injected into relays; relayFaults has those that are.
+// faultSchedulers schedule the faults that are not injected into relays. Faults that are injected into relays are in relayFaults.
 var faultSchedulers = map[scenario.FaultKind]func(*harness, *scheduledFault) []scheduledAction{
 	scenario.FaultConnectionsRefused: scheduleOutage,
 	scenario.FaultOverloaded:         scheduleOutage,
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("%s, endpoint %d: %s", f.Destination, f.Endpoint, f.Kind)
 }
 
-// scheduleFault returns the actions of a fault. Every kind that a scenario file can have is in one of the two tables.
+// scheduleFault returns the actions of a fault. Every kind that a scenario file can have is in faultSchedulers or in relayFaults.
 func (h *harness) scheduleFault(f *scheduledFault) []scheduledAction {
 	if schedule := faultSchedulers[f.Kind]; schedule != nil {
 		return schedule(h, f)
@@ -95,7 +95,7 @@
 	return f.beginAndEnd(f.describeEndpoints(), func() { d.beginDegradation(endpoint, f.Fault) }, func() { d.endDegradation(endpoint, f.Fault) })
 }
 
-// scheduleLoadChange only adds a change of the load to the timeline: the messages have been drawn with that change already.
+// scheduleLoadChange only adds a change of the load to the timeline: the change was already applied when the messages were drawn.
 func scheduleLoadChange(_ *harness, f *scheduledFault) []scheduledAction {
 	return f.beginAndEnd(strings.TrimSpace(f.Kind+" "+f.Destination), func() {}, func() {})
 }
--- a/internal/faultinjection/harness/fault_schedule_relay.go
+++ b/internal/faultinjection/harness/fault_schedule_relay.go
@@ -29,7 +29,8 @@
 	scenario.FaultDiscoveryMove: recordingFailure(func(r *relay, _ *scenario.Fault) error { return r.moveDiscovery() }),
 }
 
-// repeatedly turns a fault that replaces a relay's process into one that does so a second time if the scenario asks for it.
+// repeatedly returns a fault that calls inject, which replaces a relay's process, and calls it again if the scenario asks for a second
+// replacement.
 func repeatedly(inject relayFault) relayFault {
 	return func(r *relay, f *scenario.Fault) {
 		inject(r, f)
@@ -37,7 +38,7 @@
 	}
 }
 
-// recordingFailure turns a fault whose injection can fail into one that records the failure.
+// recordingFailure returns a fault that records a failure of the run if its injection fails.
 func recordingFailure(inject func(*relay, *scenario.Fault) error) relayFault {
 	return func(r *relay, f *scenario.Fault) {
 		if err := inject(r, f); err != nil {
--- a/internal/faultinjection/harness/fault_schedule_test.go
+++ b/internal/faultinjection/harness/fault_schedule_test.go
@@ -13,7 +13,7 @@
 	if err == nil {
 		t.Fatal("a scenario with an unknown kind of fault was parsed without an error")
 	}
-	_, after, found := strings.Cut(err.Error(), `"unknown" is none of `)
+	_, after, found := strings.Cut(err.Error(), `"unknown" is not one of `)
 	if !found {
 		t.Fatalf("the error does not list the kinds: %v", err)
 	}
--- a/internal/faultinjection/harness/load_balancer.go
+++ b/internal/faultinjection/harness/load_balancer.go
@@ -68,7 +68,7 @@
 // changeAfter restricts the access to a relay after a delay, unless the relay becomes ready again before.
 func (b *loadBalancer) changeAfter(relay int, delay time.Duration, to relayAccess) {
 	b.mu.Lock()
-	leaving := b.generation[relay]
+	generation := b.generation[relay]
 	b.mu.Unlock()
 	b.h.background.Go(func() {
 		if !wait.For(b.h.ctx, delay) {
@@ -76,7 +76,7 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.generation[relay] == leaving {
+		if b.generation[relay] == generation {
 			b.access[relay] = min(b.access[relay], to)
 		}
 	})
--- a/internal/faultinjection/harness/network.go
+++ b/internal/faultinjection/harness/network.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// deliver delivers a datagram after the network's delay, unless it is lost.
+// deliver delivers a datagram, whole or cut in half, after the network's delay, unless the datagram is lost.
 func (n *network) deliver(p path, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/faultinjection/harness/outage.go
+++ b/internal/faultinjection/harness/outage.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// affected returns the endpoints that a fault of one endpoint, or of all, affects; the lock is held.
+// affected returns the endpoints that a fault affects: the one with the given index, or all. The lock is held.
 func (d *destinationServer) affected(endpoint int) (affected []*endpointServer) {
 	for _, e := range d.endpoints {
 		if endpoint == destination.AllEndpoints || e.index == endpoint {
--- a/internal/faultinjection/harness/recorder.go
+++ b/internal/faultinjection/harness/recorder.go
@@ -24,7 +24,7 @@
 
 	mu          sync.Mutex        // guards the fields below
 	blocks      [][]checker.Event // growing a single slice would copy all events and delay the stand-ins meanwhile
-	events      int               // of the harness, those with a due time
+	events      int               // the harness's own events that had a due time
 	lateEvents  int
 	maxLateness time.Duration
 	failures    []string
--- a/internal/faultinjection/harness/relay.go
+++ b/internal/faultinjection/harness/relay.go
@@ -27,7 +27,7 @@
 	peers    []string // by relay: address to which this relay sends its datagrams for that relay
 	peersAll string   // address to which this relay sends datagrams for all others
 
-	clock         *faults.WallClock     // of all its processes; nil: the machine's
+	clock         *faults.WallClock     // the wall clock of all its processes; nil: the machine's clock
 	syscallErrors *faults.SyscallErrors // nil: no system call is made to fail
 	socket        *os.File              // listening socket for clients, inherited by all its processes; nil: each process listens by itself
 
@@ -35,7 +35,7 @@
 	discovery        string     // address of its discovery service
 	settingsInForce  scenario.ReloadableSettings
 	process          *process // the process that serves clients; nil: there is none
-	starts           int
+	starts           int      // number of processes started so far
 	usage            ProcessUsage
 	endedCPUSeconds  float64   // of processes that have ended
 	metricsLatencies []float64 // seconds that its admin endpoint took for each read of its metrics
--- a/internal/faultinjection/harness/relay_faults_test.go
+++ b/internal/faultinjection/harness/relay_faults_test.go
@@ -19,9 +19,9 @@
 	socketFaultStart = 2
 )
 
-// faultScenario is the scenario of the runs with faults of relays. Its classes are idempotent by key, not idempotent and
-// idempotent. Its destinations are one without a fault, one with an outage during which relays hold messages, and one that resets
-// connections.
+// faultScenario is the scenario of the runs with faults of relays. It has a class that is idempotent by key, a class that is not
+// idempotent and an idempotent class. It has a destination without faults, a destination with an outage, during which relays hold
+// messages, and a destination that resets connections.
 const faultScenario = `version = 1
 name = "faults"
 length_s = 8
@@ -116,15 +116,15 @@
 // hold messages that are completed. The clock is stepped while the relay runs, while it is down, before a restart, and twice.
 func TestRelay_ToleratesWallClockSteps(t *testing.T) {
 	playAll(t, map[string]string{
-		"forward by an hour":             clockStep(3, 3600),
-		"back by an hour":                clockStep(3, -3600),
-		"forward by less than a message": clockStep(3, 1.5),
-		"back by less than a message":    clockStep(3, -1.5),
-		"there and back":                 clockStep(2.5, 3600) + clockStep(4.5, -3600),
-		"forward while down":             kill(3) + clockStep(3.3, 3600),
-		"back while down":                kill(3) + clockStep(3.3, -3600),
-		"forward before a restart":       clockStep(2.5, 60) + kill(4),
-		"back before a restart":          clockStep(2.5, -60) + kill(4),
+		"forward by an hour":              clockStep(3, 3600),
+		"back by an hour":                 clockStep(3, -3600),
+		"forward by half of the deadline": clockStep(3, 1.5),
+		"back by half of the deadline":    clockStep(3, -1.5),
+		"forward and back":                clockStep(2.5, 3600) + clockStep(4.5, -3600),
+		"forward while down":              kill(3) + clockStep(3.3, 3600),
+		"back while down":                 kill(3) + clockStep(3.3, -3600),
+		"forward before a restart":        clockStep(2.5, 60) + kill(4),
+		"back before a restart":           clockStep(2.5, -60) + kill(4),
 	}, minWeightShare)
 }
 
@@ -167,7 +167,7 @@
 		"read-only":                     diskErrors(2, 3, "EROFS", 1),
 		"full, killed meanwhile":        diskErrors(2, 3, "ENOSPC", 1) + kill(3),
 		"read-only, killed meanwhile":   diskErrors(2.5, 4.2, "EROFS", 1) + kill(2.6),
-		"torn, killed meanwhile":        diskErrors(2, 4, "SHORT", 0.5) + diskErrors(2, 4, "EIO", 0.3) + kill(3),
+		"torn writes, killed meanwhile": diskErrors(2, 4, "SHORT", 0.5) + diskErrors(2, 4, "EIO", 0.3) + kill(3),
 		"full and the clock steps back": diskErrors(2, 3, "ENOSPC", 0.7) + kill(3) + clockStep(3.3, -3600),
 	}, minWeightShareDiskErrors)
 }
--- a/internal/faultinjection/harness/relay_process.go
+++ b/internal/faultinjection/harness/relay_process.go
@@ -55,7 +55,7 @@
 	return r.awaitReady(ctx, p)
 }
 
-// launch starts a process; a successor runs beside the one that it is to replace.
+// launch starts a process. A successor is a process that is started while its predecessor, which it is to replace, still serves.
 func (r *relay) launch(successor bool) (*process, error) {
 	// Each process has its own admin address, since a predecessor's and its successor's admin endpoints are open at the same
 	// time.
--- a/internal/faultinjection/harness/relay_shutdown.go
+++ b/internal/faultinjection/harness/relay_shutdown.go
@@ -12,10 +12,10 @@
 const (
 	// reloadLeadTime is the time between a SIGHUP with new settings and the SIGTERM that follows.
 	reloadLeadTime = 5 * time.Millisecond
-	// signalInterval is the time between the signals of a series during a shutdown. A crowd's callers reconnect after the
-	// same time.
+	// signalInterval is the time between the signals of a series during a shutdown. It is also the time after which a crowd's
+	// callers reconnect.
 	signalInterval = 700 * time.Millisecond
-	// repeatedSignalDelay is the time between a SIGTERM and the one that repeats it.
+	// repeatedSignalDelay is the time between the two signals when SIGTERM is sent twice in immediate succession.
 	repeatedSignalDelay = 10 * time.Millisecond
 	// stuckSuspendDelay is the time from SIGTERM until a process whose shutdown is to hang is suspended: by then, the load balancer
 	// opens no new connections to it any more.
--- a/internal/faultinjection/harness/relay_standin_delivery_test.go
+++ b/internal/faultinjection/harness/relay_standin_delivery_test.go
@@ -22,7 +22,8 @@
 	failureBackoff = 400 * time.Millisecond
 	// maxStandInAttempts bounds the attempts of a message.
 	maxStandInAttempts = 12
-	// A stand-in that loses messages or notifies of wrong outcomes does so with one in misbehaveEvery of its messages.
+	// Stand-ins that lose messages, notify too late or notify twice do so with every misbehaveEvery-th message. The first
+	// two of these misbehaviors spare ordered messages.
 	misbehaveEvery = 5
 )
 
@@ -88,7 +89,7 @@
 	}
 }
 
-// misbehaves reports whether the stand-in has a misbehavior that concerns single messages, and shows it with this message.
+// misbehaves reports whether the stand-in has the given misbehavior and applies it to this message.
 func (s *relayStandIn) misbehaves(how misbehavior, m *standInMessage) bool {
 	return s.misbehavior == how && m.number%misbehaveEvery == 0
 }
@@ -107,11 +108,11 @@
 	if s.misbehavior == usesAllSlack {
 		end = m.deadline.Add(outcomeSlack)
 	}
-	var delivered atomic.Bool  // by a concurrent attempt
-	var executedFrom time.Time // when the first attempt with an unknown outcome was sent; zero: there is none
+	var delivered atomic.Bool    // by a concurrent attempt
+	var firstUnknownAt time.Time // when the first attempt with an unknown outcome was sent; zero: there is none
 	for n := 0; ; n++ {
 		expired := !s.awaitSendTime(m, end) || n >= maxStandInAttempts && s.misbehavior != overloads
-		if !executedFrom.IsZero() && !s.mayRetry(m, executedFrom) {
+		if !firstUnknownAt.IsZero() && !s.mayRetry(m, firstUnknownAt) {
 			s.notify(m.id, "undeliverable")
 			if s.misbehavior == redeliversExecuted && m.idempotency == "fragile" {
 				s.redeliver(ctx, m, n)
@@ -139,19 +140,19 @@
 			s.completed(ctx, m)
 			return
 		}
-		if s.failed(m, status, retryAfter) && executedFrom.IsZero() {
-			executedFrom = sent
+		if s.failed(m, status, retryAfter) && firstUnknownAt.IsZero() {
+			firstUnknownAt = sent
 		}
 	}
 }
 
 // mayRetry reports whether a message whose outcome is unknown may be attempted again.
-func (s *relayStandIn) mayRetry(m *standInMessage, executedFrom time.Time) bool {
+func (s *relayStandIn) mayRetry(m *standInMessage, firstUnknownAt time.Time) bool {
 	switch m.idempotency {
 	case "fragile":
 		return false
 	case "dedup":
-		return s.misbehavior == executesTwice || time.Since(executedFrom) <= m.keyTTL-200*time.Millisecond
+		return s.misbehavior == executesTwice || time.Since(firstUnknownAt) <= m.keyTTL-200*time.Millisecond
 	}
 	return true
 }
--- a/internal/faultinjection/harness/relay_standin_shutdown_test.go
+++ b/internal/faultinjection/harness/relay_standin_shutdown_test.go
@@ -13,13 +13,13 @@
 
 // Misbehaviors at a shutdown or a restart.
 const (
-	closesReadRequests   misbehavior = "closes read requests" // at SIGTERM
+	closesReadRequests   misbehavior = "closes read requests" // without a response, after SIGTERM
 	endsOnSecondSIGTERM  misbehavior = "ends on a second SIGTERM"
-	losesStateAtRestart  misbehavior = "forgets at a restart" // by default: no stand-in has a journal
+	losesStateAtRestart  misbehavior = "forgets at a restart" // as every stand-in does, since none has a journal
 	shutdownResponseTime             = 300 * time.Millisecond
 )
 
-// shutdownScenario is the scenario to which the tests below add one of the faults that follow.
+// shutdownScenario is a scenario without faults. The test below appends terminateRepeatedly or killAfterAcceptance.
 const shutdownScenario = `version = 1
 name = "shutdown"
 length_s = 9
@@ -42,13 +42,15 @@
 queue = 50
 `
 
-// terminateRepeatedly shuts the relay down with a series of signals; killAfterAcceptance kills it right after a 202.
+// terminateRepeatedly shuts the relay down with a series of signals. killAfterAcceptance kills the relay right after it has accepted a
+// request (202).
 const (
 	terminateRepeatedly = "[[event]]\nat_s = 1\nwhat = \"term\"\nsignals = \"reload\"\n"
 	killAfterAcceptance = "[[event]]\nat_s = 1\nwhat = \"kill\"\nbehind = true\n"
 )
 
-// onTermination makes a stand-in misbehave after SIGTERM.
+// onTermination keeps SIGTERM from ending the stand-in, and records that SIGTERM has arrived. A second SIGTERM ends the stand-in if
+// that is its misbehavior.
 func (s *relayStandIn) onTermination() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM)
--- a/internal/faultinjection/harness/relay_standin_test.go
+++ b/internal/faultinjection/harness/relay_standin_test.go
@@ -47,12 +47,12 @@
 	onlyForwards       misbehavior = "trivial"
 )
 
-// The destinations of the scenario that misbehaving stand-ins are run against.
+// The destinations of plantedScenario.
 const (
-	destinationDrops = iota
-	destinationWaits
-	destinationFalls
-	destinationOther
+	destinationDrops = iota // drops responses, and one of its endpoints drains
+	destinationWaits        // rejects with a Retry-After
+	destinationFalls        // has an outage
+	destinationOther        // has no faults
 )
 
 const (
@@ -78,7 +78,7 @@
 	}
 }
 
-// relayStandIn is the simplest possible relay. It keeps all rules except the one that its misbehavior breaks.
+// relayStandIn is the simplest possible relay. It complies with all rules except the one that its misbehavior breaks.
 type relayStandIn struct {
 	misbehavior misbehavior
 	config      standInConfig
@@ -87,10 +87,10 @@
 
 	mu            sync.Mutex // guards everything below
 	endpoints     map[string]*standInEndpoint
-	retryAt       map[int]time.Time // by destination: when attempts may be sent again
-	paced         map[int]bool      // by destination: attempts are paced by pacedInterval, since one has failed
-	lastSent      map[int]time.Time // by destination: when the last attempt was sent
-	orderKeys     map[string]chan bool
+	retryAt       map[int]time.Time    // by destination: when attempts may be sent again
+	paced         map[int]bool         // by destination: attempts are paced by pacedInterval, since one has failed
+	lastSent      map[int]time.Time    // by destination: when the last attempt was sent
+	orderKeys     map[string]chan bool // by order key: contains a value while a message with the key is in progress
 	accepted      int
 	lastDelivered map[string]*standInMessage // by destination and subject
 }
@@ -115,7 +115,7 @@
 	Block              int
 }
 
-// standInEndpoint is a stand-in's state of an endpoint.
+// standInEndpoint is the state that a stand-in keeps of an endpoint.
 type standInEndpoint struct {
 	addr        string
 	destination int
@@ -254,8 +254,8 @@
 	return m
 }
 
-// deliverOrdered starts to deliver a message of an ordered class. It reports whether the message is accepted, which it is if no
-// other message with its order key is in progress.
+// deliverOrdered accepts a message of an ordered class if no other message with its order key is in progress, and starts to deliver
+// it. It reports whether the message was accepted.
 func (s *relayStandIn) deliverOrdered(ctx context.Context, m *standInMessage) bool {
 	s.mu.Lock()
 	inUse := s.orderKeys[m.orderKey]
--- a/internal/faultinjection/harness/relay_usage.go
+++ b/internal/faultinjection/harness/relay_usage.go
@@ -15,8 +15,8 @@
 const (
 	// sampleInterval is the time between two samples of the relays' usage.
 	sampleInterval = 500 * time.Millisecond
-	// clockTicks is the number of clock ticks per second, the unit of the times in /proc/PID/stat: USER_HZ, which is 100 on
-	// every Linux.
+	// clockTicks is the number of clock ticks per second (USER_HZ, which is 100 on every Linux). The times in /proc/PID/stat
+	// are in clock ticks.
 	clockTicks = 100
 	// diskBlockSize is the unit, in bytes, in which files occupy disk space.
 	diskBlockSize = 512
--- a/internal/faultinjection/harness/reload.go
+++ b/internal/faultinjection/harness/reload.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// changeSettings changes the settings in force by a fault, and returns those before.
+// changeSettings changes the settings in force as a fault specifies, and returns the previous settings.
 func (r *relay) changeSettings(fault *scenario.Fault) (previous scenario.ReloadableSettings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultinjection/harness/run_helpers_test.go
+++ b/internal/faultinjection/harness/run_helpers_test.go
@@ -41,7 +41,7 @@
 }
 
 // loadScenario returns a scenario with one class, whose mean service time is serviceMS milliseconds, and a number of destinations
-// without a rate limit, each with one endpoint that has the given numbers of slots and of places in its queue.
+// without a rate limit, each with one endpoint that has the given number of slots and the given length of its queue.
 func loadScenario(t *testing.T, rate, length float64, relays, destinations, slots, queue int, serviceMS float64) *scenario.Scenario {
 	t.Helper()
 	text := fmt.Sprintf(`version=1
--- a/internal/faultinjection/harness/run_test.go
+++ b/internal/faultinjection/harness/run_test.go
@@ -21,9 +21,10 @@
 	failedStartTimeout = 20 * time.Second
 )
 
-// plantedScenario is the scenario of the runs in which stand-in relays break rules. Its classes are idempotent, idempotent by key,
-// not idempotent, and ordered. Its destinations are one that drops responses and of which an endpoint drains, one that rejects
-// with a Retry-After, one that has an outage, and one without faults.
+// plantedScenario is the scenario of the runs in which stand-in relays break rules. It has an idempotent class, a class that is
+// idempotent by key, a class that is not idempotent, and an ordered class. Its destinations are, in this order, a destination that
+// drops responses and of which an endpoint drains, a destination that rejects with a Retry-After, a destination that has an outage,
+// and a destination without faults.
 const plantedScenario = `version = 1
 name = "planted"
 length_s = 4
@@ -188,7 +189,7 @@
 	return result
 }
 
-// For each rule, a stand-in relay breaks it on real sockets, and the run has to report that rule and no other.
+// Each stand-in relay breaks one rule on real sockets, or none, and the run has to report that rule and no other.
 func TestRun_ReportsEachPlantedViolation(t *testing.T) {
 	for misbehavior, rule := range map[string]checker.Rule{
 		"loses":          checker.OutcomeMissing,
--- a/internal/faultinjection/harness/scrape.go
+++ b/internal/faultinjection/harness/scrape.go
@@ -17,7 +17,7 @@
 	idleCallerTime = 4 * time.Second
 )
 
-// scrape reads the relay's metrics repeatedly for a while, beside callers that connect and send nothing.
+// scrape reads the relay's metrics repeatedly for a while. Meanwhile, callers connect to the admin endpoint and send nothing.
 func (r *relay) scrape(d time.Duration, idleCallers int) {
 	ctx, cancel := context.WithTimeout(r.h.ctx, d)
 	defer cancel()
--- a/internal/faultinjection/harness/setup.go
+++ b/internal/faultinjection/harness/setup.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// setUp makes everything ready for the run, starts the relays, and returns the messages that clients submit.
+// setUp starts the stand-ins and the relays, fills the dead-letter stores, and returns the messages that clients submit.
 func (h *harness) setUp(ctx context.Context) ([]*scenario.Message, error) {
 	if err := h.open(); err != nil {
 		return nil, err
--- a/internal/faultinjection/scenario/burst.go
+++ b/internal/faultinjection/scenario/burst.go
@@ -43,8 +43,8 @@
 	return messages
 }
 
-// burstSize returns the number of messages of a burst: as many as its destination admits in the given time, so that larger
-// destinations get larger bursts.
+// burstSize returns the number of messages of a burst: the number that its destination admits in the given time, so that larger
+// destinations get larger bursts, but at least minBurstSize.
 func (s *Scenario) burstSize(destination int, seconds float64) int {
 	return max(minBurstSize, int(s.AdmittedRate(&s.Destinations[destination])*seconds))
 }
--- a/internal/faultinjection/scenario/defaults.go
+++ b/internal/faultinjection/scenario/defaults.go
@@ -6,8 +6,8 @@
 	"frostlink/internal/strictconfig"
 )
 
-// newWithDefaults returns a scenario with the default values of all tables that occur once. The values are those of the deployment
-// that frostlink was built for.
+// newWithDefaults returns a scenario with the default values of all tables that occur once. The defaults describe the deployment that
+// frostlink was built for.
 func newWithDefaults() *Scenario {
 	return &Scenario{
 		Seed: 1,
--- a/internal/faultinjection/scenario/doc.go
+++ b/internal/faultinjection/scenario/doc.go
@@ -5,9 +5,10 @@
 // that lists every mistake with file, line and key. [SoakScenario] and [RestartSoakScenario] return the text of a scenario with
 // random faults.
 //
-// The package does no I/O except for reading files, and uses no clock. Random numbers come from [RandomStreams]: the seed, the name
-// of a stream and the order of the draws from it determine every number, so that a seed always gives the same run. The use of the
-// seed, the names of streams and the order of draws must therefore not change.
+// The package does no I/O except for reading files, and uses no clock. The random numbers of a run come from [RandomStreams]: the seed,
+// the name of a stream and the order of the draws from the stream determine every number, so that a run can be repeated with the same
+// draws. The way in which a stream is derived from the seed, the names of streams and the order of draws must therefore not change.
+// The same holds for the draws of [SoakScenario] and [RestartSoakScenario], which each use one generator, seeded with the soak's seed.
 //
 // The keys of the file use the terms of the platform (partner, register, event), whereas the code uses destination, discovery and
 // fault.
--- a/internal/faultinjection/scenario/fault.go
+++ b/internal/faultinjection/scenario/fault.go
@@ -39,7 +39,7 @@
 	SignalsReload = "reload"
 	// SignalsRepeated is SIGTERM twice in immediate succession.
 	SignalsRepeated = "repeated"
-	// SignalsStarting is SIGTERM, and SIGTERM also to the next process while that starts and reads its journal.
+	// SignalsStarting is SIGTERM, and another SIGTERM to the next process while that process starts and reads its journal.
 	SignalsStarting = "starting"
 	// SignalsStuck is a shutdown that hangs: the process is suspended before it ends, and killed when the time for the shutdown is
 	// up.
--- a/internal/faultinjection/scenario/fault_kinds.go
+++ b/internal/faultinjection/scenario/fault_kinds.go
@@ -31,7 +31,7 @@
 	FaultTerminate      FaultKind = "term"           // SIGTERM, and a restart
 	FaultMachineLost    FaultKind = "lose"           // SIGKILL, and a restart with an empty folder
 	FaultSuspend        FaultKind = "hang"           // the process is suspended for a time
-	FaultUpgrade        FaultKind = "upgrade"        // handover to a new process
+	FaultUpgrade        FaultKind = "upgrade"        // hand-over to a new process
 	FaultStandby        FaultKind = "standby"        // the operator keeps the relay in standby for a time
 	FaultSettingsChange FaultKind = "settings"       // a new settings file, or a corrupt one
 	FaultAdminLoad      FaultKind = "scrape"         // the admin endpoint is polled while idle callers hold connections to it
--- a/internal/faultinjection/scenario/messages.go
+++ b/internal/faultinjection/scenario/messages.go
@@ -25,7 +25,7 @@
 	BodySize          int           // bytes
 	HonoursRetryAfter bool
 	Backoff           []time.Duration // wait before each retry
-	ResubmitDelay     time.Duration   // time until a message that a lost relay had accepted is submitted to another relay
+	ResubmitDelay     time.Duration   // time until the message is submitted again after its relay was unreachable, gave no response or was lost
 }
 
 // Messages draws all messages that clients submit, ordered by time.
@@ -102,8 +102,8 @@
 	return shares
 }
 
-// drawBackoff draws the waits before the retries of a message: exponential backoff with a random base, and a jitter of half a wait in
-// either direction.
+// drawBackoff draws the waits before the retries of a message: exponential backoff with a random base, and a jitter of up to half a wait
+// in either direction.
 func (c *Clients) drawBackoff(random *rand.Rand) []time.Duration {
 	var waits []time.Duration
 	base := c.Backoff.Draw(random)
--- a/internal/faultinjection/scenario/read_test.go
+++ b/internal/faultinjection/scenario/read_test.go
@@ -24,7 +24,7 @@
 			tb.Fatal(err)
 		}
 		if s.Name != strings.TrimSuffix(filepath.Base(path), ".toml") {
-			tb.Errorf("%s: got name %q, want that of the file", path, s.Name)
+			tb.Errorf("%s: got name %q, want the name of the file", path, s.Name)
 		}
 		scenarios[s.Name] = s
 	}
--- a/internal/faultinjection/scenario/scenario.go
+++ b/internal/faultinjection/scenario/scenario.go
@@ -43,9 +43,9 @@
 	MaxInFlight     int     `toml:"slots"` // attempts at the same time
 	MaxHeld         int     `toml:"hold"`  // requests that a relay holds at the same time
 	BatchIntervalMS float64 `toml:"tick_ms"`
-	ReadyWithin     float64 `toml:"ready_within_s"` // time after its start within which a relay must be ready; otherwise it counts as crashed
+	ReadyWithin     float64 `toml:"ready_within_s"` // time after its start within which a relay must be ready; otherwise the run fails
 
-	// Operator is the text of the operator's file of each relay. The placeholder "{dir}" is replaced by a folder of that relay alone.
+	// Operator is the text of the operator's file of each relay. The placeholder "{dir}" is replaced by the path of the relay's own folder.
 	Operator string `toml:"operator"`
 	// Redelivers means that destinations accept requests under ids that relays generate for redeliveries of dead letters.
 	Redelivers bool `toml:"resends"`
--- a/internal/faultinjection/scenario/soak.go
+++ b/internal/faultinjection/scenario/soak.go
@@ -15,8 +15,8 @@
 	soakRatePerRelay = 3.0
 	// soakDestinations is the number of destinations.
 	soakDestinations = 10
-	// soakStream is the second word of the generator's seed ("soak" in ASCII). It separates the draws of a soak's text from those of
-	// its run.
+	// soakStream is the second word of the generator's seed ("soak" in ASCII). It separates the draws of a soak's text from the draws
+	// of its run.
 	soakStream = 0x736f616b
 	// restartSoakStream has the same purpose for a soak of restarts ("rsoak").
 	restartSoakStream = 0x72736f616b
--- a/internal/faultinjection/scenario/soak_restarts.go
+++ b/internal/faultinjection/scenario/soak_restarts.go
@@ -14,16 +14,16 @@
 	// maxRestartTime is the time in seconds that the longest restart takes, including some time in which the next process is
 	// observed.
 	maxRestartTime = 5.0
-	// hangLead is how long before a shutdown, in seconds, a destination begins to hang or a crowd arrives. hangTime is how long that
-	// fault lasts: longer than the shutdown, because a terminated process may take 3.7 s to end.
+	// hangLead is how long before a shutdown, in seconds, a destination begins to hang or a crowd arrives. hangTime is how long, in
+	// seconds, the hang or the crowd lasts: longer than the shutdown, because a terminated process may take 3.7 s to end.
 	hangLead, hangTime = 0.3, 4.6
 )
 
 // RestartSoakScenario returns the text of a scenario, drawn from a seed, that adds to the faults of SoakScenario all ways in which
 // the platform ends and replaces processes: with a series of signals around SIGTERM, while the process starts, right after it has
 // accepted a request, a second time within the cooldown of order keys or a slow start, while a destination hangs, and by a kill after
-// a shutdown got stuck. Scenarios of even seeds have crowds of callers, those of odd seeds have hand-overs. Apart from that, each
-// scenario has all of these ways. The restarts overlap with the faults of SoakScenario.
+// a shutdown got stuck. Scenarios of even seeds have crowds of callers, and scenarios of odd seeds have hand-overs. Apart from that,
+// each scenario has all of these ways. The restarts overlap with the faults of SoakScenario.
 func RestartSoakScenario(seed int64, relays int, length float64) string {
 	w := &soakWriter{random: rand.New(rand.NewPCG(uint64(seed), restartSoakStream)), length: length}
 	crowds := seed%2 == 0
--- a/internal/faultinjection/scenario/validator.go
+++ b/internal/faultinjection/scenario/validator.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// uniqueName checks that a name is neither empty nor among the names seen before, and adds it to these.
+// uniqueName checks that a name is neither empty nor among the names seen before, and adds the name to seen.
 func (v validator) uniqueName(key, name string, seen map[string]bool) {
 	if v.Has(key) && name == "" {
 		v.AddError(key, "is empty")
--- a/internal/faultinjection/scenario/workload.go
+++ b/internal/faultinjection/scenario/workload.go
@@ -7,7 +7,7 @@
 	BackoffGrowth     float64 `toml:"growth"`    // factor by which the backoff grows with each rejection
 	HonourRetryAfter  float64 `toml:"honour"`    // fraction of messages whose client waits for Retry-After
 	ResponseTimeoutMS float64 `toml:"answer_ms"` // time after which the client closes the connection
-	ResubmitDelay     Range   `toml:"again_s"`   // time until a message that a lost relay had accepted is submitted to another relay
+	ResubmitDelay     Range   `toml:"again_s"`   // time until a message is submitted again after its relay was unreachable, gave no response or was lost
 	BodySize          Range   `toml:"body_bytes"`
 	MarkRetries       bool    `toml:"mark_retries"` // retries have the header Client-Retry: 1
 }
@@ -29,7 +29,7 @@
 	Amplitude   float64   `toml:"swing"`    // fraction of the rate by which it rises and falls
 	Period      float64   `toml:"period_s"` // period of a wave
 	BurstShare  float64   `toml:"clumps"`   // fraction of messages that arrive in bursts, each burst for one destination
-	BurstLength Range     `toml:"clump_s"`  // time in which a destination admits as many messages as a burst for it has
+	BurstLength Range     `toml:"clump_s"`  // a burst has the number of messages that its destination admits in this time
 }
 
 // Idempotency defines whether a request may be executed more than once.
