--- a/internal/faultinjection/harness/client_exchange.go
+++ b/internal/faultinjection/harness/client_exchange.go
@@ -34,7 +34,7 @@
 // closedError is the end of a connection before the first byte of a response.
 type closedError struct {
 	err   error
-	after time.Duration // time since the request was written; 0: it was not written
+	after time.Duration // time since the request was written; 0: the request was not written
 }
 
 func (e *closedError) Error() string { return fmt.Sprintf("%v: %v", errNoResponse, e.err) }
--- a/internal/faultinjection/harness/endpoint_list.go
+++ b/internal/faultinjection/harness/endpoint_list.go
@@ -51,7 +51,7 @@
 	}
 	for _, entry := range notified {
 		if !list.Whole || entry.state != checker.Deleted { // the complete list has no deleted endpoints
-			list.Hosts = append(list.Hosts, d.form(relay, entry))
+			list.Hosts = append(list.Hosts, d.entryJSON(relay, entry))
 		}
 	}
 	return list, notified
@@ -69,8 +69,8 @@
 	return changed
 }
 
-// form returns an entry in the protocol's form, with the address for a relay.
-func (d *discoveryServer) form(relay int, entry endpointEntry) endpointJSON {
+// entryJSON returns an entry in the protocol's form, with the address for a relay.
+func (d *discoveryServer) entryJSON(relay int, entry endpointEntry) endpointJSON {
 	e := entry.endpoint
 	dest := &d.harness.scenario.Destinations[e.destination.number]
 	return endpointJSON{
--- a/internal/faultinjection/harness/ledger.go
+++ b/internal/faultinjection/harness/ledger.go
@@ -9,7 +9,7 @@
 
 // ledger holds the state of each message and of each of its submissions, which the stand-ins share.
 type ledger struct {
-	mu                sync.Mutex             // guards the fields below, and the fields of submission that say so
+	mu                sync.Mutex             // guards the fields below, and the fields of submission that are marked as guarded
 	submissions       map[string]*submission // by id
 	attemptsByMessage map[int]int            // over all ids of a message, by its number
 	open              int                    // accepted submissions that are neither delivered nor ended
@@ -116,7 +116,7 @@
 	if !delivered || s.deliveredAt > 0 {
 		return
 	}
-	s.deliveredAt = max(1, endedAt) // 0 would mean that it is not delivered
+	s.deliveredAt = max(1, endedAt) // 0 would mean that the submission is not delivered
 	if !s.accepted {
 		return
 	}
--- a/internal/faultinjection/harness/recorder.go
+++ b/internal/faultinjection/harness/recorder.go
@@ -85,7 +85,7 @@
 	r.maxLateness = max(r.maxLateness, lateness)
 }
 
-// recordFailure records a failure. The run fails by it even if the relays broke none of the checker's rules.
+// recordFailure records a failure. A run with a failure does not pass, even if the relays broke none of the checker's rules.
 func (r *recorder) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultinjection/harness/relay.go
+++ b/internal/faultinjection/harness/relay.go
@@ -31,7 +31,7 @@
 	syscallErrors *faults.SyscallErrors // nil: no system call is made to fail
 	socket        *os.File              // listening socket for clients, inherited by all its processes; nil: each process listens by itself
 
-	mu               sync.Mutex // guards the fields below, and the fields of process that say so
+	mu               sync.Mutex // guards the fields below, and the fields of process that are marked as guarded
 	discovery        string     // address of its discovery service
 	settingsInForce  scenario.ReloadableSettings
 	process          *process // the process that serves clients; nil: there is none
--- a/internal/faultinjection/harness/relay_shutdown.go
+++ b/internal/faultinjection/harness/relay_shutdown.go
@@ -123,8 +123,8 @@
 		r.recordFailure("%v", err)
 		return
 	}
-	moment := r.h.random.Stream("starting", r.number).Float64()
-	wait.For(r.h.ctx, time.Duration(moment*float64(maxStartingDelay)))
+	draw := r.h.random.Stream("starting", r.number).Float64()
+	wait.For(r.h.ctx, time.Duration(draw*float64(maxStartingDelay)))
 	p.signal(syscall.SIGTERM)
 	r.h.count(TerminatedStarting)
 	if !p.exitsWithin(shutdownGrace, r.h.ctx.Done()) && r.h.ctx.Err() == nil {
@@ -157,14 +157,15 @@
 	r.mu.Unlock()
 }
 
-// requestAccepted is called right after a client has read the response by which the relay accepts its request.
+// requestAccepted calls onAcceptance, once. It is called right after a client has read the response by which the relay accepts its
+// request.
 func (r *relay) requestAccepted() {
 	r.mu.Lock()
-	act := r.onAcceptance
+	callback := r.onAcceptance
 	r.onAcceptance = nil
 	r.mu.Unlock()
-	if act != nil {
-		act()
+	if callback != nil {
+		callback()
 	}
 }
 
--- a/internal/faultinjection/harness/upgrade.go
+++ b/internal/faultinjection/harness/upgrade.go
@@ -57,8 +57,8 @@
 	r.mu.Lock()
 	starts := r.starts
 	r.mu.Unlock()
-	moment := r.h.random.Stream("handover", r.number, starts).Float64()
-	wait.For(r.h.ctx, time.Duration(moment*float64(maxHandoverDelay)))
+	draw := r.h.random.Stream("handover", r.number, starts).Float64()
+	wait.For(r.h.ctx, time.Duration(draw*float64(maxHandoverDelay)))
 	r.h.record(checker.Event{Kind: checker.Stopping, Relay: r.number})
 	predecessor.signal(syscall.SIGTERM)
 	r.h.count(TerminatedInHandover)
--- a/internal/faultinjection/scenario/arrival.go
+++ b/internal/faultinjection/scenario/arrival.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// ArrivalRate returns the number of messages per second that arrive at a time, including those of bursts.
+// ArrivalRate returns the number of messages per second that arrive at a time, including the messages of bursts.
 func (s *Scenario) ArrivalRate(at float64) float64 {
 	rate := s.Load.Rate * s.loadFactor(at)
 	for i := range s.Faults {
--- a/internal/faultinjection/scenario/fault_kinds.go
+++ b/internal/faultinjection/scenario/fault_kinds.go
@@ -33,7 +33,7 @@
 	FaultSuspend        FaultKind = "hang"           // the process is suspended for a time
 	FaultUpgrade        FaultKind = "upgrade"        // hand-over to a new process
 	FaultStandby        FaultKind = "standby"        // the operator keeps the relay in standby for a time
-	FaultSettingsChange FaultKind = "settings"       // a new settings file, or a corrupt one
+	FaultSettingsChange FaultKind = "settings"       // a new settings file, or a corrupted one
 	FaultAdminLoad      FaultKind = "scrape"         // the admin endpoint is polled while idle callers hold connections to it
 	FaultClockStep      FaultKind = "clock_step"     // the wall clock is stepped; the monotonic clock is not affected
 	FaultSyscallErrors  FaultKind = "syscall_errors" // a share of system calls on sockets fails
--- a/internal/faultinjection/scenario/range.go
+++ b/internal/faultinjection/scenario/range.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 )
 
-// Range is a fixed number, or the bounds between which a number is drawn. A file has it as a number or as a list of two numbers.
+// Range is a fixed number, or the bounds between which a number is drawn. In a file it is a number or a list of two numbers.
 type Range struct{ Low, High float64 }
 
 // FromTOML implements strictconfig.Unmarshaler.
--- a/internal/faultinjection/scenario/syscalls.go
+++ b/internal/faultinjection/scenario/syscalls.go
@@ -39,7 +39,7 @@
 		return faults.ShortTransfer
 	case heldUpName:
 		return faults.HeldUp
-	case "EOPNOTSUPP": // it has the same number as ENOTSUP, and unix.ErrnoName returns only that name
+	case "EOPNOTSUPP": // the same number as ENOTSUP, which is the only name that unix.ErrnoName returns for it
 		return syscall.EOPNOTSUPP
 	}
 	for errno := syscall.Errno(1); errno <= maxErrno; errno++ {
