--- a/internal/faultinjection/harness/endpoint_list.go
+++ b/internal/faultinjection/harness/endpoint_list.go
@@ -41,8 +41,8 @@
 	bornMS   int64 // Unix time in milliseconds; 0: it existed at the start of the run
 }
 
-// list returns the changes after a version, or the complete list if there is no such version, and the entries of which the
-// result notifies a relay; the lock is held.
+// list returns the changes after a version, or the complete list if the version does not exist. It also returns the entries of which
+// this list notifies the relay. The lock is held.
 func (d *discoveryServer) list(relay, after int) (list endpointList, notified []endpointEntry) {
 	list = endpointList{Seq: len(d.changes), Whole: after <= 0 || after > len(d.changes), Hosts: []endpointJSON{}}
 	notified = slices.Clone(d.entries)
@@ -51,7 +51,7 @@
 	}
 	for _, entry := range notified {
 		if !list.Whole || entry.state != checker.Deleted { // the complete list has no deleted endpoints
-			list.Hosts = append(list.Hosts, d.form(relay, entry))
+			list.Hosts = append(list.Hosts, d.entryJSON(relay, entry))
 		}
 	}
 	return list, notified
@@ -69,8 +69,8 @@
 	return changed
 }
 
-// form returns an entry in the protocol's form, with the address for a relay.
-func (d *discoveryServer) form(relay int, entry endpointEntry) endpointJSON {
+// entryJSON returns an entry in the protocol's form, with the address for a relay.
+func (d *discoveryServer) entryJSON(relay int, entry endpointEntry) endpointJSON {
 	e := entry.endpoint
 	dest := &d.harness.scenario.Destinations[e.destination.number]
 	return endpointJSON{
--- a/internal/faultinjection/harness/recorder.go
+++ b/internal/faultinjection/harness/recorder.go
@@ -24,7 +24,7 @@
 
 	mu          sync.Mutex        // guards the fields below
 	blocks      [][]checker.Event // growing a single slice would copy all events and delay the stand-ins meanwhile
-	events      int               // of the harness, those with a due time
+	events      int               // the harness's own events that had a due time
 	lateEvents  int
 	maxLateness time.Duration
 	failures    []string
@@ -85,7 +85,7 @@
 	r.maxLateness = max(r.maxLateness, lateness)
 }
 
-// recordFailure records a failure. The run fails by it even if the relays broke none of the checker's rules.
+// recordFailure records a failure. A run with a failure does not pass, even if the relays broke none of the checker's rules.
 func (r *recorder) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultinjection/harness/relay_shutdown.go
+++ b/internal/faultinjection/harness/relay_shutdown.go
@@ -12,10 +12,10 @@
 const (
 	// reloadLeadTime is the time between a SIGHUP with new settings and the SIGTERM that follows.
 	reloadLeadTime = 5 * time.Millisecond
-	// signalInterval is the time between the signals of a series during a shutdown. A crowd's callers reconnect after the
-	// same time.
+	// signalInterval is the time between the signals of a series during a shutdown. It is also the time after which a crowd's
+	// callers reconnect.
 	signalInterval = 700 * time.Millisecond
-	// repeatedSignalDelay is the time between a SIGTERM and the one that repeats it.
+	// repeatedSignalDelay is the time between the two signals when SIGTERM is sent twice in immediate succession.
 	repeatedSignalDelay = 10 * time.Millisecond
 	// stuckSuspendDelay is the time from SIGTERM until a process whose shutdown is to hang is suspended: by then, the load balancer
 	// opens no new connections to it any more.
@@ -123,8 +123,8 @@
 		r.recordFailure("%v", err)
 		return
 	}
-	moment := r.h.random.Stream("starting", r.number).Float64()
-	wait.For(r.h.ctx, time.Duration(moment*float64(maxStartingDelay)))
+	draw := r.h.random.Stream("starting", r.number).Float64()
+	wait.For(r.h.ctx, time.Duration(draw*float64(maxStartingDelay)))
 	p.signal(syscall.SIGTERM)
 	r.h.count(TerminatedStarting)
 	if !p.exitsWithin(shutdownGrace, r.h.ctx.Done()) && r.h.ctx.Err() == nil {
@@ -157,14 +157,15 @@
 	r.mu.Unlock()
 }
 
-// requestAccepted is called right after a client has read the response by which the relay accepts its request.
+// requestAccepted calls onAcceptance, once. It is called right after a client has read the response by which the relay accepts its
+// request.
 func (r *relay) requestAccepted() {
 	r.mu.Lock()
-	act := r.onAcceptance
+	callback := r.onAcceptance
 	r.onAcceptance = nil
 	r.mu.Unlock()
-	if act != nil {
-		act()
+	if callback != nil {
+		callback()
 	}
 }
 
