--- a/cmd/frostlink-coord/join.go
+++ b/cmd/frostlink-coord/join.go
@@ -29,8 +29,8 @@
 	c := &cobra.Command{
 		Use:   "join",
 		Short: "Create the folder of a member that joins a running cluster",
-		Long: "Create the folder of a member that joins a running cluster, under an id that was never used in it. Then start it with run, add it\n" +
-			"as a learner, and make it a voter when it has caught up: docs/operators/coordination.md.",
+		Long: "Create the folder of a member that joins a running cluster, under an id that was never used in that cluster. Then start the member\n" +
+			"with run, add it as a learner, and make it a voter when it has caught up. See docs/operators/coordination.md.",
 		Example: "  frostlink-coord join --folder coord-4 --cluster lahore --member 4=127.0.0.1:7104 --via 127.0.0.1:7101",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return o.createFolder(c.Context()) },
--- a/cmd/frostlink-coord/main.go
+++ b/cmd/frostlink-coord/main.go
@@ -16,7 +16,7 @@
 	root := &cobra.Command{
 		Use:     "frostlink-coord",
 		Short:   "The coordination service: leases, fencing tokens and small values on a quorum of processes",
-		Long:    "The coordination service of a fleet of relays: docs/operators/coordination.md.\nExit codes: 0 success, 1 problems found, 2 could not run.",
+		Long:    "The coordination service of a fleet of relays. It is described in docs/operators/coordination.md.\nExit codes: 0 success, 1 problems found, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 1000",
 	}
 	root.AddCommand(initCommand(), joinCommand(), runCommand(), verifyCommand(), proveCommand())
--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -15,12 +15,12 @@
 )
 
 // mutant is a fault that is planted in the lease client, the state machine or the replica by
-// replacing pieces of source. One of its checks has to catch it.
+// replacing pieces of source. The command prove has to report it by one of the given checks.
 type mutant struct {
 	file     string
 	edits    []edit
-	checks   []string
-	maxSeeds int // maximum number of runs until it is caught
+	checks   []string // names of the checks that may report the fault
+	maxSeeds int      // maximum number of runs until the fault is reported
 }
 
 // edit replaces a piece of source, which must occur exactly once.
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -46,9 +46,9 @@
 		Short: "Run random simulations of whole quorums in virtual time, and check them",
 		Long: "Simulate clusters of three or five members, with clients that act under leases and writers of values, in virtual time. The network\n" +
 			"loses, delays, duplicates and reorders messages and is cut in one direction; processes pause, and crash at any write; disks are\n" +
-			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. Checked: acts of two holders never\n" +
+			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. The checks: acts of two holders never\n" +
 			"overlap in true time; tokens only grow; waiters get a lease in order; values are linearizable; leases are held again once faults\n" +
-			"stop; members have the same state; a restored disk is noticed. Running a failing seed again reproduces its run.\n" +
+			"stop; members have the same state; a disk that was restored to an older state is noticed. The same seed reproduces a failed run.\n" +
 			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 10000\n  frostlink-coord prove --seeds 1 --seed 4711 --json -",
 		Args:    cobra.NoArgs,
@@ -92,7 +92,7 @@
 	proof    *proof
 }
 
-// prove makes all runs, as many at a time as there are processors.
+// prove makes all runs. The number of concurrent runs is GOMAXPROCS.
 func prove(ctx context.Context, o *proveOptions) *proof {
 	begun := time.Now()
 	p := &prover{
--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -21,7 +21,7 @@
 const (
 	// headerTimeout is the maximum time for receiving a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long an idle connection stays open.
+	// idleTimeout is how long a connection without a request stays open.
 	idleTimeout = time.Minute
 )
 
@@ -43,8 +43,8 @@
 	c := &cobra.Command{
 		Use:   "run",
 		Short: "Run a member",
-		Long: "Run a member until SIGTERM. It listens at the address that its folder holds. It has no authentication and no TLS: anyone who can\n" +
-			"reach it can take every lease. Therefore it logs a warning if it listens on any address that is not loopback.",
+		Long: "Run a member until SIGTERM. The member listens on the address that its folder holds. It has no authentication and no TLS: anyone\n" +
+			"who can reach it can take every lease. Therefore the member logs a warning if it listens on an address that is not loopback.",
 		Example: "  frostlink-coord run --folder coord-1",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -104,7 +104,7 @@
 	if tcp, ok := listener.Addr().(*net.TCPAddr); ok && !tcp.IP.IsLoopback() {
 		log.Warn("listening on a non-loopback address without authentication; anyone who can reach it can take every lease", logkey.Address, address)
 	}
-	// There is no write timeout, because a call that waits for news of its session's leases lasts
+	// There is no write timeout, because a call that waits for a change of its session's leases lasts
 	// long. The handlers limit the time of all other calls.
 	srv := &http.Server{
 		Handler: node.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
--- a/cmd/frostlink-coord/verify.go
+++ b/cmd/frostlink-coord/verify.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/coord/replica"
 )
 
-// stdout is the JSON file name that stands for standard output.
+// stdout is the JSON file name that means standard output.
 const stdout = "-"
 
 // verified describes the content of a member's folder.
--- a/cmd/frostlink/earlier_build_test.go
+++ b/cmd/frostlink/earlier_build_test.go
@@ -77,7 +77,7 @@
 	{id: "open-order", class: "order", destination: orderDestination},
 	{id: "open-status", class: "status", destination: statusDestination},
 	{id: "open-payment", class: "payment", key: "k1", destination: paymentDestination},
-	{id: "refused-status", class: "status", destination: refusedDestination}, // last, because its number of attempts is limited
+	{id: "refused-status", class: "status", destination: refusedDestination}, // last, right before the kill, because its number of attempts is limited
 }
 
 // A relay of this build continues with the folder of a killed relay of an earlier build. It delivers requests that were not
@@ -111,7 +111,7 @@
 			break
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // for attempts and notices that must not come
+	time.Sleep(500 * time.Millisecond) // time for unwanted attempts and notices to arrive
 	if diff := cmp.Diff(want, p.outcomes()); diff != "" {
 		t.Errorf("outcomes (-want +got):\n%s", diff)
 	}
@@ -128,7 +128,7 @@
 type earlierPlatform struct {
 	discovery *httptest.Server
 	endpoint  *httptest.Server
-	refusing  string        // an address that refuses connections, for refusedDestination; if empty, its endpoint is as the others
+	refusing  string        // an address that refuses connections, for refusedDestination; if empty, that destination has the same endpoint as the others
 	closing   chan struct{} // closed when the test ends, which ends open attempts and watches
 
 	mu       sync.Mutex
@@ -355,7 +355,7 @@
 	address, cmd := p.startProcess(t, *earlierProgram, state)
 	for _, r := range earlierRequests {
 		p.submit(t, address, r)
-		time.Sleep(100 * time.Millisecond) // until it is in the state that its id names
+		time.Sleep(100 * time.Millisecond) // until the request is in the state that its id names
 	}
 	if err := cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -378,7 +378,7 @@
 }
 
 // ofAnotherBoot returns a copy of the journal whose anchor names a boot that never happened, so that the next process has to
-// use the wall clock on whichever machine the test runs. Apart from the boot id, only the checksum of that record changes.
+// use the wall clock on any machine that the test runs on. Apart from the boot id, only the checksum of that record changes.
 func ofAnotherBoot(t *testing.T, journal []byte) []byte {
 	t.Helper()
 	const header, checksumAt = 12, 8
--- a/cmd/frostlink/main.go
+++ b/cmd/frostlink/main.go
@@ -5,7 +5,7 @@
 //
 //	NODE_CONFIG      the path of the platform's file, if -config is not given
 //	NODE_STATE       the folder for data that outlives the process, if -state is not given
-//	NODE_LISTEN_FD   the descriptor of an inherited listening socket for clients
+//	NODE_LISTEN_FD   the file descriptor of an inherited listening socket for clients
 //	NODE_MANAGEMENT  the address of the admin endpoint; overrides the platform's file
 //
 // SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the platform's file. The exit code is 2 if the operator's file is invalid,
@@ -42,10 +42,11 @@
 )
 
 const (
-	// heapFraction is the runtime's soft limit as a fraction of the memory limit, which also covers the journal's files.
+	// heapFraction is the Go runtime's soft memory limit as a fraction of the platform's memory limit. The platform's limit also counts
+	// the memory of the journal's files.
 	heapFraction   = 0.6
 	bytesPerMB     = 1 << 20
-	firstInherited = 3 // lower descriptors are standard input, output and error
+	firstInherited = 3 // lower file descriptors are standard input, output and error
 )
 
 func main() {
--- a/cmd/frostlinkctl/coord_add.go
+++ b/cmd/frostlinkctl/coord_add.go
@@ -19,8 +19,8 @@
 	c := newServiceCall(&cobra.Command{
 		Use:   "add ID=HOST:PORT",
 		Short: "Add a joining member as a learner, or make a learner a voter",
-		Long: "Add a joining member as a learner: it receives the log and has no vote. When coord status shows that it has caught up, make it a\n" +
-			"voter with --vote. Make one change at a time.",
+		Long: "Add a joining member as a learner, which receives the log and has no vote. When coord status shows that the learner has caught up,\n" +
+			"make it a voter with --vote. Make one change at a time.",
 		Example: "  frostlinkctl coord add 4=127.0.0.1:7104 --operator deploy/frostlink.toml\n" +
 			"  frostlinkctl coord add 4=127.0.0.1:7104 --vote --operator deploy/frostlink.toml",
 		Args: cobra.ExactArgs(1),
--- a/cmd/frostlinkctl/coord_faultrun.go
+++ b/cmd/frostlinkctl/coord_faultrun.go
@@ -41,7 +41,7 @@
 		Short: "Run members and relays as processes, inject random faults, and check the lease holders' acts",
 		Long: "Run members of the coordination service and relays as real processes on loopback, with proxies between all of them. All relays request\n" +
 			"the same lease, and its holder repeatedly acts on a stand-in. Meanwhile holders, relays and members are killed and paused, cut off in\n" +
-			"one or both directions, slowed and reset, and disks become full, as drawn from a seed. Checked: accepted acts of two holders never\n" +
+			"one or both directions, slowed and reset, and disks become full, as drawn from a seed. The checks: accepted acts of two holders never\n" +
 			"overlap; tokens only grow; acts of processes that were not paused never overlap, accepted or not; in the end some relay acts.\n" +
 			"With --unfenced the stand-in does not check tokens: a holder that is paused for longer than its lease then causes an overlap.\n" +
 			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
--- a/cmd/frostlinkctl/coord_measure.go
+++ b/cmd/frostlinkctl/coord_measure.go
@@ -29,8 +29,8 @@
 	c := newServiceCall(&cobra.Command{
 		Use:   "measure",
 		Short: "Measure how many leases a service grants and renews, and how long a renewal takes",
-		Long: "Open sessions, distribute leases over them, renew all sessions as fast as possible and then each once a second, and close them. Use it\n" +
-			"only on a service that is not in use: it loads the members fully.",
+		Long: "Open sessions, distribute leases over them, renew all sessions as fast as possible and then each once a second, and close them. Use\n" +
+			"this command only on a service that is not in use, because the measurement loads the members fully.",
 		Example: "  frostlinkctl coord measure --sessions 300 --leases 10000 --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, s, f.measure, printMeasurement)
--- a/cmd/frostlinkctl/coord_status.go
+++ b/cmd/frostlinkctl/coord_status.go
@@ -48,7 +48,7 @@
 	return findings(faulty || leaders != 1)
 }
 
-// fault describes what is wrong with a member; it is empty if nothing is.
+// fault describes the problem of a member; it is empty if the member has none.
 func (m *memberStatus) fault() string {
 	if m.Error != "" {
 		return m.Error
--- a/cmd/frostlinkctl/export.go
+++ b/cmd/frostlinkctl/export.go
@@ -14,7 +14,7 @@
 	c := &cobra.Command{
 		Use:     "export",
 		Short:   "Check and read the export of all relays' undelivered messages",
-		Long:    "Check and read the export of all relays' undelivered messages: docs/operators/coordination.md.",
+		Long:    "Check and read the export of all relays' undelivered messages. See docs/operators/coordination.md.",
 		Example: "  frostlinkctl export check --operator deploy/frostlink.toml",
 	}
 	s.addFlags(c)
--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -17,7 +17,7 @@
 	c := &cobra.Command{
 		Use:     "fleet",
 		Short:   "Analyse the combined behaviour of all relays of a fleet",
-		Long:    "Analyse the combined behaviour of all relays of a fleet. What is harmless at one relay may be harmful when all relays do it.",
+		Long:    "Analyse the combined behaviour of all relays of a fleet. Behaviour that is harmless at one relay may be harmful when all relays show it.",
 		Example: "  frostlinkctl fleet count logs",
 	}
 	c.AddCommand(fleetCountCommand(), fleetFollowCommand(), fleetPlayCommand())
--- a/cmd/frostlinkctl/fleet_count.go
+++ b/cmd/frostlinkctl/fleet_count.go
@@ -50,7 +50,7 @@
 	return findings(len(logs.BadLines) > 0)
 }
 
-// print prints the tables by second and by destination, the outages, and how many lines of the logs were used.
+// print prints the tables by second and by destination, the outages, and the numbers of events and of other lines in the logs.
 func (f *countedFleet) print(out io.Writer, events int) {
 	printSeconds(out, f.Seconds)
 	fmt.Fprintln(out)
--- a/cmd/frostlinkctl/fleet_follow.go
+++ b/cmd/frostlinkctl/fleet_follow.go
@@ -31,10 +31,10 @@
 		Use:   "follow ID LOG...",
 		Short: "Follow one message through all relays that handled it, or list the messages with violations",
 		Long: "Follow one message through the traces of a fleet's relays, written with [trace] log = true in the operator's file: its\n" +
-			"submissions, decisions, calls, answers, restarts, notices and outcome, in chronological order. With --wrong there is no ID, and\n" +
-			"all messages with violations are listed, the worst first. Gaps in the logs (a torn line, a relay without a log, a clock that\n" +
+			"submissions, decisions, calls, answers, restarts, notices and outcome, in chronological order. Do not give an ID with --wrong, which\n" +
+			"lists all messages with violations, the worst first. Gaps in the logs (a torn line, a relay without a log, a clock that\n" +
 			"steps back) are reported, but are not violations.\n" +
-			"Exit codes: 0 success, 1 a message lost, ended twice or late, or sent again against its class's rule, 2 could not run.",
+			"Exit codes: 0 success, 1 a message was lost, ended twice or late, or was sent again against its class's rule, 2 could not run.",
 		Example: "  frostlinkctl fleet follow 9f84adc60144c0f3 logs\n  frostlinkctl fleet follow --wrong logs",
 		Args:    f.checkArgs,
 		RunE:    f.run,
@@ -91,7 +91,7 @@
 	for _, history := range f.Histories {
 		printHistory(out, history)
 	}
-	f.printDoubts(out)
+	f.printLogProblems(out)
 }
 
 // printViolating prints a line for each of the first messages with violations.
@@ -104,11 +104,11 @@
 		fmt.Fprintf(out, "and %d more, which --json has\n", more)
 	}
 	fmt.Fprintf(out, "%d of %d messages have something wrong\n", len(f.Histories), f.Messages)
-	f.printDoubts(out)
+	f.printLogProblems(out)
 }
 
-// printDoubts prints the gaps in the logs and the lines that could not be parsed.
-func (f *followedMessages) printDoubts(out io.Writer) {
+// printLogProblems prints the gaps in the logs and the lines that could not be parsed.
+func (f *followedMessages) printLogProblems(out io.Writer) {
 	printGaps(out, f.Gaps)
 	printBadLines(out, f.BadLines)
 }
--- a/cmd/frostlinkctl/fleet_play.go
+++ b/cmd/frostlinkctl/fleet_play.go
@@ -32,8 +32,8 @@
 	c := &cobra.Command{
 		Use:   "play",
 		Short: "Simulate whole fleets in virtual time, and print cost and benefit by fleet size",
-		Long: "Simulate days of whole fleets in virtual time: the relays' real decisions, with models of partners and of an overloaded\n" +
-			"register, checked by the same rules as scenarios. The days: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
+		Long: "Simulate days of whole fleets in virtual time. The relays make their real decisions; the partners and an overloaded register are\n" +
+			"models. The runs are checked by the same rules as scenarios. The days: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
 			"the number of hosts grow with the number of relays; the capacity of one host does not. With --drawn each seed draws its own sizes,\n" +
 			"shares, limits and fault times, by kind: " + strings.Join(simulation.DrawnDayNames, ", ") + ". Runs with problems are listed by seed.\n" +
 			"Exit codes: 0 success, 1 a rule was broken (without --drawn also: a partner was overloaded), 2 could not run.",
--- a/cmd/frostlinkctl/follow.go
+++ b/cmd/frostlinkctl/follow.go
@@ -46,7 +46,7 @@
 	return fmt.Sprintf(" (Client-Retry: %s)", retry)
 }
 
-// describe describes an event.
+// describe returns a description of an event.
 func describe(e *trace.Event) string {
 	switch e.Kind {
 	case trace.Accepted, trace.Rejected:
@@ -72,7 +72,7 @@
 	}
 }
 
-// describeDecision describes that a message was accepted, or rejected on arrival.
+// describeDecision describes the acceptance of a message, or its rejection on arrival.
 func describeDecision(e *trace.Event) string {
 	var b strings.Builder
 	if e.Kind == trace.Accepted {
--- a/cmd/frostlinkctl/lease.go
+++ b/cmd/frostlinkctl/lease.go
@@ -17,7 +17,7 @@
 	c := &cobra.Command{
 		Use:     "lease",
 		Short:   "Inspect and revoke the fleet's leases",
-		Long:    "Inspect and revoke the fleet's leases: docs/operators/coordination.md.",
+		Long:    "Inspect and revoke the fleet's leases. See docs/operators/coordination.md.",
 		Example: "  frostlinkctl lease list --operator deploy/frostlink.toml",
 	}
 	s.addFlags(c)
--- a/cmd/frostlinkctl/lease_revoke.go
+++ b/cmd/frostlinkctl/lease_revoke.go
@@ -25,8 +25,8 @@
 	c := newServiceCall(&cobra.Command{
 		Use:   "revoke LEASE",
 		Short: "Revoke a lease; the first waiter gets it",
-		Long: "Revoke a lease. The first waiter gets it as soon as the holder has released it, or can no longer consider itself the holder; until then\n" +
-			"nobody gets it. The holder requests it again after a while.\nExit codes: 0 success, 1 the lease was free, 2 could not run.",
+		Long: "Revoke a lease. The first waiter gets the lease as soon as the holder has released it or can no longer consider itself the holder; until\n" +
+			"then nobody gets it. The former holder requests the lease again after a while.\nExit codes: 0 success, 1 the lease was free, 2 could not run.",
 		Example: "  frostlinkctl lease revoke export --reason 'stuck at 3 %' --operator deploy/frostlink.toml",
 		Args:    cobra.ExactArgs(1),
 	}, s, f.revoke, printMessage)
--- a/cmd/frostlinkctl/output.go
+++ b/cmd/frostlinkctl/output.go
@@ -8,7 +8,7 @@
 	"frostlink/internal/cli"
 )
 
-// stdout is the JSON file name that stands for standard output.
+// stdout is the JSON file name that means standard output.
 const stdout = "-"
 
 // addJSONFlag adds the flag --json FILE to a command. If the file is standard output, the command prints only the JSON. The parameter what
--- a/cmd/frostlinkctl/scenario.go
+++ b/cmd/frostlinkctl/scenario.go
@@ -21,8 +21,8 @@
 	c := &cobra.Command{
 		Use:   "scenario",
 		Short: "Play incidents on this machine, against real relay processes",
-		Long: "Play incidents on this machine: real relay processes with stand-ins for clients, partners, register and network\n" +
-			"on loopback addresses, checked against the six rules.",
+		Long: "Play incidents on this machine. Real relay processes run on loopback addresses, with stand-ins for clients, partners, register\n" +
+			"and network, and are checked against the platform's six rules.",
 		Example: "  frostlinkctl scenario run scenarios/quiet.toml",
 	}
 	c.AddCommand(scenarioRunCommand(), scenarioRepeatCommand(), scenarioSoakCommand(), scenarioClockStepsCommand(), scenarioCheckCommand(),
--- a/cmd/frostlinkctl/scenario_clocksteps.go
+++ b/cmd/frostlinkctl/scenario_clocksteps.go
@@ -31,7 +31,7 @@
 type steppedRun struct {
 	Path       string  `json:"path"`
 	Step       float64 `json:"step_s"`
-	Difference float64 `json:"off"` // delivered weight minus that of the run without a step
+	Difference float64 `json:"off"` // delivered weight minus the delivered weight of the run without a step
 	*harness.Result
 }
 
@@ -41,13 +41,13 @@
 		Use:   "clock-steps FILE...",
 		Short: "Play scripts with and without steps of the relays' wall clocks, and compare the worth",
 		Long: "Play each script without a step and with the wall clocks of all relays stepped forward or back by 0.5, 5, 60 and 3,600 s, several\n" +
-			"at a time. Exit codes: 0 success, 1 a rule was broken or too much worth lost, 2 could not run or the machine was too busy.",
+			"runs at a time. Exit codes: 0 success, 1 a rule was broken or too much worth was lost, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario clock-steps scenarios/quiet.toml scenarios/relay-killed.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE:    f.run,
 	}
 	c.Flags().Float64Var(&f.at, "at", 8, "seconds after which the clocks are stepped")
-	c.Flags().Float64Var(&f.maxLoss, "most", 0.03, "how far the worth may fall below that without a step")
+	c.Flags().Float64Var(&f.maxLoss, "most", 0.03, "how far the worth of a run may fall below the worth of the run without a step")
 	c.Flags().IntVar(&f.parallel, "together", 3, "number of runs at a time")
 	addPlayOutputFlags(c, &f.jsonFile, &f.relays, "the results")
 	return c
@@ -93,8 +93,8 @@
 	return err
 }
 
-// compareSteps compares each run with the run of the same scenario without a step, and counts the verdicts. A run also fails if its
-// delivered weight is lower than that run's by more than maxLoss.
+// compareSteps compares each run with the baseline, which is the run of the same scenario without a step, and counts the verdicts. A run
+// also fails if its delivered weight is more than maxLoss below the baseline's.
 func compareSteps(runs []*steppedRun, maxLoss float64) (counts tally) {
 	baseline := 0.0
 	for _, r := range runs {
--- a/cmd/frostlinkctl/scenario_list.go
+++ b/cmd/frostlinkctl/scenario_list.go
@@ -57,7 +57,7 @@
 	return findings(len(unreadable) > 0)
 }
 
-// readScenarios reads all scenarios in a folder. The errors of those that can't be read are returned in unreadable.
+// readScenarios reads all scenarios in a folder. For each scenario that can't be read, it adds the error to unreadable.
 func readScenarios(folder string) (listed []listedScenario, unreadable []error, err error) {
 	if _, err := os.Stat(folder); err != nil {
 		return nil, nil, err //nolint:wrapcheck // the error names the operation and the folder
--- a/cmd/frostlinkctl/scenario_repeat.go
+++ b/cmd/frostlinkctl/scenario_repeat.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxInconclusiveRuns is the maximum number of inconclusive runs, which are repeated, before the command gives up.
+// maxInconclusiveRuns is how many inconclusive runs the command repeats before it gives up.
 const maxInconclusiveRuns = 5
 
 // scenarioRepeatFlags are the flags of scenario repeat.
@@ -25,7 +25,7 @@
 		Use:   "repeat FILE",
 		Short: "Play a script several times with one seed, and show how far the runs differ",
 		Long: "Play a script several times with one seed, and show how far the runs differ. All random choices are the same,\n" +
-			"so that the differences come only from the timing on this machine.",
+			"so that the runs differ only because of the timing on this machine.",
 		Example: "  frostlinkctl scenario repeat scenarios/quiet.toml --runs 10",
 		Args:    cobra.ExactArgs(1),
 		RunE:    f.run,
--- a/cmd/frostlinkctl/scenario_run.go
+++ b/cmd/frostlinkctl/scenario_run.go
@@ -20,7 +20,7 @@
 	c := &cobra.Command{
 		Use:   "run FILE",
 		Short: "Play a script and check the rules",
-		Long: "Play a script and check the rules. The run lasts as long as the script says, plus the time that the last messages need.\n" +
+		Long: "Play a script and check the platform's rules. The run lasts as long as the script says, plus the time that the last messages need.\n" +
 			"Exit codes: 0 success, 1 a rule was broken or a relay crashed, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario run scenarios/fiscal-year-end.toml --seed 7 --json out.json --keep logs",
 		Args:    cobra.ExactArgs(1),
@@ -28,7 +28,7 @@
 	}
 	f.add(c)
 	c.Flags().StringVar(&f.keepFolder, "keep", "", "keep the event log, the relays' logs and stores in this `folder`")
-	c.Flags().BoolVar(&f.quiet, "quiet", false, "no progress lines")
+	c.Flags().BoolVar(&f.quiet, "quiet", false, "print no progress lines")
 	return c
 }
 
--- a/cmd/frostlinkctl/scenario_soak.go
+++ b/cmd/frostlinkctl/scenario_soak.go
@@ -43,11 +43,11 @@
 		Short: "Play random, overlapping faults against many relays, one run for each of several seeds",
 		Long: "Play random, overlapping faults against many relays: processes are killed, terminated and paused, wall clocks stepped, system calls\n" +
 			"and folders fail, and so do partners, register and network. Each run is checked against the six rules and the relays' own\n" +
-			"invariants. The same seed draws the same faults; the script and the logs of a failed run are kept in the folder of --keep.\n" +
+			"invariants. The same seed draws the same faults; the script and the logs of a failed run are kept in the folder that --keep names.\n" +
 			"With --restarts processes are ended and replaced in all the ways in which the platform does it: by series of signals around\n" +
 			"SIGTERM, during start-up, in a hand-over, right after a 202, again at once, many together, or killed after they got stuck. Each\n" +
 			"such occurrence is counted and printed; the soak fails if one of them happens in no run of any seed.\n" +
-			"Exit codes: 0 every run kept all rules, 1 a run did not, 2 could not run or the machine was too busy.",
+			"Exit codes: 0 success, 1 a run failed or, with --restarts, something happened in no run, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario soak --seed 1 --seeds 20 --count 36 --keep found\n" +
 			"  frostlinkctl scenario soak --restarts --seed 1 --seeds 50 --keep found",
 		Args: cobra.NoArgs,
@@ -124,7 +124,7 @@
 	if err != nil {
 		return run, err //nolint:wrapcheck // the error names the operation and the folder
 	}
-	defer func() { _ = os.RemoveAll(logs) }() // logs that are kept have been copied
+	defer func() { _ = os.RemoveAll(logs) }() // the logs of a failed run have been copied to keepFolder by then
 	options := harness.Options{Seed: seed, RelayCommand: command, KeepDir: logs}
 	if run.Result, run.Plays, err = playUntilConclusive(ctx, s, options); err != nil {
 		return run, err
--- a/cmd/frostlinkctl/undelivered.go
+++ b/cmd/frostlinkctl/undelivered.go
@@ -11,8 +11,8 @@
 	c := &cobra.Command{
 		Use:   "undelivered",
 		Short: "Inspect and decide on messages that were accepted but not delivered",
-		Long: "Inspect and decide on messages that were accepted but not delivered: those of a running relay through its socket,\n" +
-			"those of a stopped relay in its folder. The operator's file names both.",
+		Long: "Inspect and decide on messages that were accepted but not delivered. The messages of a running relay are accessed through its\n" +
+			"socket, the messages of a stopped relay in its folder. The operator's file names the socket and the folder.",
 		Example: "  frostlinkctl undelivered list --operator deploy/frostlink.toml --class fee-payment",
 	}
 	f.add(c)
--- a/cmd/frostlinkctl/undelivered_check.go
+++ b/cmd/frostlinkctl/undelivered_check.go
@@ -25,7 +25,7 @@
 		Use:   "check",
 		Short: "Show what the operator's rules would do with the messages now in the store; nothing is changed",
 		Long: "Show what the operator's rules would do with the messages now in the store; nothing is changed. Rules that a class\n" +
-			"does not allow are refused. The classes are those of the running relay; for a stopped relay give its configuration.",
+			"does not allow are refused. A running relay supplies its classes; for a stopped relay name its configuration file with --config.",
 		Example: "  frostlinkctl undelivered check --operator deploy/frostlink.toml --config config.json",
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.check)
--- a/cmd/frostlinkctl/undelivered_decide.go
+++ b/cmd/frostlinkctl/undelivered_decide.go
@@ -16,7 +16,7 @@
 // destination's ledger.
 const idsFromStdin = "-"
 
-// decision is a command on messages that a rule can also have as its action.
+// decision is a command on messages that is also an action of rules.
 type decision struct {
 	command        string
 	help           string
@@ -58,7 +58,7 @@
 		Use:   "attest ID... | -",
 		Short: "Attest that the partner did not receive a message that may have run",
 		Long: "Attest that the partner did not receive a message that may have run. The attestation is kept permanently and shown\n" +
-			"with the message, and allows one resend. - reads ids from standard input, for example of a list checked against a ledger.",
+			"with the message, and allows one resend. With - the ids are read from standard input, for example a list checked against a ledger.",
 		Example: "  frostlinkctl undelivered attest 4f0c2a9d1b770000 --folder store --by \"Amina Khan\" --evidence \"ledger of 30 June, page 7\"",
 		Args:    cobra.MinimumNArgs(1),
 	}, store, readWrite, f.decide)
--- a/cmd/frostlinkctl/undelivered_filter.go
+++ b/cmd/frostlinkctl/undelivered_filter.go
@@ -18,7 +18,7 @@
 	flags := c.Flags()
 	flags.StringVar(&f.class, "class", "", "only messages of this class")
 	flags.StringVar(&f.tenant, "tenant", "", "only messages of this tenant")
-	flags.IntVar(&f.destination, "partner", 0, "only messages to the partner of this number")
+	flags.IntVar(&f.destination, "partner", 0, "only messages to the partner with this number")
 	flags.StringVar(&f.reason, "reason", "", "only messages given up for this reason")
 	flags.StringVar(&f.state, "state", "", "only messages in this state")
 	flags.BoolVar(&f.mayHaveExecuted, "may-have-run", false, "only messages that may have run (=false: only messages that can't have run)")
--- a/cmd/frostlinkctl/undelivered_import.go
+++ b/cmd/frostlinkctl/undelivered_import.go
@@ -16,7 +16,7 @@
 func deadLetterImportCommand(store *storeFlags) *cobra.Command {
 	return onStore(&cobra.Command{
 		Use:     "import FILE",
-		Short:   "Import messages that were exported; they are held",
+		Short:   "Import exported messages; messages without a final state are held",
 		Example: "  frostlinkctl undelivered import held.jsonl --folder store",
 		Args:    cobra.ExactArgs(1),
 	}, store, readWrite, importDeadLetters)
--- a/cmd/frostlinkctl/undelivered_show.go
+++ b/cmd/frostlinkctl/undelivered_show.go
@@ -21,7 +21,7 @@
 	f := &deadLetterShowFlags{store: store}
 	c := onStore(&cobra.Command{
 		Use:     "show ID",
-		Short:   "Show a message with its whole history, and with --hex or --text its body",
+		Short:   "Show a message with its whole history, and with its body if --hex or --text is given",
 		Example: "  frostlinkctl undelivered show 4f0c2a9d1b770000 --folder store --text",
 		Args:    cobra.ExactArgs(1),
 	}, store, readOnly, f.show)
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -36,8 +36,8 @@
 }
 
 const (
-	callers  = 80          // all call one server from time 0 on, each until it is served
-	observed = time.Minute // the simulated time
+	callers  = 80          // the number of callers of one server; all start at time 0, and each calls until it is served
+	observed = time.Minute // the simulated time; no call is made later
 )
 
 // server serves one request at a time, including requests whose callers have already timed out.
@@ -98,8 +98,8 @@
 }
 
 // All callers that start at the same time are served by a server that serves ten requests per second. With the delays that relays used
-// before, which had no jitter and were not scaled by the number of callers, the server spends the whole minute on requests whose callers
-// have already timed out.
+// before, which had no jitter and were not scaled by the number of callers, the server is busy for the whole minute, mostly with requests
+// whose callers have already timed out.
 func TestBackoff_HerdIsServed(t *testing.T) {
 	served, calls := simulateHerd(newServer(10), func(caller int) func() time.Duration {
 		return New(250*time.Millisecond, 8*time.Second, 32*time.Second, int64(caller)).Next
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds what the command-line tools have in common: their exit codes and how they write JSON.
+// Package cli contains the code that all command-line tools share: their exit codes and the output of JSON.
 package cli
 
 import (
@@ -22,7 +22,7 @@
 // ErrFindings is returned by a command that completed, and found and printed problems.
 var ErrFindings = errors.New("problems found")
 
-// stdout is the path that stands for standard output.
+// stdout is the path that means standard output.
 const stdout = "-"
 
 // Run runs a command, prints its error to errs, and returns the exit code.
--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// instantType is the name of the type for a point in time in nanoseconds. It is stored as a date, in which small numbers could not be told
-// apart.
+// instantType is the name of the type for a point in time in nanoseconds. Such a value is stored as a date, and small numbers of nanoseconds
+// would all give the same date.
 const instantType = "Instant"
 
 // fill sets v, or each exported field in it at any depth, to a different value. next counts the values. The golden files contain these
--- a/internal/goldentest/json.go
+++ b/internal/goldentest/json.go
@@ -16,8 +16,8 @@
 }
 
 // JSON compares the JSON encodings of types, one line each, with a golden file. Each field is filled with a different value, so that every
-// key is encoded. Each line of the golden file is also decoded and encoded again, and has to give the same line: what an earlier build
-// stored can still be read completely.
+// key is encoded. Each line of the golden file is also decoded and encoded again, and has to give the same line, so that all
+// data stored by an earlier build can still be read.
 func JSON(tb testing.TB, file string, forms ...Form) {
 	tb.Helper()
 	var got bytes.Buffer
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -19,7 +19,7 @@
 	allZones         = "all"     // a value of Class.KeyScope
 )
 
-// Policy validates the settings and translates them into policy.Settings. Its error is that of Validate.
+// Policy validates the settings and translates them into policy.Settings. If they are invalid, it returns the error of Validate.
 func (s *Settings) Policy() (policy.Settings, error) {
 	if err := s.Validate(); err != nil {
 		return policy.Settings{}, err
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -10,7 +10,7 @@
 // A batch is a "round" line, any number of messages in chronological order, and a "your_turn" line:
 //
 //	["round", clock]
-//	["manifest", list, [entry...]]                             an endpoint list for all instances; replaces that of the same number
+//	["manifest", list, [entry...]]                             an endpoint list for all instances; replaces an earlier list of that number
 //	["begin", instance, seed, settings]                        an instance starts
 //	["killed", instance]                                       an instance is killed and loses its state
 //	["update", instance, scope, version, list]                 a manifest replaces or changes its endpoint list, or its watch failed
--- a/internal/strictconfig/assign.go
+++ b/internal/strictconfig/assign.go
@@ -122,7 +122,7 @@
 	return true
 }
 
-// assignInt assigns an integer, and reports one that overflows the field's type.
+// assignInt assigns an integer, or adds an error if the integer overflows the field's type.
 func (d *Document) assignInt(key string, value any, field reflect.Value) (fits bool) {
 	n, ok := value.(int64)
 	if !ok {
--- a/internal/strictconfig/lines.go
+++ b/internal/strictconfig/lines.go
@@ -58,8 +58,8 @@
 	f.value(key, e.Value())
 }
 
-// value records the lines of the keys of inline tables in a value. Array elements that are not tables have no line of their own; Line
-// returns that of their array.
+// value records the lines of the keys of inline tables in a value. Array elements that are not tables have no line of their own; for
+// them Line returns the line of their array.
 func (f *lineFinder) value(key string, v *unstable.Node) {
 	switch v.Kind {
 	case unstable.InlineTable:
--- a/internal/strictconfig/suggest.go
+++ b/internal/strictconfig/suggest.go
@@ -9,7 +9,8 @@
 func suggestion(key string, names []string) string {
 	nearest, least := "", maxDistance+1
 	for _, name := range names {
-		// At a distance of len(name) nothing of the name matches, yet names of one or two letters are then within maxDistance.
+		// A distance of len(name) or more means that nothing of the name matches. Without this condition, names of one or two letters would
+		// be suggested for unrelated short keys.
 		if d := editDistance(key, name); d < least && d < len(name) {
 			nearest, least = name, d
 		}
