--- a/cmd/frostlink-coord/init.go
+++ b/cmd/frostlink-coord/init.go
@@ -25,8 +25,8 @@
 		Use:   "init",
 		Short: "Create the folder of an initial member of a new cluster",
 		Long: "Create the folder of an initial member of a new cluster. Run this command once for each initial member, with the same list of\n" +
-			"members and the same cluster name. A folder that already holds a member's data is not changed. Do not recreate a member whose\n" +
-			"disk was lost under its old id: remove the member from the cluster, and join a new one.",
+			"members and the same cluster name. A folder that already holds a member's data is not changed. Do not create a member anew\n" +
+			"under its old id after its disk was lost: remove the member from the cluster, and join a new one.",
 		Example: "  frostlink-coord init --folder coord-1 --cluster lahore --id 1 --member 1=127.0.0.1:7101 --member 2=127.0.0.1:7102 --member 3=127.0.0.1:7103",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return o.createFolder() },
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -46,10 +46,10 @@
 		Short: "Run random simulations of whole quorums in virtual time, and check them",
 		Long: "Simulate clusters of three or five members, with clients that act under leases and writers of values, in virtual time. The network\n" +
 			"loses, delays, duplicates and reorders messages and is cut in one direction; processes pause, and crash at any write; disks are\n" +
-			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. The checks: acts of two holders never\n" +
-			"overlap in true time; tokens only grow; waiters get a lease in order; values are linearizable; leases are held again once faults\n" +
-			"stop; members have the same state; a disk that was restored to an older state is noticed. The same seed reproduces a failed run.\n" +
-			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
+			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. The command checks that acts of two\n" +
+			"holders never overlap in true time, tokens only grow, waiters get a lease in order, values are linearizable, leases are held again\n" +
+			"once faults stop, members have the same state, and a disk that was restored to an older state is noticed. The seed of a failed run\n" +
+			"reproduces it.\nExit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 10000\n  frostlink-coord prove --seeds 1 --seed 4711 --json -",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return o.run(c.Context(), c.OutOrStdout()) },
--- a/cmd/frostlinkctl/coord_faultrun.go
+++ b/cmd/frostlinkctl/coord_faultrun.go
@@ -41,10 +41,10 @@
 		Short: "Run members and relays as processes, inject random faults, and check the lease holders' acts",
 		Long: "Run members of the coordination service and relays as real processes on loopback, with proxies between all of them. All relays request\n" +
 			"the same lease, and its holder repeatedly acts on a stand-in. Meanwhile holders, relays and members are killed and paused, cut off in\n" +
-			"one or both directions, slowed and reset, and disks become full, as drawn from a seed. The checks: accepted acts of two holders never\n" +
-			"overlap; tokens only grow; acts of processes that were not paused never overlap, accepted or not; in the end some relay acts.\n" +
-			"With --unfenced the stand-in does not check tokens: a holder that is paused for longer than its lease then causes an overlap.\n" +
-			"Exit codes: 0 success, 1 a run failed, 2 could not run.",
+			"one or both directions, slowed and reset, and disks become full, as drawn from a seed. The command checks that accepted acts of two\n" +
+			"holders never overlap, that tokens only grow, that acts of processes that were not paused never overlap, whether they were accepted or\n" +
+			"not, and that in the end some relay acts. With --unfenced the stand-in does not check tokens, so that the acts of a holder that is paused\n" +
+			"for longer than its lease overlap those of the next holder.\nExit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlinkctl coord fault-run --runs 5\n  frostlinkctl coord fault-run --runs 200 --beside 4 --relays 40",
 		Args:    cobra.NoArgs,
 		RunE:    f.run,
--- a/cmd/frostlinkctl/coord_measurement.go
+++ b/cmd/frostlinkctl/coord_measurement.go
@@ -45,7 +45,7 @@
 	return &measuredSessions{service: s, ids: make([]uint64, count)}
 }
 
-// measure opens the sessions, acquires leases in them, renews them at the maximum rate and then paced, and closes them.
+// measure opens the sessions, acquires leases in them, renews them at the maximum rate and then once per pacedInterval, and closes them.
 func (s *measuredSessions) measure(ctx context.Context, leases int, duration time.Duration) (measurement, error) {
 	m := measurement{Sessions: len(s.ids), Leases: leases}
 	if err := s.service.putLeaderFirst(ctx); err != nil {
--- a/cmd/frostlinkctl/fleet_follow.go
+++ b/cmd/frostlinkctl/fleet_follow.go
@@ -30,7 +30,7 @@
 	c := &cobra.Command{
 		Use:   "follow ID LOG...",
 		Short: "Follow one message through all relays that handled it, or list the messages with violations",
-		Long: "Follow one message through the traces of a fleet's relays, written with [trace] log = true in the operator's file: its\n" +
+		Long: "Follow one message through the traces that a fleet's relays write with [trace] log = true in the operator's file. Show its\n" +
 			"submissions, decisions, calls, answers, restarts, notices and outcome, in chronological order. Do not give an ID with --wrong, which\n" +
 			"lists all messages with violations, the worst first. Gaps in the logs (a torn line, a relay without a log, a clock that\n" +
 			"steps back) are reported, but are not violations.\n" +
--- a/cmd/frostlinkctl/fleet_play.go
+++ b/cmd/frostlinkctl/fleet_play.go
@@ -33,9 +33,9 @@
 		Use:   "play",
 		Short: "Simulate whole fleets in virtual time, and print cost and benefit by fleet size",
 		Long: "Simulate days of whole fleets in virtual time. The relays make their real decisions; the partners and an overloaded register are\n" +
-			"models. The runs are checked by the same rules as scenarios. The days: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
+			"models. The runs are checked by the same rules as scenarios. The days are: " + strings.Join(simulation.DayNames, ", ") + ". Traffic, limits and\n" +
 			"the number of hosts grow with the number of relays; the capacity of one host does not. With --drawn each seed draws its own sizes,\n" +
-			"shares, limits and fault times, by kind: " + strings.Join(simulation.DrawnDayNames, ", ") + ". Runs with problems are listed by seed.\n" +
+			"shares, limits and fault times; the kinds of day are: " + strings.Join(simulation.DrawnDayNames, ", ") + ". Runs with problems are listed by seed.\n" +
 			"Exit codes: 0 success, 1 a rule was broken (without --drawn also: a partner was overloaded), 2 could not run.",
 		Example: "  frostlinkctl fleet play --relays 1,3,12,80 --day herd --plays 3\n" +
 			"  frostlinkctl fleet play --drawn --relays 300 --plays 17             # a hundred drawn days, about 6 minutes on 6 cores\n" +
--- a/cmd/frostlinkctl/scenario.go
+++ b/cmd/frostlinkctl/scenario.go
@@ -22,7 +22,7 @@
 		Use:   "scenario",
 		Short: "Play incidents on this machine, against real relay processes",
 		Long: "Play incidents on this machine. Real relay processes run on loopback addresses, with stand-ins for clients, partners, register\n" +
-			"and network, and are checked against the platform's six rules.",
+			"and network. Each run is checked against the platform's six rules.",
 		Example: "  frostlinkctl scenario run scenarios/quiet.toml",
 	}
 	c.AddCommand(scenarioRunCommand(), scenarioRepeatCommand(), scenarioSoakCommand(), scenarioClockStepsCommand(), scenarioCheckCommand(),
--- a/cmd/frostlinkctl/scenario_play.go
+++ b/cmd/frostlinkctl/scenario_play.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxPlays is how often a scenario is played at most, while runs are inconclusive because the machine is too busy.
+// maxPlays is the maximum number of runs of a scenario. A run that is inconclusive because the machine was too busy is repeated.
 const maxPlays = 3
 
 // playUntilConclusive plays a scenario until a run is conclusive, at most maxPlays times. It returns the result of the last run and the
--- a/cmd/frostlinkctl/scenario_soak.go
+++ b/cmd/frostlinkctl/scenario_soak.go
@@ -41,13 +41,13 @@
 	c := &cobra.Command{
 		Use:   "soak",
 		Short: "Play random, overlapping faults against many relays, one run for each of several seeds",
-		Long: "Play random, overlapping faults against many relays: processes are killed, terminated and paused, wall clocks stepped, system calls\n" +
-			"and folders fail, and so do partners, register and network. Each run is checked against the six rules and the relays' own\n" +
+		Long: "Play random, overlapping faults against many relays: processes are killed, terminated and paused; wall clocks are stepped; system calls\n" +
+			"and folders fail, and so do partners, the register and the network. Each run is checked against the six rules and the relays' own\n" +
 			"invariants. The same seed draws the same faults; the script and the logs of a failed run are kept in the folder that --keep names.\n" +
 			"With --restarts processes are ended and replaced in all the ways in which the platform does it: by series of signals around\n" +
 			"SIGTERM, during start-up, in a hand-over, right after a 202, again at once, many together, or killed after they got stuck. Each\n" +
 			"such occurrence is counted and printed; the soak fails if one of them happens in no run of any seed.\n" +
-			"Exit codes: 0 success, 1 a run failed or, with --restarts, something happened in no run, 2 could not run or the machine was too busy.",
+			"Exit codes: 0 success, 1 a run failed or, with --restarts, an occurrence is missing, 2 could not run or the machine was too busy.",
 		Example: "  frostlinkctl scenario soak --seed 1 --seeds 20 --count 36 --keep found\n" +
 			"  frostlinkctl scenario soak --restarts --seed 1 --seeds 50 --keep found",
 		Args: cobra.NoArgs,
--- a/cmd/frostlinkctl/undelivered_check.go
+++ b/cmd/frostlinkctl/undelivered_check.go
@@ -69,7 +69,7 @@
 	return request, nil
 }
 
-// printDryRun prints what each rule would do. The first result, for messages that no rule matches, is printed last.
+// printDryRun prints the effects of each rule. The first result, for messages that no rule matches, is printed last.
 func printDryRun(out io.Writer, results []deadletter.DryRunResult, rules []deadletter.Rule) error {
 	for _, r := range slices.Concat(results[1:], results[:1]) {
 		if r.Rule == 0 {
--- a/cmd/frostlinkctl/undelivered_list.go
+++ b/cmd/frostlinkctl/undelivered_list.go
@@ -26,7 +26,7 @@
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.list)
 	f.filter.add(c)
-	c.Flags().Uint64Var(&f.from, "from", 0, "begin at this record, as printed below the previous page")
+	c.Flags().Uint64Var(&f.from, "from", 0, "begin at this record; the output of the previous page ends with its number")
 	c.Flags().IntVar(&f.pageSize, "most", 100, "messages per page")
 	return c
 }
