--- a/cmd/frostlinkctl/undelivered_check.go
+++ b/cmd/frostlinkctl/undelivered_check.go
@@ -25,7 +25,7 @@
 		Use:   "check",
 		Short: "Show what the operator's rules would do with the messages now in the store; nothing is changed",
 		Long: "Show what the operator's rules would do with the messages now in the store; nothing is changed. Rules that a class\n" +
-			"does not allow are refused. The classes are those of the running relay; for a stopped relay give its configuration.",
+			"does not allow are refused. A running relay supplies its classes; for a stopped relay name its configuration file with --config.",
 		Example: "  frostlinkctl undelivered check --operator deploy/frostlink.toml --config config.json",
 		Args:    cobra.NoArgs,
 	}, store, readOnly, f.check)
@@ -69,7 +69,7 @@
 	return request, nil
 }
 
-// printDryRun prints what each rule would do. The first result, for messages that no rule matches, is printed last.
+// printDryRun prints the effects of each rule. The first result, for messages that no rule matches, is printed last.
 func printDryRun(out io.Writer, results []deadletter.DryRunResult, rules []deadletter.Rule) error {
 	for _, r := range slices.Concat(results[1:], results[:1]) {
 		if r.Rule == 0 {
