--- a/internal/faultinjection/simulation/attempt.go
+++ b/internal/faultinjection/simulation/attempt.go
@@ -25,7 +25,7 @@
 const (
 	notReset       resetState = iota
 	resetUnnoticed            // the relay has not noticed it yet
-	resetNoticed
+	resetNoticed              // the relay has noticed it, or is about to: its notice is scheduled
 )
 
 // attempt is an attempt by a relay to deliver a request to an endpoint.
@@ -43,7 +43,8 @@
 	number       int // its number in the event log, from its arrival at the endpoint until its end is recorded; 0 otherwise
 }
 
-// maxAttemptsPerSubmission separates the attempts of a message's submissions in the numbers by which service times are drawn.
+// maxAttemptsPerSubmission is more than the attempts of any submission. The service time of an attempt is drawn by its number among all
+// attempts of its message, in which each submission has a range of maxAttemptsPerSubmission numbers.
 const maxAttemptsPerSubmission = 100
 
 // send begins an attempt, on an idle connection if there is one.
@@ -74,8 +75,9 @@
 	f.after(f.oneWay(), a.connect)
 }
 
-// checkSend reports an attempt that a relay must not make, whatever its decision module decides: at an endpoint that is not of the
-// destination or that has drained too long, or while another attempt of the request is in flight.
+// checkSend records a failure for an attempt that a relay must not make, whatever its decision module decides: an attempt at an endpoint
+// of another destination, at an endpoint that has drained for longer than the drain grace, or while another attempt of the request is in
+// flight.
 func (r *relay) checkSend(request *openRequest, action policy.Send) {
 	f := r.fleet
 	listed, known := r.listed[action.Endpoint]
@@ -196,8 +198,8 @@
 	f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 }
 
-// end ends the attempt and reports its outcome to the decision module. With keepConn its connection becomes idle instead of
-// being closed.
+// end ends the attempt and reports its outcome to the decision module. With keepConn an open connection becomes idle, and is closed
+// otherwise.
 func (a *attempt) end(e policy.AttemptEnded, keepConn bool) {
 	r, f := a.relay, a.relay.fleet
 	if a.state == attemptEnded || !r.runs(a.incarnation) {
--- a/internal/faultinjection/simulation/client.go
+++ b/internal/faultinjection/simulation/client.go
@@ -11,7 +11,7 @@
 	timeLeft := scenario.Seconds(f.Scenario.Classes[m.Class].Deadline) - (f.now - m.At)
 	switch {
 	case timeLeft <= 0:
-		f.completed[m.Number] = true // its deadline has passed: the client has given up, and no relay has accepted the message
+		f.completed[m.Number] = true // the deadline has passed: the client has given up, and no relay is responsible for the message
 		return
 	case len(up) == 0:
 		f.after(m.ResubmitDelay, func() { f.submit(m, submission) })
--- a/internal/faultinjection/simulation/day.go
+++ b/internal/faultinjection/simulation/day.go
@@ -43,10 +43,11 @@
 type PlantedBug struct {
 	NoJitter            bool // relays poll discovery immediately at their start, and retry after fixed delays
 	MinimumQuota        bool // a quota, the even share of a limit, is never below one attempt per second
-	TrustsGossip        bool // news that a destination has recovered makes relays forget its outage, and open all of its queues
+	TrustsGossip        bool // on gossip that a destination has recovered, relays consider all destinations healthy and open all queues
 	UncoordinatedProbes bool // each relay probes an unhealthy destination four times a second
 	NoJournal           bool // accepted requests are lost when their process is killed
-	// Events and Actions, where set, change the events that a relay's decision module gets in a batch, and the actions that it returns.
+	// If set, Events changes the events of a batch before a relay's decision module gets them, and Actions the actions that the module
+	// returns.
 	Events  func(relay int, events []policy.Event) []policy.Event
 	Actions func(relay int, now time.Duration, actions []policy.Action) []policy.Action
 }
--- a/internal/faultinjection/simulation/day_drawn.go
+++ b/internal/faultinjection/simulation/day_drawn.go
@@ -83,7 +83,8 @@
 	random drawSource
 }
 
-// drawClients draws how clients retry, the delay of watch events, and the destinations that send Retry-After with a rejection.
+// drawClients draws the retries of clients, the share of clients that honour Retry-After, the delay of watch events, and the
+// destinations that send Retry-After with a rejection.
 func (d *drawnDay) drawClients() {
 	s := d.Scenario
 	s.Clients.Retries, s.Clients.HonourRetryAfter = d.random.IntN(3), d.random.between(0.37, 0.82)
--- a/internal/faultinjection/simulation/day_drawn_test.go
+++ b/internal/faultinjection/simulation/day_drawn_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// On drawn days of each kind no rule is broken: with 6 seeds of 30 relays and one of 300. The same seed gives the same result.
+// Relays break no rule on drawn days of each kind, with 6 seeds for 30 relays and one seed for 300. A seed gives the same result again.
 func TestPlay_KeepsTheRulesOnDrawnDays(t *testing.T) {
 	for _, kind := range DrawnDayNames {
 		for relays, seeds := range map[int]int64{30: 6, 300: 1} {
--- a/internal/faultinjection/simulation/day_standard.go
+++ b/internal/faultinjection/simulation/day_standard.go
@@ -7,7 +7,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// The standard days. Length and faults of each are the same for any number of relays.
+// The standard days. The length and the faults of a day are the same for any number of relays.
 const (
 	CalmDay = "calm" // no fault
 	JoinDay = "join" // the destination with a third of the traffic admits a quarter of its limit for 9 s
--- a/internal/faultinjection/simulation/day_standard_test.go
+++ b/internal/faultinjection/simulation/day_standard_test.go
@@ -12,8 +12,8 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// The fleet keeps all rules on each kind of day, at any size. The bounds on shares of limits hold from 12 relays on: in smaller fleets
-// the counts of a second are too small for them.
+// The fleet keeps all rules on each standard day, at any size. The bounds on shares of limits are checked from 12 relays on, as the counts
+// of a second vary too much in smaller fleets.
 func TestPlay_KeepsTheRulesOnStandardDays(t *testing.T) {
 	for _, relays := range []int{1, 2, 3, 12, 80} {
 		for _, day := range DayNames {
@@ -55,7 +55,7 @@
 	}
 }
 
-// In no edge case is a rule broken.
+// The fleet keeps the rules in edge cases as well.
 func TestPlay_KeepsTheRulesInEdgeCases(t *testing.T) {
 	sec := func(s float64) time.Duration { return scenario.Seconds(s) }
 	for name, change := range map[string]func(*Day){
--- a/internal/faultinjection/simulation/destination.go
+++ b/internal/faultinjection/simulation/destination.go
@@ -57,7 +57,7 @@
 	modeChanged := false
 	for _, action := range actions {
 		switch {
-		case action.ModeChange != nil && !modeChanged: // all endpoints change together, with an action each: record one
+		case action.ModeChange != nil && !modeChanged: // the model has an action for each endpoint; all change together, so one is recorded
 			modeChanged = true
 			f.recordModeChange(d, action.ModeChange)
 		case action.Completion != nil:
--- a/internal/faultinjection/simulation/fault.go
+++ b/internal/faultinjection/simulation/fault.go
@@ -7,7 +7,8 @@
 	"frostlink/internal/faultinjection/destination"
 )
 
-// In a replacement the old endpoint drains and is removed at these times after the new one is listed.
+// In a replacement the old endpoint starts to drain drainDelay after the new endpoint is listed, and is removed removeDelay after that
+// listing.
 const (
 	drainDelay  = time.Second
 	removeDelay = 4 * time.Second
--- a/internal/faultinjection/simulation/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -33,7 +33,7 @@
 	executions   map[int]int                  // by message number, for messages that must not be executed twice
 	lastAttempt  int                          // the highest number of an attempt that reached an endpoint
 	partition    int                          // number of the zone that is cut off, plus 1; 0: no partition
-	unnoticed    []*endpoint                  // the endpoint of each connection that a relay closed across the partition, so that the endpoint has not noticed
+	unnoticed    []*endpoint                  // of connections that relays closed during the partition, which the endpoints notice only after it
 	harmShare    float64                      // share of attempts that the network harms
 	leavingShare float64                      // share of clients that leave before the response
 }
@@ -95,9 +95,9 @@
 	return end
 }
 
-// relaysFrom returns the relays from position first on, as many as share says; both are shares of the number of relays.
+// relaysFrom returns consecutive relays. first, the position of the first one, and share, their number, are fractions of all relays.
 func (f *fleet) relaysFrom(first, share float64) []*relay {
-	const rounding = 1e-9 // makes up for floating-point errors: 0.3 + 0.1 of 10 relays are 4
+	const rounding = 1e-9 // makes up for floating-point errors: (0.7 + 0.1) * 10 is slightly below 8
 	index := func(share float64) int { return min(len(f.relays), int(share*float64(len(f.relays))+rounding)) }
 	return f.relays[index(first):index(first+share)]
 }
--- a/internal/faultinjection/simulation/helpers_test.go
+++ b/internal/faultinjection/simulation/helpers_test.go
@@ -36,7 +36,7 @@
 	return res
 }
 
-// ruleFindings returns the faults that must not occur on a day of any kind: a message that is lost, late or executed twice, an
+// ruleFindings returns the findings that must not occur on a day of any kind: a message that is lost, late or executed twice, an
 // attempt at an endpoint that is not listed or drains, an overloaded destination, more polls of discovery in a second than a
 // fleet may make, or a relay without a watch at the end.
 func ruleFindings(r *Result) (out []string) {
@@ -47,8 +47,8 @@
 	if r.Overloads > 0 {
 		add("overload: %d destinations", r.Overloads)
 	}
-	// Discovery can serve one poll of each relay within 5 s. Relays spread their polls over 8 s, so that an eighth of the fleet polls
-	// in a second on average; a quarter allows for the variance.
+	// Discovery can serve one poll of each relay within 5 s. A fleet of 80 relays spreads its polls over 8 s, so that an eighth of the
+	// fleet polls in a second on average; the bound of a quarter allows for the variance.
 	if most := max(12, r.Relays/4); r.PeakPolls > most {
 		add("polls: %d in one second, %d at most", r.PeakPolls, most)
 	}
@@ -58,7 +58,7 @@
 	return out
 }
 
-// joinFindings returns the faults of a JoinDay, on which destination 0 admits a quarter of its limit from 8 to 17 s. The first
+// joinFindings returns the findings of a JoinDay, on which destination 0 admits a quarter of its limit from 8 to 17 s. The first
 // responses report the lowered limit to relays, which then keep to their quotas. The bound on the excess allows a tenth for
 // the noise of load reports, a tenth for the raises after successes by which relays search for the limit, and a fifth for the
 // variance of a Poisson count of 60 attempts in a second.
@@ -78,9 +78,10 @@
 	return out
 }
 
-// rushFindings returns the faults of a RushDay, on which clients send all destinations more than their limits allow, all day. Send
-// rates that search for the limit may cost one rejection for every five or six attempts. Limits must be used; the bound leaves
-// a margin for the smallest destination, where the variance of the counts of a second matters.
+// rushFindings returns the findings of a RushDay, on which clients send all destinations more than their limits allow, all day. Send
+// rates that search for the limit are expected to cost at most one rejection for every five or six attempts; the bound on attempts is
+// 1.3 times the limit. Relays must use the limits; the bound on deliveries leaves a margin for the smallest destination, where the
+// variance of the counts of a second matters.
 func rushFindings(r *Result) (out []string) {
 	for i, p := range r.Destinations {
 		delivered := 0
@@ -97,10 +98,10 @@
 	return out
 }
 
-// zoneFindings returns the faults of a ZoneDay, on which destination 0 is down from 8 to 13 s and recovers at 17% of its capacity.
-// The checker's rule allows 2.5 times the current capacity over 1.5 s; the count of a single second may be a little higher.
-// During the outage each relay makes trial requests within its part of that budget, and relays that have not yet noticed the
-// outage have their first failures: half of the limit is far above both together.
+// zoneFindings returns the findings of a ZoneDay, on which destination 0 is down from 8 to 13 s and recovers at 17% of its capacity.
+// The overload rule allows attempts at 2.5 times the current capacity, averaged over 1.5 s; the bound for the count of a single second is
+// a little higher. During the outage each relay makes trial requests within its part of the attempts that the rule allows at 17% of the
+// capacity, and relays that have not noticed the outage yet have their first failures. The bound for both together is half of the limit.
 func zoneFindings(r *Result) (out []string) {
 	p := r.Destinations[0]
 	for i := 14; i < 24; i++ {
--- a/internal/faultinjection/simulation/history.go
+++ b/internal/faultinjection/simulation/history.go
@@ -84,8 +84,8 @@
 // recordEnd records that an attempt ends now. Only the first end of an attempt is recorded.
 func (a *attempt) recordEnd(e checker.Event) { a.recordEndAt(a.relay.fleet.now, e) }
 
-// recordEndAt records that an attempt ended a short time ago. The end is the time at which the endpoint wrote the response, but
-// whether the response reaches the relay is known only on its arrival.
+// recordEndAt records that an attempt ended at an earlier time. An attempt with a response ends when the endpoint writes the response,
+// but whether the response reaches the relay is known only when it arrives.
 func (a *attempt) recordEndAt(at time.Duration, e checker.Event) {
 	if a.number == 0 {
 		return
--- a/internal/faultinjection/simulation/planted_bug.go
+++ b/internal/faultinjection/simulation/planted_bug.go
@@ -46,7 +46,8 @@
 	r.enqueue(policy.SnapshotRestored{Snapshot: snapshot})
 }
 
-// probeUncoordinated implements PlantedBug.UncoordinatedProbes: the relay probes each destination whose first endpoint it considers unhealthy.
+// probeUncoordinated implements PlantedBug.UncoordinatedProbes: the relay probes each destination whose first endpoint it considers
+// unhealthy, and schedules its next probe.
 func (r *relay) probeUncoordinated() {
 	f := r.fleet
 	for _, d := range f.destinations {
--- a/internal/faultinjection/simulation/planted_bug_test.go
+++ b/internal/faultinjection/simulation/planted_bug_test.go
@@ -33,7 +33,7 @@
 			}
 			return all
 		}}, rushFindings, []string{"used: "}},
-		{ZoneDay, PlantedBug{MinimumQuota: true}, ruleFindings, []string{"overload: "}}, // with 120 relays: with 80 the quotas are not large enough for an overload
+		{ZoneDay, PlantedBug{MinimumQuota: true}, ruleFindings, []string{"overload: "}}, // with 120 relays, as 80 relays do not exceed their quotas enough for an overload
 		{ZoneDay, PlantedBug{TrustsGossip: true}, ruleFindings, []string{"overload: "}},
 		{ZoneDay, PlantedBug{UncoordinatedProbes: true}, func(r *Result) []string { return append(ruleFindings(r), zoneFindings(r)...) }, []string{"overload: ", "trials: "}},
 		{HerdDay, PlantedBug{NoJournal: true}, ruleFindings, []string{"rule: "}},
@@ -167,7 +167,7 @@
 			}
 			return e
 		})}, nil, checker.DrainBroken},
-		"news of a recovery opens all queues": {ZoneDay, PlantedBug{TrustsGossip: true}, nil, checker.DestinationOverloaded},
+		"gossip of a recovery opens all queues": {ZoneDay, PlantedBug{TrustsGossip: true}, nil, checker.DestinationOverloaded},
 		"a Retry-After is ignored": {JoinDay, PlantedBug{Events: eachEvent(func(e policy.Event) policy.Event {
 			if end, ok := e.(policy.AttemptEnded); ok {
 				end.RetryAfter = 0
@@ -210,7 +210,7 @@
 			}
 		})
 	}
-	// Without the bug the ordered class breaks no rule.
+	// Without the planted bug, relays break no rule with the ordered class: the finding above is due to the bug.
 	if r := playDrawn(t, CalmDay, 60, 2, orderClass); len(r.Violations) > 0 {
 		t.Errorf("violations without the bug: %v", r.Failures)
 	}
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -24,8 +24,8 @@
 	number      int
 	incarnation int // number of processes so far
 	alive       bool
-	stopping    bool // it shuts down gracefully and accepts no submissions
-	readyAt     time.Duration
+	stopping    bool          // it shuts down gracefully and accepts no submissions
+	readyAt     time.Duration // when the current process started
 	dispatcher  *policy.Dispatcher
 
 	// State of the current process.
--- a/internal/faultinjection/simulation/relay_batch.go
+++ b/internal/faultinjection/simulation/relay_batch.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// setTimer schedules a batch for a time. The decision module relies on this call, so an earlier batch does not replace it.
+// setTimer schedules a batch for a time. The decision module relies on a batch at that time, so an earlier one does not replace it.
 func (r *relay) setTimer(at time.Duration) {
 	incarnation := r.incarnation
 	r.fleet.at(at, func() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// attemptInFlight returns the attempt of a request that has an index if it is in flight, or nil.
+// attemptInFlight returns the attempt of a request with the given index if that attempt is in flight, or nil.
 func (r *relay) attemptInFlight(id string, index int) *attempt {
 	request := r.requests[id]
 	if request == nil || request.inFlight == nil || request.inFlight.index != index {
--- a/internal/faultinjection/simulation/relay_discovery.go
+++ b/internal/faultinjection/simulation/relay_discovery.go
@@ -25,7 +25,7 @@
 	r.enqueue(policy.WatchFailed{})
 }
 
-// receiveChanges handles all changes of the endpoint list so far. Those that the relay already has are ignored.
+// receiveChanges handles the changes of the endpoint list from its first version on. Changes that the relay already has are ignored.
 func (r *relay) receiveChanges(changes []endpointChange) {
 	if len(changes) <= r.listVersion {
 		return
--- a/internal/faultinjection/simulation/relay_request.go
+++ b/internal/faultinjection/simulation/relay_request.go
@@ -9,7 +9,8 @@
 	"frostlink/policy"
 )
 
-// recoverySlack is the time after a start during which terminal outcomes may be late, as deadlines pass while a relay is down.
+// recoverySlack is the time after the start of a process during which terminal outcomes may be late, because a deadline can pass while
+// the relay is down.
 const recoverySlack = 1500 * time.Millisecond
 
 // openRequest is a message that was submitted to a relay, until its terminal outcome.
@@ -21,7 +22,7 @@
 	attempts   []policy.PriorAttempt
 	ended      []bool   // for each attempt: whether its outcome is known
 	inFlight   *attempt // nil: no attempt is in flight
-	accepted   bool     // its client was sent the response, or has left
+	accepted   bool     // the relay has responded with statusAccepted, or would have if the client had not left
 	clientLeft bool     // its client left before the response
 }
 
--- a/internal/faultinjection/simulation/result.go
+++ b/internal/faultinjection/simulation/result.go
@@ -20,7 +20,7 @@
 	AttemptedMessages  int                  `json:"first"` // messages with at least one attempt
 	GivenUp            int                  `json:"given_up"`
 	Rejected           int                  `json:"refused"`     // attempts that a limit or a full queue rejected
-	ConnectionRejected int                  `json:"door"`        // attempts whose connection the endpoint rejected, as it had its maximum
+	ConnectionRejected int                  `json:"door"`        // attempts whose connection exceeded the endpoint's limit of connections
 	Connections        int                  `json:"connections"` // including those that failed
 	Polls              int                  `json:"asks"`        // of discovery
 	FailedPolls        int                  `json:"turned"`
@@ -28,7 +28,7 @@
 	Unwatched          int                  `json:"unwatched"` // relays without a watch at the end
 	Overloads          int                  `json:"falls"`     // of recovering destinations
 	Failures           []string             `json:"faults,omitempty"`
-	Violations         map[checker.Rule]int `json:"breaches,omitempty"` // of the six rules of the checker that also judges runs with real processes
+	Violations         map[checker.Rule]int `json:"breaches,omitempty"` // number by rule, from the checker that also judges runs with real processes
 	Destinations       []*Destination       `json:"partners"`
 
 	deliveredWeight, totalWeight float64
@@ -84,8 +84,8 @@
 	return d.Seconds[from:to]
 }
 
-// SecondsUntilUsed returns the number of seconds from second from to the first two consecutive seconds in which the destination
-// together delivers at least a share of what its limit and its capacity allow, or -1 if there are no such seconds.
+// SecondsUntilUsed returns how many seconds after the second from the destination is used: in that second and the next one together, it
+// delivers at least a share of the attempts that its limit and its capacity allow. It returns -1 if there are no such seconds.
 func (d *Destination) SecondsUntilUsed(from int, share float64) int {
 	for i := from; i+1 < len(d.Seconds); i++ {
 		first, second := d.Seconds[i], d.Seconds[i+1]
--- a/internal/faultinjection/simulation/summary.go
+++ b/internal/faultinjection/simulation/summary.go
@@ -16,7 +16,7 @@
 	DeliveredWeight    float64     `json:"worth"`       // priority weight delivered, as a share of all
 	StdDev             float64     `json:"spread"`      // of DeliveredWeight
 	Rejected           float64     `json:"refused"`     // attempts that a limit or a full queue rejected, per message with an attempt
-	ConnectionRejected float64     `json:"door"`        // attempts whose connection the endpoint rejected, per message with an attempt
+	ConnectionRejected float64     `json:"door"`        // attempts whose connection exceeded the endpoint's limit, per message with an attempt
 	Connections        float64     `json:"connections"` // per message with an attempt
 	Polls              float64     `json:"asks"`        // of discovery, per relay
 	PeakPolls          float64     `json:"ask_peak"`    // the maximum in one second, over all runs
--- a/internal/faultinjection/simulation/workload.go
+++ b/internal/faultinjection/simulation/workload.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// attemptsPerEndpoint is the number of attempts per second that one endpoint is sized for. An endpoint accepts at least minEndpointConns
-	// connections.
+	// attemptsPerEndpoint bounds the part of a destination's limit that one endpoint is sized for, in attempts per second. An endpoint
+	// accepts at least minEndpointConns connections.
 	attemptsPerEndpoint, minEndpointConns = 60.0, 12
 	// Destinations of the largest share of the traffic have up to maxEndpointsOfLargest endpoints, the others up to maxEndpoints, so that
 	// a larger fleet has more destinations and not larger ones. The platform's destinations have one to four endpoints, two on average.
@@ -39,7 +39,7 @@
 // workload describes the traffic of a day and the destinations that it goes to.
 type workload struct {
 	ratePerRelay  float64   // messages per second per relay
-	sentShare     float64   // traffic as a share of that rate
+	sentShare     float64   // traffic that is sent, as a multiple of ratePerRelay
 	limitFactor   float64   // the destinations' limits as a multiple of their traffic at ratePerRelay
 	capacityRatio float64   // the destinations' capacity as a multiple of their limits
 	shares        []float64 // of the traffic; each goes to one destination, or to several equal ones if one would need too many endpoints
