--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -9,7 +9,7 @@
 	checkQueue           = "queue"   // while a client waits for a lease, no client that requested it later gets it
 	checkLinearizability = "linear"  // the writes and reads of values are linearizable
 	checkHeld            = "held"    // after the quiet period every lease is held by exactly one client
-	checkSame            = "same"    // members that have applied the same entries have the same state
+	checkSame            = "same"    // members that have applied the same entries have the same state, also after a restore from a snapshot
 	checkMembers         = "members" // a replacement of a member that has begun is complete at the end
 	checkDisk            = "disk"    // a member whose disk was rolled back terminates
 	checkStart           = "start"   // a member can start from its disk
--- a/internal/faultinjection/coordsim/check_executions.go
+++ b/internal/faultinjection/coordsim/check_executions.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// checkExecutions checks the executions under each lease in the order of their start. Each is compared with the one that ends last
-// among those that started before it.
+// checkExecutions checks the executions under each lease in the order of their start. Each execution is compared with the one that ends
+// last among the executions that started before it.
 func (s *simulation) checkExecutions() {
 	byLease := map[string][]*execution{}
 	for _, e := range s.executions {
@@ -15,7 +15,7 @@
 	for _, name := range s.leases {
 		list := byLease[name]
 		slices.SortStableFunc(list, func(a, b *execution) int { return int(a.start - b.start) })
-		var last *execution // the one that ends last so far
+		var last *execution // the execution with the latest end so far
 		for _, e := range list {
 			if last != nil {
 				s.checkOverlap(last, e)
--- a/internal/faultinjection/coordsim/check_members.go
+++ b/internal/faultinjection/coordsim/check_members.go
@@ -6,7 +6,8 @@
 	"frostlink/internal/coord"
 )
 
-// checkLeasesHeld checks that after the quiet period every lease is held by exactly one client. All clients request all leases by then.
+// checkLeasesHeld checks that after the quiet period every lease is held by exactly one client. In the quiet period all lease clients
+// request all leases.
 func (s *simulation) checkLeasesHeld() {
 	for _, name := range s.leases {
 		holders := 0
--- a/internal/faultinjection/coordsim/check_test.go
+++ b/internal/faultinjection/coordsim/check_test.go
@@ -30,14 +30,14 @@
 		executions []*execution
 		want       []string
 	}{
-		"one after the other":       {[]*execution{ended(1, 0, 10), ended(2, 10, 20)}, nil},
-		"one token":                 {[]*execution{ended(1, 0, 10), ended(1, 5, 20)}, nil},
-		"two tokens at once":        {[]*execution{ended(1, 0, 10), ended(2, 9, 20)}, []string{checkOverlap}},
-		"an old token later":        {[]*execution{ended(2, 0, 10), ended(1, 10, 20)}, []string{checkToken}},
-		"an old token at once":      {[]*execution{ended(2, 0, 10), ended(1, 5, 20)}, []string{checkOverlap, checkToken}},
-		"a long one during several": {[]*execution{ended(1, 0, 100), ended(1, 10, 20), ended(2, 30, 40)}, []string{checkOverlap}},
-		"one in flight at the end":  {[]*execution{{client: client, lease: lease, token: 1}, ended(2, 50, 60)}, []string{checkOverlap}},
-		"one paused at its end":     {[]*execution{{client: client, lease: lease, token: 1, end: 50, paused: true}, ended(2, 50, 60)}, nil},
+		"one after the other":    {[]*execution{ended(1, 0, 10), ended(2, 10, 20)}, nil},
+		"one token":              {[]*execution{ended(1, 0, 10), ended(1, 5, 20)}, nil},
+		"two tokens at once":     {[]*execution{ended(1, 0, 10), ended(2, 9, 20)}, []string{checkOverlap}},
+		"an older token later":   {[]*execution{ended(2, 0, 10), ended(1, 10, 20)}, []string{checkToken}},
+		"an older token at once": {[]*execution{ended(2, 0, 10), ended(1, 5, 20)}, []string{checkOverlap, checkToken}},
+		"a long execution":       {[]*execution{ended(1, 0, 100), ended(1, 10, 20), ended(2, 30, 40)}, []string{checkOverlap}},
+		"in flight at the end":   {[]*execution{{client: client, lease: lease, token: 1}, ended(2, 50, 60)}, []string{checkOverlap}},
+		"paused at its end":      {[]*execution{{client: client, lease: lease, token: 1, end: 50, paused: true}, ended(2, 50, 60)}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/faultinjection/coordsim/check_values.go
+++ b/internal/faultinjection/coordsim/check_values.go
@@ -24,7 +24,7 @@
 	client     int
 	key        string
 	isWrite    bool
-	expected   uint64 // revision that the key must have for a write
+	expected   uint64 // for a write: the revision that the key must have
 	value      string
 	revision   uint64
 	code       coord.Code
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// mayHave reports whether a revision is that of the state, or may be if that is unknown.
+// mayHave reports whether the state has a revision, or may have it: a state whose revision is unknown may have any revision except 0.
 func (r register) mayHave(revision uint64) bool {
 	isUnknown := r.value != "" && r.revision == 0
 	return isUnknown && revision != 0 || r.revision == revision
--- a/internal/faultinjection/coordsim/draw.go
+++ b/internal/faultinjection/coordsim/draw.go
@@ -9,7 +9,7 @@
 	"frostlink/internal/coord/replica"
 )
 
-// randomStream is the second half of the random generator's seed, after the seed of the run. It spells "quorum".
+// randomStream is the second half of the random generator's seed; the first half is the seed of the run. Its bytes spell "quorum".
 const randomStream = 0x71756f72756d
 
 // The first network numbers of clients. Members are numbered from 0.
--- a/internal/faultinjection/coordsim/lease_calls.go
+++ b/internal/faultinjection/coordsim/lease_calls.go
@@ -15,7 +15,7 @@
 	lease       string
 	token       uint64
 	requestedAt time.Duration // when the acquire command was first sent
-	observedAt  time.Duration
+	observedAt  time.Duration // when a result first showed that the client holds the lease
 }
 
 // call sends a call of the core to a member, and passes the reply to the core.
@@ -33,7 +33,9 @@
 				c.core.HandleResult(now, call.ID, r.result)
 				c.observe(r.result, sentAt)
 			} else {
-				c.core.SetServers(r.leader + 1) // the leader may be a member that has joined since; a real reply has its address, so the core can reach it
+				// The leader may be a member that has joined since the client's start. A real reply contains the leader's address, so
+				// that the client can call it.
+				c.core.SetServers(r.leader + 1)
 				c.core.HandleFailure(now, call.ID, r.leader)
 			}
 			c.step()
--- a/internal/faultinjection/coordsim/lease_client.go
+++ b/internal/faultinjection/coordsim/lease_client.go
@@ -15,7 +15,7 @@
 	executions []*execution // in flight
 
 	acquisitions map[string]acquisition // the last acquire command, by lease
-	waiting      map[string]queueEntry  // by lease that the client waits for
+	waiting      map[string]queueEntry  // the leases that the client waits for
 	tokens       map[string]uint64      // the last one held, by lease
 	wakeups      int                    // number of scheduled wake-ups; only the last one takes effect
 }
--- a/internal/faultinjection/coordsim/member.go
+++ b/internal/faultinjection/coordsim/member.go
@@ -24,7 +24,8 @@
 	id   uint64
 	core *replica.Core
 	disk replica.PersistentState
-	// writing is the last write, which reaches the disk at writtenAt. After an earlier crash the disk may have it or not.
+	// writing is the last write, which reaches the disk at writtenAt. If the member crashes before, the disk has the write or not, at
+	// random.
 	writing         *replica.WriteBatch
 	writtenAt       time.Duration
 	diskFull        bool
--- a/internal/faultinjection/coordsim/process.go
+++ b/internal/faultinjection/coordsim/process.go
@@ -31,5 +31,5 @@
 // pause defers the events of the process until a true time. A longer pause that has begun stays.
 func (p *process) pause(until time.Duration) { p.busyUntil = max(p.busyUntil, until) }
 
-// endPause ends a pause at a true time, unless it ends before.
+// endPause ends a pause at a true time, unless the pause ends earlier.
 func (p *process) endPause(now time.Duration) { p.busyUntil = min(p.busyUntil, now) }
--- a/internal/faultinjection/coordsim/replacement.go
+++ b/internal/faultinjection/coordsim/replacement.go
@@ -58,7 +58,7 @@
 }
 
 // replaceMember begins the replacement of a member, preferably of one that is permanently terminated. There is one replacement per run.
-// It continues in the quiet period, and must be complete by the end of that.
+// The replacement continues in the quiet period, and must be complete at the end of the run.
 func (s *simulation) replaceMember(t target) {
 	if s.replacement != notReplacing {
 		return
--- a/internal/faultinjection/coordsim/scheduler.go
+++ b/internal/faultinjection/coordsim/scheduler.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// event is an action of a process that is scheduled for a true time.
+// event is an action that is scheduled for a true time.
 type event struct {
 	at          time.Duration
 	sequence    uint64   // order of scheduling, for events with equal times
-	owner       *process // nil: no process
+	owner       *process // the process that acts; nil: no process
 	incarnation int      // of the owner; the event is dropped if the owner has a later one
 	action      func()
 }
--- a/internal/faultinjection/simulation/attempt.go
+++ b/internal/faultinjection/simulation/attempt.go
@@ -198,8 +198,8 @@
 	f.after(f.oneWay(), func() { a.end(policy.AttemptEnded{Outcome: policy.ConnectionReset}, false) })
 }
 
-// end ends the attempt and reports its outcome to the decision module. With keepConn an open connection becomes idle, and is closed
-// otherwise.
+// end ends the attempt and reports its outcome to the decision module. With keepConn, an open connection becomes idle; without it,
+// the connection is closed.
 func (a *attempt) end(e policy.AttemptEnded, keepConn bool) {
 	r, f := a.relay, a.relay.fleet
 	if a.state == attemptEnded || !r.runs(a.incarnation) {
