--- a/internal/faultinjection/destination/attempt.go
+++ b/internal/faultinjection/destination/attempt.go
@@ -20,7 +20,7 @@
 	Relay               int
 	Key                 string        // idempotency key, or ""
 	KeyTTL              time.Duration // how long the key is remembered
-	ServiceTime         time.Duration // at a destination whose service time factor is 1
+	ServiceTime         time.Duration // time to execute the attempt at a destination whose service time factor is 1
 	Draw                float64       // random number from 0 to 1 that decides whether the attempt gets an error or a reset
 	NewConnection       bool          // it is the first attempt on its connection
 	OverConnectionLimit bool          // its connection exceeds the endpoint's limit
--- a/internal/faultinjection/destination/endpoint.go
+++ b/internal/faultinjection/destination/endpoint.go
@@ -22,7 +22,7 @@
 	pauses      *rand.Rand
 	pauseChange time.Duration // when paused changes next
 
-	cold     bool          // slow start began at warmFrom; stays set once the endpoint is warm
+	cold     bool          // slow start began at warmFrom; cold stays set after slow start, see isWarm
 	warmFrom time.Duration // when slow start began
 
 	draining    bool
--- a/internal/faultinjection/destination/model_test.go
+++ b/internal/faultinjection/destination/model_test.go
@@ -90,7 +90,7 @@
 	m.SetSlowdown(time.Second, AllEndpoints, 2)      // work done in the first second: 0.24
 	m.SetStopped(2*time.Second, AllEndpoints, true)  // + (0.28+0.36)/2/2 = 0.16
 	m.SetStopped(5*time.Second, AllEndpoints, false) // + 0
-	m.SetSlowdown(5*time.Second, AllEndpoints, 1)    // capacity from here 0.6 + 0.08 t, remaining work 1.6: t = 2.337 s
+	m.SetSlowdown(5*time.Second, AllEndpoints, 1)    // capacity from here 0.6 + 0.08 t, remaining work 1.6: t = 2.31 s
 	actions := m.Advance(7 * time.Second)            // before the attempt is due
 	actions = append(actions, m.Advance(8*time.Second)...)
 	if len(actions) != 1 || math.Abs(actions[0].Completion.At.Seconds()-7.31) > 0.03 {
--- a/internal/faultinjection/faults/executions_check.go
+++ b/internal/faultinjection/faults/executions_check.go
@@ -49,7 +49,7 @@
 type executionChecker struct {
 	pauses          []Pause
 	ownerOf         map[uint64]string // the relay that used a token last
-	open            []Execution       // executions that had not ended when the last one began
+	open            []Execution       // executions that had not ended when the last execution began
 	highestAccepted uint64            // token of the last accepted execution
 	violations      []Violation
 }
--- a/internal/faultinjection/faults/inject.go
+++ b/internal/faultinjection/faults/inject.go
@@ -16,11 +16,11 @@
 	statusTimeout = 200 * time.Millisecond
 	// slowLinkDelay is the delay of traffic over a slow link.
 	slowLinkDelay = 100 * time.Millisecond
-	// executionPollInterval is the interval of checks whether a link holds a request to the resource.
+	// executionPollInterval is the interval at which a fault checks whether a proxy holds a request to the resource.
 	executionPollInterval = time.Millisecond
 )
 
-// target holds the processes to which a fault can be applied. Most kinds of faults use only one of them.
+// target has the member and the relay to which a fault can be applied. Most kinds of faults use one of the two.
 type target struct {
 	member *member
 	relay  *relay
--- a/internal/faultinjection/faults/kind.go
+++ b/internal/faultinjection/faults/kind.go
@@ -5,8 +5,8 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. "Holder" is the relay that holds the lease when the fault begins, "leader" the member that is the leader then.
-// "Relay" and "member" are the relay or member that the schedule draws.
+// The kinds of faults. A fault of a holder concerns the relay that holds the lease when the fault begins, and a fault of a leader the
+// member that is the leader when the fault begins. Other faults concern the relay or member that the schedule draws.
 const (
 	HolderKilled            Kind = "holder killed"
 	HolderPaused            Kind = "holder stopped"
@@ -41,7 +41,7 @@
 // kindSpec describes a kind of fault.
 type kindSpec struct {
 	name   Kind
-	weight int // relative probability to be drawn
+	weight int // relative probability of being drawn
 	role   role
 	inject injector
 }
--- a/internal/faultinjection/faults/launcher.go
+++ b/internal/faultinjection/faults/launcher.go
@@ -5,8 +5,8 @@
 	"runtime"
 )
 
-// Launcher starts all its processes from one thread, which lives until Close. The kernel kills a process when the thread that started it
-// ends (Pdeathsig), so that no process outlives the harness even if the harness is killed.
+// Launcher starts all its processes from one thread, which lives until Close. The kernel kills a process that was started with Pdeathsig
+// when the thread that started the process ends, so that no process outlives the harness even if the harness is killed.
 type Launcher struct {
 	jobs chan func()
 	done chan struct{} // closed when the thread's goroutine has returned
--- a/internal/faultinjection/faults/main_test.go
+++ b/internal/faultinjection/faults/main_test.go
@@ -10,8 +10,8 @@
 // programsDir is the folder that contains the built programs that runs start.
 var programsDir string
 
-// TestMain builds the programs that runs start, and runs the tests. If an environment variable says so, it acts as a test's helper
-// process instead.
+// TestMain builds the programs that runs start, and runs the tests. If clockReaderEnv or callerEnv is set, the process is a helper
+// process of a test instead.
 func TestMain(m *testing.M) {
 	if os.Getenv(clockReaderEnv) != "" {
 		readClocks()
--- a/internal/faultinjection/faults/preload/syscalls.c
+++ b/internal/faultinjection/faults/preload/syscalls.c
@@ -1,5 +1,6 @@
 /*
- * Makes system calls of one process fail or transfer only a part of their length, as Linux documents that they may, or execute late.
+ * Makes system calls of one process fail, or transfer only a part of their length, as Linux documents that they may. Can also make them
+ * execute late.
  *
  * Loaded by LD_PRELOAD. The Go runtime makes its system calls without the C library, so that no function can be interposed. Instead a
  * system call filter (seccomp(2)) of this process makes the trapped calls raise SIGSYS. The signal handler below returns an error from
--- a/internal/faultinjection/faults/preload/wallclock.c
+++ b/internal/faultinjection/faults/preload/wallclock.c
@@ -3,8 +3,8 @@
  *
  * Loaded by LD_PRELOAD. The kernel maps the vDSO into every process, and the Go runtime calls the vDSO's clock_gettime without the C
  * library, so that no symbol can be interposed. Instead the vDSO functions in this process's private copy of the page are overwritten by
- * jumps to the functions below, which call the kernel and add an offset to the wall clock. All other clocks are unchanged, as they are
- * by clock_settime(2).
+ * jumps to the functions below, which call the kernel and add an offset to the wall clock. All other clocks are unchanged, as
+ * after a clock_settime(2).
  *
  * The offset, in nanoseconds, is the int64 at the start of the file that FROSTLINK_WALL_CLOCK_OFFSET names. The file is mapped shared,
  * so that a write to it steps the clock at once.
--- a/internal/faultinjection/faults/proxy.go
+++ b/internal/faultinjection/faults/proxy.go
@@ -145,7 +145,7 @@
 			return
 		}
 		if err != nil {
-			continue // this connection is lost; its client dials again
+			continue // the connection is lost; the client dials again
 		}
 		p.work.Go(func() { p.proxy(conn) })
 	}
@@ -214,7 +214,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				p.hold(d) // a partition holds the end of the stream as well
+				p.hold(d) // a partition also holds the end of the stream, so that the receiver does not notice the end before
 			}
 			return
 		}
--- a/internal/faultinjection/faults/schedule.go
+++ b/internal/faultinjection/faults/schedule.go
@@ -11,7 +11,7 @@
 	At        time.Duration // start of the fault, from the time of the first execution
 	Duration  time.Duration
 	Kind      Kind
-	Target    int       // index of the relay or member, modulo their number, for kinds without a holder or leader as the target
+	Target    int       // index of the relay or member, modulo their number; not used by kinds that concern the holder or the leader
 	Direction Direction // of a one-way partition or of slow links
 }
 
@@ -39,7 +39,7 @@
 		if at >= length {
 			return schedule
 		}
-		schedule = append(schedule, Fault{ // a change of the fields' order would change the schedule of a seed
+		schedule = append(schedule, Fault{ // values are drawn in the order of the fields: another order changes the schedule of a seed
 			At:        at,
 			Duration:  minDuration + time.Duration(random.Int64N(int64(durationRange))),
 			Kind:      weightedKinds[random.IntN(len(weightedKinds))],
--- a/internal/faultinjection/faults/syscalls.go
+++ b/internal/faultinjection/faults/syscalls.go
@@ -62,7 +62,7 @@
 const HeldUpTime = 150 * time.Millisecond
 
 // SyscallErrors makes system calls fail in processes that are started with its Env and with its Library preloaded. A rule sets the share
-// of the calls of one kind that fail; which ones fail depends on a seed and on the number of the call. The processes have to be linked
+// of the calls of one kind that fail. The calls that fail are drawn by a seed and the number of the call. The processes have to be linked
 // dynamically against the C library.
 type SyscallErrors struct {
 	library, path, folder string
--- a/internal/faultinjection/faults/syscalls_test.go
+++ b/internal/faultinjection/faults/syscalls_test.go
@@ -110,8 +110,8 @@
 	})
 }
 
-// A rule makes calls of its own kind fail with its error, and no others; calls on files outside the folder never fail. Without a rule no
-// call fails.
+// A rule makes calls of its own kind fail with its error, and calls of no other kind. Calls on files outside the folder never fail, and
+// without a rule no call fails.
 func TestSyscallErrors_FailTheCallsOfTheirKindAlone(t *testing.T) {
 	library, err := BuildSyscallLibrary(t.TempDir())
 	if err != nil {
--- a/internal/faultinjection/faults/verdict.go
+++ b/internal/faultinjection/faults/verdict.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// maxLateness is how late the harness's own timers may fire in a conclusive run. If they fire later, the machine was too busy.
+	// maxLateness is how late the harness's own timers may fire in a conclusive run. If a timer fires later, the machine was too busy, and
+	// the run is void.
 	maxLateness = 150 * time.Millisecond
 	// idleAfter is the longest time from the start of the last execution to the end of a run that passes CheckIdle.
 	idleAfter = 2 * time.Second
