--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The names of the checks in violations. Each check requires what its comment says.
+// The names of the checks in violations. The comment of each name states the condition that the check requires.
 const (
 	checkOverlap         = "overlap" // executions under two tokens of a lease never overlap in true time
 	checkToken           = "token"   // the tokens of executions under a lease never decrease, and no two grants have the same token
--- a/internal/faultinjection/destination/completion.go
+++ b/internal/faultinjection/destination/completion.go
@@ -28,7 +28,8 @@
 }
 
 // Cancel cancels an attempt whose caller no longer waits for the response, because the caller cancelled it, because it timed out, or
-// because its connection broke. The destination's cancel behavior decides what becomes of the attempt.
+// because its connection broke. The destination's cancel behavior decides whether the attempt is unaffected, is only dropped
+// if queued, or is also stopped if executing.
 func (m *Model) Cancel(now time.Duration, a *Attempt) []Action {
 	m.advance(now)
 	e := m.endpoints[a.endpoint]
--- a/internal/faultinjection/faults/run_test.go
+++ b/internal/faultinjection/faults/run_test.go
@@ -46,8 +46,8 @@
 }
 
 // A lease holder is paused while its request is on the way to the resource, and the request arrives when another relay holds the lease.
-// A resource that checks fencing tokens rejects the request; a resource that does not accepts it while it executes requests of the new
-// holder.
+// A resource that checks fencing tokens rejects the request. A resource that does not check them accepts the request while it executes
+// requests of the new holder.
 func TestRun_OnlyFencingStopsAHolderPausedInAnExecution(t *testing.T) {
 	var schedule []Fault
 	for i := range 3 {
--- a/internal/faultinjection/simulation/attempt.go
+++ b/internal/faultinjection/simulation/attempt.go
@@ -191,7 +191,7 @@
 func (a *attempt) resetAtEndpoint() {
 	f, d := a.relay.fleet, a.endpoint.destination
 	if _, waits := d.attempts[a.model]; !waits {
-		return // its response is already on its way
+		return // the response to the attempt is already on its way
 	}
 	delete(d.attempts, a.model)
 	a.recordEnd(checker.Event{Outcome: checker.Interrupted})
--- a/internal/faultinjection/simulation/day_standard_test.go
+++ b/internal/faultinjection/simulation/day_standard_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// In a large fleet each relay rarely makes an attempt at any one endpoint of a destination with many. Relays must recognize an outage
-// of such a destination all the same: attempts drop to the allowed trial requests, and its recovery brings no overload.
+// In a large fleet each relay rarely makes an attempt at a particular endpoint of a destination with many endpoints. Relays must recognize
+// an outage of such a destination nevertheless: attempts drop to the allowed trial requests, and the recovery brings no overload.
 func TestPlay_RecognizesOutageOfManyEndpoints(t *testing.T) {
 	r := playStandard(t, ZoneDay, 120, func(day *Day) {
 		p := &day.Scenario.Destinations[0]
--- a/internal/faultinjection/simulation/planted_bug_test.go
+++ b/internal/faultinjection/simulation/planted_bug_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Each case changes the events or actions of the decision module so that a rule is broken. The findings must show it.
+// Each case changes the events or actions of the decision module so that a rule is broken. The findings must show the broken rule.
 func TestPlay_CatchesEachBrokenRule(t *testing.T) {
 	for name, tt := range map[string]struct {
 		bug    PlantedBug
@@ -226,7 +226,7 @@
 	}
 }
 
-// eachEvent returns a PlantedBug.Events that replaces each event by the result of change, and drops it if that is nil.
+// eachEvent returns a PlantedBug.Events that replaces each event by the result of change, and drops the event if the result is nil.
 func eachEvent(change func(policy.Event) policy.Event) func(int, []policy.Event) []policy.Event {
 	return func(_ int, all []policy.Event) (out []policy.Event) {
 		for _, e := range all {
--- a/internal/faultinjection/simulation/result.go
+++ b/internal/faultinjection/simulation/result.go
@@ -84,8 +84,9 @@
 	return d.Seconds[from:to]
 }
 
-// SecondsUntilUsed returns how many seconds after the second from the destination is used: in that second and the next one together, it
-// delivers at least a share of the attempts that its limit and its capacity allow. It returns -1 if there are no such seconds.
+// SecondsUntilUsed returns the number of seconds, from second number from on, until the destination is used again: until the first two
+// consecutive seconds that together deliver at least a share of the attempts that limit and capacity allow. It returns -1 if there are no
+// such seconds.
 func (d *Destination) SecondsUntilUsed(from int, share float64) int {
 	for i := from; i+1 < len(d.Seconds); i++ {
 		first, second := d.Seconds[i], d.Seconds[i+1]
