--- a/internal/faultinjection/coordsim/check.go
+++ b/internal/faultinjection/coordsim/check.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// The names of the checks in violations. Each check requires what its comment says.
+// The names of the checks in violations. The comment of each name states the condition that the check requires.
 const (
 	checkOverlap         = "overlap" // executions under two tokens of a lease never overlap in true time
 	checkToken           = "token"   // the tokens of executions under a lease never decrease, and no two grants have the same token
 	checkQueue           = "queue"   // while a client waits for a lease, no client that requested it later gets it
 	checkLinearizability = "linear"  // the writes and reads of values are linearizable
 	checkHeld            = "held"    // after the quiet period every lease is held by exactly one client
-	checkSame            = "same"    // members that have applied the same entries have the same state
+	checkSame            = "same"    // members that have applied the same entries have the same state, also after a restore from a snapshot
 	checkMembers         = "members" // a replacement of a member that has begun is complete at the end
 	checkDisk            = "disk"    // a member whose disk was rolled back terminates
 	checkStart           = "start"   // a member can start from its disk
