--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -29,9 +29,9 @@
 type Relay interface {
 	// Status reports whether this process serves clients, and the name of its state.
 	Status() (serving bool, state string)
-	// Standby stops serving clients. It may be called at any time, also repeatedly.
+	// Standby stops serving clients. It may be called at any time, and more than once.
 	Standby()
-	// Active serves clients again. It may be called at any time, also repeatedly.
+	// Active serves clients again. It may be called at any time, and more than once.
 	Active()
 	// Metrics returns the metrics as JSON.
 	Metrics() ([]byte, error)
--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -41,8 +41,8 @@
 // FromMilliseconds returns the instant for a result of Milliseconds.
 func FromMilliseconds(ms int64) Instant { return Instant(ms * int64(time.Millisecond)) }
 
-// MarshalJSON encodes an instant as a date (RFC 3339). Versions of the program from before this package
-// wrote wall-clock times in the same form.
+// MarshalJSON encodes an instant as a date (RFC 3339). Versions of the program that did not have this
+// package yet wrote wall-clock times in the same form.
 func (i Instant) MarshalJSON() ([]byte, error) {
 	raw, err := i.Time().MarshalJSON()
 	if err != nil {
--- a/internal/clock/timeline_test.go
+++ b/internal/clock/timeline_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// TimeOf returns a time with a monotonic reading also for an instant that was stored and read back.
+// TimeOf returns a time with a monotonic reading, even for an instant that was stored and read back.
 func TestTimeline_TimeOfHasMonotonicReading(t *testing.T) {
 	timeline := New()
 	raw, err := json.Marshal(timeline.Now().Add(time.Minute))
--- a/internal/handover/acquire.go
+++ b/internal/handover/acquire.go
@@ -36,7 +36,7 @@
 	relay   Recipient
 	machine successor
 	owner   *Owner
-	link    *link // nil while there is none
+	link    *link // nil while there is no link
 
 	state json.RawMessage // the predecessor's state
 	batch []Conn          // the last batch received, not yet in conns
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -24,7 +24,7 @@
 	// successor reads the journal. They are short because clients wait 400 ms for an answer, and the
 	// requests in flight come closer to their deadlines during a hand-over.
 	quiesceTimeout, prepareTimeout = 300 * time.Millisecond, time.Second
-	// helloTimeout bounds the time between the accept of a link and its hello.
+	// helloTimeout bounds the time between accepting a link and receiving its hello.
 	helloTimeout = time.Second
 	// offerTimeout bounds the time in which the predecessor quiesces and sends its state.
 	offerTimeout = 3 * time.Second
--- a/internal/handover/lock.go
+++ b/internal/handover/lock.go
@@ -60,7 +60,7 @@
 }
 
 // close closes this process's descriptor of the lock. The folder is unlocked once no process has a
-// descriptor of it.
+// descriptor of the lock.
 func (l *folderLock) close() {
 	if l != nil {
 		_ = l.file.Close() // nothing was written, so an error loses no data
--- a/internal/handover/pair_test.go
+++ b/internal/handover/pair_test.go
@@ -123,7 +123,7 @@
 			p.new.locked = true
 		case actionPrepare:
 			p.prepared = true
-		default: // an action of the predecessor, or one without effect on the pair
+		default: // an action of the predecessor, or an action without effect on the pair
 		}
 	}
 }
--- a/internal/handover/transfer.go
+++ b/internal/handover/transfer.go
@@ -40,7 +40,7 @@
 	state  any
 	conns  []Conn
 	passed int   // number of conns that the successor has acknowledged
-	err    error // of the last step
+	err    error // the error of the last step
 }
 
 // run carries out the actions of the state machine, and feeds their results back to it as events. It
@@ -68,7 +68,7 @@
 		default:
 		}
 		if next == eventNone {
-			slog.Info("handed over", logTook, time.Since(started),
+			slog.Info("relay handed over to the successor", logTook, time.Since(started),
 				logkey.Connections, t.passed, logTotal, len(t.conns), logkey.Err, t.err)
 			next = t.awaitEnd(stop)
 		}
--- a/internal/invariant/deadlines.go
+++ b/internal/invariant/deadlines.go
@@ -10,7 +10,7 @@
 	// completionSlack is the time after a request's deadline by which its terminal outcome must be decided.
 	// The protocol allows 300 ms until the platform is notified.
 	completionSlack = 200 * time.Millisecond
-	// stallThreshold is the delay of a check from which on the process counts as stalled, for example
+	// stallThreshold is the delay of a check above which the process counts as stalled, for example
 	// because the machine was suspended.
 	stallThreshold = 100 * time.Millisecond
 )
--- a/internal/journal/changes.go
+++ b/internal/journal/changes.go
@@ -62,9 +62,9 @@
 	j.addRecord(record{Kind: kindCompleted, ID: e.ID, At: at})
 }
 
-// SetStore records the name of the dead-letter store that Store returns. The name is empty if no store
-// can have a complete record of deliveries, even after it has been notified of the deliveries in this
-// journal.
+// SetStore records the name of the dead-letter store that Store returns. An empty name means that no
+// store has a complete record of deliveries, and that notifying a store of the deliveries in this journal
+// would not complete its record.
 func (j *Journal) SetStore(store string) {
 	j.addRecord(record{Kind: kindStore, Source: store, Count: j.lastArrival})
 }
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -65,7 +65,7 @@
 }
 
 // Failed reports whether the last commit failed. A later process then reads only the records of earlier
-// commits, except as MayHoldUncommitted reports.
+// commits, unless MayHoldUncommitted reports true.
 func (j *Journal) Failed() bool { return j.failed }
 
 // MayHoldUncommitted reports whether a commit that failed since the last successful one may have left
--- a/internal/journal/folder_monitor_test.go
+++ b/internal/journal/folder_monitor_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The backoff before a write to a degraded folder grows with each failure, also after a recovery shorter
+// The backoff before a write to a degraded folder grows with each failure, even after a recovery shorter
 // than recoveryPeriod. The folder is healthy only after recoveryPeriod without a failure.
 func TestFolderMonitor_BacksOffUntilHealthy(t *testing.T) {
 	const ms = time.Millisecond
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Inspect reads the current journal of a folder, also while another process writes it. The result is only
+// Inspect reads the current journal of a folder, even while another process writes it. The result is only
 // for reading: no records may be added to it.
 func Inspect(dir string) (*Journal, error) {
 	j, _, err := load(dir) // the tail may be corrupt because the owner is in the middle of a write
--- a/internal/notification/doc.go
+++ b/internal/notification/doc.go
@@ -1,4 +1,4 @@
-// Package notification posts terminal outcomes to the platform until it acknowledges them.
+// Package notification posts terminal outcomes to the platform until the platform acknowledges them.
 //
 // A [Notice] reports the terminal outcome of a request that was accepted and not delivered. The relay
 // enqueues the notice once the outcome is recorded in its journal. A [Notifier] posts notices, in
--- a/internal/notification/notifier.go
+++ b/internal/notification/notifier.go
@@ -16,8 +16,8 @@
 	// acknowledged within 300 ms of its request's deadline. Two posts may time out within this period.
 	postTimeout = 120 * time.Millisecond
 	retryDelay  = 20 * time.Millisecond
-	// maxConcurrentPosts is the number of posts at the same time, so that a stalled post does not delay
-	// the others. Connections are kept open: a new connection for each post would mean a hundred
+	// maxConcurrentPosts is the maximum number of posts in flight. Posts run concurrently so that a stalled
+	// post does not delay the others. Connections are kept open: a new connection for each post would mean a hundred
 	// connections a second when many requests fail, and opening a connection may stall for a second.
 	maxConcurrentPosts = 4
 	idleConnTimeout    = 5 * time.Second
--- a/internal/relay/assemble.go
+++ b/internal/relay/assemble.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// start starts all parts, with the state that a predecessor has handed over, or nil.
+// start starts all parts. predecessor is the state that a predecessor has handed over, or nil.
 func (n *node) start(predecessor *handoverState) {
 	l := n.loop
 	l.restore(n.running, predecessor) // before Serve, so that no submission arrives earlier
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -71,8 +71,8 @@
 	return err == nil
 }
 
-// folderDegraded stops the dispatcher from starting attempts while the folder is degraded, because the dispatcher would count
-// each attempt that can't be recorded as made.
+// folderDegraded stops the dispatcher from starting attempts while the folder is degraded. Otherwise the dispatcher would count
+// attempts that are never made, because their records can't be written.
 func (l *loop) folderDegraded(degraded bool) {
 	switch {
 	case degraded:
--- a/internal/relay/config_check.go
+++ b/internal/relay/config_check.go
@@ -60,7 +60,7 @@
 	return &ConfigError{Key: key, Reason: fmt.Errorf("%v is not above 0", value)}
 }
 
-// applySocketLimits sets the policy settings that differ between sockets and the simulator's protocol.
+// applySocketLimits sets the policy settings whose values differ between sockets and the simulator's protocol.
 func (c *Config) applySocketLimits() {
 	c.policy.MaxInFlight = min(c.policy.MaxInFlight, c.maxEndpointConns()) // each attempt needs a connection
 	// The relay opens a watch even if the platform pushes lists: pushed lists reach the relay on a watch, and the platform counts a
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// The shares of the descriptors add up to no more than the limit, clients get the third that they may hold for requests, and
-// the limit of attempts in flight is no more than the endpoints' share.
+// The shares of the descriptors add up to no more than the limit, clients get at least the third of all descriptors that they
+// may hold for requests, and the limit of attempts in flight is no more than the endpoints' share.
 func TestConfig_SharesDescriptors(t *testing.T) {
 	for _, limits := range []Limits{
 		{Sockets: 256, MemoryMB: 32},
--- a/internal/relay/deadletter_events.go
+++ b/internal/relay/deadletter_events.go
@@ -30,11 +30,11 @@
 	}
 }
 
-// storeSynced names the store that misses no delivery from now on: each delivery stays in the journal until that store has
-// recorded it.
+// storeSynced names the store whose record of deliveries stays complete from now on: each delivery stays in the journal until
+// that store has recorded it.
 type storeSynced struct {
 	store   string
-	dropped int // number of requests dropped from the journal unrecorded that the store has taken into account
+	dropped int // number of requests that were dropped from the journal unrecorded and that the store has taken into account
 }
 
 func (e storeSynced) applyTo(d *deadLetterLink) {
--- a/internal/relay/deadletter_kill_test.go
+++ b/internal/relay/deadletter_kill_test.go
@@ -14,12 +14,13 @@
 	"frostlink/internal/deadletter"
 )
 
-// killCount is how often the real program is killed. lifetimes are the shortest and the longest time from a start to a kill.
+// killCount is the number of times that the real program is killed. lifetimes are the shortest and the longest time from a
+// start to a kill.
 const killCount = 50
 
 var lifetimes = [2]time.Duration{20 * time.Millisecond, 450 * time.Millisecond}
 
-// testKeyTTL is the key TTL of the settings: for this long the endpoints drop a repeat.
+// testKeyTTL is the key TTL of the settings, for which the endpoints drop repeats.
 const testKeyTTL = 15 * time.Second
 
 // ledger records what the endpoints and the clients observed.
@@ -31,8 +32,8 @@
 	executedAt map[string]time.Time
 }
 
-// respond returns an endpoint's status, which draw, a random number below 1, decides: the endpoint delivers, rejects, fails
-// after the execution, or hangs.
+// respond selects an endpoint's response by draw, a random number below 1, and returns the status: the endpoint delivers,
+// rejects, fails after the execution, or hangs.
 func (l *ledger) respond(r *http.Request, draw float64) int {
 	key := r.Header.Get("Idempotency-Key")
 	l.mu.Lock()
--- a/internal/relay/deadletter_link.go
+++ b/internal/relay/deadletter_link.go
@@ -11,7 +11,7 @@
 
 // deadLetterLink is the loop's side of the dead-letter store, a subsystem: it passes undelivered requests to the writer, keeps
 // requests in the journal until the store has recorded them, and admits redeliveries. If the operator has turned the store
-// off, it has no writer, but still ends the redeliveries that an earlier process left in the journal.
+// off, deadLetterLink has no writer, but still ends the redeliveries that an earlier process left in the journal.
 type deadLetterLink struct {
 	loop   *loop
 	writer *deadLetterWriter // nil if the store is off
--- a/internal/relay/deadletter_record.go
+++ b/internal/relay/deadletter_record.go
@@ -15,7 +15,7 @@
 		incarnation.AcceptedAt = incarnation.CompletedAt
 	}
 	for _, a := range r.Attempts {
-		executed := deadletter.ExecutionUnknown // also for an attempt that was in flight when a process ended
+		executed := deadletter.ExecutionUnknown // includes an attempt that was in flight when a process ended
 		switch {
 		case a.Ended && a.NotExecuted:
 			executed = deadletter.NotExecuted
--- a/internal/relay/deadletter_test.go
+++ b/internal/relay/deadletter_test.go
@@ -162,7 +162,7 @@
 }
 
 // A process that runs without the store may deliver requests that the store does not record. The next process with the store
-// must not rely on the store's knowledge of topics.
+// must not rely on the newest requests of topics that the store has recorded.
 func TestDeadLetters_ProcessWithoutStoreInBetween(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(parcelSubjects)
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// storeRetryPause is the pause after a failed write of the store.
+	// storeRetryPause is the pause after a failed write to the store.
 	storeRetryPause = 500 * time.Millisecond
 	// storeErrorLogInterval is the shortest interval between log messages about failed writes.
 	storeErrorLogInterval = 10 * time.Second
@@ -33,8 +33,8 @@
 	send           func(deadLetterEvent) // sends an event to the loop
 	timeline       *clock.Timeline
 	newRedeliverer func(*deadletter.Store) *deadletter.Redeliverer
-	gate           deadletter.Gate                  // of redeliveries; nil: every redelivery is allowed
-	openStore      atomic.Pointer[deadletter.Store] // nil until the store is open; for other goroutines, which only read the store
+	gate           deadletter.Gate                  // grants destinations for redelivery; nil: every redelivery is allowed
+	openStore      atomic.Pointer[deadletter.Store] // nil until the store is open; other goroutines use it to read the store
 
 	// Used only by the goroutine of run and the goroutines that it starts.
 	classes          []deadletter.Class
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -60,7 +60,7 @@
 //	timer.go                when the loop wakes up
 //	tracing.go              the loop's trace events
 //	reload.go               new settings while the relay runs
-//	missing_key.go          the check that a reloaded configuration lacks no key of the running one
+//	missing_key.go          the check that a reloaded configuration lacks no key of the running configuration
 //	deadletter_link.go      the loop's side of the dead-letter store
 //	deadletter_events.go    the events of the dead-letter writer
 //	deadletter_record.go    the store's record of a request
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -13,7 +13,7 @@
 // deferredEffect is an effect that waits until the records of its batch are durable.
 type deferredEffect struct {
 	run func()
-	// runBy is when the effect runs even without the records; 0: never. It is the request's deadline for a terminal outcome:
+	// runBy is when the effect runs even without the records; 0: never. For a terminal outcome it is the request's deadline:
 	// after that the outcome may be published, since a later process that finds no record can only fail the request again.
 	runBy clock.Instant
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -162,13 +162,14 @@
 	p.nextAttempt()
 }
 
-// An outage that a process has detected is known to the next process, also for an endpoint that the configuration's list lacks.
+// An outage that one process has detected still applies in the next process, even for an endpoint that the configuration's list
+// lacks.
 func TestEndpoints_OutageIsKnownAfterRestart(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		t.Run(fmt.Sprint("known ", known), func(t *testing.T) {
 			p := newPlatform(t)
 			p.addEndpoint("h1", 7)
-			p.endpoints[0].Weight = 0.05 // so low that a trial request is allowed only every many seconds
+			p.endpoints[0].Weight = 0.05 // so low that many seconds must pass between two trial requests
 			up := p.endpoints[0]
 			p.endpoints[0].Address = refusingAddress(t)
 			c := p.start()
@@ -184,8 +185,8 @@
 			for ; resp.StatusCode == http.StatusServiceUnavailable; resp = p.submit("status", "b", "25") {
 				time.Sleep(10 * time.Millisecond) // the endpoint is not listed yet
 			}
-			// A relay without the outage would accept the request and send it at once. With it, the request is rejected, since the next
-			// trial request is too far off.
+			// A relay without the recorded outage would accept the request and send it at once. With the outage, the request is
+			// rejected, since it would expire before the next trial request.
 			if resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("known %v: %s", known, resp.Status)
 			}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -23,7 +23,7 @@
 	Standby      bool          `json:"away,omitempty"`
 	StandbySince clock.Instant `json:"since,omitzero"`
 
-	conns map[string]*net.TCPConn // of Attempts, by request id
+	conns map[string]*net.TCPConn // the connections of Attempts, by request id
 }
 
 // completedRequest identifies a completed request, so that the successor recognizes a repeated submission of it.
--- a/internal/relay/handover_kill_test.go
+++ b/internal/relay/handover_kill_test.go
@@ -87,7 +87,7 @@
 		case <-r.Context().Done(): // the process that made the attempt was killed
 		}
 		l.mu.Lock()
-		if twice[id] { // waits until the attempt of a killed process is seen to be cancelled
+		if twice[id] { // waits until the attempt of a killed process is cancelled
 			l.mu.Unlock()
 			select {
 			case <-time.After(time.Second):
@@ -155,7 +155,8 @@
 		}
 	}
 	for id := range twice {
-		// An attempt of a killed process may appear in flight here for a moment longer than it was, but is not answered.
+		// The endpoint may count an attempt of a killed process as in flight until it detects the closed connection, but such
+		// an attempt is not answered.
 		if twice[id] && answered[id] > 1 {
 			l.faults = append(l.faults, "two attempts in flight: "+id)
 		}
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -72,8 +72,8 @@
 	return c
 }
 
-// openUsedConn opens a client connection and has one request answered on it. The relay then allows a further request on it 2.5 s
-// to arrive.
+// openUsedConn opens a client connection and has one request answered on it. The relay then allows 2.5 s from the first to the
+// last byte of a further request on this connection.
 func (p *platform) openUsedConn() net.Conn {
 	p.t.Helper()
 	c, err := p.dialUsedConn()
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -53,7 +53,7 @@
 	destinations map[int]bool                  // destinations that have occurred in any endpoint list
 
 	wakeAt      time.Duration // when the loop runs a batch even without an event
-	timerAt     time.Duration // the last timer that the dispatcher set; until it fires, the dispatcher sets only an earlier one
+	timerAt     time.Duration // the last timer that the dispatcher set; until it fires, the dispatcher sets only earlier timers
 	lastBatchAt time.Duration // the start of the last batch
 
 	attemptsInFlight int                     // attempts that were passed to the pool and whose end has not reached the loop
@@ -76,7 +76,7 @@
 // send sends an event to the loop. It blocks while the inbox is full.
 func (l *loop) send(e event) { l.inbox <- e }
 
-// classIndex returns the index of a classIndex in the settings, or -1 for an unknown classIndex.
+// classIndex returns the index of a class in the settings, or -1 for an unknown class.
 func (l *loop) classIndex(name string) int {
 	for i := range l.cfg.policy.Classes {
 		if l.cfg.policy.Classes[i].Name == name {
--- a/internal/relay/recovery.go
+++ b/internal/relay/recovery.go
@@ -115,9 +115,9 @@
 	l.events = append(l.events, arrived)
 }
 
-// attemptSentAt returns when an attempt of an earlier process began, on the dispatcher's clock. If the machine was booted since
-// then, the age of the attempt is unknown, and it counts as older than the time for which any destination remembers an
-// idempotency key.
+// attemptSentAt returns when an attempt of an earlier process began, on the dispatcher's clock. If the machine was rebooted
+// since then, the age of the attempt is unknown, and the attempt counts as older than the time for which any destination
+// remembers an idempotency key.
 func (l *loop) attemptSentAt(a journal.Attempt) time.Duration {
 	if !l.timeline.SameBoot() {
 		return 0
--- a/internal/relay/redelivery.go
+++ b/internal/relay/redelivery.go
@@ -30,8 +30,8 @@
 	l.addCandidate(r)
 }
 
-// returnRedelivery returns to the store a redelivery of which no attempt was made. newer is the id of the request that has
-// superseded it, or "".
+// returnRedelivery returns a redelivery to the store before any attempt of it was made. newer is the id of the request that
+// has superseded the redelivery, or "".
 func (d *deadLetterLink) returnRedelivery(r *request, newer string) {
 	r.transition(stateEvicted)
 	if r.Order != nil {
@@ -70,8 +70,8 @@
 	l.acknowledged(r) // the platform gets no notice of a redelivery
 }
 
-// cancelSuperseded ends the redeliveries for whose topic a newer request was accepted in this batch: attempts of this batch
-// are not started, and attempts in flight are cancelled.
+// cancelSuperseded ends each redelivery if a newer request on its topic was accepted in this batch: the redelivery's attempt
+// is not started if it was planned in this batch, and is cancelled if it is in flight.
 func (d *deadLetterLink) cancelSuperseded() {
 	if d.writer == nil {
 		return
--- a/internal/relay/redelivery_test.go
+++ b/internal/relay/redelivery_test.go
@@ -111,8 +111,8 @@
 }
 
 // A status that a newer status of the same parcel has superseded is not redelivered, and its record names the newer status.
-// Statuses that none has superseded are redelivered, even if an older status of their parcel is delivered meanwhile. All this
-// holds after a kill too.
+// Statuses that no newer status has superseded are redelivered, even if an older status of their parcel is delivered meanwhile.
+// All this holds after a kill too.
 func TestRedelivery_SupersededIsNotSent(t *testing.T) {
 	p := newPlatform(t)
 	folder := p.enableDeadLetters(strings.Replace(parcelSubjects, "after_s = 0.2", "after_s = 2", 1))
--- a/internal/relay/redelivery_unrecorded_test.go
+++ b/internal/relay/redelivery_unrecorded_test.go
@@ -22,7 +22,7 @@
 }
 
 // A redelivery that is accepted in a batch whose records can't be written is returned to the store, and must be dropped from the
-// journal's memory. Guards against an execution of the message twice: after a write error the next commit writes the whole file
+// journal's memory. Guards against executing the message twice: after a write error the next commit writes the whole file
 // from memory, which still held the returned redelivery as open. The next process then redelivered it under this id, while the
 // store could redeliver the message under another one.
 func TestRedelivery_UnrecordedAcceptanceIsForgotten(t *testing.T) {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -68,7 +68,7 @@
 	slog.Info("configuration reloaded", logkey.Discovery, r.Config.Discovery, logkey.Classes, r.Config.classNames())
 	if r.Config.Discovery != n.discovery {
 		n.discovery = r.Config.Discovery
-		n.loop.notifier.SetAddress(n.discovery) // first, so that notices go to the new address once the watch is seen there
+		n.loop.notifier.SetAddress(n.discovery) // first, so that notices already go to the new address when the watch is opened there
 		n.loop.watch.SetAddress(n.discovery)
 	}
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -10,7 +10,7 @@
 )
 
 // Settings are replaced while the relay runs: an added class is served, a removed class is unknown to clients while its accepted
-// requests keep their terms, also after a kill, and broken files change nothing and are counted.
+// requests keep their terms, even after a kill, and broken files change nothing and are counted.
 func TestReload_AppliesNewSettings(t *testing.T) {
 	p := newPlatform(t)
 	p.addAdminEndpoint()
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -16,7 +16,7 @@
 	*journal.Entry
 	state         requestState
 	responses     []chan frontend.Response // to its submissions, until they are answered
-	retryInfo     string                   // the client's own account of an earlier submission, for the trace
+	retryInfo     string                   // the client's description of an earlier submission, for the trace
 	acceptedTerms *policy.Class            // the terms of its class when it was accepted; read from the journal at the first use
 	outcomeRecord uint64                   // the number of its terminal outcome's record in the journal
 	recovered     bool                     // accepted by an earlier process
@@ -26,8 +26,8 @@
 	attempt          plannedAttempt
 	attemptStarted   time.Time
 	attemptInFlight  bool               // planned, and its end has not reached the loop
-	cancel           context.CancelFunc // cancels it; nil while no goroutine runs one
-	cancelBeforeSend *atomic.Bool       // cancels it unless a byte of it has been sent
+	cancel           context.CancelFunc // cancels the attempt; nil while no goroutine runs it
+	cancelBeforeSend *atomic.Bool       // cancels the attempt unless a byte of it has been sent
 
 	// Whether the metrics have counted the request.
 	countedInFlight  bool
--- a/internal/relay/request_state.go
+++ b/internal/relay/request_state.go
@@ -41,7 +41,7 @@
 const unexpectedTransition = "unexpected request state transition"
 
 // transition sets the request's state. A transition that stateTransitions does not have is logged and still made, because
-// the event behind it has happened and the process must go on serving the other requests.
+// the event that caused it has happened and the process must go on serving the other requests.
 func (r *request) transition(next requestState) {
 	if !r.state.canBecome(next) {
 		slog.Error(unexpectedTransition, logkey.RequestID, r.ID, logkey.From, r.state.String(), logkey.To, next.String())
--- a/internal/relay/resource_limits.go
+++ b/internal/relay/resource_limits.go
@@ -10,7 +10,8 @@
 	// clientConnsPerMB also limits clients' connections by memory: a connection needs about 16 KiB.
 	clientConnsPerMB = 12
 	// idleClientConnFraction is the fraction of the descriptors that clients' idle connections may take: far less than the
-	// third that clients may hold for requests, and enough for one connection per concurrent request at peak load.
+	// third of all descriptors that clients may hold for requests, and enough for one connection per concurrent request at
+	// peak load.
 	idleClientConnFraction = 1.0 / 8
 	// adminConnFraction is the fraction of the descriptors for operators' connections, which are at least minAdminConns:
 	// enough for calls to be served while other connections are open and silent.
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -18,7 +18,7 @@
 	acceptConnsFor        = time.Second             // new connections are accepted until then
 	startAttemptsFor      = 2700 * time.Millisecond // attempts are started until then
 	finishAttemptsFor     = 3300 * time.Millisecond // attempts in flight may end until then
-	idlePollInterval      = 50 * time.Millisecond   // between checks whether the loop is idle
+	idlePollInterval      = 50 * time.Millisecond   // between two checks of the loop for remaining requests
 	finalResponsesTimeout = 250 * time.Millisecond  // for reading requests that have begun to arrive, and for their responses
 )
 
--- a/internal/relay/submission.go
+++ b/internal/relay/submission.go
@@ -17,7 +17,7 @@
 		s.Response <- frontend.Response{}
 		return
 	case !quiet:
-		// The connection has bytes beyond the request's length, or a next request before the response to this one.
+		// The connection has bytes beyond the request's length, or the next request before the response to this one.
 		s.Response <- frontend.RejectMalformed(http.StatusBadRequest)
 		return
 	}
@@ -47,7 +47,7 @@
 		r.responses = append(r.responses, s.Response)
 		return
 	}
-	// This holds also if the terminal outcome is decided and only the notice is pending: the request was accepted under this id
+	// This also holds if the terminal outcome is decided and only the notice is pending: the request was accepted under this id
 	// and completes once. A rejection would claim that the request was never executed, which is not certain.
 	l.respondToDuplicate(s, http.StatusAccepted)
 }
@@ -67,7 +67,7 @@
 	s.Response <- frontend.Response{Status: http.StatusServiceUnavailable, RetryAfter: l.cfg.policy.MaxRetryAfter}
 }
 
-// rejectionReason returns the reason for the trace why rejectSubmission rejects a submission.
+// rejectionReason returns the reason that the trace states for a rejection by rejectSubmission.
 func (l *loop) rejectionReason(e *journal.Entry) string {
 	switch {
 	case !l.destinations[e.Destination]:
--- a/internal/relay/subsystem.go
+++ b/internal/relay/subsystem.go
@@ -29,7 +29,7 @@
 	// publish is called for a request whose terminal outcome is recorded and may be published. awaited reports whether the
 	// request must stay in the journal until the subsystem evicts it.
 	publish(r *request) (awaited bool)
-	// notified is called when a request needs no further notice to the platform. awaited is as for publish.
+	// notified is called when a request needs no further notice to the platform. awaited has the same meaning as for publish.
 	notified(r *request) (awaited bool)
 	// evicted is called for a request that is being evicted.
 	evicted(r *request)
--- a/internal/relay/terminal_outcome.go
+++ b/internal/relay/terminal_outcome.go
@@ -128,7 +128,8 @@
 }
 
 // acknowledged notifies the dispatcher that the terminal outcome of a request with an order key has reached its recipient.
-// Only then may the next request of that key be sent: an attempt that overtakes the previous request's notice is out of order.
+// Only then may the next request of that key be sent: an attempt that overtakes the previous request's notice would be out of
+// order.
 func (l *loop) acknowledged(r *request) {
 	if r.OrderKey != "" {
 		l.wakeDispatcher(policy.Acknowledged{ID: r.ID})
--- a/internal/relay/timer.go
+++ b/internal/relay/timer.go
@@ -32,7 +32,7 @@
 }
 
 // nextWake returns when the loop runs a batch even without an event: for the dispatcher's timer, for a request whose outcome
-// is overdue, or to retry a write of the folder.
+// is overdue, or to retry a write to the folder.
 func (l *loop) nextWake() time.Duration {
 	at := l.wakeAt
 	if due := l.deadlines.Next(); due > 0 {
--- a/internal/relay/tracing.go
+++ b/internal/relay/tracing.go
@@ -58,7 +58,7 @@
 	l.traceEvent(t)
 }
 
-// The trace's reasons why requests are rejected before they are accepted.
+// The reasons that the trace states for rejections of requests before their acceptance.
 const (
 	rejectedUnlisted    = "no list names its destination"
 	rejectedNoSpace     = "the journal has no room"
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -24,7 +24,7 @@
 	RetryAfter time.Duration
 }
 
-// Fail ends a message with a failure: the client does not learn whether it executed.
+// Fail ends a message with a failure, which does not tell the client whether the message executed.
 type Fail struct{ ID string }
 
 // CancelAttempt cancels an attempt that is in flight.
@@ -36,7 +36,7 @@
 // CancelBeforeSend cancels an attempt if no byte of it has been sent yet, for example while its
 // connection is being established. It is emitted when the destination answers another call with
 // Retry-After, and when the endpoint starts draining or is removed. A cancelled attempt ends as
-// NotSent; an attempt of which a byte has been sent continues.
+// NotSent; an attempt that has sent a byte continues.
 type CancelBeforeSend struct {
 	ID      string
 	Attempt int
--- a/policy/cancel_before_send.go
+++ b/policy/cancel_before_send.go
@@ -1,8 +1,9 @@
 package policy
 
-// cancelBeforeSend cancels the given calls of which no byte has been sent yet, for example because
+// cancelBeforeSend cancels those of the given calls that have not sent a byte yet, for example because
 // their connections are still being established. If the destination has answered one of the calls
-// with Retry-After, answered is that call. It is nil if an endpoint starts draining or is removed.
+// with Retry-After, answered is that call. If an endpoint starts draining or is removed, answered is
+// nil.
 func (d *Dispatcher) cancelBeforeSend(calls []*call, answered *call) {
 	for _, c := range calls {
 		if c == answered {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -68,7 +68,7 @@
 //   - attempt_outcome.go: state updates after the outcome of an attempt
 //   - retry.go: whether a message may be sent again
 //   - stuck_attempts.go: cancellation of calls that are in flight for too long
-//   - cancel_before_send.go: cancellation of attempts of which no byte has been sent
+//   - cancel_before_send.go: cancellation of attempts that have not sent a byte
 //   - terminal.go: the terminal outcome of a message, and its eviction
 //
 // Decisions on destinations:
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -76,7 +76,7 @@
 	return ep
 }
 
-// removeEndpoint removes an endpoint that is no longer listed. Calls of which a byte has been sent
+// removeEndpoint removes an endpoint that is no longer listed. Calls that have sent a byte
 // stay in flight, and their outcomes are still applied.
 func (d *Dispatcher) removeEndpoint(ep *endpoint) {
 	d.cancelBeforeSend(ep.inFlight, nil)
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -16,7 +16,7 @@
 	wantActions(t, "removed", d.Handle(3, []Event{arrival("o", 0)}), "o>c")
 }
 
-// When an endpoint starts draining or is removed, attempts of which no byte has been sent are
+// When an endpoint starts draining or is removed, attempts that have not sent a byte are
 // cancelled: their connections may be established only after the endpoint has stopped accepting new
 // calls. Applying the same change again cancels nothing.
 func TestEndpointList_CancelsBeforeSend(t *testing.T) {
--- a/policy/idle_connections.go
+++ b/policy/idle_connections.go
@@ -30,9 +30,9 @@
 // keepsIdleConns reports whether the fleet is small enough for relays to keep idle connections.
 func (d *Dispatcher) keepsIdleConns() bool { return d.settings.Instances <= mediumFleet }
 
-// closesIdleConn reports whether a connection to an endpoint is closed after its call: because it
-// would probably stay idle until its timeout, because the endpoint has reached its connection limit
-// before, or because the idle connections of a large fleet would use up the connection limit of a
+// closesIdleConn reports whether a connection to an endpoint is closed after its call. It is closed
+// if it would probably stay idle until its timeout, if the endpoint has reached its connection limit
+// before, or if the fleet is so large that idle connections would use up the connection limit of a
 // small endpoint. Closing a connection that would have been used again costs a handshake.
 func (d *Dispatcher) closesIdleConn(ep *endpoint) bool {
 	// The decayed count is used instead of the rate, because the rate of a new counter is high
@@ -57,8 +57,9 @@
 }
 
 // borrowableTokens returns how many send tokens a queue may borrow for calls on a reusable
-// connection. It returns 0 if the reported rate limit is lowered, or has caused a rejection within
-// unavailableAfter: only the relays' send rates then keep their total within the rate limit.
+// connection. It returns 0 if the destination reports a lowered rate limit, or has rejected a call
+// by its rate limit within unavailableAfter: all relays together then stay within the rate limit
+// only if none of them exceeds its send rate.
 func (d *Dispatcher) borrowableTokens(q *queue) float64 {
 	if q.totalRate() < q.listedRate || q.lastLimitRejection > 0 && d.now-q.lastLimitRejection < unavailableAfter {
 		return 0
--- a/policy/order_test.go
+++ b/policy/order_test.go
@@ -17,8 +17,8 @@
 }
 
 // With AwaitAcknowledgement, the next message with an order key waits until the outcome of the
-// message before it is acknowledged; otherwise it could be sent before the client learns that
-// outcome. Messages without an order key and delivered messages block nothing.
+// message before it is acknowledged; otherwise it could be sent before the client receives
+// that outcome. Messages without an order key and delivered messages block nothing.
 func TestOrder_WaitsForAcknowledgement(t *testing.T) {
 	for _, awaits := range []bool{false, true} {
 		s := testSettings()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -40,7 +40,7 @@
 // traffic, where a third failure would take long to occur, two failures suffice. A single endpoint
 // that is down becomes unhealthy by its own failures before the count of the queue reaches the
 // limit. A network partition cannot be distinguished from an outage, so endpoints behind a
-// partition are treated as cold too, which they may be.
+// partition are treated as cold too, because they may be cold.
 func (d *Dispatcher) recordConnFailure(ep *endpoint, c *call) {
 	q := ep.queue
 	if d.keepsIdleConns() || ep.health.isUnhealthy() || q.lastSuccess > c.sent {
--- a/policy/rate_control.go
+++ b/policy/rate_control.go
@@ -8,7 +8,7 @@
 const (
 	// rateIncrease is the fraction of this relay's even share by which a success raises the send
 	// rate while messages are queued. If the send rate exceeds an even share that is below
-	// minStartRate, the fraction is taken of the send rate instead, but of minStartRate at most.
+	// minStartRate, the fraction is taken of the send rate or of minStartRate, whichever is lower.
 	rateIncrease = 0.1
 	// rateDecrease is the factor by which a rejection lowers the send rate. Together with
 	// rateIncrease, about one call in eight is rejected if demand always exceeds the rate limit.
@@ -22,9 +22,9 @@
 	// correct rate.
 	minFractionOfEvenShare = 0.7
 	// minCallsPerWindow is the least send rate to start with, in calls per rateLimitWindow. If the
-	// even share is lower, relays have calls only now and then, and rejections show sooner than
-	// even shares how much capacity the other relays leave. Each rejection by the rate limit
-	// at least halves the excess over the even share.
+	// even share is lower, each relay makes calls only now and then. A start above the even share
+	// then shows sooner, by rejections, how much capacity the other relays leave unused. Each
+	// rejection by the rate limit at least halves the excess over the even share.
 	minCallsPerWindow = 0.5
 	// rateLimitWindow is about the time window over which destinations count calls for their rate
 	// limit. The calls that the send rate allows in one window may be sent at once.
--- a/policy/rejection_test.go
+++ b/policy/rejection_test.go
@@ -36,7 +36,7 @@
 	wantActions(t, "before Retry-After has passed", got, "")
 }
 
-// When a destination answers with Retry-After, its attempts of which no byte has been sent are
+// When a destination answers with Retry-After, its attempts that have not sent a byte are
 // cancelled. They did not execute and are retried after Retry-After. Attempts at other destinations
 // are not cancelled, and a rejection without Retry-After cancels nothing.
 func TestRetryAfter_CancelsBeforeSend(t *testing.T) {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -23,8 +23,9 @@
 	return d.now < d.keyExpiry(m)
 }
 
-// keyExpiry returns the time after which the idempotency key of a message that may have executed is
-// not relied on: KeyTTL after its first such attempt, less a margin of two batch intervals.
+// keyExpiry returns the time from which a message that may have executed is not sent again, because
+// the destination may forget its idempotency key: KeyTTL after the start of the first attempt that may
+// have executed, less a margin of two batch intervals.
 func (d *Dispatcher) keyExpiry(m *message) time.Duration {
 	return m.firstExecuted().sent + m.terms.KeyTTL - 2*d.settings.BatchInterval
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -43,7 +43,7 @@
 	Hedging         bool          // two attempts of a message may be in flight at the same time
 	CanCancel       bool          // calls in flight can be cancelled
 	WatchEndpoints  bool          // changes of the endpoint list arrive only after a WatchEndpoints action
-	IdleConnTimeout time.Duration // after which idle connections are closed anyway; 0 if never
+	IdleConnTimeout time.Duration // idle time after which connections are closed in any case; 0 if they never are
 
 	// Directly after an outage, a destination has the fraction ColdCapacity of its capacity. That
 	// fraction rises to 1 within SlowStartTime. The destination fails again if calls exceed
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -21,7 +21,8 @@
 )
 
 // startSlowStart starts the slow start of an unhealthy endpoint. It also allows a trial request to
-// each other endpoint of the queue, because outages mostly end for a whole destination.
+// each other endpoint of the queue, because an outage usually ends for all endpoints of a
+// destination at the same time.
 func (d *Dispatcher) startSlowStart(ep *endpoint) {
 	d.recoveryTokens(ep)
 	ep.health, ep.recoveredAt = slowStart, d.now
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestSlowStart_SuccessAllowsTrialOfSiblings guards against late detection of the recovery of other
-// endpoints, since outages mostly end for a whole destination.
+// endpoints: an outage usually ends for all endpoints of a destination at the same time.
 func TestSlowStart_SuccessAllowsTrialOfSiblings(t *testing.T) {
 	d := newDispatcher(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b"})
 	a, b := d.endpoints["a"], d.endpoints["b"]
--- a/policy/snapshot_chain_test.go
+++ b/policy/snapshot_chain_test.go
@@ -33,7 +33,7 @@
 }
 
 // In a sequence of processes, each of which hands over before the cooldowns from its predecessor
-// have ended, every cooldown is kept, also across new settings and timers, and no process panics.
+// have ended, every cooldown is kept, even across new settings and timers, and no process panics.
 func TestSnapshot_ChainOfHandoversKeepsCooldowns(t *testing.T) {
 	handovers := 0
 	for seed := range uint64(chainSeeds) {
--- a/policy/stuck_attempts.go
+++ b/policy/stuck_attempts.go
@@ -16,11 +16,11 @@
 	// slot is needed and most overdue calls are never answered.
 	stuckFactor = 3
 	// nonRetryableFactor multiplies the time after which a call is cancelled as stuck if its
-	// messages cannot be sent again. These messages fail when the call is cancelled, but the freed
-	// slot can serve another message of equal value in each mean latency.
+	// messages cannot be sent again. These messages fail when the call is cancelled, but in each mean
+	// latency from then on the freed slot can serve another message of equal value.
 	nonRetryableFactor = 2
-	// unansweredThreshold is the share of overdue calls that do not succeed above which stuckFactor
-	// applies instead of unresponsiveFactor.
+	// unansweredThreshold is a share of overdue calls. If more than this share does not succeed,
+	// stuckFactor applies instead of unresponsiveFactor.
 	unansweredThreshold = 0.5
 )
 
--- a/policy/timer.go
+++ b/policy/timer.go
@@ -8,7 +8,7 @@
 	first    time.Duration
 }
 
-// add takes a time into account at which something is due.
+// add takes into account a time at which something is due.
 func (t *dueTime) add(at time.Duration) { t.first = min(t.first, max(at, t.earliest)) }
 
 // armTimer requests a timer for the next time at which something is due without an event, unless a
