--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -17,7 +17,7 @@
 
 // CorruptRecordError reports the first record of a file that can't be read. Replay stops there.
 type CorruptRecordError struct {
-	Offset  int   // of the record in the file
+	Offset  int   // the record's offset in the file
 	Skipped int   // bytes from there to the end of the file
 	Err     error // why it can't be read
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -40,7 +40,7 @@
 	durable            uint64       // number of the last record that a later process can read
 
 	// Sizes in bytes.
-	sizeLimit     int // of the old and the new file together during a compaction
+	sizeLimit     int // maximum total size of the old and the new file during a compaction
 	fileSize      int
 	liveSize      int // estimate for the records of a compaction and the later records of open requests
 	reservedSize  int // for requests that may be accepted before the next Commit
--- a/internal/relay/deadletter_writer.go
+++ b/internal/relay/deadletter_writer.go
@@ -39,7 +39,7 @@
 	// Used only by the goroutine of run and the goroutines that it starts.
 	classes          []deadletter.Class
 	journalledStore  string            // the store that has recorded all deliveries, according to the journal
-	deadLetters      *deadletter.Store // nil until it is open
+	deadLetters      *deadletter.Store // nil until the store is open
 	bounds           *deadletter.Bounds
 	redeliverer      *deadletter.Redeliverer
 	admin            *deadletter.Admin
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -38,7 +38,7 @@
 	Attempt   int                `json:"attempt"`
 	Endpoint  discovery.Endpoint `json:"host"`
 	StartedAt clock.Instant      `json:"begun"`
-	Timeout   time.Duration      `json:"timeout"` // since StartedAt
+	Timeout   time.Duration      `json:"timeout"` // counted from StartedAt
 }
 
 // awaitResume answers the quiesce request with the loop's state, and waits until the loop is resumed. It returns false if the
