--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -40,7 +40,7 @@
 	durable            uint64       // number of the last record that a later process can read
 
 	// Sizes in bytes.
-	sizeLimit     int // of the old and the new file together during a compaction
+	sizeLimit     int // maximum total size of the old and the new file during a compaction
 	fileSize      int
 	liveSize      int // estimate for the records of a compaction and the later records of open requests
 	reservedSize  int // for requests that may be accepted before the next Commit
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Inspect reads the current journal of a folder, also while another process writes it. The result is only
+// Inspect reads the current journal of a folder, even while another process writes it. The result is only
 // for reading: no records may be added to it.
 func Inspect(dir string) (*Journal, error) {
 	j, _, err := load(dir) // the tail may be corrupt because the owner is in the middle of a write
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -23,7 +23,7 @@
 	Standby      bool          `json:"away,omitempty"`
 	StandbySince clock.Instant `json:"since,omitzero"`
 
-	conns map[string]*net.TCPConn // of Attempts, by request id
+	conns map[string]*net.TCPConn // the connections of Attempts, by request id
 }
 
 // completedRequest identifies a completed request, so that the successor recognizes a repeated submission of it.
@@ -38,7 +38,7 @@
 	Attempt   int                `json:"attempt"`
 	Endpoint  discovery.Endpoint `json:"host"`
 	StartedAt clock.Instant      `json:"begun"`
-	Timeout   time.Duration      `json:"timeout"` // since StartedAt
+	Timeout   time.Duration      `json:"timeout"` // counted from StartedAt
 }
 
 // awaitResume answers the quiesce request with the loop's state, and waits until the loop is resumed. It returns false if the
