--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/admin.go
@@ -13,7 +13,8 @@
 	// The default and the largest size of a page, in messages, and the largest number of messages scanned for a page. The
 	// scan is limited so that a filter that matches few messages does not keep the store busy.
 	defaultPageSize, maxPageSize, maxScanned = 100, 10_000, 200_000
-	// maxRequestBody limits the body of a request, in bytes. It must hold one message, as an import has one per request.
+	// maxRequestBody limits the body of a request, in bytes. It allows for one message, because an import sends each
+	// message in its own request.
 	maxRequestBody = 1 << 20
 )
 
--- a/internal/deadletter/bounds.go
+++ b/internal/deadletter/bounds.go
@@ -53,8 +53,8 @@
 	return removed, nil
 }
 
-// excess returns by how many messages the stored messages that a bound covers exceed it. An excess of bytes is converted to
-// a number of messages of their mean size.
+// excess returns the number of messages that have to be removed to meet the bound's limits on the number and the size of the
+// messages that it covers. An excess of bytes is converted to a number of messages of mean size.
 func (b *Bound) excess(groups []Group) int {
 	messages, bytes := 0, int64(0)
 	for _, g := range groups {
@@ -73,7 +73,7 @@
 	return excess
 }
 
-// enforce removes messages that exceed a bound, as exceeded selects them. index is the position of the bound's cursor.
+// enforce removes one batch of the messages that exceed a bound; see exceeded. index is the position of the bound's cursor.
 func (b *Bounds) enforce(index int, bound Bound, excess int, ended bool, now time.Time) (removed int, err error) {
 	if excess == 0 && bound.MaxAge == 0 && !ended {
 		return 0, nil
@@ -99,9 +99,9 @@
 	return len(ids), b.store.Remove(ids)
 }
 
-// exceeded returns a filter that selects the messages to remove, for records that come in order of age: messages that are
-// too old, excess further messages and, if ended is set, messages in a final state. It never selects a message that is being
-// redelivered.
+// exceeded returns a filter that selects the messages to remove: messages that are too old, the first excess messages that
+// are not too old and, if ended is set, messages in a final state. The filter must be called with the oldest records first.
+// It never selects a message that is being redelivered.
 func (b *Bound) exceeded(excess int, ended bool, now time.Time) func(r *Record) bool {
 	return func(r *Record) bool {
 		if r.State == Redelivering || b.Class != "" && b.Class != r.Class || b.Tenant != "" && b.Tenant != r.Tenant {
--- a/internal/deadletter/client.go
+++ b/internal/deadletter/client.go
@@ -43,7 +43,8 @@
 
 // OpenFolder returns a client of the store of a stopped relay. Changes are possible only if write is set.
 func OpenFolder(dir string, write bool) (*Client, error) {
-	store, err := OpenToRead(dir) // also if write is set, because Open would create a store in a misspelled folder
+	// OpenToRead fails if the folder has no store. Open would create one, for example in a folder whose name is misspelled.
+	store, err := OpenToRead(dir)
 	if err == nil && write {
 		_ = store.Close()
 		store, err = Open(dir, 0, 0)
--- a/internal/deadletter/dry_run.go
+++ b/internal/deadletter/dry_run.go
@@ -62,8 +62,8 @@
 	return classes, nil
 }
 
-// prepare parses the hours of the rules. It returns the results of rule 0 and of each rule, which list the conflicts and
-// count no message yet.
+// prepare parses the hours of the rules. It returns the results of rule 0 and of each rule. The results list the conflicts,
+// and their counts of messages are still 0.
 func (d *DryRunRequest) prepare(classes []Class) ([]DryRunResult, error) {
 	results := make([]DryRunResult, len(d.Rules)+1)
 	for i := range d.Rules {
--- a/internal/deadletter/due.go
+++ b/internal/deadletter/due.go
@@ -66,7 +66,7 @@
 		}
 		r, err := readRecord(tx.Bucket(recordsBucket), key[dueNumberOffset:])
 		if err != nil {
-			continue // Verify reports it
+			continue // Verify reports the damaged record
 		}
 		due = append(due, r)
 	}
--- a/internal/deadletter/json_pointer.go
+++ b/internal/deadletter/json_pointer.go
@@ -108,7 +108,7 @@
 // memberNames returns the names of an object's members, or the indexes of an array's elements.
 type memberNames struct {
 	isObject bool
-	tracked  bool // the pointer may refer to one of the members, so that names must not be repeated
+	tracked  bool // the pointer may refer to one of the members, so their names must not be repeated
 	index    int
 	seen     map[string]bool
 }
@@ -118,7 +118,7 @@
 func (m *memberNames) next(d *json.Decoder) (string, error) {
 	if !m.isObject {
 		m.index++
-		return strconv.Itoa(m.index - 1), nil // never equal to "-" or to an index with leading zeros
+		return strconv.Itoa(m.index - 1), nil // so a pointer with "-" or an index with leading zeros refers to no element
 	}
 	token, err := nextToken(d)
 	if err != nil {
--- a/internal/deadletter/permission.go
+++ b/internal/deadletter/permission.go
@@ -47,8 +47,8 @@
 	return Permission{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Allowed decides whether a message may be sent again at a given time. Every redelivery depends on it, also one that an
-// operator asks for.
+// Allowed decides whether a message may be sent again at a given time. Every redelivery requires its permission, including a
+// redelivery that an operator asks for.
 func Allowed(c *Class, r *Record, newer Newer, now time.Time) Permission {
 	switch {
 	case c == nil:
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -26,7 +26,7 @@
 	OutcomeUnknown      Reason = "may-have-run"     // it may have been executed, and messages of its class must not be executed twice
 	SettingsChanged     Reason = "settings-changed" // the settings no longer contain its class or destination
 	ProcessEnded        Reason = "process-ended"    // its deadline had passed when a later process read it from the journal, or its redelivery was lost
-	OvertakenByNewer    Reason = "overtaken"        // a newer message was accepted before its redelivery was sent, or while that was in flight
+	OvertakenByNewer    Reason = "overtaken"        // a newer message was accepted before its redelivery was sent, or while the redelivery was in flight
 	RejectedOnArrival   Reason = "refused"          // it was never accepted
 )
 
--- a/internal/deadletter/redelivery.go
+++ b/internal/deadletter/redelivery.go
@@ -7,7 +7,8 @@
 
 const (
 	// The backoff of a destination's redeliveries after the relay had no capacity for a redelivery (busy) or a redelivery
-	// failed (failure). Each further one in a row doubles the backoff, so that a destination that is down gets few.
+	// failed (failure). Each further such result in a row doubles the backoff, so that a destination that is down gets few
+	// redeliveries.
 	minBusyBackoff, maxBusyBackoff       = 200 * time.Millisecond, 5 * time.Second
 	minFailureBackoff, maxFailureBackoff = 5 * time.Second, 5 * time.Minute
 	// tokenBurst is the capacity of a destination's token bucket: how many redeliveries it may get at once after a pause.
--- a/internal/deadletter/section.go
+++ b/internal/deadletter/section.go
@@ -60,7 +60,8 @@
 	byArrival = "arrival"
 )
 
-// Defaults of a section. The store is assumed to have a disk of its own, and the subjects take about 30 MB.
+// Defaults of a section. The store is assumed to have a disk of its own, and defaultMaxSubjects subjects
+// take about 30 MB.
 const (
 	defaultQuotaMB      = 1024
 	defaultMaxMessages  = 1_000_000
--- a/internal/deadletter/subject.go
+++ b/internal/deadletter/subject.go
@@ -41,7 +41,7 @@
 		return "", order, fmt.Errorf("subject: %d bytes, more than %d", len(subject), maxSubject)
 	case !utf8.ValidString(subject), strings.ContainsRune(subject, utf8.RuneError):
 		// Different subjects could become equal when invalid bytes are replaced.
-		return "", order, errors.New("subject: not UTF-8")
+		return "", order, errors.New("subject: not valid UTF-8")
 	case s.Order == byArrival:
 		return subject, order, nil
 	}
@@ -67,7 +67,7 @@
 	}
 	values := header.Values(name)
 	if len(values) != 1 {
-		return "", fmt.Errorf("header %s: %d values", name, len(values))
+		return "", fmt.Errorf("header %s: %d values, want one", name, len(values))
 	}
 	return values[0], nil
 }
--- a/internal/deadletter/throttle.go
+++ b/internal/deadletter/throttle.go
@@ -80,7 +80,7 @@
 		t.pausedUntil = now.Add(*backoff)
 	}
 	switch {
-	case result.Overtaken != "": // does not show whether the destination is healthy
+	case result.Overtaken != "": // this result does not show whether the destination is healthy
 	case result.Delivered:
 		t.busyBackoff, t.failureBackoff = 0, 0
 	case len(result.Incarnation.Attempts) == 0:
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -28,15 +28,16 @@
 	minLargeFleetSpread = 4 * time.Second
 	// maxSpread bounds the first window of a large fleet, whatever the number of relays that share
 	// discovery. At any scale, discovery can serve one request of every relay in 2 to 8 s (the range
-	// of all_call_s among a site's parameters), in addition to watches and changes. A longer window
-	// would leave relays without news of draining and new endpoints for longer than necessary.
+	// of the site parameter all_call_s), in addition to watches and changes. With a longer window,
+	// relays would be notified of draining and new endpoints later than necessary.
 	maxSpread = 10 * time.Second
 	// maxSilenceSpread bounds the spread of requests after watches that fell silent, in addition to
 	// the 2 s over which the relays detect the silence. 6 s after its watch fell silent, a relay
 	// counts as notified of the changes that it misses, even if it could not receive them.
 	maxSilenceSpread = 1500 * time.Millisecond
 	// minEstablished is the time that a watch must last for the backoff to be reset. The first line
-	// may arrive before discovery has finished its work on the request, which it gives up after 2 s.
+	// does not suffice: it may arrive while discovery still works on the request, and discovery gives
+	// up a request that takes more than 2 s.
 	minEstablished = 2500 * time.Millisecond
 )
 
@@ -62,8 +63,9 @@
 }
 
 // Start returns the delay of the first request. Without a delay, a release that restarts the whole
-// fleet makes all relays request at once a list that they already have. All but the first few
-// requests fail, and the retries keep discovery working on requests whose relays no longer wait.
+// fleet makes all relays send their requests at the same time, for a list that they already have.
+// All but the first few requests fail, and the retries keep discovery working on requests whose
+// relays no longer wait.
 func (s *Schedule) Start() time.Duration {
 	if !s.spreadStart {
 		return 0
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -60,7 +60,7 @@
 }
 
 // SetAddress ends the current watch without a call of onWatchEnd, and requests one from another
-// address, without a call of Subscribe. Only in a large fleet that request is delayed (see
+// address. The caller need not call Subscribe. The request is delayed only in a large fleet (see
 // [Schedule.Start]).
 func (w *Watcher) SetAddress(address string) {
 	select {
--- a/internal/frontend/http1/closereason.go
+++ b/internal/frontend/http1/closereason.go
@@ -5,7 +5,7 @@
 
 // The reasons.
 const (
-	// CloseEvicted: the connection is evicted for another one, for its descriptor, or at shutdown.
+	// CloseEvicted: the connection is closed to admit another one, to free its descriptor, or at shutdown.
 	CloseEvicted CloseReason = "room for others"
 	// CloseTooManyIdle: there are more idle connections than the server allows.
 	CloseTooManyIdle CloseReason = "clients keep more than they use"
--- a/internal/frontend/http1/conn.go
+++ b/internal/frontend/http1/conn.go
@@ -73,7 +73,7 @@
 	interrupted bool      // Quiesce, and not the connection's own timeout, ended the read
 }
 
-// newConn returns a connection. The bytes in read were already read from it and are parsed first.
+// newConn returns a connection. The bytes in read were read from raw earlier and are parsed first.
 func newConn(raw *net.TCPConn, read []byte) *conn {
 	retrying := socket.RetryConn{Conn: raw}
 	received := &recorder{from: retrying}
@@ -93,8 +93,8 @@
 	return err == nil && n > 0
 }
 
-// quiet reports whether the client is connected and has sent nothing more, and whether the client is
-// connected at all.
+// quiet reports whether the client is connected and has sent no further bytes. connected reports
+// whether the client is connected, regardless of further bytes.
 func (c *conn) quiet() (quiet, connected bool) {
 	n, err := socket.Peek(c.TCPConn)
 	quiet = errors.Is(err, syscall.EAGAIN)
--- a/internal/frontend/http1/evict_test.go
+++ b/internal/frontend/http1/evict_test.go
@@ -74,7 +74,7 @@
 		idle := s.counts[connIdle]
 		s.mu.Unlock()
 		if idle > s.maxIdle {
-			t.Fatalf("%d idle connections, want %d at most", idle, s.maxIdle)
+			t.Fatalf("%d idle connections, want at most %d", idle, s.maxIdle)
 		}
 	}
 	if closed == 0 {
--- a/internal/frontend/http1/handover_test.go
+++ b/internal/frontend/http1/handover_test.go
@@ -109,10 +109,10 @@
 }
 
 // A connection on which a part of a head line has arrived when a hand-over begins is detached. The fault: the client got 400 and a
-// close instead. The parser takes the part of a line that it read before the read deadline for a whole line and reports it as
-// malformed, so the deadline's error is lost. For the same reason a line that never ended got 400 where 408 is due (see
-// TestServer_TimesOutHalfALine). Found by: the log message "cannot read request" had the error `malformed HTTP request
-// "POST /sta"`, and "i/o timeout" if a longer part of the head had arrived.
+// close instead. The parser treats the part of a line that it read before the read deadline as a whole line and reports that the
+// line is malformed, so the deadline's error is lost. For the same reason, a line that never ended was answered with 400 instead
+// of 408 (see TestServer_TimesOutHalfALine). The log message "cannot read request" showed the fault: its error was `malformed
+// HTTP request "POST /sta"`, but "i/o timeout" if a longer part of the head had arrived.
 func TestServer_DetachesHalfALine(t *testing.T) {
 	request := newRequest("half", "", "Content-Length: 0")
 	for _, begun := range []string{request[:1], request[:len("POST /sta")], request[:len("POST /status HTTP/1.1\r")], request[:strings.Index(request, "Content-Le")+4]} {
--- a/internal/frontend/http1/memory.go
+++ b/internal/frontend/http1/memory.go
@@ -8,7 +8,7 @@
 	left int // guarded by mu
 }
 
-// reserve takes n bytes from the budget and reports true, if that many are left.
+// reserve takes n bytes from the budget if at least n are left, and reports whether it did.
 func (b *memoryBudget) reserve(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/frontend/http1/recorder.go
+++ b/internal/frontend/http1/recorder.go
@@ -8,8 +8,8 @@
 
 // recorder records the bytes that were read of a request in progress and the error of the last read,
 // since the HTTP parser returns neither. A successor process needs the bytes to parse the request
-// again. The error is needed because the parser takes the part of a line that arrives before a read
-// error for a whole line, and reports that the line is malformed.
+// again. The error is needed because the parser treats the part of a line that arrives before a read
+// error as a whole line, and reports that the line is malformed.
 type recorder struct {
 	from io.Reader
 	read []byte
--- a/internal/frontend/http1/request.go
+++ b/internal/frontend/http1/request.go
@@ -26,7 +26,7 @@
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
 		if c.received.err != nil {
-			err = c.received.err // the cause; the parser may report the incomplete head as malformed
+			err = c.received.err // the cause; instead of it, the parser may report the incomplete head as malformed
 		}
 		return frontend.Response{}, fmt.Errorf("read request head: %w", err)
 	}
@@ -96,8 +96,8 @@
 }
 
 // health returns the response to a health check. The status is 200 unless the serving mode is
-// unhealthy, as in standby. The replay of the journal needs no check, since the relay listens only
-// after it.
+// unhealthy, as in standby. The replay of the journal needs no check, since the relay does not listen
+// before the replay is complete.
 func (s *Server) health() frontend.Response {
 	if !s.mode.Healthy() {
 		return frontend.Response{Status: http.StatusServiceUnavailable}
--- a/internal/frontend/http1/serve.go
+++ b/internal/frontend/http1/serve.go
@@ -58,8 +58,8 @@
 	if err == nil {
 		return nil
 	}
-	// A read whose deadline has passed fails without reading the socket. A request that arrived at
-	// that moment is served all the same.
+	// A read whose deadline has passed fails without reading the socket, even if a request has
+	// arrived. Such a request is served.
 	if !s.isInterrupted(c, err) && c.hasUnread() {
 		return nil
 	}
--- a/internal/frontend/http1/server.go
+++ b/internal/frontend/http1/server.go
@@ -59,7 +59,7 @@
 }
 
 // New returns a server. It calls admit with each submission that passes validation, and onShed with
-// the class of each that is shed because there is no memory for its body.
+// the class of each submission that is shed because there is no memory for its body.
 func New(c Config, admit func(*frontend.Submission), onShed func(class string)) *Server {
 	bodyMemory := int(bodyMemoryFraction * c.MemoryMB * (1 << 20))
 	s := &Server{
--- a/internal/frontend/validator.go
+++ b/internal/frontend/validator.go
@@ -20,8 +20,8 @@
 	MaxBodySize = 64 << 10
 	// MaxNameLength bounds the value of each submission header and the order key, in bytes.
 	MaxNameLength = 256
-	// maxTimeout is the longest Request-Timeout that is accepted. No class gives a request a whole
-	// day, so a longer timeout is a fault of the client.
+	// maxTimeout is the longest Request-Timeout that is accepted. No class has a deadline of more
+	// than a day, so a longer timeout is a mistake of the client.
 	maxTimeout = 24 * time.Hour
 	// orderingCookie is the name of the cookie with the order key of a request in an ordered class.
 	orderingCookie = "subject"
@@ -39,7 +39,7 @@
 	Subjects map[string]*deadletter.Subject
 }
 
-// submissionHeaders has the values of the headers that describe a submission.
+// submissionHeaders contains the values of the headers that describe a submission.
 type submissionHeaders struct{ tenant, id, idempotencyKey, envelope, timeout string }
 
 // Parse validates the head of a request and returns its submission. The caller has to set the
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -58,10 +58,10 @@
 	PollWithinS       float64 `json:"ask_within_s"`    // maximum time for which a relay may neither watch nor poll the endpoint list
 	ColdCapacity      float64 `json:"cold_share"`      // minimum fraction of a destination's capacity right after an outage
 	DrainGraceS       float64 `json:"drain_grace_s"`   // time for which a relay may still begin attempts after it is notified that an endpoint drains
-	OverloadFactor    float64 `json:"overload_factor"` // factor on a destination's capacity; more attempts than that within OverloadWindowS overload it
+	OverloadFactor    float64 `json:"overload_factor"` // a destination is overloaded by more attempts within OverloadWindowS than this factor times its capacity
 	OverloadWindowS   float64 `json:"overload_for_s"`  // the period over which attempts are counted for OverloadFactor
 	SlowStartTimeS    float64 `json:"ramp_time_s"`     // maximum time from the end of an outage until a destination has its full capacity
-	OrderKeyCooldownS float64 `json:"order_pause_s"`   // how long no attempt is made for an order key after an attempt whose outcome is unknown
+	OrderKeyCooldownS float64 `json:"order_pause_s"`   // time without attempts for an order key after an attempt whose outcome is unknown
 }
 
 // Specifics are the settings that are specific to this kind of service. The lists are indexed by kind of destination, except ZoneCost,
--- a/internal/strictconfig/assign.go
+++ b/internal/strictconfig/assign.go
@@ -61,7 +61,7 @@
 }
 
 // assignByKind assigns a value to a field according to the field's kind. It returns false if the value's type does not fit the field;
-// any other error it adds to the document itself.
+// it adds any other error to the document.
 func (d *Document) assignByKind(key string, value any, field reflect.Value) (fits bool) {
 	switch field.Kind() {
 	case reflect.Struct:
--- a/internal/trace/doc.go
+++ b/internal/trace/doc.go
@@ -1,6 +1,6 @@
 // Package trace writes the events of a relay to its log, one JSON object per line, so that the events of a whole fleet can be
-// counted and followed afterwards (package fleet). It serves to find the causes of problems. It is off, and then costs nothing,
-// unless the operator's file has [trace] log = true.
+// counted and followed afterwards (package fleet). The trace serves to find the causes of problems. It is written only if the
+// operator's file has [trace] log = true, and costs nothing otherwise.
 //
 // # Format of a line
 //
--- a/internal/trace/fleet/history_test.go
+++ b/internal/trace/fleet/history_test.go
@@ -131,7 +131,7 @@
 	if index.History("x") != nil || index.MessageCount() != 2 {
 		t.Error("an unknown id has a history, or the logs do not have two ids")
 	}
-	// Without the log of the first relay, the earliest submission is one whose client states that it submits again.
+	// Without the log of the first relay, the client of the earliest known submission states that it submitted the message before.
 	if h := NewIndex(&Logs{Events: other}).History("m2"); len(h.Gaps) != 1 || !strings.Contains(h.Gaps[0], "handed in before") {
 		t.Errorf("gaps %q", h.Gaps)
 	}
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -3,7 +3,8 @@
 //
 // An attempt sends one [Request] to one [Target]; its [Result] says how it ended. Most important to
 // the caller is whether the endpoint may have executed the request: [Result.NotExecuted] is true
-// only if it is proved that it did not, so that another attempt cannot repeat an effect.
+// only if it is proved that the endpoint did not execute it, so that another attempt cannot execute
+// the request twice.
 //
 // The protocols are implemented by packages in subfolders:
 //
--- a/internal/upstream/http1/deadline_test.go
+++ b/internal/upstream/http1/deadline_test.go
@@ -72,8 +72,8 @@
 		{"canceled, 200", okResponse, upstream.Result{Outcome: policy.Succeeded, Final: true}, false},
 		{"canceled, 429", rejectedResponse, rejected, false},
 		{"deadline, 429", rejectedResponse, rejected, true},
-		// It is unknown whether the 200 arrived before the deadline. The timeout is notified, which
-		// does no harm if the request was delivered.
+		// It is unknown whether the 200 arrived before the deadline. The notice reports a timeout,
+		// which does no harm if the request was delivered.
 		{"deadline, 200", okResponse, upstream.Result{Outcome: policy.TimedOut}, true},
 		{"deadline, truncated 200", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.TimedOut}, true},
 		{"canceled, truncated 200", "HTTP/1.1 200 OK\r\nContent-", upstream.Result{Outcome: policy.Succeeded, Final: true}, false},
--- a/internal/upstream/http1/exchange.go
+++ b/internal/upstream/http1/exchange.go
@@ -89,7 +89,8 @@
 	stopReport := context.AfterFunc(requestCtx, func() { c.reportDeadline(requestCtx, &r) })
 	defer stopReport()
 	res := p.exchange(requestCtx, attemptCtx, c, r, start)
-	// If an interrupt has begun, it may still set deadlines, which would end the next attempt.
+	// If an interrupt has begun, the connection can't be reused: the interrupt may still set deadlines,
+	// which would end the next attempt.
 	reusable := stopInterrupt() && res.reusable
 	detached := res.Detached != nil
 	p.deactivate(c, detached)
@@ -122,7 +123,7 @@
 	}
 	if !r.WriteBy.IsZero() {
 		_ = c.SetWriteDeadline(r.WriteBy)
-		if ctx.Err() != nil { // interrupt may have run first, and WriteBy has replaced its deadline
+		if ctx.Err() != nil { // interrupt may have run first, and then SetWriteDeadline has replaced the deadline that it set
 			return notReusable(policy.ConnectError), false
 		}
 	}
@@ -160,8 +161,8 @@
 	resp, succeeded, err := c.readResponse(requestCtx)
 	switch {
 	case err == nil && resp.StatusCode == http.StatusOK && !succeeded:
-		// A 200 that was read after the deadline does not count as a delivery: the terminal outcome
-		// still has to be notified.
+		// A 200 that was read after the deadline does not count as a delivery: the request has timed
+		// out, and a notice of that outcome still has to be sent.
 		return notReusable(policy.TimedOut)
 	case err == nil:
 		return c.finish(resp)
--- a/internal/upstream/http1/handover.go
+++ b/internal/upstream/http1/handover.go
@@ -137,8 +137,8 @@
 		}
 		set.conns = nil
 	}
-	// The order in which the connections became idle gives the sets of the adopting pool the same
-	// order.
+	// The adopting pool adds the connections to its sets in this order. A set is ordered by the time
+	// at which its connections became idle.
 	slices.SortFunc(idle, func(a, b IdleConn) int { return a.Since.Compare(b.Since) })
 	return idle
 }
--- a/internal/upstream/http1/pool.go
+++ b/internal/upstream/http1/pool.go
@@ -14,8 +14,8 @@
 
 // idleFraction is the fraction of the endpoints' idle timeout for which the pool caches an idle
 // connection. The margin avoids requests that end in a reset because the endpoint closes the
-// connection at the same time. With 0.95, endpoints close some connections before the pool does,
-// without any benefit.
+// connection at the same time. A fraction of 0.95 has no benefit, and endpoints then close some
+// connections before the pool does.
 const idleFraction = 0.8
 
 // Pool makes attempts at endpoints over persistent connections, each with one attempt at a time.
--- a/internal/upstream/http1/response.go
+++ b/internal/upstream/http1/response.go
@@ -24,8 +24,8 @@
 	drainTimeout    = 300 * time.Millisecond
 	// deadlineGrace bounds the reading of a response that has begun when the request's deadline
 	// passes, since a response that the endpoint has already written counts, including a wait that it
-	// asks for. The grace is short because a terminal outcome has to be notified within 300 ms of the
-	// deadline, and posting the notice may stall in that time.
+	// asks for. The grace is short because the notice of a terminal outcome is due within 300 ms of
+	// the deadline, and posting the notice may stall in that time.
 	deadlineGrace = 20 * time.Millisecond
 	// maxResponseSize bounds the bytes read of a response including its head, and maxBodySize those
 	// of its body, so that an endpoint cannot exhaust the memory.
@@ -33,11 +33,12 @@
 	maxBodySize     = 64 << 10
 	// maxInterimResponses is the number of 1xx responses that may precede the final one.
 	maxInterimResponses = 8
-	// maxRetryAfter is the longest wait that an endpoint can ask for; longer ones are cut to it. It
-	// prevents an overflow of time.Duration.
+	// maxRetryAfter is the longest wait that an endpoint can ask for; a longer wait is reduced to
+	// maxRetryAfter, which prevents an overflow of time.Duration.
 	maxRetryAfter = 24 * time.Hour
 	// maxReportedRateLimit, in requests per second, and maxReportedRemaining, as a fraction of the
-	// rate limit, are the highest plausible values in a load report: reports are noisy.
+	// rate limit, are the highest plausible values in a load report. The remaining fraction may exceed
+	// 1 because reports are noisy.
 	maxReportedRateLimit = 1e6
 	maxReportedRemaining = 2
 )
--- a/internal/upstream/http2/actions.go
+++ b/internal/upstream/http2/actions.go
@@ -42,7 +42,7 @@
 }
 
 // EndReason is why a stream ended, for logs. A detail is appended to the constants that end with a
-// blank.
+// space.
 type EndReason string
 
 // The reasons. If the headers of a response are malformed (section 8.1.1), the caller gives the
--- a/internal/upstream/http2/property_test.go
+++ b/internal/upstream/http2/property_test.go
@@ -24,8 +24,8 @@
 	t        *rapid.T
 	streams  *Streams
 	requests map[uint32]*requestModel
-	// window is the number of bytes that the peer still accepts on the connection, windows that on
-	// each stream, and initial that on a new stream.
+	// window is the number of bytes that the peer still accepts on the connection, windows has this
+	// number for each stream, and initial is this number for a new stream.
 	window  int64
 	windows map[uint32]int64
 	initial int64
@@ -72,8 +72,8 @@
 	m.ended++
 }
 
-// drawID draws a stream number: mostly one that was begun, seldom 0 for the connection or a stream
-// that was never begun.
+// drawID draws a stream number: usually the number of a stream that was begun, seldom 0 for the
+// connection or the number of a stream that was never begun.
 func (m *model) drawID() uint32 {
 	n := rapid.IntRange(0, 40).Draw(m.t, "stream")
 	switch {
