--- a/cmd/frostlink-coord/doc.go
+++ b/cmd/frostlink-coord/doc.go
@@ -1,6 +1,6 @@
 // Command frostlink-coord is the coordination service: three or five of its processes agree on who
-// holds which lease. It is the only program here that links a consensus library; relays and
-// frostlinkctl only call it.
+// holds which lease. It is the only program of this repository that links a consensus library;
+// relays and frostlinkctl only call it.
 //
 // # Files
 //
--- a/cmd/frostlink-coord/join.go
+++ b/cmd/frostlink-coord/join.go
@@ -68,7 +68,7 @@
 	return disk.Create(o.folder, identity, replica.PersistentState{})
 }
 
-// firstStatus returns the status of the first address at which a member of the cluster answers.
+// firstStatus requests the status from one address after another, and returns the first status of a member of the cluster.
 func firstStatus(ctx context.Context, cluster string, addresses []string) (api.Status, error) {
 	caller := api.NewCaller(cluster)
 	err := errors.New("no address given")
--- a/cmd/frostlink-coord/mutants_test.go
+++ b/cmd/frostlink-coord/mutants_test.go
@@ -44,8 +44,9 @@
 	incarnations = "internal/coord/replica/incarnation.go"
 )
 
-// persistSource is the step of ProcessReady that saves a batch, and advanceSource the step after
-// all messages were sent.
+// persistSource is the source of the step of ProcessReady that saves a batch. advanceSource is the
+// source of the step after all messages were sent, which reports the end of the round to the Raft
+// library.
 const (
 	persistSource = "	if err := c.persist(batch, save); err != nil {\n		return false, err\n	}\n"
 	advanceSource = "	if hasReady {\n		c.node.Advance(ready)\n"
--- a/cmd/frostlink-coord/processes_test.go
+++ b/cmd/frostlink-coord/processes_test.go
@@ -118,7 +118,7 @@
 	return text.String()
 }
 
-// put opens a session and writes a value in it, as the command with the given sequence number.
+// put opens a session and writes a value in it, by a command with the given sequence number.
 func (s *service) put(seq uint64, key string) error {
 	open, err := s.callLeader(api.PathCommand, api.Request{Command: &coord.Command{Op: coord.OpOpen, Nonce: "n", TTL: time.Minute}})
 	if err != nil {
@@ -202,7 +202,7 @@
 			for _, m := range s.members {
 				s.start(m.ID)
 			}
-			time.Sleep(time.Duration(round) * 30 * time.Millisecond) // so that they are killed at different moments of their start
+			time.Sleep(time.Duration(round) * 30 * time.Millisecond) // so that each round kills the members at another moment of their start
 		}
 	}
 	a, err := s.callLeader(api.PathRead, api.Request{Query: &api.Query{Values: "*"}})
--- a/cmd/frostlink-coord/prove.go
+++ b/cmd/frostlink-coord/prove.go
@@ -48,7 +48,7 @@
 			"loses, delays, duplicates and reorders messages and is cut in one direction; processes pause, and crash at any write; disks are\n" +
 			"full, slow or restored to an older state; clocks differ. All of this is drawn from a seed. The command checks that acts of two\n" +
 			"holders never overlap in true time, tokens only grow, waiters get a lease in order, values are linearizable, leases are held again\n" +
-			"once faults stop, members have the same state, and a disk that was restored to an older state is noticed. The seed of a failed run\n" +
+			"once faults stop, members have the same state, and a disk that was restored to an older state is detected. The seed of a failed run\n" +
 			"reproduces it.\nExit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlink-coord prove --seeds 10000\n  frostlink-coord prove --seeds 1 --seed 4711 --json -",
 		Args:    cobra.NoArgs,
@@ -58,7 +58,7 @@
 	f.IntVar(&o.seeds, "seeds", 1000, "number of `runs`, with consecutive seeds")
 	f.Uint64Var(&o.firstSeed, "seed", 1, "first `seed`")
 	f.BoolVar(&o.stopAtFirst, "stop", false, "stop at the first run that fails")
-	f.StringVar(&o.jsonFile, "json", "", "write the result as JSON to this `file`; - means standard output, and prints nothing else")
+	f.StringVar(&o.jsonFile, "json", "", "write the result as JSON to this `file`; with -, only the JSON is printed, to standard output")
 	return c
 }
 
@@ -113,7 +113,7 @@
 	return p.proof
 }
 
-// takeSeed returns the next seed, and false if there is no more to run.
+// takeSeed returns the seed of the next run. It reports false if no further run is to be made.
 func (p *prover) takeSeed(ctx context.Context) (uint64, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -43,7 +43,7 @@
 	c := &cobra.Command{
 		Use:   "run",
 		Short: "Run a member",
-		Long: "Run a member until SIGTERM. The member listens on the address that its folder holds. It has no authentication and no TLS: anyone\n" +
+		Long: "Run a member until SIGTERM. The member listens on the address stored in its folder. It has no authentication and no TLS: anyone\n" +
 			"who can reach it can take every lease. Therefore the member logs a warning if it listens on an address that is not loopback.",
 		Example: "  frostlink-coord run --folder coord-1",
 		Args:    cobra.NoArgs,
@@ -54,7 +54,7 @@
 	f := c.Flags()
 	f.StringVar(&o.folder, "folder", "", "`folder` of this member's data")
 	f.StringVar(&o.listen, "listen", "", "`address` to listen on, if it differs from the member's address")
-	f.StringArrayVar(&o.reach, "reach", nil, "the address at which this member reaches another one, as `ID=HOST:PORT`, if it differs from the other's own address")
+	f.StringArrayVar(&o.reach, "reach", nil, "the address at which this member reaches another member, as `ID=HOST:PORT`, if it differs from that member's own address")
 	_ = c.MarkFlagRequired("folder") // fails only for a flag that does not exist
 	return c
 }
--- a/cmd/frostlink-coord/verify.go
+++ b/cmd/frostlink-coord/verify.go
@@ -20,11 +20,11 @@
 type verified struct {
 	Identity    disk.Identity  `json:"identity"`
 	Incarnation uint64         `json:"life"`
-	Snapshot    uint64         `json:"snapshot"` // index of the last log entry that it covers
+	Snapshot    uint64         `json:"snapshot"` // index of the last log entry that the snapshot covers
 	Entries     int            `json:"entries"`
 	Last        uint64         `json:"last"` // index of the last log entry
 	Committed   uint64         `json:"committed"`
-	Counts      coord.Counts   `json:"counts"` // of the state at the last entry known to be committed
+	Counts      coord.Counts   `json:"counts"` // table sizes of the state at the last entry known to be committed
 	Members     []coord.Member `json:"members"`
 	Damage      string         `json:"damage,omitempty"`
 }
@@ -41,7 +41,7 @@
 		RunE:    func(c *cobra.Command, _ []string) error { return runVerify(c.OutOrStdout(), folder, jsonFile) },
 	}
 	c.Flags().StringVar(&folder, "folder", "", "`folder` of the member's data")
-	c.Flags().StringVar(&jsonFile, "json", "", "write the result as JSON to this `file`; - means standard output, and prints nothing else")
+	c.Flags().StringVar(&jsonFile, "json", "", "write the result as JSON to this `file`; with -, only the JSON is printed, to standard output")
 	_ = c.MarkFlagRequired("folder") // fails only for a flag that does not exist
 	return c
 }
--- a/cmd/frostlink/earlier_build_test.go
+++ b/cmd/frostlink/earlier_build_test.go
@@ -29,16 +29,17 @@
 	"frostlink/internal/notification"
 )
 
-// earlierProgram is the relay program of an earlier build. If it is given, the test records the content of earlierFolder again with it.
+// earlierProgram is the relay program of an earlier build. If the flag is given, the test uses this program to record the
+// content of earlierFolder again.
 var earlierProgram = flag.String("earlier-program", "", "record the earlier build's folder again with this relay `program`")
 
 const (
-	// earlierFolder holds the journal that an earlier build, of commit 1723f68, left when it was killed (journal), and the
-	// time at which it was killed in nanoseconds of Unix time (killed_at).
+	// earlierFolder contains two files: journal, which a relay built from commit 1723f68 left when it was killed, and
+	// killed_at, the time at which it was killed, in nanoseconds of Unix time.
 	earlierFolder = "testdata/golden/earlier-build"
 	// downtime is the time between the kill of the earlier process and the start of the next one.
 	downtime = time.Second
-	// requestTimeout is the time that the client gives for the delivery of each request.
+	// requestTimeout is the time limit that the client sets for the delivery of each request.
 	requestTimeout = 8 * time.Second
 	// outcomeWithin is the maximum time in which the next process completes the requests that the earlier one had accepted.
 	outcomeWithin = 20 * time.Second
@@ -132,7 +133,7 @@
 	closing   chan struct{} // closed when the test ends, which ends open attempts and watches
 
 	mu       sync.Mutex
-	earlier  bool // the earlier process runs: attempts hang or fail according to their request's id, and no notice is acknowledged
+	earlier  bool // true while the earlier process runs: attempts hang or fail according to their request's id, and no notice is acknowledged
 	attempts []string
 	notices  []string
 }
@@ -308,7 +309,7 @@
 	}
 }
 
-// wallClockAt returns environment variables that make a process's wall clock show the time at.
+// wallClockAt returns environment variables with which the wall clock of a process begins at the given time.
 func wallClockAt(t *testing.T, dir string, at time.Time) []string {
 	t.Helper()
 	library, err := faults.BuildWallClockLibrary(dir)
--- a/cmd/frostlink/main.go
+++ b/cmd/frostlink/main.go
@@ -42,8 +42,8 @@
 )
 
 const (
-	// heapFraction is the Go runtime's soft memory limit as a fraction of the platform's memory limit. The platform's limit also counts
-	// the memory of the journal's files.
+	// heapFraction is the Go runtime's soft memory limit as a fraction of the platform's memory limit. It is below 1 because the
+	// platform's limit also counts the memory of the journal's files.
 	heapFraction   = 0.6
 	bytesPerMB     = 1 << 20
 	firstInherited = 3 // lower file descriptors are standard input, output and error
--- a/cmd/frostlinkctl/coord_measurement.go
+++ b/cmd/frostlinkctl/coord_measurement.go
@@ -30,7 +30,7 @@
 	GrantsPerSecond   float64          `json:"grants_s"`
 	RenewalsPerSecond float64          `json:"renewals_s"`    // at the maximum rate
 	RenewalMs         latencyQuantiles `json:"renew_ms"`      // latencies at the maximum rate
-	PacedRenewalMs    latencyQuantiles `json:"calm_renew_ms"` // latencies at one renewal per session and second
+	PacedRenewalMs    latencyQuantiles `json:"calm_renew_ms"` // latencies at one renewal per session per second
 	SnapshotBytes     int64            `json:"snapshot_bytes"`
 }
 
--- a/cmd/frostlinkctl/coord_service.go
+++ b/cmd/frostlinkctl/coord_service.go
@@ -34,7 +34,7 @@
 	f := c.PersistentFlags()
 	f.StringVar(&s.cluster, "cluster", "", "`name` of the cluster")
 	f.StringArrayVar(&s.memberFlags, "member", nil, "a member of the service, as `ID=HOST:PORT`; may be repeated")
-	f.StringVar(&s.operatorFile, "operator", "", "the operator's `file`, whose section [coordination] names cluster and members, instead of these two flags")
+	f.StringVar(&s.operatorFile, "operator", "", "the operator's `file`, whose section [coordination] names the cluster and its members; replaces --cluster and --member")
 }
 
 // open reads the members from the flags or the operator's file. It does not connect to them.
@@ -50,7 +50,7 @@
 		s.cluster, s.memberFlags = config.Coordination.Cluster, config.Coordination.Members
 	}
 	if s.cluster == "" || len(s.memberFlags) == 0 {
-		return errors.New("--cluster, --member: missing (or --operator)")
+		return errors.New("--cluster and --member, or --operator, must be given")
 	}
 	var err error
 	if s.members, err = api.ParseMembers(s.memberFlags); err != nil {
--- a/cmd/frostlinkctl/coord_status.go
+++ b/cmd/frostlinkctl/coord_status.go
@@ -16,7 +16,7 @@
 		Use:   "status",
 		Short: "Show the status of every member",
 		Long: "Show the status that every member reports, which may be out of date: only a leader in contact with a majority has the current state.\n" +
-			"Exit codes: 0 success, 1 a member is unreachable, failed or not acknowledged by all, or not exactly one leads, 2 could not run.",
+			"Exit codes: 0 success, 1 a member is unreachable, has failed or is not acknowledged by all, or the number of leaders is not 1, 2 could not run.",
 		Example: "  frostlinkctl coord status --operator deploy/frostlink.toml",
 		Args:    cobra.NoArgs,
 	}, s, s.status, printStatuses)
--- a/cmd/frostlinkctl/coord_test.go
+++ b/cmd/frostlinkctl/coord_test.go
@@ -24,12 +24,12 @@
 	}
 	const service = " --cluster c --member 1=127.0.0.1:1"
 	for _, tt := range []struct{ args, want string }{
-		{"coord status", "--cluster, --member: missing (or --operator)"},
-		{"coord status --cluster c", "--cluster, --member: missing (or --operator)"},
+		{"coord status", "--cluster and --member, or --operator, must be given"},
+		{"coord status --cluster c", "--cluster and --member, or --operator, must be given"},
 		{"lease list --cluster c --member x", "--member: "},
 		{"lease show", "accepts 1 arg(s), received 0"},
 		{"export check --cluster c", `"folder" not set`},
-		{"export cat --folder x", "--cluster, --member: missing (or --operator)"},
+		{"export cat --folder x", "--cluster and --member, or --operator, must be given"},
 		{"coord members --operator " + operator, "coordination: the section is absent"},
 		{"coord add 4" + service, "4"},
 		{"coord remove 0" + service, `"0" is not a valid member id`},
--- a/cmd/frostlinkctl/fleet.go
+++ b/cmd/frostlinkctl/fleet.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// readTraces reads a fleet's logs. It returns an error if they contain no trace, or one of another version.
+// readTraces reads a fleet's logs. It returns an error if they contain no trace, or a trace of a version that this program does not read.
 func readTraces(paths []string) (*fleet.Logs, error) {
 	logs, err := fleet.ReadFiles(paths)
 	switch {
@@ -33,7 +33,7 @@
 	case logs.OtherVersion != nil:
 		return nil, errors.New(logs.OtherVersion.String())
 	case len(logs.Events) == 0 && len(logs.BadLines) == 0:
-		return nil, fmt.Errorf("%s: no trace in %d lines; turn it on with [trace] log = true in the operator's file", paths[0], logs.OtherLines)
+		return nil, fmt.Errorf("%s: no trace in %d lines; turn tracing on with [trace] log = true in the operator's file", paths[0], logs.OtherLines)
 	}
 	return logs, nil
 }
--- a/cmd/frostlinkctl/fleet_count.go
+++ b/cmd/frostlinkctl/fleet_count.go
@@ -14,7 +14,7 @@
 	jsonFile string
 }
 
-// countedFleet is what fleet count writes as JSON.
+// countedFleet is the JSON output of fleet count.
 type countedFleet struct {
 	*fleet.Summary
 	BadLines   []fleet.BadLine `json:"bad_lines"`
--- a/cmd/frostlinkctl/fleet_follow.go
+++ b/cmd/frostlinkctl/fleet_follow.go
@@ -17,7 +17,7 @@
 	jsonFile string
 }
 
-// followedMessages is what fleet follow writes as JSON.
+// followedMessages is the JSON output of fleet follow.
 type followedMessages struct {
 	Histories []*fleet.History `json:"courses"`
 	Messages  int              `json:"messages"` // number of message ids in the logs
--- a/cmd/frostlinkctl/fleet_play.go
+++ b/cmd/frostlinkctl/fleet_play.go
@@ -105,8 +105,8 @@
 	return summaries, nil
 }
 
-// foundFaults reports whether a rule was broken or, except on drawn days, a destination was overloaded. On drawn days relays that did not
-// observe a destination's outage may overload it, which breaks no rule.
+// foundFaults reports whether a rule was broken or, without --drawn, a destination was overloaded. On days with drawn parameters, relays
+// that did not observe a destination's outage may overload the destination, which breaks no rule.
 func (f *fleetPlayFlags) foundFaults(summaries []simulation.Summary) bool {
 	for _, s := range summaries {
 		if s.Failures > 0 || s.Overloads > 0 && !f.drawn {
--- a/cmd/frostlinkctl/fleet_play_print.go
+++ b/cmd/frostlinkctl/fleet_play_print.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// printFailedPlays prints the runs of a day with problems, by their seeds.
+// printFailedPlays prints the seed and the problems of each failed run of a day with one fleet size.
 func printFailedPlays(out io.Writer, s *simulation.Summary) {
 	for _, run := range s.FailedRuns {
 		fmt.Fprintf(out, "%s of %d, seed %d: %d partners pushed over, %d rules broken\n", s.Day, s.Relays, run.Seed, run.Overloads, len(run.Failures))
--- a/cmd/frostlinkctl/fleet_test.go
+++ b/cmd/frostlinkctl/fleet_test.go
@@ -64,6 +64,6 @@
 		t.Errorf("exit %d, want %d", code, cli.ExitFindings)
 	}
 	if err := json.Unmarshal([]byte(out), &table); err != nil || table.Relays != 2 || len(table.BadLines) != 1 {
-		t.Errorf("%v, %+v", err, table)
+		t.Errorf("decoding the JSON: error %v, result %+v; want 2 relays and 1 bad line", err, table)
 	}
 }
--- a/cmd/frostlinkctl/output.go
+++ b/cmd/frostlinkctl/output.go
@@ -14,7 +14,7 @@
 // addJSONFlag adds the flag --json FILE to a command. If the file is standard output, the command prints only the JSON. The parameter what
 // describes the written data in the help.
 func addJSONFlag(c *cobra.Command, file *string, what string) {
-	c.Flags().StringVar(file, "json", "", "write "+what+" as JSON to this `file`; - means standard output, and prints nothing else")
+	c.Flags().StringVar(file, "json", "", "write "+what+" as JSON to this `file`; with -, only the JSON is printed, to standard output")
 }
 
 // textOutput returns the writer for a command's text output, which is discarded if the JSON goes to standard output.
--- a/cmd/frostlinkctl/scenario.go
+++ b/cmd/frostlinkctl/scenario.go
@@ -30,7 +30,7 @@
 	return c
 }
 
-// playFlags are the flags that all commands have that play one scenario.
+// playFlags are the flags of all commands that play one scenario.
 type playFlags struct {
 	seed     int64
 	jsonFile string
@@ -42,7 +42,7 @@
 	addPlayOutputFlags(c, &p.jsonFile, &p.relays, "the result")
 }
 
-// addPlayOutputFlags adds --json and --relays, which all commands have that play scenarios.
+// addPlayOutputFlags adds --json and --relays, which are flags of all commands that play scenarios.
 func addPlayOutputFlags(c *cobra.Command, jsonFile, relays *string, what string) {
 	c.Flags().StringVar(jsonFile, "json", "", "write "+what+" as JSON to this `file`; - means standard output")
 	c.Flags().StringVar(relays, "relays", "", "the relay `program` (default frostlink in the folder of this program)")
--- a/cmd/frostlinkctl/scenario_play_test.go
+++ b/cmd/frostlinkctl/scenario_play_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Each scenario has its own baseline, and a run without failures fails if it delivers too much less than the baseline.
+// Each scenario has its own baseline. A run without failures counts as failed if its delivered weight is too far below the baseline's.
 func TestCompareSteps_ComparesWithTheRunWithoutStep(t *testing.T) {
 	runs := []*steppedRun{
 		{Path: "a", Step: 0, Result: runResult(0.9, false)},
--- a/cmd/frostlinkctl/scenario_repeat.go
+++ b/cmd/frostlinkctl/scenario_repeat.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// maxInconclusiveRuns is how many inconclusive runs the command repeats before it gives up.
+// maxInconclusiveRuns is the maximum number of inconclusive runs that the command repeats.
 const maxInconclusiveRuns = 5
 
 // scenarioRepeatFlags are the flags of scenario repeat.
--- a/cmd/frostlinkctl/undelivered_decide.go
+++ b/cmd/frostlinkctl/undelivered_decide.go
@@ -16,7 +16,7 @@
 // destination's ledger.
 const idsFromStdin = "-"
 
-// decision is a command on messages that is also an action of rules.
+// decision is a command that decides on messages; rules have an action of the same name.
 type decision struct {
 	command        string
 	help           string
--- a/cmd/frostlinkctl/undelivered_store.go
+++ b/cmd/frostlinkctl/undelivered_store.go
@@ -10,7 +10,7 @@
 	"frostlink/internal/operatorconfig"
 )
 
-// storeFlags are the flags that all commands on a dead-letter store have.
+// storeFlags are the flags of all commands on a dead-letter store.
 type storeFlags struct {
 	operatorFile string
 	socket       string
@@ -45,8 +45,8 @@
 	return deadletter.OpenFolder(folder, access == readWrite)
 }
 
-// locate returns the socket and the folder of the store. Whichever the flags do not give is taken from the operator's file, if that is
-// given.
+// locate returns the socket and the folder of the store, as given by the flags. A value without a flag is taken from the operator's
+// file, if that is given.
 func (f *storeFlags) locate() (socket, folder string, err error) {
 	socket, folder = f.socket, f.folder
 	if f.operatorFile == "" {
--- a/cmd/frostlinkctl/undelivered_test.go
+++ b/cmd/frostlinkctl/undelivered_test.go
@@ -42,7 +42,7 @@
 	return folder
 }
 
-// The calls depend on one another: each works on the store as the calls before it left it.
+// The calls depend on one another: each call works on the store in the state in which the previous call left it.
 func TestDeadLetterCommands_DecideOnMessages(t *testing.T) {
 	folder := newStore(t, "a", "b", "c")
 	operator := filepath.Join(t.TempDir(), "frostlink.toml")
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -53,8 +53,8 @@
 	return &server{serviceTime: time.Second / time.Duration(rate), timeout: 2 * time.Second, maxWait: 6 * time.Second}
 }
 
-// call submits a request at time now. It returns whether the request is served before its caller times out, and when the caller learns
-// the result.
+// call submits a request at time now. It returns whether the request is served before its caller times out, and the time at which the
+// caller is served, times out or is rejected.
 func (s *server) call(now time.Duration) (served bool, knownAt time.Duration) {
 	s.idleAt = max(s.idleAt, now)
 	if s.idleAt+s.serviceTime-now > s.maxWait {
@@ -155,8 +155,8 @@
 }
 
 // Compares the usual backoff algorithms against servers that serve 5, 10 and 40 requests per second. go test -run TestForms -v prints the
-// figures of the table in docs/design/fleet.md. When the server is slow, only algorithms that are scaled by the number of callers get the
-// callers served; among these the choice matters little, except that there must be jitter.
+// figures of the table in docs/design/fleet.md. A slow server serves all callers only with algorithms that are scaled by the number of
+// callers; these algorithms differ little from one another, as long as they have jitter.
 func TestForms_OnlyScaledOnesAreServed(t *testing.T) {
 	const (
 		minDelay, limit = 250 * time.Millisecond, 2 * time.Second
--- a/internal/coord/disk/damage_test.go
+++ b/internal/coord/disk/damage_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// Not built with the race detector, which does not survive a memory fault that is recovered from.
+// Not built with the race detector: with it, a memory fault ends the process instead of causing a panic that is recovered.
 
 package disk
 
@@ -37,7 +37,7 @@
 			detected++
 			continue
 		}
-		if store, _, _, err := Open(dir); err != nil { // this must not end the process either
+		if store, _, _, err := Open(dir); err != nil { // Open must not end the process either
 			t.Fatalf("byte %d flipped: readable, but open failed: %v", offset, err)
 		} else if err := errors.Join(store.Save(replica.WriteBatch{Entries: []*raftpb.Entry{entry(6, 2, "g")}}), store.Close()); err != nil {
 			t.Fatalf("byte %d flipped: save failed: %v", offset, err)
--- a/internal/coord/disk/store.go
+++ b/internal/coord/disk/store.go
@@ -28,7 +28,7 @@
 	Cluster       string   `json:"cluster"`
 	ID            uint64   `json:"id"`
 	Address       string   `json:"address"`         // listen address of the member
-	Peers         []uint64 `json:"peers,omitempty"` // of a member that joined an existing cluster: the voters at that time
+	Peers         []uint64 `json:"peers,omitempty"` // if the member joined an existing cluster: ids of the voters at that time
 	PeerAddresses []string `json:"via,omitempty"`   // addresses of Peers, in the same order
 }
 
--- a/internal/coord/history.go
+++ b/internal/coord/history.go
@@ -13,8 +13,8 @@
 	EventGranted     EventKind = "granted"
 	EventReleased    EventKind = "released"
 	EventTransferred EventKind = "handed over"
-	EventRevoking    EventKind = "being revoked" // an operator has revoked it; the holder may still act
-	EventRevoked     EventKind = "revoked"       // an operator had revoked it, and the holder did not release it in time
+	EventRevoking    EventKind = "being revoked" // an operator has revoked the lease; the holder may still act
+	EventRevoked     EventKind = "revoked"       // an operator had revoked the lease, and the holder did not release it in time
 	EventExpired     EventKind = "ended"         // the holder's session expired
 	EventClosed      EventKind = "closed"        // the holder closed its session
 )
--- a/internal/coord/lease.go
+++ b/internal/coord/lease.go
@@ -67,7 +67,7 @@
 
 // endGrant ends a lease's grant, and grants it to the first session in its queue.
 func (m *Machine) endGrant(l *leaseState, kind EventKind, reason string) {
-	holder := fmt.Sprint(l.Holder) // the id, if the session has ended and its name is gone
+	holder := fmt.Sprint(l.Holder) // the id is recorded if the session has ended, since its name is not stored any more
 	if s := m.sessions[l.Holder]; s != nil {
 		holder = s.Name
 		delete(s.held, l.Name)
--- a/internal/coord/limits.go
+++ b/internal/coord/limits.go
@@ -9,7 +9,7 @@
 	MaxLeases           = 16384
 	MaxQueueLength      = 1024  // of one lease
 	MaxQueuedRequests   = 65536 // in the queues of all leases
-	MaxLeasesPerSession = 10240 // leases that it holds or is queued for
+	MaxLeasesPerSession = 10240 // leases that one session holds or is queued for
 	MaxValues           = 4096
 	MaxValueSize        = 64 << 10 // bytes
 	MaxValueBytes       = 16 << 20 // of all values
--- a/internal/coord/replica/config.go
+++ b/internal/coord/replica/config.go
@@ -37,7 +37,7 @@
 	announceTicks = 5
 )
 
-// MaxIncarnations bounds the incarnations that a member remembers and announces. A peer that was
-// unreachable during more restarts than that finds the incarnation that it has on disk missing from
-// the list, and reports the member's disk as stale.
+// MaxIncarnations bounds the incarnations that a member stores and announces. If a peer was
+// unreachable during more restarts than this, the incarnation that the peer has on disk is missing
+// from the announced list, and the peer reports the member's disk as stale.
 const MaxIncarnations = 1024
--- a/internal/coord/replica/core.go
+++ b/internal/coord/replica/core.go
@@ -15,7 +15,7 @@
 type Completion struct {
 	Tag            uint64
 	Result         coord.Result // of a command
-	Read           bool         // it was a read: the state machine is now no older than the read
+	Read           bool         // true for a read: the state machine is now no older than the read
 	OutcomeUnknown bool         // the member is not the leader any more or has failed: the command may or may not be applied
 }
 
@@ -42,8 +42,8 @@
 	confState     *raftpb.ConfState
 	applied       uint64
 	snapshotIndex uint64
-	// membersChanged requests a snapshot. A member needs a snapshot that lists it as a member: one
-	// from before it joined is of no use to it.
+	// membersChanged requests a snapshot. A new member can't use a snapshot from before it joined,
+	// because that snapshot does not list it as a member.
 	membersChanged bool
 
 	incarnations incarnationTracker
@@ -54,7 +54,7 @@
 	term             uint64
 	leader           uint64        // 0: not known
 	lastProposal     time.Duration // when this leader proposed its last entry, on its own clock
-	ticksSinceLeader int           // since a message from a leader arrived
+	ticksSinceLeader int           // ticks since the last message from a leader
 	electionTimeout  int           // in ticks
 
 	// Commands and reads that are not completed.
--- a/internal/coord/replica/envelope.go
+++ b/internal/coord/replica/envelope.go
@@ -38,7 +38,7 @@
 	Cluster     string
 	From        uint64
 	To          uint64
-	Incarnation Incarnation // the sender's
+	Incarnation Incarnation // incarnation of the sender
 	Kind        Kind
 	Subject     Incarnation
 	Body        []byte
--- a/internal/coord/replica/incarnation.go
+++ b/internal/coord/replica/incarnation.go
@@ -134,7 +134,7 @@
 		return true
 	}
 	// The message comes from an earlier incarnation, or the sender's disk lacks the incarnation
-	// that is known here.
+	// that this member has recorded for it.
 	c.send(Envelope{To: e.From, Kind: KindStale, Subject: known})
 	return false
 }
@@ -149,8 +149,8 @@
 }
 
 // handleIncarnationReply handles another member's reply about this member's incarnations. The reply
-// is accepted whatever the sender's own incarnation is: a member whose disk was set back does not
-// know its peers' latest incarnations.
+// is accepted whatever the sender's own incarnation is: if this member's disk was set back, the
+// latest incarnations of its peers are missing on it.
 func (c *Core) handleIncarnationReply(e Envelope) {
 	switch {
 	case e.Kind == KindAcknowledge && e.Subject == c.incarnations.own:
--- a/internal/coord/replica/state.go
+++ b/internal/coord/replica/state.go
@@ -22,9 +22,9 @@
 // all, before messages or results that depend on it are sent.
 type WriteBatch struct {
 	Incarnations     []Incarnation          // replace the incarnations on disk; empty: no change
-	PeerIncarnations map[uint64]Incarnation // replace those of the same peers on disk
+	PeerIncarnations map[uint64]Incarnation // replace the incarnations of the same peers on disk
 	HardState        *raftpb.HardState
-	Snapshot         *raftpb.Snapshot // replaces the one on disk
+	Snapshot         *raftpb.Snapshot // replaces the snapshot on disk
 	Entries          []*raftpb.Entry  // replace the log from the first entry's index on
 	FirstIndex       uint64           // entries before this index may be deleted; 0: no entries
 	ReplaceLog       bool             // the snapshot came from another member: all entries on disk are obsolete
--- a/internal/coord/result.go
+++ b/internal/coord/result.go
@@ -31,7 +31,7 @@
 	Detail       string `json:"why,omitempty"`
 	CommandIndex uint64 `json:"stamp"` // number of the command among all commands applied: of two results, the one with the higher number is newer
 	Session      uint64 `json:"session,omitempty"`
-	Token        uint64 `json:"token,omitempty"`   // OpAcquire: of the grant
+	Token        uint64 `json:"token,omitempty"`   // OpAcquire: token of the grant
 	ModRevision  uint64 `json:"version,omitempty"` // CodeOK: revision of the write; CodeConflict: of the current value, 0 if there is none
 
 	// The session's time to live, leases and queued requests, as of this result.
--- a/internal/coord/server/handler.go
+++ b/internal/coord/server/handler.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// requestTimeout bounds a command, read or membership change. After it, the caller is told that
-	// the outcome is unknown.
+	// requestTimeout bounds a command, read or membership change. After this time, the answer is
+	// that the outcome is unknown.
 	requestTimeout = 5 * time.Second
 	// hintTimeout bounds a call that waits for a hint.
 	hintTimeout = 10 * time.Second
--- a/internal/coord/server/node.go
+++ b/internal/coord/server/node.go
@@ -16,7 +16,7 @@
 	tick             = 50 * time.Millisecond
 	electionTicks    = 10 // an election starts after 0.5 s to 1 s without a leader
 	heartbeatTicks   = 2
-	snapshotInterval = 10000 // entries; a restart applies about this number of entries at most
+	snapshotInterval = 10000 // number of entries; a restart applies at most about this number
 	retainedEntries  = 2000
 	inboxSize        = 4096
 	// maxBatchEvents bounds the events that are handled before the resulting changes are saved. One
--- a/internal/coord/server/peers.go
+++ b/internal/coord/server/peers.go
@@ -21,8 +21,8 @@
 	peerTimeout = 2 * time.Second
 	// peerBackoff is the pause after a failed call.
 	peerBackoff = 20 * time.Millisecond
-	// maxPeerQueues bounds the members to which this process has ever sent messages; each has a
-	// queue.
+	// maxPeerQueues bounds the queues, one for each member to which this process has ever sent
+	// messages.
 	maxPeerQueues = 4 * coord.MaxMembers
 	// maxDiscarded bounds the part of a response's body that is read. The body has to be read to
 	// its end for the connection to be reused.
@@ -65,7 +65,7 @@
 	queue := p.queues[to]
 	if queue == nil {
 		if len(p.queues) >= maxPeerQueues {
-			return // members were replaced very often since this process started
+			return // happens only if members were replaced very often since this process started
 		}
 		queue = make(chan peerMessage, peerQueueSize)
 		p.queues[to] = queue
--- a/internal/coord/server/servertest/servertest.go
+++ b/internal/coord/server/servertest/servertest.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// Leader returns the id of the member whose status says that it is the leader, or 0.
+// Leader returns the id of the first member that reports that it is the leader, or 0.
 func (c *Cluster) Leader() uint64 {
 	for _, m := range c.Members {
 		ctx, stop := context.WithTimeout(context.Background(), statusTimeout)
--- a/internal/coord/view.go
+++ b/internal/coord/view.go
@@ -15,7 +15,7 @@
 	Reason   string        `json:"reason,omitempty"`
 	Token    uint64        `json:"token"`
 	HeldFor  time.Duration `json:"for"`
-	TimeLeft time.Duration `json:"lasts"` // until the grant expires if the session is not renewed; a revoked grant is not renewed
+	TimeLeft time.Duration `json:"lasts"` // time until the grant expires if the session is not renewed; a revoked grant is not renewed
 	Revoked  bool          `json:"being_revoked,omitempty"`
 	Queue    []string      `json:"queue,omitempty"` // names of the queued sessions, the next holder first
 }
--- a/internal/fleettask/export.go
+++ b/internal/fleettask/export.go
@@ -18,8 +18,8 @@
 	// maxSliceRecords bounds the records of a slice. When the lease passes to another relay, at
 	// most the work on one slice is lost.
 	maxSliceRecords = 500
-	// sliceTTLDivisor determines how long the writing of one slice may take: the session's time to
-	// live, divided by it.
+	// sliceTTLDivisor determines the time limit for adding one slice: the session's time to live
+	// divided by sliceTTLDivisor.
 	sliceTTLDivisor = 4
 	// callTimeout bounds each call to the coordination service.
 	callTimeout = 5 * time.Second
@@ -59,7 +59,7 @@
 	revision   uint64 // revision of the ledger's value
 	store      *deadletter.Store
 	storeID    string
-	first, end uint64 // numbers of its records, excluding end
+	first, end uint64 // record numbers; end is exclusive
 	records    []*deadletter.Record
 }
 
--- a/internal/fleettask/resend.go
+++ b/internal/fleettask/resend.go
@@ -24,8 +24,8 @@
 	rotationInterval = 50 * time.Millisecond
 )
 
-// ResendGate lets one relay of the fleet at a time resend messages to a destination, so that the
-// resend rate in a redelivery rule applies to the whole fleet.
+// ResendGate lets only one relay of the fleet at a time resend messages to a destination, so that
+// the resend rate in a redelivery rule applies to the whole fleet.
 type ResendGate struct {
 	client *lease.Client
 
--- a/internal/fleettask/rotation.go
+++ b/internal/fleettask/rotation.go
@@ -75,8 +75,8 @@
 	return request, release
 }
 
-// MayResend reports whether a destination's lease may be used, which it may not while it is being
-// released.
+// MayResend reports whether a destination's lease may be used for resends. A lease that is being
+// released may not be used.
 func (r *Rotation) MayResend(destination int) bool {
 	t := r.destinations[destination]
 	return t != nil && !t.releasing
--- a/internal/lease/acts.go
+++ b/internal/lease/acts.go
@@ -20,7 +20,7 @@
 
 func (e RefusedError) Error() string { return string(e) }
 
-// Reasons why an act is not allowed. A further one, for an act that takes longer than the lease lasts, contains the time left.
+// Reasons why an act is not allowed. Another reason, for an act that takes longer than the lease lasts, contains the time left.
 const (
 	errNotHeld   = RefusedError("the lease is not held")
 	errReleasing = RefusedError("the lease is being released")
--- a/internal/lease/calls.go
+++ b/internal/lease/calls.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// idle reports that no lease is requested, held or to be released, and no put is queued.
+// idle reports whether no lease is requested, held or to be released, and no put is queued.
 func (c *Core) idle() bool {
 	return len(c.requests)+len(c.held)+len(c.revoked)+len(c.puts) == 0
 }
--- a/internal/lease/client.go
+++ b/internal/lease/client.go
@@ -17,7 +17,7 @@
 
 const (
 	// callTimeout bounds one call. For a short time to live, the bound is the time to live divided by callsPerTTL. A renewal
-	// that takes longer is sent to another member.
+	// that takes longer is sent again, to another member.
 	callTimeout = 500 * time.Millisecond
 	callsPerTTL = 4
 	// releaseTimeout bounds the release of all leases when the client stops.
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -27,5 +27,5 @@
 //	calls.go    which command is sent to which server, and when
 //	results.go  handling of results
 //	client.go   the I/O: calls, hints, and the goroutine that runs a Core
-//	task.go     work that one process of the fleet does at a time
+//	task.go     work that only one process of the fleet does at a time
 package lease
--- a/internal/lease/task.go
+++ b/internal/lease/task.go
@@ -37,13 +37,13 @@
 	return "harmless: " + g.reason
 }
 
-// Task is work that one process of the fleet at a time does.
+// Task is work that only one process of the fleet does at a time.
 type Task struct {
 	Lease    string
 	Reason   string // shown to operators
 	Guard    Guard
 	Interval time.Duration // pause between the end of a run and the next request for the lease
-	// Due reports whether there is work to do. If not, the lease is not requested. If Due is nil, there always is.
+	// Due reports whether there is work to do. If not, the lease is not requested. A nil Due means that there is always work.
 	Due func(ctx context.Context) bool
 	// Run does the work while the lease is held; its context ends when the lease is lost. It calls Hold.Act before each act.
 	// After the run, the next process in the queue gets the lease.
