--- a/cmd/frostlinkctl/coord_faultrun.go
+++ b/cmd/frostlinkctl/coord_faultrun.go
@@ -40,11 +40,11 @@
 		Use:   "fault-run",
 		Short: "Run members and relays as processes, inject random faults, and check the lease holders' acts",
 		Long: "Run members of the coordination service and relays as real processes on loopback, with proxies between all of them. All relays request\n" +
-			"the same lease, and its holder repeatedly acts on a stand-in. Meanwhile holders, relays and members are killed and paused, cut off in\n" +
-			"one or both directions, slowed and reset, and disks become full, as drawn from a seed. The command checks that accepted acts of two\n" +
-			"holders never overlap, that tokens only grow, that acts of processes that were not paused never overlap, whether they were accepted or\n" +
-			"not, and that in the end some relay acts. With --unfenced the stand-in does not check tokens, so that the acts of a holder that is paused\n" +
-			"for longer than its lease overlap those of the next holder.\nExit codes: 0 success, 1 a run failed, 2 could not run.",
+			"the same lease, and its holder repeatedly acts on a stand-in for the protected resource. Meanwhile holders, relays and members are\n" +
+			"killed and paused, cut off in one or both directions, slowed and reset, and disks become full. All faults are drawn from a seed. The\n" +
+			"command checks that accepted acts of two holders never overlap, that tokens only grow, that acts of processes that were not paused never\n" +
+			"overlap, whether they were accepted or not, and that some relay acts at the end. With --unfenced the stand-in does not check tokens, so\n" +
+			"that the acts of a holder that is paused for longer than its lease overlap those of the next holder.\nExit codes: 0 success, 1 a run failed, 2 could not run.",
 		Example: "  frostlinkctl coord fault-run --runs 5\n  frostlinkctl coord fault-run --runs 200 --beside 4 --relays 40",
 		Args:    cobra.NoArgs,
 		RunE:    f.run,
