--- a/cmd/frostlinkctl/fleet_test.go
+++ b/cmd/frostlinkctl/fleet_test.go
@@ -36,8 +36,8 @@
 		{"fleet count " + filepath.Join(folder, "none"), cli.ExitError, "none: no such file"},
 		{"fleet play --relays 2 --plays 1 --day calm", cli.ExitOK, "calm"},
 		{"fleet play --drawn --relays 12 --plays 2 --day split --seed 5", cli.ExitOK, "split"},
-		{"fleet play --drawn --relays 2 --plays 1 --day rush", cli.ExitError, `"rush" is no kind`},
-		{"fleet play --day hurd", cli.ExitError, `"hurd" is no day`},
+		{"fleet play --drawn --relays 2 --plays 1 --day rush", cli.ExitError, `unknown kind of drawn day "rush"`},
+		{"fleet play --day hurd", cli.ExitError, `unknown day "hurd"`},
 		{"fleet play --relays 0", cli.ExitError, "--relays: 0"},
 		{"fleet play --plays 0", cli.ExitError, "--plays: 0"},
 	} {
--- a/internal/faultinjection/harness/attempt.go
+++ b/internal/faultinjection/harness/attempt.go
@@ -57,11 +57,11 @@
 func readRequest(in *bufio.Reader, firstByte time.Duration) (*attemptRequest, error) {
 	req, err := http.ReadRequest(in)
 	if err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+		return nil, fmt.Errorf("read the request of an attempt: %w", err)
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodySize+1))
 	if err != nil {
-		return nil, fmt.Errorf("body: %w", err)
+		return nil, fmt.Errorf("read the body of an attempt: %w", err)
 	}
 	if len(body) > maxBodySize {
 		return nil, errBodyTooLong
--- a/internal/faultinjection/harness/endpoint_list.go
+++ b/internal/faultinjection/harness/endpoint_list.go
@@ -41,8 +41,8 @@
 	bornMS   int64 // Unix time in milliseconds; 0: it existed at the start of the run
 }
 
-// list returns the changes after a version, or the complete list if the version does not exist. It also returns the entries of which
-// this list notifies the relay. The lock is held.
+// list returns the changes after a version, or the complete list if the version does not exist. It also returns the entries that
+// the relay is notified of by this list. The lock is held.
 func (d *discoveryServer) list(relay, after int) (list endpointList, notified []endpointEntry) {
 	list = endpointList{Seq: len(d.changes), Whole: after <= 0 || after > len(d.changes), Hosts: []endpointJSON{}}
 	notified = slices.Clone(d.entries)
@@ -116,7 +116,7 @@
 		}
 		return
 	}
-	after, _ := strconv.Atoi(req.URL.Query().Get("index")) // absent: 0, which asks for the complete list
+	after, _ := strconv.Atoi(req.URL.Query().Get("index")) // absent: 0, which requests the complete list
 	h.record(checker.Event{Kind: checker.WatchRequested, Relay: relay, OK: true})
 	defer h.record(checker.Event{Kind: checker.WatchEnded, Relay: relay})
 	watch := &endpointWatch{server: d, relay: relay, version: after, out: w, flusher: http.NewResponseController(w)}
@@ -177,7 +177,7 @@
 	}
 	event, err := json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("watch event: %w", err)
+		return nil, fmt.Errorf("encode a watch event: %w", err)
 	}
 	if err := w.write(append(event, '\n')); err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 func (w *endpointWatch) write(part []byte) error {
 	_, err := w.out.Write(part)
 	if err = errors.Join(err, w.flusher.Flush()); err != nil {
-		return fmt.Errorf("watch: %w", err)
+		return fmt.Errorf("write to a watch: %w", err)
 	}
 	return nil
 }
--- a/internal/faultinjection/harness/logs.go
+++ b/internal/faultinjection/harness/logs.go
@@ -12,7 +12,7 @@
 // saveLogs writes the event log, the relays' logs and their dead-letter stores into Options.KeepDir.
 func (h *harness) saveLogs() error {
 	if err := os.MkdirAll(h.options.KeepDir, 0o755); err != nil {
-		return fmt.Errorf("folder for logs: %w", err)
+		return fmt.Errorf("create the folder for logs: %w", err)
 	}
 	if err := h.writeEventLog(filepath.Join(h.options.KeepDir, "events.jsonl")); err != nil {
 		return fmt.Errorf("event log: %w", err)
--- a/internal/faultinjection/harness/relay.go
+++ b/internal/faultinjection/harness/relay.go
@@ -86,12 +86,12 @@
 func listenFile(addr string) (*os.File, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("socket to inherit: %w", err)
+		return nil, fmt.Errorf("listen on a socket for relay processes to inherit: %w", err)
 	}
 	defer func() { _ = ln.Close() }() // the file is a duplicate, and stays open
 	file, err := ln.(*net.TCPListener).File()
 	if err != nil {
-		return nil, fmt.Errorf("socket to inherit: %w", err)
+		return nil, fmt.Errorf("duplicate a socket for relay processes to inherit: %w", err)
 	}
 	return file, nil
 }
--- a/internal/faultinjection/simulation/day_drawn.go
+++ b/internal/faultinjection/simulation/day_drawn.go
@@ -33,7 +33,7 @@
 // that the platform states for such faults.
 func NewDrawnDay(kind string, relays int, seed int64) (*Day, error) {
 	if !slices.Contains(DrawnDayNames, kind) {
-		return nil, fmt.Errorf("%q is no kind of drawn day: known kinds are %s", kind, strings.Join(DrawnDayNames, ", "))
+		return nil, fmt.Errorf("unknown kind of drawn day %q: known kinds are %s", kind, strings.Join(DrawnDayNames, ", "))
 	}
 	random := drawSource{scenario.NewRandomStreams(seed).Stream("day of kind " + kind)}
 	day, _, err := drawWorkload(random).newDay(relays, seed)
--- a/internal/faultinjection/simulation/day_standard.go
+++ b/internal/faultinjection/simulation/day_standard.go
@@ -61,7 +61,7 @@
 		}
 		day.Faults = append(day.Faults, Fault{At: scenario.Seconds(10), Kind: FaultKill, Share: 0.7})
 	default:
-		return nil, fmt.Errorf("%q is no day: known days are %s", name, strings.Join(DayNames, ", "))
+		return nil, fmt.Errorf("unknown day %q: known days are %s", name, strings.Join(DayNames, ", "))
 	}
 	return day, nil
 }
