--- a/internal/faultinjection/checker/doc.go
+++ b/internal/faultinjection/checker/doc.go
@@ -1,6 +1,6 @@
 // Package checker checks a run of relays against rules. Its only evidence is the log that the stand-ins for clients, destinations
-// and discovery wrote; apart from the types of the settings it shares no code with the relay, so that an error in the relay cannot
-// hide itself. All times are relative to the start of the run.
+// and discovery wrote; apart from the types of the settings it shares no code with the relay, so that an error in the relay's code
+// cannot also make the checker overlook it. All times are relative to the start of the run.
 //
 // The rules are those of the protocol and some of the platform: every accepted request has exactly one terminal outcome, in time;
 // no request is executed twice unless its class allows it; draining endpoints get no new attempts; a recovering destination is not
--- a/internal/faultinjection/checker/event.go
+++ b/internal/faultinjection/checker/event.go
@@ -48,7 +48,7 @@
 	Connected        Kind = "connected"     // Relay Destination Endpoint: the relay opened a connection to an endpoint
 	DiscoveryMoved   Kind = "moved"         // Relay: the relay was instructed to use another discovery service
 	MetricsRead      Kind = "scraped"       // Relay Process Metrics: the metrics read from the admin endpoint of a process
-	LateEvent        Kind = "late-event"    // Duration: the harness itself was late with an event, by this time
+	LateEvent        Kind = "late-event"    // Duration: the harness itself was late with an event, by Duration
 )
 
 // Outcomes of attempts, in Event.Outcome.
@@ -60,7 +60,7 @@
 	Reset       = "reset"  // the endpoint reset the connection after the body
 	Interrupted = "cut"    // the endpoint failed or became unreachable while the attempt was in flight
 	Abandoned   = "left"   // the relay closed the connection before a response
-	NotSent     = "unsent" // the response said that the attempt counts as not sent: no slot, no attempt or no time was left, or the request is not of this run
+	NotSent     = "unsent" // the response stated that the attempt counts as not sent: no slot, attempt or time was left, or the request does not belong to this run
 )
 
 // States of endpoints, in Event.State.
--- a/internal/faultinjection/checker/history.go
+++ b/internal/faultinjection/checker/history.go
@@ -110,7 +110,7 @@
 	case e.Outcome == OK && r.deliveredAt < 0:
 		r.deliveredAt = e.At
 	case e.Outcome == NotSent && a.lastByte > r.deadline && r.expiredAt < 0:
-		r.expiredAt = e.At // the relay was notified that the deadline has passed, so no outcome is due any more
+		r.expiredAt = e.At // the relay was notified that the deadline has passed, so an outcome is no longer due
 	}
 }
 
--- a/internal/faultinjection/checker/log_builder_test.go
+++ b/internal/faultinjection/checker/log_builder_test.go
@@ -159,12 +159,12 @@
 	l.add(Event{At: sec, Kind: EndpointNotified, Endpoint: "h", State: state})
 }
 
-// showDraining adds that discovery shows endpoint h as draining, a second into the run.
+// showDraining adds the event that discovery shows endpoint h as draining, a second into the run.
 func (l *logBuilder) showDraining() {
 	l.add(Event{At: sec, Kind: EndpointShown, Endpoint: "h", State: Draining})
 }
 
-// discoveryDown adds that discovery becomes unavailable.
+// discoveryDown adds the event that discovery becomes unavailable.
 func (l *logBuilder) discoveryDown(at time.Duration) { l.add(Event{At: at, Kind: DiscoveryDown}) }
 
 // outage adds an outage of the destination a second into the run, after which, two seconds later, the destination is cold.
--- a/internal/faultinjection/checker/message_outcomes.go
+++ b/internal/faultinjection/checker/message_outcomes.go
@@ -9,7 +9,7 @@
 
 // messageOutcomes holds the outcome of each message by its number, over all ids under which clients submitted the message.
 type messageOutcomes struct {
-	deliveredAt map[int]time.Duration // not earlier than the response by which the client learned that the message was accepted
+	deliveredAt map[int]time.Duration // not earlier than the response that reported the acceptance of the message to its client
 	lastStatus  map[int]string        // Deferred, Undeliverable or empty
 	executions  map[int]int
 
--- a/internal/faultinjection/checker/rule_draining.go
+++ b/internal/faultinjection/checker/rule_draining.go
@@ -96,7 +96,7 @@
 		consider(max(w.shownAt, w.reachableSince) + w.notifyWithin)
 	}
 	if w.silentSince < never {
-		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // one time limit, counted from the time at which the watch became silent, for all changes that the watch misses
+		consider(max(w.silentSince+w.notifyWithin, w.shownAt)) // the time limit counts from the time at which the watch became silent, and is the same for all changes that the watch misses
 	}
 	if !w.watching {
 		consider(max(w.lastContact, w.shownAt) + w.pollDue)
--- a/internal/faultinjection/checker/rule_idempotency.go
+++ b/internal/faultinjection/checker/rule_idempotency.go
@@ -79,8 +79,8 @@
 	return a.lastByte + settings.Seconds(class.KeyTTLS) + socketSlack
 }
 
-// checkReturned checks that a request that must not be repeated and may have been executed was not returned to its client as safe to
-// submit again. It returns true, after reporting a violation, if the request was.
+// checkReturned checks that a request that must not be repeated and may have been executed was not returned to its client as safe
+// to submit again. If the request was returned in this way, checkReturned reports a violation and returns true.
 func (h *history) checkReturned(r *request, first *attempt) bool {
 	for _, n := range r.notices {
 		if n.State == Deferred && (r.deliveredAt < 0 || r.deliveredAt > n.At) {
--- a/internal/faultinjection/checker/rule_metrics.go
+++ b/internal/faultinjection/checker/rule_metrics.go
@@ -3,8 +3,8 @@
 import "time"
 
 // The tolerances within which a relay's metrics have to agree with the expected metrics: they may lag, and may differ by a small
-// number or by a share, whichever is larger. The share is larger for attempts than for outcomes, because the relay counts attempts in
-// the goroutines that write them, and outcomes in its event loop. The number in flight, a gauge, has a share of its own.
+// number or by a share, whichever is larger. The share is larger for attempts than for outcomes, because the relay counts attempts
+// in the goroutines that write them, and outcomes in its event loop. The number in flight, a gauge, has a separate share.
 const (
 	metricsLag          = 500 * time.Millisecond
 	minDifference       = 3.0
--- a/internal/faultinjection/checker/rule_order.go
+++ b/internal/faultinjection/checker/rule_order.go
@@ -53,7 +53,7 @@
 // less than the cooldown had passed since the end of an attempt with unknown outcome.
 func (r *request) blocksKeyAt(sent, cooldown time.Duration) bool {
 	completed := r.completedAt()
-	withoutNotice := r.deliveredAt >= 0 && len(r.notices) == 0 // no notice that could cross with the attempt
+	withoutNotice := r.deliveredAt >= 0 && len(r.notices) == 0 // delivered, without a notice that could cross with the attempt
 	if completed < 0 || completed > sent+crossingTime || withoutNotice && completed > sent {
 		return true
 	}
--- a/internal/faultinjection/checker/rule_overwrite.go
+++ b/internal/faultinjection/checker/rule_overwrite.go
@@ -1,6 +1,7 @@
 package checker
 
-// topic identifies requests of which a newer one supersedes the older ones: requests of one class and subject for one destination.
+// topic identifies the requests of one class and subject for one destination. Among these requests a newer one supersedes the older
+// ones.
 type topic struct {
 	destination, class int
 	subject            string
--- a/internal/faultinjection/checker/weight.go
+++ b/internal/faultinjection/checker/weight.go
@@ -6,7 +6,8 @@
 	"frostlink/internal/settings"
 )
 
-// windowLength is the length of the windows of which the worst is reported; windowStep is the time between the starts of two windows.
+// windowLength is the length of the time windows, the worst of which is reported; windowStep is the time between the starts of
+// successive windows.
 const windowLength, windowStep = 10 * time.Second, time.Second
 
 // Request is a message of the scenario's workload.
--- a/internal/faultinjection/coordsim/check_values.go
+++ b/internal/faultinjection/coordsim/check_values.go
@@ -14,12 +14,12 @@
 	forever = time.Duration(math.MaxInt64)
 	// codeUnknown is the code of an operation whose outcome is unknown.
 	codeUnknown coord.Code = ""
-	// linearizabilityTimeout bounds the search for a linearization of the operations on a key. After it there is no verdict, and no
-	// violation is reported.
+	// linearizabilityTimeout bounds the search for a linearization of the operations on a key. If the search takes longer, it has
+	// no verdict, and no violation is reported.
 	linearizabilityTimeout = 5 * time.Second
 )
 
-// operation is one write or read of a value, as its client saw it.
+// operation is one write or read of a value, as its client observed it.
 type operation struct {
 	client     int
 	key        string
--- a/internal/faultinjection/coordsim/doc.go
+++ b/internal/faultinjection/coordsim/doc.go
@@ -3,9 +3,9 @@
 // duplicates and reorders messages and has partitions; processes that are paused, and that crash at any time, also during a write;
 // disks that are full, slow or rolled back; and clocks that drift apart.
 //
-// [Play] plays the run of a seed: a period with faults, then a quiet period, then the checks. A seed always plays the same run, so the
-// order of random draws and of scheduled events must not change. Most checks do not depend on the state of the code under test: they use
-// the executions, grants and replies that clients saw, with their true times.
+// [Play] plays the run of a seed: a period with faults, then a quiet period, then the checks. A seed always plays the same run, so
+// the order of random draws and of scheduled events must not change. Most checks do not depend on the state of the code under test:
+// they use the executions, grants and replies that clients observed, with their true times.
 //
 // # Files
 //
--- a/internal/faultinjection/coordsim/draw.go
+++ b/internal/faultinjection/coordsim/draw.go
@@ -42,7 +42,7 @@
 	usualProfile
 )
 
-// drawnProfiles contains each profile as often as its weight.
+// drawnProfiles contains each profile once per unit of its weight.
 var drawnProfiles = []profile{clockProfile, slowNetworkProfile, usualProfile, usualProfile}
 
 // parameters are drawn at the start of a run, and do not change.
--- a/internal/faultinjection/coordsim/kind.go
+++ b/internal/faultinjection/coordsim/kind.go
@@ -28,7 +28,7 @@
 	memberReplacement       faultKind = "replace"
 )
 
-// Faults that are counted when they occur, as a drawn fault does not always lead to one.
+// Faults that are counted when they occur, because a drawn fault does not always lead to one of them.
 const (
 	leaseRevoked    faultKind = "revoke"
 	rollbackBegun   faultKind = "were set back"
@@ -36,7 +36,7 @@
 	memberToReplace faultKind = "were replaced"
 )
 
-// target has the candidates that were drawn for a fault, and its duration. Each kind uses some of them.
+// target has the candidates that were drawn for a fault, and the duration of the fault. Each kind uses some of them.
 type target struct {
 	member   *member
 	client   *leaseClient
@@ -47,7 +47,7 @@
 type kindSpec struct {
 	name   faultKind
 	weight int  // relative probability of being drawn
-	leader bool // it concerns the leader, if there is one
+	leader bool // the fault concerns the leader, if there is one
 	inject func(s *simulation, t target)
 }
 
@@ -74,7 +74,7 @@
 	{memberReplacement, 1, false, (*simulation).replaceMember},
 }
 
-// drawnKinds contains each kind as often as its weight.
+// drawnKinds contains each kind once per unit of its weight.
 var drawnKinds = repeatByWeight(kinds)
 
 // clockRunKinds are the kinds of faults with clockProfile.
--- a/internal/faultinjection/coordsim/lease_execution.go
+++ b/internal/faultinjection/coordsim/lease_execution.go
@@ -23,7 +23,7 @@
 	start, end time.Duration
 	permit     lease.Permit
 	ended      bool
-	paused     bool // its process was paused or crashed at the time end; a lease promises nothing about later effects
+	paused     bool // its process was paused or crashed at the time end; a lease guarantees nothing about effects after that time
 }
 
 // execute begins an execution under a lease if none is in flight. Most executions end within the permitted time.
--- a/internal/faultinjection/coordsim/member.go
+++ b/internal/faultinjection/coordsim/member.go
@@ -24,16 +24,16 @@
 	id   uint64
 	core *replica.Core
 	disk replica.PersistentState
-	// writing is the last write, which reaches the disk at writtenAt. If the member crashes before, the disk has the write or not, at
-	// random.
+	// writing is the last write, which reaches the disk at writtenAt. If the member crashes before writtenAt, the write reaches the
+	// disk or is lost, at random.
 	writing         *replica.WriteBatch
 	writtenAt       time.Duration
 	diskFull        bool
 	maxWriteDelay   time.Duration
 	usualWriteDelay time.Duration                       // maxWriteDelay without a fault
-	terminated      error                               // why it does not start again; nil: it may
+	terminated      error                               // why the member must not start again; nil: it may start
 	pending         map[uint64]func(replica.Completion) // called when a request is completed, by tag
-	lastTag         uint64                              // of the requests so far
+	lastTag         uint64                              // tag of the most recent request
 	sessions        map[uint64]*leaseClient             // client that gets the hints for a session, by session
 }
 
@@ -61,7 +61,7 @@
 	m.round()
 }
 
-// every makes a call and a round at an interval.
+// every runs a function, followed by a round, once per interval.
 func (m *member) every(interval time.Duration, call func()) {
 	m.sim.scheduler.after(interval, &m.process, func() {
 		call()
@@ -70,7 +70,7 @@
 	})
 }
 
-// crash ends the process as SIGKILL does. A write in progress reaches the disk or not, at random.
+// crash ends the process as SIGKILL does. A write in progress reaches the disk or is lost, at random.
 func (m *member) crash() {
 	if !m.running {
 		return
--- a/internal/faultinjection/coordsim/member_round.go
+++ b/internal/faultinjection/coordsim/member_round.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// completeWrite applies the last write to the disk if its time has come.
+// completeWrite applies the last write to the disk if the time writtenAt has been reached.
 func (m *member) completeWrite() {
 	if m.writing != nil && m.sim.now() >= m.writtenAt {
 		m.disk.Apply(*m.writing)
--- a/internal/faultinjection/coordsim/network.go
+++ b/internal/faultinjection/coordsim/network.go
@@ -66,14 +66,14 @@
 	}
 	n.scheduler.after(duration, nil, func() {
 		for _, l := range links {
-			if n.partitions[l] > 0 { // it is 0 if the quiet period has healed the network
+			if n.partitions[l] > 0 { // the count is 0 if the quiet period has healed the network
 				n.partitions[l]--
 			}
 		}
 	})
 }
 
-// heal ends all network faults. The maximum delay stays as it was drawn, but no higher than a bound.
+// heal ends all network faults, and reduces the maximum delay of messages to maxDelay if it is longer.
 func (n *network) heal(maxDelay time.Duration) {
 	n.lossProbability, n.duplicateProbability = 0, 0
 	n.maxDelay = min(n.maxDelay, maxDelay)
--- a/internal/faultinjection/coordsim/process.go
+++ b/internal/faultinjection/coordsim/process.go
@@ -7,7 +7,7 @@
 	number      int // address on the network
 	incarnation int // increases with each crash
 	running     bool
-	busyUntil   time.Duration // its events are deferred until then, as it is paused or waits for its disk
+	busyUntil   time.Duration // the process's events are deferred until this time, because the process is paused or waits for its disk
 	clockRate   float64       // relative to true time
 	clockOffset time.Duration // the time of its clock at the start of the run
 }
@@ -28,7 +28,7 @@
 	p.incarnation++
 }
 
-// pause defers the events of the process until a true time. A longer pause that has begun stays.
+// pause defers the events of the process until a true time. A pause in progress that ends later is not shortened.
 func (p *process) pause(until time.Duration) { p.busyUntil = max(p.busyUntil, until) }
 
 // endPause ends a pause at a true time, unless the pause ends earlier.
--- a/internal/faultinjection/coordsim/replacement.go
+++ b/internal/faultinjection/coordsim/replacement.go
@@ -24,8 +24,8 @@
 	replaced
 )
 
-// replacement replaces an old member by a new one in the steps of an operator: the new member joins as a learner, the old member is
-// removed, and the new member becomes a voter.
+// replacement replaces an old member by a new one in the steps that an operator takes: the new member joins as a learner, the old
+// member is removed, and the new member becomes a voter.
 type replacement struct {
 	sim     *simulation
 	old     *member
@@ -83,7 +83,8 @@
 	r.advance()
 }
 
-// advance attempts the current step, or moves on to the next one if that is done. It reschedules itself until all steps are done.
+// advance attempts the current step, or moves on to the next step if the current one is done. It reschedules itself until all steps
+// are done.
 func (r *replacement) advance() {
 	if r.step == len(replacementSteps) {
 		r.sim.replacement = replaced
--- a/internal/faultinjection/coordsim/rollback.go
+++ b/internal/faultinjection/coordsim/rollback.go
@@ -6,8 +6,8 @@
 )
 
 // rollBackDisk restarts a member, later crashes it, and starts it with the disk that it had before the restart. It does so only if
-// all other members have acknowledged the new incarnation by then, since only in this case must the rollback be noticed. There is at
-// most one rollback per run, because a majority of members has to keep its disks.
+// all other members have acknowledged the new incarnation by then, because only in this case is the rolled-back member required to
+// detect the rollback. There is at most one rollback per run, because a majority of members has to keep its disks.
 func (s *simulation) rollBackDisk(t target) {
 	m := t.member
 	if s.rollback || !m.running || s.replacement != notReplacing {
--- a/internal/faultinjection/coordsim/value_requests.go
+++ b/internal/faultinjection/coordsim/value_requests.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// send sends a request to the current server, and schedules onTimeout in case that no reply comes.
+// send sends a request to the current server, and schedules onTimeout in case no reply arrives.
 func (c *valueClient) send(deliver func(m *member), onTimeout func()) {
 	m := c.sim.members[c.server]
 	c.sim.network.send(&c.process, &m.process, func() { deliver(m) })
@@ -40,8 +40,8 @@
 // nextServer returns the index of the member after the current server.
 func (c *valueClient) nextServer() int { return (c.server + 1) % len(c.sim.members) }
 
-// submit sends a command, with retries, until it has a result, and passes that to onResult. It calls onLost instead if the session has ended,
-// or may have ended by the timeout; the outcome of the command is then unknown.
+// submit sends a command, with retries, until the command has a result, and passes the result to onResult. If the session has
+// ended, or may have ended because submitTimeout is over, submit calls onLost instead, and the outcome of the command is unknown.
 func (c *valueClient) submit(command coord.Command, onResult func(coord.Result), onLost func()) {
 	c.submitUntil(c.sim.now()+submitTimeout, command, onResult, onLost)
 }
--- a/internal/faultinjection/destination/attempt.go
+++ b/internal/faultinjection/destination/attempt.go
@@ -22,13 +22,13 @@
 	KeyTTL              time.Duration // how long the key is remembered
 	ServiceTime         time.Duration // time to execute the attempt at a destination whose service time factor is 1
 	Draw                float64       // random number from 0 to 1 that decides whether the attempt gets an error or a reset
-	NewConnection       bool          // it is the first attempt on its connection
-	OverConnectionLimit bool          // its connection exceeds the endpoint's limit
+	NewConnection       bool          // the attempt is the first one on its connection
+	OverConnectionLimit bool          // the attempt's connection exceeds the endpoint's limit
 	Probe               bool          // a health check
 
 	endpoint  int
 	outcome   Outcome
-	duplicate bool          // the destination remembers its key, so that it has no effect
+	duplicate bool          // the destination remembers the attempt's key, so that the attempt has no effect
 	work      time.Duration // work that remains at workAt, as the time that it takes at full speed
 	workAt    time.Duration
 }
--- a/internal/faultinjection/destination/load_report.go
+++ b/internal/faultinjection/destination/load_report.go
@@ -43,7 +43,7 @@
 	return r.nextDraw
 }
 
-// updateLoadReports makes those reports visible whose delay is over, and creates the next report if it is due.
+// updateLoadReports makes reports visible once their delay is over, and creates the next report if it is due.
 func (m *Model) updateLoadReports() {
 	r := &m.reports
 	for len(r.delayed) > 0 && r.delayed[0].visibleAt <= m.now {
--- a/internal/faultinjection/destination/mode.go
+++ b/internal/faultinjection/destination/mode.go
@@ -10,7 +10,7 @@
 	ModeFailing           // responds to a share of the attempts with an error
 	ModeRefusing          // refuses new connections; open ones are reset when the mode begins
 	ModeUnresponsive      // accepts connections and never responds
-	ModeUnreachable       // no connection is established, as with a machine that is gone
+	ModeUnreachable       // no connection is established, as with a machine that has disappeared from the network
 )
 
 func (m Mode) isDown() bool { return m >= ModeRefusing }
--- a/internal/faultinjection/destination/model_test.go
+++ b/internal/faultinjection/destination/model_test.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// Under random faults and cancellations each attempt completes at most once and never before it is due, the concurrency and the queue
-// length stay within their bounds, and after an advance the next event is always in the future, so that a caller which waits for it
-// makes progress.
+// Under random faults and cancellations each attempt completes at most once and never before it is due, the concurrency and the
+// queue length stay within their bounds, and after an advance the next event is always in the future, so that a caller that waits
+// for this event makes progress.
 func TestModel_CompletesEachAttemptOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SampledFrom([]string{
--- a/internal/faultinjection/destination/rate_limit_test.go
+++ b/internal/faultinjection/destination/rate_limit_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// A destination whose limit is lowered admits that fraction of the configured limit, and all of it after the limit is restored.
+// A destination whose limit is lowered to a fraction of the configured limit admits that fraction, and admits the whole configured
+// limit again after the limit is restored.
 func TestModel_LowerLimitScalesWhatIsAdmitted(t *testing.T) {
 	for _, limit := range []string{"limit = { count = 20, span_s = 1 }", "limit = { rate = 20, burst = 5 }"} {
 		t.Run(limit, func(t *testing.T) {
--- a/internal/faultinjection/faults/executions_check.go
+++ b/internal/faultinjection/faults/executions_check.go
@@ -30,8 +30,8 @@
 	From, To time.Duration
 }
 
-// pauseLag is the longest time from the end of a pause to the start of an execution for which the relay still counts as paused in the
-// execution, because SIGCONT does not resume all threads of a process at once.
+// pauseLag is the longest time from the end of a pause to the start of an execution for which the relay still counts as paused
+// during the execution, because SIGCONT does not resume all threads of a process at once.
 const pauseLag = 100 * time.Millisecond
 
 // CheckExecutions applies CheckOverlap, CheckToken and CheckUnpaused to the executions that a resource recorded.
--- a/internal/faultinjection/faults/inject.go
+++ b/internal/faultinjection/faults/inject.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// statusTimeout bounds the request for a member's status, which tells whether the member is the leader.
+	// statusTimeout bounds the request for a member's status, which states whether the member is the leader.
 	statusTimeout = 200 * time.Millisecond
 	// slowLinkDelay is the delay of traffic over a slow link.
 	slowLinkDelay = 100 * time.Millisecond
@@ -58,8 +58,8 @@
 	return h.members[0]
 }
 
-// findHolder returns the relay whose execution began last, which is taken for the lease holder. Before any execution it returns the
-// first relay.
+// findHolder returns the relay whose execution began last, which is assumed to be the lease holder. Before any execution it returns
+// the first relay.
 func (h *harness) findHolder() *relay {
 	last := h.resource.LastRelay()
 	for _, r := range h.relays {
--- a/internal/faultinjection/faults/preload/syscalls.c
+++ b/internal/faultinjection/faults/preload/syscalls.c
@@ -1,6 +1,6 @@
 /*
- * Makes system calls of one process fail, or transfer only a part of their length, as Linux documents that they may. Can also make them
- * execute late.
+ * Makes system calls of one process fail, or transfer only a part of their length, in ways that Linux documents. Can also delay system
+ * calls.
  *
  * Loaded by LD_PRELOAD. The Go runtime makes its system calls without the C library, so that no function can be interposed. Instead a
  * system call filter (seccomp(2)) of this process makes the trapped calls raise SIGSYS. The signal handler below returns an error from
@@ -44,7 +44,7 @@
 
 struct rules {
 	uint64_t seed;
-	uint64_t calls; /* number of times that a rule was considered for a call; numbers the draws */
+	uint64_t calls; /* number of draws so far: one for each rule that was considered for a call */
 	struct rule rule[RULES];
 };
 
@@ -94,7 +94,7 @@
 	return s.st_mode & S_IFMT;
 }
 
-/* path_in_folder reports whether a path is in the folder; descriptor_in_folder, whether a descriptor's file is. */
+/* path_in_folder reports whether a path is in the folder; descriptor_in_folder reports whether a descriptor's file is in the folder. */
 static int path_in_folder(const char *path) { return folder[0] != 0 && strncmp(path, folder, strlen(folder)) == 0; }
 
 static int descriptor_in_folder(long descriptor)
--- a/internal/faultinjection/faults/proxy.go
+++ b/internal/faultinjection/faults/proxy.go
@@ -102,7 +102,7 @@
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // it may be closed already
+			_ = tcp.SetLinger(0) // the connection may be closed already
 		}
 		_ = c.Close()
 	}
@@ -132,7 +132,7 @@
 }
 
 func (p *Proxy) remove(c net.Conn) {
-	_ = c.Close() // its data was forwarded, or is dropped on purpose
+	_ = c.Close() // the connection's data was forwarded, or is dropped on purpose
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -214,7 +214,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
-				p.hold(d) // a partition also holds the end of the stream, so that the receiver does not notice the end before
+				p.hold(d) // a partition also holds the end of the stream, so that the receiver does not notice the end until the partition is healed
 			}
 			return
 		}
--- a/internal/faultinjection/faults/recorder.go
+++ b/internal/faultinjection/faults/recorder.go
@@ -15,7 +15,7 @@
 	violations   []Violation
 	holderDeaths []time.Duration
 	injected     map[Kind]int
-	closed       bool // the run is over, and exits of processes are no violations any more
+	closed       bool // the run is over, and exits of processes are no longer violations
 }
 
 func (r *recorder) countFault(k Kind) {
--- a/internal/faultinjection/faults/schedule.go
+++ b/internal/faultinjection/faults/schedule.go
@@ -27,7 +27,7 @@
 // DrawSchedule draws a schedule from a seed. All faults begin before the given length of time.
 func DrawSchedule(seed uint64, length time.Duration, members, relays int) []Fault {
 	random := rand.New(rand.NewPCG(seed, scheduleStream))
-	var weightedKinds []Kind // each kind as often as its weight
+	var weightedKinds []Kind // each kind once per unit of its weight
 	for _, k := range kinds {
 		for range k.weight {
 			weightedKinds = append(weightedKinds, k.name)
--- a/internal/faultinjection/faults/syscalls.go
+++ b/internal/faultinjection/faults/syscalls.go
@@ -52,18 +52,18 @@
 	FileRename
 )
 
-// ShortTransfer as the error of a rule makes a read or write transfer only a part of its length in place of failing.
+// ShortTransfer as the error of a rule makes a read or write transfer only a part of its length instead of failing.
 const ShortTransfer syscall.Errno = shortErrno //nolint:errname // not an error, but marks a short transfer in a rule
 
-// HeldUp as the error of a rule delays a call by HeldUpTime in place of making it fail.
+// HeldUp as the error of a rule delays a call by HeldUpTime instead of making it fail.
 const HeldUp syscall.Errno = heldUp //nolint:errname // not an error, but marks a delay in a rule
 
 // HeldUpTime is the delay of a call that is held up; the library has the same value in HELD_UP_NS.
 const HeldUpTime = 150 * time.Millisecond
 
-// SyscallErrors makes system calls fail in processes that are started with its Env and with its Library preloaded. A rule sets the share
-// of the calls of one kind that fail. The calls that fail are drawn by a seed and the number of the call. The processes have to be linked
-// dynamically against the C library.
+// SyscallErrors makes system calls fail in processes that are started with its Env and with its Library preloaded. A rule sets the
+// share of the calls of one kind that fail. A seed and the number of the call determine whether a call fails. The processes have to
+// be linked dynamically against the C library.
 type SyscallErrors struct {
 	library, path, folder string
 
--- a/internal/faultinjection/harness/client_conn.go
+++ b/internal/faultinjection/harness/client_conn.go
@@ -16,7 +16,7 @@
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool // it has been idle, so the relay may close it while a request is written
+	reused bool // the connection has been idle, so the relay may close it while a request is written
 }
 
 // takeIdle returns an idle connection to a relay, or nil.
--- a/internal/faultinjection/harness/destination_server.go
+++ b/internal/faultinjection/harness/destination_server.go
@@ -110,7 +110,7 @@
 		d.harness.record(checker.Event{Kind: checker.Executed, ID: c.Attempt.ID, Destination: d.number})
 	}
 	if a == nil {
-		return // its relay no longer waits for the response
+		return // the relay that made the attempt no longer waits for the response
 	}
 	resp, ended := responseTo(c)
 	a.end(ended)
--- a/internal/faultinjection/harness/discovery_server.go
+++ b/internal/faultinjection/harness/discovery_server.go
@@ -34,7 +34,7 @@
 	entries    []endpointEntry  // in the order of their first publication; deleted ones stay
 	changes    []int            // version n changed entries[changes[n-1]]
 	changed    chan struct{}    // closed and replaced at each update of the fields changes and failure
-	failure    discoveryFailure // of the endpoint list; notifications are received all the same
+	failure    discoveryFailure // of the endpoint list; notifications are received even during a failure
 	servers    map[int]*http.Server
 	allServers []*http.Server // including those at addresses from before a move
 }
@@ -163,7 +163,7 @@
 	}
 }
 
-// respondFailed handles a request for the endpoint list while discovery fails, in the way of the failure.
+// respondFailed handles a request for the endpoint list while discovery fails, as the kind of failure requires.
 func (d *discoveryServer) respondFailed(failure discoveryFailure, w http.ResponseWriter, req *http.Request) {
 	switch failure {
 	case discoveryUnavailable:
--- a/internal/faultinjection/harness/doc.go
+++ b/internal/faultinjection/harness/doc.go
@@ -7,7 +7,7 @@
 // rules were broken.
 //
 // Stand-ins have a separate address for each relay, so that the address identifies the relay that calls. Faults and clients
-// run on after the calls that start them have returned; they end with the context of the run, and Run waits for them.
+// continue after the calls that start them have returned; they end with the context of the run, and Run waits for them.
 //
 // A run on a machine that is too busy proves nothing: the harness records how late its own events were, and marks a result as
 // void when too many of them were late.
--- a/internal/faultinjection/harness/endpoint_conn.go
+++ b/internal/faultinjection/harness/endpoint_conn.go
@@ -18,7 +18,7 @@
 	*net.TCPConn
 	endpoint    *endpointServer
 	relay       int
-	overLimit   bool // it exceeds the number of connections that the endpoint accepts
+	overLimit   bool // the connection exceeds the number of connections that the endpoint accepts
 	unused      bool // no attempt has arrived on it yet
 	closed      bool
 	attempt     *attempt      // in flight; nil: none
--- a/internal/faultinjection/harness/endpoint_server_test.go
+++ b/internal/faultinjection/harness/endpoint_server_test.go
@@ -17,7 +17,7 @@
 	"frostlink/internal/faultinjection/scenario"
 )
 
-// Endpoints fail in the way of each kind of outage, and serve again after the outage.
+// Endpoints fail as each kind of outage requires, and serve again after the outage.
 func TestEndpointServer_FailsAndRecoversByKindOfOutage(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 1, 4, 4, 1))
 	d := h.destinations[0]
@@ -154,7 +154,7 @@
 	}
 }
 
-// As the platform does, an endpoint stops attempts under an id that no client submitted, at the wrong destination, after the
+// Like the platform, an endpoint rejects attempts under an id that no client submitted, at the wrong destination, after the
 // deadline, for a submission whose client got no response, and above the maximum number of attempts.
 func TestEndpointConn_StopsAttemptsAsThePlatformDoes(t *testing.T) {
 	h := newHarnessWithoutRelays(t, loadScenario(t, 50, 5, 1, 2, 4, 4, 1))
--- a/internal/faultinjection/harness/fault_schedule_relay.go
+++ b/internal/faultinjection/harness/fault_schedule_relay.go
@@ -29,8 +29,8 @@
 	scenario.FaultDiscoveryMove: recordingFailure(func(r *relay, _ *scenario.Fault) error { return r.moveDiscovery() }),
 }
 
-// repeatedly returns a fault that calls inject, which replaces a relay's process, and calls it again if the scenario asks for a second
-// replacement.
+// repeatedly returns a fault that calls inject, which replaces a relay's process, and calls it again if the scenario specifies a
+// second replacement.
 func repeatedly(inject relayFault) relayFault {
 	return func(r *relay, f *scenario.Fault) {
 		inject(r, f)
--- a/internal/faultinjection/harness/harness.go
+++ b/internal/faultinjection/harness/harness.go
@@ -14,7 +14,7 @@
 	random   scenario.RandomStreams
 	options  Options
 	workDir  string          // deleted after the run
-	ctx      context.Context // of the whole run; ends faults and clients, which run on after the calls that start them return
+	ctx      context.Context // of the whole run; its end stops the faults and clients, which continue after the calls that start them return
 
 	*recorder
 	launcher       *faults.Launcher
--- a/internal/faultinjection/harness/load_balancer.go
+++ b/internal/faultinjection/harness/load_balancer.go
@@ -28,7 +28,7 @@
 
 const (
 	relayDown          relayAccess = iota // not at all
-	relayOpenConnsOnly                    // it is shutting down: only on connections that are already open
+	relayOpenConnsOnly                    // the relay is shutting down: only on connections that are already open
 	relayUp
 )
 
@@ -54,18 +54,18 @@
 	b.generation[relay]++
 }
 
-// relayLeaving makes the load balancer stop using a relay after a delay, unless the relay becomes ready again before.
+// relayLeaving makes the load balancer stop using a relay after a delay, unless the relay becomes ready again in the meantime.
 func (b *loadBalancer) relayLeaving(relay int, delay time.Duration) {
 	b.changeAfter(relay, delay, relayDown)
 }
 
-// relayDraining makes the load balancer, after a delay, open no more new connections to a relay that is shutting down, unless
-// the relay becomes ready again before.
+// relayDraining makes the load balancer stop opening new connections to a relay that is shutting down. The change takes effect
+// after a delay, unless the relay becomes ready again in the meantime.
 func (b *loadBalancer) relayDraining(relay int, delay time.Duration) {
 	b.changeAfter(relay, delay, relayOpenConnsOnly)
 }
 
-// changeAfter restricts the access to a relay after a delay, unless the relay becomes ready again before.
+// changeAfter restricts the access to a relay after a delay, unless the relay becomes ready again in the meantime.
 func (b *loadBalancer) changeAfter(relay int, delay time.Duration, to relayAccess) {
 	b.mu.Lock()
 	generation := b.generation[relay]
--- a/internal/faultinjection/harness/measure_test.go
+++ b/internal/faultinjection/harness/measure_test.go
@@ -44,7 +44,7 @@
 	seconds          float64 // latency of all served attempts
 }
 
-// A destination on sockets behaves as queueing theory predicts, at 0.5, 0.9 and 1.3 of its capacity.
+// A destination on sockets behaves as queueing theory predicts, under loads of 0.5, 0.9 and 1.3 times its capacity.
 func TestMeasureModelOnSockets(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const slots, queue, serviceMS = 8, 16, 50
@@ -142,7 +142,7 @@
 const redeliveringOperator = "version = 1\n[undelivered]\nfolder = \"{dir}/undelivered\"\n" +
 	"[[undelivered.rule]]\naction = \"resend\"\nmost = 8\nrate = 100\n"
 
-// Measures what the redelivery of a backlog of 100,000 messages costs fresh traffic: plays the quiet scenario alternately without
+// Measures how the redelivery of a backlog of 100,000 messages affects fresh traffic: plays the quiet scenario alternately without
 // and with the backlog, on the real relay.
 func TestMeasureBacklog(t *testing.T) {
 	skipUnlessMeasuring(t)
@@ -179,7 +179,7 @@
 	t.Logf("weight with a backlog %.4v, without %.4v", with, without)
 }
 
-// Measures what storing dead letters costs beside full traffic, on one core. A third of the traffic is for a destination that is
+// Measures the cost of storing dead letters under full traffic, on one core. A third of the traffic is for a destination that is
 // overloaded, and the messages that are rejected for that reason are stored as well.
 func TestMeasureDeadLettersBesideTraffic(t *testing.T) {
 	skipUnlessMeasuring(t)
@@ -211,7 +211,7 @@
 	}
 }
 
-// Measures the CPU cost and the latency of the admin endpoint beside traffic that uses most of the relay's one core: alternately
+// Measures the CPU cost and the latency of the admin endpoint under traffic that uses most of the relay's one core: alternately
 // without reads, and with ten reads a second and 64 callers that send nothing.
 func TestMeasureAdminEndpoint(t *testing.T) {
 	skipUnlessMeasuring(t)
--- a/internal/faultinjection/harness/notification_server.go
+++ b/internal/faultinjection/harness/notification_server.go
@@ -28,7 +28,7 @@
 	return n.ID != "" && (n.Status == checker.Undeliverable || n.Status == checker.Deferred)
 }
 
-// malformedNotificationError is the error for a line that is no valid notification.
+// malformedNotificationError is the error for a line that is not a valid notification.
 type malformedNotificationError struct{ line string }
 
 func (e *malformedNotificationError) Error() string { return fmt.Sprintf("%.100q", e.line) }
--- a/internal/faultinjection/harness/redelivery_summary.go
+++ b/internal/faultinjection/harness/redelivery_summary.go
@@ -52,7 +52,7 @@
 	return attempts
 }
 
-// summarizeRedeliveries summarizes the attempts at one destination, of which there is at least one.
+// summarizeRedeliveries summarizes the attempts at one destination. There must be at least one attempt.
 func summarizeRedeliveries(name string, attempts []checker.Event) Redeliveries {
 	sum := Redeliveries{Destination: name, Attempts: len(attempts), From: attempts[0].FirstByte, To: attempts[len(attempts)-1].FirstByte}
 	relays := map[int]bool{}
--- a/internal/faultinjection/harness/relay_faults.go
+++ b/internal/faultinjection/harness/relay_faults.go
@@ -13,7 +13,7 @@
 	"frostlink/internal/wait"
 )
 
-// kill ends the process by SIGKILL, and waits until it is gone.
+// kill ends the process by SIGKILL, and waits until the process has ended.
 func (r *relay) kill() {
 	p := r.signal(syscall.SIGKILL)
 	if p != nil && !p.exitsWithin(killTimeout, nil) {
--- a/internal/faultinjection/harness/relay_faults_test.go
+++ b/internal/faultinjection/harness/relay_faults_test.go
@@ -10,8 +10,8 @@
 const (
 	// concurrentPlays is the number of runs that are played at once. More would make the harness late.
 	concurrentPlays = 4
-	// minWeightShare is the share of the weight delivered without faults that has to be delivered with them. Kills cost some weight.
-	// A relay that a step of the wall clock confuses loses more than half of the weight, which this bound detects.
+	// minWeightShare is the share of the weight delivered without faults that has to be delivered with them. Kills cost some
+	// weight. A relay that mishandles a step of the wall clock loses more than half of the weight, which this bound detects.
 	minWeightShare = 0.75
 	// minWeightShareDiskErrors is the same share in runs in which nothing can be accepted for three of eight seconds.
 	minWeightShareDiskErrors = 0.4
--- a/internal/faultinjection/harness/relay_process.go
+++ b/internal/faultinjection/harness/relay_process.go
@@ -37,7 +37,7 @@
 	// Guarded by the relay's mutex.
 	expected  bool // a signal that ends it has been sent
 	replaced  bool // another process serves clients in its place
-	successor bool // it is to replace another process, and has not done so yet
+	successor bool // the process is to replace another process, and has not done so yet
 }
 
 // start starts a process, and waits until it is ready.
@@ -207,8 +207,8 @@
 	}
 }
 
-// signal sends a signal: SIGTERM and SIGHUP, to which a relay reacts, to the program alone, as the platform does, and other
-// signals to its process group.
+// signal sends a signal to the process. As on the platform, SIGTERM and SIGHUP, to which a relay reacts, are sent only to the
+// relay's process. Other signals are sent to its process group.
 func (p *process) signal(sig syscall.Signal) {
 	r := p.relay
 	r.mu.Lock()
--- a/internal/faultinjection/harness/relay_shutdown.go
+++ b/internal/faultinjection/harness/relay_shutdown.go
@@ -18,7 +18,7 @@
 	// repeatedSignalDelay is the time between the two signals when SIGTERM is sent twice in immediate succession.
 	repeatedSignalDelay = 10 * time.Millisecond
 	// stuckSuspendDelay is the time from SIGTERM until a process whose shutdown is to hang is suspended: by then, the load balancer
-	// opens no new connections to it any more.
+	// no longer opens new connections to it.
 	stuckSuspendDelay = 500 * time.Millisecond
 	// maxStartingDelay is the longest time from a process's launch until it is terminated while it starts.
 	maxStartingDelay = 25 * time.Millisecond
@@ -169,8 +169,8 @@
 	}
 }
 
-// repeatFault calls do to inject a fault a second time, RestartAgain seconds after the relay has come back, if the scenario asks
-// for that and the relay is up then.
+// repeatFault calls do to inject a fault a second time, RestartAgain seconds after the relay has come back, if the scenario
+// specifies a second fault and the relay is up then.
 func (r *relay) repeatFault(f *scenario.Fault, do func()) {
 	if f.RestartAgain > 0 && wait.For(r.h.ctx, scenario.Seconds(f.RestartAgain)) && r.serving() != nil {
 		r.h.count(RestartedAgain)
--- a/internal/faultinjection/harness/relay_standin_delivery_test.go
+++ b/internal/faultinjection/harness/relay_standin_delivery_test.go
@@ -22,8 +22,8 @@
 	failureBackoff = 400 * time.Millisecond
 	// maxStandInAttempts bounds the attempts of a message.
 	maxStandInAttempts = 12
-	// Stand-ins that lose messages, notify too late or notify twice do so with every misbehaveEvery-th message. The first
-	// two of these misbehaviors spare ordered messages.
+	// Stand-ins that lose messages, notify too late or notify twice do so with every misbehaveEvery-th message. The first two of
+	// these misbehaviors do not affect ordered messages.
 	misbehaveEvery = 5
 )
 
--- a/internal/faultinjection/harness/relay_standin_test.go
+++ b/internal/faultinjection/harness/relay_standin_test.go
@@ -23,7 +23,7 @@
 // variable names.
 const standInEnv = "REHEARSAL_STAND_IN"
 
-// misbehavior is the one way in which a stand-in misbehaves, by the name that the tests give it.
+// misbehavior is the name that the tests give to the single way in which a stand-in misbehaves.
 type misbehavior string
 
 const (
--- a/internal/faultinjection/harness/reload.go
+++ b/internal/faultinjection/harness/reload.go
@@ -31,7 +31,7 @@
 func (r *relay) applySettings(fault *scenario.Fault) {
 	p := r.serving()
 	if p == nil {
-		return // there is no process to reload the file; the next one reads the file at its start
+		return // no process runs that could reload the file; the next process reads the file at its start
 	}
 	before, err := p.metrics()
 	if err != nil {
--- a/internal/faultinjection/harness/result_print.go
+++ b/internal/faultinjection/harness/result_print.go
@@ -24,7 +24,7 @@
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	r.printDestinations(table)
 	r.printRelays(table)
-	_ = table.Flush() // fails only if the output can no longer be written, which is ignored as for the other output
+	_ = table.Flush() // fails only if writing to out fails, and errors of all writes to out are ignored
 	r.printWeight(out)
 	r.printCounts(out)
 	r.printAdminReads(out)
--- a/internal/faultinjection/harness/run.go
+++ b/internal/faultinjection/harness/run.go
@@ -20,8 +20,8 @@
 	// settleTime is how long a run waits after the last time at which an outcome is due. The run then ends even if
 	// submissions are still open.
 	settleTime = 2500 * time.Millisecond
-	// lingerTime is how long a run goes on once all messages are completed, so that what relays still send for them is
-	// recorded and judged as well.
+	// lingerTime is how long a run continues once all messages are completed, so that attempts and notifications that relays still
+	// send for them are recorded and judged as well.
 	lingerTime = 500 * time.Millisecond
 )
 
--- a/internal/faultinjection/harness/run_test.go
+++ b/internal/faultinjection/harness/run_test.go
@@ -23,7 +23,7 @@
 
 // plantedScenario is the scenario of the runs in which stand-in relays break rules. It has an idempotent class, a class that is
 // idempotent by key, a class that is not idempotent, and an ordered class. Its destinations are, in this order, a destination that
-// drops responses and of which an endpoint drains, a destination that rejects with a Retry-After, a destination that has an outage,
+// drops responses and has an endpoint that drains, a destination that rejects with a Retry-After, a destination that has an outage,
 // and a destination without faults.
 const plantedScenario = `version = 1
 name = "planted"
--- a/internal/faultinjection/harness/setup_test.go
+++ b/internal/faultinjection/harness/setup_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// openConcurrently opens runs at once, and binds their relays' addresses only when every run has chosen its addresses, the order in
-// which conflicts are most likely.
+// openConcurrently opens runs at once, and binds their relays' addresses only when every run has chosen its addresses, because
+// conflicts are most likely in this order.
 func openConcurrently(t *testing.T, s *scenario.Scenario) {
 	t.Helper()
 	var opening, binding sync.WaitGroup
--- a/internal/faultinjection/harness/soak_test.go
+++ b/internal/faultinjection/harness/soak_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Processes that are ended and replaced in all the ways of the platform, while clients keep using open connections, break no rule
-// and no invariant. The runs together contain every occurrence that they have to contain.
+// Processes that are ended and replaced in every way that the platform uses, while clients keep using open connections, break no
+// rule and no invariant. The runs together contain every occurrence that they have to contain.
 func TestRelays_TolerateRestartsOfThePlatform(t *testing.T) {
 	program := buildRelay(t)
 	var occurred []map[Occurrence]int
--- a/internal/faultinjection/harness/standby.go
+++ b/internal/faultinjection/harness/standby.go
@@ -16,7 +16,8 @@
 	activeTimeout = 2 * time.Second
 )
 
-// standby puts the relay on standby for a while, as an operator does, and checks that clients leave it and come back.
+// standby puts the relay on standby for a while, as an operator does. It checks that the relay fails health checks and disconnects
+// idle clients on standby, and passes health checks afterwards.
 func (r *relay) standby(d time.Duration) {
 	p := r.serving()
 	if p == nil {
--- a/internal/faultinjection/harness/unreachable.go
+++ b/internal/faultinjection/harness/unreachable.go
@@ -14,14 +14,14 @@
 	// fillerConns is the number of connections that fill a listener's accept queue: with a backlog of 0, the kernel still
 	// queues one connection.
 	fillerConns = 2
-	// fillTimeout is the time after which a connection attempt is taken to fail, because the queue is full.
+	// fillTimeout is the time after which a connection attempt counts as failed because the queue is full.
 	fillTimeout = 50 * time.Millisecond
 )
 
 // blockAddresses makes connection attempts to the endpoint's addresses time out: a listener whose accept queue is full drops
 // SYNs, so that the endpoint looks like a machine that has vanished.
 func (e *endpointServer) blockAddresses() {
-	var mu sync.Mutex // guards e.blockers among the goroutines below; the lock of the destination is held as well
+	var mu sync.Mutex // guards e.blockers between the goroutines below; the caller holds the destination's lock
 	var blocking sync.WaitGroup
 	for _, addr := range e.addrs {
 		blocking.Go(func() {
--- a/internal/faultinjection/harness/upgrade.go
+++ b/internal/faultinjection/harness/upgrade.go
@@ -13,8 +13,8 @@
 // takeoverTimeout is the time within which a successor has to serve clients in place of its predecessor.
 const takeoverTimeout = 6 * time.Second
 
-// maxHandoverDelay is the longest time from a successor's launch until its predecessor is terminated, if the scenario asks for
-// a SIGTERM during the hand-over.
+// maxHandoverDelay is the longest time from a successor's launch until its predecessor is terminated, if the scenario specifies a
+// SIGTERM during the hand-over.
 const maxHandoverDelay = 40 * time.Millisecond
 
 // upgrade replaces the relay's process while it serves: the successor is started beside it, and the predecessor is shut down
--- a/internal/faultinjection/scenario/quota.go
+++ b/internal/faultinjection/scenario/quota.go
@@ -20,7 +20,8 @@
 	return buckets
 }
 
-// take takes a token from a tenant's bucket. It returns false if there is none: the message is beyond the tenant's quota.
+// take takes a token from a tenant's bucket. It returns false if the bucket is empty, which means that the message is beyond the
+// tenant's quota.
 func (b quotaBuckets) take(tenant int, at time.Duration) bool {
 	if tenant < 0 || b[tenant].quota == 0 {
 		return true
--- a/internal/faultinjection/scenario/soak_restarts.go
+++ b/internal/faultinjection/scenario/soak_restarts.go
@@ -44,7 +44,7 @@
 	return w.text.String()
 }
 
-// writeRestarts draws the faults of all relays. Each planned fault of a process is assigned to a relay of its own.
+// writeRestarts draws the faults of all relays. Each planned fault of a process is assigned to a different relay.
 func (w *soakWriter) writeRestarts(relays int, crowds bool) {
 	planned := []func(setting){
 		w.writeHangingShutdown, w.writeStuckShutdown, w.writeShutdownWhileStarting, w.writeKillAfterAcceptance, w.writeKillAfterAcceptance,
--- a/internal/faultinjection/scenario/validate.go
+++ b/internal/faultinjection/scenario/validate.go
@@ -36,7 +36,7 @@
 		v.AddError("relays", "is %d, must be from 1 to %d", s.Relays, maxRelays)
 	}
 	switch s.Coordination.Members {
-	case 0, 1, 3, 5: // none, or an odd number: a further member that makes the number even does not allow more members to fail
+	case 0, 1, 3, 5: // no members or an odd number, because an additional member that makes the number even does not allow one more member to fail
 	default:
 		v.AddError("coordination.members", "is %d, must be 0, 1, 3 or 5", s.Coordination.Members)
 	}
--- a/internal/faultinjection/simulation/attempt.go
+++ b/internal/faultinjection/simulation/attempt.go
@@ -14,12 +14,12 @@
 
 const (
 	attemptConnecting attemptState = iota
-	attemptConnected               // it has a connection, and its request is not written yet
-	attemptSent                    // its request is written
+	attemptConnected               // the attempt has a connection, and its request is not written yet
+	attemptSent                    // the attempt's request is written
 	attemptEnded
 )
 
-// resetState says whether an attempt's connection was reset, and whether the relay has noticed.
+// resetState states whether an attempt's connection was reset, and whether the relay has noticed.
 type resetState int
 
 const (
--- a/internal/faultinjection/simulation/discovery.go
+++ b/internal/faultinjection/simulation/discovery.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// notify sends a relay the endpoint list up to a version. A notification that is in flight when the process dies is lost, and not
+// notify sends a relay the endpoint list up to a version. A notification that is in flight when the process ends is lost, and not
 // recorded.
 func (s *discoveryService) notify(r *relay, incarnation, version int) {
 	writtenAt := s.fleet.now
@@ -146,7 +146,7 @@
 	}
 }
 
-// list returns changes as an event for the decision module, with the last change of each endpoint only. full says that they make up
+// list returns changes as an event for the decision module, with the last change of each endpoint only. full marks the changes as
 // the complete endpoint list.
 func (s *discoveryService) list(changes []endpointChange, full bool) policy.EndpointsChanged {
 	list := policy.EndpointsChanged{Full: full}
--- a/internal/faultinjection/simulation/doc.go
+++ b/internal/faultinjection/simulation/doc.go
@@ -1,7 +1,7 @@
-// Package simulation runs a whole fleet of relays in virtual time: the decision modules are those of production, each with a
-// seed of its own, and the destinations and a discovery service of limited capacity are models. All of it runs on one thread
-// and opens no socket. A second of real time shows what load the relays of a fleet together put on a destination or on
-// discovery, which so many relay processes could not show on one machine.
+// Package simulation runs a whole fleet of relays in virtual time: the relays' decision modules are the production code, each with
+// a separate seed, and the destinations and a discovery service of limited capacity are models. A simulation runs on one thread and
+// opens no socket. In a second of real time it shows the load that all relays of a fleet together put on a destination or on
+// discovery. One machine could not show this load with as many relay processes.
 //
 // A Day is a scenario with faults that concern a fleet. Play runs it, and package checker judges it by the events that the
 // models recorded. The same day gives the same result each time.
--- a/internal/faultinjection/simulation/fleet.go
+++ b/internal/faultinjection/simulation/fleet.go
@@ -33,9 +33,9 @@
 	executions   map[int]int                  // by message number, for messages that must not be executed twice
 	lastAttempt  int                          // the highest number of an attempt that reached an endpoint
 	partition    int                          // number of the zone that is cut off, plus 1; 0: no partition
-	unnoticed    []*endpoint                  // of connections that relays closed during the partition, which the endpoints notice only after it
-	harmShare    float64                      // share of attempts that the network harms
-	leavingShare float64                      // share of clients that leave before the response
+	unnoticed    []*endpoint                  // the endpoint of each connection that a relay closed during the partition; the endpoints notice the closes only after the partition
+	harmShare    float64                      // share of attempts that a fault of the network affects
+	leavingShare float64                      // share of clients that disconnect before the response
 }
 
 // Play runs a day to its end and checks it. It returns an error if the scenario's settings are not valid for a relay.
--- a/internal/faultinjection/simulation/network.go
+++ b/internal/faultinjection/simulation/network.go
@@ -47,8 +47,8 @@
 
 const (
 	unharmed    harm = iota
-	resetBefore      // its connection is reset before the last byte of the request is written
-	resetAfter       // its connection is reset after that
+	resetBefore      // the attempt's connection is reset before the last byte of the request is written
+	resetAfter       // the attempt's connection is reset after the last byte of the request is written
 	responseLost
 )
 
--- a/internal/faultinjection/simulation/relay.go
+++ b/internal/faultinjection/simulation/relay.go
@@ -24,7 +24,7 @@
 	number      int
 	incarnation int // number of processes so far
 	alive       bool
-	stopping    bool          // it shuts down gracefully and accepts no submissions
+	stopping    bool          // the relay shuts down gracefully and accepts no submissions
 	readyAt     time.Duration // when the current process started
 	dispatcher  *policy.Dispatcher
 
@@ -114,7 +114,7 @@
 	}
 }
 
-// kill ends the process if it runs. Its connections break, its journal stays. The relay starts again after restartDelay.
+// kill ends the process if it runs. Its connections are closed, and its journal is kept. The relay starts again after restartDelay.
 func (r *relay) kill() {
 	f := r.fleet
 	if !r.alive {
@@ -136,7 +136,7 @@
 		r.requests, r.order = map[string]*openRequest{}, nil
 	}
 	f.after(restartDelay, func() {
-		_ = r.start() // it fails for invalid settings only, and these were valid at the first start
+		_ = r.start() // start fails only for invalid settings, and the settings were valid at the first start
 	})
 }
 
