--- a/cmd/frostlink-coord/run.go
+++ b/cmd/frostlink-coord/run.go
@@ -113,7 +113,7 @@
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(listener) }()
 	id := node.Identity()
-	log.Info("serving", keyCluster, id.Cluster, keyMember, id.ID, logkey.Address, address)
+	log.Info("member of the coordination service started", keyCluster, id.Cluster, keyMember, id.ID, logkey.Address, address)
 	err := node.Run(ctx)
 	_ = srv.Close()
 	if serveErr := <-served; err == nil && !errors.Is(serveErr, http.ErrServerClosed) {
--- a/cmd/frostlinkctl/fleet_follow.go
+++ b/cmd/frostlinkctl/fleet_follow.go
@@ -48,7 +48,7 @@
 func (f *fleetFollowFlags) checkArgs(_ *cobra.Command, args []string) error {
 	switch {
 	case f.wrong && len(args) < 1:
-		return errors.New("name the logs, or a folder with them")
+		return errors.New("no logs given: name at least one log file, or a folder that contains the log files")
 	case !f.wrong && len(args) < 2:
 		return errors.New("name a message's id and the logs, or --wrong and the logs")
 	}
--- a/internal/deadletter/rule_hours.go
+++ b/internal/deadletter/rule_hours.go
@@ -13,12 +13,12 @@
 func parseHours(text string) (span [2]time.Duration, err error) {
 	from, to, ok := strings.Cut(text, "-")
 	if !ok {
-		return span, fmt.Errorf("%q is no span such as \"08:00-18:30\"", text)
+		return span, fmt.Errorf("%q is not a time span such as \"08:00-18:30\"", text)
 	}
 	for i, part := range []string{from, to} {
 		t, err := time.Parse("15:04", strings.TrimSpace(part))
 		if err != nil {
-			return span, fmt.Errorf("%q is no time of the day such as 08:00", part)
+			return span, fmt.Errorf("%q is not a time of day such as 08:00", part)
 		}
 		span[i] = time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 	}
--- a/internal/deadletter/rule_test.go
+++ b/internal/deadletter/rule_test.go
@@ -26,7 +26,7 @@
 	_, err := parseRules(t, "[[rule]]\naction='send'\n[[rule]]\naction='resend'\nmost=1\nhours='8-9'\n[[rule]]\naction='discard'\nrate=2\nreason='bored'\nolder_than_s=-1\n")
 	want := []string{
 		`r:2: rule[1].action: "send" is none of hold, resend, discard`, `r:3: rule[2].rate: is missing`,
-		`r:5: rule[2].most: 1 incarnations`, `r:6: rule[2].hours: "8" is no time`, `r:7: rule[3].after_age_s: is missing`,
+		`r:5: rule[2].most: 1 incarnations`, `r:6: rule[2].hours: "8" is not a time of day`, `r:7: rule[3].after_age_s: is missing`,
 		`r:9: rule[3].rate: has no meaning for "discard"`, `r:10: rule[3].reason: "bored" is none of`, `r:11: rule[3].older_than_s: -1 is below 0`,
 	}
 	got := strings.Split(fmt.Sprint(err), "\n")
--- a/internal/deadletter/subject_buckets.go
+++ b/internal/deadletter/subject_buckets.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		s.recordError(fmt.Errorf("its topics: %w", ErrDamaged))
+		s.recordError(fmt.Errorf("read the state of the topics: %w", ErrDamaged))
 		return false
 	}
 	return true
--- a/internal/deadletter/totals.go
+++ b/internal/deadletter/totals.go
@@ -39,7 +39,7 @@
 	t := &Totals{}
 	if raw := tx.Bucket(metaBucket).Get(totalsKey); raw != nil {
 		if err := json.Unmarshal(raw, t); err != nil {
-			return nil, fmt.Errorf("its totals: %w", ErrDamaged)
+			return nil, fmt.Errorf("read the totals: %w", ErrDamaged)
 		}
 	}
 	return t, nil
@@ -48,10 +48,10 @@
 func writeTotals(tx *bbolt.Tx, t *Totals) error {
 	raw, err := json.Marshal(t)
 	if err != nil {
-		return fmt.Errorf("its totals: %w", err)
+		return fmt.Errorf("encode the totals: %w", err)
 	}
 	if err := tx.Bucket(metaBucket).Put(totalsKey, raw); err != nil {
-		return fmt.Errorf("its totals: %w", err)
+		return fmt.Errorf("write the totals: %w", err)
 	}
 	return nil
 }
@@ -79,17 +79,17 @@
 	group := Group{Class: class, Tenant: tenant}
 	if raw := bucket.Get(key); raw != nil {
 		if err := json.Unmarshal(raw, &group); err != nil {
-			return fmt.Errorf("its groups: %w", ErrDamaged)
+			return fmt.Errorf("read the counts of a class and tenant: %w", ErrDamaged)
 		}
 	}
 	group.Messages += messages
 	group.Bytes += bytes
 	raw, err := json.Marshal(group)
 	if err != nil {
-		return fmt.Errorf("its groups: %w", err)
+		return fmt.Errorf("encode the counts of a class and tenant: %w", err)
 	}
 	if err := bucket.Put(key, raw); err != nil {
-		return fmt.Errorf("its groups: %w", err)
+		return fmt.Errorf("write the counts of a class and tenant: %w", err)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 		return tx.Bucket(groupsBucket).ForEach(func(_, raw []byte) error {
 			var group Group
 			if err := json.Unmarshal(raw, &group); err != nil {
-				return fmt.Errorf("its groups: %w", ErrDamaged)
+				return fmt.Errorf("read the counts of a class and tenant: %w", ErrDamaged)
 			}
 			groups = append(groups, group)
 			return nil
