--- a/internal/trace/parse.go
+++ b/internal/trace/parse.go
@@ -33,7 +33,7 @@
 	case e.Version != Version:
 		return e, true, VersionError(e.Version)
 	case !(e.At >= 0 && e.At <= maxAt): // negated, so that NaN is rejected too
-		return e, true, fmt.Errorf("at: %v is not a Unix time in milliseconds", e.At)
+		return e, true, fmt.Errorf("at: %v is no Unix time in milliseconds", e.At)
 	}
 	return e, true, nil
 }
