--- a/internal/faultinjection/coordsim/network.go
+++ b/internal/faultinjection/coordsim/network.go
@@ -35,7 +35,7 @@
 		n.scheduler.after(delay, nil, func() {
 			// A message is lost if its link is partitioned or its receiver is down at its arrival.
 			if n.partitions[link{from.number, to.number}] == 0 && to.running {
-				n.scheduler.after(0, to, deliver) // as an event of the receiver, which may be paused
+				n.scheduler.after(0, to, deliver) // run as an event of the receiver, so that a pause of the receiver defers the delivery
 			}
 		})
 	}
--- a/internal/faultinjection/faults/verdict.go
+++ b/internal/faultinjection/faults/verdict.go
@@ -27,7 +27,7 @@
 	MaxLatenessSeconds float64      `json:"rig_late_s"`       // of the harness's own timers
 	Void               bool         `json:"void"`             // inconclusive, because the machine was too busy
 	Violations         []Violation  `json:"faults,omitempty"` // empty if the run passed
-	Dir                string       `json:"folder,omitempty"` // with the logs and data, if the run failed
+	Dir                string       `json:"folder,omitempty"` // folder with the logs and data of the run, if the run failed
 }
 
 func newResult(o Options) Result {
--- a/internal/faultinjection/harness/redelivery_summary.go
+++ b/internal/faultinjection/harness/redelivery_summary.go
@@ -16,9 +16,9 @@
 type Redeliveries struct {
 	Destination  string        `json:"partner"`
 	Attempts     int           `json:"calls"`
-	Relays       int           `json:"relays"` // that made them
+	Relays       int           `json:"relays"` // number of relays that made the attempts
 	Turns        int           `json:"turns"`  // uninterrupted sequences of attempts of one relay
-	MaxPerSecond int           `json:"most"`   // in any second
+	MaxPerSecond int           `json:"most"`   // maximum number of attempts in any second
 	From         time.Duration `json:"from"`
 	To           time.Duration `json:"to"`
 }
--- a/internal/faultinjection/scenario/messages_test.go
+++ b/internal/faultinjection/scenario/messages_test.go
@@ -38,7 +38,7 @@
 	tests := []struct {
 		name      string
 		got, want float64
-		tolerance float64 // of the relative deviation
+		tolerance float64 // maximum relative deviation
 	}{
 		{"messages", messages, seeds * s.Load.Rate * s.Length, 0.04},
 		{"first class", perClass[0] / messages, 0.55, 0.02},
